--- a/include/brambledoor/core.h
+++ b/include/brambledoor/core.h
@@ -66,6 +66,7 @@
     struct timespec aside_until; /* nothing is written of it before: see limits.c */
     struct timespec hold_until, last_placed, last_begun;
     uint32_t restarts; /* tasks that lost a place they had */
+    bool started;      /* some start of it was committed in this term */
     uint32_t errors;
     uint32_t runs, longest_run; /* finished tasks seen from begin to end, and tenths of a second */
     struct bd_spec spec;
@@ -253,9 +254,12 @@
     struct timespec busy_at, raised_at;
 };
 
+struct bd_metrics;
+
 struct bd_core {
     const struct bd_settings *set;
     const struct bd_log *log;
+    struct bd_metrics *metrics; /* NULL: nothing is timed */
     struct timespec now;
     double wall;
 
@@ -436,8 +440,9 @@
  * malformed: not applied, and to be decided anew in smaller pieces */
 void bd_core_committed(struct bd_core *c, int outcome, uint64_t ring, json_t *failed);
 /* the other controllers */
+/* heard: when its frame arrived, which may be some time before the frame is handled */
 void bd_core_peer(struct bd_core *c, const char *name, uint64_t term, uint8_t flags,
-                  double state_age, double said_at);
+                  double state_age, double said_at, struct timespec heard);
 /* our own record of being in touch is about to be sent; it was written */
 void bd_core_offered(struct bd_core *c, struct timespec sent);
 void bd_core_confirmed(struct bd_core *c, struct timespec sent);
--- a/include/brambledoor/frame.h
+++ b/include/brambledoor/frame.h
@@ -43,14 +43,16 @@
     uint8_t flags;
     uint32_t age_ms;
     uint64_t at_ms;
-    uint16_t count;
-    struct bd_progress jobs[BD_FRAME_JOBS];
     uint64_t id;
     uint16_t status;
     const char *text; /* of a frame that was read: inside the buffer, not terminated */
     uint32_t len;
+    uint16_t count;
+    struct bd_progress jobs[BD_FRAME_JOBS]; /* last, so that a copy may end after the ones used */
 };
 
+/* no fewer bytes than the frame takes */
+size_t bd_frame_bytes(const struct bd_frame *f);
 /* bytes written, 0 if it does not fit */
 size_t bd_frame_write(const struct bd_frame *f, unsigned char *out, size_t cap);
 /* bytes taken; 0: more is needed; -1: not a frame, the connection must end */
--- a/include/brambledoor/http.h
+++ b/include/brambledoor/http.h
@@ -4,6 +4,7 @@
 #include <stddef.h>
 
 struct bd_http;
+struct bd_counter;
 
 struct bd_reply {
     long status; /* 0: no answer, the request may or may not have been executed */
@@ -13,7 +14,8 @@
 
 int bd_http_start(void);
 void bd_http_end(void);
-struct bd_http *bd_http_new(long keep);
+/* keep: connections that are kept; counter: of its calls, or NULL */
+struct bd_http *bd_http_new(long keep, struct bd_counter *counter);
 void bd_http_free(struct bd_http *h);
 /* method GET, POST or DELETE; body may be NULL */
 void bd_http_call(struct bd_http *h, const char *method, const char *url, const char *body,
--- a/include/brambledoor/node.h
+++ b/include/brambledoor/node.h
@@ -9,6 +9,8 @@
 #include <stdatomic.h>
 
 struct bd_front;
+struct bd_metrics;
+struct bd_peer_link;
 
 enum bd_cmd_kind {
     BD_C_SUBMIT,
@@ -48,6 +50,7 @@
     int outcome;
     uint64_t ring, after, number, term;
     struct timespec sent;
+    struct timespec queued; /* when it was handed to the owner; zero: quietly, it may wait */
     bool flag;
     uint32_t machine;
     json_t *json;
@@ -65,10 +68,13 @@
     /* what adapters need to know of the owner's state */
     atomic_bool leading, want_barrier, types_known, step_down, up, page_out;
     atomic_ullong ring;
-    struct bd_queue reader_wake, to_peer[BD_MAX_PEERS];
+    struct bd_queue reader_wake;
+    struct bd_peer_link *links[BD_MAX_PEERS];
+    struct bd_metrics *metrics;
+    struct timespec next_report, reported, commit_sent;
     struct bd_cmd *pending_gain;
-    /* what the mesh says of us */
-    pthread_mutex_t said_lock;
+    /* what the other controllers are told of us */
+    pthread_mutex_t status_lock;
     struct bd_frame status;
     struct bd_progress *progress;
     uint32_t nprogress, cap_progress;
@@ -82,6 +88,9 @@
 struct bd_cmd *bd_cmd_new(enum bd_cmd_kind kind);
 void bd_cmd_free(struct bd_cmd *cmd);
 void bd_tell(struct bd_node *n, struct bd_cmd *cmd);
+/* what brings nothing new does not wake the owner: it is handled before the next command that does
+ */
+void bd_tell_quietly(struct bd_node *n, struct bd_cmd *cmd);
 int bd_thread(void *(*run)(void *), void *arg, size_t stack);
 
 int bd_front_start(struct bd_node *n);
@@ -92,9 +101,10 @@
 int bd_dispatch_start(struct bd_node *n);
 #define BD_DISPATCH_KEEP 4 /* connections that a sender of direct commands keeps */
 int bd_dispatch_threads(const struct bd_settings *s);
-int bd_mesh_start(struct bd_node *n);
-/* false: not sent, nothing will come back */
-bool bd_mesh_send(struct bd_node *n, int peer, const struct bd_frame *f);
+int bd_transport_start(struct bd_node *n);
+/* A frame for a peer, sent with the next flush. False: dropped, nothing will come back. */
+bool bd_transport_send(struct bd_node *n, int peer, const struct bd_frame *f);
+void bd_transport_flush(struct bd_node *n);
 struct sockaddr_in;
 bool bd_parse_addr(const char *text, struct sockaddr_in *out);
 #endif
--- a/include/brambledoor/queue.h
+++ b/include/brambledoor/queue.h
@@ -17,6 +17,9 @@
 void bd_queue_end(struct bd_queue *q);
 /* false: full, the caller keeps the item */
 bool bd_queue_put(struct bd_queue *q, void *item);
+/* the same, but wakes nobody: it is taken with the next item, or at the end of the wait under way
+ */
+bool bd_queue_put_quietly(struct bd_queue *q, void *item);
 /* takes up to max items, waiting until the instant for the first one */
 size_t bd_queue_take(struct bd_queue *q, void **out, size_t max, struct timespec until);
 #endif
--- a/src/cloud.c
+++ b/src/cloud.c
@@ -2,6 +2,7 @@
 #include "brambledoor/http.h"
 #include "brambledoor/node.h"
 #include "brambledoor/timeutil.h"
+#include "metrics.h"
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -184,7 +185,7 @@
     if (!d)
         return -1;
     d->n = n;
-    d->h = bd_http_new(1);
+    d->h = bd_http_new(1, bd_metrics_counter(n->metrics, BD_TRAFFIC_CLOUD));
     double lag = bd_to_secs(n->set.list_lag);
     double least = 2.0 / n->set.cloud_rps;
     d->list_s = lag / 3 > least ? lag / 3 : least;
--- a/src/core.c
+++ b/src/core.c
@@ -586,16 +586,16 @@
 /* ---- the other controllers ---- */
 
 void bd_core_peer(struct bd_core *c, const char *name, uint64_t term, uint8_t flags,
-                  double state_age, double said_at)
+                  double state_age, double said_at, struct timespec heard)
 {
     for (int i = 0; i < c->set->npeers; i++) {
         if (strcmp(c->set->peers[i].name, name) != 0)
             continue;
-        c->peers[i].heard = c->now;
+        c->peers[i].heard = heard;
         c->peers[i].term = term;
         c->peers[i].flags = flags;
         c->peers[i].said_at = said_at;
-        c->peers[i].state_seen = bd_sub(c->now, bd_secs(state_age));
+        c->peers[i].state_seen = bd_sub(heard, bd_secs(state_age));
     }
 }
 
--- a/src/dispatch.c
+++ b/src/dispatch.c
@@ -2,6 +2,7 @@
 #include "brambledoor/http.h"
 #include "brambledoor/node.h"
 #include "brambledoor/timeutil.h"
+#include "metrics.h"
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -14,7 +15,8 @@
 static void *run(void *arg)
 {
     struct bd_node *n = arg;
-    struct bd_http *h = bd_http_new(BD_DISPATCH_KEEP);
+    struct bd_http *h =
+        bd_http_new(BD_DISPATCH_KEEP, bd_metrics_counter(n->metrics, BD_TRAFFIC_DIRECT));
     while (h) {
         void *item;
         char url[128];
--- a/src/frame.c
+++ b/src/frame.c
@@ -3,6 +3,7 @@
 
 #define MAGIC 0x42444d31u
 #define VERSION 2u
+#define FIELDS_MOST 128u /* bytes of a frame beside its jobs and its text */
 
 struct out {
     unsigned char *p;
@@ -75,6 +76,11 @@
     }
 }
 
+size_t bd_frame_bytes(const struct bd_frame *f)
+{
+    return BD_FRAME_HEAD + FIELDS_MOST + f->count * sizeof f->jobs[0] + f->len;
+}
+
 size_t bd_frame_write(const struct bd_frame *f, unsigned char *buf, size_t cap)
 {
     struct out o = {buf, 0, cap < BD_FRAME_MOST ? cap : BD_FRAME_MOST, 0};
--- a/src/front.c
+++ b/src/front.c
@@ -2,6 +2,8 @@
  * connection is suspended while the owner decides. A thread for each connection would not fit
  * the machine's memory. */
 #include "brambledoor/node.h"
+#include "brambledoor/timeutil.h"
+#include "metrics.h"
 #include <arpa/inet.h>
 #include <microhttpd.h>
 #include <stdio.h>
@@ -22,9 +24,12 @@
     struct MHD_Connection *conn;
     char *buf;
     size_t len, cap;
-    bool too_large, too_much, asked, answered;
+    size_t sent; /* bytes of the answer's body */
+    bool too_large, too_much, asked, answered, health;
     int status, retry_after;
     char *body;
+    enum bd_cmd_kind kind; /* once it was asked */
+    struct timespec since;
 };
 
 struct bd_front {
@@ -62,9 +67,19 @@
     return send_now(conn, status, strdup(buf), retry);
 }
 
+static enum bd_timing timing_of(enum bd_cmd_kind kind)
+{
+    if (kind == BD_C_CHECKIN)
+        return BD_TIMING_CHECKIN;
+    if (kind == BD_C_SUBMIT)
+        return BD_TIMING_SUBMISSION;
+    return kind == BD_C_GET ? BD_TIMING_POLL : BD_TIMING_CANCELLATION;
+}
+
 void bd_front_reply(struct bd_node *n, void *request, int status, char *body, int retry_after)
 {
     struct request *r = request;
+    bd_metrics_time(n->metrics, timing_of(r->kind), bd_between(r->since, bd_now()));
     r->status = status;
     r->body = body;
     r->retry_after = retry_after;
@@ -135,6 +150,8 @@
     r->buf = NULL;
     snprintf(cmd->name, sizeof cmd->name, "%s", name);
     r->asked = true;
+    r->kind = cmd->kind;
+    r->since = bd_now();
     atomic_fetch_add(&n->front->pending, 1);
     MHD_suspend_connection(r->conn);
     bd_tell(n, cmd);
@@ -156,6 +173,7 @@
 {
     char name[BD_LABEL] = "";
     if (strcmp(url, "/up") == 0) {
+        r->health = true;
         if (strcmp(method, "GET") != 0)
             return say(r->conn, 405, "wrong method", 0);
         return atomic_load(&n->up) ? send_now(r->conn, 200, strdup("{\"up\":true}"), 0)
@@ -195,6 +213,7 @@
     if (r->answered) {
         char *body = r->body;
         r->body = NULL;
+        r->sent = body ? strlen(body) : 0;
         return send_now(conn, r->status, body, r->retry_after);
     }
     if (r->asked)
@@ -202,6 +221,32 @@
     return decide(arg, r, method, url);
 }
 
+static enum bd_traffic traffic_of(const struct request *r)
+{
+    static const struct {
+        enum bd_cmd_kind kind;
+        enum bd_traffic traffic;
+    } known[] = {{BD_C_CHECKIN, BD_TRAFFIC_CHECKIN},
+                 {BD_C_GET, BD_TRAFFIC_POLL},
+                 {BD_C_SUBMIT, BD_TRAFFIC_SUBMISSION},
+                 {BD_C_WITHDRAW, BD_TRAFFIC_CANCELLATION}};
+    for (size_t i = 0; r->asked && i < sizeof known / sizeof known[0]; i++)
+        if (known[i].kind == r->kind)
+            return known[i].traffic;
+    return r->health ? BD_TRAFFIC_HEALTH : BD_TRAFFIC_INVALID;
+}
+
+/* Connections of users and workers look alike before they ask: all are counted as check-ins'. */
+static void connection_changed(void *arg, struct MHD_Connection *conn, void **ctx,
+                               enum MHD_ConnectionNotificationCode code)
+{
+    struct bd_node *n = arg;
+    (void)conn;
+    (void)ctx;
+    if (code == MHD_CONNECTION_NOTIFY_STARTED)
+        bd_count_connections(bd_metrics_counter(n->metrics, BD_TRAFFIC_CHECKIN), 1);
+}
+
 static void completed(void *arg, struct MHD_Connection *conn, void **ctx,
                       enum MHD_RequestTerminationCode code)
 {
@@ -212,6 +257,7 @@
     if (!r)
         return;
     n->front->held -= r->len;
+    bd_count_message(bd_metrics_counter(n->metrics, traffic_of(r)), r->sent, r->len);
     free(r->buf);
     free(r->body);
     free(r);
@@ -248,7 +294,8 @@
         MHD_OPTION_SOCK_ADDR, (struct sockaddr *)&addr, MHD_OPTION_CONNECTION_LIMIT,
         (unsigned)(most > 8 ? most : 8), MHD_OPTION_CONNECTION_TIMEOUT, IDLE_S,
         MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)POOL_BYTES, MHD_OPTION_NOTIFY_COMPLETED,
-        completed, n, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u, MHD_OPTION_LISTEN_BACKLOG_SIZE,
-        BACKLOG, MHD_OPTION_THREAD_STACK_SIZE, (size_t)131072, MHD_OPTION_END);
+        completed, n, MHD_OPTION_NOTIFY_CONNECTION, connection_changed, n,
+        MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u, MHD_OPTION_LISTEN_BACKLOG_SIZE, BACKLOG,
+        MHD_OPTION_THREAD_STACK_SIZE, (size_t)131072, MHD_OPTION_END);
     return n->front->daemon ? 0 : -1;
 }
--- a/src/http.c
+++ b/src/http.c
@@ -1,4 +1,5 @@
 #include "brambledoor/http.h"
+#include "metrics.h"
 #include <curl/curl.h>
 #include <stdlib.h>
 #include <string.h>
@@ -9,6 +10,7 @@
 struct bd_http {
     CURL *easy;
     struct curl_slist *headers;
+    struct bd_counter *counter;
 };
 
 int bd_http_start(void)
@@ -38,11 +40,12 @@
     return add;
 }
 
-struct bd_http *bd_http_new(long keep)
+struct bd_http *bd_http_new(long keep, struct bd_counter *counter)
 {
     struct bd_http *h = calloc(1, sizeof *h);
     if (!h)
         return NULL;
+    h->counter = counter;
     h->easy = curl_easy_init();
     h->headers = curl_slist_append(NULL, "Content-Type: application/json");
     struct curl_slist *more = h->headers ? curl_slist_append(h->headers, "Expect:") : NULL;
@@ -70,6 +73,17 @@
     free(h);
 }
 
+static void count_call(struct bd_http *h, const struct bd_reply *r)
+{
+    long out = 0, connections = 0;
+    if (!h->counter)
+        return;
+    curl_easy_getinfo(h->easy, CURLINFO_REQUEST_SIZE, &out);
+    curl_easy_getinfo(h->easy, CURLINFO_NUM_CONNECTS, &connections);
+    bd_count_message(h->counter, (size_t)out, r->len);
+    bd_count_connections(h->counter, (unsigned)connections);
+}
+
 void bd_http_call(struct bd_http *h, const char *method, const char *url, const char *body,
                   double timeout_s, struct bd_reply *out)
 {
@@ -92,6 +106,7 @@
     long code = 0;
     if (curl_easy_perform(h->easy) == CURLE_OK)
         curl_easy_getinfo(h->easy, CURLINFO_RESPONSE_CODE, &code);
+    count_call(h, out);
     if (code == 0) {
         bd_reply_drop(out);
         return;
--- a/src/leader.c
+++ b/src/leader.c
@@ -3,6 +3,7 @@
 #include "brambledoor/node.h"
 #include "brambledoor/store.h"
 #include "brambledoor/timeutil.h"
+#include "metrics.h"
 #include <gsl/gsl_rng.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -16,6 +17,10 @@
 #define TOUCH_S 0.8 /* between a follower's records of being in touch: see standby.c */
 
 struct seat {
+    /* the leader as the owner was last told */
+    char told_name[BD_LABEL];
+    uint64_t told_mark;
+    bool told_away;
     struct bd_node *n;
     struct bd_http *h;
     gsl_rng *rng;
@@ -67,7 +72,14 @@
     cmd->number = mark;
     cmd->sent = sent;
     cmd->flag = away;
-    bd_tell(s->n, cmd);
+    bool news = mark != s->told_mark || away != s->told_away || strcmp(name, s->told_name) != 0;
+    snprintf(s->told_name, sizeof s->told_name, "%s", name);
+    s->told_mark = mark;
+    s->told_away = away;
+    if (news)
+        bd_tell(s->n, cmd);
+    else
+        bd_tell_quietly(s->n, cmd);
 }
 
 /* Who holds the lease now; the mark of the key into *mark. */
@@ -202,6 +214,7 @@
         return;
     bd_say(&s->n->log, BD_INFO, "holds the lease, term %llu", (unsigned long long)term);
     struct bd_cmd *cmd = bd_cmd_new(BD_C_GAINED);
+    cmd->sent = s->granted;
     cmd->gain.term = term;
     cmd->gain.grant = s->grant;
     snprintf(cmd->name, sizeof cmd->name, "%s", s->nonce);
@@ -220,7 +233,7 @@
 {
     struct bd_cmd *cmd = bd_cmd_new(kind);
     cmd->sent = sent;
-    bd_tell(s->n, cmd);
+    bd_tell_quietly(s->n, cmd); /* it holds its own time */
 }
 
 /* Says in the state service that we are in touch with it, under the leader whose key we saw. */
@@ -296,7 +309,7 @@
     if (!s)
         return -1;
     s->n = n;
-    s->h = bd_http_new(1);
+    s->h = bd_http_new(1, bd_metrics_counter(n->metrics, BD_TRAFFIC_ELECTION));
     s->rng = gsl_rng_alloc(gsl_rng_taus2);
     if (!s->h || !s->rng)
         return -1;
--- a/src/owner.c
+++ b/src/owner.c
@@ -3,6 +3,7 @@
 #include "brambledoor/http.h"
 #include "brambledoor/node.h"
 #include "brambledoor/timeutil.h"
+#include "metrics.h"
 #include <limits.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -12,6 +13,7 @@
 #define BATCH 128
 #define QUEUE_CAP 4096
 #define STATUS_S 0.3
+#define REPORT_S 20.0 /* between the log's lines of traffic and times */
 
 struct bd_cmd *bd_cmd_new(enum bd_cmd_kind kind)
 {
@@ -34,11 +36,18 @@
 
 void bd_tell(struct bd_node *n, struct bd_cmd *cmd)
 {
+    cmd->queued = bd_now();
     /* the adapters' own words are few; the front checks for room before it admits a request */
     while (!bd_queue_put(&n->to_owner, cmd))
         bd_pause(0.01);
 }
 
+void bd_tell_quietly(struct bd_node *n, struct bd_cmd *cmd)
+{
+    if (!bd_queue_put_quietly(&n->to_owner, cmd))
+        bd_tell(n, cmd);
+}
+
 int bd_thread(void *(*run)(void *), void *arg, size_t stack)
 {
     pthread_attr_t attr;
@@ -120,10 +129,14 @@
     bd_wire_report_drop(&r);
 }
 
-static void peer(struct bd_core *c, const struct bd_frame *f, const char *text, size_t len)
+static void peer(struct bd_core *c, const struct bd_cmd *cmd)
 {
+    const struct bd_frame *f = cmd->data;
+    const char *text = cmd->text;
+    size_t len = cmd->len;
     if (f->type == BD_FRAME_STATUS)
-        bd_core_peer(c, f->name, f->term, f->flags, f->age_ms / 1000.0, (double)f->at_ms / 1000.0);
+        bd_core_peer(c, f->name, f->term, f->flags, f->age_ms / 1000.0, (double)f->at_ms / 1000.0,
+                     cmd->sent);
     if (f->type == BD_FRAME_REPORT)
         forwarded(c, f, text, len);
     if (f->type == BD_FRAME_ANSWER)
@@ -163,7 +176,7 @@
         bd_core_rented(c, cmd->name, cmd->status, cmd->data, (int)cmd->n);
         break;
     case BD_C_PEER:
-        peer(c, cmd->data, cmd->text, cmd->len);
+        peer(c, cmd);
         break;
     case BD_C_DEPUTIES:
         bd_core_deputies(c, cmd->json, cmd->sent);
@@ -226,6 +239,7 @@
         break;
     case BD_C_COMMITTED:
         /* an answer to an earlier term's transaction says nothing about ours */
+        bd_metrics_time(n->metrics, BD_TIMING_COMMIT, bd_between(n->commit_sent, c->now));
         if (cmd->term == c->base_term && cmd->number == c->witness_n)
             bd_core_committed(c, cmd->outcome, cmd->ring, bd_wire_failed(cmd->json));
         break;
@@ -245,18 +259,16 @@
 /* Towards another controller: a report to the leader, or the answer to one. */
 static void pass_on(struct bd_node *n, const struct bd_effect *e)
 {
-    struct bd_frame *f = calloc(1, sizeof *f);
-    if (!f)
-        return;
-    f->type = e->kind == BD_E_FORWARD ? BD_FRAME_REPORT : BD_FRAME_ANSWER;
-    snprintf(f->name, sizeof f->name, "%s", n->set.node);
-    f->id = e->seal;
-    f->status = (uint16_t)e->status;
-    f->text = e->body;
-    f->len = e->body ? (uint32_t)strlen(e->body) : 0;
-    if (!bd_mesh_send(n, (int)e->machine, f))
+    struct bd_frame f;
+    f.type = e->kind == BD_E_FORWARD ? BD_FRAME_REPORT : BD_FRAME_ANSWER;
+    snprintf(f.name, sizeof f.name, "%s", n->set.node);
+    f.id = e->seal;
+    f.status = (uint16_t)e->status;
+    f.text = e->body;
+    f.len = e->body ? (uint32_t)strlen(e->body) : 0;
+    f.count = 0;
+    if (!bd_transport_send(n, (int)e->machine, &f))
         bd_say(&n->log, BD_DEBUG, "a frame to another controller was dropped");
-    free(f);
 }
 
 static void perform(struct bd_node *n, struct bd_effect *e)
@@ -291,6 +303,7 @@
         bd_front_reply(n, e->request, 503, strdup("{\"error\":\"busy\"}"), 1);
         break;
     case BD_E_COMMIT:
+        n->commit_sent = n->core->now;
         give(n, &n->to_commit, e);
         return;
     case BD_E_DO:
@@ -306,12 +319,16 @@
 
 static void effects(struct bd_node *n)
 {
+    bool sends = false; /* to other controllers */
     struct bd_effect *e = bd_core_effects(n->core);
     while (e) {
         struct bd_effect *next = e->next;
+        sends = sends || e->kind == BD_E_FORWARD || e->kind == BD_E_ANSWER;
         perform(n, e);
         e = next ? next : bd_core_effects(n->core); /* one that failed may have others follow */
     }
+    if (sends)
+        bd_transport_flush(n);
     atomic_store(&n->leading, n->core->role == BD_LEADER);
     atomic_store(&n->ring, n->core->ring);
     atomic_store(&n->up, bd_core_up(n->core));
@@ -334,7 +351,8 @@
     p->running = j->nrun;
 }
 
-/* What the mesh says of us; the leader adds its jobs' counts, for the others to show. */
+/* What the other controllers are told of us; the leader adds its jobs' counts, for the others to
+ * show. */
 static void status(struct bd_node *n)
 {
     struct bd_core *c = n->core;
@@ -343,7 +361,7 @@
         return;
     n->next_status = bd_add(c->now, bd_secs(STATUS_S));
     double age = bd_between(c->fresh, c->now);
-    (void)pthread_mutex_lock(&n->said_lock);
+    (void)pthread_mutex_lock(&n->status_lock);
     n->status.term = c->role == BD_LEADER ? c->term : 0;
     n->status.flags = c->role == BD_LEADER ? BD_PEER_LEADS : 0;
     n->status.flags |= BD_PEER_DEPS;
@@ -365,7 +383,7 @@
                 add_progress(n, j);
         }
     }
-    (void)pthread_mutex_unlock(&n->said_lock);
+    (void)pthread_mutex_unlock(&n->status_lock);
 }
 
 /* A gained term takes effect once the replica is at least as new as the term itself. */
@@ -377,9 +395,20 @@
     n->pending_gain = NULL;
     g->gain.nonce = g->name;
     bd_core_gained(n->core, &g->gain);
+    bd_metrics_time(n->metrics, BD_TIMING_TAKEOVER, bd_between(g->sent, bd_now()));
     bd_cmd_free(g);
 }
 
+/* A tick of the core; if it planned a round, how long that took. */
+static void tick(struct bd_node *n)
+{
+    struct timespec began = bd_now();
+    bool under_way = n->core->commit != NULL;
+    bd_core_tick(n->core);
+    if (!under_way && n->core->commit)
+        bd_metrics_time(n->metrics, BD_TIMING_ROUND, bd_between(began, bd_now()));
+}
+
 static struct timespec clock_core(struct bd_node *n)
 {
     struct timespec wall = {0, 0}, now = bd_now();
@@ -388,11 +417,23 @@
     return now;
 }
 
+static void report(struct bd_node *n)
+{
+    struct timespec now = n->core->now;
+    if (bd_before(now, n->next_report))
+        return;
+    if (!bd_is_zero(n->reported))
+        bd_metrics_report(n->metrics, &n->log, bd_between(n->reported, now));
+    n->reported = now;
+    n->next_report = bd_add(now, bd_secs(REPORT_S));
+}
+
 void bd_owner_run(struct bd_node *n)
 {
     void *batch[BATCH];
     for (;;) {
-        size_t got = bd_queue_take(&n->to_owner, batch, BATCH, bd_core_next(n->core));
+        struct timespec until = bd_min(bd_core_next(n->core), n->next_status);
+        size_t got = bd_queue_take(&n->to_owner, batch, BATCH, until);
         (void)clock_core(n);
         for (size_t i = 0; i < got; i++) {
             struct bd_cmd *cmd = batch[i];
@@ -404,13 +445,16 @@
                 bd_cmd_free(n->pending_gain);
                 n->pending_gain = NULL;
             }
+            if (!bd_is_zero(cmd->queued))
+                bd_metrics_time(n->metrics, BD_TIMING_QUEUE, bd_between(cmd->queued, n->core->now));
             apply(n, cmd);
             bd_cmd_free(cmd);
         }
         gain(n);
-        bd_core_tick(n->core);
+        tick(n);
         effects(n);
         status(n);
+        report(n);
     }
 }
 
@@ -421,16 +465,18 @@
         bd_queue_init(&n->to_dispatch, QUEUE_CAP) != 0 || bd_queue_init(&n->to_cloud, 64) != 0 ||
         bd_queue_init(&n->reader_wake, 4) != 0)
         return -1;
+    n->metrics = bd_metrics_new();
     n->core = bd_core_new(&n->set, &n->log);
-    if (!n->core)
+    if (!n->core || !n->metrics)
         return -1;
+    n->core->metrics = n->metrics;
     uint64_t seed = 0;
     if (getrandom(&seed, sizeof seed, GRND_NONBLOCK) != (ssize_t)sizeof seed)
         seed = (uint64_t)bd_now().tv_nsec << 20;
     bd_core_seed(n->core, seed >> 1);
     (void)clock_core(n);
     if (bd_store_start(n) != 0 || bd_cloud_start(n) != 0 || bd_dispatch_start(n) != 0 ||
-        bd_leader_start(n) != 0 || bd_mesh_start(n) != 0)
+        bd_leader_start(n) != 0 || bd_transport_start(n) != 0)
         return -1;
     if (bd_front_start(n) != 0) {
         bd_say(&n->log, BD_ERROR, "cannot listen on %s", n->set.front);
--- /dev/null
+++ b/src/peer_transport.c
@@ -0,0 +1,481 @@
+/* Connections between controllers. Each controller opens one to every other and writes its frames
+ * to it; it reads frames from those that the others opened.
+ *
+ * Threads: one accepts connections and reads frames, one sends heartbeats to all peers, and one for
+ * each peer opens connections. Whoever has a frame for a peer appends it to the peer's outbox; the
+ * owner thread writes all outboxes once after a batch of commands, without blocking, so that frames
+ * that belong together share a packet and no other thread need wake up. No rule rests on what
+ * passes here; it only makes failures shorter. */
+#include "brambledoor/frame.h"
+#include "brambledoor/node.h"
+#include "brambledoor/timeutil.h"
+#include "metrics.h"
+#include <arpa/inet.h>
+#include <errno.h>
+#include <poll.h>
+#include <stddef.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+#include <sys/socket.h>
+#include <unistd.h>
+
+/* named defaults */
+#define HEARTBEAT_S 0.4
+#define PROGRESS_S 1.2 /* between heartbeats that carry the jobs' counts, which are for display */
+#define CONNECT_S 0.5
+#define STALLED_S 0.5     /* a connection that takes no bytes for so long is closed */
+#define CONNECTION_S 4.0  /* the life of a connection: see connect_run */
+#define SILENT_S 20.0     /* an incoming connection that says nothing is closed */
+#define IDLE_POLL_MS 2000 /* between looks for silent connections */
+#define OUTBOX_LEAST 4096u
+#define OUTBOX_MOST (512u * 1024u)      /* more is dropped; whoever waits has a deadline */
+#define INCOMING (2 * BD_MAX_PEERS + 8) /* a new connection overlaps the old one */
+#define STACK_BYTES 131072
+#define READ_BYTES 4096
+
+/* ---- connections that came in ---- */
+
+struct incoming {
+    int fd; /* -1: unused */
+    size_t len, cap;
+    struct timespec heard;
+    unsigned char *buf;
+    /* the last status that it said */
+    uint64_t term;
+    uint8_t flags;
+    char name[BD_LABEL];
+};
+
+struct listener {
+    struct bd_node *n;
+    int fd;
+    struct incoming incoming[INCOMING];
+    struct bd_frame frame; /* the one being read */
+};
+
+static void close_incoming(struct incoming *in)
+{
+    (void)close(in->fd);
+    free(in->buf);
+    memset(in, 0, sizeof *in);
+    in->fd = -1;
+}
+
+/* Whether the frame says only that its sender is as it was: the owner thread learns of it with the
+ * next command. What is decided then rests on the time of the frame's arrival, not of its handling.
+ */
+static bool says_nothing_new(struct incoming *in, const struct bd_frame *f)
+{
+    if (f->type == BD_FRAME_PROGRESS)
+        return true; /* for display only */
+    if (f->type != BD_FRAME_STATUS)
+        return false;
+    bool same = in->term == f->term && in->flags == f->flags && strcmp(in->name, f->name) == 0;
+    in->term = f->term;
+    in->flags = f->flags;
+    memcpy(in->name, f->name, sizeof in->name);
+    return same;
+}
+
+static void hand_over(struct bd_node *n, struct incoming *in, const struct bd_frame *f)
+{
+    struct bd_cmd *cmd = bd_cmd_new(BD_C_PEER);
+    size_t size = offsetof(struct bd_frame, jobs) + f->count * sizeof f->jobs[0];
+    cmd->data = malloc(size); /* without the room for jobs that it does not name */
+    if (!cmd->data)
+        abort();
+    memcpy(cmd->data, f, size);
+    cmd->sent = in->heard;
+    if (f->text) {
+        cmd->text = strndup(f->text, f->len);
+        cmd->len = f->len;
+    }
+    bool quiet = says_nothing_new(in, f);
+    if (!(quiet ? bd_queue_put_quietly(&n->to_owner, cmd) : bd_queue_put(&n->to_owner, cmd)))
+        bd_cmd_free(cmd); /* the next heartbeat says it again */
+}
+
+/* Room for one whole frame is the most that a connection can claim. */
+static bool make_room(struct incoming *in)
+{
+    if (in->len < in->cap)
+        return true;
+    size_t cap = in->cap ? in->cap * 2 : READ_BYTES;
+    if (cap > BD_FRAME_MOST)
+        cap = BD_FRAME_MOST;
+    unsigned char *grown = cap > in->cap ? realloc(in->buf, cap) : NULL;
+    if (!grown)
+        return false;
+    in->buf = grown;
+    in->cap = cap;
+    return true;
+}
+
+static enum bd_traffic traffic_of(const struct bd_frame *f)
+{
+    return f->type == BD_FRAME_STATUS || f->type == BD_FRAME_PROGRESS ? BD_TRAFFIC_HEARTBEAT
+                                                                      : BD_TRAFFIC_FORWARD;
+}
+
+/* Hands over all whole frames in the buffer. False: what came is not a frame. */
+static bool take_frames(struct listener *l, struct incoming *in)
+{
+    size_t taken = 0;
+    long used;
+    while ((used = bd_frame_read(in->buf + taken, in->len - taken, &l->frame)) > 0) {
+        bd_count_message(bd_metrics_counter(l->n->metrics, traffic_of(&l->frame)), 0, (size_t)used);
+        hand_over(l->n, in, &l->frame);
+        taken += (size_t)used;
+    }
+    in->len -= taken;
+    memmove(in->buf, in->buf + taken, in->len);
+    if (used < 0)
+        bd_say(&l->n->log, BD_ERROR, "malformed frame from another controller");
+    return used == 0;
+}
+
+static void read_incoming(struct listener *l, struct incoming *in)
+{
+    if (!make_room(in)) {
+        close_incoming(in);
+        return;
+    }
+    ssize_t got = recv(in->fd, in->buf + in->len, in->cap - in->len, MSG_DONTWAIT);
+    if (got < 0 && (errno == EAGAIN || errno == EINTR))
+        return;
+    if (got <= 0) {
+        close_incoming(in);
+        return;
+    }
+    in->len += (size_t)got;
+    in->heard = bd_now();
+    if (!take_frames(l, in))
+        close_incoming(in);
+}
+
+static void accept_incoming(struct listener *l)
+{
+    int fd = accept(l->fd, NULL, NULL);
+    if (fd < 0)
+        return;
+    for (int i = 0; i < INCOMING; i++) {
+        if (l->incoming[i].fd >= 0)
+            continue;
+        l->incoming[i].fd = fd;
+        l->incoming[i].heard = bd_now();
+        return;
+    }
+    (void)close(fd);
+}
+
+/* Fills `p` with the listening socket and all connections; how many they are. */
+static nfds_t to_poll(const struct listener *l, struct pollfd *p, int *which)
+{
+    nfds_t n = 0;
+    p[n++] = (struct pollfd){.fd = l->fd, .events = POLLIN};
+    for (int i = 0; i < INCOMING; i++) {
+        if (l->incoming[i].fd < 0)
+            continue;
+        which[n] = i;
+        p[n++] = (struct pollfd){.fd = l->incoming[i].fd, .events = POLLIN};
+    }
+    return n;
+}
+
+static void *listen_run(void *arg)
+{
+    struct listener *l = arg;
+    struct pollfd p[INCOMING + 1];
+    int which[INCOMING + 1];
+    for (;;) {
+        nfds_t n = to_poll(l, p, which);
+        int ready = poll(p, n, IDLE_POLL_MS);
+        struct timespec now = bd_now();
+        for (nfds_t i = 1; i < n; i++) {
+            struct incoming *in = &l->incoming[which[i]];
+            if (ready > 0 && p[i].revents)
+                read_incoming(l, in);
+            else if (bd_between(in->heard, now) > SILENT_S)
+                close_incoming(in);
+        }
+        if (ready > 0 && p[0].revents)
+            accept_incoming(l);
+    }
+    return NULL;
+}
+
+static int start_listener(struct bd_node *n)
+{
+    struct sockaddr_in at;
+    int one = 1;
+    struct listener *l = calloc(1, sizeof *l);
+    if (!l || !bd_parse_addr(n->set.mesh, &at)) {
+        free(l);
+        return -1;
+    }
+    l->n = n;
+    for (int i = 0; i < INCOMING; i++)
+        l->incoming[i].fd = -1;
+    l->fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+    if (l->fd >= 0)
+        (void)setsockopt(l->fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
+    if (l->fd < 0 || bind(l->fd, (struct sockaddr *)&at, sizeof at) != 0 ||
+        listen(l->fd, INCOMING) != 0) {
+        bd_say(&n->log, BD_ERROR, "cannot listen on %s", n->set.mesh);
+        if (l->fd >= 0)
+            (void)close(l->fd);
+        free(l);
+        return -1;
+    }
+    return bd_thread(listen_run, l, STACK_BYTES);
+}
+
+/* ---- connections to the others ---- */
+
+struct bd_peer_link {
+    struct bd_node *n;
+    int peer;
+    struct bd_queue connector; /* wakes the thread that connects */
+    pthread_mutex_t lock;      /* of all below */
+    int fd;                    /* -1: not connected */
+    size_t len, cap;           /* bytes in the outbox that were not sent; its room */
+    struct timespec stalled;   /* since when it takes none of them; zero: it does */
+    unsigned char *outbox;
+};
+
+/* The caller holds the lock. */
+static void disconnect(struct bd_peer_link *k)
+{
+    if (k->fd >= 0)
+        (void)close(k->fd);
+    k->fd = -1;
+    k->len = k->cap = 0;
+    k->stalled = (struct timespec){0, 0};
+    free(k->outbox); /* a burst's room is given back */
+    k->outbox = NULL;
+}
+
+/* Sends what the connection takes at once. The caller holds the lock. */
+static void flush_link(struct bd_peer_link *k, enum bd_traffic kind)
+{
+    if (k->fd < 0 || k->len == 0)
+        return;
+    ssize_t sent = send(k->fd, k->outbox, k->len, MSG_DONTWAIT | MSG_NOSIGNAL);
+    bd_count_write(bd_metrics_counter(k->n->metrics, kind));
+    if (sent > 0) {
+        k->len -= (size_t)sent;
+        memmove(k->outbox, k->outbox + sent, k->len);
+        k->stalled = (struct timespec){0, 0};
+        return;
+    }
+    struct timespec now = bd_now();
+    bool busy = sent < 0 && (errno == EAGAIN || errno == EINTR);
+    if (busy && bd_is_zero(k->stalled))
+        k->stalled = now;
+    if (busy && bd_between(k->stalled, now) < STALLED_S)
+        return;
+    disconnect(k);
+    (void)bd_queue_put(&k->connector, k);
+}
+
+/* Room for `more` bytes in the outbox. */
+static bool reserve(struct bd_peer_link *k, size_t more)
+{
+    size_t cap = k->cap ? k->cap : OUTBOX_LEAST;
+    while (cap < k->len + more)
+        cap *= 2;
+    if (cap > OUTBOX_MOST)
+        return false;
+    unsigned char *grown = cap > k->cap ? realloc(k->outbox, cap) : k->outbox;
+    if (!grown)
+        return false;
+    k->outbox = grown;
+    k->cap = cap;
+    return true;
+}
+
+/* False: there is no room or no connection, and the frame is dropped. The caller holds the lock. */
+static bool append(struct bd_peer_link *k, const struct bd_frame *f)
+{
+    if (k->fd < 0 || !reserve(k, bd_frame_bytes(f)))
+        return false;
+    size_t len = bd_frame_write(f, k->outbox + k->len, k->cap - k->len);
+    k->len += len;
+    if (len > 0)
+        bd_count_message(bd_metrics_counter(k->n->metrics, traffic_of(f)), len, 0);
+    return len > 0;
+}
+
+bool bd_transport_send(struct bd_node *n, int peer, const struct bd_frame *f)
+{
+    struct bd_peer_link *k = n->links[peer];
+    (void)pthread_mutex_lock(&k->lock);
+    bool ok = append(k, f);
+    (void)pthread_mutex_unlock(&k->lock);
+    return ok;
+}
+
+void bd_transport_flush(struct bd_node *n)
+{
+    for (int i = 0; i < n->set.npeers; i++) {
+        struct bd_peer_link *k = n->links[i];
+        (void)pthread_mutex_lock(&k->lock);
+        flush_link(k, BD_TRAFFIC_FORWARD);
+        (void)pthread_mutex_unlock(&k->lock);
+    }
+}
+
+/* ---- heartbeats ---- */
+
+/* The jobs' counts, as many frames as they take. The caller holds the link's lock. */
+static void append_progress(struct bd_peer_link *k, struct bd_frame *f)
+{
+    struct bd_node *n = k->n;
+    uint32_t from = 0;
+    bool more = true;
+    while (more) {
+        (void)pthread_mutex_lock(&n->status_lock);
+        memset(f, 0, sizeof *f);
+        f->type = BD_FRAME_PROGRESS;
+        while (f->count < BD_FRAME_JOBS && from + f->count < n->nprogress) {
+            f->jobs[f->count] = n->progress[from + f->count];
+            f->count++;
+        }
+        (void)pthread_mutex_unlock(&n->status_lock);
+        more = f->count > 0 && append(k, f);
+        from += f->count;
+    }
+}
+
+static void read_status(struct bd_node *n, struct bd_frame *f)
+{
+    (void)pthread_mutex_lock(&n->status_lock);
+    memcpy(f, &n->status, offsetof(struct bd_frame, jobs));
+    f->count = 0;
+    (void)pthread_mutex_unlock(&n->status_lock);
+}
+
+static void send_heartbeat(struct bd_peer_link *k, struct bd_frame *f, bool progress)
+{
+    (void)pthread_mutex_lock(&k->lock);
+    if (k->fd >= 0) {
+        read_status(k->n, f);
+        (void)append(k, f);
+        if (progress)
+            append_progress(k, f);
+        flush_link(k, BD_TRAFFIC_HEARTBEAT);
+    }
+    (void)pthread_mutex_unlock(&k->lock);
+}
+
+static void *heartbeat_run(void *arg)
+{
+    struct bd_node *n = arg;
+    struct timespec next_progress = bd_now();
+    struct bd_frame *f = calloc(1, sizeof *f);
+    while (f) {
+        struct timespec now = bd_now();
+        bool progress = bd_before(next_progress, now);
+        if (progress)
+            next_progress = bd_add(now, bd_secs(PROGRESS_S));
+        for (int i = 0; i < n->set.npeers; i++)
+            send_heartbeat(n->links[i], f, progress);
+        bd_pause(HEARTBEAT_S);
+    }
+    return NULL;
+}
+
+/* ---- connecting ---- */
+
+static bool set_timeouts(int fd, double s)
+{
+    struct timespec t = bd_secs(s);
+    struct timeval tv = {t.tv_sec, t.tv_nsec / 1000};
+    return setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &tv, sizeof tv) == 0;
+}
+
+static int open_connection(const char *addr)
+{
+    struct sockaddr_in to;
+    if (!bd_parse_addr(addr, &to))
+        return -1;
+    int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+    if (fd < 0)
+        return -1;
+    /* the send timeout bounds the connection attempt */
+    if (!set_timeouts(fd, CONNECT_S) || connect(fd, (struct sockaddr *)&to, sizeof to) != 0) {
+        (void)close(fd);
+        return -1;
+    }
+    return fd;
+}
+
+/* Puts a new connection, or none (-1), in place of the old one. What the old one did not take is
+ * lost: it may be the middle of a frame. True if the peer had no connection before. */
+static bool replace_connection(struct bd_peer_link *k, int fd)
+{
+    (void)pthread_mutex_lock(&k->lock);
+    bool first = k->fd < 0 && fd >= 0;
+    flush_link(k, BD_TRAFFIC_FORWARD);
+    disconnect(k);
+    k->fd = fd;
+    (void)pthread_mutex_unlock(&k->lock);
+    if (fd >= 0)
+        bd_count_connections(bd_metrics_counter(k->n->metrics, BD_TRAFFIC_HEARTBEAT), 1);
+    return first;
+}
+
+/* A connection can be dead without an error, for minutes: what is sent goes nowhere and the peer
+ * hears nothing. So each is replaced after a while, the new one being opened first. */
+static void *connect_run(void *arg)
+{
+    struct bd_peer_link *k = arg;
+    struct bd_frame *f = calloc(1, sizeof *f);
+    while (f) {
+        void *broken;
+        int fd = open_connection(k->n->set.peers[k->peer].addr);
+        if (replace_connection(k, fd))
+            send_heartbeat(k, f, false);
+        struct timespec opened = bd_now();
+        double life = fd >= 0 ? CONNECTION_S : HEARTBEAT_S;
+        (void)bd_queue_take(&k->connector, &broken, 1, bd_add(opened, bd_secs(life)));
+        /* one that breaks at once is not opened without end */
+        double open_s = bd_between(opened, bd_now());
+        if (open_s < HEARTBEAT_S)
+            bd_pause(HEARTBEAT_S - open_s);
+    }
+    return NULL;
+}
+
+static struct bd_peer_link *new_link(struct bd_node *n, int peer)
+{
+    struct bd_peer_link *k = calloc(1, sizeof *k);
+    if (!k)
+        return NULL;
+    k->n = n;
+    k->peer = peer;
+    k->fd = -1;
+    if (bd_queue_init(&k->connector, 1) != 0 || pthread_mutex_init(&k->lock, NULL) != 0) {
+        free(k);
+        return NULL;
+    }
+    return k;
+}
+
+int bd_transport_start(struct bd_node *n)
+{
+    if (pthread_mutex_init(&n->status_lock, NULL) != 0)
+        return -1;
+    n->status.type = BD_FRAME_STATUS;
+    snprintf(n->status.name, sizeof n->status.name, "%s", n->set.node);
+    for (int i = 0; i < n->set.npeers; i++) {
+        n->links[i] = new_link(n, i);
+        if (!n->links[i])
+            return -1;
+    }
+    int rc = start_listener(n);
+    for (int i = 0; i < n->set.npeers && rc == 0; i++)
+        rc = bd_thread(connect_run, n->links[i], STACK_BYTES);
+    return rc == 0 ? bd_thread(heartbeat_run, n, STACK_BYTES) : rc;
+}
--- a/src/queue.c
+++ b/src/queue.c
@@ -24,19 +24,26 @@
     (void)pthread_mutex_destroy(&q->lock);
 }
 
-bool bd_queue_put(struct bd_queue *q, void *item)
+bool bd_queue_put_quietly(struct bd_queue *q, void *item)
 {
     (void)pthread_mutex_lock(&q->lock);
     bool ok = q->n < q->cap;
     if (ok) {
         q->ring[(q->head + q->n) % q->cap] = item;
         q->n++;
-        (void)pthread_cond_signal(&q->more);
     }
     (void)pthread_mutex_unlock(&q->lock);
     return ok;
 }
 
+bool bd_queue_put(struct bd_queue *q, void *item)
+{
+    bool ok = bd_queue_put_quietly(q, item);
+    if (ok) /* without the lock: the thread that wakes up would only wait for it */
+        (void)pthread_cond_signal(&q->more);
+    return ok;
+}
+
 size_t bd_queue_take(struct bd_queue *q, void **out, size_t max, struct timespec until)
 {
     size_t got = 0;
--- a/src/rounds.c
+++ b/src/rounds.c
@@ -1,6 +1,7 @@
 /* The leader's rounds: intents, receipts and done records go into one fenced transaction at a
  * time; recovery reads them back. */
 #include "core_in.h"
+#include "metrics.h"
 #include <stdio.h>
 
 /* named defaults */
@@ -369,6 +370,9 @@
             continue;
         }
         bd_task_set(c, e->job, e->task, BD_T_LAUNCH);
+        if (!e->job->started)
+            bd_metrics_time(c->metrics, BD_TIMING_START, c->wall - e->job->ready);
+        e->job->started = true;
         bd_remember_image(c, m, &e->job->spec, false);
     }
     for (uint32_t i = 0; i < k->nplan; i++) {
--- a/src/store.c
+++ b/src/store.c
@@ -4,6 +4,7 @@
 #include "brambledoor/http.h"
 #include "brambledoor/node.h"
 #include "brambledoor/timeutil.h"
+#include "metrics.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -120,12 +121,17 @@
     cmd->outcome = status == 200;
     cmd->after = *after;
     cmd->json = o;
+    bool news = barrier || status != 200;
     if (status == 200) {
         cmd->ring = bd_wire_ring(o);
+        news = news || json_array_size(bd_wire_log(o)) > 0;
         if (cmd->ring > *after)
             *after = cmd->ring;
     }
-    bd_tell(n, cmd);
+    if (news)
+        bd_tell(n, cmd);
+    else
+        bd_tell_quietly(n, cmd); /* it holds the time at which it was sent */
     if (status != 200 && status != 410)
         bd_pause(PAUSE_S);
     return status == 410;
@@ -142,10 +148,22 @@
         bd_cmd_free(cmd);
 }
 
+/* Until the next look is due, or polls wait for one; one wake-up where that is enough. */
+static void wait_to_read(struct bd_node *n)
+{
+    void *woken;
+    struct timespec earliest = bd_add(bd_now(), bd_secs(LOOK_LEAST_S));
+    if (!atomic_load(&n->want_barrier))
+        (void)bd_queue_take(&n->reader_wake, &woken, 1, bd_add(earliest, bd_secs(LOOK_S)));
+    double early = bd_between(bd_now(), earliest);
+    if (early > 0)
+        bd_pause(early);
+}
+
 static void *reader(void *arg)
 {
     struct bd_node *n = arg;
-    struct bd_http *h = bd_http_new(1);
+    struct bd_http *h = bd_http_new(1, bd_metrics_counter(n->metrics, BD_TRAFFIC_FOLLOW));
     uint64_t after = 0;
     bool again = true;
     struct timespec next = bd_now();
@@ -163,10 +181,7 @@
             next = bd_add(bd_now(), bd_secs(DEPUTIES_S));
             look_at_deputies(n, h);
         }
-        bd_pause(LOOK_LEAST_S);
-        void *woken;
-        if (!atomic_load(&n->want_barrier))
-            (void)bd_queue_take(&n->reader_wake, &woken, 1, bd_add(bd_now(), bd_secs(LOOK_S)));
+        wait_to_read(n);
     }
     return NULL;
 }
@@ -259,7 +274,7 @@
 static void *committer(void *arg)
 {
     struct bd_node *n = arg;
-    struct bd_http *h = bd_http_new(1);
+    struct bd_http *h = bd_http_new(1, bd_metrics_counter(n->metrics, BD_TRAFFIC_COMMIT));
     while (h) {
         void *item;
         if (bd_queue_take(&n->to_commit, &item, 1, bd_add(bd_now(), bd_secs(5))) == 0)
@@ -337,7 +352,7 @@
 static void *user_committer(void *arg)
 {
     struct bd_node *n = arg;
-    struct bd_http *h = bd_http_new(1);
+    struct bd_http *h = bd_http_new(1, bd_metrics_counter(n->metrics, BD_TRAFFIC_USER));
     while (h) {
         void *item;
         if (bd_queue_take(&n->to_users, &item, 1, bd_add(bd_now(), bd_secs(5))) == 0)
--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -772,7 +772,7 @@
     snprintf(t.dir, sizeof t.dir, "/tmp/bd-loopback-XXXXXX");
     if (!mkdtemp(t.dir) || bd_http_start() != 0)
         return 2;
-    t.h = bd_http_new(4);
+    t.h = bd_http_new(4, NULL);
     for (int i = 0; i < NODES; i++) {
         snprintf(t.addr[i], sizeof t.addr[i], "127.0.0.1:%d", t.base + i);
         t.nodes[i] = t.addr[i];
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -420,7 +420,7 @@
     flags |= yes(p, "cut") ? BD_PEER_CUT : 0;
     flags |= num(p, "deps", 1) != 0 ? BD_PEER_DEPS : 0;
     bd_core_peer(p->c, p->w[1], (uint64_t)num(p, "term", 0), flags, num(p, "age", 0),
-                 p->c->wall - num(p, "late", 0));
+                 p->c->wall - num(p, "late", 0), p->c->now);
 }
 
 static void cmd_leader(struct play *p)
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -620,7 +620,7 @@
         clock_core(s, n);
         if (f->type == BD_FRAME_STATUS)
             bd_core_peer(n->core, f->name, f->term, f->flags, f->age_ms / 1000.0,
-                         (double)f->at_ms / 1000.0);
+                         (double)f->at_ms / 1000.0, n->core->now);
         if (f->type == BD_FRAME_REPORT && read_report(e->text, &r)) {
             bd_core_forwarded(n->core, f->name, f->id, &r, e->text, strlen(e->text));
             bd_wire_report_drop(&r);
--- a/tests/standin.c
+++ b/tests/standin.c
@@ -659,7 +659,7 @@
 static void *worker_run(void *arg)
 {
     struct worker *k = arg;
-    struct bd_http *h = bd_http_new(2);
+    struct bd_http *h = bd_http_new(2, NULL);
     int at = 0;
     for (;;) {
         pthread_mutex_lock(&k->w->lock);
