--- a/include/brambledoor/core.h
+++ b/include/brambledoor/core.h
@@ -65,8 +65,9 @@
     struct timespec next_force;  /* when something may be stopped for it again */
     struct timespec aside_until; /* nothing is written of it before: see limits.c */
     struct timespec hold_until, last_placed, last_begun;
-    uint32_t restarts; /* tasks that lost a place they had */
-    bool started;      /* some start of it was committed in this term */
+    uint32_t restarts;            /* tasks that lost a place they had */
+    struct timespec cancel_heard; /* when another controller said that it is cancelled */
+    bool started;                 /* some start of it was committed in this term */
     uint32_t errors;
     uint32_t runs, longest_run; /* finished tasks seen from begin to end, and tenths of a second */
     struct bd_spec spec;
@@ -217,13 +218,16 @@
     BD_E_RENT,
     BD_E_RETURN,
     BD_E_BARRIER,
-    BD_E_LOST,
+    BD_E_LOST, /* the term is over; status: BD_LOST_... */
     BD_E_DEPUTY,
-    BD_E_LOOKUP,  /* one job's record: request, key is the id, status is how it was asked */
-    BD_E_FORWARD, /* a report to the leader: seal is the id, machine the peer */
-    BD_E_ANSWER   /* the answer to a forwarded one */
+    BD_E_LOOKUP,   /* one job's record: request, key is the id, status is how it was asked */
+    BD_E_FORWARD,  /* a report to the leader: seal is the id, machine the peer */
+    BD_E_ANSWER,   /* the answer to a forwarded one */
+    BD_E_CANCELLED /* a cancellation was confirmed: key is the job's id */
 };
 
+enum { BD_LOST_TAKEN, BD_LOST_GIVEN_UP }; /* given up: the grant still lives and is to be ended */
+
 struct bd_effect {
     enum bd_effect_kind kind;
     void *request;   /* REPLY, USER_COMMIT */
@@ -252,6 +256,8 @@
     size_t value_bytes, txn_ops;
     double write_rps;
     struct timespec busy_at, raised_at;
+    struct timespec refused_at, grown_at; /* the newest 400, and the last step up again */
+    double grow_after;                    /* seconds without a 400 before a step */
 };
 
 struct bd_metrics;
@@ -448,6 +454,9 @@
 void bd_core_confirmed(struct bd_core *c, struct timespec sent);
 /* we have not been in touch for so long that we may stand by */
 bool bd_core_cut(const struct bd_core *c);
+/* Another controller says that the job's cancellation was confirmed: until the record shows it, the
+ * news stops the job's tasks and starts none. No rule rests on it. */
+void bd_core_cancelled_elsewhere(struct bd_core *c, const char *id);
 void bd_core_progress(struct bd_core *c, const char *job, uint32_t done, uint32_t running);
 /* a leader's look at the deputies' records; a follower's own record was written */
 void bd_core_deputies(struct bd_core *c, json_t *pairs, struct timespec sent);
--- a/include/brambledoor/frame.h
+++ b/include/brambledoor/frame.h
@@ -5,7 +5,8 @@
  *                 service last answered), at u64 (its time of day in ms)
  *   progress (2): count u16, then per job: id (u8 length, bytes), done u32, running u32
  *   report (3):   id u64, sender's name (u8 length, bytes), a worker's report (u32 length, bytes)
- *   answer (4):   id u64, status u16, the answer to it (u32 length, bytes) */
+ *   answer (4):   id u64, status u16, the answer to it (u32 length, bytes)
+ *   cancelled (5): a job's id (u32 length, bytes); only to peers whose status has BD_PEER_NEWS */
 #ifndef BD_FRAME_H
 #define BD_FRAME_H
 #include "brambledoor/wire.h"
@@ -20,7 +21,8 @@
     BD_FRAME_STATUS = 1,
     BD_FRAME_PROGRESS = 2,
     BD_FRAME_REPORT = 3,
-    BD_FRAME_ANSWER = 4
+    BD_FRAME_ANSWER = 4,
+    BD_FRAME_CANCELLED = 5
 };
 enum {
     BD_PEER_LEADS = 1,
@@ -28,7 +30,8 @@
     BD_PEER_DEAF = 4,  /* as leader: most workers are silent to it */
     BD_PEER_HEARS = 8, /* it hears the leader */
     BD_PEER_CUT = 16,  /* it has not been in touch with the state service for a while */
-    BD_PEER_DEPS = 32  /* it knows what a job may wait for; versions before that ignore the bit */
+    BD_PEER_DEPS = 32, /* it knows what a job may wait for; versions before that ignore the bit */
+    BD_PEER_NEWS = 64  /* it reads frames of confirmed cancellations; likewise */
 };
 
 struct bd_progress {
--- a/include/brambledoor/node.h
+++ b/include/brambledoor/node.h
@@ -67,6 +67,8 @@
     struct bd_core *core;
     /* what adapters need to know of the owner's state */
     atomic_bool leading, want_barrier, types_known, step_down, up, page_out;
+    atomic_bool give_up;       /* with step_down: the grant is to be ended */
+    atomic_bool reads_refused; /* the newest refresh of the records was not served */
     atomic_ullong ring;
     struct bd_queue reader_wake;
     struct bd_peer_link *links[BD_MAX_PEERS];
--- a/src/accept.c
+++ b/src/accept.c
@@ -425,6 +425,10 @@
 {
     if (status == 200) {
         take_writes(c, body, ring);
+        if (how == BD_WAIT_WITHDRAW) {
+            struct bd_effect *e = bd_emit(c, BD_E_CANCELLED);
+            snprintf(e->key, sizeof e->key, "%s", id);
+        }
         accepted(c, request, id, (enum bd_wait_how)how);
     } else if (status == 409) { /* somebody was faster: look again, then answer what is */
         (void)bd_wait_barrier(c, request, id, (enum bd_wait_how)how);
--- a/src/core.c
+++ b/src/core.c
@@ -279,6 +279,7 @@
 }
 
 #define HEARD_S 2.0 /* another controller's word counts so long */
+#define BLIND_S 4.0 /* two answers of the state service in a row may be lost before */
 #define ALONE_S 3.0 /* without a word from anywhere users are better sent elsewhere */
 
 /* Whether the state service answered lately: without it nothing can be accepted, and the user is
@@ -330,16 +331,20 @@
 
 /* ---- replica ---- */
 
+static void stop_tasks(struct bd_core *c, struct bd_job *j)
+{
+    for (uint32_t i = 0; j->tasks && i < j->ntasks; i++) {
+        enum bd_task_state st = (enum bd_task_state)j->tasks[i].state;
+        if (st == BD_T_LAUNCH || st == BD_T_LIVE || st == BD_T_UNKNOWN)
+            bd_task_stop(c, j, i, true);
+    }
+}
+
 void bd_job_mood(struct bd_core *c, struct bd_job *j, enum bd_mood mood)
 {
     j->mood = mood;
-    if (mood == BD_CANCELLED && j->tasks) {
-        for (uint32_t i = 0; i < j->ntasks; i++) {
-            if (j->tasks[i].state == BD_T_LAUNCH || j->tasks[i].state == BD_T_LIVE ||
-                j->tasks[i].state == BD_T_UNKNOWN)
-                bd_task_stop(c, j, i, true);
-        }
-    }
+    if (mood == BD_CANCELLED)
+        stop_tasks(c, j);
     if (mood == BD_DONE) {
         json_decref(j->record_spec);
         j->record_spec = NULL;
@@ -413,6 +418,24 @@
     c->round_wanted = true;
 }
 
+#define NEWS_S 5.0 /* a cancellation that is only heard of counts so long */
+
+bool bd_cancel_heard(const struct bd_core *c, const struct bd_job *j)
+{
+    return !bd_is_zero(j->cancel_heard) && bd_between(j->cancel_heard, c->now) < NEWS_S;
+}
+
+/* The record comes with the next refresh, up to seconds later; starts and halts need not wait for
+ * it. If it does not come the news is forgotten, and the job is served as before. */
+void bd_core_cancelled_elsewhere(struct bd_core *c, const char *id)
+{
+    struct bd_job *j = bd_job_find(c, id);
+    if (!j || j->mood != BD_LIVE || bd_cancel_heard(c, j))
+        return;
+    j->cancel_heard = c->now;
+    stop_tasks(c, j);
+}
+
 static void answer_none(struct bd_core *c, void *request, enum bd_wait_how how)
 {
     if (how == BD_WAIT_BAD)
@@ -654,6 +677,17 @@
     return c->replica_ready && c->types_known && !cut_alone(c) && !quite_alone(c);
 }
 
+/* The lease is renewed, but our refreshes of the records are refused while another controller's are
+ * served: nothing could start until ours are served again. Another may start work at once. */
+void bd_core_give_up_if_blind(struct bd_core *c)
+{
+    if (!bd_core_valid(c) || bd_between(c->fresh, c->now) < BLIND_S || !cut_alone(c))
+        return;
+    bd_say(c->log, BD_INFO, "the records cannot be read here, but elsewhere: gives up the lease");
+    bd_core_lost(c);
+    c->last->status = BD_LOST_GIVEN_UP;
+}
+
 void bd_core_lost(struct bd_core *c)
 {
     if (c->role != BD_LEADER)
--- a/src/core_in.h
+++ b/src/core_in.h
@@ -147,6 +147,9 @@
 void bd_limits_aside(struct bd_core *c, struct bd_job *j);
 
 void bd_core_step_aside(struct bd_core *c);
+void bd_core_give_up_if_blind(struct bd_core *c);
+/* whether another controller has just said that the job is cancelled */
+bool bd_cancel_heard(const struct bd_core *c, const struct bd_job *j);
 
 /* answering in time: grace.c */
 double bd_grace_s(const struct bd_settings *s);
--- a/src/frame.c
+++ b/src/frame.c
@@ -73,6 +73,9 @@
         put(o, f->status, 2);
         put_bytes(o, f->text, f->len);
         break;
+    case BD_FRAME_CANCELLED:
+        put_bytes(o, f->text, f->len);
+        break;
     }
 }
 
@@ -176,6 +179,9 @@
         f->status = (uint16_t)get(i, 2);
         get_bytes(i, f);
         break;
+    case BD_FRAME_CANCELLED:
+        get_bytes(i, f);
+        break;
     }
 }
 
@@ -189,7 +195,7 @@
     uint64_t zero = get(&head, 2);
     size_t body = (size_t)get(&head, 4);
     if (magic != MAGIC || version != VERSION || zero || body + BD_FRAME_HEAD > BD_FRAME_MOST ||
-        type < BD_FRAME_STATUS || type > BD_FRAME_ANSWER)
+        type < BD_FRAME_STATUS || type > BD_FRAME_CANCELLED)
         return -1;
     if (len < BD_FRAME_HEAD + body)
         return 0;
--- a/src/leader.c
+++ b/src/leader.c
@@ -261,15 +261,29 @@
         tell_touch(s, BD_C_CONFIRMED, sent);
 }
 
+/* Ends a grant that would otherwise keep others from leading until it runs out. Nothing rests on
+ * the answer: it is not renewed any more. */
+static void end_grant(struct seat *s)
+{
+    char path[64];
+    json_t *o = NULL;
+    snprintf(path, sizeof path, "/grants/%llu", (unsigned long long)s->grant);
+    (void)bd_store_call(s->n, s->h, "DELETE", path, NULL, call_s(s), &o);
+    json_decref(o);
+    s->grant = 0;
+}
+
+/* One that cannot read the records could not start anything: it leaves the lease to others. */
 static void follow_once(struct seat *s)
 {
     uint64_t mark = 0;
     enum view v = see(s, &mark);
+    bool can_lead = !atomic_load(&s->n->reads_refused);
     if (v == VIEW_OTHER)
         touch(s, mark);
-    if (v == VIEW_FREE)
+    if (v == VIEW_FREE && can_lead)
         take_seat(s, 0);
-    else if (v == VIEW_BEFORE_US || v == VIEW_OURS)
+    else if ((v == VIEW_BEFORE_US || v == VIEW_OURS) && can_lead)
         take_seat(s, mark);
     if (!s->leading) /* uneven, so that nodes do not collide for ever */
         bd_pause(LOOK_S * (0.7 + 0.6 * gsl_rng_uniform(s->rng)));
@@ -280,6 +294,8 @@
     uint64_t mark = 0;
     if (atomic_exchange(&s->n->step_down, false)) {
         s->leading = false;
+        if (atomic_exchange(&s->n->give_up, false))
+            end_grant(s);
         return;
     }
     if (renew(s) == 0) {
--- a/src/limits.c
+++ b/src/limits.c
@@ -7,17 +7,21 @@
 #define OPS_LEAST 2u     /* the witness and one change */
 #define VALUE_LEAST 512u /* a done record and an intent of a few tasks fit */
 #define RATE_LEAST 4.0
-#define BUSY_SHARE 0.8 /* of the rate is left after a 429, */
-#define BUSY_S 1.0     /* at most once in this time; */
-#define CALM_S 10.0    /* after so long without one it rises again, */
-#define RISE 1.01      /* by this a second */
-#define ASIDE_S 1.0    /* what may be malformed itself rests so long, and up to 8 s more */
+#define BUSY_SHARE 0.8     /* of the rate is left after a 429, */
+#define BUSY_S 1.0         /* at most once in this time; */
+#define CALM_S 10.0        /* after so long without one it rises again, */
+#define RISE 1.01          /* by this a second */
+#define GROW_AFTER_S 60.0  /* after so long without a 400 values and transactions grow again, */
+#define GROW_MOST_S 3600.0 /* ... after twice as long each time that was too much, up to this */
+#define GROW_EVERY_S 10.0  /* between two steps */
+#define ASIDE_S 1.0        /* what may be malformed itself rests so long, and up to 8 s more */
 
 void bd_limits_init(struct bd_core *c)
 {
     c->lim.value_bytes = c->set->value_bytes;
     c->lim.txn_ops = c->set->txn_ops;
     c->lim.write_rps = c->set->state_write_rps;
+    c->lim.grow_after = GROW_AFTER_S;
 }
 
 static size_t smaller(size_t now, size_t least)
@@ -30,6 +34,11 @@
 bool bd_limits_refused(struct bd_core *c, const char *what)
 {
     struct bd_limits was = c->lim;
+    bool tried = !bd_is_zero(was.grown_at) && bd_between(was.grown_at, c->now) < GROW_AFTER_S;
+    if (tried && was.grow_after < GROW_MOST_S)
+        c->lim.grow_after = 2 * was.grow_after;
+    c->lim.grown_at = (struct timespec){0, 0};
+    c->lim.refused_at = c->now;
     c->lim.value_bytes = smaller(was.value_bytes, VALUE_LEAST);
     c->lim.txn_ops = smaller(was.txn_ops, OPS_LEAST);
     bd_say(c->log, BD_ERROR,
@@ -62,8 +71,31 @@
            c->lim.write_rps);
 }
 
+static size_t larger(size_t now, size_t most)
+{
+    size_t n = now + now / 3 + 1;
+    return n < most ? n : most;
+}
+
+/* What was lowered may have been raised again, and what was called malformed may have been so for
+ * another reason. A step too far costs one refused transaction, which is decided anew. */
+static void grow(struct bd_core *c)
+{
+    struct bd_limits *l = &c->lim;
+    if ((l->value_bytes >= c->set->value_bytes && l->txn_ops >= c->set->txn_ops) ||
+        bd_between(l->refused_at, c->now) < l->grow_after ||
+        (!bd_is_zero(l->grown_at) && bd_between(l->grown_at, c->now) < GROW_EVERY_S))
+        return;
+    l->grown_at = c->now;
+    l->value_bytes = larger(l->value_bytes, c->set->value_bytes);
+    l->txn_ops = larger(l->txn_ops, c->set->txn_ops);
+    bd_say(c->log, BD_INFO, "tries values of up to %zu bytes and %zu changes again", l->value_bytes,
+           l->txn_ops);
+}
+
 void bd_limits_tick(struct bd_core *c)
 {
+    grow(c);
     if (c->lim.write_rps >= c->set->state_write_rps ||
         bd_between(c->lim.busy_at, c->now) < CALM_S || bd_between(c->lim.raised_at, c->now) < 1.0)
         return;
--- a/src/owner.c
+++ b/src/owner.c
@@ -141,6 +141,8 @@
         forwarded(c, f, text, len);
     if (f->type == BD_FRAME_ANSWER)
         bd_core_answered(c, f->id, f->status, text, len);
+    if (f->type == BD_FRAME_CANCELLED && len < BD_ID)
+        bd_core_cancelled_elsewhere(c, text);
     for (unsigned i = 0; i < f->count; i++)
         bd_core_progress(c, f->jobs[i].id, f->jobs[i].done, f->jobs[i].running);
 }
@@ -271,6 +273,19 @@
         bd_say(&n->log, BD_DEBUG, "a frame to another controller was dropped");
 }
 
+/* To all controllers that understand it; the others learn of it from the records, as we would. */
+static void tell_cancelled(struct bd_node *n, const char *id)
+{
+    struct bd_frame f;
+    f.type = BD_FRAME_CANCELLED;
+    f.text = id;
+    f.len = (uint32_t)strlen(id);
+    f.count = 0;
+    for (int i = 0; i < n->set.npeers; i++)
+        if (n->core->peers[i].flags & BD_PEER_NEWS)
+            (void)bd_transport_send(n, i, &f);
+}
+
 static void perform(struct bd_node *n, struct bd_effect *e)
 {
     switch (e->kind) {
@@ -282,7 +297,11 @@
         atomic_store(&n->want_barrier, true);
         (void)bd_queue_put(&n->reader_wake, n);
         break;
+    case BD_E_CANCELLED:
+        tell_cancelled(n, e->key);
+        break;
     case BD_E_LOST:
+        atomic_store(&n->give_up, e->status == BD_LOST_GIVEN_UP);
         atomic_store(&n->step_down, true);
         break;
     case BD_E_FORWARD:
@@ -323,7 +342,8 @@
     struct bd_effect *e = bd_core_effects(n->core);
     while (e) {
         struct bd_effect *next = e->next;
-        sends = sends || e->kind == BD_E_FORWARD || e->kind == BD_E_ANSWER;
+        sends =
+            sends || e->kind == BD_E_FORWARD || e->kind == BD_E_ANSWER || e->kind == BD_E_CANCELLED;
         perform(n, e);
         e = next ? next : bd_core_effects(n->core); /* one that failed may have others follow */
     }
@@ -364,7 +384,7 @@
     (void)pthread_mutex_lock(&n->status_lock);
     n->status.term = c->role == BD_LEADER ? c->term : 0;
     n->status.flags = c->role == BD_LEADER ? BD_PEER_LEADS : 0;
-    n->status.flags |= BD_PEER_DEPS;
+    n->status.flags |= BD_PEER_DEPS | BD_PEER_NEWS;
     if (bd_core_hears_leader(c))
         n->status.flags |= BD_PEER_HEARS;
     if (c->role == BD_LEADER && c->deaf)
--- a/src/place.c
+++ b/src/place.c
@@ -670,7 +670,7 @@
     HASH_ITER(hh, c->jobs, j, jt)
     {
         if (j->mood == BD_LIVE && j->tasks && j->has_spec && j->spec.team >= 0 &&
-            j->ndone < j->ntasks && !bd_job_waits(j))
+            j->ndone < j->ntasks && !bd_job_waits(j) && !bd_cancel_heard(c, j))
             list[n++] = j;
     }
     *out = list;
--- a/src/reports.c
+++ b/src/reports.c
@@ -65,7 +65,7 @@
             if (t->state == BD_T_LIVE && (t->sub != BD_SAVING || force))
                 order(l, BD_HALT, j->id, i, t->attempt, grace_of(j, t));
         } else if (t->state == BD_T_LAUNCH && bd_may_launch(c) && j->mood == BD_LIVE &&
-                   (!direct || t->attempt > c->sealed_attempt)) {
+                   !bd_cancel_heard(c, j) && (!direct || t->attempt > c->sealed_attempt)) {
             order(l, BD_LAUNCH, j->id, i, t->attempt, 0);
             t->flags |= direct ? BD_F_SENT | BD_F_DO : BD_F_SENT | BD_F_TOLD;
             launch = true;
--- a/src/rounds.c
+++ b/src/rounds.c
@@ -365,7 +365,8 @@
         if (!t || t->state != BD_T_PLAN || t->attempt != e->attempt)
             continue;
         struct bd_machine *m = bd_machine_of(c, t->machine);
-        if (e->job->mood != BD_LIVE || !m || m->gone || m->returning) {
+        if (e->job->mood != BD_LIVE || bd_cancel_heard(c, e->job) || !m || m->gone ||
+            m->returning) {
             bd_task_free(c, e->job, e->task);
             continue;
         }
@@ -772,6 +773,7 @@
         late_launches(c);
         forgets_due(c);
         bd_find_mute(c);
+        bd_core_give_up_if_blind(c);
     }
     if (!bd_core_valid(c))
         return;
--- a/src/store.c
+++ b/src/store.c
@@ -122,6 +122,7 @@
     cmd->after = *after;
     cmd->json = o;
     bool news = barrier || status != 200;
+    atomic_store(&n->reads_refused, status != 200 && status != 410);
     if (status == 200) {
         cmd->ring = bd_wire_ring(o);
         news = news || json_array_size(bd_wire_log(o)) > 0;
--- a/tests/inputs.c
+++ b/tests/inputs.c
@@ -352,6 +352,13 @@
     check(n > 0 && bd_frame_read(buf, n, g) == (long)n && g->count == 2 && g->jobs[0].done == 3 &&
               strcmp(g->jobs[1].id, "job-22") == 0 && g->jobs[1].running == 100000,
           "a progress frame survives");
+    f->type = BD_FRAME_CANCELLED;
+    f->text = "job-23";
+    f->len = 6;
+    size_t news = bd_frame_write(f, buf + n, sizeof buf - n);
+    check(news > 0 && bd_frame_read(buf + n, news, g) == (long)news && g->len == 6 &&
+              memcmp(g->text, "job-23", 6) == 0,
+          "news of a cancellation survives");
     f->type = BD_FRAME_ANSWER;
     f->id = 77;
     f->status = 421;
--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -515,6 +515,31 @@
           "the other service runs again");
 }
 
+/* The leader's lease is renewed, but it cannot read the records: another is to lead, and work that
+ * comes then is started. */
+static void blind_leader(struct test *t)
+{
+    int leader = world_leader(t->w);
+    check(t, leader >= 0, "somebody leads before its reads fail");
+    world_state_blinds(t->w, leader, true);
+    struct timespec end = bd_add(bd_now(), bd_secs(15));
+    while ((world_leader(t->w) == leader || world_leader(t->w) < 0) && bd_before(bd_now(), end))
+        bd_pause(0.05);
+    check(t, world_leader(t->w) >= 0 && world_leader(t->w) != leader,
+          "a leader that cannot read the records gives up the lease");
+    int other = (leader + 1) % NODES;
+    char out[256] = "";
+    long status = ask(t, other, "POST", "/submissions", job("job-65", "sweep", 2), out, sizeof out);
+    if (status != 201)
+        printf("     %ld %s\n", status, out);
+    check(t, status == 201 && until(t, "/submissions/job-65", "\"mood\":\"done\"", 20),
+          "work is done meanwhile");
+    check(t, world_leader(t->w) != leader, "it does not take the lease back");
+    world_state_blinds(t->w, leader, false);
+    check(t, all_nodes(t, "/submissions/job-65", "\"mood\":\"done\"", 20),
+          "all nodes are well again");
+}
+
 /* No node may answer older than another did, whatever the state service's answers become. */
 static void look_closely(struct test *t, const char *id, const char *const *moods, int from)
 {
@@ -692,7 +717,9 @@
     world_state_refuses(t->w, other, false);
     printf("     %d refused, %d of them without a time\n", c->refused - before, c->unnamed);
     check(t, c->refused - before > CROWD && c->unnamed == 0, "who is refused is told when to come");
-    check(t, all_nodes(t, "/up", "up", 20) && all_nodes(t, "/submissions/job-80", "done", 30),
+    check(t,
+          all_nodes(t, "/up", "up", 20) &&
+              all_nodes(t, "/submissions/job-80", "\"mood\":\"done\"", 30),
           "all nodes are well again");
     check(t, world_lapses(t->w) == 0 && world_running_of(t->w, "job-9") == 2,
           "the service went on all the time");
@@ -790,6 +817,7 @@
         again(&t, i, t.old);
     if (meetings) {
         gap(&t);
+        blind_leader(&t);
         close_looks(&t);
     } else if (crowded) {
         overload(&t);
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -20,6 +20,9 @@
  * such effect is waiting clear                 forget the effects that wait task job-1/0 STATE
  * [vm-1]     wait plan launch live unknown done team a cpus=2 gpus=0
  *
+ *   heard job-1           another controller says that the job's cancellation was confirmed
+ *   limits BYTES CHANGES  the largest value and transaction are these now
+ *
  * @T.N is the N-th attempt of term T. */
 #include "brambledoor/core.h"
 #include "brambledoor/frame.h"
@@ -423,6 +426,21 @@
                  p->c->wall - num(p, "late", 0), p->c->now);
 }
 
+static void cmd_heard(struct play *p)
+{
+    bd_core_cancelled_elsewhere(p->c, p->w[1]);
+}
+
+static void cmd_limits(struct play *p)
+{
+    if (p->c->lim.value_bytes != strtoull(p->w[1], NULL, 10) ||
+        p->c->lim.txn_ops != strtoull(p->w[2], NULL, 10)) {
+        fprintf(stderr, "values of %zu bytes, %zu changes\n", p->c->lim.value_bytes,
+                p->c->lim.txn_ops);
+        fail(p, "limits");
+    }
+}
+
 static void cmd_leader(struct play *p)
 {
     const char *name = strcmp(p->w[1], "-") == 0 ? "" : p->w[1];
@@ -575,8 +593,9 @@
     bd_core_rented(p->c, request, refused ? 503 : 200, names, n);
 }
 
-static const char *const kinds[] = {"reply",   "user", "commit", "do",     "rent",    "return",
-                                    "barrier", "lost", "deputy", "lookup", "forward", "answer"};
+static const char *const kinds[] = {"reply",   "user",    "commit",   "do",     "rent",
+                                    "return",  "barrier", "lost",     "deputy", "lookup",
+                                    "forward", "answer",  "cancelled"};
 
 static bool holds_all(struct play *p, const struct bd_effect *e)
 {
@@ -763,6 +782,8 @@
                  {"at", 2, cmd_at},
                  {"peer", 2, cmd_peer},
                  {"leader", 3, cmd_leader},
+                 {"heard", 2, cmd_heard},
+                 {"limits", 3, cmd_limits},
                  {"deputies", 1, cmd_deputies},
                  {"touched", 2, cmd_touched},
                  {"deputycommitted", 2, cmd_deputycommitted},
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -94,7 +94,7 @@
     double stalled; /* until then the process stands still */
     /* reader */
     uint64_t after;
-    bool list_again, want_barrier, look_out;
+    bool list_again, want_barrier, look_out, reads_refused;
     double next_deputies;
     /* seat */
     bool leading, seat_out, step_down;
@@ -193,6 +193,7 @@
 void sim_state_call(struct sim *s, struct sim_call *c, double timeout);
 void sim_state_event(struct sim *s, struct sim_event *e);
 void sim_state_tick(struct sim *s);
+void sim_end_grant(struct sim *s, uint64_t id); /* once the request for it has arrived */
 void sim_call_drop(struct sim_call *c);
 void sim_state_free(struct sim *s);
 
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -150,6 +150,12 @@
         break;
     case BD_E_LOST:
         n->step_down = true;
+        if (e->status == BD_LOST_GIVEN_UP)
+            sim_end_grant(s, n->grant);
+        break;
+    case BD_E_CANCELLED: /* in half of the days nobody tells: the rules hold without the news */
+        for (int i = 0; s->seed % 2 && i < n->set.npeers; i++)
+            to_peer(s, n, i, BD_FRAME_CANCELLED, NULL)->text = strdup(e->key);
         break;
     case BD_E_FORWARD:
     case BD_E_ANSWER:
@@ -283,6 +289,7 @@
         n->after = n->core->ring;
         n->list_again = false;
     } else if (c->then == THEN_LOOK) {
+        n->reads_refused = status != 200;
         if (status == 200)
             changes(n, bd_wire_log(o));
         bd_core_followed(n->core, c->number, bd_wire_ring(o), c->sent, c->flag, status == 200);
@@ -354,7 +361,10 @@
     if (status == 404) {
         if (told)
             bd_core_leader_is(n->core, "", 0, c->sent, false);
-        get_grant(s, n, 0);
+        if (n->reads_refused)
+            seat_again(s, n, 0.3);
+        else
+            get_grant(s, n, 0);
         return;
     }
     if (status == 200 && bd_wire_pair(o, &ch, &grant)) {
@@ -368,7 +378,7 @@
         }
         if (told)
             bd_core_leader_is(n->core, node, ch.mark, c->sent, away);
-        if (strcmp(node, n->set.node) == 0) {
+        if (strcmp(node, n->set.node) == 0 && !n->reads_refused) {
             get_grant(s, n, ch.mark);
             return;
         }
@@ -625,6 +635,8 @@
             bd_core_forwarded(n->core, f->name, f->id, &r, e->text, strlen(e->text));
             bd_wire_report_drop(&r);
         }
+        if (f->type == BD_FRAME_CANCELLED)
+            bd_core_cancelled_elsewhere(n->core, e->text);
         if (f->type == BD_FRAME_ANSWER)
             bd_core_answered(n->core, f->id, f->status, e->text, e->text ? strlen(e->text) : 0);
         settle(s, n);
--- a/tests/sim_state.c
+++ b/tests/sim_state.c
@@ -235,6 +235,13 @@
     return 400;
 }
 
+void sim_end_grant(struct sim *s, uint64_t id)
+{
+    struct sim_grant *g = grant_of(s, id);
+    if (g && g->ends > s->now + sim_delay(s))
+        g->ends = s->now + sim_delay(s);
+}
+
 void sim_call_drop(struct sim_call *c)
 {
     if (--c->refs > 0)
--- a/tests/standin.c
+++ b/tests/standin.c
@@ -63,8 +63,8 @@
     struct door {
         struct world *w;
         int node;
-        bool refused;
-    } door[DOORS]; /* the state service, one address a controller */
+        bool refused, blind; /* blind: it cannot read the jobs' records */
+    } door[DOORS];           /* the state service, one address a controller */
     struct MHD_Daemon *door_daemon[DOORS];
     struct late {
         json_t *txn;
@@ -419,7 +419,7 @@
     return 200;
 }
 
-static int grants(struct world *w, const char *url, json_t *in, json_t **out)
+static int grants(struct world *w, const char *method, const char *url, json_t *in, json_t **out)
 {
     uint64_t id = strtoull(url + strlen("/grants") + (url[7] == '/'), NULL, 10);
     if (id == 0) {
@@ -435,7 +435,8 @@
     for (int i = 0; i < w->ngrants; i++) {
         if (w->grant[i].id != id)
             continue;
-        w->grant[i].ends = bd_add(bd_now(), bd_secs(w->grant[i].ttl));
+        bool ends = strcmp(method, "DELETE") == 0;
+        w->grant[i].ends = ends ? bd_now() : bd_add(bd_now(), bd_secs(w->grant[i].ttl));
         return 200;
     }
     return 404;
@@ -476,13 +477,19 @@
     return NO_ANSWER;
 }
 
+static bool reads_jobs(const char *url, struct MHD_Connection *conn)
+{
+    const char *prefix = MHD_lookup_connection_value(conn, MHD_GET_ARGUMENT_KIND, "starts");
+    return (strcmp(url, "/follow") == 0 || strcmp(url, "/kv") == 0) && prefix &&
+           strcmp(prefix, "j/") == 0;
+}
+
 static int state_answer(void *arg, const char *method, const char *url, struct MHD_Connection *conn,
                         json_t *in, json_t **out)
 {
     struct door *d = arg;
     struct world *w = d->w;
-    (void)method;
-    if (w->down || d->refused)
+    if (w->down || d->refused || (d->blind && reads_jobs(url, conn)))
         return 503;
     end_grants(w);
     apply_late(w);
@@ -495,7 +502,7 @@
     if (strcmp(url, "/follow") == 0)
         return follow(w, conn, out);
     if (strncmp(url, "/grants", 7) == 0)
-        return grants(w, url, in, out);
+        return grants(w, method, url, in, out);
     return 404;
 }
 
@@ -784,7 +791,7 @@
     w->cloud = listen_on(w, cloud_port, cloud_answer, w);
     bool good = w->cloud != NULL;
     for (int i = 0; i < DOORS; i++) {
-        w->door[i] = (struct door){w, i, false};
+        w->door[i] = (struct door){.w = w, .node = i};
         w->door_daemon[i] = listen_on(w, state_port + i, state_answer, &w->door[i]);
         good = good && w->door_daemon[i];
     }
@@ -905,6 +912,13 @@
     pthread_mutex_unlock(&w->lock);
 }
 
+void world_state_blinds(struct world *w, int node, bool blind)
+{
+    pthread_mutex_lock(&w->lock);
+    w->door[node].blind = blind;
+    pthread_mutex_unlock(&w->lock);
+}
+
 void world_state_loses(struct world *w, double lost_share, double late_share)
 {
     pthread_mutex_lock(&w->lock);
--- a/tests/standin.h
+++ b/tests/standin.h
@@ -32,6 +32,8 @@
 void world_state_down(struct world *w, bool down);
 /* while on, it answers 503 to this controller alone */
 void world_state_refuses(struct world *w, int node, bool refused);
+/* while on, this controller cannot read the jobs' records; its lease and its writes are served */
+void world_state_blinds(struct world *w, int node, bool blind);
 /* of its transactions, the share that is carried out while the answer is lost, and the share that
  * is carried out seconds late, after newer ones; how many did */
 void world_state_loses(struct world *w, double lost_share, double late_share);
