--- a/include/brambledoor/node.h
+++ b/include/brambledoor/node.h
@@ -11,6 +11,7 @@
 struct bd_front;
 struct bd_metrics;
 struct bd_peer_link;
+struct bd_worker_client;
 
 enum bd_cmd_kind {
     BD_C_SUBMIT,
@@ -62,7 +63,7 @@
 struct bd_node {
     struct bd_settings set;
     struct bd_log log;
-    struct bd_queue to_owner, to_commit, to_users, to_dispatch, to_cloud;
+    struct bd_queue to_owner, to_commit, to_users, to_cloud;
     struct bd_front *front;
     struct bd_core *core;
     /* what adapters need to know of the owner's state */
@@ -73,6 +74,7 @@
     struct bd_queue reader_wake;
     struct bd_peer_link *links[BD_MAX_PEERS];
     struct bd_metrics *metrics;
+    struct bd_worker_client *worker_client;
     struct timespec next_report, reported, commit_sent;
     struct bd_cmd *pending_gain;
     /* what the other controllers are told of us */
@@ -100,9 +102,11 @@
 int bd_store_start(struct bd_node *n);
 int bd_leader_start(struct bd_node *n);
 int bd_cloud_start(struct bd_node *n);
-int bd_dispatch_start(struct bd_node *n);
-#define BD_DISPATCH_KEEP 4 /* connections that a sender of direct commands keeps */
-int bd_dispatch_threads(const struct bd_settings *s);
+int bd_worker_client_start(struct bd_node *n);
+/* A direct command; takes the effect over. The answer comes as BD_C_DID. */
+void bd_worker_client_send(struct bd_node *n, struct bd_effect *e);
+/* sockets that it may hold */
+int bd_worker_client_sockets(const struct bd_settings *s);
 int bd_transport_start(struct bd_node *n);
 /* A frame for a peer, sent with the next flush. False: dropped, nothing will come back. */
 bool bd_transport_send(struct bd_node *n, int peer, const struct bd_frame *f);
--- a/src/front.c
+++ b/src/front.c
@@ -287,7 +287,7 @@
     if (!n->front)
         return -1;
     n->front->most_held = (size_t)(n->set.ram_mb * BODY_SHARE * 1048576.0);
-    int own = SOCKETS_KEPT + bd_dispatch_threads(&n->set) * BD_DISPATCH_KEEP;
+    int own = SOCKETS_KEPT + bd_worker_client_sockets(&n->set);
     int most = n->set.max_sockets - own;
     n->front->daemon = MHD_start_daemon(
         MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, handle, n,
--- a/src/owner.c
+++ b/src/owner.c
@@ -326,7 +326,7 @@
         give(n, &n->to_commit, e);
         return;
     case BD_E_DO:
-        give(n, &n->to_dispatch, e);
+        bd_worker_client_send(n, e);
         return;
     case BD_E_RENT:
     case BD_E_RETURN:
@@ -482,8 +482,7 @@
 {
     if (bd_http_start() != 0 || bd_queue_init(&n->to_owner, QUEUE_CAP) != 0 ||
         bd_queue_init(&n->to_commit, 16) != 0 || bd_queue_init(&n->to_users, 64) != 0 ||
-        bd_queue_init(&n->to_dispatch, QUEUE_CAP) != 0 || bd_queue_init(&n->to_cloud, 64) != 0 ||
-        bd_queue_init(&n->reader_wake, 4) != 0)
+        bd_queue_init(&n->to_cloud, 64) != 0 || bd_queue_init(&n->reader_wake, 4) != 0)
         return -1;
     n->metrics = bd_metrics_new();
     n->core = bd_core_new(&n->set, &n->log);
@@ -495,7 +494,7 @@
         seed = (uint64_t)bd_now().tv_nsec << 20;
     bd_core_seed(n->core, seed >> 1);
     (void)clock_core(n);
-    if (bd_store_start(n) != 0 || bd_cloud_start(n) != 0 || bd_dispatch_start(n) != 0 ||
+    if (bd_store_start(n) != 0 || bd_cloud_start(n) != 0 || bd_worker_client_start(n) != 0 ||
         bd_leader_start(n) != 0 || bd_transport_start(n) != 0)
         return -1;
     if (bd_front_start(n) != 0) {
--- /dev/null
+++ b/src/worker_client.c
@@ -0,0 +1,142 @@
+/* Direct commands to workers: a few threads, each with connections that it keeps.
+ *
+ * A worker's commands go to the same thread as long as that one is not held up, so that its
+ * connection is used again: at a burst of short tasks opening connections cost the leader more than
+ * all the rest. Nothing waits behind a worker that does not answer while another thread is idle.
+ * Threads: bd_worker_client_send is called by the owner alone. */
+#include "brambledoor/http.h"
+#include "brambledoor/node.h"
+#include "brambledoor/timeutil.h"
+#include "metrics.h"
+#include <stdio.h>
+#include <stdlib.h>
+
+/* named defaults */
+#define ANSWER_S 1.5
+#define SLOW_S 0.1 /* a sender that has waited so long for an answer gets nothing new */
+#define SENDERS_LEAST 6
+#define SENDERS_MOST 64
+#define SOCKETS_A_SENDER 80 /* of all: a hundred machines that hang at once hold up few others */
+#define KEEP_SHARE 0.3      /* of all sockets, for connections to workers */
+#define KEEP_LEAST 4
+#define QUEUE_CAP 1024
+#define IDLE_WAIT_S 5.0
+#define STACK_BYTES 131072
+
+struct sender {
+    struct bd_node *n;
+    struct bd_queue queue;
+    atomic_int waiting;       /* commands in the queue, and the one being sent */
+    atomic_llong asked_at_ms; /* when the one being sent went out; 0: none is */
+};
+
+struct bd_worker_client {
+    int nsenders;
+    struct sender senders[SENDERS_MOST];
+};
+
+static long long now_ms(void)
+{
+    return (long long)(bd_to_secs(bd_now()) * 1000.0);
+}
+
+static int sender_count(const struct bd_settings *s)
+{
+    int n = s->max_sockets / SOCKETS_A_SENDER;
+    return n < SENDERS_LEAST ? SENDERS_LEAST : n > SENDERS_MOST ? SENDERS_MOST : n;
+}
+
+static int kept_connections(const struct bd_settings *s)
+{
+    int n = (int)(KEEP_SHARE * s->max_sockets) / sender_count(s);
+    return n < KEEP_LEAST ? KEEP_LEAST : n;
+}
+
+int bd_worker_client_sockets(const struct bd_settings *s)
+{
+    return sender_count(s) * kept_connections(s);
+}
+
+/* Sends one command; the answer, or that there was none, goes to the owner. */
+static void send_command(struct sender *s, struct bd_http *h, struct bd_effect *e)
+{
+    char url[128];
+    struct bd_reply r;
+    struct bd_cmd *cmd = bd_cmd_new(BD_C_DID);
+    snprintf(url, sizeof url, "http://%s/do", e->addr);
+    bd_http_call(h, "POST", url, e->body, ANSWER_S, &r);
+    cmd->status = r.status;
+    cmd->text = r.body;
+    cmd->len = r.len;
+    cmd->machine = e->machine;
+    cmd->number = e->seal;
+    cmd->flag = e->launch;
+    bd_effect_free(e);
+    bd_tell(s->n, cmd);
+}
+
+static void *sender_run(void *arg)
+{
+    struct sender *s = arg;
+    struct bd_http *h = bd_http_new(kept_connections(&s->n->set),
+                                    bd_metrics_counter(s->n->metrics, BD_TRAFFIC_DIRECT));
+    while (h) {
+        void *item;
+        if (bd_queue_take(&s->queue, &item, 1, bd_add(bd_now(), bd_secs(IDLE_WAIT_S))) == 0)
+            continue;
+        atomic_store(&s->asked_at_ms, now_ms());
+        send_command(s, h, item);
+        atomic_store(&s->asked_at_ms, 0);
+        atomic_fetch_sub(&s->waiting, 1);
+    }
+    return NULL;
+}
+
+static bool held_up(struct sender *s, long long now)
+{
+    long long since = atomic_load(&s->asked_at_ms);
+    return since != 0 && (double)(now - since) / 1000.0 > SLOW_S;
+}
+
+/* The worker's own sender, or the least busy one while that waits for an answer. */
+static struct sender *sender_for(struct bd_worker_client *w, uint32_t machine)
+{
+    long long now = now_ms();
+    struct sender *best = &w->senders[machine % (uint32_t)w->nsenders];
+    if (!held_up(best, now))
+        return best;
+    for (int i = 0; i < w->nsenders; i++) {
+        struct sender *s = &w->senders[i];
+        if (!held_up(s, now) &&
+            (held_up(best, now) || atomic_load(&s->waiting) < atomic_load(&best->waiting)))
+            best = s;
+    }
+    return best;
+}
+
+void bd_worker_client_send(struct bd_node *n, struct bd_effect *e)
+{
+    struct sender *s = sender_for(n->worker_client, e->machine);
+    atomic_fetch_add(&s->waiting, 1);
+    while (!bd_queue_put(&s->queue, e)) {
+        bd_say(&n->log, BD_ERROR, "too many direct commands wait");
+        bd_pause(0.05);
+    }
+}
+
+int bd_worker_client_start(struct bd_node *n)
+{
+    int rc = 0;
+    struct bd_worker_client *w = calloc(1, sizeof *w);
+    if (!w)
+        return -1;
+    n->worker_client = w;
+    w->nsenders = sender_count(&n->set);
+    for (int i = 0; i < w->nsenders && rc == 0; i++) {
+        w->senders[i].n = n;
+        rc = bd_queue_init(&w->senders[i].queue, QUEUE_CAP);
+        if (rc == 0)
+            rc = bd_thread(sender_run, &w->senders[i], STACK_BYTES);
+    }
+    return rc;
+}
