--- a/include/brambledoor/node.h
+++ b/include/brambledoor/node.h
@@ -12,6 +12,7 @@
 struct bd_metrics;
 struct bd_peer_link;
 struct bd_worker_client;
+struct bd_report_cache;
 
 enum bd_cmd_kind {
     BD_C_SUBMIT,
@@ -75,6 +76,7 @@
     struct bd_peer_link *links[BD_MAX_PEERS];
     struct bd_metrics *metrics;
     struct bd_worker_client *worker_client;
+    struct bd_report_cache *reports;
     struct timespec next_report, reported, commit_sent;
     struct bd_cmd *pending_gain;
     /* what the other controllers are told of us */
--- a/include/brambledoor/wire.h
+++ b/include/brambledoor/wire.h
@@ -123,6 +123,13 @@
 char *bd_wire_state(const char *id, const char *mood, uint32_t done, uint32_t running);
 bool bd_wire_report(json_t *o, struct bd_report *out);
 void bd_wire_report_drop(struct bd_report *r);
+/* Where the digits of the report's number stand in its text, and what they say. */
+struct bd_report_number {
+    size_t at, len;
+    uint64_t value;
+};
+/* False: not to be told without reading the text as JSON. */
+bool bd_wire_report_number(const char *text, size_t len, struct bd_report_number *out);
 /* session 0: an answer to a report, else the body of a direct command */
 char *bd_wire_orders(uint64_t seal, uint64_t session, const struct bd_order *o, size_t n);
 int bd_wire_types(json_t *o, struct bd_type_text *out, int max);
--- a/src/owner.c
+++ b/src/owner.c
@@ -4,6 +4,7 @@
 #include "brambledoor/node.h"
 #include "brambledoor/timeutil.h"
 #include "metrics.h"
+#include "report_cache.h"
 #include <limits.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,7 +14,8 @@
 #define BATCH 128
 #define QUEUE_CAP 4096
 #define STATUS_S 0.3
-#define REPORT_S 20.0 /* between the log's lines of traffic and times */
+#define REPORTS_SHARE 0.08 /* of the memory, for the machines' newest reports */
+#define REPORT_S 20.0      /* between the log's lines of traffic and times */
 
 struct bd_cmd *bd_cmd_new(enum bd_cmd_kind kind)
 {
@@ -76,32 +78,19 @@
     }
 }
 
-static bool read_report(const char *text, size_t len, struct bd_report *r)
-{
-    json_t *o = text ? json_loadb(text, len, 0, NULL) : NULL;
-    bool ok = o && bd_wire_report(o, r);
-    json_decref(o);
-    return ok;
-}
-
 static void checkin(struct bd_node *n, struct bd_cmd *cmd)
 {
-    struct bd_report r;
-    if (!read_report(cmd->text, cmd->len, &r)) {
+    const struct bd_report *r = bd_report_cache_read(n->reports, cmd->text, cmd->len);
+    if (r)
+        bd_core_checkin(n->core, cmd->request, r, cmd->text, cmd->len);
+    else
         bd_front_reply(n, cmd->request, 400, strdup("{\"error\":\"malformed report\"}"), 0);
-        return;
-    }
-    bd_core_checkin(n->core, cmd->request, &r, cmd->text, cmd->len);
-    bd_wire_report_drop(&r);
 }
 
 static void did(struct bd_node *n, const struct bd_cmd *cmd)
 {
-    struct bd_report r;
-    bool ok = read_report(cmd->text, cmd->len, &r);
-    bd_core_did(n->core, cmd->machine, cmd->number, cmd->flag, cmd->status, ok ? &r : NULL);
-    if (ok)
-        bd_wire_report_drop(&r);
+    bd_core_did(n->core, cmd->machine, cmd->number, cmd->flag, cmd->status,
+                bd_report_cache_read(n->reports, cmd->text, cmd->len));
 }
 
 static void followed(struct bd_node *n, struct bd_cmd *cmd)
@@ -120,17 +109,16 @@
     atomic_store(&n->page_out, false);
 }
 
-static void forwarded(struct bd_core *c, const struct bd_frame *f, const char *text, size_t len)
+static void forwarded(struct bd_node *n, const struct bd_frame *f, const char *text, size_t len)
 {
-    struct bd_report r;
-    if (!read_report(text, len, &r))
-        return;
-    bd_core_forwarded(c, f->name, f->id, &r, text, len);
-    bd_wire_report_drop(&r);
+    const struct bd_report *r = bd_report_cache_read(n->reports, text, len);
+    if (r)
+        bd_core_forwarded(n->core, f->name, f->id, r, text, len);
 }
 
-static void peer(struct bd_core *c, const struct bd_cmd *cmd)
+static void peer(struct bd_node *n, const struct bd_cmd *cmd)
 {
+    struct bd_core *c = n->core;
     const struct bd_frame *f = cmd->data;
     const char *text = cmd->text;
     size_t len = cmd->len;
@@ -138,7 +126,7 @@
         bd_core_peer(c, f->name, f->term, f->flags, f->age_ms / 1000.0, (double)f->at_ms / 1000.0,
                      cmd->sent);
     if (f->type == BD_FRAME_REPORT)
-        forwarded(c, f, text, len);
+        forwarded(n, f, text, len);
     if (f->type == BD_FRAME_ANSWER)
         bd_core_answered(c, f->id, f->status, text, len);
     if (f->type == BD_FRAME_CANCELLED && len < BD_ID)
@@ -178,7 +166,7 @@
         bd_core_rented(c, cmd->name, cmd->status, cmd->data, (int)cmd->n);
         break;
     case BD_C_PEER:
-        peer(c, cmd);
+        peer(n, cmd);
         break;
     case BD_C_DEPUTIES:
         bd_core_deputies(c, cmd->json, cmd->sent);
@@ -442,6 +430,10 @@
     struct timespec now = n->core->now;
     if (bd_before(now, n->next_report))
         return;
+    uint32_t all, repeated;
+    bd_report_cache_counts(n->reports, &all, &repeated);
+    if (all > 0)
+        bd_say(&n->log, BD_INFO, "reports: %u, %u of them as the machine's last", all, repeated);
     if (!bd_is_zero(n->reported))
         bd_metrics_report(n->metrics, &n->log, bd_between(n->reported, now));
     n->reported = now;
@@ -486,7 +478,8 @@
         return -1;
     n->metrics = bd_metrics_new();
     n->core = bd_core_new(&n->set, &n->log);
-    if (!n->core || !n->metrics)
+    n->reports = bd_report_cache_new((size_t)(n->set.ram_mb * REPORTS_SHARE * 1048576.0));
+    if (!n->core || !n->metrics || !n->reports)
         return -1;
     n->core->metrics = n->metrics;
     uint64_t seed = 0;
--- a/src/wire.c
+++ b/src/wire.c
@@ -360,6 +360,28 @@
     return out->tasks != NULL;
 }
 
+/* The name must stand there once only: as a key, since a quote inside a string is escaped. */
+bool bd_wire_report_number(const char *text, size_t len, struct bd_report_number *out)
+{
+    static const char key[] = "\"tally\":";
+    const size_t key_len = sizeof key - 1, digits_most = 18;
+    const char *end = text + len, *p = memmem(text, len, key, key_len);
+    if (!p || memmem(p + key_len, (size_t)(end - p) - key_len, key, key_len))
+        return false;
+    p += key_len;
+    while (p < end && *p == ' ')
+        p++;
+    out->at = (size_t)(p - text);
+    out->len = 0;
+    out->value = 0;
+    while (p + out->len < end && p[out->len] >= '0' && p[out->len] <= '9' &&
+           out->len <= digits_most)
+        out->value = out->value * 10 + (uint64_t)(p[out->len++] - '0');
+    const char *after = p + out->len;
+    bool whole = after < end && (*after == ',' || *after == '}' || *after == ' ');
+    return out->len > 0 && out->len <= digits_most && (*p != '0' || out->len == 1) && whole;
+}
+
 void bd_wire_report_drop(struct bd_report *r)
 {
     free(r->tasks);
--- a/tests/inputs.c
+++ b/tests/inputs.c
@@ -1,4 +1,5 @@
 /* Malformed input: settings files, operators' files, and everything the wire brings. */
+#include "../src/report_cache.h"
 #include "brambledoor/frame.h"
 #include "brambledoor/settings.h"
 #include "brambledoor/timeutil.h"
@@ -428,6 +429,62 @@
     free(f);
 }
 
+/* A report as a worker writes it; each part may be another one. */
+static const struct bd_report *read_cached(struct bd_report_cache *c, const char *machine,
+                                           const char *number, const char *state)
+{
+    char text[512];
+    snprintf(text, sizeof text,
+             "{\"hearth\":\"%s\",\"endpoint\":\"10.1.0.2:9000\",\"breed\":\"a\",\"glade\":\"b\","
+             "\"windfall\":false,\"tenancy\":1,\"tally\":%s,\"seal\":4,\"warningS\":null,"
+             "\"chores\":[{\"chore\":\"job-1/3\",\"try\":2,\"mood\":\"%s\"}]}",
+             machine, number, state);
+    return bd_report_cache_read(c, text, strlen(text));
+}
+
+/* What is not read anew says the same as what is; nothing else is taken for a repetition. */
+static void cached_reports(void)
+{
+    uint32_t all, repeated;
+    struct bd_report_cache *c = bd_report_cache_new(4096);
+    if (!c)
+        exit(2);
+    const struct bd_report *r = read_cached(c, "vm-1", "7", "running");
+    check(r && r->seq == 7 && r->n == 1 && r->tasks[0].sub == BD_RUNNING, "a report is read");
+    r = read_cached(c, "vm-1", "1008", "running");
+    check(r && r->seq == 1008 && r->session == 1 && r->seal == 4 && r->n == 1 &&
+              strcmp(r->machine, "vm-1") == 0 && r->tasks[0].sub == BD_RUNNING,
+          "one that only has another number says the same");
+    r = read_cached(c, "vm-1", "1009", "pulling");
+    check(r && r->seq == 1009 && r->tasks[0].sub == BD_FETCHING, "another state is seen");
+    r = read_cached(c, "vm-2", "1010", "pulling");
+    check(r && r->seq == 1010 && strcmp(r->machine, "vm-2") == 0, "another machine is seen");
+    bd_report_cache_counts(c, &all, &repeated);
+    check(all == 4 && repeated == 1, "only the one was a repetition");
+    static const char *const odd[] = {
+        "-7", "7.5", "07", "7e3", "\"7\"", "", "99999999999999999999", "7,\"tally\":8"};
+    for (size_t i = 0; i < sizeof odd / sizeof odd[0]; i++) {
+        (void)read_cached(c, "vm-1", "1009", "pulling");
+        bd_report_cache_counts(c, &all, &repeated);
+        (void)read_cached(c, "vm-1", odd[i], "pulling");
+        bd_report_cache_counts(c, &all, &repeated);
+        check(all == 1 && repeated == 0, "an odd number is left to the JSON parser");
+    }
+    check(!read_cached(c, "vm-1", "7.5", "pulling") && !read_cached(c, "vm-1", "", "pulling"),
+          "a malformed report is refused though a good one is kept");
+    for (int i = 0; i < 200; i++) {
+        char name[16];
+        snprintf(name, sizeof name, "vm-%d", i);
+        (void)read_cached(c, name, "1", "running");
+    }
+    bd_report_cache_counts(c, &all, &repeated);
+    (void)read_cached(c, "vm-199", "2", "running");
+    (void)read_cached(c, "vm-0", "2", "running");
+    bd_report_cache_counts(c, &all, &repeated);
+    check(repeated == 1, "the oldest reports leave when there is no room");
+    bd_report_cache_free(c);
+}
+
 int main(int argc, char **argv)
 {
     if (argc != 2)
@@ -437,6 +494,7 @@
     submissions(argv[1]);
     needs();
     reports(argv[1]);
+    cached_reports();
     records();
     cloud();
     frames();
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -1,17 +1,26 @@
-/* A leader at the size of a large deployment. `profile WHAT MACHINES` does WHAT many times over,
- * for callgrind: instructions that a round, a check-in or a poll cost. `profile check MACHINES` is
- * a test: it counts what the leader does until all that fits is placed, and holds every transaction
- * against the state service's limits. */
+/* A leader at the size of a large deployment. `profile check MACHINES` is a test: it counts what
+ * the leader does until all that fits is placed, and holds every transaction against the state
+ * service's limits. `profile costs MACHINES` does each kind of work a number of times, for
+ * callgrind: a line a kind with the times, and callgrind's dump of that name; tests/costs.sh holds
+ * the instructions against upper counts. */
 #include "brambledoor/core.h"
 #include "brambledoor/frame.h"
 #include "brambledoor/log.h"
 #include "brambledoor/timeutil.h"
 #include "small.h"
+#if __has_include(<valgrind/callgrind.h>)
+#include <valgrind/callgrind.h>
+#else
+#define CALLGRIND_START_INSTRUMENTATION
+#define CALLGRIND_TOGGLE_COLLECT
+#define CALLGRIND_ZERO_STATS
+#define CALLGRIND_DUMP_STATS_AT(name)
+#endif
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#define TIMES 200
+#define PEER "node-1"
 #define ZONES 2
 #define ROUNDS 40
 #define COMMITS_MOST 16
@@ -72,6 +81,9 @@
 {
     small_settings(s);
     snprintf(s->zone, sizeof s->zone, "a");
+    s->npeers = 1;
+    snprintf(s->peers[0].name, sizeof s->peers[0].name, PEER);
+    snprintf(s->peers[0].zone, sizeof s->peers[0].zone, "b");
     s->list_lag = bd_secs(8);
     s->leader_ttl = bd_secs(2);
     s->state_rps = 250;
@@ -239,34 +251,227 @@
     return w->faults ? 1 : 0;
 }
 
-int main(int argc, char **argv)
+/* ---- what each kind of work costs ---- */
+
+static char *report_text(const struct world *w, uint32_t i, uint64_t seq)
 {
-    struct world w = {.log = {BD_ERROR, "profile"}};
-    const char *what = argc > 1 ? argv[1] : "none";
-    w.machines = argc > 2 ? (uint32_t)atoi(argv[2]) : 100;
-    build(&w);
-    if (strcmp(what, "check") == 0) {
-        int rc = check(&w);
-        bd_core_free(w.c);
-        return rc;
+    json_t *tasks = json_array();
+    char machine[BD_LABEL], addr[BD_LABEL], name[2 * BD_LABEL];
+    struct bd_machine *m = NULL;
+    snprintf(machine, sizeof machine, "vm-%06u", i);
+    snprintf(addr, sizeof addr, "10.1.0.1:%u", i);
+    HASH_FIND_STR(w->c->machines, machine, m);
+    for (uint32_t k = 0; m && k < m->nrefs; k++) {
+        const struct bd_job *j = m->refs[k].job;
+        snprintf(name, sizeof name, "%s/%u", j->id, m->refs[k].task);
+        json_array_append_new(tasks, json_pack("{s:s,s:I,s:s}", "chore", name, "try",
+                                               (json_int_t)j->tasks[m->refs[k].task].attempt,
+                                               "mood", "running"));
     }
-    uint32_t waits = 0;
-    for (struct bd_job *j = w.c->jobs; j; j = j->hh.next)
-        waits += j->nwait;
-    for (int i = 0; i < TIMES; i++) {
-        if (strcmp(what, "round") == 0) {
-            round_once(&w);
-        } else if (strcmp(what, "checkin") == 0) {
-            report(&w, (uint32_t)i % w.machines);
-        } else if (strcmp(what, "poll") == 0) {
-            bd_core_get(w.c, NULL, "job-000001");
-            drop_effects(&w);
-        } else if (strcmp(what, "tick") == 0) {
-            bd_core_tick(w.c);
-            drop_effects(&w);
+    json_t *o =
+        json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:n,s:o}", "hearth", machine, "endpoint", addr,
+                  "breed", i % 5 ? "gpu" : "small", "glade", i % 2 ? "a" : "b", "windfall", 0,
+                  "tenancy", (json_int_t)1, "tally", (json_int_t)seq, "seal",
+                  (json_int_t)w->c->term, "warningS", "chores", tasks);
+    char *text = json_dumps(o, JSON_COMPACT);
+    json_decref(o);
+    if (!text)
+        abort();
+    return text;
+}
+
+static void read_report(const char *text, struct bd_report *r)
+{
+    json_t *o = json_loads(text, 0, NULL);
+    if (!bd_wire_report(o, r))
+        abort();
+    json_decref(o);
+}
+
+static void checkin(struct world *w, uint32_t n)
+{
+    struct bd_report r;
+    char *text = report_text(w, n % w->machines, ++w->seq);
+    CALLGRIND_TOGGLE_COLLECT;
+    read_report(text, &r);
+    bd_core_checkin(w->c, NULL, &r, text, strlen(text));
+    bd_wire_report_drop(&r);
+    bd_effect_free(bd_core_effects(w->c));
+    CALLGRIND_TOGGLE_COLLECT;
+    free(text);
+}
+
+static void forwarded(struct world *w, uint32_t n)
+{
+    static struct bd_frame f, in;
+    static unsigned char buf[BD_FRAME_MOST];
+    struct bd_report r;
+    char *text = report_text(w, n % w->machines, ++w->seq);
+    f = (struct bd_frame){.type = BD_FRAME_REPORT, .id = n, .text = text, .len = strlen(text)};
+    snprintf(f.name, sizeof f.name, PEER);
+    size_t len = bd_frame_write(&f, buf, sizeof buf);
+    CALLGRIND_TOGGLE_COLLECT;
+    if (bd_frame_read(buf, len, &in) != (long)len)
+        abort();
+    read_report(text, &r);
+    bd_core_forwarded(w->c, in.name, in.id, &r, text, in.len);
+    bd_wire_report_drop(&r);
+    bd_effect_free(bd_core_effects(w->c));
+    CALLGRIND_TOGGLE_COLLECT;
+    free(text);
+}
+
+static void poll(struct world *w, uint32_t n)
+{
+    char id[BD_ID];
+    snprintf(id, sizeof id, "job-%06u", n % 100);
+    CALLGRIND_TOGGLE_COLLECT;
+    bd_core_get(w->c, NULL, id);
+    bd_core_tick(w->c);
+    bd_core_followed(w->c, w->c->ring, w->c->ring, w->c->now, true, true);
+    CALLGRIND_TOGGLE_COLLECT;
+    drop_effects(w);
+}
+
+static void submission(struct world *w, uint32_t n)
+{
+    char body[640];
+    snprintf(body, sizeof body,
+             "{\"id\":\"job-%u\",\"kin\":\"class-0\",\"household\":\"team-0\",\"shape\":\"sweep\","
+             "\"rank\":\"standard\",\"chores\":20,\"vcpus\":2,\"accelerators\":0,\"memGb\":6,"
+             "\"seed\":\"img-0-0\",\"imageGb\":2,\"breeds\":null,\"glade\":null,\"together\":false,"
+             "\"scatter\":false,\"windfall\":true,\"guessS\":60,\"markS\":0,\"stowS\":0,"
+             "\"dueS\":null}",
+             n + 5000);
+    CALLGRIND_TOGGLE_COLLECT;
+    bd_core_submit(w->c, NULL, body, strlen(body));
+    struct bd_effect *e = bd_core_effects(w->c);
+    if (!e || e->kind != BD_E_USER_COMMIT)
+        abort();
+    bd_core_user_committed(w->c, NULL, e->key, e->body, e->status, 200, ++w->mark);
+    bd_effect_free(e);
+    CALLGRIND_TOGGLE_COLLECT;
+    drop_effects(w);
+}
+
+static void placed_round(struct world *w, uint32_t n)
+{
+    (void)n;
+    at(w, w->now + 1.1);
+    bd_core_renewed(w->c, 7, w->c->now);
+    bd_core_followed(w->c, w->c->ring, w->c->ring, w->c->now, false, true);
+    CALLGRIND_TOGGLE_COLLECT;
+    bd_core_tick(w->c);
+    if (w->c->commit)
+        bd_core_committed(w->c, 1, ++w->mark, NULL);
+    CALLGRIND_TOGGLE_COLLECT;
+    drop_effects(w);
+}
+
+static void refresh(struct world *w, uint32_t n)
+{
+    char text[128];
+    snprintf(text, sizeof text, "{\"ring\":%llu,\"log\":[]}", (unsigned long long)w->c->ring);
+    (void)n;
+    CALLGRIND_TOGGLE_COLLECT;
+    json_t *o = json_loads(text, 0, NULL);
+    bd_core_followed(w->c, w->c->ring, bd_wire_ring(o), w->c->now, false, true);
+    json_decref(o);
+    CALLGRIND_TOGGLE_COLLECT;
+}
+
+static void heartbeat(struct world *w, uint32_t n)
+{
+    static struct bd_frame f, in;
+    static unsigned char buf[1024];
+    f = (struct bd_frame){.type = BD_FRAME_STATUS, .flags = BD_PEER_STATE, .at_ms = n};
+    snprintf(f.name, sizeof f.name, PEER);
+    CALLGRIND_TOGGLE_COLLECT;
+    size_t len = bd_frame_write(&f, buf, sizeof buf);
+    if (bd_frame_read(buf, len, &in) != (long)len)
+        abort();
+    bd_core_peer(w->c, in.name, in.term, in.flags, 0, 0, w->c->now);
+    CALLGRIND_TOGGLE_COLLECT;
+}
+
+static void idle_tick(struct world *w, uint32_t n)
+{
+    (void)n;
+    CALLGRIND_TOGGLE_COLLECT;
+    bd_core_tick(w->c);
+    CALLGRIND_TOGGLE_COLLECT;
+    drop_effects(w);
+}
+
+/* What the running tasks' intents are in the state service. */
+static json_t *intents(const struct world *w)
+{
+    json_t *pairs = json_array();
+    for (uint32_t i = 0; i < w->c->nmachines; i++) {
+        const struct bd_machine *m = w->c->by_index[i];
+        json_t *groups = json_array();
+        char key[BD_LABEL];
+        for (uint32_t k = 0; k < m->nrefs; k++) {
+            const struct bd_job *j = m->refs[k].job;
+            uint32_t task = m->refs[k].task;
+            json_array_append_new(groups,
+                                  json_pack("[s,I,s,[i]]", j->id,
+                                            (json_int_t)j->tasks[task].attempt, m->id, (int)task));
         }
+        snprintf(key, sizeof key, "i/%020d-%08u", 1, i);
+        json_array_append_new(pairs, json_pack("{s:s,s:{s:o},s:I}", "k", key, "value", "e", groups,
+                                               "mark", (json_int_t)5));
+    }
+    return pairs;
+}
+
+static void takeover(struct world *w, uint32_t n)
+{
+    json_t *list = intents(w);
+    struct bd_gain g = {.term = w->mark + 1, .grant = 7, .nonce = "n", .renewed = w->c->now};
+    (void)n;
+    bd_core_lost(w->c);
+    drop_effects(w);
+    g.receipts = json_array();
+    g.intents = list;
+    CALLGRIND_TOGGLE_COLLECT;
+    bd_core_gained(w->c, &g);
+    CALLGRIND_TOGGLE_COLLECT;
+    json_decref(g.receipts);
+    json_decref(g.intents);
+}
+
+static int costs(struct world *w)
+{
+    static const struct {
+        const char *name;
+        uint32_t times;
+        void (*work)(struct world *w, uint32_t n);
+    } kinds[] = {{"check-in", 200, checkin},    {"forwarded", 200, forwarded},
+                 {"poll", 200, poll},           {"round", 5, placed_round},
+                 {"refresh", 100, refresh},     {"heartbeat", 100, heartbeat},
+                 {"idle-tick", 100, idle_tick}, {"submission", 100, submission},
+                 {"takeover", 1, takeover}};
+    CALLGRIND_START_INSTRUMENTATION; /* building the world is not counted, and quicker so */
+    for (size_t k = 0; k < sizeof kinds / sizeof kinds[0]; k++) {
+        CALLGRIND_ZERO_STATS;
+        for (uint32_t n = 0; n < kinds[k].times; n++)
+            kinds[k].work(w, n);
+        CALLGRIND_DUMP_STATS_AT(kinds[k].name);
+        printf("%s %u\n", kinds[k].name, kinds[k].times);
     }
-    fprintf(stderr, "%s %d times, %u machines, %u tasks waiting\n", what, TIMES, w.machines, waits);
-    bd_core_free(w.c);
     return 0;
 }
+
+int main(int argc, char **argv)
+{
+    struct world w = {.log = {BD_ERROR, "profile"}};
+    bool checks = argc == 3 && strcmp(argv[1], "check") == 0;
+    if (argc != 3 || (!checks && strcmp(argv[1], "costs") != 0))
+        return 2;
+    w.machines = (uint32_t)strtoul(argv[2], NULL, 10);
+    build(&w);
+    int rc = checks ? check(&w) : costs(&w);
+    bd_core_free(w.c);
+    return rc;
+}
