--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -726,6 +726,104 @@
     free(c);
 }
 
+/* ---- memory ---- */
+
+#define MEMORY_JOBS 1500
+#define MEMORY_ARRAYS 20
+#define MEMORY_TASKS 10000 /* of an array */
+#define MEMORY_CONNECTIONS 200
+/* Upper bounds, half as much again as was measured: one that doubles is noticed. */
+#define START_KB_MOST 3600
+#define JOB_BYTES_MOST 7100
+#define TASK_BYTES_MOST 37
+#define CONNECTION_BYTES_MOST 6900
+
+/* What the process holds beside its files' pages. */
+static long memory_kb(const struct test *t, int node)
+{
+    char path[64], line[128];
+    long kb = -1;
+    snprintf(path, sizeof path, "/proc/%d/status", (int)t->pid[node]);
+    FILE *f = fopen(path, "r");
+    while (f && fgets(line, sizeof line, f))
+        if (sscanf(line, "RssAnon: %ld", &kb) == 1)
+            break;
+    if (f)
+        (void)fclose(f);
+    return kb;
+}
+
+static void check_memory(struct test *t, const char *what, double measured, double most)
+{
+    char text[128];
+    snprintf(text, sizeof text, "%s: %.0f, at most %.0f", what, measured, most);
+    check(t, measured > 0 && measured <= most, text);
+}
+
+static void submit_many(struct test *t, int from, int jobs, int tasks)
+{
+    int accepted = 0;
+    for (int i = 0; i < jobs; i++) {
+        char id[32];
+        snprintf(id, sizeof id, "job-%d", from + i);
+        accepted += submit(t, id, "sweep", tasks, 10);
+    }
+    check(t, accepted == jobs, "all are accepted");
+}
+
+/* Until the leader knows the last of them, and a moment more. */
+static void settle(struct test *t, int from, int jobs)
+{
+    char path[64];
+    snprintf(path, sizeof path, "/submissions/job-%d", from + jobs - 1);
+    check(t, all_nodes(t, path, "pending", 10), "all nodes know the last");
+    bd_pause(1.0);
+}
+
+/* What a job, a task and a connection cost the leader. A service holds all that the team may use,
+ * so that all other jobs wait. */
+static void memory(struct test *t)
+{
+    int fd[MEMORY_CONNECTIONS];
+    struct sockaddr_in to;
+    const char *text = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
+    check(t, all_nodes(t, "/up", "up", 30), "all nodes are up");
+    check(t, submit(t, "job-9", "service", 32, 10), "a service is accepted");
+    struct timespec end = bd_add(bd_now(), bd_secs(30));
+    while (world_running(t->w) < 32 && bd_before(bd_now(), end))
+        bd_pause(0.1);
+    int leader = world_leader(t->w);
+    check(t, leader >= 0 && world_running(t->w) == 32, "it runs");
+    long start = memory_kb(t, leader);
+    submit_many(t, 10000, MEMORY_JOBS, 1);
+    settle(t, 10000, MEMORY_JOBS);
+    long jobs = memory_kb(t, leader);
+    submit_many(t, 20000, MEMORY_ARRAYS, MEMORY_TASKS);
+    settle(t, 20000, MEMORY_ARRAYS);
+    long tasks = memory_kb(t, leader);
+    int open = 0;
+    for (int i = 0; i < MEMORY_CONNECTIONS; i++) {
+        fd[i] = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+        open += fd[i] >= 0 && bd_parse_addr(t->addr[leader], &to) &&
+                connect(fd[i], (struct sockaddr *)&to, sizeof to) == 0 &&
+                send(fd[i], text, strlen(text), MSG_NOSIGNAL) > 0;
+    }
+    bd_pause(1.5);
+    long connections = memory_kb(t, leader);
+    check(t, open == MEMORY_CONNECTIONS, "all connections are open");
+    check_memory(t, "KiB at the start", (double)start, START_KB_MOST);
+    check_memory(t, "bytes a job", 1024.0 * (double)(jobs - start) / MEMORY_JOBS, JOB_BYTES_MOST);
+    check_memory(t, "bytes a task", 1024.0 * (double)(tasks - jobs) / MEMORY_ARRAYS / MEMORY_TASKS,
+                 TASK_BYTES_MOST);
+    check_memory(t, "bytes a connection",
+                 1024.0 * (double)(connections - tasks) / MEMORY_CONNECTIONS,
+                 CONNECTION_BYTES_MOST);
+    check(t, world_leader(t->w) == leader, "the leader goes on leading");
+    for (int i = 0; i < MEMORY_CONNECTIONS; i++)
+        if (fd[i] >= 0)
+            (void)close(fd[i]);
+}
+
 /* Keeps what the old version writes: its records, and what it says to another controller. */
 static int capture(struct test *t, const char *dir)
 {
@@ -776,8 +874,8 @@
     bd_http_free(t->h);
 }
 
-/* loopback PROGRAM; loopback PROGRAM OLD; loopback PROGRAM meetings|overload; loopback PROGRAM
- * capture DIR
+/* loopback PROGRAM; loopback PROGRAM OLD; loopback PROGRAM meetings|overload|memory; loopback
+ * PROGRAM capture DIR
  */
 int main(int argc, char **argv)
 {
@@ -787,7 +885,8 @@
     t.program = argv[1];
     bool meetings = argc == 3 && strcmp(argv[2], "meetings") == 0;
     bool crowded = argc == 3 && strcmp(argv[2], "overload") == 0;
-    bool others = meetings || crowded;
+    bool heavy = argc == 3 && strcmp(argv[2], "memory") == 0;
+    bool others = meetings || crowded || heavy;
     if (argc == 3 && !others && access(argv[2], X_OK) != 0) {
         printf("skipped: the version in production is not there: %s\n", argv[2]);
         return 77;
@@ -821,6 +920,8 @@
         close_looks(&t);
     } else if (crowded) {
         overload(&t);
+    } else if (heavy) {
+        memory(&t);
     } else if (t.old) {
         roll(&t);
     } else {
@@ -834,7 +935,7 @@
     }
     check(&t, world_ran_twice(t.w) == 0, "no task ran twice at the same time");
     int applied = 0;
-    check(&t, (world_copies(t.w, &applied) > 5 || crowded) && applied == 0,
+    check(&t, (world_copies(t.w, &applied) > 5 || crowded || heavy) && applied == 0,
           "late copies of transactions came and none applied");
     check(&t, world_starts(t.w) >= (others ? 6 : 29), "all of the work was started");
     for (int i = 0; i < NODES; i++)
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -3,6 +3,7 @@
  * service's limits. `profile costs MACHINES` does each kind of work a number of times, for
  * callgrind: a line a kind with the times, and callgrind's dump of that name; tests/costs.sh holds
  * the instructions against upper counts. */
+#include "../src/report_cache.h"
 #include "brambledoor/core.h"
 #include "brambledoor/frame.h"
 #include "brambledoor/log.h"
@@ -29,6 +30,7 @@
     struct bd_settings set;
     struct bd_log log;
     struct bd_core *c;
+    struct bd_report_cache *reports;
     uint64_t mark, seq;
     double now;
     uint32_t machines;
@@ -301,6 +303,21 @@
     free(text);
 }
 
+/* The same report but for its number, as most are. */
+static void repeated(struct world *w, uint32_t n)
+{
+    char *text = report_text(w, n % w->machines, ++w->seq);
+    (void)bd_report_cache_read(w->reports, text, strlen(text));
+    free(text);
+    text = report_text(w, n % w->machines, ++w->seq);
+    CALLGRIND_TOGGLE_COLLECT;
+    const struct bd_report *r = bd_report_cache_read(w->reports, text, strlen(text));
+    bd_core_checkin(w->c, NULL, r, text, strlen(text));
+    bd_effect_free(bd_core_effects(w->c));
+    CALLGRIND_TOGGLE_COLLECT;
+    free(text);
+}
+
 static void forwarded(struct world *w, uint32_t n)
 {
     static struct bd_frame f, in;
@@ -447,11 +464,11 @@
         const char *name;
         uint32_t times;
         void (*work)(struct world *w, uint32_t n);
-    } kinds[] = {{"check-in", 200, checkin},    {"forwarded", 200, forwarded},
-                 {"poll", 200, poll},           {"round", 5, placed_round},
-                 {"refresh", 100, refresh},     {"heartbeat", 100, heartbeat},
-                 {"idle-tick", 100, idle_tick}, {"submission", 100, submission},
-                 {"takeover", 1, takeover}};
+    } kinds[] = {{"check-in", 200, checkin},      {"repeated", 200, repeated},
+                 {"forwarded", 200, forwarded},   {"poll", 200, poll},
+                 {"round", 5, placed_round},      {"refresh", 100, refresh},
+                 {"heartbeat", 100, heartbeat},   {"idle-tick", 100, idle_tick},
+                 {"submission", 100, submission}, {"takeover", 1, takeover}};
     CALLGRIND_START_INSTRUMENTATION; /* building the world is not counted, and quicker so */
     for (size_t k = 0; k < sizeof kinds / sizeof kinds[0]; k++) {
         CALLGRIND_ZERO_STATS;
@@ -470,8 +487,12 @@
     if (argc != 3 || (!checks && strcmp(argv[1], "costs") != 0))
         return 2;
     w.machines = (uint32_t)strtoul(argv[2], NULL, 10);
+    w.reports = bd_report_cache_new(1 << 24);
+    if (!w.reports)
+        return 1;
     build(&w);
     int rc = checks ? check(&w) : costs(&w);
     bd_core_free(w.c);
+    bd_report_cache_free(w.reports);
     return rc;
 }
--- a/tests/standin.c
+++ b/tests/standin.c
@@ -9,7 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define KEYS 512
+#define KEYS 4096
 #define WORKERS 12
 #define DOORS 3
 #define TASKS 64
