--- a/src/settings.c
+++ b/src/settings.c
@@ -7,6 +7,11 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Less than this cannot serve: the program alone holds some 4 MB, and some 70 sockets are for other
+ * controllers, the state service, the cloud and commands to workers. */
+#define CPU_LEAST 0.002
+#define RAM_MB_LEAST 8.0
+#define SOCKETS_LEAST 128.0
 #define CANCEL_ROOM_S 1.0 /* between a worker's lease and the end of what was withdrawn */
 
 /* One reading of one file; the first fault found is kept. */
@@ -191,9 +196,9 @@
     s->cloud_rps = number(r, c, "rps", 0.01);
     s->list_lag = span(r, c, "list_lag_s", 0);
     json_t *l = object(r, f, "limits");
-    s->cpu = number(r, l, "cpu", 0.001);
-    s->ram_mb = number(r, l, "ram_mb", 1);
-    s->max_sockets = (int)number(r, l, "max_sockets", 16);
+    s->cpu = number(r, l, "cpu", CPU_LEAST);
+    s->ram_mb = number(r, l, "ram_mb", RAM_MB_LEAST);
+    s->max_sockets = (int)number(r, l, "max_sockets", SOCKETS_LEAST);
     s->clock_error = bd_secs(number(r, f, "clock_error_ms", 0) / 1000.0);
 }
 
--- a/tests/inputs.c
+++ b/tests/inputs.c
@@ -100,6 +100,20 @@
     bad_settings(good, "\"lease_s\": 10.0", "\"lease_s\": -1", "lease_s");
     bad_settings(good, "\"cancel_s\": 35.0", "\"cancel_s\": 10.5", "cancel_s");
     bad_settings(good, "\"txn_ops\": 24", "\"txn_ops\": 0", "txn_ops");
+    static const char *const limits[][2] = {{"\"cpu\": 0.16", "cpu"},
+                                            {"\"ram_mb\": 72.0", "ram_mb"},
+                                            {"\"max_sockets\": 1000", "max_sockets"}};
+    static const char *const wrong[] = {"0", "-1", "null", "\"many\"", "[]", "0.0015"};
+    for (size_t i = 0; i < sizeof limits / sizeof limits[0]; i++) {
+        char bad[64];
+        for (size_t k = 0; k < sizeof wrong / sizeof wrong[0]; k++) {
+            snprintf(bad, sizeof bad, "\"%s\": %s", limits[i][1], wrong[k]);
+            bad_settings(good, limits[i][0], bad, limits[i][1]);
+        }
+        bad_settings(good, limits[i][0], "\"other\": 1", limits[i][1]);
+    }
+    bad_settings(good, "\"ram_mb\": 72.0", "\"ram_mb\": 7", "ram_mb");
+    bad_settings(good, "\"max_sockets\": 1000", "\"max_sockets\": 100", "max_sockets");
     static const char *const state = "\"txn_ops\": 24";
     bad_settings(good, state, "\"txn_ops\": 24, \"next\": 7", "next");
     bad_settings(good, state, "\"txn_ops\": 24, \"next\": {\"txn_ops\": \"8\"}", "txn_ops");
--- /dev/null
+++ b/tests/settings.sh
@@ -0,0 +1,33 @@
+#!/usr/bin/env bash
+# settings.sh PROGRAM SETTINGS: settings that cannot serve are refused by --check and at the start
+# alike: exit status 2 and one line that names file and field.
+set -euo pipefail
+program=$1 good=$2
+dir=$(mktemp -d)
+trap 'rm -rf "$dir"' EXIT
+bad=0
+"$program" --check --config "$good" || { echo "FAIL good settings are refused"; bad=1; }
+while IFS='|' read -r field from to; do
+  file=$dir/$field.json
+  sed "s/$from/$to/" "$good" >"$file"
+  cmp -s "$file" "$good" && { echo "FAIL $field was not replaced"; bad=1; }
+  for check in --check ""; do
+    status=0
+    # shellcheck disable=SC2086
+    timeout 10 "$program" $check --config "$file" 2>"$dir/error" || status=$?
+    if [ "$status" -ne 2 ] || [ "$(wc -l <"$dir/error")" -ne 1 ] ||
+      ! grep -qF "$file: $field:" "$dir/error"; then
+      echo "FAIL $field $check: status $status, $(cat "$dir/error")"
+      bad=1
+    fi
+  done
+done <<'LIST'
+cpu|"cpu": 0.16|"cpu": 0.001
+cpu|"cpu": 0.16|"cpu": -1
+ram_mb|"ram_mb": 72.0|"ram_mb": 7
+ram_mb|"ram_mb": 72.0|"ram_mb": "72"
+max_sockets|"max_sockets": 1000|"max_sockets": 100
+max_sockets|"max_sockets": 1000|"sockets": 1000
+cancel_s|"cancel_s": 35.0|"cancel_s": 10.0
+LIST
+exit $bad
