--- a/cli/main.c
+++ b/cli/main.c
@@ -64,24 +64,24 @@
     struct bd_node *n = calloc(1, sizeof *n);
     if (!n)
         return 1;
-    if (bd_settings_load(&n->set, a.config, err, sizeof err) != 0 ||
-        (a.operators && bd_settings_operator(&n->set, a.operators, err, sizeof err) != 0)) {
+    if (bd_settings_load(&n->settings, a.config, err, sizeof err) != 0 ||
+        (a.operators && bd_settings_operator(&n->settings, a.operators, err, sizeof err) != 0)) {
         fprintf(stderr, "brambledoor: %s\n", err);
         free(n);
         return 2;
     }
-    derive(&n->set);
+    derive(&n->settings);
     if (a.check) {
         free(n);
         return 0;
     }
     n->log.level = bd_level_of(getenv("LOG_LEVEL"));
-    n->log.node = n->set.node;
+    n->log.node = n->settings.node;
     if (bd_node_start(n) != 0) {
         bd_say(&n->log, BD_ERROR, "cannot start");
         return 1;
     }
     bd_say(&n->log, BD_INFO, "started, version %s", BD_VERSION);
-    bd_owner_run(n);
+    bd_event_loop_run(n);
     return 0;
 }
--- a/include/brambledoor/core.h
+++ b/include/brambledoor/core.h
@@ -10,9 +10,9 @@
 
 #define BD_NO_MACHINE UINT32_MAX
 #define BD_IMAGES 40
-#define BD_CANARIES 64
+#define BD_PROBES 64
 #define BD_SENT_AWAY 8192
-#define BD_DEPUTY_PARTS 6 /* of a deputy's record, a value each */
+#define BD_DELEGATE_PARTS 6 /* of a deputy's record, a value each */
 
 enum bd_task_state {
     BD_T_WAIT,    /* on no machine; may be placed */
@@ -42,8 +42,8 @@
 };
 
 struct bd_spec {
-    int klass, team, image, zone; /* zone -1: any */
-    uint32_t types;               /* bits of allowed types, all set for any */
+    int job_class, team, image, zone; /* zone -1: any */
+    uint32_t types;                   /* bits of allowed types, all set for any */
     bool any_type;
     enum bd_shape shape;
     enum bd_rank rank;
@@ -55,15 +55,15 @@
     UT_hash_handle hh;
     char id[BD_ID];
     uint64_t mark;
-    enum bd_mood mood;
+    enum bd_job_state state;
     bool stale; /* a transaction saw another mark; wait for the change itself */
     bool dirty; /* has receipts to commit */
     uint32_t ntasks, ndone, nwait, nlive, nrun, shown_done, shown_run;
     uint64_t receipt_chunks; /* bits of chunks committed */
     uint32_t dirty_chunks;
     double at;
-    struct timespec next_force;  /* when something may be stopped for it again */
-    struct timespec aside_until; /* nothing is written of it before: see limits.c */
+    struct timespec next_force;    /* when something may be stopped for it again */
+    struct timespec backoff_until; /* nothing is written of it before: see limits.c */
     struct timespec hold_until, last_placed, last_begun;
     uint32_t restarts;            /* tasks that lost a place they had */
     struct timespec cancel_heard; /* when another controller said that it is cancelled */
@@ -73,10 +73,10 @@
     struct bd_spec spec;
     bool has_spec, in_guarantee, pinned;
     /* what it waits for, see deps.c */
-    struct bd_edge *edges;
-    uint32_t nedges, open; /* it is ready when none is open */
-    struct bd_need *need;  /* who waits for it */
-    uint32_t parts;        /* of its needs, some of which have not been seen; 0: complete */
+    struct bd_dependency *dependencies;
+    uint32_t ndependencies, open;         /* it is ready when none is open */
+    struct bd_prerequisite *prerequisite; /* who waits for it */
+    uint32_t parts; /* of its needs, some of which have not been seen; 0: complete */
     char parts_of[BD_HASH];
     bool chained;      /* it waits, or waited, for others: its due time is minded */
     bool derived;      /* cancelled because a job before it is: its record does not say so yet */
@@ -84,41 +84,41 @@
     enum bd_rank rank; /* the highest among it and all that need it */
     double due_by;     /* when it must be done for all of them to be in time; infinite: no matter */
     struct bd_job *todo;
-    int klass;             /* -1: not known */
+    int job_class;         /* -1: not known */
     json_t *record_spec;   /* the record's own text of the job, kept for rewriting */
     struct bd_task *tasks; /* only while leading */
 };
 
 /* A job that others wait for; it is live, or its record has not been seen. */
-struct bd_need {
+struct bd_prerequisite {
     UT_hash_handle hh;
     char id[BD_ID];
-    struct bd_job *job;       /* NULL: not seen */
-    struct bd_edge *after;    /* those that wait for it */
-    uint32_t nafter, left;    /* left: while ranks are worked out */
-    struct timespec asked_at; /* a look at its record */
+    struct bd_job *job;          /* NULL: not seen */
+    struct bd_dependency *after; /* those that wait for it */
+    uint32_t nafter, left;       /* left: while ranks are worked out */
+    struct timespec asked_at;    /* a look at its record */
 };
 
-struct bd_edge {
-    struct bd_need *need; /* NULL: it is done */
-    struct bd_job *job;   /* which waits */
-    struct bd_edge *prev, *next;
+struct bd_dependency {
+    struct bd_prerequisite *prerequisite; /* NULL: it is done */
+    struct bd_job *job;                   /* which waits */
+    struct bd_dependency *prev, *next;
 };
 
-struct bd_needs_part { /* names of what a job waits for, from a record of their own */
+struct bd_prerequisites_part { /* names of what a job waits for, from a record of their own */
     UT_hash_handle hh;
     char key[BD_LABEL];
     json_t *names;
 };
 
 /* A submission that waits until it is known what the jobs are that it names. */
-struct bd_accept {
+struct bd_admission {
     void *request;
     char id[BD_ID];
     struct bd_record record;
-    json_t *needs;
+    json_t *prerequisites;
     uint32_t lookups;
-    struct bd_accept *next;
+    struct bd_admission *next;
 };
 
 struct bd_ref {
@@ -142,8 +142,8 @@
     uint64_t session, seq, lapsed_session;
     uint64_t asked_seq; /* of its newest check-in: what is not newer is a copy */
     int via;            /* the controller that the check-in came to: a peer's number, or -1 */
-    uint32_t strayed;   /* times in a row that it went elsewhere although it was answered */
-    bool mute;          /* seems not to hear what it is told */
+    uint32_t misrouted; /* times in a row that it went elsewhere although it was answered */
+    bool outbound_cut;  /* seems not to hear what it is told */
     struct timespec age_known, return_after;
     struct timespec lapse_at; /* from here on nothing of the last session runs */
     struct timespec steady;   /* since then it has been heard without a gap */
@@ -154,7 +154,7 @@
     bool do_busy;       /* one direct command at a time */
     uint32_t do_fails;  /* without an answer, in a row */
     struct timespec do_after;
-    uint64_t do_seal; /* highest seal of a direct launch without an answer, 0: none */
+    uint64_t late_token; /* highest seal of a direct launch without an answer, 0: none */
     struct timespec do_since;
     struct bd_ref *refs;
     uint32_t nrefs, cap;
@@ -169,12 +169,12 @@
     struct timespec fetched_by; /* when all that it fetches is there */
     uint32_t errors;            /* failed tasks in a row, of different jobs */
     struct bd_job *error_job;
-    bool deputised;          /* in a deputy's record at the last look, */
-    int deputy;              /* whose: an index into the core's deputies */
-    struct timespec steered; /* when it was last sent to its own zone's controller */
-    bool direct;             /* its last report came from itself, not by another controller */
-    bool drain;              /* being emptied, so that a dear machine is free again */
-    bool bad, spare;         /* spare: kept for work that is expected */
+    bool delegated;             /* in a deputy's record at the last look, */
+    int delegate;               /* whose: an index into the core's deputies */
+    struct timespec redirected; /* when it was last sent to its own zone's controller */
+    bool direct;                /* its last report came from itself, not by another controller */
+    bool drain;                 /* being emptied, so that a dear machine is free again */
+    bool bad, spare;            /* spare: kept for work that is expected */
 };
 
 struct bd_intent {
@@ -189,14 +189,15 @@
     uint32_t n;
 };
 
-struct bd_rental { /* one request to the cloud, from its first sending to its machines' listing */
+struct bd_provision { /* one request to the cloud, from its first sending to its machines' listing
+                       */
     char request[BD_LABEL];
     int type, zone, count;
     bool spot, answered;
     struct timespec sent;
 };
 
-struct bd_market { /* one type, zone and kind */
+struct bd_pool { /* one type, zone and kind */
     struct timespec refuse_until;
     double backoff;
     bool asked; /* a request is under way */
@@ -215,11 +216,11 @@
     BD_E_USER_COMMIT,
     BD_E_COMMIT,
     BD_E_DO,
-    BD_E_RENT,
+    BD_E_PROVISION,
     BD_E_RETURN,
     BD_E_BARRIER,
     BD_E_LOST, /* the term is over; status: BD_LOST_... */
-    BD_E_DEPUTY,
+    BD_E_DELEGATE,
     BD_E_LOOKUP,   /* one job's record: request, key is the id, status is how it was asked */
     BD_E_FORWARD,  /* a report to the leader: seal is the id, machine the peer */
     BD_E_ANSWER,   /* the answer to a forwarded one */
@@ -236,7 +237,7 @@
     char key[BD_LABEL];
     char *body;
     char addr[BD_LABEL]; /* DO */
-    uint64_t seal;
+    uint64_t token;
     uint32_t machine;
     bool launch;
     struct bd_effect *next;
@@ -263,7 +264,7 @@
 struct bd_metrics;
 
 struct bd_core {
-    const struct bd_settings *set;
+    const struct bd_settings *settings;
     const struct bd_log *log;
     struct bd_metrics *metrics; /* NULL: nothing is timed */
     struct timespec now;
@@ -285,13 +286,14 @@
     bool replica_ready;
     bool evicted; /* some old final records are not in memory any more */
     struct timespec next_evict;
-    struct timespec fresh; /* when the newest answered look at the state service was sent */
+    struct timespec refreshed_at; /* when the newest answered look at the state service was sent */
     struct bd_wait *waiting, *asked;
-    struct bd_accept *accepting; /* submissions while a record that left memory is looked up */
-    struct bd_need *needs;       /* hash by id */
-    struct bd_needs_part *parts; /* hash by key: of jobs whose own record has not been seen */
-    bool weigh;                  /* ranks and due times are to be worked out anew */
-    uint32_t nderived, nunseen;  /* jobs cancelled by derivation; needs not seen */
+    struct bd_admission *accepting; /* submissions while a record that left memory is looked up */
+    struct bd_prerequisite *prerequisites; /* hash by id */
+    struct bd_prerequisites_part
+        *parts;                 /* hash by key: of jobs whose own record has not been seen */
+    bool weigh;                 /* ranks and due times are to be worked out anew */
+    uint32_t nderived, nunseen; /* jobs cancelled by derivation; needs not seen */
     struct timespec next_unseen;
     bool barrier_out;
 
@@ -304,27 +306,27 @@
         double contact;                /* as leader: its newest record, by its time of day */
         struct timespec suspect_until; /* as leader: it may be standing by */
     } peers[BD_MAX_PEERS];
-    struct timespec confirmed; /* when our own last such record that was written was sent, */
-    struct timespec offered;   /* ... and the last one that may have been */
+    struct timespec confirmed;     /* when our own last such record that was written was sent, */
+    struct timespec liveness_sent; /* ... and the last one that may have been */
 
     /* a follower that answers for a leader its workers cannot reach */
-    struct bd_deputy {
+    struct bd_delegate {
         uint64_t term, mark; /* the token of the answers; our record's mark */
         uint64_t leader;     /* the mark of the leader's key that the record is conditional on */
         bool mark_known, busy, dismissed;
-        struct timespec confirmed_until, next_beat;
-        struct bd_charge {
+        struct timespec confirmed_until, next_confirm;
+        struct bd_served {
             char id[BD_LABEL];
             struct timespec heard;
             bool confirmed, sent;
-        } * charges;
-        uint32_t ncharges, cap_charges, parts; /* parts of the record that were ever written */
+        } * served;
+        uint32_t nserved, cap_served, parts; /* parts of the record that were ever written */
         struct bd_wait_checkin *asking;
         /* workers sent to the leader, to see whether he can be reached */
-        char canaries[BD_CANARIES][BD_LABEL];
-        uint32_t ncanaries, batch;
-        struct timespec canaries_at, since;
-    } deputy;
+        char probes[BD_PROBES][BD_LABEL];
+        uint32_t nprobes, batch;
+        struct timespec probes_at, since;
+    } delegate;
     uint64_t leader_term, last_term; /* 0 while nobody leads; the last that was not 0 */
     struct timespec leader_seen;
     /* reports of our zone's workers on their way to the leader */
@@ -342,19 +344,20 @@
         struct timespec at;
         bool back; /* it came back: its reports are passed on */
     } * sent_away;
-    struct timespec deaf_until; /* the leader's workers are better passed on than sent to him */
-    bool deaf;                  /* as leader: most workers are silent */
-    bool mute_many;             /* as leader: so many seem not to hear us that it is rather us */
+    struct timespec
+        inbound_cut_until;  /* the leader's workers are better passed on than sent to him */
+    bool inbound_cut;       /* as leader: most workers are silent */
+    bool outbound_cut_many; /* as leader: so many seem not to hear us that it is rather us */
     /* as leader: deputies' records as last looked at */
-    struct timespec deputies_looked;
-    char stale_deputy[BD_LABEL];
-    struct bd_deputy_seen {
+    struct timespec delegates_read;
+    char stale_delegate[BD_LABEL];
+    struct bd_delegate_seen {
         char key[BD_LABEL]; /* the record's, without its prefix: the node, a slash and the part */
         uint64_t mark;
         struct timespec changed;
         struct timespec dismissed; /* when one of his workers was heard here */
-    } deputies[(BD_MAX_PEERS + 1) * BD_DEPUTY_PARTS];
-    int ndeputies;
+    } delegates[(BD_MAX_PEERS + 1) * BD_DELEGATE_PARTS];
+    int ndelegates;
 
     /* leadership */
     enum bd_role role;
@@ -362,20 +365,20 @@
     uint64_t base_term, term, grant;
     char nonce[BD_LABEL];
     uint64_t counter;            /* attempts */
-    uint64_t sealed_attempt;     /* up to here all direct launches carried a lower seal than ours */
+    uint64_t fenced_attempt;     /* up to here all direct launches carried a lower seal than ours */
     uint32_t withheld;           /* forgets that wait for a higher seal, since it last rose */
     struct timespec withheld_at; /* the first of them */
     struct timespec valid_until, renewed;
     struct timespec others_lapse; /* sessions renewed by earlier terms are over by then */
     bool listed_once;
-    uint64_t witness_mark, witness_n, round_n, request_n;
+    uint64_t sequence_mark, sequence, round_n, request_n;
     struct bd_commit *commit;
     struct bd_round *rounds;
     uint32_t nrounds, cap_rounds;
-    struct timespec next_round, next_fleet, next_gc, next_tick, last_bump, next_summary;
-    bool want_bump, round_wanted;
+    struct timespec next_round, next_fleet, next_gc, next_tick, last_token_raise, next_summary;
+    bool want_token_raise, round_wanted;
     double write_tokens;
-    struct bd_limits lim;
+    struct bd_limits limits;
     bool classes_said; /* that there are more than spare room is kept for */
     struct timespec token_at;
 
@@ -385,20 +388,20 @@
     /* cloud */
     double moves_s; /* that replicas may be away for moves, */
     struct timespec moves_at;
-    struct bd_rental rentals[64];
-    int nrentals;
+    struct bd_provision provisions[64];
+    int nprovisions;
     bool gpu_waiting;                           /* some live job's GPU tasks have no place */
     struct bd_spec gpu_wanted[BD_MAX_TYPES][2]; /* by type and spot: a live job's GPU task */
     struct { /* by zone: direct commands without an answer, in a row */
         uint32_t fails;
         struct timespec until;
     } direct[BD_MAX_ZONES];
-    struct bd_market markets[BD_MAX_TYPES][BD_MAX_ZONES][2];
+    struct bd_pool pools[BD_MAX_TYPES][BD_MAX_ZONES][2];
 
     struct bd_effect *first, *last;
 };
 
-struct bd_core *bd_core_new(const struct bd_settings *set, const struct bd_log *log);
+struct bd_core *bd_core_new(const struct bd_settings *settings, const struct bd_log *log);
 void bd_core_free(struct bd_core *c);
 /* where the numbers begin that other controllers send back to us: not where our last process's did
  */
@@ -410,7 +413,7 @@
 /* users */
 void bd_core_submit(struct bd_core *c, void *request, const char *body, size_t len);
 void bd_core_get(struct bd_core *c, void *request, const char *id);
-void bd_core_withdraw(struct bd_core *c, void *request, const char *id);
+void bd_core_cancel(struct bd_core *c, void *request, const char *id);
 /* status 200 with ring, 409, or 0 and others: not known */
 /* how: as the effect's status said */
 void bd_core_user_committed(struct bd_core *c, void *request, const char *id, const char *body,
@@ -427,7 +430,7 @@
 void bd_core_relisted(struct bd_core *c, uint64_t ring, struct timespec sent);
 /* leadership */
 struct bd_gain {
-    uint64_t term, grant, witness_mark, witness_n;
+    uint64_t term, grant, sequence_mark, sequence;
     const char *nonce;
     struct timespec renewed; /* when the request that made the grant was sent */
     bool clean;              /* taken over without waiting for the old grant's end */
@@ -450,8 +453,8 @@
 void bd_core_peer(struct bd_core *c, const char *name, uint64_t term, uint8_t flags,
                   double state_age, double said_at, struct timespec heard);
 /* our own record of being in touch is about to be sent; it was written */
-void bd_core_offered(struct bd_core *c, struct timespec sent);
-void bd_core_confirmed(struct bd_core *c, struct timespec sent);
+void bd_core_liveness_sent(struct bd_core *c, struct timespec sent);
+void bd_core_liveness_written(struct bd_core *c, struct timespec sent);
 /* we have not been in touch for so long that we may stand by */
 bool bd_core_cut(const struct bd_core *c);
 /* Another controller says that the job's cancellation was confirmed: until the record shows it, the
@@ -459,9 +462,9 @@
 void bd_core_cancelled_elsewhere(struct bd_core *c, const char *id);
 void bd_core_progress(struct bd_core *c, const char *job, uint32_t done, uint32_t running);
 /* a leader's look at the deputies' records; a follower's own record was written */
-void bd_core_deputies(struct bd_core *c, json_t *pairs, struct timespec sent);
-void bd_core_deputy_committed(struct bd_core *c, long status, uint64_t ring, struct timespec sent,
-                              bool mark_known);
+void bd_core_delegates(struct bd_core *c, json_t *pairs, struct timespec sent);
+void bd_core_delegate_committed(struct bd_core *c, long status, uint64_t ring, struct timespec sent,
+                                bool mark_known);
 bool bd_core_up(const struct bd_core *c);
 bool bd_core_hears_leader(const struct bd_core *c);
 /* workers */
@@ -472,14 +475,14 @@
 void bd_core_forwarded(struct bd_core *c, const char *peer, uint64_t id, const struct bd_report *r,
                        const char *body, size_t len);
 void bd_core_answered(struct bd_core *c, uint64_t id, int status, const char *body, size_t len);
-void bd_core_did(struct bd_core *c, uint32_t machine, uint64_t seal, bool launch, long status,
+void bd_core_did(struct bd_core *c, uint32_t machine, uint64_t token, bool launch, long status,
                  const struct bd_report *r);
 /* cloud */
 void bd_core_types(struct bd_core *c, const struct bd_type_text *t, int n);
 void bd_core_machines(struct bd_core *c, const struct bd_cloud_machine *m, size_t n,
                       struct timespec asked);
-void bd_core_rented(struct bd_core *c, const char *request, long status, char (*names)[BD_LABEL],
-                    int n);
+void bd_core_provisioned(struct bd_core *c, const char *request, long status,
+                         char (*names)[BD_LABEL], int n);
 void bd_core_returned(struct bd_core *c, char (*names)[BD_LABEL], int n, bool ok);
 void bd_core_tick(struct bd_core *c);
 /* ranks and due times, if what waits for what has changed */
--- a/include/brambledoor/node.h
+++ b/include/brambledoor/node.h
@@ -8,7 +8,7 @@
 #include "brambledoor/settings.h"
 #include <stdatomic.h>
 
-struct bd_front;
+struct bd_api_server;
 struct bd_metrics;
 struct bd_peer_link;
 struct bd_worker_client;
@@ -17,7 +17,7 @@
 enum bd_cmd_kind {
     BD_C_SUBMIT,
     BD_C_GET,
-    BD_C_WITHDRAW,
+    BD_C_CANCEL,
     BD_C_CHECKIN,
     BD_C_USER_COMMITTED,
     BD_C_FOLLOWED,
@@ -25,18 +25,18 @@
     BD_C_LEADER_IS,
     BD_C_GAINED,
     BD_C_RENEWED,
-    BD_C_OFFERED,
-    BD_C_CONFIRMED,
+    BD_C_LIVENESS_SENT,
+    BD_C_LIVENESS_WRITTEN,
     BD_C_LOST,
     BD_C_COMMITTED,
     BD_C_DID,
     BD_C_TYPES,
     BD_C_MACHINES,
-    BD_C_RENTED,
+    BD_C_PROVISIONED,
     BD_C_RETURNED,
     BD_C_PEER,
-    BD_C_DEPUTIES,
-    BD_C_DEPUTY_COMMITTED,
+    BD_C_DELEGATES,
+    BD_C_DELEGATE_COMMITTED,
     BD_C_LOOKED_UP,
     BD_C_BUSY
 };
@@ -62,10 +62,10 @@
 };
 
 struct bd_node {
-    struct bd_settings set;
+    struct bd_settings settings;
     struct bd_log log;
-    struct bd_queue to_owner, to_commit, to_users, to_cloud;
-    struct bd_front *front;
+    struct bd_queue commands, to_commit, to_users, to_cloud;
+    struct bd_api_server *api_server;
     struct bd_core *core;
     /* what adapters need to know of the owner's state */
     atomic_bool leading, want_barrier, types_known, step_down, up, page_out;
@@ -89,7 +89,7 @@
 
 /* 0, or -1 with a logged reason */
 int bd_node_start(struct bd_node *n);
-void bd_owner_run(struct bd_node *n); /* does not return */
+void bd_event_loop_run(struct bd_node *n); /* does not return */
 
 struct bd_cmd *bd_cmd_new(enum bd_cmd_kind kind);
 void bd_cmd_free(struct bd_cmd *cmd);
@@ -99,10 +99,10 @@
 void bd_tell_quietly(struct bd_node *n, struct bd_cmd *cmd);
 int bd_thread(void *(*run)(void *), void *arg, size_t stack);
 
-int bd_front_start(struct bd_node *n);
-void bd_front_reply(struct bd_node *n, void *request, int status, char *body, int retry_after);
-int bd_store_start(struct bd_node *n);
-int bd_leader_start(struct bd_node *n);
+int bd_api_start(struct bd_node *n);
+void bd_api_reply(struct bd_node *n, void *request, int status, char *body, int retry_after);
+int bd_state_client_start(struct bd_node *n);
+int bd_election_start(struct bd_node *n);
 int bd_cloud_start(struct bd_node *n);
 int bd_worker_client_start(struct bd_node *n);
 /* A direct command; takes the effect over. The answer comes as BD_C_DID. */
--- a/include/brambledoor/settings.h
+++ b/include/brambledoor/settings.h
@@ -24,12 +24,12 @@
 
 struct bd_aim {
     enum bd_aim_kind kind;
-    char klass[BD_NAME];
+    char job_class[BD_NAME];
     double within_s, share;
 };
 
 struct bd_settings {
-    char node[BD_NAME], zone[BD_NAME], front[BD_NAME], mesh[BD_NAME];
+    char node[BD_NAME], zone[BD_NAME], api_addr[BD_NAME], peer_addr[BD_NAME];
     struct bd_peer peers[BD_MAX_PEERS];
     int npeers;
     char cloud[BD_NAME], state[BD_NAME];
--- a/include/brambledoor/wire.h
+++ b/include/brambledoor/wire.h
@@ -10,7 +10,7 @@
 #define BD_ID 32
 #define BD_LABEL 64
 #define BD_HASH 20
-#define BD_NEED_PARTS 512u
+#define BD_PREREQUISITE_PARTS 512u
 #define BD_MAX_TYPES 32
 #define BD_MAX_TASKS 100000u
 
@@ -19,7 +19,7 @@
 
 /* a job as its user wrote it, names not yet looked up */
 struct bd_spec_text {
-    char klass[BD_LABEL], team[BD_LABEL], image[BD_LABEL], zone[BD_LABEL];
+    char job_class[BD_LABEL], team[BD_LABEL], image[BD_LABEL], zone[BD_LABEL];
     char types[BD_MAX_TYPES][BD_LABEL];
     int ntypes; /* -1: any */
     enum bd_shape shape;
@@ -54,7 +54,7 @@
 struct bd_report {
     char machine[BD_LABEL], addr[BD_LABEL], type[BD_LABEL], zone[BD_LABEL];
     bool spot;
-    uint64_t session, seq, seal;
+    uint64_t session, seq, token;
     double notice; /* < 0: none */
     size_t n;
     struct bd_seen_task *tasks;
@@ -77,11 +77,11 @@
     int nzones;
 };
 
-enum bd_mood { BD_LIVE, BD_DONE, BD_CANCELLED };
+enum bd_job_state { BD_LIVE, BD_DONE, BD_CANCELLED };
 
 /* What a job waits for: the names of other jobs, in its record or, where a value does not hold them
  * all, in parts of their own that are written before it. */
-struct bd_record_needs {
+struct bd_record_prerequisites {
     json_t *names;  /* borrowed; NULL: none here */
     uint32_t parts; /* 0: none */
     char of[BD_HASH];
@@ -89,19 +89,19 @@
 };
 
 struct bd_record {
-    enum bd_mood mood;
+    enum bd_job_state state;
     uint32_t tasks;
     double at;  /* time of day of the submission */
     double end; /* done: of its last task's end; 0: not known */
     bool has_spec;
     struct bd_spec_text spec;
-    struct bd_record_needs needs;
+    struct bd_record_prerequisites prerequisites;
 };
 
 struct bd_cloud_machine {
     char id[BD_LABEL], addr[BD_LABEL], type[BD_LABEL], zone[BD_LABEL];
     bool spot;
-    enum { BD_BOOTING, BD_UP, BD_FAILED } mood;
+    enum { BD_BOOTING, BD_UP, BD_FAILED } state;
     double age;
 };
 
@@ -111,8 +111,8 @@
 /* NULL, or what is wrong; *id gets the job's id as soon as one was found */
 const char *bd_wire_submission(json_t *o, char id[BD_ID], struct bd_spec_text *out);
 /* The jobs that a submission waits for, each once; *out is a new list or NULL. False: malformed. */
-bool bd_wire_needs(json_t *o, json_t **out);
-json_t *bd_wire_needs_part(json_t *names); /* a part's value, and what one holds */
+bool bd_wire_prerequisites(json_t *o, json_t **out);
+json_t *bd_wire_prerequisites_part(json_t *names); /* a part's value, and what one holds */
 json_t *bd_wire_read_part(json_t *v);
 /* a job's text once it is cancelled: as short as it can be read */
 json_t *bd_wire_ended_spec(json_t *spec);
@@ -120,7 +120,7 @@
 json_t *bd_wire_record(const struct bd_record *r);
 bool bd_wire_read_record(json_t *v, struct bd_record *out);
 char *bd_wire_accepted(const char *id);
-char *bd_wire_state(const char *id, const char *mood, uint32_t done, uint32_t running);
+char *bd_wire_state(const char *id, const char *state, uint32_t done, uint32_t running);
 bool bd_wire_report(json_t *o, struct bd_report *out);
 void bd_wire_report_drop(struct bd_report *r);
 /* Where the digits of the report's number stand in its text, and what they say. */
@@ -131,13 +131,14 @@
 /* False: not to be told without reading the text as JSON. */
 bool bd_wire_report_number(const char *text, size_t len, struct bd_report_number *out);
 /* session 0: an answer to a report, else the body of a direct command */
-char *bd_wire_orders(uint64_t seal, uint64_t session, const struct bd_order *o, size_t n);
+char *bd_wire_orders(uint64_t token, uint64_t session, const struct bd_order *o, size_t n);
 int bd_wire_types(json_t *o, struct bd_type_text *out, int max);
 int bd_wire_machines(json_t *o, struct bd_cloud_machine *out, int max, bool *more);
-char *bd_wire_rent(const char *request, const char *type, const char *zone, bool spot, int count);
+char *bd_wire_provision(const char *request, const char *type, const char *zone, bool spot,
+                        int count);
 char *bd_wire_return(char (*names)[BD_LABEL], int n);
-int bd_wire_rented(json_t *o, char (*names)[BD_LABEL], int max);
-char *bd_wire_steer(const char *node);
+int bd_wire_machine_names(json_t *o, char (*names)[BD_LABEL], int max);
+char *bd_wire_redirect(const char *node);
 
 /* state service */
 struct bd_txn {
--- a/src/accept.c
+++ b/src/accept.c
@@ -50,7 +50,7 @@
     int team = bd_team_index(c, s->team);
     if (team < 0)
         return false;
-    const struct bd_team_limits *t = &c->set->teams[team];
+    const struct bd_team_limits *t = &c->settings->teams[team];
     bool at_once = s->shape != BD_ARRAY && s->tasks > 1;
     double n = s->shape == BD_ARRAY ? 1 : s->tasks;
     if (over(t->cpus_max, s->cpus * n) || over(t->gpus_max, s->gpus * n))
@@ -113,34 +113,36 @@
     return n;
 }
 
-static json_t *record_of(struct bd_accept *a, bool inline_names)
+static json_t *record_of(struct bd_admission *a, bool inline_names)
 {
-    a->record.needs.names = inline_names ? a->needs : NULL;
+    a->record.prerequisites.names = inline_names ? a->prerequisites : NULL;
     return bd_wire_record(&a->record);
 }
 
 /* The parts' keys hold a hash of the names: a retry by another node writes the same parts, and a
  * submission that differs does not touch them. */
-static void name_parts(struct bd_accept *a)
+static void name_parts(struct bd_admission *a)
 {
     uint64_t h = 1469598103934665603u;
     json_t *v;
     size_t i;
-    json_array_foreach(a->needs, i, v)
+    json_array_foreach(a->prerequisites, i, v)
     {
         for (const char *s = json_string_value(v); *s; s++)
             h = (h ^ (unsigned char)*s) * 1099511628211u;
         h = (h ^ ',') * 1099511628211u;
     }
-    snprintf(a->record.needs.of, sizeof a->record.needs.of, "%016llx", (unsigned long long)h);
+    snprintf(a->record.prerequisites.of, sizeof a->record.prerequisites.of, "%016llx",
+             (unsigned long long)h);
 }
 
 /* Names from *i on, as many as a value holds. */
-static json_t *some_names(const struct bd_core *c, json_t *needs, size_t *i)
+static json_t *some_names(const struct bd_core *c, json_t *prerequisites, size_t *i)
 {
-    double room = BD_VALUE_SHARE * (double)c->lim.value_bytes - 32;
+    double room = BD_VALUE_SHARE * (double)c->limits.value_bytes - 32;
     json_t *some = json_array(), *v;
-    while ((v = json_array_get(needs, *i)) && (room -= (double)json_string_length(v) + 3) > 0) {
+    while ((v = json_array_get(prerequisites, *i)) &&
+           (room -= (double)json_string_length(v) + 3) > 0) {
         json_array_append(some, v);
         ++*i;
     }
@@ -162,10 +164,10 @@
 }
 
 /* The transactions that write the parts, a line each. NULL: they are too many. */
-static char *write_parts(struct bd_core *c, struct bd_accept *a)
+static char *write_parts(struct bd_core *c, struct bd_admission *a)
 {
     char *text = NULL, key[2 * BD_LABEL];
-    size_t len = 0, i = 0, n = json_array_size(a->needs);
+    size_t len = 0, i = 0, n = json_array_size(a->prerequisites);
     name_parts(a);
     while (i < n) {
         struct bd_txn t;
@@ -174,19 +176,19 @@
         if (!bd_txn_start(&t))
             abort();
         bd_txn_if(&t, key, 0); /* one that was accepted meanwhile needs no more of them */
-        while (i < n && ops < c->lim.txn_ops && bytes + c->lim.value_bytes < TXN_BYTES) {
+        while (i < n && ops < c->limits.txn_ops && bytes + c->limits.value_bytes < TXN_BYTES) {
             size_t from = i;
-            snprintf(key, sizeof key, "j/%s/%s/%u", a->id, a->record.needs.of,
-                     a->record.needs.parts++);
-            bd_txn_set(&t, key, bd_wire_needs_part(some_names(c, a->needs, &i)), 0);
+            snprintf(key, sizeof key, "j/%s/%s/%u", a->id, a->record.prerequisites.of,
+                     a->record.prerequisites.parts++);
+            bd_txn_set(&t, key, bd_wire_prerequisites_part(some_names(c, a->prerequisites, &i)), 0);
             if (i == from)
                 n = 0; /* a value holds no name: this cannot be written */
             ops++;
-            bytes += c->lim.value_bytes;
+            bytes += c->limits.value_bytes;
         }
         add_line(&text, &len, bd_txn_end(&t));
     }
-    if (n == 0 || a->record.needs.parts > BD_NEED_PARTS) {
+    if (n == 0 || a->record.prerequisites.parts > BD_PREREQUISITE_PARTS) {
         free(text);
         return NULL;
     }
@@ -195,18 +197,18 @@
 
 static bool fits_value(const struct bd_core *c, json_t *v)
 {
-    return (double)bytes_of(v) <= BD_VALUE_SHARE * (double)c->lim.value_bytes;
+    return (double)bytes_of(v) <= BD_VALUE_SHARE * (double)c->limits.value_bytes;
 }
 
 /* All that the acceptance writes, a transaction a line, the record that counts last. NULL: it
  * cannot be written. */
-static char *writes(struct bd_core *c, struct bd_accept *a)
+static char *writes(struct bd_core *c, struct bd_admission *a)
 {
     json_t *whole = record_of(a, true);
     if (fits_value(c, whole))
         return transaction(a->id, 0, whole);
     json_decref(whole);
-    char *text = a->needs ? write_parts(c, a) : NULL;
+    char *text = a->prerequisites ? write_parts(c, a) : NULL;
     json_t *record = record_of(a, false);
     if (!text || !fits_value(c, record)) {
         json_decref(record);
@@ -218,7 +220,7 @@
     return text;
 }
 
-static void accept_now(struct bd_core *c, struct bd_accept *a)
+static void accept_now(struct bd_core *c, struct bd_admission *a)
 {
     char *body = writes(c, a);
     if (body)
@@ -229,27 +231,27 @@
 
 /* ---- judging ---- */
 
-void bd_accept_drop(struct bd_accept *a)
+void bd_admission_drop(struct bd_admission *a)
 {
     if (a)
-        json_decref(a->needs);
+        json_decref(a->prerequisites);
     free(a);
 }
 
 /* All that wait for a record that left memory. */
-void bd_accept_end(struct bd_core *c)
+void bd_admission_end(struct bd_core *c)
 {
     while (c->accepting) {
-        struct bd_accept *a = c->accepting;
+        struct bd_admission *a = c->accepting;
         c->accepting = a->next;
-        bd_accept_drop(a);
+        bd_admission_drop(a);
     }
 }
 
 /* An older controller that leads would start the job too early, and forget what it waits for. */
 static bool older_heard(const struct bd_core *c)
 {
-    for (int i = 0; i < c->set->npeers; i++)
+    for (int i = 0; i < c->settings->npeers; i++)
         if (bd_peer_heard(c, i, OLD_HEARD_S) && !bd_is_zero(c->peers[i].heard) &&
             !(c->peers[i].flags & BD_PEER_DEPS))
             return true;
@@ -258,23 +260,23 @@
 
 /* The first name that is not in memory, or NULL; *never: the job can never run, *cancelled: a job
  * that it needs is. */
-static const char *find_needs(struct bd_core *c, const struct bd_accept *a, bool *never,
-                              bool *cancelled)
+static const char *find_prerequisites(struct bd_core *c, const struct bd_admission *a, bool *never,
+                                      bool *cancelled)
 {
     json_t *v;
     size_t i;
-    json_array_foreach(a->needs, i, v)
+    json_array_foreach(a->prerequisites, i, v)
     {
         struct bd_job *x = bd_job_find(c, json_string_value(v));
         if (!x)
             return json_string_value(v);
-        *cancelled |= x->mood == BD_CANCELLED;
-        *never |= x->mood == BD_LIVE && x->has_spec && x->spec.shape == BD_SERVICE;
+        *cancelled |= x->state == BD_CANCELLED;
+        *never |= x->state == BD_LIVE && x->has_spec && x->spec.shape == BD_SERVICE;
     }
     return NULL;
 }
 
-static void look_for(struct bd_core *c, struct bd_accept *a, const char *name)
+static void look_for(struct bd_core *c, struct bd_admission *a, const char *name)
 {
     struct bd_effect *e = bd_emit(c, BD_E_LOOKUP);
     e->request = a->request;
@@ -286,46 +288,46 @@
 }
 
 /* proven: a read barrier stands behind what the replica lacks. Takes over `a`. */
-static void judge(struct bd_core *c, struct bd_accept *a, bool proven)
+static void judge(struct bd_core *c, struct bd_admission *a, bool proven)
 {
     bool never = false, cancelled = false;
-    const char *missing = a->needs ? find_needs(c, a, &never, &cancelled) : NULL;
+    const char *missing = a->prerequisites ? find_prerequisites(c, a, &never, &cancelled) : NULL;
     if (missing && !proven) {
         bd_wait_barrier(c, a->request, a->id, BD_WAIT_ACCEPT)->accept = a;
         return;
     }
-    bool look = missing && c->evicted;
-    if (look && a->lookups < json_array_size(a->needs) + LOOKUPS_EXTRA) {
+    bool refresh = missing && c->evicted;
+    if (refresh && a->lookups < json_array_size(a->prerequisites) + LOOKUPS_EXTRA) {
         look_for(c, a, missing);
         return;
     }
-    if (look)
+    if (refresh)
         bd_refuse(c, a->request, 503, "not ready", 1);
     else if (missing)
         bd_refuse(c, a->request, 422, "awaits a job that was never accepted", 0);
     else if (never)
         bd_refuse(c, a->request, 422, "awaits a service, which is never done", 0);
-    else if (a->needs && older_heard(c))
+    else if (a->prerequisites && older_heard(c))
         bd_refuse(c, a->request, 503, "an older controller serves beside this one", OUTAGE_RETRY_S);
     else {
-        a->record.mood = cancelled ? BD_CANCELLED : BD_LIVE;
+        a->record.state = cancelled ? BD_CANCELLED : BD_LIVE;
         accept_now(c, a);
     }
-    bd_accept_drop(a);
+    bd_admission_drop(a);
 }
 
-void bd_accept_proven(struct bd_core *c, struct bd_accept *a)
+void bd_admission_proven(struct bd_core *c, struct bd_admission *a)
 {
     judge(c, a, true);
 }
 
 /* A record that a submission names was looked up; if it exists, the core has it by now. */
-void bd_accept_looked_up(struct bd_core *c, void *request, long status)
+void bd_admission_looked_up(struct bd_core *c, void *request, long status)
 {
-    struct bd_accept **at = &c->accepting;
+    struct bd_admission **at = &c->accepting;
     while (*at && (*at)->request != request)
         at = &(*at)->next;
-    struct bd_accept *a = *at;
+    struct bd_admission *a = *at;
     if (!a)
         return;
     *at = a->next;
@@ -337,12 +339,12 @@
         bd_refuse(c, request, 422, "awaits a job that was never accepted", 0);
     else
         bd_refuse(c, request, 503, "state service not reached", OUTAGE_RETRY_S);
-    bd_accept_drop(a);
+    bd_admission_drop(a);
 }
 
-static struct bd_accept *new_accept(void *request, const char *id, const struct bd_record *r)
+static struct bd_admission *new_admission(void *request, const char *id, const struct bd_record *r)
 {
-    struct bd_accept *a = calloc(1, sizeof *a);
+    struct bd_admission *a = calloc(1, sizeof *a);
     if (!a)
         abort();
     a->request = request;
@@ -354,16 +356,16 @@
 
 void bd_core_submit(struct bd_core *c, void *request, const char *body, size_t len)
 {
-    struct bd_record r = {.mood = BD_LIVE, .at = c->wall, .has_spec = true};
+    struct bd_record r = {.state = BD_LIVE, .at = c->wall, .has_spec = true};
     char id[BD_ID] = "";
-    json_t *needs = NULL, *o = json_loadb(body, len, JSON_REJECT_DUPLICATES, NULL);
+    json_t *prerequisites = NULL, *o = json_loadb(body, len, JSON_REJECT_DUPLICATES, NULL);
     const char *bad = o ? bd_wire_submission(o, id, &r.spec) : "body";
-    if (!bad && !bd_wire_needs(o, &needs))
+    if (!bad && !bd_wire_prerequisites(o, &prerequisites))
         bad = "awaits";
     json_decref(o);
     struct bd_job *j = *id ? bd_job_find(c, id) : NULL;
     if (j) { /* known: its state, whatever the body says now */
-        json_decref(needs);
+        json_decref(prerequisites);
         bd_core_get(c, request, id);
         return;
     }
@@ -378,11 +380,11 @@
     } else if (!c->types_known || !bd_reachable(c)) {
         bd_refuse(c, request, 503, "not ready", OUTAGE_RETRY_S);
     } else {
-        struct bd_accept *a = new_accept(request, id, &r);
-        a->needs = json_incref(needs);
+        struct bd_admission *a = new_admission(request, id, &r);
+        a->prerequisites = json_incref(prerequisites);
         judge(c, a, false);
     }
-    json_decref(needs);
+    json_decref(prerequisites);
 }
 
 /* ---- outcome ---- */
@@ -412,9 +414,9 @@
     struct bd_job *j = bd_job_find(c, id);
     if (!j)
         bd_refuse(c, request, 503, "not ready", 1);
-    else if (j->mood == BD_LIVE)
+    else if (j->state == BD_LIVE)
         bd_reply(c, request, 201, bd_wire_accepted(id), 0);
-    else if (how == BD_WAIT_STATE && j->mood == BD_CANCELLED) /* with a job that it needs */
+    else if (how == BD_WAIT_STATE && j->state == BD_CANCELLED) /* with a job that it needs */
         bd_reply(c, request, 201, bd_wire_state(id, "cancelled", 0, 0), 0);
     else
         bd_answer_state(c, request, j);
@@ -425,7 +427,7 @@
 {
     if (status == 200) {
         take_writes(c, body, ring);
-        if (how == BD_WAIT_WITHDRAW) {
+        if (how == BD_WAIT_CANCEL) {
             struct bd_effect *e = bd_emit(c, BD_E_CANCELLED);
             snprintf(e->key, sizeof e->key, "%s", id);
         }
--- a/src/cloud.c
+++ b/src/cloud.c
@@ -12,7 +12,7 @@
 #define ANSWER_S 4.0
 #define TYPES_S 30.0
 #define TYPES_IDLE_S 300.0
-#define RENT_TRIES 12
+#define PROVISION_TRIES 12
 #define PAGE 500
 #define BUDGET 0.8 /* of the cloud's calls a second */
 
@@ -29,7 +29,7 @@
 /* Waits until the budget allows a call; two seconds' worth may be saved up. */
 static void spend(struct desk *d)
 {
-    double rate = d->n->set.cloud_rps * BUDGET;
+    double rate = d->n->settings.cloud_rps * BUDGET;
     struct timespec now = bd_now();
     d->tokens = fmin(2 * rate, d->tokens + rate * bd_between(d->counted, now));
     d->counted = now;
@@ -44,7 +44,7 @@
     char url[256];
     struct bd_reply r;
     spend(d);
-    snprintf(url, sizeof url, "http://%s%s", d->n->set.cloud, path);
+    snprintf(url, sizeof url, "http://%s%s", d->n->settings.cloud, path);
     bd_http_call(d->h, method, url, body, ANSWER_S, &r);
     long status = r.status;
     *out = r.body ? json_loadb(r.body, r.len, 0, NULL) : NULL;
@@ -117,18 +117,18 @@
 }
 
 /* A request without a clear answer is repeated by its name: the name rents once only. */
-static void do_rent(struct desk *d, struct bd_effect *e)
+static void provision_machines(struct desk *d, struct bd_effect *e)
 {
-    struct bd_cmd *cmd = bd_cmd_new(BD_C_RENTED);
+    struct bd_cmd *cmd = bd_cmd_new(BD_C_PROVISIONED);
     snprintf(cmd->name, sizeof cmd->name, "%s", e->key);
-    for (int i = 0; i < RENT_TRIES; i++) {
+    for (int i = 0; i < PROVISION_TRIES; i++) {
         json_t *o = NULL;
         cmd->status = call(d, "POST", "/machines", e->body, &o);
         const char *why = json_string_value(json_object_get(o, "error"));
         bool trouble = cmd->status == 503 && why && strcmp(why, "trouble") == 0;
         if (cmd->status == 200) {
             char(*names)[BD_LABEL] = calloc(64, sizeof *names);
-            int n = names ? bd_wire_rented(o, names, 64) : -1;
+            int n = names ? bd_wire_machine_names(o, names, 64) : -1;
             cmd->data = names;
             cmd->n = n > 0 ? (size_t)n : 0;
         }
@@ -150,7 +150,7 @@
     json_decref(o);
     json_t *sent = json_loads(e->body, 0, NULL);
     char(*names)[BD_LABEL] = calloc(128, sizeof *names);
-    int n = names ? bd_wire_rented(sent, names, 128) : -1;
+    int n = names ? bd_wire_machine_names(sent, names, 128) : -1;
     cmd->data = names;
     cmd->n = n > 0 ? (size_t)n : 0;
     json_decref(sent);
@@ -164,8 +164,8 @@
         void *item;
         if (bd_queue_take(&d->n->to_cloud, &item, 1, bd_add(bd_now(), bd_secs(0.2))) == 1) {
             struct bd_effect *e = item;
-            if (e->kind == BD_E_RENT)
-                do_rent(d, e);
+            if (e->kind == BD_E_PROVISION)
+                provision_machines(d, e);
             else
                 do_return(d, e);
             bd_effect_free(e);
@@ -186,8 +186,8 @@
         return -1;
     d->n = n;
     d->h = bd_http_new(1, bd_metrics_counter(n->metrics, BD_TRAFFIC_CLOUD));
-    double lag = bd_to_secs(n->set.list_lag);
-    double least = 2.0 / n->set.cloud_rps;
+    double lag = bd_to_secs(n->settings.list_lag);
+    double least = 2.0 / n->settings.cloud_rps;
     d->list_s = lag / 3 > least ? lag / 3 : least;
     return d->h ? bd_thread(run, d, 131072) : -1;
 }
--- a/src/core.c
+++ b/src/core.c
@@ -4,16 +4,16 @@
 #include <math.h>
 #include <stdio.h>
 
-struct bd_core *bd_core_new(const struct bd_settings *set, const struct bd_log *log)
+struct bd_core *bd_core_new(const struct bd_settings *settings, const struct bd_log *log)
 {
     struct bd_core *c = calloc(1, sizeof *c);
     if (!c)
         return NULL;
-    c->set = set;
+    c->settings = settings;
     c->log = log;
     bd_limits_init(c);
-    for (int i = 0; i < set->nzones; i++)
-        (void)bd_zone_index(c, set->zones[i]);
+    for (int i = 0; i < settings->nzones; i++)
+        (void)bd_zone_index(c, settings->zones[i]);
     return c;
 }
 
@@ -37,7 +37,7 @@
     while (*list) {
         struct bd_wait *w = *list;
         *list = w->next;
-        bd_accept_drop(w->accept);
+        bd_admission_drop(w->accept);
         free(w);
     }
 }
@@ -70,7 +70,7 @@
     {
         HASH_DEL(c->jobs, j);
         json_decref(j->record_spec);
-        free(j->edges);
+        free(j->dependencies);
         free(j->tasks);
         free(j);
     }
@@ -85,12 +85,12 @@
     free_names(&c->classes);
     free_waits(&c->waiting);
     free_waits(&c->asked);
-    bd_accept_end(c);
+    bd_admission_end(c);
     bd_deps_free(c);
     free_rounds(c);
     bd_commit_free(c->commit);
     c->last_term = 0; /* nobody waits for a better answer any more */
-    bd_deputy_end(c);
+    bd_delegate_end(c);
     while (c->forwards) {
         struct bd_forward *f = c->forwards;
         c->forwards = f->next;
@@ -99,7 +99,7 @@
             free(f->request); /* the core's own: see bd_core_forwarded */
         free(f);
     }
-    free(c->deputy.charges);
+    free(c->delegate.served);
     bd_forward_end(c);
     struct bd_effect *e = bd_core_effects(c);
     while (e) {
@@ -132,7 +132,7 @@
     e->request = remote ? NULL : request;
     if (remote) {
         e->machine = (uint32_t)q->peer;
-        e->seal = q->id;
+        e->token = q->id;
         free(q);
     }
     e->status = status;
@@ -213,8 +213,8 @@
 
 int bd_team_index(const struct bd_core *c, const char *name)
 {
-    for (int i = 0; i < c->set->nteams; i++)
-        if (strcmp(c->set->teams[i].name, name) == 0)
+    for (int i = 0; i < c->settings->nteams; i++)
+        if (strcmp(c->settings->teams[i].name, name) == 0)
             return i;
     return -1;
 }
@@ -229,7 +229,7 @@
 void bd_spec_resolve(struct bd_core *c, const struct bd_spec_text *t, struct bd_spec *s)
 {
     memset(s, 0, sizeof *s);
-    s->klass = bd_intern(&c->classes, t->klass);
+    s->job_class = bd_intern(&c->classes, t->job_class);
     s->team = bd_team_index(c, t->team);
     s->image = bd_intern(&c->images, t->image);
     s->zone = *t->zone ? bd_zone_index(c, t->zone) : -1;
@@ -259,23 +259,23 @@
 
 void bd_answer_state(struct bd_core *c, void *request, const struct bd_job *j)
 {
-    const char *mood = "pending";
+    const char *state = "pending";
     uint32_t done = j->ndone, run = j->nrun;
     if (c->role != BD_LEADER) {
         done = j->shown_done;
         run = j->shown_run;
     }
-    if (j->mood == BD_CANCELLED)
-        mood = "cancelled";
-    else if (j->mood == BD_DONE)
-        mood = "done";
+    if (j->state == BD_CANCELLED)
+        state = "cancelled";
+    else if (j->state == BD_DONE)
+        state = "done";
     else if (run > 0)
-        mood = "running";
-    if (j->mood != BD_LIVE)
+        state = "running";
+    if (j->state != BD_LIVE)
         run = 0;
-    if (j->mood == BD_DONE)
+    if (j->state == BD_DONE)
         done = j->ntasks;
-    bd_reply(c, request, 200, bd_wire_state(j->id, mood, done, run), 0);
+    bd_reply(c, request, 200, bd_wire_state(j->id, state, done, run), 0);
 }
 
 #define HEARD_S 2.0 /* another controller's word counts so long */
@@ -286,13 +286,13 @@
  * told so at once. */
 bool bd_reachable(const struct bd_core *c)
 {
-    return c->replica_ready && bd_between(c->fresh, c->now) < 2.0;
+    return c->replica_ready && bd_between(c->refreshed_at, c->now) < 2.0;
 }
 
 void bd_core_get(struct bd_core *c, void *request, const char *id)
 {
     struct bd_job *j = bd_job_find(c, id);
-    if (j && j->mood != BD_LIVE)
+    if (j && j->state != BD_LIVE)
         bd_answer_state(c, request, j);
     else if (!bd_wire_job_id(id) || strlen(id) >= BD_ID - 1)
         bd_refuse(c, request, 404, "no such job", 0);
@@ -306,26 +306,26 @@
  * lower now. */
 json_t *bd_cancelled_record(const struct bd_job *j)
 {
-    struct bd_record r = {.mood = BD_CANCELLED, .tasks = j->ntasks, .at = j->at};
+    struct bd_record r = {.state = BD_CANCELLED, .tasks = j->ntasks, .at = j->at};
     json_t *o = bd_wire_record(&r);
     if (o && j->record_spec)
         json_object_set_new(o, "job", bd_wire_ended_spec(j->record_spec));
     return o;
 }
 
-void bd_core_withdraw(struct bd_core *c, void *request, const char *id)
+void bd_core_cancel(struct bd_core *c, void *request, const char *id)
 {
     struct bd_job *j = bd_job_find(c, id);
-    if (j && j->mood != BD_LIVE) {
+    if (j && j->state != BD_LIVE) {
         bd_answer_state(c, request, j);
     } else if (!bd_wire_job_id(id) || strlen(id) >= BD_ID - 1) {
         bd_refuse(c, request, 404, "no such job", 0);
     } else if (!bd_reachable(c)) {
         bd_refuse(c, request, 503, "state service not reached", OUTAGE_RETRY_S);
     } else if (j) {
-        bd_user_commit(c, request, id, j->mark, bd_cancelled_record(j), BD_WAIT_WITHDRAW);
+        bd_user_commit(c, request, id, j->mark, bd_cancelled_record(j), BD_WAIT_CANCEL);
     } else { /* perhaps accepted by another node a moment ago */
-        bd_wait_barrier(c, request, id, BD_WAIT_WITHDRAW);
+        bd_wait_barrier(c, request, id, BD_WAIT_CANCEL);
     }
 }
 
@@ -340,12 +340,12 @@
     }
 }
 
-void bd_job_mood(struct bd_core *c, struct bd_job *j, enum bd_mood mood)
+void bd_job_set_state(struct bd_core *c, struct bd_job *j, enum bd_job_state state)
 {
-    j->mood = mood;
-    if (mood == BD_CANCELLED)
+    j->state = state;
+    if (state == BD_CANCELLED)
         stop_tasks(c, j);
-    if (mood == BD_DONE) {
+    if (state == BD_DONE) {
         json_decref(j->record_spec);
         j->record_spec = NULL;
     }
@@ -358,7 +358,7 @@
         abort();
     snprintf(j->id, sizeof j->id, "%s", id);
     j->ntasks = r->tasks;
-    j->klass = *r->spec.klass ? bd_intern(&c->classes, r->spec.klass) : -1;
+    j->job_class = *r->spec.job_class ? bd_intern(&c->classes, r->spec.job_class) : -1;
     j->at = j->ready = r->at;
     j->rank = r->spec.rank;
     j->due_by = INFINITY;
@@ -369,15 +369,15 @@
 
 /* What the record says now. A job that was cancelled with another's record stays so until its own
  * says it too. */
-static void take_mood(struct bd_core *c, struct bd_job *j, const struct bd_record *r)
+static void take_state(struct bd_core *c, struct bd_job *j, const struct bd_record *r)
 {
-    if (r->mood == BD_LIVE)
+    if (r->state == BD_LIVE)
         return;
     bd_deps_written(c, j);
-    if (j->mood == r->mood)
+    if (j->state == r->state)
         return;
     j->end = r->end > 0 ? r->end : c->replica_ready ? c->wall : r->at;
-    bd_job_mood(c, j, r->mood);
+    bd_job_set_state(c, j, r->state);
     bd_deps_settled(c, j);
 }
 
@@ -407,14 +407,14 @@
     if (r.has_spec && !j->has_spec) {
         bd_spec_resolve(c, &r.spec, &j->spec);
         j->has_spec = true;
-        if (r.mood != BD_DONE)
+        if (r.state != BD_DONE)
             j->record_spec = json_deep_copy(json_object_get(ch->value, "job"));
     }
-    if (c->role == BD_LEADER && !j->tasks && r.mood == BD_LIVE && !bd_job_lead(c, j))
+    if (c->role == BD_LEADER && !j->tasks && r.state == BD_LIVE && !bd_job_lead(c, j))
         bd_say(c->log, BD_ERROR, "%s: no memory for its tasks yet", j->id);
-    take_mood(c, j, &r);
-    if (first && r.mood == BD_LIVE)
-        bd_deps_take(c, j, &r.needs);
+    take_state(c, j, &r);
+    if (first && r.state == BD_LIVE)
+        bd_deps_take(c, j, &r.prerequisites);
     c->round_wanted = true;
 }
 
@@ -430,7 +430,7 @@
 void bd_core_cancelled_elsewhere(struct bd_core *c, const char *id)
 {
     struct bd_job *j = bd_job_find(c, id);
-    if (!j || j->mood != BD_LIVE || bd_cancel_heard(c, j))
+    if (!j || j->state != BD_LIVE || bd_cancel_heard(c, j))
         return;
     j->cancel_heard = c->now;
     stop_tasks(c, j);
@@ -459,12 +459,12 @@
     const char *id = w->id;
     struct bd_job *j = bd_job_find(c, id);
     if (w->accept && !j) {
-        bd_accept_proven(c, w->accept);
+        bd_admission_proven(c, w->accept);
         return;
     }
-    bd_accept_drop(w->accept);
-    if (j && w->how == BD_WAIT_WITHDRAW && j->mood == BD_LIVE)
-        bd_user_commit(c, w->request, id, j->mark, bd_cancelled_record(j), BD_WAIT_WITHDRAW);
+    bd_admission_drop(w->accept);
+    if (j && w->how == BD_WAIT_CANCEL && j->state == BD_LIVE)
+        bd_user_commit(c, w->request, id, j->mark, bd_cancelled_record(j), BD_WAIT_CANCEL);
     else if (j)
         bd_answer_state(c, w->request, j);
     else if (c->evicted)
@@ -480,10 +480,10 @@
     snprintf(w.id, sizeof w.id, "%s", id);
     if (status == 200)
         bd_core_change(c, ch);
-    if (w.how == BD_WAIT_NEED)
+    if (w.how == BD_WAIT_PREREQUISITE)
         return;
     if (w.how == BD_WAIT_ACCEPT)
-        bd_accept_looked_up(c, request, status == 200 && !bd_job_find(c, id) ? 0 : status);
+        bd_admission_looked_up(c, request, status == 200 && !bd_job_find(c, id) ? 0 : status);
     else if (status == 200 && bd_job_find(c, id))
         answer_wait(c, &w);
     else if (status == 404)
@@ -499,7 +499,7 @@
 
 static uint32_t finals_most(const struct bd_core *c)
 {
-    double n = c->set->ram_mb * 1048576.0 * FINALS_SHARE / sizeof(struct bd_job);
+    double n = c->settings->ram_mb * 1048576.0 * FINALS_SHARE / sizeof(struct bd_job);
     return n < 100 ? 100 : (uint32_t)n;
 }
 
@@ -507,7 +507,7 @@
 static void pin(struct bd_core *c)
 {
     for (struct bd_job *j = c->jobs; j; j = j->hh.next)
-        j->pinned = j->mood == BD_LIVE || j->tasks || j->receipt_chunks || j->derived;
+        j->pinned = j->state == BD_LIVE || j->tasks || j->receipt_chunks || j->derived;
     for (uint32_t r = 0; r < c->nrounds; r++)
         for (uint32_t k = 0; k < c->rounds[r].n; k++)
             c->rounds[r].e[k].job->pinned = true;
@@ -550,7 +550,7 @@
     if (ok && after <= c->ring && ring > c->ring)
         c->ring = ring;
     if (ok)
-        c->fresh = bd_max(c->fresh, sent);
+        c->refreshed_at = bd_max(c->refreshed_at, sent);
     if (!barrier)
         return;
     c->barrier_out = false;
@@ -561,7 +561,7 @@
         if (ok)
             answer_wait(c, w);
         else
-            bd_accept_drop(w->accept);
+            bd_admission_drop(w->accept);
         if (!ok)
             bd_refuse(c, w->request, 503, "state service not reached", OUTAGE_RETRY_S);
         free(w);
@@ -573,7 +573,7 @@
 {
     c->ring = ring;
     c->replica_ready = true;
-    c->fresh = bd_max(c->fresh, sent);
+    c->refreshed_at = bd_max(c->refreshed_at, sent);
 }
 
 /* ---- leadership ---- */
@@ -599,7 +599,7 @@
 void bd_core_leader_is(struct bd_core *c, const char *name, uint64_t mark, struct timespec sent,
                        bool dismissed)
 {
-    c->deputy.dismissed = dismissed;
+    c->delegate.dismissed = dismissed;
     snprintf(c->leader_name, sizeof c->leader_name, "%s", name);
     c->leader_term = mark;
     c->last_term = mark ? mark : c->last_term;
@@ -611,8 +611,8 @@
 void bd_core_peer(struct bd_core *c, const char *name, uint64_t term, uint8_t flags,
                   double state_age, double said_at, struct timespec heard)
 {
-    for (int i = 0; i < c->set->npeers; i++) {
-        if (strcmp(c->set->peers[i].name, name) != 0)
+    for (int i = 0; i < c->settings->npeers; i++) {
+        if (strcmp(c->settings->peers[i].name, name) != 0)
             continue;
         c->peers[i].heard = heard;
         c->peers[i].term = term;
@@ -635,9 +635,9 @@
 static bool cut_alone(const struct bd_core *c)
 {
     const double behind = 1.5;
-    for (int i = 0; i < c->set->npeers; i++)
+    for (int i = 0; i < c->settings->npeers; i++)
         if (bd_peer_heard(c, i, HEARD_S) && c->peers[i].flags & BD_PEER_STATE &&
-            bd_between(c->fresh, c->peers[i].state_seen) > behind)
+            bd_between(c->refreshed_at, c->peers[i].state_seen) > behind)
             return true;
     return false;
 }
@@ -645,28 +645,28 @@
 /* The controller that says it holds a newer term than ours, or -1. */
 static int newer_leader(const struct bd_core *c)
 {
-    for (int i = 0; i < c->set->npeers; i++)
+    for (int i = 0; i < c->settings->npeers; i++)
         if (c->peers[i].term > c->term && bd_peer_heard(c, i, HEARD_S))
             return i;
     return -1;
 }
 
 /* Without the state service we are told here, not there, that somebody else leads. */
-void bd_core_step_aside(struct bd_core *c)
+void bd_core_yield(struct bd_core *c)
 {
     int i = c->role == BD_LEADER && !bd_core_valid(c) ? newer_leader(c) : -1;
     if (i < 0)
         return;
     bd_core_lost(c);
-    snprintf(c->leader_name, sizeof c->leader_name, "%s", c->set->peers[i].name);
+    snprintf(c->leader_name, sizeof c->leader_name, "%s", c->settings->peers[i].name);
 }
 
 /* Neither the state service nor any other controller is heard: it is likely we who are cut off. */
 static bool quite_alone(const struct bd_core *c)
 {
-    if (c->set->npeers == 0 || bd_between(c->fresh, c->now) < ALONE_S)
+    if (c->settings->npeers == 0 || bd_between(c->refreshed_at, c->now) < ALONE_S)
         return false;
-    for (int i = 0; i < c->set->npeers; i++)
+    for (int i = 0; i < c->settings->npeers; i++)
         if (bd_peer_heard(c, i, ALONE_S))
             return false;
     return true;
@@ -681,7 +681,7 @@
  * served: nothing could start until ours are served again. Another may start work at once. */
 void bd_core_give_up_if_blind(struct bd_core *c)
 {
-    if (!bd_core_valid(c) || bd_between(c->fresh, c->now) < BLIND_S || !cut_alone(c))
+    if (!bd_core_valid(c) || bd_between(c->refreshed_at, c->now) < BLIND_S || !cut_alone(c))
         return;
     bd_say(c->log, BD_INFO, "the records cannot be read here, but elsewhere: gives up the lease");
     bd_core_lost(c);
@@ -694,7 +694,7 @@
         return;
     bd_say(c->log, BD_INFO, "term %llu is over", (unsigned long long)c->term);
     c->role = BD_FOLLOWER;
-    if (strcmp(c->leader_name, c->set->node) == 0)
+    if (strcmp(c->leader_name, c->settings->node) == 0)
         c->leader_name[0] = '\0';
     struct bd_job *j, *jt;
     HASH_ITER(hh, c->jobs, j, jt)
@@ -714,12 +714,12 @@
     free_rounds(c);
     bd_commit_free(c->commit);
     c->commit = NULL;
-    c->nrentals = 0;
+    c->nprovisions = 0;
     memset(c->team_cpus, 0, sizeof c->team_cpus);
     memset(c->team_gpus, 0, sizeof c->team_gpus);
-    memset(c->markets, 0, sizeof c->markets);
+    memset(c->pools, 0, sizeof c->pools);
     memset(c->direct, 0, sizeof c->direct);
-    c->ndeputies = 0;
+    c->ndelegates = 0;
     (void)bd_emit(c, BD_E_LOST);
 }
 
@@ -727,7 +727,7 @@
 {
     if (c->role != BD_LEADER || grant != c->grant)
         return;
-    struct timespec ttl = c->set->leader_ttl;
+    struct timespec ttl = c->settings->leader_ttl;
     double valid = bd_to_secs(ttl) * (1 - DRIFT) - 0.1;
     c->valid_until = bd_max(c->valid_until, bd_add(sent, bd_secs(valid)));
     c->renewed = bd_max(c->renewed, sent);
--- a/src/core_in.h
+++ b/src/core_in.h
@@ -12,11 +12,11 @@
 
 enum bd_wait_how {
     BD_WAIT_STATE,
-    BD_WAIT_WITHDRAW,
+    BD_WAIT_CANCEL,
     BD_WAIT_BAD,
     BD_WAIT_NEVER,
-    BD_WAIT_ACCEPT, /* a submission that names jobs which are not in memory */
-    BD_WAIT_NEED    /* nobody: a record that a job waits for */
+    BD_WAIT_ACCEPT,      /* a submission that names jobs which are not in memory */
+    BD_WAIT_PREREQUISITE /* nobody: a record that a job waits for */
 };
 #define OUTAGE_RETRY_S 2
 
@@ -24,7 +24,7 @@
     void *request;
     char id[BD_ID];
     enum bd_wait_how how;
-    struct bd_accept *accept;
+    struct bd_admission *accept;
     struct bd_wait *next;
 };
 
@@ -58,7 +58,7 @@
     uint32_t nparts;
     char dropped[64][BD_LABEL];
     uint32_t ndropped;
-    bool bump;
+    bool raises_token;
 };
 
 static inline bool bd_peer_heard(const struct bd_core *c, int peer, double within_s)
@@ -68,7 +68,7 @@
 
 static inline bool bd_peer_near(const struct bd_core *c, int peer) /* of our own zone */
 {
-    return strcmp(c->set->peers[peer].zone, c->set->zone) == 0;
+    return strcmp(c->settings->peers[peer].zone, c->settings->zone) == 0;
 }
 
 static inline bool bd_type_allowed(const struct bd_spec *s, int type)
@@ -96,19 +96,19 @@
                                 enum bd_wait_how how);
 void bd_user_commit(struct bd_core *c, void *request, const char *id, uint64_t mark, json_t *record,
                     enum bd_wait_how how);
-void bd_accept_proven(struct bd_core *c, struct bd_accept *a);
-void bd_accept_looked_up(struct bd_core *c, void *request, long status);
-void bd_accept_drop(struct bd_accept *a);
-void bd_accept_end(struct bd_core *c);
+void bd_admission_proven(struct bd_core *c, struct bd_admission *a);
+void bd_admission_looked_up(struct bd_core *c, void *request, long status);
+void bd_admission_drop(struct bd_admission *a);
+void bd_admission_end(struct bd_core *c);
 json_t *bd_cancelled_record(const struct bd_job *j);
-void bd_job_mood(struct bd_core *c, struct bd_job *j, enum bd_mood mood);
+void bd_job_set_state(struct bd_core *c, struct bd_job *j, enum bd_job_state state);
 
 /* dependencies */
 static inline bool bd_job_waits(const struct bd_job *j)
 {
     return j->open > 0;
 }
-void bd_deps_take(struct bd_core *c, struct bd_job *j, const struct bd_record_needs *r);
+void bd_deps_take(struct bd_core *c, struct bd_job *j, const struct bd_record_prerequisites *r);
 void bd_deps_part(struct bd_core *c, const char *key, json_t *value);
 void bd_deps_seen(struct bd_core *c, struct bd_job *j);
 void bd_deps_settled(struct bd_core *c, struct bd_job *j);
@@ -133,7 +133,7 @@
 struct timespec bd_lease_end(const struct bd_core *c, struct timespec answered);
 uint32_t bd_tenths(struct timespec t);
 void bd_find_slow(struct bd_core *c, struct bd_machine *m);
-void bd_find_mute(struct bd_core *c);
+void bd_find_outbound_cut(struct bd_core *c);
 void bd_orders_send(struct bd_core *c, struct bd_machine *m);
 bool bd_has_image(const struct bd_machine *m, int image);
 double bd_fetch_s(const struct bd_core *c, const struct bd_machine *m, const struct bd_spec *s);
@@ -144,9 +144,9 @@
 bool bd_limits_refused(struct bd_core *c, const char *what);
 size_t bd_limits_ops(const struct bd_core *c);
 void bd_limits_tick(struct bd_core *c);
-void bd_limits_aside(struct bd_core *c, struct bd_job *j);
+void bd_limits_back_off(struct bd_core *c, struct bd_job *j);
 
-void bd_core_step_aside(struct bd_core *c);
+void bd_core_yield(struct bd_core *c);
 void bd_core_give_up_if_blind(struct bd_core *c);
 /* whether another controller has just said that the job is cancelled */
 bool bd_cancel_heard(const struct bd_core *c, const struct bd_job *j);
@@ -159,10 +159,10 @@
 
 /* prices: which machines a job may take, by how long it has waited */
 enum bd_reach { BD_REACH_SPOT, BD_REACH_CHEAP, BD_REACH_ANY };
-const char *bd_klass_name(const struct bd_core *c, int id);
+const char *bd_class_name(const struct bd_core *c, int id);
 int bd_tasks_a_machine(const struct bd_type *t, const struct bd_spec *s);
 bool bd_dear(const struct bd_core *c, const struct bd_spec *s, int type, bool spot);
-double bd_slack(const struct bd_core *c, int klass, double estimate, const struct bd_aim *a);
+double bd_slack(const struct bd_core *c, int job_class, double estimate, const struct bd_aim *a);
 enum bd_reach bd_reach_of(const struct bd_core *c, const struct bd_job *j);
 bool bd_in_reach(const struct bd_core *c, const struct bd_spec *s, enum bd_reach reach, int type,
                  bool spot);
@@ -177,8 +177,8 @@
                                  const struct timespec *until);
 
 /* deputies */
-#define LEADER_SILENT_S 1.3 /* not heard on the mesh for so long: he may be cut off */
-#define DEPUTY_FRESH_S 1.5  /* a deputy answers so long after its record was last confirmed */
+#define LEADER_SILENT_S 1.3  /* not heard on the mesh for so long: he may be cut off */
+#define DELEGATE_FRESH_S 1.5 /* a deputy answers so long after its record was last confirmed */
 int bd_leader_index(const struct bd_core *c); /* among the peers, or -1 */
 struct bd_report *bd_report_copy(const struct bd_report *r);
 void bd_report_free(struct bd_report *r);
@@ -187,15 +187,15 @@
 bool bd_forward_relay(struct bd_core *c, struct bd_remote *q, const struct bd_report *r,
                       const char *body, size_t len);
 void bd_forward_away(struct bd_core *c, void *request, const struct bd_report *r);
-int bd_forward_steer(struct bd_core *c, struct bd_machine *m, const struct bd_report *r);
+int bd_forward_redirect(struct bd_core *c, struct bd_machine *m, const struct bd_report *r);
 void bd_forward_listen(struct bd_core *c);
 void bd_forward_tick(struct bd_core *c);
 void bd_forward_end(struct bd_core *c);
-bool bd_deputy_checkin(struct bd_core *c, void *request, const struct bd_report *r);
-void bd_deputy_tick(struct bd_core *c);
-void bd_deputy_needless(struct bd_core *c, const struct bd_machine *m);
+bool bd_delegate_checkin(struct bd_core *c, void *request, const struct bd_report *r);
+void bd_delegate_tick(struct bd_core *c);
+void bd_delegate_needless(struct bd_core *c, const struct bd_machine *m);
 json_t *bd_dismissed(const struct bd_core *c);
-void bd_deputy_end(struct bd_core *c);
+void bd_delegate_end(struct bd_core *c);
 
 /* rounds */
 void bd_round_place(struct bd_core *c); /* fills c->commit's plan */
@@ -204,5 +204,5 @@
 void bd_commit_free(struct bd_commit *k);
 uint32_t bd_jobs_in_order(struct bd_core *c, struct bd_job ***out);
 bool bd_allowed(const struct bd_spec *s, int type, int zone, bool spot);
-void bd_fleet_tick(struct bd_core *c);
+void bd_autoscaler_tick(struct bd_core *c);
 #endif
--- a/src/deps.c
+++ b/src/deps.c
@@ -23,10 +23,10 @@
 #define UNSEEN_S 2.0     /* a record that is not in memory is asked about so often */
 #define UNSEEN_MOST 8u   /* at once */
 
-static struct bd_need *need_of(struct bd_core *c, const char *id)
+static struct bd_prerequisite *prerequisite_of(struct bd_core *c, const char *id)
 {
-    struct bd_need *n = NULL;
-    HASH_FIND_STR(c->needs, id, n);
+    struct bd_prerequisite *n = NULL;
+    HASH_FIND_STR(c->prerequisites, id, n);
     if (n)
         return n;
     n = calloc(1, sizeof *n);
@@ -35,37 +35,37 @@
     snprintf(n->id, sizeof n->id, "%s", id);
     n->job = bd_job_find(c, id);
     if (n->job)
-        n->job->need = n;
+        n->job->prerequisite = n;
     else
         c->nunseen++;
-    HASH_ADD_STR(c->needs, id, n);
+    HASH_ADD_STR(c->prerequisites, id, n);
     return n;
 }
 
-static void drop_need(struct bd_core *c, struct bd_need *n)
+static void drop_prerequisite(struct bd_core *c, struct bd_prerequisite *n)
 {
     if (n->job)
-        n->job->need = NULL;
+        n->job->prerequisite = NULL;
     else
         c->nunseen--;
-    HASH_DEL(c->needs, n);
+    HASH_DEL(c->prerequisites, n);
     free(n);
 }
 
 /* The job waits no more: it is final, or ready. */
 static void release(struct bd_core *c, struct bd_job *j)
 {
-    for (uint32_t i = 0; i < j->nedges; i++) {
-        struct bd_edge *e = &j->edges[i];
-        if (!e->need)
+    for (uint32_t i = 0; i < j->ndependencies; i++) {
+        struct bd_dependency *e = &j->dependencies[i];
+        if (!e->prerequisite)
             continue;
-        DL_DELETE(e->need->after, e);
-        if (--e->need->nafter == 0)
-            drop_need(c, e->need);
+        DL_DELETE(e->prerequisite->after, e);
+        if (--e->prerequisite->nafter == 0)
+            drop_prerequisite(c, e->prerequisite);
     }
-    free(j->edges);
-    j->edges = NULL;
-    j->nedges = j->open = j->parts = 0;
+    free(j->dependencies);
+    j->dependencies = NULL;
+    j->ndependencies = j->open = j->parts = 0;
     c->weigh = true;
 }
 
@@ -82,7 +82,7 @@
 static void derive_cancelled(struct bd_core *c, struct bd_job *j)
 {
     release(c, j);
-    bd_job_mood(c, j, BD_CANCELLED);
+    bd_job_set_state(c, j, BD_CANCELLED);
     j->derived = true;
     c->nderived++;
 }
@@ -92,20 +92,20 @@
 void bd_deps_settled(struct bd_core *c, struct bd_job *j)
 {
     struct bd_job *work = j;
-    if (j->edges)
+    if (j->dependencies)
         release(c, j);
     j->todo = NULL;
     while (work) {
         struct bd_job *k = work;
-        struct bd_need *n = k->need;
+        struct bd_prerequisite *n = k->prerequisite;
         work = k->todo;
         while (n && n->after) {
-            struct bd_edge *e = n->after;
+            struct bd_dependency *e = n->after;
             struct bd_job *d = e->job;
             DL_DELETE(n->after, e);
             n->nafter--;
-            e->need = NULL;
-            if (k->mood == BD_DONE) {
+            e->prerequisite = NULL;
+            if (k->state == BD_DONE) {
                 one_less(c, d, k->end);
                 continue;
             }
@@ -114,7 +114,7 @@
             work = d;
         }
         if (n)
-            drop_need(c, n);
+            drop_prerequisite(c, n);
     }
     c->weigh = true;
 }
@@ -122,33 +122,33 @@
 /* A job's record is there now. */
 void bd_deps_seen(struct bd_core *c, struct bd_job *j)
 {
-    struct bd_need *n = NULL;
-    HASH_FIND_STR(c->needs, j->id, n);
+    struct bd_prerequisite *n = NULL;
+    HASH_FIND_STR(c->prerequisites, j->id, n);
     if (!n || n->job)
         return;
     n->job = j;
-    j->need = n;
+    j->prerequisite = n;
     c->nunseen--;
 }
 
 /* One more that the job waits for. True: that one is cancelled. */
-static bool add_need(struct bd_core *c, struct bd_job *j, const char *name)
+static bool add_prerequisite(struct bd_core *c, struct bd_job *j, const char *name)
 {
     struct bd_job *x = bd_job_find(c, name);
-    struct bd_edge *e = &j->edges[j->nedges++];
+    struct bd_dependency *e = &j->dependencies[j->ndependencies++];
     e->job = j;
-    if (x && x->mood == BD_DONE) {
+    if (x && x->state == BD_DONE) {
         j->ready = x->end > j->ready ? x->end : j->ready;
         return false;
     }
-    if (x && x->mood == BD_CANCELLED)
+    if (x && x->state == BD_CANCELLED)
         return true;
-    struct bd_need *n = need_of(c, name);
+    struct bd_prerequisite *n = prerequisite_of(c, name);
     if (n->after && n->after->prev->job == j)
         return false; /* named twice */
-    e->need = n;
-    DL_APPEND(e->need->after, e);
-    e->need->nafter++;
+    e->prerequisite = n;
+    DL_APPEND(e->prerequisite->after, e);
+    e->prerequisite->nafter++;
     j->open++;
     return false;
 }
@@ -158,15 +158,15 @@
     json_t *v;
     size_t i;
     bool cancelled = false;
-    j->edges = calloc(json_array_size(names) + 1, sizeof *j->edges);
-    if (!j->edges)
+    j->dependencies = calloc(json_array_size(names) + 1, sizeof *j->dependencies);
+    if (!j->dependencies)
         abort();
     j->open = 1; /* while names are added */
     json_array_foreach(names, i, v)
     {
         const char *name = json_string_value(v);
         if (bd_wire_job_id(name) && strcmp(name, j->id) != 0)
-            cancelled = add_need(c, j, name) || cancelled;
+            cancelled = add_prerequisite(c, j, name) || cancelled;
         else /* what cannot be read is never known to be done */
             j->open++;
     }
@@ -184,16 +184,17 @@
     snprintf(key, cap, "%s/%s/%u", id, of, n);
 }
 
-static struct bd_needs_part *find_part(struct bd_core *c, const struct bd_job *j, uint32_t n)
+static struct bd_prerequisites_part *find_part(struct bd_core *c, const struct bd_job *j,
+                                               uint32_t n)
 {
-    struct bd_needs_part *p = NULL;
+    struct bd_prerequisites_part *p = NULL;
     char key[BD_LABEL + BD_HASH];
     part_key(key, sizeof key, j->id, j->parts_of, n);
     HASH_FIND_STR(c->parts, key, p);
     return p;
 }
 
-static void drop_part(struct bd_core *c, struct bd_needs_part *p)
+static void drop_part(struct bd_core *c, struct bd_prerequisites_part *p)
 {
     HASH_DEL(c->parts, p);
     json_decref(p->names);
@@ -208,7 +209,7 @@
             return;
     json_t *all = json_array();
     for (uint32_t i = 0; i < j->parts; i++) {
-        struct bd_needs_part *p = find_part(c, j, i);
+        struct bd_prerequisites_part *p = find_part(c, j, i);
         (void)json_array_extend(all, p->names);
         drop_part(c, p);
     }
@@ -221,7 +222,7 @@
 void bd_deps_part(struct bd_core *c, const char *key, json_t *value)
 {
     char id[BD_ID];
-    struct bd_needs_part *p = NULL;
+    struct bd_prerequisites_part *p = NULL;
     json_t *names = bd_wire_read_part(value);
     size_t n = strcspn(key, "/");
     if (!names || n >= sizeof id || strlen(key) >= sizeof p->key) {
@@ -246,7 +247,7 @@
 }
 
 /* The record of a live job, seen for the first time. */
-void bd_deps_take(struct bd_core *c, struct bd_job *j, const struct bd_record_needs *r)
+void bd_deps_take(struct bd_core *c, struct bd_job *j, const struct bd_record_prerequisites *r)
 {
     j->chained = r->damaged || r->parts || json_array_size(r->names) > 0;
     if (r->damaged) {
@@ -284,14 +285,14 @@
 
 static void start_weighing(struct bd_core *c, struct bd_job **work)
 {
-    for (struct bd_need *n = c->needs; n; n = n->hh.next)
+    for (struct bd_prerequisite *n = c->prerequisites; n; n = n->hh.next)
         n->left = n->nafter;
     for (struct bd_job *j = c->jobs; j; j = j->hh.next) {
-        if (j->mood != BD_LIVE)
+        if (j->state != BD_LIVE)
             continue;
         j->rank = j->spec.rank;
         j->due_by = j->chained && j->spec.due >= 0 ? j->at + j->spec.due : INFINITY;
-        if (j->edges && !j->need) {
+        if (j->dependencies && !j->prerequisite) {
             j->todo = *work;
             *work = j;
         }
@@ -311,14 +312,14 @@
     while (work) {
         struct bd_job *j = work;
         work = j->todo;
-        for (uint32_t i = 0; i < j->nedges; i++) {
-            struct bd_need *n = j->edges[i].need;
+        for (uint32_t i = 0; i < j->ndependencies; i++) {
+            struct bd_prerequisite *n = j->dependencies[i].prerequisite;
             struct bd_job *x = n ? n->job : NULL;
             if (!x)
                 continue;
             x->rank = j->rank > x->rank ? j->rank : x->rank;
             x->due_by = fmin(x->due_by, j->due_by - span_s(j));
-            if (--n->left == 0 && x->edges) {
+            if (--n->left == 0 && x->dependencies) {
                 x->todo = work;
                 work = x;
             }
@@ -336,13 +337,13 @@
     if (c->nunseen == 0 || !c->replica_ready || bd_before(c->now, c->next_unseen))
         return;
     c->next_unseen = bd_add(c->now, bd_secs(UNSEEN_S));
-    for (struct bd_need *n = c->needs; n && asked < UNSEEN_MOST; n = n->hh.next) {
+    for (struct bd_prerequisite *n = c->prerequisites; n && asked < UNSEEN_MOST; n = n->hh.next) {
         if (n->job ||
             (!bd_is_zero(n->asked_at) && bd_between(n->asked_at, c->now) < UNSEEN_S * UNSEEN_MOST))
             continue;
         n->asked_at = c->now;
         struct bd_effect *e = bd_emit(c, BD_E_LOOKUP);
-        e->status = BD_WAIT_NEED;
+        e->status = BD_WAIT_PREREQUISITE;
         snprintf(e->key, sizeof e->key, "%s", n->id);
         asked++;
     }
@@ -352,11 +353,11 @@
 
 void bd_deps_free(struct bd_core *c)
 {
-    struct bd_need *n, *nt;
-    struct bd_needs_part *p, *pt;
-    HASH_ITER(hh, c->needs, n, nt)
+    struct bd_prerequisite *n, *nt;
+    struct bd_prerequisites_part *p, *pt;
+    HASH_ITER(hh, c->prerequisites, n, nt)
     {
-        HASH_DEL(c->needs, n);
+        HASH_DEL(c->prerequisites, n);
         free(n);
     }
     HASH_ITER(hh, c->parts, p, pt)
--- a/src/fleet.c
+++ b/src/fleet.c
@@ -10,9 +10,9 @@
 #define BOOT_PATIENCE 2.5 /* times the usual boot time before a machine is given up */
 #define BOOT_EXTRA_S 12.0
 #define BOOT_HOPE 1.6 /* ... before it is no longer counted on */
-#define RENT_MOST 50
+#define PROVISION_MOST 50
 #define RETURN_MOST 100
-#define RENTS_OPEN 3 /* requests under way at once */
+#define PROVISIONS_OPEN 3 /* requests under way at once */
 #define DEAD_EXTRA_S 15.0
 #define FIXED_PENALTY 2.0 /* ordinary machines are left to work that may not use spot */
 #define CLASSES 32
@@ -74,7 +74,7 @@
     m->age_known = c->now;
     if (!*m->addr)
         snprintf(m->addr, sizeof m->addr, "%s", l->addr);
-    if (l->mood == BD_FAILED && !m->failed) {
+    if (l->state == BD_FAILED && !m->failed) {
         m->failed = true;
         bd_say(c->log, BD_INFO, "%s failed", m->id);
         bd_machine_lapse(c, m);
@@ -84,7 +84,7 @@
 /* A machine that existed at some moment and is missing from a list of a later moment is gone. */
 static void take_missing(struct bd_core *c, struct bd_machine *m, struct timespec asked)
 {
-    double lag = 2 * bd_to_secs(c->set->list_lag) + 1.0;
+    double lag = 2 * bd_to_secs(c->settings->list_lag) + 1.0;
     struct timespec existed = bd_max(m->heard, m->known_at);
     if (m->gone || m->listed_now || bd_between(existed, asked) < lag)
         return;
@@ -108,28 +108,28 @@
 
 /* ---- rentals ---- */
 
-static struct bd_market *market(struct bd_core *c, int type, int zone, bool spot)
+static struct bd_pool *pool(struct bd_core *c, int type, int zone, bool spot)
 {
-    return &c->markets[type][zone][spot ? 1 : 0];
+    return &c->pools[type][zone][spot ? 1 : 0];
 }
 
-static void backoff(struct bd_core *c, struct bd_market *k)
+static void backoff(struct bd_core *c, struct bd_pool *k)
 {
     k->backoff = k->backoff <= 0 ? BACKOFF_FIRST_S : fmin(k->backoff * 2, BACKOFF_MOST_S);
     k->refuse_until = bd_add(c->now, bd_secs(k->backoff));
 }
 
-void bd_core_rented(struct bd_core *c, const char *request, long status, char (*names)[BD_LABEL],
-                    int n)
+void bd_core_provisioned(struct bd_core *c, const char *request, long status,
+                         char (*names)[BD_LABEL], int n)
 {
     int k = 0;
-    while (k < c->nrentals && strcmp(c->rentals[k].request, request) != 0)
+    while (k < c->nprovisions && strcmp(c->provisions[k].request, request) != 0)
         k++;
-    if (c->role != BD_LEADER || k == c->nrentals)
+    if (c->role != BD_LEADER || k == c->nprovisions)
         return;
-    struct bd_rental r = c->rentals[k];
-    c->rentals[k] = c->rentals[--c->nrentals];
-    struct bd_market *mk = market(c, r.type, r.zone, r.spot);
+    struct bd_provision r = c->provisions[k];
+    c->provisions[k] = c->provisions[--c->nprovisions];
+    struct bd_pool *mk = pool(c, r.type, r.zone, r.spot);
     mk->asked = false;
     c->next_fleet = c->now; /* what was not filled is sought elsewhere at once */
     if (status != 200 || n < r.count)
@@ -161,7 +161,7 @@
             continue;
         if (ok) {
             if (m->type >= 0 && m->zone >= 0)
-                market(c, m->type, m->zone, m->spot)->refuse_until = c->now;
+                pool(c, m->type, m->zone, m->spot)->refuse_until = c->now;
             bd_machine_gone(c, m);
         } else { /* it may be gone all the same: it is not used again, and asked for again */
             m->return_after = bd_add(c->now, bd_secs(3.0));
@@ -169,24 +169,24 @@
     }
 }
 
-static void rent(struct bd_core *c, int type, int zone, bool spot, int count)
+static void provision_request(struct bd_core *c, int type, int zone, bool spot, int count)
 {
-    if (c->nrentals == (int)(sizeof c->rentals / sizeof *c->rentals))
+    if (c->nprovisions == (int)(sizeof c->provisions / sizeof *c->provisions))
         return;
-    struct bd_rental *r = &c->rentals[c->nrentals++];
+    struct bd_provision *r = &c->provisions[c->nprovisions++];
     memset(r, 0, sizeof *r);
     /* never used again: the term is ours alone, and so is the number within it */
     snprintf(r->request, sizeof r->request, "r-%llu-%llu", (unsigned long long)c->base_term,
              (unsigned long long)++c->request_n);
-    market(c, type, zone, spot)->asked = true;
+    pool(c, type, zone, spot)->asked = true;
     r->type = type;
     r->zone = zone;
     r->spot = spot;
-    r->count = count < RENT_MOST ? count : RENT_MOST;
+    r->count = count < PROVISION_MOST ? count : PROVISION_MOST;
     r->sent = c->now;
-    struct bd_effect *e = bd_emit(c, BD_E_RENT);
+    struct bd_effect *e = bd_emit(c, BD_E_PROVISION);
     snprintf(e->key, sizeof e->key, "%s", r->request);
-    e->body = bd_wire_rent(r->request, c->types[type].label, c->zones[zone], spot, r->count);
+    e->body = bd_wire_provision(r->request, c->types[type].label, c->zones[zone], spot, r->count);
 }
 
 /* ---- demand ---- */
@@ -241,9 +241,10 @@
         if (booting(c, m) && age(c, m) < BOOT_HOPE * c->types[m->type].boot + BOOT_EXTRA_S)
             (void)add_bin(d, m->type, m->zone, m->spot, false);
     }
-    for (int k = 0; k < c->nrentals; k++)
-        for (int i = 0; i < c->rentals[k].count; i++)
-            (void)add_bin(d, c->rentals[k].type, c->rentals[k].zone, c->rentals[k].spot, false);
+    for (int k = 0; k < c->nprovisions; k++)
+        for (int i = 0; i < c->provisions[k].count; i++)
+            (void)add_bin(d, c->provisions[k].type, c->provisions[k].zone, c->provisions[k].spot,
+                          false);
 }
 
 static bool bin_fits(const struct bin *b, const struct bd_spec *s)
@@ -284,7 +285,7 @@
             for (int sp = 0; sp < 2; sp++) {
                 if (!(c->types[t].zones >> z & 1) || !bd_allowed(s, t, z, sp) ||
                     !bd_in_reach(c, s, reach, t, sp) ||
-                    bd_before(c->now, c->markets[t][z][sp].refuse_until))
+                    bd_before(c->now, c->pools[t][z][sp].refuse_until))
                     continue;
                 double v = (sp ? c->types[t].spot_price : c->types[t].price) / n;
                 if (s->spot && !sp)
@@ -304,7 +305,7 @@
 
 static uint32_t under_quota(struct demand *d, const struct bd_spec *s, uint32_t n)
 {
-    const struct bd_team_limits *t = &d->c->set->teams[s->team];
+    const struct bd_team_limits *t = &d->c->settings->teams[s->team];
     if (t->cpus_max > 0 && s->cpus > 0)
         n = (uint32_t)fmin(n, fmax(0, floor((t->cpus_max - d->team_cpus[s->team]) / s->cpus)));
     if (t->gpus_max > 0 && s->gpus > 0)
@@ -355,14 +356,14 @@
 
 /* ---- spare room, from the aims and what arrives ---- */
 
-struct klass {
+struct job_class {
     int id;
     struct bd_spec spec; /* of its newest job that is described */
     uint32_t jobs, tasks, arrived;
     double estimate, at, image_gb;
 };
 
-static struct klass *klass_of(struct klass *k, int *n, int id)
+static struct job_class *class_of(struct job_class *k, int *n, int id)
 {
     for (int i = 0; i < *n; i++)
         if (k[i].id == id)
@@ -384,7 +385,7 @@
     return fmax(first + SETTLE_S, c->wall - WINDOW_S);
 }
 
-static void count_job(struct klass *f, const struct bd_job *j, double from)
+static void count_job(struct job_class *f, const struct bd_job *j, double from)
 {
     if (bd_job_waits(j))
         return;
@@ -401,13 +402,13 @@
     }
 }
 
-static int arrivals(struct bd_core *c, struct klass *k, double from)
+static int arrivals(struct bd_core *c, struct job_class *k, double from)
 {
     int n = 0;
     for (struct bd_job *j = c->jobs; j; j = j->hh.next) {
-        if (j->klass < 0 || c->wall - j->ready > 2 * WINDOW_S)
+        if (j->job_class < 0 || c->wall - j->ready > 2 * WINDOW_S)
             continue;
-        struct klass *f = klass_of(k, &n, j->klass);
+        struct job_class *f = class_of(k, &n, j->job_class);
         if (f)
             count_job(f, j, from);
         else if (!c->classes_said)
@@ -419,7 +420,7 @@
 
 /* Slots to keep free for a class: what arrives before a rented machine would be ready, as far as
  * the aims' shares ask for it. */
-static uint32_t spare_slots(struct demand *d, const struct klass *k, double window)
+static uint32_t spare_slots(struct demand *d, const struct job_class *k, double window)
 {
     struct bd_core *c = d->c;
     int type = 0, zone = 0;
@@ -428,15 +429,15 @@
     if (!choose(d, &k->spec, (uint32_t)ceil(per_job), BD_REACH_ANY, &type, &zone, &spot))
         return 0;
     double lead = c->types[type].boot + k->image_gb / k->jobs / c->types[type].fetch;
-    for (int i = 0; i < c->set->naims; i++) {
-        const struct bd_aim *a = &c->set->aims[i];
+    for (int i = 0; i < c->settings->naims; i++) {
+        const struct bd_aim *a = &c->settings->aims[i];
         double wait = bd_slack(c, k->id, k->estimate / k->jobs, a);
         if (wait < 0 || wait >= lead)
             continue;
         double z = gsl_cdf_ugaussian_Pinv(fmin(0.995, (1 + a->share) / 2));
         most = fmax(most, z * sqrt(2 * k->arrived / window * lead) * per_job);
     }
-    return (uint32_t)ceil(most * c->set->spare_share);
+    return (uint32_t)ceil(most * c->settings->spare_share);
 }
 
 static void bins_free(struct demand *d, bool idle)
@@ -456,7 +457,7 @@
 
 static void want_spares(struct demand *d)
 {
-    struct klass k[CLASSES];
+    struct job_class k[CLASSES];
     double from = window_start(d->c), window = d->c->wall - from;
     if (window < WINDOW_LEAST_S)
         return;
@@ -667,7 +668,7 @@
 {
     double running = 0, passed = fmin(bd_between(c->moves_at, c->now), AWAY_KEPT_S);
     for (const struct bd_job *j = c->jobs; j; j = j->hh.next)
-        running += j->mood == BD_LIVE && j->has_spec && j->spec.shape == BD_SERVICE ? j->nrun : 0;
+        running += j->state == BD_LIVE && j->has_spec && j->spec.shape == BD_SERVICE ? j->nrun : 0;
     double rate = fmax(AWAY_LEAST_S, AWAY_SHARE * running);
     c->moves_s = fmin(c->moves_s + rate * passed, rate * AWAY_KEPT_S);
     c->moves_at = c->now;
@@ -704,18 +705,18 @@
         if (m->gone || !bd_machine_usable(c, m) || !only_services(c, m, &held))
             continue;
         for (uint32_t k = 0; k < m->nrefs; k++)
-            if (m->refs[k].job->spec.shape == BD_SERVICE && m->refs[k].job->mood == BD_LIVE)
+            if (m->refs[k].job->spec.shape == BD_SERVICE && m->refs[k].job->state == BD_LIVE)
                 want_job(d, &m->refs[k].job->spec, 1, BD_REACH_CHEAP);
     }
 }
 
-static void rent_wanted(struct demand *d)
+static void provision_wanted(struct demand *d)
 {
     struct bd_core *c = d->c;
-    for (int i = 0; i < d->n && c->nrentals < RENTS_OPEN; i++) {
+    for (int i = 0; i < d->n && c->nprovisions < PROVISIONS_OPEN; i++) {
         struct bin *w = &d->bins[i];
         /* what a market has that was asked already is about to be known */
-        if (!w->wanted || market(c, w->type, w->zone, w->spot)->asked)
+        if (!w->wanted || pool(c, w->type, w->zone, w->spot)->asked)
             continue;
         int count = 0;
         struct bin b = d->bins[i];
@@ -726,11 +727,11 @@
                 count++;
             }
         }
-        rent(c, b.type, b.zone, b.spot, count);
+        provision_request(c, b.type, b.zone, b.spot, count);
     }
 }
 
-static void rent_for_demand(struct bd_core *c)
+static void provision_for_demand(struct bd_core *c)
 {
     struct demand *d = calloc(1, sizeof *d);
     struct bd_job **jobs;
@@ -751,7 +752,7 @@
         c->by_index[i]->spare = false;
     want_spares(d);
     want_cheap_room(d);
-    rent_wanted(d);
+    provision_wanted(d);
     free(d->bins);
     free(d);
 }
@@ -767,7 +768,7 @@
 static bool dead(const struct bd_core *c, const struct bd_machine *m)
 {
     return m->session && m->nrefs == 0 && !m->fenced &&
-           bd_between(m->heard, c->now) > bd_to_secs(c->set->lease) + DEAD_EXTRA_S;
+           bd_between(m->heard, c->now) > bd_to_secs(c->settings->lease) + DEAD_EXTRA_S;
 }
 
 /* A machine is kept idle for about as long as getting it again would take. */
@@ -785,7 +786,7 @@
         return false;
     return m->bad || m->notice_left >= 0 ||
            (!m->spare &&
-            bd_between(m->idle_since, c->now) > c->set->idle_boots * c->types[m->type].boot);
+            bd_between(m->idle_since, c->now) > c->settings->idle_boots * c->types[m->type].boot);
 }
 
 static void return_machines(struct bd_core *c)
@@ -876,13 +877,13 @@
     }
 }
 
-void bd_fleet_tick(struct bd_core *c)
+void bd_autoscaler_tick(struct bd_core *c)
 {
     say_fleet(c);
     drain(c);
     if (!c->listed_once)
         return;
-    rent_for_demand(c);
+    provision_for_demand(c);
     gather(c);
     return_machines(c);
 }
--- a/src/forward.c
+++ b/src/forward.c
@@ -7,18 +7,18 @@
 
 /* named defaults */
 #define ANSWER_S 1.2       /* then the deputy's way is tried, or the worker sent to the leader */
-#define STEER_S 8.0        /* a worker is not sent to its zone's controller more often */
+#define REDIRECT_S 8.0     /* a worker is not sent to its zone's controller more often */
 #define BACK_S 12.0        /* it hung at the leader, and perhaps at another node */
 #define BACK_HOLDS_S 40.0  /* then he is tried again */
 #define FORWARDS_LEAST 512 /* more where there are more sockets, of which each holds one */
-#define DEAF_S 60.0
-#define DEAF_SHARE 0.6 /* of the machines heard before */
-#define DEAF_LEAST 3u
+#define INBOUND_CUT_S 60.0
+#define INBOUND_CUT_SHARE 0.6 /* of the machines heard before */
+#define INBOUND_CUT_LEAST 3u
 
 int bd_leader_index(const struct bd_core *c)
 {
-    for (int i = 0; i < c->set->npeers; i++)
-        if (strcmp(c->set->peers[i].name, c->leader_name) == 0)
+    for (int i = 0; i < c->settings->npeers; i++)
+        if (strcmp(c->settings->peers[i].name, c->leader_name) == 0)
             return i;
     return -1;
 }
@@ -82,7 +82,7 @@
 
 static bool other_leads(const struct bd_core *c)
 {
-    return *c->leader_name && strcmp(c->leader_name, c->set->node) != 0;
+    return *c->leader_name && strcmp(c->leader_name, c->settings->node) != 0;
 }
 
 /* Not ours to answer: to the leader, where one is known. */
@@ -91,16 +91,16 @@
     bool other = other_leads(c);
     if (other)
         remember_away(c, r->machine);
-    bd_reply(c, request, 421, bd_wire_steer(other ? c->leader_name : ""), 0);
+    bd_reply(c, request, 421, bd_wire_redirect(other ? c->leader_name : ""), 0);
 }
 
 /* Whether no controller of some other zone is heard: that zone is likely cut off from ours. */
 static bool zone_silent(const struct bd_core *c)
 {
-    for (int i = 0; i < c->set->npeers; i++) {
+    for (int i = 0; i < c->settings->npeers; i++) {
         bool any = bd_peer_near(c, i);
-        for (int k = 0; k < c->set->npeers && !any; k++)
-            any = strcmp(c->set->peers[k].zone, c->set->peers[i].zone) == 0 &&
+        for (int k = 0; k < c->settings->npeers && !any; k++)
+            any = strcmp(c->settings->peers[k].zone, c->settings->peers[i].zone) == 0 &&
                   bd_peer_heard(c, k, LEADER_SILENT_S);
         if (!any)
             return true;
@@ -114,11 +114,11 @@
 {
     if (came_back(c, r->machine))
         return true;
-    if (c->peers[peer].flags & BD_PEER_DEAF)
-        c->deaf_until = bd_add(c->now, bd_secs(DEAF_S));
-    if (bd_before(c->now, c->deaf_until))
+    if (c->peers[peer].flags & BD_PEER_INBOUND_CUT)
+        c->inbound_cut_until = bd_add(c->now, bd_secs(INBOUND_CUT_S));
+    if (bd_before(c->now, c->inbound_cut_until))
         return true;
-    return strcmp(r->zone, c->set->zone) == 0 && (!bd_peer_near(c, peer) || zone_silent(c));
+    return strcmp(r->zone, c->settings->zone) == 0 && (!bd_peer_near(c, peer) || zone_silent(c));
 }
 
 bool bd_core_hears_leader(const struct bd_core *c)
@@ -158,7 +158,7 @@
 static int relay(const struct bd_core *c)
 {
     int found = -1;
-    for (int i = 0; i < c->set->npeers; i++) {
+    for (int i = 0; i < c->settings->npeers; i++) {
         if (i == bd_leader_index(c) || !can_pass_on(c, i))
             continue;
         if (bd_peer_near(c, i))
@@ -171,7 +171,8 @@
 static bool send_on(struct bd_core *c, void *request, const struct bd_report *r, const char *body,
                     size_t len, int peer)
 {
-    int most = c->set->max_sockets > FORWARDS_LEAST ? c->set->max_sockets : FORWARDS_LEAST;
+    int most =
+        c->settings->max_sockets > FORWARDS_LEAST ? c->settings->max_sockets : FORWARDS_LEAST;
     if (peer < 0 || waiting(c) >= (uint32_t)most)
         return false;
     struct bd_forward *f = calloc(1, sizeof *f);
@@ -185,7 +186,7 @@
     c->forwards = f;
     struct bd_effect *e = bd_emit(c, BD_E_FORWARD);
     e->machine = (uint32_t)peer;
-    e->seal = f->id;
+    e->token = f->id;
     e->body = strndup(body, len);
     return true;
 }
@@ -228,10 +229,10 @@
 {
     const struct bd_remote *q = f->request;
     if (q && q->remote) { /* its own controller decides what becomes of it */
-        bd_reply(c, f->request, 421, bd_wire_steer(""), 0);
+        bd_reply(c, f->request, 421, bd_wire_redirect(""), 0);
         return;
     }
-    if (c->role == BD_FOLLOWER && bd_deputy_checkin(c, f->request, f->report))
+    if (c->role == BD_FOLLOWER && bd_delegate_checkin(c, f->request, f->report))
         return;
     bd_forward_away(c, f->request, f->report);
 }
@@ -270,21 +271,21 @@
 /* As leader: the controller of the machine's own zone that it should report to, or -1. In our own
  * zone the others are for while another zone is cut off: if we end then, workers that were with us
  * all try the next nodes in turn, where those beyond the cut let them hang. */
-int bd_forward_steer(struct bd_core *c, struct bd_machine *m, const struct bd_report *r)
+int bd_forward_redirect(struct bd_core *c, struct bd_machine *m, const struct bd_report *r)
 {
     int found = -1, n = 0;
-    if ((strcmp(r->zone, c->set->zone) == 0 && !zone_silent(c)) || !bd_core_valid(c) ||
-        (!bd_is_zero(m->steered) && bd_between(m->steered, c->now) < STEER_S))
+    if ((strcmp(r->zone, c->settings->zone) == 0 && !zone_silent(c)) || !bd_core_valid(c) ||
+        (!bd_is_zero(m->redirected) && bd_between(m->redirected, c->now) < REDIRECT_S))
         return -1;
-    for (int i = 0; i < c->set->npeers; i++) {
-        if (strcmp(c->set->peers[i].zone, r->zone) != 0 || !can_pass_on(c, i))
+    for (int i = 0; i < c->settings->npeers; i++) {
+        if (strcmp(c->settings->peers[i].zone, r->zone) != 0 || !can_pass_on(c, i))
             continue;
         n++;
         if (found < 0 || m->index % (uint32_t)n == 0)
             found = i;
     }
     if (found >= 0)
-        m->steered = c->now;
+        m->redirected = c->now;
     return found;
 }
 
@@ -293,14 +294,14 @@
 void bd_forward_listen(struct bd_core *c)
 {
     uint32_t known = 0, silent = 0;
-    double late = 1.5 * bd_to_secs(c->set->report) + 0.5;
+    double late = 1.5 * bd_to_secs(c->settings->report) + 0.5;
     for (uint32_t i = 0; i < c->nmachines; i++) {
         const struct bd_machine *m = c->by_index[i];
         double ago = bd_between(m->heard, c->now);
-        if (m->gone || !m->direct || ago > late + bd_to_secs(c->set->lease))
+        if (m->gone || !m->direct || ago > late + bd_to_secs(c->settings->lease))
             continue;
         known++;
         silent += ago > late;
     }
-    c->deaf = known >= DEAF_LEAST && silent >= DEAF_SHARE * known;
+    c->inbound_cut = known >= INBOUND_CUT_LEAST && silent >= INBOUND_CUT_SHARE * known;
 }
--- a/src/front.c
+++ b/src/front.c
@@ -32,7 +32,7 @@
     struct timespec since;
 };
 
-struct bd_front {
+struct bd_api_server {
     struct MHD_Daemon *daemon;
     atomic_int pending;
     size_t held, most_held; /* bytes of bodies, used by the polling thread only */
@@ -76,7 +76,7 @@
     return kind == BD_C_GET ? BD_TIMING_POLL : BD_TIMING_CANCELLATION;
 }
 
-void bd_front_reply(struct bd_node *n, void *request, int status, char *body, int retry_after)
+void bd_api_reply(struct bd_node *n, void *request, int status, char *body, int retry_after)
 {
     struct request *r = request;
     bd_metrics_time(n->metrics, timing_of(r->kind), bd_between(r->since, bd_now()));
@@ -84,23 +84,24 @@
     r->body = body;
     r->retry_after = retry_after;
     r->answered = true;
-    atomic_fetch_sub(&n->front->pending, 1);
+    atomic_fetch_sub(&n->api_server->pending, 1);
     MHD_resume_connection(r->conn);
 }
 
 /* Many large bodies at once would not fit the memory: beyond a part of it they are not kept, and
  * the request gets 503. */
-static bool take_body(struct bd_front *front, struct request *r, const char *data, size_t size)
+static bool take_body(struct bd_api_server *api_server, struct request *r, const char *data,
+                      size_t size)
 {
     if (r->too_large || r->len + size > BODY_MAX) {
         r->too_large = true;
         return true;
     }
-    if (r->too_much || front->held + size > front->most_held) {
+    if (r->too_much || api_server->held + size > api_server->most_held) {
         r->too_much = true;
         return true;
     }
-    front->held += size;
+    api_server->held += size;
     if (r->len + size > r->cap) {
         size_t cap = r->len + size + 1024;
         char *grown = realloc(r->buf, cap);
@@ -135,13 +136,13 @@
     if (strcmp(url, "/submissions") == 0)
         return post ? BD_C_SUBMIT : -405;
     if (job_path(url, "/withdraw", name, cap))
-        return post ? BD_C_WITHDRAW : -405;
+        return post ? BD_C_CANCEL : -405;
     if (job_path(url, "", name, cap))
         return get ? BD_C_GET : -405;
     return -404;
 }
 
-static enum MHD_Result ask_owner(struct bd_node *n, struct request *r, int kind, const char *name)
+static enum MHD_Result ask_core(struct bd_node *n, struct request *r, int kind, const char *name)
 {
     struct bd_cmd *cmd = bd_cmd_new((enum bd_cmd_kind)kind);
     cmd->request = r;
@@ -152,7 +153,7 @@
     r->asked = true;
     r->kind = cmd->kind;
     r->since = bd_now();
-    atomic_fetch_add(&n->front->pending, 1);
+    atomic_fetch_add(&n->api_server->pending, 1);
     MHD_suspend_connection(r->conn);
     bd_tell(n, cmd);
     return MHD_YES;
@@ -161,11 +162,11 @@
 /* Users are refused before workers: a user asks again, a lease runs out. */
 static bool room_for(const struct bd_node *n, int kind)
 {
-    int most = n->set.max_sockets / 2;
+    int most = n->settings.max_sockets / 2;
     most = most < PENDING_LEAST ? PENDING_LEAST : most;
     if (kind != BD_C_CHECKIN)
         most = (int)(PENDING_USERS * most);
-    return atomic_load(&n->front->pending) < most;
+    return atomic_load(&n->api_server->pending) < most;
 }
 
 static enum MHD_Result decide(struct bd_node *n, struct request *r, const char *method,
@@ -188,7 +189,7 @@
         return say(r->conn, 413, "body over 64 KiB", 0);
     if (r->too_much || !room_for(n, kind))
         return say(r->conn, 503, "busy", 1);
-    return ask_owner(n, r, kind, name);
+    return ask_core(n, r, kind, name);
 }
 
 static enum MHD_Result handle(void *arg, struct MHD_Connection *conn, const char *url,
@@ -206,7 +207,7 @@
         return MHD_YES;
     }
     if (*size > 0) {
-        bool ok = take_body(((struct bd_node *)arg)->front, r, data, *size);
+        bool ok = take_body(((struct bd_node *)arg)->api_server, r, data, *size);
         *size = 0;
         return ok ? MHD_YES : MHD_NO;
     }
@@ -229,7 +230,7 @@
     } known[] = {{BD_C_CHECKIN, BD_TRAFFIC_CHECKIN},
                  {BD_C_GET, BD_TRAFFIC_POLL},
                  {BD_C_SUBMIT, BD_TRAFFIC_SUBMISSION},
-                 {BD_C_WITHDRAW, BD_TRAFFIC_CANCELLATION}};
+                 {BD_C_CANCEL, BD_TRAFFIC_CANCELLATION}};
     for (size_t i = 0; r->asked && i < sizeof known / sizeof known[0]; i++)
         if (known[i].kind == r->kind)
             return known[i].traffic;
@@ -256,7 +257,7 @@
     struct request *r = *ctx;
     if (!r)
         return;
-    n->front->held -= r->len;
+    n->api_server->held -= r->len;
     bd_count_message(bd_metrics_counter(n->metrics, traffic_of(r)), r->sent, r->len);
     free(r->buf);
     free(r->body);
@@ -278,18 +279,18 @@
     return inet_pton(AF_INET, host, &out->sin_addr) == 1;
 }
 
-int bd_front_start(struct bd_node *n)
+int bd_api_start(struct bd_node *n)
 {
     struct sockaddr_in addr;
-    if (!bd_parse_addr(n->set.front, &addr))
+    if (!bd_parse_addr(n->settings.api_addr, &addr))
         return -1;
-    n->front = calloc(1, sizeof *n->front);
-    if (!n->front)
+    n->api_server = calloc(1, sizeof *n->api_server);
+    if (!n->api_server)
         return -1;
-    n->front->most_held = (size_t)(n->set.ram_mb * BODY_SHARE * 1048576.0);
-    int own = SOCKETS_KEPT + bd_worker_client_sockets(&n->set);
-    int most = n->set.max_sockets - own;
-    n->front->daemon = MHD_start_daemon(
+    n->api_server->most_held = (size_t)(n->settings.ram_mb * BODY_SHARE * 1048576.0);
+    int own = SOCKETS_KEPT + bd_worker_client_sockets(&n->settings);
+    int most = n->settings.max_sockets - own;
+    n->api_server->daemon = MHD_start_daemon(
         MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, handle, n,
         MHD_OPTION_SOCK_ADDR, (struct sockaddr *)&addr, MHD_OPTION_CONNECTION_LIMIT,
         (unsigned)(most > 8 ? most : 8), MHD_OPTION_CONNECTION_TIMEOUT, IDLE_S,
@@ -297,5 +298,5 @@
         completed, n, MHD_OPTION_NOTIFY_CONNECTION, connection_changed, n,
         MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u, MHD_OPTION_LISTEN_BACKLOG_SIZE, BACKLOG,
         MHD_OPTION_THREAD_STACK_SIZE, (size_t)131072, MHD_OPTION_END);
-    return n->front->daemon ? 0 : -1;
+    return n->api_server->daemon ? 0 : -1;
 }
--- a/src/grace.c
+++ b/src/grace.c
@@ -29,18 +29,18 @@
 
 bool bd_in_grace(const struct bd_core *c, struct timespec seen)
 {
-    double s = bd_grace_s(c->set) * (1 - DRIFT) - TIMER_S;
+    double s = bd_grace_s(c->settings) * (1 - DRIFT) - TIMER_S;
     return !bd_is_zero(seen) && bd_before(c->now, bd_add(seen, bd_secs(s)));
 }
 
 /* Whether a withdrawal that we do not know of still ends in time if we answer now. */
 bool bd_may_renew(const struct bd_core *c)
 {
-    return bd_in_grace(c, c->fresh);
+    return bd_in_grace(c, c->refreshed_at);
 }
 
 /* A launch is repeated until its task is seen; not while the job may be withdrawn for long. */
 bool bd_may_launch(const struct bd_core *c)
 {
-    return bd_core_valid(c) && bd_between(c->fresh, c->now) < KNOWN_S;
+    return bd_core_valid(c) && bd_between(c->refreshed_at, c->now) < KNOWN_S;
 }
--- a/src/leader.c
+++ b/src/leader.c
@@ -11,12 +11,12 @@
 #include <sys/random.h>
 
 /* named defaults */
-#define LOOK_S 0.3
+#define REFRESH_S 0.3
 #define RENEWS 6.0 /* renewals in a grant's life */
 #define SAME_MOMENT_S 0.05
-#define TOUCH_S 0.8 /* between a follower's records of being in touch: see standby.c */
+#define LIVENESS_S 0.8 /* between a follower's records of being in touch: see standby.c */
 
-struct seat {
+struct election {
     /* the leader as the owner was last told */
     char told_name[BD_LABEL];
     uint64_t told_mark;
@@ -26,22 +26,22 @@
     gsl_rng *rng;
     char nonce[BD_LABEL];
     uint64_t grant;
-    struct timespec granted, touched;
+    struct timespec granted, liveness_at;
     bool leading;
     double ttl;
 };
 
-static double call_s(const struct seat *s)
+static double call_s(const struct election *s)
 {
     return s->ttl / 3;
 }
 
-static bool get_grant(struct seat *s)
+static bool get_grant(struct election *s)
 {
     json_t *o = NULL;
     char *body = bd_wire_ttl(s->ttl);
     s->granted = bd_now();
-    long status = bd_store_call(s->n, s->h, "POST", "/grants", body, call_s(s), &o);
+    long status = bd_state_call(s->n, s->h, "POST", "/grants", body, call_s(s), &o);
     free(body);
     s->grant = status == 200 ? bd_wire_grant(o) : 0;
     json_decref(o);
@@ -51,20 +51,20 @@
 enum view { VIEW_UNKNOWN, VIEW_FREE, VIEW_OURS, VIEW_BEFORE_US, VIEW_OTHER };
 
 /* Whether the leader's key names us among the deputies that he needs no more. */
-static bool sent_away(const struct seat *s, json_t *value)
+static bool sent_away(const struct election *s, json_t *value)
 {
     json_t *v;
     size_t i;
     json_array_foreach(json_object_get(value, "away"), i, v)
     {
         const char *name = json_string_value(v);
-        if (name && strcmp(name, s->n->set.node) == 0)
+        if (name && strcmp(name, s->n->settings.node) == 0)
             return true;
     }
     return false;
 }
 
-static void tell_leader(struct seat *s, const char *name, uint64_t mark, struct timespec sent,
+static void tell_leader(struct election *s, const char *name, uint64_t mark, struct timespec sent,
                         bool away)
 {
     struct bd_cmd *cmd = bd_cmd_new(BD_C_LEADER_IS);
@@ -83,14 +83,14 @@
 }
 
 /* Who holds the lease now; the mark of the key into *mark. */
-static enum view see(struct seat *s, uint64_t *mark)
+static enum view see(struct election *s, uint64_t *mark)
 {
     json_t *o = NULL;
     struct bd_change ch;
     uint64_t grant;
     enum view v = VIEW_UNKNOWN;
     struct timespec sent = bd_now();
-    long status = bd_store_call(s->n, s->h, "GET", "/kv/leader", NULL, call_s(s), &o);
+    long status = bd_state_call(s->n, s->h, "GET", "/kv/leader", NULL, call_s(s), &o);
     if (status == 404)
         v = VIEW_FREE;
     if (status == 200 && bd_wire_pair(o, &ch, &grant)) {
@@ -98,7 +98,7 @@
         const char *nonce = json_string_value(json_object_get(ch.value, "nonce"));
         *mark = ch.mark;
         v = VIEW_OTHER;
-        if (node && strcmp(node, s->n->set.node) == 0)
+        if (node && strcmp(node, s->n->settings.node) == 0)
             v = nonce && strcmp(nonce, s->nonce) == 0 ? VIEW_OURS : VIEW_BEFORE_US;
         if (node)
             tell_leader(s, node, ch.mark, sent, sent_away(s, ch.value));
@@ -109,7 +109,7 @@
     return v;
 }
 
-static void fresh_nonce(struct seat *s)
+static void fresh_nonce(struct election *s)
 {
     unsigned char raw[8] = {0};
     if (getrandom(raw, sizeof raw, GRND_NONBLOCK) != (ssize_t)sizeof raw) {
@@ -123,7 +123,7 @@
 }
 
 /* Takes the lease if it is free (mark 0) or was our own former process's. The term, or 0. */
-static uint64_t acquire(struct seat *s, uint64_t mark)
+static uint64_t acquire(struct election *s, uint64_t mark)
 {
     struct bd_txn t;
     json_t *o = NULL;
@@ -132,10 +132,10 @@
     if (!get_grant(s) || !bd_txn_start(&t))
         return 0;
     bd_txn_if(&t, "leader", mark);
-    bd_txn_set(&t, "leader", json_pack("{s:s,s:s}", "node", s->n->set.node, "nonce", s->nonce),
+    bd_txn_set(&t, "leader", json_pack("{s:s,s:s}", "node", s->n->settings.node, "nonce", s->nonce),
                s->grant);
     char *body = bd_txn_end(&t);
-    long status = bd_store_call(s->n, s->h, "POST", "/commit", body, call_s(s), &o);
+    long status = bd_state_call(s->n, s->h, "POST", "/commit", body, call_s(s), &o);
     free(body);
     if (status == 200)
         term = bd_wire_ring(o);
@@ -149,13 +149,13 @@
 }
 
 /* True if the grant still lives, 0 if it is over, -1 if not known. */
-static int renew(struct seat *s)
+static int renew(struct election *s)
 {
     char path[64];
     json_t *o = NULL;
     struct timespec sent = bd_now();
     snprintf(path, sizeof path, "/grants/%llu/renew", (unsigned long long)s->grant);
-    long status = bd_store_call(s->n, s->h, "POST", path, "{}", call_s(s), &o);
+    long status = bd_state_call(s->n, s->h, "POST", path, "{}", call_s(s), &o);
     json_decref(o);
     if (status == 404)
         return 0;
@@ -169,29 +169,29 @@
     return 1;
 }
 
-static bool witness(struct seat *s, struct bd_gain *g)
+static bool read_sequence(struct election *s, struct bd_gain *g)
 {
     json_t *o = NULL;
     struct bd_change ch;
     uint64_t grant;
-    long status = bd_store_call(s->n, s->h, "GET", "/kv/w", NULL, call_s(s), &o);
+    long status = bd_state_call(s->n, s->h, "GET", "/kv/w", NULL, call_s(s), &o);
     if (status == 200 && bd_wire_pair(o, &ch, &grant))
-        g->witness_mark = ch.mark;
+        g->sequence_mark = ch.mark;
     json_decref(o);
     return status == 200 || status == 404;
 }
 
 /* Reads what earlier terms left. The grant is renewed between the steps. */
-static bool load(struct seat *s, struct bd_gain *g)
+static bool load(struct election *s, struct bd_gain *g)
 {
     for (int step = 0; step < 3;) {
         bool ok = false;
         if (step == 0)
-            ok = witness(s, g);
+            ok = read_sequence(s, g);
         else if (step == 1)
-            ok = (g->receipts = bd_store_list(s->n, s->h, "r/")) != NULL;
+            ok = (g->receipts = bd_state_list(s->n, s->h, "r/")) != NULL;
         else
-            ok = (g->intents = bd_store_list(s->n, s->h, "i/")) != NULL;
+            ok = (g->intents = bd_state_list(s->n, s->h, "i/")) != NULL;
         step += ok;
         if (renew(s) == 0)
             return false;
@@ -201,13 +201,13 @@
     return true;
 }
 
-static void lost(struct seat *s)
+static void lost(struct election *s)
 {
     s->leading = false;
     bd_tell(s->n, bd_cmd_new(BD_C_LOST));
 }
 
-static void take_seat(struct seat *s, uint64_t mark)
+static void take_lead(struct election *s, uint64_t mark)
 {
     uint64_t term = acquire(s, mark);
     if (term == 0)
@@ -229,7 +229,7 @@
     (void)bd_queue_put(&s->n->reader_wake, s);
 }
 
-static void tell_touch(struct seat *s, enum bd_cmd_kind kind, struct timespec sent)
+static void tell_liveness(struct election *s, enum bd_cmd_kind kind, struct timespec sent)
 {
     struct bd_cmd *cmd = bd_cmd_new(kind);
     cmd->sent = sent;
@@ -237,59 +237,59 @@
 }
 
 /* Says in the state service that we are in touch with it, under the leader whose key we saw. */
-static void touch(struct seat *s, uint64_t mark)
+static void write_liveness(struct election *s, uint64_t mark)
 {
     struct bd_txn t;
     char key[BD_LABEL + 8];
     json_t *o = NULL;
     struct timespec wall = {0, 0}, sent = bd_now();
-    if (bd_between(s->touched, sent) < TOUCH_S || clock_gettime(CLOCK_REALTIME, &wall) != 0)
+    if (bd_between(s->liveness_at, sent) < LIVENESS_S || clock_gettime(CLOCK_REALTIME, &wall) != 0)
         return;
     /* both clocks must name the same moment: a process may stand still in between */
     if (bd_between(sent, bd_now()) > SAME_MOMENT_S || !bd_txn_start(&t))
         return;
-    s->touched = sent;
-    snprintf(key, sizeof key, "p/%.60s/at", s->n->set.node);
+    s->liveness_at = sent;
+    snprintf(key, sizeof key, "p/%.60s/at", s->n->settings.node);
     bd_txn_if(&t, "leader", mark);
     bd_txn_set(&t, key, json_pack("{s:f}", "at", bd_to_secs(wall)), 0);
     char *body = bd_txn_end(&t);
-    tell_touch(s, BD_C_OFFERED, sent);
-    long status = bd_store_call(s->n, s->h, "POST", "/commit", body, call_s(s), &o);
+    tell_liveness(s, BD_C_LIVENESS_SENT, sent);
+    long status = bd_state_call(s->n, s->h, "POST", "/commit", body, call_s(s), &o);
     free(body);
     json_decref(o);
     if (status == 200)
-        tell_touch(s, BD_C_CONFIRMED, sent);
+        tell_liveness(s, BD_C_LIVENESS_WRITTEN, sent);
 }
 
 /* Ends a grant that would otherwise keep others from leading until it runs out. Nothing rests on
  * the answer: it is not renewed any more. */
-static void end_grant(struct seat *s)
+static void end_grant(struct election *s)
 {
     char path[64];
     json_t *o = NULL;
     snprintf(path, sizeof path, "/grants/%llu", (unsigned long long)s->grant);
-    (void)bd_store_call(s->n, s->h, "DELETE", path, NULL, call_s(s), &o);
+    (void)bd_state_call(s->n, s->h, "DELETE", path, NULL, call_s(s), &o);
     json_decref(o);
     s->grant = 0;
 }
 
 /* One that cannot read the records could not start anything: it leaves the lease to others. */
-static void follow_once(struct seat *s)
+static void follow_once(struct election *s)
 {
     uint64_t mark = 0;
     enum view v = see(s, &mark);
     bool can_lead = !atomic_load(&s->n->reads_refused);
     if (v == VIEW_OTHER)
-        touch(s, mark);
+        write_liveness(s, mark);
     if (v == VIEW_FREE && can_lead)
-        take_seat(s, 0);
+        take_lead(s, 0);
     else if ((v == VIEW_BEFORE_US || v == VIEW_OURS) && can_lead)
-        take_seat(s, mark);
+        take_lead(s, mark);
     if (!s->leading) /* uneven, so that nodes do not collide for ever */
-        bd_pause(LOOK_S * (0.7 + 0.6 * gsl_rng_uniform(s->rng)));
+        bd_pause(REFRESH_S * (0.7 + 0.6 * gsl_rng_uniform(s->rng)));
 }
 
-static void lead_once(struct seat *s)
+static void lead_once(struct election *s)
 {
     uint64_t mark = 0;
     if (atomic_exchange(&s->n->step_down, false)) {
@@ -309,7 +309,7 @@
 
 static void *run(void *arg)
 {
-    struct seat *s = arg;
+    struct election *s = arg;
     for (;;) {
         if (s->leading)
             lead_once(s);
@@ -319,9 +319,9 @@
     return NULL;
 }
 
-int bd_leader_start(struct bd_node *n)
+int bd_election_start(struct bd_node *n)
 {
-    struct seat *s = calloc(1, sizeof *s);
+    struct election *s = calloc(1, sizeof *s);
     if (!s)
         return -1;
     s->n = n;
@@ -330,9 +330,9 @@
     if (!s->h || !s->rng)
         return -1;
     unsigned long seed = (unsigned long)bd_now().tv_nsec;
-    for (const char *p = n->set.node; *p; p++)
+    for (const char *p = n->settings.node; *p; p++)
         seed = seed * 31 + (unsigned char)*p;
     gsl_rng_set(s->rng, seed);
-    s->ttl = bd_to_secs(n->set.leader_ttl);
+    s->ttl = bd_to_secs(n->settings.leader_ttl);
     return bd_thread(run, s, 131072);
 }
--- a/src/limits.c
+++ b/src/limits.c
@@ -14,14 +14,14 @@
 #define GROW_AFTER_S 60.0  /* after so long without a 400 values and transactions grow again, */
 #define GROW_MOST_S 3600.0 /* ... after twice as long each time that was too much, up to this */
 #define GROW_EVERY_S 10.0  /* between two steps */
-#define ASIDE_S 1.0        /* what may be malformed itself rests so long, and up to 8 s more */
+#define BACKOFF_S 1.0      /* what may be malformed itself rests so long, and up to 8 s more */
 
 void bd_limits_init(struct bd_core *c)
 {
-    c->lim.value_bytes = c->set->value_bytes;
-    c->lim.txn_ops = c->set->txn_ops;
-    c->lim.write_rps = c->set->state_write_rps;
-    c->lim.grow_after = GROW_AFTER_S;
+    c->limits.value_bytes = c->settings->value_bytes;
+    c->limits.txn_ops = c->settings->txn_ops;
+    c->limits.write_rps = c->settings->state_write_rps;
+    c->limits.grow_after = GROW_AFTER_S;
 }
 
 static size_t smaller(size_t now, size_t least)
@@ -33,42 +33,42 @@
 /* False: they are as small as can be already, so that the size was not the reason. */
 bool bd_limits_refused(struct bd_core *c, const char *what)
 {
-    struct bd_limits was = c->lim;
+    struct bd_limits was = c->limits;
     bool tried = !bd_is_zero(was.grown_at) && bd_between(was.grown_at, c->now) < GROW_AFTER_S;
     if (tried && was.grow_after < GROW_MOST_S)
-        c->lim.grow_after = 2 * was.grow_after;
-    c->lim.grown_at = (struct timespec){0, 0};
-    c->lim.refused_at = c->now;
-    c->lim.value_bytes = smaller(was.value_bytes, VALUE_LEAST);
-    c->lim.txn_ops = smaller(was.txn_ops, OPS_LEAST);
+        c->limits.grow_after = 2 * was.grow_after;
+    c->limits.grown_at = (struct timespec){0, 0};
+    c->limits.refused_at = c->now;
+    c->limits.value_bytes = smaller(was.value_bytes, VALUE_LEAST);
+    c->limits.txn_ops = smaller(was.txn_ops, OPS_LEAST);
     bd_say(c->log, BD_ERROR,
            "the state service calls %s malformed: values of at most %zu bytes and %zu changes from "
            "now on",
-           what, c->lim.value_bytes, c->lim.txn_ops);
-    return c->lim.value_bytes < was.value_bytes || c->lim.txn_ops < was.txn_ops;
+           what, c->limits.value_bytes, c->limits.txn_ops);
+    return c->limits.value_bytes < was.value_bytes || c->limits.txn_ops < was.txn_ops;
 }
 
 /* Changes that one transaction may hold: no more than the rate takes in a second, or it never goes
  * through. */
 size_t bd_limits_ops(const struct bd_core *c)
 {
-    size_t rate = (size_t)c->lim.write_rps;
-    size_t n = c->lim.txn_ops < rate ? c->lim.txn_ops : rate;
+    size_t rate = (size_t)c->limits.write_rps;
+    size_t n = c->limits.txn_ops < rate ? c->limits.txn_ops : rate;
     return n < OPS_LEAST ? OPS_LEAST : n;
 }
 
 void bd_core_busy(struct bd_core *c)
 {
-    if (bd_between(c->lim.busy_at, c->now) < BUSY_S && !bd_is_zero(c->lim.busy_at))
+    if (bd_between(c->limits.busy_at, c->now) < BUSY_S && !bd_is_zero(c->limits.busy_at))
         return;
-    c->lim.busy_at = c->lim.raised_at = c->now;
-    c->lim.write_rps = c->lim.write_rps * BUSY_SHARE;
-    if (c->lim.write_rps < RATE_LEAST)
-        c->lim.write_rps = RATE_LEAST;
+    c->limits.busy_at = c->limits.raised_at = c->now;
+    c->limits.write_rps = c->limits.write_rps * BUSY_SHARE;
+    if (c->limits.write_rps < RATE_LEAST)
+        c->limits.write_rps = RATE_LEAST;
     if (c->write_tokens > 0)
         c->write_tokens = 0;
     bd_say(c->log, BD_INFO, "the state service is asked too much: %.1f changes a second",
-           c->lim.write_rps);
+           c->limits.write_rps);
 }
 
 static size_t larger(size_t now, size_t most)
@@ -81,14 +81,14 @@
  * another reason. A step too far costs one refused transaction, which is decided anew. */
 static void grow(struct bd_core *c)
 {
-    struct bd_limits *l = &c->lim;
-    if ((l->value_bytes >= c->set->value_bytes && l->txn_ops >= c->set->txn_ops) ||
+    struct bd_limits *l = &c->limits;
+    if ((l->value_bytes >= c->settings->value_bytes && l->txn_ops >= c->settings->txn_ops) ||
         bd_between(l->refused_at, c->now) < l->grow_after ||
         (!bd_is_zero(l->grown_at) && bd_between(l->grown_at, c->now) < GROW_EVERY_S))
         return;
     l->grown_at = c->now;
-    l->value_bytes = larger(l->value_bytes, c->set->value_bytes);
-    l->txn_ops = larger(l->txn_ops, c->set->txn_ops);
+    l->value_bytes = larger(l->value_bytes, c->settings->value_bytes);
+    l->txn_ops = larger(l->txn_ops, c->settings->txn_ops);
     bd_say(c->log, BD_INFO, "tries values of up to %zu bytes and %zu changes again", l->value_bytes,
            l->txn_ops);
 }
@@ -96,18 +96,19 @@
 void bd_limits_tick(struct bd_core *c)
 {
     grow(c);
-    if (c->lim.write_rps >= c->set->state_write_rps ||
-        bd_between(c->lim.busy_at, c->now) < CALM_S || bd_between(c->lim.raised_at, c->now) < 1.0)
+    if (c->limits.write_rps >= c->settings->state_write_rps ||
+        bd_between(c->limits.busy_at, c->now) < CALM_S ||
+        bd_between(c->limits.raised_at, c->now) < 1.0)
         return;
-    c->lim.raised_at = c->now;
-    c->lim.write_rps *= RISE;
-    if (c->lim.write_rps > c->set->state_write_rps)
-        c->lim.write_rps = c->set->state_write_rps;
+    c->limits.raised_at = c->now;
+    c->limits.write_rps *= RISE;
+    if (c->limits.write_rps > c->settings->state_write_rps)
+        c->limits.write_rps = c->settings->state_write_rps;
 }
 
 /* What was in a transaction that no smaller one replaces: each job rests for a time of its own, so
  * that the one at fault does not take the others with it for ever. */
-void bd_limits_aside(struct bd_core *c, struct bd_job *j)
+void bd_limits_back_off(struct bd_core *c, struct bd_job *j)
 {
-    j->aside_until = bd_add(c->now, bd_secs(ASIDE_S + (double)(j->mark % 8)));
+    j->backoff_until = bd_add(c->now, bd_secs(BACKOFF_S + (double)(j->mark % 8)));
 }
--- a/src/owner.c
+++ b/src/owner.c
@@ -40,13 +40,13 @@
 {
     cmd->queued = bd_now();
     /* the adapters' own words are few; the front checks for room before it admits a request */
-    while (!bd_queue_put(&n->to_owner, cmd))
+    while (!bd_queue_put(&n->commands, cmd))
         bd_pause(0.01);
 }
 
 void bd_tell_quietly(struct bd_node *n, struct bd_cmd *cmd)
 {
-    if (!bd_queue_put_quietly(&n->to_owner, cmd))
+    if (!bd_queue_put_quietly(&n->commands, cmd))
         bd_tell(n, cmd);
 }
 
@@ -84,7 +84,7 @@
     if (r)
         bd_core_checkin(n->core, cmd->request, r, cmd->text, cmd->len);
     else
-        bd_front_reply(n, cmd->request, 400, strdup("{\"error\":\"malformed report\"}"), 0);
+        bd_api_reply(n, cmd->request, 400, strdup("{\"error\":\"malformed report\"}"), 0);
 }
 
 static void did(struct bd_node *n, const struct bd_cmd *cmd)
@@ -162,17 +162,17 @@
     case BD_C_MACHINES:
         bd_core_machines(c, cmd->data, cmd->n, cmd->sent);
         break;
-    case BD_C_RENTED:
-        bd_core_rented(c, cmd->name, cmd->status, cmd->data, (int)cmd->n);
+    case BD_C_PROVISIONED:
+        bd_core_provisioned(c, cmd->name, cmd->status, cmd->data, (int)cmd->n);
         break;
     case BD_C_PEER:
         peer(n, cmd);
         break;
-    case BD_C_DEPUTIES:
-        bd_core_deputies(c, cmd->json, cmd->sent);
+    case BD_C_DELEGATES:
+        bd_core_delegates(c, cmd->json, cmd->sent);
         break;
-    case BD_C_DEPUTY_COMMITTED:
-        bd_core_deputy_committed(c, cmd->status, cmd->ring, cmd->sent, cmd->flag);
+    case BD_C_DELEGATE_COMMITTED:
+        bd_core_delegate_committed(c, cmd->status, cmd->ring, cmd->sent, cmd->flag);
         break;
     case BD_C_LOOKED_UP:
         looked_up(n, cmd);
@@ -195,8 +195,8 @@
     case BD_C_GET:
         bd_core_get(c, cmd->request, cmd->name);
         break;
-    case BD_C_WITHDRAW:
-        bd_core_withdraw(c, cmd->request, cmd->name);
+    case BD_C_CANCEL:
+        bd_core_cancel(c, cmd->request, cmd->name);
         break;
     case BD_C_USER_COMMITTED:
         bd_core_user_committed(c, cmd->request, cmd->name, cmd->text, cmd->outcome, cmd->status,
@@ -212,11 +212,11 @@
         if (c->role == BD_FOLLOWER && !n->pending_gain)
             bd_core_leader_is(c, cmd->name, cmd->number, cmd->sent, cmd->flag);
         break;
-    case BD_C_OFFERED:
-        bd_core_offered(c, cmd->sent);
+    case BD_C_LIVENESS_SENT:
+        bd_core_liveness_sent(c, cmd->sent);
         break;
-    case BD_C_CONFIRMED:
-        bd_core_confirmed(c, cmd->sent);
+    case BD_C_LIVENESS_WRITTEN:
+        bd_core_liveness_written(c, cmd->sent);
         break;
     case BD_C_RENEWED:
         bd_core_renewed(c, cmd->number, cmd->sent);
@@ -230,7 +230,7 @@
     case BD_C_COMMITTED:
         /* an answer to an earlier term's transaction says nothing about ours */
         bd_metrics_time(n->metrics, BD_TIMING_COMMIT, bd_between(n->commit_sent, c->now));
-        if (cmd->term == c->base_term && cmd->number == c->witness_n)
+        if (cmd->term == c->base_term && cmd->number == c->sequence)
             bd_core_committed(c, cmd->outcome, cmd->ring, bd_wire_failed(cmd->json));
         break;
     default:
@@ -251,8 +251,8 @@
 {
     struct bd_frame f;
     f.type = e->kind == BD_E_FORWARD ? BD_FRAME_REPORT : BD_FRAME_ANSWER;
-    snprintf(f.name, sizeof f.name, "%s", n->set.node);
-    f.id = e->seal;
+    snprintf(f.name, sizeof f.name, "%s", n->settings.node);
+    f.id = e->token;
     f.status = (uint16_t)e->status;
     f.text = e->body;
     f.len = e->body ? (uint32_t)strlen(e->body) : 0;
@@ -269,7 +269,7 @@
     f.text = id;
     f.len = (uint32_t)strlen(id);
     f.count = 0;
-    for (int i = 0; i < n->set.npeers; i++)
+    for (int i = 0; i < n->settings.npeers; i++)
         if (n->core->peers[i].flags & BD_PEER_NEWS)
             (void)bd_transport_send(n, i, &f);
 }
@@ -278,7 +278,7 @@
 {
     switch (e->kind) {
     case BD_E_REPLY:
-        bd_front_reply(n, e->request, e->status, e->body, e->retry_after);
+        bd_api_reply(n, e->request, e->status, e->body, e->retry_after);
         e->body = NULL;
         break;
     case BD_E_BARRIER:
@@ -296,7 +296,7 @@
     case BD_E_ANSWER:
         pass_on(n, e);
         break;
-    case BD_E_DEPUTY:
+    case BD_E_DELEGATE:
         give(n, &n->to_users, e);
         return;
     case BD_E_LOOKUP:
@@ -307,7 +307,7 @@
     case BD_E_USER_COMMIT:
         if (bd_queue_put(&n->to_users, e))
             return;
-        bd_front_reply(n, e->request, 503, strdup("{\"error\":\"busy\"}"), 1);
+        bd_api_reply(n, e->request, 503, strdup("{\"error\":\"busy\"}"), 1);
         break;
     case BD_E_COMMIT:
         n->commit_sent = n->core->now;
@@ -316,7 +316,7 @@
     case BD_E_DO:
         bd_worker_client_send(n, e);
         return;
-    case BD_E_RENT:
+    case BD_E_PROVISION:
     case BD_E_RETURN:
         give(n, &n->to_cloud, e);
         return;
@@ -368,15 +368,15 @@
     if (bd_before(c->now, n->next_status))
         return;
     n->next_status = bd_add(c->now, bd_secs(STATUS_S));
-    double age = bd_between(c->fresh, c->now);
+    double age = bd_between(c->refreshed_at, c->now);
     (void)pthread_mutex_lock(&n->status_lock);
     n->status.term = c->role == BD_LEADER ? c->term : 0;
     n->status.flags = c->role == BD_LEADER ? BD_PEER_LEADS : 0;
     n->status.flags |= BD_PEER_DEPS | BD_PEER_NEWS;
     if (bd_core_hears_leader(c))
         n->status.flags |= BD_PEER_HEARS;
-    if (c->role == BD_LEADER && c->deaf)
-        n->status.flags |= BD_PEER_DEAF;
+    if (c->role == BD_LEADER && c->inbound_cut)
+        n->status.flags |= BD_PEER_INBOUND_CUT;
     if (age < 1.0 && c->replica_ready)
         n->status.flags |= BD_PEER_STATE;
     if (bd_core_cut(c))
@@ -387,7 +387,7 @@
     if (c->role == BD_LEADER) {
         HASH_ITER(hh, c->jobs, j, jt)
         {
-            if (j->mood == BD_LIVE && j->tasks && (j->ndone || j->nrun))
+            if (j->state == BD_LIVE && j->tasks && (j->ndone || j->nrun))
                 add_progress(n, j);
         }
     }
@@ -440,12 +440,12 @@
     n->next_report = bd_add(now, bd_secs(REPORT_S));
 }
 
-void bd_owner_run(struct bd_node *n)
+void bd_event_loop_run(struct bd_node *n)
 {
     void *batch[BATCH];
     for (;;) {
         struct timespec until = bd_min(bd_core_next(n->core), n->next_status);
-        size_t got = bd_queue_take(&n->to_owner, batch, BATCH, until);
+        size_t got = bd_queue_take(&n->commands, batch, BATCH, until);
         (void)clock_core(n);
         for (size_t i = 0; i < got; i++) {
             struct bd_cmd *cmd = batch[i];
@@ -472,13 +472,13 @@
 
 int bd_node_start(struct bd_node *n)
 {
-    if (bd_http_start() != 0 || bd_queue_init(&n->to_owner, QUEUE_CAP) != 0 ||
+    if (bd_http_start() != 0 || bd_queue_init(&n->commands, QUEUE_CAP) != 0 ||
         bd_queue_init(&n->to_commit, 16) != 0 || bd_queue_init(&n->to_users, 64) != 0 ||
         bd_queue_init(&n->to_cloud, 64) != 0 || bd_queue_init(&n->reader_wake, 4) != 0)
         return -1;
     n->metrics = bd_metrics_new();
-    n->core = bd_core_new(&n->set, &n->log);
-    n->reports = bd_report_cache_new((size_t)(n->set.ram_mb * REPORTS_SHARE * 1048576.0));
+    n->core = bd_core_new(&n->settings, &n->log);
+    n->reports = bd_report_cache_new((size_t)(n->settings.ram_mb * REPORTS_SHARE * 1048576.0));
     if (!n->core || !n->metrics || !n->reports)
         return -1;
     n->core->metrics = n->metrics;
@@ -487,11 +487,11 @@
         seed = (uint64_t)bd_now().tv_nsec << 20;
     bd_core_seed(n->core, seed >> 1);
     (void)clock_core(n);
-    if (bd_store_start(n) != 0 || bd_cloud_start(n) != 0 || bd_worker_client_start(n) != 0 ||
-        bd_leader_start(n) != 0 || bd_transport_start(n) != 0)
+    if (bd_state_client_start(n) != 0 || bd_cloud_start(n) != 0 || bd_worker_client_start(n) != 0 ||
+        bd_election_start(n) != 0 || bd_transport_start(n) != 0)
         return -1;
-    if (bd_front_start(n) != 0) {
-        bd_say(&n->log, BD_ERROR, "cannot listen on %s", n->set.front);
+    if (bd_api_start(n) != 0) {
+        bd_say(&n->log, BD_ERROR, "cannot listen on %s", n->settings.api_addr);
         return -1;
     }
     return 0;
--- a/src/peer_transport.c
+++ b/src/peer_transport.c
@@ -92,7 +92,7 @@
         cmd->len = f->len;
     }
     bool quiet = says_nothing_new(in, f);
-    if (!(quiet ? bd_queue_put_quietly(&n->to_owner, cmd) : bd_queue_put(&n->to_owner, cmd)))
+    if (!(quiet ? bd_queue_put_quietly(&n->commands, cmd) : bd_queue_put(&n->commands, cmd)))
         bd_cmd_free(cmd); /* the next heartbeat says it again */
 }
 
@@ -210,7 +210,7 @@
     struct sockaddr_in at;
     int one = 1;
     struct listener *l = calloc(1, sizeof *l);
-    if (!l || !bd_parse_addr(n->set.mesh, &at)) {
+    if (!l || !bd_parse_addr(n->settings.peer_addr, &at)) {
         free(l);
         return -1;
     }
@@ -222,7 +222,7 @@
         (void)setsockopt(l->fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
     if (l->fd < 0 || bind(l->fd, (struct sockaddr *)&at, sizeof at) != 0 ||
         listen(l->fd, INCOMING) != 0) {
-        bd_say(&n->log, BD_ERROR, "cannot listen on %s", n->set.mesh);
+        bd_say(&n->log, BD_ERROR, "cannot listen on %s", n->settings.peer_addr);
         if (l->fd >= 0)
             (void)close(l->fd);
         free(l);
@@ -318,7 +318,7 @@
 
 void bd_transport_flush(struct bd_node *n)
 {
-    for (int i = 0; i < n->set.npeers; i++) {
+    for (int i = 0; i < n->settings.npeers; i++) {
         struct bd_peer_link *k = n->links[i];
         (void)pthread_mutex_lock(&k->lock);
         flush_link(k, BD_TRAFFIC_FORWARD);
@@ -379,7 +379,7 @@
         bool progress = bd_before(next_progress, now);
         if (progress)
             next_progress = bd_add(now, bd_secs(PROGRESS_S));
-        for (int i = 0; i < n->set.npeers; i++)
+        for (int i = 0; i < n->settings.npeers; i++)
             send_heartbeat(n->links[i], f, progress);
         bd_pause(HEARTBEAT_S);
     }
@@ -434,7 +434,7 @@
     struct bd_frame *f = calloc(1, sizeof *f);
     while (f) {
         void *broken;
-        int fd = open_connection(k->n->set.peers[k->peer].addr);
+        int fd = open_connection(k->n->settings.peers[k->peer].addr);
         if (replace_connection(k, fd))
             send_heartbeat(k, f, false);
         struct timespec opened = bd_now();
@@ -468,14 +468,14 @@
     if (pthread_mutex_init(&n->status_lock, NULL) != 0)
         return -1;
     n->status.type = BD_FRAME_STATUS;
-    snprintf(n->status.name, sizeof n->status.name, "%s", n->set.node);
-    for (int i = 0; i < n->set.npeers; i++) {
+    snprintf(n->status.name, sizeof n->status.name, "%s", n->settings.node);
+    for (int i = 0; i < n->settings.npeers; i++) {
         n->links[i] = new_link(n, i);
         if (!n->links[i])
             return -1;
     }
     int rc = start_listener(n);
-    for (int i = 0; i < n->set.npeers && rc == 0; i++)
+    for (int i = 0; i < n->settings.npeers && rc == 0; i++)
         rc = bd_thread(connect_run, n->links[i], STACK_BYTES);
     return rc == 0 ? bd_thread(heartbeat_run, n, STACK_BYTES) : rc;
 }
--- a/src/place.c
+++ b/src/place.c
@@ -48,7 +48,7 @@
     bool quick;                 /* only where no long fetch comes first */
     bool *open;                 /* by machine: new work may come to it */
     bool dear[BD_MAX_TYPES][2]; /* for the job that is being placed */
-    bool hurried;               /* its aims leave it no time for a fetch */
+    bool urgent;                /* its aims leave it no time for a fetch */
     double spot_lost;           /* what a spot one costs it that an ordinary one would not */
     double not_spot;            /* what an ordinary machine costs it that a spot one would not */
 };
@@ -66,11 +66,11 @@
     return (struct room){room.cpus - held.cpus, room.gpus - held.gpus, room.mem - held.mem};
 }
 
-static uint32_t fit_one(double have, double need, uint32_t most)
+static uint32_t fit_one(double have, double prerequisite, uint32_t most)
 {
-    if (need <= 0)
+    if (prerequisite <= 0)
         return most;
-    double n = floor((have + EPS) / need);
+    double n = floor((have + EPS) / prerequisite);
     return n <= 0 ? 0 : n < most ? (uint32_t)n : most;
 }
 
@@ -88,7 +88,7 @@
 
 static uint32_t quota_left(const struct bd_core *c, const struct bd_spec *s, uint32_t most)
 {
-    const struct bd_team_limits *t = &c->set->teams[s->team];
+    const struct bd_team_limits *t = &c->settings->teams[s->team];
     if (t->cpus_max > 0)
         most = fit_one(t->cpus_max - c->team_cpus[s->team], s->cpus, most);
     if (t->gpus_max > 0)
@@ -570,19 +570,19 @@
     bool due = isfinite(j->due_by);
     /* work with little time to spare goes where its image lies, on spot or not */
     r->not_spot = COST_NOT_SPOT;
-    r->hurried = s->shape == BD_SERVICE;
+    r->urgent = s->shape == BD_SERVICE;
     /* work that others wait for with a due time would lose more by a second run than spot saves */
     r->spot_lost = due ? COST_SPOT_LOST : 0;
     if (due) {
         r->not_spot = 0;
-        r->hurried = bd_due_slack(r->c, j) < DUE_HURRY_S;
+        r->urgent = bd_due_slack(r->c, j) < DUE_HURRY_S;
     }
-    for (int i = 0; i < r->c->set->naims; i++) {
-        double slack = bd_slack(r->c, s->klass, s->estimate, &r->c->set->aims[i]);
+    for (int i = 0; i < r->c->settings->naims; i++) {
+        double slack = bd_slack(r->c, s->job_class, s->estimate, &r->c->settings->aims[i]);
         if (slack < 0)
             continue;
         r->not_spot = fmin(r->not_spot, slack * NOT_SPOT_SHARE);
-        r->hurried = r->hurried || slack < HURRY_S;
+        r->urgent = r->urgent || slack < HURRY_S;
     }
     for (int t = 0; t < r->c->ntypes; t++)
         for (int spot = 0; spot < 2; spot++)
@@ -603,7 +603,7 @@
         got = place_gang(r, j, attempt) ? j->ntasks : 0;
         want = got;
     } else {
-        if (r->hurried && above)
+        if (r->urgent && above)
             got = place_quickly(r, j, &want, attempt);
         got += got < want ? fill(r, j, want - got, attempt, false) : 0;
         /* a short task that is stopped costs less than a GPU machine taken for a long service */
@@ -649,7 +649,7 @@
     qsort(jobs, n, sizeof(struct bd_job *), order_age);
     for (uint32_t i = 0; i < n; i++) {
         struct bd_job *j = jobs[i];
-        const struct bd_team_limits *t = &c->set->teams[j->spec.team];
+        const struct bd_team_limits *t = &c->settings->teams[j->spec.team];
         double left = j->ntasks - j->ndone;
         cpus[j->spec.team] += left * j->spec.cpus;
         gpus[j->spec.team] += left * j->spec.gpus;
@@ -669,7 +669,7 @@
         abort();
     HASH_ITER(hh, c->jobs, j, jt)
     {
-        if (j->mood == BD_LIVE && j->tasks && j->has_spec && j->spec.team >= 0 &&
+        if (j->state == BD_LIVE && j->tasks && j->has_spec && j->spec.team >= 0 &&
             j->ndone < j->ntasks && !bd_job_waits(j) && !bd_cancel_heard(c, j))
             list[n++] = j;
     }
@@ -715,9 +715,9 @@
     r.open = calloc(c->nmachines + 1, sizeof *r.open);
     /* each record but the last may end a group's worth early */
     uint32_t parts = bd_round_parts(c);
-    r.most_bytes =
-        (size_t)(BD_VALUE_SHARE * (double)c->lim.value_bytes * parts) - (parts - 1) * 2 * BD_LABEL;
-    r.most_conds = (uint32_t)(3 * c->lim.txn_ops);
+    r.most_bytes = (size_t)(BD_VALUE_SHARE * (double)c->limits.value_bytes * parts) -
+                   (parts - 1) * 2 * BD_LABEL;
+    r.most_conds = (uint32_t)(3 * c->limits.txn_ops);
     if (!r.claimed || !r.open || !r.stops || !r.cost || !r.fetch)
         abort();
     for (uint32_t i = 0; i < c->nmachines; i++)
@@ -725,7 +725,7 @@
     for (uint32_t i = 0; i < r.njobs; i++) {
         struct bd_job *j = r.jobs[i];
         if (j->nwait > 0 && !j->stale && bd_before(j->hold_until, c->now) &&
-            !bd_before(c->now, j->aside_until))
+            !bd_before(c->now, j->backoff_until))
             place_job(&r, j);
     }
     free(r.jobs);
--- a/src/price.c
+++ b/src/price.c
@@ -39,7 +39,7 @@
     return place_price(c, s, type, spot) > DEAR * low;
 }
 
-const char *bd_klass_name(const struct bd_core *c, int id)
+const char *bd_class_name(const struct bd_core *c, int id)
 {
     struct bd_names *n, *t;
     HASH_ITER(hh, c->classes, n, t)
@@ -51,9 +51,9 @@
 }
 
 /* How long a job of the class may wait and still meet the aim; below 0: not this class's aim. */
-double bd_slack(const struct bd_core *c, int klass, double estimate, const struct bd_aim *a)
+double bd_slack(const struct bd_core *c, int job_class, double estimate, const struct bd_aim *a)
 {
-    if (strcmp(a->klass, bd_klass_name(c, klass)) != 0)
+    if (strcmp(a->job_class, bd_class_name(c, job_class)) != 0)
         return -1;
     if (a->kind == BD_AIM_WAIT)
         return a->within_s;
@@ -72,9 +72,9 @@
     for (int t = 0; t < c->ntypes; t++)
         if (place_price(c, s, t, false) < INFINITY)
             lead = fmax(lead, c->types[t].boot + s->image_gb / c->types[t].fetch);
-    for (int i = 0; i < c->set->naims; i++) {
-        const struct bd_aim *a = &c->set->aims[i];
-        double slack = bd_slack(c, s->klass, s->estimate, a), v = slack - lead;
+    for (int i = 0; i < c->settings->naims; i++) {
+        const struct bd_aim *a = &c->settings->aims[i];
+        double slack = bd_slack(c, s->job_class, s->estimate, a), v = slack - lead;
         if (slack < 0)
             continue;
         if (a->kind == BD_AIM_WAIT && v < HOPE_S)
--- a/src/reports.c
+++ b/src/reports.c
@@ -3,7 +3,7 @@
 #include <stdio.h>
 
 /* named defaults */
-#define SICK_ERRORS 3u      /* failures in a row; those of a job that runs elsewhere count twice */
+#define FAILING_ERRORS 3u   /* failures in a row; those of a job that runs elsewhere count twice */
 #define REFUSED_PAUSE_S 3.0 /* a machine that said no_room is left alone */
 #define RETRY_FIRST_S 1.0   /* pause of a job whose tasks fail, doubled each time */
 #define RETRY_MOST_S 30.0
@@ -15,8 +15,8 @@
 #define DIRECT_DOUBLINGS 4u /* longest pause: 16 report intervals */
 #define ZONE_FAILS 4u       /* direct commands without an answer, in a row, of one zone */
 #define ZONE_PROBE_S 4.0
-#define STRAYS 2u       /* then a machine is taken not to hear */
-#define MUTE_SHARE 0.34 /* of the machines: more than that do not go deaf together */
+#define MISROUTED_MOST 2u       /* then a machine is taken not to hear */
+#define OUTBOUND_CUT_SHARE 0.34 /* of the machines: more than that do not go deaf together */
 
 struct orders {
     struct bd_order *o;
@@ -64,8 +64,8 @@
             bool force = t->flags & BD_F_FORCE;
             if (t->state == BD_T_LIVE && (t->sub != BD_SAVING || force))
                 order(l, BD_HALT, j->id, i, t->attempt, grace_of(j, t));
-        } else if (t->state == BD_T_LAUNCH && bd_may_launch(c) && j->mood == BD_LIVE &&
-                   !bd_cancel_heard(c, j) && (!direct || t->attempt > c->sealed_attempt)) {
+        } else if (t->state == BD_T_LAUNCH && bd_may_launch(c) && j->state == BD_LIVE &&
+                   !bd_cancel_heard(c, j) && (!direct || t->attempt > c->fenced_attempt)) {
             order(l, BD_LAUNCH, j->id, i, t->attempt, 0);
             t->flags |= direct ? BD_F_SENT | BD_F_DO : BD_F_SENT | BD_F_TOLD;
             launch = true;
@@ -98,7 +98,7 @@
         return;
     struct bd_effect *e = bd_emit(c, BD_E_DO);
     e->machine = m->index;
-    e->seal = c->term;
+    e->token = c->term;
     e->launch = launch;
     snprintf(e->addr, sizeof e->addr, "%s", m->addr);
     e->body = bd_wire_orders(c->term, m->session, l.o, l.n);
@@ -115,7 +115,7 @@
     else if (m->error_job != j)
         m->errors++;
     m->error_job = j;
-    if (m->errors >= SICK_ERRORS && !m->bad) {
+    if (m->errors >= FAILING_ERRORS && !m->bad) {
         m->bad = true;
         bd_say(c->log, BD_INFO, "%s fails its tasks and is taken out of use", m->id);
     }
@@ -140,7 +140,7 @@
     uint32_t late = 0;
     /* what was held back shows tasks running that have ended long since */
     if (m->gone || m->bad || !m->fenced ||
-        bd_between(m->steady, m->heard) < SLOW_STEADY * bd_to_secs(c->set->report))
+        bd_between(m->steady, m->heard) < SLOW_STEADY * bd_to_secs(c->settings->report))
         return;
     for (uint32_t k = 0; k < m->nrefs; k++) {
         const struct bd_job *j = m->refs[k].job;
@@ -188,7 +188,7 @@
 static void forget(struct bd_core *c, const struct bd_report *r, const struct bd_seen_task *s,
                    struct orders *l)
 {
-    if (s->attempt <= c->sealed_attempt && r->seal >= c->term)
+    if (s->attempt <= c->fenced_attempt && r->token >= c->term)
         order(l, BD_FORGET, s->job, s->task, s->attempt, 0);
     else if (c->withheld++ == 0)
         c->withheld_at = c->now;
@@ -201,7 +201,7 @@
     bool current = is_current(m, t, s->attempt);
     /* a late copy of the launch would start a forgotten attempt again */
     bool late = current && t->flags & BD_F_DO;
-    if (s->why == BD_WHY_DONE && j->mood == BD_LIVE) {
+    if (s->why == BD_WHY_DONE && j->state == BD_LIVE) {
         if (current) /* older ones are shown until they are forgotten, and prove nothing */
             m->errors = 0;
         if (late) {
@@ -238,7 +238,7 @@
         }
         /* no intent names it, yet it runs: holding it here is what keeps it from running twice */
         bd_task_assign(c, j, s->task, m, s->attempt, BD_T_LIVE);
-        if (j->mood != BD_LIVE)
+        if (j->state != BD_LIVE)
             t->flags |= BD_F_STOP | BD_F_FORCE;
     }
     uint8_t flags = t->flags;
@@ -290,7 +290,7 @@
 /* A session change or a higher seal excludes every direct launch that had no answer. */
 static void exclude_late(struct bd_machine *m)
 {
-    m->do_seal = 0;
+    m->late_token = 0;
     for (uint32_t k = 0; k < m->nrefs; k++)
         m->refs[k].job->tasks[m->refs[k].task].flags &= (uint8_t) ~(BD_F_DO | BD_F_EXITED);
 }
@@ -312,7 +312,7 @@
         struct bd_job *j = bd_job_find(c, s->job);
         if (!j || !j->tasks || s->task >= j->ntasks) {
             /* done jobs' results may be forgotten; of others nothing is known here */
-            if (s->sub == BD_EXITED && j && j->mood == BD_DONE)
+            if (s->sub == BD_EXITED && j && j->state == BD_DONE)
                 forget(c, r, s, l);
             else if (s->sub != BD_EXITED)
                 order(l, BD_HALT, s->job, s->task, s->attempt, 0);
@@ -338,7 +338,7 @@
     if (m->fenced)
         bd_machine_lapse(c, m);
     m->asked_seq = 0;
-    m->mute = true; /* until it shows that it hears: its lease ran out, answered or not */
+    m->outbound_cut = true; /* until it shows that it hears: its lease ran out, answered or not */
     /* the new session's own lease began at the latest now, whether a check-in is ever answered */
     m->lapse_at = bd_max(m->lapse_at, bd_lease_end(c, c->now));
 }
@@ -354,15 +354,15 @@
     identify(c, m, r);
     m->session = r->session;
     m->seq = r->seq;
-    if (bd_between(m->heard, c->now) > 2 * bd_to_secs(c->set->report))
+    if (bd_between(m->heard, c->now) > 2 * bd_to_secs(c->settings->report))
         m->steady = c->now;
     m->heard = c->now;
-    if (r->seal < c->base_term)
+    if (r->token < c->base_term)
         return true; /* an earlier term may still command it: no evidence yet */
     if (!m->fenced)
         c->round_wanted = true;
     m->fenced = true;
-    if (m->do_seal && r->seal > m->do_seal && !m->do_busy)
+    if (m->late_token && r->token > m->late_token && !m->do_busy)
         exclude_late(m);
     mark_shown(c, m, r);
     missing(c, m);
@@ -395,10 +395,10 @@
 {
     bool next = r->session == m->session && m->asked_seq && r->seq == m->asked_seq + 1;
     if (next && via == m->via) {
-        m->mute = false;
-        m->strayed = 0;
+        m->outbound_cut = false;
+        m->misrouted = 0;
     } else if (next) {
-        m->mute = m->mute || ++m->strayed >= STRAYS;
+        m->outbound_cut = m->outbound_cut || ++m->misrouted >= MISROUTED_MOST;
     }
     m->via = via;
 }
@@ -416,25 +416,25 @@
 {
     struct bd_machine *m = NULL;
     bool direct = via < 0;
-    if (r->seal > c->term) { /* it would drop our answer and stay here until its lease is over */
+    if (r->token > c->term) { /* it would drop our answer and stay here until its lease is over */
         if (!bd_core_valid(c))
             bd_core_lost(c);
-        bd_reply(c, request, 421, bd_wire_steer(""), 0);
+        bd_reply(c, request, 421, bd_wire_redirect(""), 0);
         return;
     }
     m = bd_machine_get(c, r->machine);
     /* a copy is no sign of life: nothing is learnt from it, and no lease renewed */
     if (is_copy(m, r)) {
-        bd_reply(c, request, 503, bd_wire_steer(""), 0);
+        bd_reply(c, request, 503, bd_wire_redirect(""), 0);
         return;
     }
-    int peer = direct ? bd_forward_steer(c, m, r) : -1;
+    int peer = direct ? bd_forward_redirect(c, m, r) : -1;
     if (peer >= 0) {
-        bd_reply(c, request, 421, bd_wire_steer(c->set->peers[peer].name), 0);
+        bd_reply(c, request, 421, bd_wire_redirect(c->settings->peers[peer].name), 0);
         return;
     }
-    if (direct && m->deputised)
-        bd_deputy_needless(c, m);
+    if (direct && m->delegated)
+        bd_delegate_needless(c, m);
     struct orders l = {0};
     hears_us(m, r, via);
     answers_settled(m);
@@ -457,7 +457,7 @@
         return;
     }
     if (c->role == BD_FOLLOWER &&
-        (bd_forward_checkin(c, request, r, body, len) || bd_deputy_checkin(c, request, r)))
+        (bd_forward_checkin(c, request, r, body, len) || bd_delegate_checkin(c, request, r)))
         return;
     bd_forward_away(c, request, r);
 }
@@ -465,8 +465,8 @@
 void bd_core_forwarded(struct bd_core *c, const char *peer, uint64_t id, const struct bd_report *r,
                        const char *body, size_t len)
 {
-    for (int i = 0; i < c->set->npeers; i++) {
-        if (strcmp(c->set->peers[i].name, peer) != 0)
+    for (int i = 0; i < c->settings->npeers; i++) {
+        if (strcmp(c->settings->peers[i].name, peer) != 0)
             continue;
         struct bd_remote *q = calloc(1, sizeof *q);
         if (!q)
@@ -477,53 +477,53 @@
         if (bd_core_may_answer(c))
             lead_checkin(c, q, r, i);
         else if (!bd_forward_relay(c, q, r, body, len))
-            bd_reply(c, q, 421, bd_wire_steer(""), 0);
+            bd_reply(c, q, 421, bd_wire_redirect(""), 0);
     }
 }
 
 /* A machine that does not answer directly is left to its reports for a while. */
 static void direct_failed(struct bd_core *c, struct bd_machine *m)
 {
-    double pause = bd_to_secs(c->set->report);
+    double pause = bd_to_secs(c->settings->report);
     for (uint32_t k = 0; k < m->do_fails && k < DIRECT_DOUBLINGS; k++)
         pause *= 2;
     m->do_fails++;
     if (m->zone >= 0)
         c->direct[m->zone].fails++;
-    m->mute = true; /* nothing new for it until it shows that it hears */
+    m->outbound_cut = true; /* nothing new for it until it shows that it hears */
     m->do_after = bd_add(c->now, bd_secs(pause));
 }
 
 /* As leader: whether so many seem not to hear that it is rather we who are not heard. */
-void bd_find_mute(struct bd_core *c)
+void bd_find_outbound_cut(struct bd_core *c)
 {
-    uint32_t known = 0, mute = 0;
+    uint32_t known = 0, outbound_cut = 0;
     for (uint32_t i = 0; i < c->nmachines; i++) {
         const struct bd_machine *m = c->by_index[i];
         if (m->gone || !m->fenced)
             continue;
         known++;
-        mute += m->mute;
+        outbound_cut += m->outbound_cut;
     }
-    c->mute_many = mute > MUTE_SHARE * known;
+    c->outbound_cut_many = outbound_cut > OUTBOUND_CUT_SHARE * known;
 }
 
-void bd_core_did(struct bd_core *c, uint32_t machine, uint64_t seal, bool launch, long status,
+void bd_core_did(struct bd_core *c, uint32_t machine, uint64_t token, bool launch, long status,
                  const struct bd_report *r)
 {
     struct bd_machine *m = bd_machine_of(c, machine);
-    if (c->role != BD_LEADER || !m || seal < c->base_term)
+    if (c->role != BD_LEADER || !m || token < c->base_term)
         return;
     m->do_busy = false;
     bool answered = r && (status == 200 || status == 409);
     if (!answered) {
         direct_failed(c, m);
-        if (launch && seal > m->do_seal)
-            m->do_seal = seal;
+        if (launch && token > m->late_token)
+            m->late_token = token;
         return;
     }
     m->do_fails = 0;
-    m->mute = false;
+    m->outbound_cut = false;
     if (m->zone >= 0)
         c->direct[m->zone].fails = 0;
     if (strcmp(r->machine, m->id) != 0) {
@@ -531,7 +531,7 @@
         return;
     }
     struct orders l = {0};
-    if (launch && m->do_seal == 0)
+    if (launch && m->late_token == 0)
         exclude_late(m); /* answered: nothing of it is on its way any more */
     if (m->gone)
         return;
--- a/src/rounds.c
+++ b/src/rounds.c
@@ -8,16 +8,16 @@
 #define ROUND_S 0.05
 #define ROUND_MOST_S 0.5
 #define ROUND_SHARE 0.3 /* of the processor that rounds may take */
-#define LOOK_S 1e-7     /* for one job at one machine, on a whole core (callgrind, about) */
+#define REFRESH_S 1e-7  /* for one job at one machine, on a whole core (callgrind, about) */
 #define GC_S 2.0
 #define GC_AGAIN_S 0.3 /* when there was more than one transaction takes */
 #define EVICT_S 10.0
 #define WRITE_SHARE 0.6 /* of the state service's changes; the rest is the users' */
 #define TXN_BYTES 56000u
 #define INTENT_BYTES 42000u /* of them for intent records */
-#define BUMP_AFTER_S 1.5
-#define BUMP_EVERY_S 5.0
-#define FORGET_BUMP_S 25.0  /* so long results stay on the machines before the seal rises */
+#define TOKEN_RAISE_AFTER_S 1.5
+#define TOKEN_RAISE_EVERY_S 5.0
+#define FORGET_RAISE_S 25.0 /* so long results stay on the machines before the seal rises */
 #define WITHHELD_MOST 4000u /* ... or until reports show so many */
 
 static const char hex[] = "0123456789abcdef";
@@ -53,7 +53,7 @@
 /* How many intent records a transaction may hold beside receipts. */
 uint32_t bd_round_parts(const struct bd_core *c)
 {
-    size_t n = INTENT_BYTES / c->lim.value_bytes, ops = bd_limits_ops(c) / 4;
+    size_t n = INTENT_BYTES / c->limits.value_bytes, ops = bd_limits_ops(c) / 4;
     n = n < ops ? n : ops;
     return n < 1 ? 1 : n > BD_ROUND_PARTS ? BD_ROUND_PARTS : (uint32_t)n;
 }
@@ -67,7 +67,7 @@
 static json_t *intent_value(struct bd_core *c, const struct bd_intent *e, uint32_t *n)
 {
     json_t *list = json_array();
-    double room = BD_VALUE_SHARE * (double)c->lim.value_bytes;
+    double room = BD_VALUE_SHARE * (double)c->limits.value_bytes;
     uint32_t i = 0;
     while (i < *n) {
         struct bd_machine *m = bd_machine_of(c, e[i].machine);
@@ -107,7 +107,7 @@
         snprintf(p->key, sizeof p->key, "i/%020llu-%08llu", (unsigned long long)c->base_term,
                  (unsigned long long)++c->round_n);
         bd_txn_set(&b->t, p->key, intent_value(c, k->plan + i, &p->n), 0);
-        spend(b, 1, 0, c->lim.value_bytes);
+        spend(b, 1, 0, c->limits.value_bytes);
         i += p->n;
     }
 }
@@ -139,8 +139,8 @@
     struct bd_commit *k = c->commit;
     if (k->ndone == sizeof k->done / sizeof *k->done || !room_for(b, 1, 1, 300))
         return false;
-    struct bd_record r = {.mood = BD_DONE, .tasks = j->ntasks, .at = j->at, .end = c->wall};
-    snprintf(r.spec.klass, sizeof r.spec.klass, "%s", bd_klass_name(c, j->klass));
+    struct bd_record r = {.state = BD_DONE, .tasks = j->ntasks, .at = j->at, .end = c->wall};
+    snprintf(r.spec.job_class, sizeof r.spec.job_class, "%s", bd_class_name(c, j->job_class));
     add_record(b, j, bd_wire_record(&r), 200);
     k->done[k->ndone++] = j;
     return true;
@@ -156,7 +156,7 @@
         return;
     HASH_ITER(hh, c->jobs, j, jt)
     {
-        if (!j->derived || j->stale || bd_before(c->now, j->aside_until))
+        if (!j->derived || j->stale || bd_before(c->now, j->backoff_until))
             continue;
         if (k->ncancelled == sizeof k->cancelled / sizeof *k->cancelled || !room_for(b, 1, 1, most))
             return;
@@ -194,7 +194,7 @@
     size_t bytes = (left < CHUNK ? left : CHUNK) / 4 + 16;
     if (!room_for(b, 1, 1, bytes + 200))
         return false;
-    if (bytes > c->lim.value_bytes) /* fits no value any more: its done record says it */
+    if (bytes > c->limits.value_bytes) /* fits no value any more: its done record says it */
         return true;
     struct bd_receipt *grown = realloc(k->receipts, (k->nreceipts + 1) * sizeof *grown);
     if (!grown)
@@ -216,8 +216,8 @@
     struct bd_job *j, *jt;
     HASH_ITER(hh, c->jobs, j, jt)
     {
-        if (!j->dirty || !j->tasks || j->mood != BD_LIVE || j->stale ||
-            bd_before(c->now, j->aside_until))
+        if (!j->dirty || !j->tasks || j->state != BD_LIVE || j->stale ||
+            bd_before(c->now, j->backoff_until))
             continue;
         if (j->ndone == j->ntasks) {
             if (!add_done(c, b, j))
@@ -268,17 +268,17 @@
 {
     struct bd_job *j, *jt;
     char key[BD_LABEL];
-    if (*c->stale_deputy && can_drop(c, b))
-        drop_key(c, b, c->stale_deputy);
-    c->stale_deputy[0] = '\0';
+    if (*c->stale_delegate && can_drop(c, b))
+        drop_key(c, b, c->stale_delegate);
+    c->stale_delegate[0] = '\0';
     for (uint32_t i = 0; i < c->nrounds && can_drop(c, b); i++)
         if (!round_live(&c->rounds[i]))
             drop_key(c, b, c->rounds[i].key);
     HASH_ITER(hh, c->jobs, j, jt)
     {
-        if (j->mood == BD_CANCELLED && j->tasks && j->nlive == 0)
+        if (j->state == BD_CANCELLED && j->tasks && j->nlive == 0)
             bd_job_unlead(j); /* nothing of it is anywhere any more */
-        if (j->mood == BD_LIVE || !j->receipt_chunks)
+        if (j->state == BD_LIVE || !j->receipt_chunks)
             continue;
         for (uint32_t ch = 0; ch < 64 && can_drop(c, b); ch++) {
             if (j->receipt_chunks >> ch & 1) {
@@ -290,28 +290,29 @@
     }
 }
 
-static void add_bump(struct bd_core *c, struct build *b)
+static void add_token_raise(struct bd_core *c, struct build *b)
 {
-    if (!c->want_bump)
+    if (!c->want_token_raise)
         return;
-    c->want_bump = false;
-    c->commit->bump = true;
+    c->want_token_raise = false;
+    c->commit->raises_token = true;
     json_t *away = bd_dismissed(c);
-    bd_txn_set(&b->t, "leader",
-               json_pack("{s:s,s:s,s:o}", "node", c->set->node, "nonce", c->nonce, "away", away),
-               c->grant);
+    bd_txn_set(
+        &b->t, "leader",
+        json_pack("{s:s,s:s,s:o}", "node", c->settings->node, "nonce", c->nonce, "away", away),
+        c->grant);
     spend(b, 1, 0, 200);
 }
 
 void bd_round_commit(struct bd_core *c)
 {
     struct bd_commit *k = c->commit;
-    struct build b = {.most_ops = bd_limits_ops(c) - 1, .most_conds = 4 * c->lim.txn_ops - 2};
+    struct build b = {.most_ops = bd_limits_ops(c) - 1, .most_conds = 4 * c->limits.txn_ops - 2};
     if (!bd_txn_start(&b.t))
         abort();
     bd_txn_if(&b.t, "leader", c->term);
-    bd_txn_if(&b.t, "w", c->witness_mark);
-    add_bump(c, &b);
+    bd_txn_if(&b.t, "w", c->sequence_mark);
+    add_token_raise(c, &b);
     add_intents(c, &b);
     unplan_rest(c);
     add_receipts(c, &b);
@@ -327,14 +328,14 @@
         c->commit = NULL;
         return;
     }
-    c->witness_n++;
+    c->sequence++;
     bd_txn_set(&b.t, "w",
-               json_pack("{s:I,s:I}", "t", (json_int_t)c->base_term, "n", (json_int_t)c->witness_n),
+               json_pack("{s:I,s:I}", "t", (json_int_t)c->base_term, "n", (json_int_t)c->sequence),
                0);
     c->write_tokens -= (double)(b.ops + 1);
     struct bd_effect *e = bd_emit(c, BD_E_COMMIT);
     e->body = bd_txn_end(&b.t);
-    e->seal = c->witness_n;
+    e->token = c->sequence;
     snprintf(e->key, sizeof e->key, "%llu", (unsigned long long)c->base_term);
 }
 
@@ -365,7 +366,7 @@
         if (!t || t->state != BD_T_PLAN || t->attempt != e->attempt)
             continue;
         struct bd_machine *m = bd_machine_of(c, t->machine);
-        if (e->job->mood != BD_LIVE || bd_cancel_heard(c, e->job) || !m || m->gone ||
+        if (e->job->state != BD_LIVE || bd_cancel_heard(c, e->job) || !m || m->gone ||
             m->returning) {
             bd_task_free(c, e->job, e->task);
             continue;
@@ -435,7 +436,7 @@
         age - bd_between(j->last_placed, c->now), age - bd_between(j->last_begun, c->now), age,
         j->restarts);
     j->mark = ring;
-    j->mood = BD_DONE;
+    j->state = BD_DONE;
     j->end = c->wall;
     bd_job_unlead(j);
     json_decref(j->record_spec);
@@ -445,11 +446,11 @@
 
 static void kept(struct bd_core *c, struct bd_commit *k, uint64_t ring)
 {
-    c->witness_mark = ring;
-    if (k->bump) {
+    c->sequence_mark = ring;
+    if (k->raises_token) {
         c->term = ring;
-        c->last_bump = c->now;
-        c->sealed_attempt = (c->base_term << 20) + c->counter;
+        c->last_token_raise = c->now;
+        c->fenced_attempt = (c->base_term << 20) + c->counter;
         c->withheld = 0;
     }
     for (uint32_t i = 0; i < k->nreceipts; i++)
@@ -482,7 +483,7 @@
             e->job->tasks[e->task].attempt == e->attempt)
             bd_task_free(c, e->job, e->task);
     }
-    c->want_bump = c->want_bump || k->bump;
+    c->want_token_raise = c->want_token_raise || k->raises_token;
     /* the same number is never used for another content */
 }
 
@@ -492,13 +493,13 @@
     if (bd_limits_refused(c, "a round's transaction"))
         return;
     for (uint32_t i = 0; i < k->nplan; i++)
-        bd_limits_aside(c, k->plan[i].job);
+        bd_limits_back_off(c, k->plan[i].job);
     for (uint32_t i = 0; i < k->nreceipts; i++)
-        bd_limits_aside(c, k->receipts[i].job);
+        bd_limits_back_off(c, k->receipts[i].job);
     for (uint32_t i = 0; i < k->ndone; i++)
-        bd_limits_aside(c, k->done[i]);
+        bd_limits_back_off(c, k->done[i]);
     for (uint32_t i = 0; i < k->ncancelled; i++)
-        bd_limits_aside(c, k->cancelled[i]);
+        bd_limits_back_off(c, k->cancelled[i]);
 }
 
 void bd_core_committed(struct bd_core *c, int outcome, uint64_t ring, json_t *failed)
@@ -609,7 +610,7 @@
                 continue;
             bd_task_assign(c, e->job, e->task, m, e->attempt, BD_T_UNKNOWN);
             t->flags |= BD_F_SENT;
-            if (e->job->mood != BD_LIVE)
+            if (e->job->state != BD_LIVE)
                 t->flags |= BD_F_STOP | BD_F_FORCE;
             unknown++;
         }
@@ -628,26 +629,26 @@
     c->base_term = c->term = g->term;
     c->grant = g->grant;
     c->counter = 0;
-    c->sealed_attempt = g->term << 20; /* earlier terms' launches carried lower seals */
+    c->fenced_attempt = g->term << 20; /* earlier terms' launches carried lower seals */
     c->withheld = 0;
     c->round_n = 0;
     c->request_n = 0;
-    c->witness_mark = g->witness_mark;
-    c->witness_n = g->witness_n;
+    c->sequence_mark = g->sequence_mark;
+    c->sequence = g->sequence;
     c->listed_once = false;
     snprintf(c->nonce, sizeof c->nonce, "%s", g->nonce);
-    bd_core_leader_is(c, c->set->node, g->term, g->renewed, false);
-    bd_deputy_end(c);
-    c->deputies_looked = c->now;
+    bd_core_leader_is(c, c->settings->node, g->term, g->renewed, false);
+    bd_delegate_end(c);
+    c->delegates_read = c->now;
     /* an earlier leader in its grace, or a deputy of one, may have answered until then */
-    double rest = bd_grace_s(c->set) - bd_to_secs(c->set->leader_ttl);
-    rest = rest > DEPUTY_FRESH_S ? rest : DEPUTY_FRESH_S;
+    double rest = bd_grace_s(c->settings) - bd_to_secs(c->settings->leader_ttl);
+    rest = rest > DELEGATE_FRESH_S ? rest : DELEGATE_FRESH_S;
     c->others_lapse = bd_lease_end(c, bd_add(c->now, bd_secs(rest)));
     HASH_ITER(hh, c->jobs, j, jt)
     {
         j->receipt_chunks = 0;
         /* withdrawn jobs too: what still runs of them counts and must be stopped */
-        if (j->mood != BD_DONE && !bd_job_lead(c, j))
+        if (j->state != BD_DONE && !bd_job_lead(c, j))
             bd_say(c->log, BD_ERROR, "%s: no memory for its tasks", j->id);
     }
     json_array_foreach(g->receipts, i, v)
@@ -678,7 +679,7 @@
         if (bd_before(c->now, m->lapse_at))
             continue;
         /* a deputy may have answered it: a look begun after the lease's end must not show it */
-        if (m->deputised || bd_before(c->deputies_looked, m->lapse_at))
+        if (m->delegated || bd_before(c->delegates_read, m->lapse_at))
             continue;
         bd_say(c->log, BD_INFO, "%s: lease over, %u tasks lost", m->id, m->nrefs);
         m->lapsed_session = m->session;
@@ -690,29 +691,29 @@
 
 static void late_launches(struct bd_core *c)
 {
-    for (uint32_t i = 0; i < c->nmachines && !c->want_bump; i++) {
+    for (uint32_t i = 0; i < c->nmachines && !c->want_token_raise; i++) {
         struct bd_machine *m = c->by_index[i];
-        if (!m->do_seal || m->do_seal < c->term || m->gone ||
-            bd_between(m->do_since, c->now) < BUMP_AFTER_S ||
-            bd_between(m->heard, c->now) > 2 * bd_to_secs(c->set->report))
+        if (!m->late_token || m->late_token < c->term || m->gone ||
+            bd_between(m->do_since, c->now) < TOKEN_RAISE_AFTER_S ||
+            bd_between(m->heard, c->now) > 2 * bd_to_secs(c->settings->report))
             continue;
         for (uint32_t k = 0; k < m->nrefs; k++)
             if (m->refs[k].job->tasks[m->refs[k].task].flags & BD_F_DO)
-                c->want_bump = bd_between(c->last_bump, c->now) > BUMP_EVERY_S;
+                c->want_token_raise = bd_between(c->last_token_raise, c->now) > TOKEN_RAISE_EVERY_S;
     }
 }
 
 static void forgets_due(struct bd_core *c)
 {
-    if (c->withheld &&
-        (bd_between(c->withheld_at, c->now) > FORGET_BUMP_S ||
-         (c->withheld > WITHHELD_MOST && bd_between(c->last_bump, c->now) > BUMP_EVERY_S)))
-        c->want_bump = true;
+    if (c->withheld && (bd_between(c->withheld_at, c->now) > FORGET_RAISE_S ||
+                        (c->withheld > WITHHELD_MOST &&
+                         bd_between(c->last_token_raise, c->now) > TOKEN_RAISE_EVERY_S)))
+        c->want_token_raise = true;
 }
 
 static void tokens(struct bd_core *c)
 {
-    double rate = c->lim.write_rps * WRITE_SHARE;
+    double rate = c->limits.write_rps * WRITE_SHARE;
     bd_limits_tick(c);
     c->write_tokens += rate * bd_between(c->token_at, c->now);
     if (c->write_tokens > rate)
@@ -726,8 +727,9 @@
 {
     double jobs = 0;
     for (const struct bd_job *j = c->jobs; j; j = j->hh.next)
-        jobs += j->mood == BD_LIVE && j->nwait > 0 && !bd_job_waits(j);
-    double s = c->set->cpu > 0 ? jobs * c->nmachines * LOOK_S / c->set->cpu / ROUND_SHARE : 0;
+        jobs += j->state == BD_LIVE && j->nwait > 0 && !bd_job_waits(j);
+    double s =
+        c->settings->cpu > 0 ? jobs * c->nmachines * REFRESH_S / c->settings->cpu / ROUND_SHARE : 0;
     return s < ROUND_S ? ROUND_S : s > ROUND_MOST_S ? ROUND_MOST_S : s;
 }
 
@@ -735,14 +737,15 @@
 {
     if (c->commit || bd_before(c->now, c->next_round) || c->write_tokens < 2)
         return;
-    if (!c->round_wanted && !c->want_bump && c->nderived == 0 && bd_before(c->now, c->next_gc))
+    if (!c->round_wanted && !c->want_token_raise && c->nderived == 0 &&
+        bd_before(c->now, c->next_gc))
         return;
     c->round_wanted = false;
     c->next_round = bd_add(c->now, bd_secs(round_s(c)));
     c->commit = calloc(1, sizeof *c->commit);
     if (!c->commit)
         abort();
-    if (!c->want_bump)
+    if (!c->want_token_raise)
         bd_round_place(c);
     bd_round_commit(c);
 }
@@ -759,11 +762,11 @@
         c->barrier_out = true;
         (void)bd_emit(c, BD_E_BARRIER);
     }
-    bd_core_step_aside(c);
+    bd_core_yield(c);
     bd_deps_tick(c);
     bd_forward_tick(c);
     if (c->role != BD_LEADER) {
-        bd_deputy_tick(c);
+        bd_delegate_tick(c);
         return;
     }
     if (bd_before(c->next_tick, c->now)) {
@@ -772,7 +775,7 @@
         lapses(c);
         late_launches(c);
         forgets_due(c);
-        bd_find_mute(c);
+        bd_find_outbound_cut(c);
         bd_core_give_up_if_blind(c);
     }
     if (!bd_core_valid(c))
@@ -780,7 +783,7 @@
     tokens(c);
     if (c->types_known && bd_before(c->next_fleet, c->now)) {
         c->next_fleet = bd_add(c->now, bd_secs(1.0));
-        bd_fleet_tick(c);
+        bd_autoscaler_tick(c);
         c->round_wanted = true; /* pauses run out without an event */
     }
     round_now(c);
@@ -788,7 +791,7 @@
 
 struct timespec bd_core_next(const struct bd_core *c)
 {
-    double s = c->forwards || c->deputy.ncharges || c->deputy.asking ? 0.2 : 1.0;
+    double s = c->forwards || c->delegate.nserved || c->delegate.asking ? 0.2 : 1.0;
     if (c->role == BD_LEADER)
         s = c->round_wanted && !c->commit ? ROUND_S : 0.25;
     return bd_add(c->now, bd_secs(s));
--- a/src/settings.c
+++ b/src/settings.c
@@ -132,10 +132,10 @@
         if (s->naims == BD_MAX_AIMS)
             return;
         struct bd_aim *m = &s->aims[s->naims++];
-        const char *klass = json_string_value(json_object_get(o, "class"));
+        const char *job_class = json_string_value(json_object_get(o, "class"));
         m->kind = aim_kind(json_string_value(json_object_get(o, "kind")));
-        if (klass)
-            snprintf(m->klass, sizeof m->klass, "%s", klass);
+        if (job_class)
+            snprintf(m->job_class, sizeof m->job_class, "%s", job_class);
         m->within_s = json_number_value(json_object_get(o, "within_s"));
         m->share = json_number_value(json_object_get(o, "share"));
     }
@@ -218,8 +218,8 @@
         fault(&r, "settings", "needs an object");
     text(&r, root, "node_name", s->node);
     text(&r, root, "location", s->zone);
-    text(&r, root, "front", s->front);
-    text(&r, root, "mesh_addr", s->mesh);
+    text(&r, root, "front", s->api_addr);
+    text(&r, root, "mesh_addr", s->peer_addr);
     peers(&r, root, s);
     json_t *ext = object(&r, root, "external");
     text(&r, ext, "cloud", s->cloud);
--- a/src/standby.c
+++ b/src/standby.c
@@ -21,17 +21,17 @@
 
 static double clocks(const struct bd_core *c)
 {
-    return 2 * bd_to_secs(c->set->clock_error) + CLOCKS_S;
+    return 2 * bd_to_secs(c->settings->clock_error) + CLOCKS_S;
 }
 
-void bd_core_confirmed(struct bd_core *c, struct timespec sent)
+void bd_core_liveness_written(struct bd_core *c, struct timespec sent)
 {
     c->confirmed = bd_max(c->confirmed, sent);
 }
 
-void bd_core_offered(struct bd_core *c, struct timespec sent)
+void bd_core_liveness_sent(struct bd_core *c, struct timespec sent)
 {
-    c->offered = bd_max(c->offered, sent);
+    c->liveness_sent = bd_max(c->liveness_sent, sent);
 }
 
 bool bd_core_cut(const struct bd_core *c)
@@ -39,7 +39,7 @@
     /* a record that was written while its answer was lost shows the leader that we are in touch: he
      * would count with no answers of ours */
     return c->role == BD_FOLLOWER &&
-           bd_between(bd_max(c->confirmed, c->offered), c->now) > STANDBY_AFTER_S;
+           bd_between(bd_max(c->confirmed, c->liveness_sent), c->now) > STANDBY_AFTER_S;
 }
 
 /* Whether a controller of our zone is cut off as we are; one that is alone in its zone asks nobody.
@@ -47,8 +47,8 @@
 static bool zone_agrees(const struct bd_core *c)
 {
     bool alone = true;
-    double late = FRAME_FRESH_S + 2 * bd_to_secs(c->set->clock_error);
-    for (int i = 0; i < c->set->npeers; i++) {
+    double late = FRAME_FRESH_S + 2 * bd_to_secs(c->settings->clock_error);
+    for (int i = 0; i < c->settings->npeers; i++) {
         if (!bd_peer_near(c, i))
             continue;
         alone = false;
@@ -61,7 +61,7 @@
 
 static bool zone_of_ours(const struct bd_core *c, const struct bd_report *r)
 {
-    return strcmp(r->zone, c->set->zone) == 0;
+    return strcmp(r->zone, c->settings->zone) == 0;
 }
 
 /* The grace, from the last sign of the state service. */
@@ -88,8 +88,8 @@
 
 void bd_standby_record(struct bd_core *c, const char *node, double at)
 {
-    for (int i = 0; i < c->set->npeers; i++)
-        if (strcmp(c->set->peers[i].name, node) == 0 && at > c->peers[i].contact)
+    for (int i = 0; i < c->settings->npeers; i++)
+        if (strcmp(c->settings->peers[i].name, node) == 0 && at > c->peers[i].contact)
             c->peers[i].contact = at;
 }
 
@@ -102,7 +102,7 @@
         c->peers[peer].suspect_until = bd_add(c->now, bd_secs(STICKY_S));
     if (!bd_before(c->now, c->peers[peer].suspect_until))
         return -1;
-    return bd_grace_s(c->set) - age + clocks(c);
+    return bd_grace_s(c->settings) - age + clocks(c);
 }
 
 /* As leader, before leases are looked at: for each zone until when workers there may have been
@@ -112,15 +112,15 @@
     for (int z = 0; z < c->nzones; z++) {
         int here = 0, suspects = 0;
         double longest = -1;
-        for (int i = 0; i < c->set->npeers; i++) {
-            if (strcmp(c->set->peers[i].zone, c->zones[z]) != 0)
+        for (int i = 0; i < c->settings->npeers; i++) {
+            if (strcmp(c->settings->peers[i].zone, c->zones[z]) != 0)
                 continue;
             double s = answers_for(c, i);
             here++;
             suspects += bd_before(c->now, c->peers[i].suspect_until);
             longest = s > longest ? s : longest;
         }
-        here += strcmp(c->set->zone, c->zones[z]) == 0;
+        here += strcmp(c->settings->zone, c->zones[z]) == 0;
         bool may = suspects >= 2 || (here == 1 && suspects == 1);
         until[z] = may && longest > 0 ? c->now : (struct timespec){0, 0};
     }
--- a/src/store.c
+++ b/src/store.c
@@ -10,21 +10,21 @@
 #include <string.h>
 
 /* named defaults */
-#define LOOK_S 0.2        /* between looks when nobody waits */
-#define LOOK_LEAST_S 0.04 /* between looks when polls wait */
+#define REFRESH_S 0.2        /* between looks when nobody waits */
+#define REFRESH_LEAST_S 0.04 /* between looks when polls wait */
 #define ANSWER_S 1.5
 #define USER_ANSWER_S 2.5
 #define USER_THREADS 2
 #define PAUSE_S 0.25
-#define DEPUTIES_S 0.7 /* a leader's looks at the deputies' records */
-#define BUSY_TRIES 3   /* 429s in a row: then the transaction is decided anew */
+#define DELEGATES_S 0.7 /* a leader's looks at the deputies' records */
+#define BUSY_TRIES 3    /* 429s in a row: then the transaction is decided anew */
 
-long bd_store_call(struct bd_node *n, struct bd_http *h, const char *method, const char *path,
+long bd_state_call(struct bd_node *n, struct bd_http *h, const char *method, const char *path,
                    const char *body, double timeout_s, json_t **out)
 {
     char url[640];
     struct bd_reply r;
-    snprintf(url, sizeof url, "http://%s%s", n->set.state, path);
+    snprintf(url, sizeof url, "http://%s%s", n->settings.state, path);
     bd_http_call(h, method, url, body, timeout_s, &r);
     long status = r.status;
     *out = r.body ? json_loadb(r.body, r.len, 0, NULL) : NULL;
@@ -45,7 +45,7 @@
         snprintf(path, sizeof path, "/kv?starts=%s&after=%s&limit=1000", prefix, after);
     else
         snprintf(path, sizeof path, "/kv?starts=%s&limit=1000", prefix);
-    if (bd_store_call(n, h, "GET", path, NULL, ANSWER_S, &page) != 200) {
+    if (bd_state_call(n, h, "GET", path, NULL, ANSWER_S, &page) != 200) {
         json_decref(page);
         return NULL;
     }
@@ -58,7 +58,7 @@
 }
 
 /* All pairs of a prefix, for lists that fit the memory. NULL: failed. */
-json_t *bd_store_list(struct bd_node *n, struct bd_http *h, const char *prefix)
+json_t *bd_state_list(struct bd_node *n, struct bd_http *h, const char *prefix)
 {
     json_t *all = json_array();
     char after[256] = "";
@@ -108,7 +108,7 @@
 }
 
 /* One look; true if the list must be read anew. */
-static bool look(struct bd_node *n, struct bd_http *h, uint64_t *after, bool barrier)
+static bool refresh(struct bd_node *n, struct bd_http *h, uint64_t *after, bool barrier)
 {
     char path[96];
     json_t *o = NULL;
@@ -116,7 +116,7 @@
              (unsigned long long)*after);
     struct bd_cmd *cmd = bd_cmd_new(BD_C_FOLLOWED);
     cmd->sent = bd_now();
-    long status = bd_store_call(n, h, "GET", path, NULL, ANSWER_S, &o);
+    long status = bd_state_call(n, h, "GET", path, NULL, ANSWER_S, &o);
     cmd->flag = barrier;
     cmd->outcome = status == 200;
     cmd->after = *after;
@@ -138,11 +138,11 @@
     return status == 410;
 }
 
-static void look_at_deputies(struct bd_node *n, struct bd_http *h)
+static void read_delegates(struct bd_node *n, struct bd_http *h)
 {
-    struct bd_cmd *cmd = bd_cmd_new(BD_C_DEPUTIES);
+    struct bd_cmd *cmd = bd_cmd_new(BD_C_DELEGATES);
     cmd->sent = bd_now();
-    cmd->json = bd_store_list(n, h, "p/");
+    cmd->json = bd_state_list(n, h, "p/");
     if (cmd->json)
         bd_tell(n, cmd);
     else
@@ -153,9 +153,9 @@
 static void wait_to_read(struct bd_node *n)
 {
     void *woken;
-    struct timespec earliest = bd_add(bd_now(), bd_secs(LOOK_LEAST_S));
+    struct timespec earliest = bd_add(bd_now(), bd_secs(REFRESH_LEAST_S));
     if (!atomic_load(&n->want_barrier))
-        (void)bd_queue_take(&n->reader_wake, &woken, 1, bd_add(earliest, bd_secs(LOOK_S)));
+        (void)bd_queue_take(&n->reader_wake, &woken, 1, bd_add(earliest, bd_secs(REFRESH_S)));
     double early = bd_between(bd_now(), earliest);
     if (early > 0)
         bd_pause(early);
@@ -177,10 +177,10 @@
             continue;
         }
         bool barrier = atomic_exchange(&n->want_barrier, false);
-        again = look(n, h, &after, barrier);
+        again = refresh(n, h, &after, barrier);
         if (atomic_load(&n->leading) && bd_before(next, bd_now())) {
-            next = bd_add(bd_now(), bd_secs(DEPUTIES_S));
-            look_at_deputies(n, h);
+            next = bd_add(bd_now(), bd_secs(DELEGATES_S));
+            read_delegates(n, h);
         }
         wait_to_read(n);
     }
@@ -190,14 +190,14 @@
 /* ---- the leader's transactions ---- */
 
 /* Whether the witness shows the transaction: 1 yes, 0 no, -1 not known. */
-static int witnessed(struct bd_node *n, struct bd_http *h, const struct bd_effect *e,
-                     uint64_t *ring)
+static int sequence_shows(struct bd_node *n, struct bd_http *h, const struct bd_effect *e,
+                          uint64_t *ring)
 {
     json_t *o = NULL;
     struct bd_change ch;
     uint64_t grant;
     int found = -1;
-    long status = bd_store_call(n, h, "GET", "/kv/w", NULL, ANSWER_S, &o);
+    long status = bd_state_call(n, h, "GET", "/kv/w", NULL, ANSWER_S, &o);
     if (status == 404)
         found = 0;
     if (status == 200 && bd_wire_pair(o, &ch, &grant)) {
@@ -205,7 +205,7 @@
         snprintf(term, sizeof term, "%lld",
                  (long long)json_integer_value(json_object_get(ch.value, "t")));
         found = strcmp(term, e->key) == 0 &&
-                (uint64_t)json_integer_value(json_object_get(ch.value, "n")) == e->seal;
+                (uint64_t)json_integer_value(json_object_get(ch.value, "n")) == e->token;
         *ring = ch.mark;
     }
     json_decref(o);
@@ -235,13 +235,13 @@
     cmd->outcome = open;
     while (cmd->outcome == open) {
         json_t *o = NULL;
-        long status = bd_store_call(n, h, "POST", "/commit", e->body, ANSWER_S, &o);
+        long status = bd_state_call(n, h, "POST", "/commit", e->body, ANSWER_S, &o);
         if (status == 200) {
             cmd->outcome = 1;
             cmd->ring = bd_wire_ring(o);
         } else if (status == 409) {
             json_t *failed = bd_wire_failed(o);
-            int w = names(failed, "w") ? witnessed(n, h, e, &cmd->ring) : 0;
+            int w = names(failed, "w") ? sequence_shows(n, h, e, &cmd->ring) : 0;
             if (w == 1)
                 cmd->outcome = 1;
             else if (w == 0)
@@ -254,7 +254,7 @@
         } else if (status == 400) {
             /* not applied now, perhaps beyond a limit that was lowered; but an earlier copy may be
              */
-            int w = unsure ? witnessed(n, h, e, &cmd->ring) : 0;
+            int w = unsure ? sequence_shows(n, h, e, &cmd->ring) : 0;
             cmd->outcome = w == 1 ? 1 : w == 0 ? 2 : open;
         } else if (!atomic_load(&n->leading)) {
             cmd->outcome = -1;
@@ -265,7 +265,7 @@
                 bd_tell(n, bd_cmd_new(BD_C_BUSY));
             bd_pause(PAUSE_S);
             /* one larger than a second's changes would be refused for ever */
-            if (busy >= BUSY_TRIES && (!unsure || witnessed(n, h, e, &cmd->ring) == 0))
+            if (busy >= BUSY_TRIES && (!unsure || sequence_shows(n, h, e, &cmd->ring) == 0))
                 cmd->outcome = 0;
         }
         json_decref(o);
@@ -282,7 +282,7 @@
             continue;
         struct bd_effect *e = item;
         struct bd_cmd *cmd = bd_cmd_new(BD_C_COMMITTED);
-        cmd->number = e->seal;
+        cmd->number = e->token;
         cmd->term = strtoull(e->key, NULL, 10);
         settle(n, h, e, cmd);
         bd_tell(n, cmd);
@@ -293,21 +293,21 @@
 
 /* ---- users' transactions ---- */
 
-static void commit_deputy(struct bd_node *n, struct bd_http *h, struct bd_effect *e)
+static void commit_delegate(struct bd_node *n, struct bd_http *h, struct bd_effect *e)
 {
-    struct bd_cmd *cmd = bd_cmd_new(BD_C_DEPUTY_COMMITTED);
+    struct bd_cmd *cmd = bd_cmd_new(BD_C_DELEGATE_COMMITTED);
     json_t *o = NULL;
     struct bd_change ch;
     uint64_t grant;
     char path[128];
     cmd->sent = bd_now();
     if (e->body) {
-        cmd->status = bd_store_call(n, h, "POST", "/commit", e->body, ANSWER_S, &o);
+        cmd->status = bd_state_call(n, h, "POST", "/commit", e->body, ANSWER_S, &o);
         cmd->ring = bd_wire_ring(o);
         cmd->flag = cmd->status == 200;
     } else { /* only the record's mark is asked for */
         snprintf(path, sizeof path, "/kv/%s", e->key);
-        long status = bd_store_call(n, h, "GET", path, NULL, ANSWER_S, &o);
+        long status = bd_state_call(n, h, "GET", path, NULL, ANSWER_S, &o);
         cmd->flag = status == 404 || (status == 200 && bd_wire_pair(o, &ch, &grant));
         cmd->ring = status == 200 && cmd->flag ? ch.mark : 0;
     }
@@ -325,7 +325,7 @@
     for (char *line = copy ? strtok_r(copy, "\n", &rest) : NULL; line && cmd->status == 200;
          line = strtok_r(NULL, "\n", &rest)) {
         json_decref(o);
-        cmd->status = bd_store_call(n, h, "POST", "/commit", line, USER_ANSWER_S, &o);
+        cmd->status = bd_state_call(n, h, "POST", "/commit", line, USER_ANSWER_S, &o);
         cmd->ring = bd_wire_ring(o);
     }
     free(copy);
@@ -343,7 +343,7 @@
     struct bd_cmd *cmd = bd_cmd_new(BD_C_LOOKED_UP);
     char path[128];
     snprintf(path, sizeof path, "/kv/j/%s", e->key);
-    cmd->status = bd_store_call(n, h, "GET", path, NULL, ANSWER_S, &cmd->json);
+    cmd->status = bd_state_call(n, h, "GET", path, NULL, ANSWER_S, &cmd->json);
     cmd->request = e->request;
     cmd->outcome = e->status;
     snprintf(cmd->name, sizeof cmd->name, "%s", e->key);
@@ -359,8 +359,8 @@
         if (bd_queue_take(&n->to_users, &item, 1, bd_add(bd_now(), bd_secs(5))) == 0)
             continue;
         struct bd_effect *e = item;
-        if (e->kind == BD_E_DEPUTY)
-            commit_deputy(n, h, e);
+        if (e->kind == BD_E_DELEGATE)
+            commit_delegate(n, h, e);
         else if (e->kind == BD_E_LOOKUP)
             look_up(n, h, e);
         else
@@ -370,7 +370,7 @@
     return NULL;
 }
 
-int bd_store_start(struct bd_node *n)
+int bd_state_client_start(struct bd_node *n)
 {
     int rc = bd_thread(reader, n, 131072) | bd_thread(committer, n, 131072);
     for (int i = 0; i < USER_THREADS; i++)
--- a/src/tasks.c
+++ b/src/tasks.c
@@ -334,7 +334,7 @@
 
 struct timespec bd_lease_end(const struct bd_core *c, struct timespec answered)
 {
-    double lease = bd_to_secs(c->set->lease) * (1 + DRIFT) + 0.2;
+    double lease = bd_to_secs(c->settings->lease) * (1 + DRIFT) + 0.2;
     return bd_add(answered, bd_secs(lease));
 }
 
@@ -353,7 +353,7 @@
         bd_task_free(c, r.job, r.task);
         k = 0; /* freeing one may move the others */
     }
-    m->do_seal = 0;
+    m->late_token = 0;
 }
 
 void bd_machine_gone(struct bd_core *c, struct bd_machine *m)
@@ -365,7 +365,7 @@
 
 static bool late(const struct bd_core *c, struct timespec last)
 {
-    double s = LATE_REPORTS * bd_to_secs(c->set->report) + LATE_EXTRA_S;
+    double s = LATE_REPORTS * bd_to_secs(c->settings->report) + LATE_EXTRA_S;
     return bd_between(last, c->now) > (s > LATE_LEAST_S ? s : LATE_LEAST_S);
 }
 
@@ -380,7 +380,7 @@
 {
     return m->type >= 0 && m->zone >= 0 && c->types[m->type].known && m->fenced && !m->gone &&
            !m->returning && !m->failed && !m->bad && m->notice_left < 0 &&
-           (!m->mute || c->mute_many) && !late(c, m->heard) &&
+           (!m->outbound_cut || c->outbound_cut_many) && !late(c, m->heard) &&
            /* one that answers directly while its check-ins reach nobody loses all with its lease */
            !late(c, m->asked) && bd_before(m->refuse_until, c->now);
 }
--- a/src/wire.c
+++ b/src/wire.c
@@ -10,7 +10,7 @@
 static const char *const whys[] = {"",      "done",    "stopped", "peers",  "alone",
                                    "error", "no_room", "busy",    "unknown"};
 static const char *const verbs[] = {"launch", "halt", "forget"};
-static const char *const moods[] = {"live", "done", "cancelled"};
+static const char *const state_names[] = {"live", "done", "cancelled"};
 
 #define COUNT(a) ((int)(sizeof(a) / sizeof((a)[0])))
 
@@ -132,7 +132,7 @@
 {
     uint64_t n = 0;
     memset(s, 0, sizeof *s);
-    if (!label(o, "kin", s->klass))
+    if (!label(o, "kin", s->job_class))
         return "kin";
     if (!label(o, "household", s->team))
         return "household";
@@ -174,7 +174,7 @@
     return spec_of(o, out);
 }
 
-bool bd_wire_needs(json_t *o, json_t **out)
+bool bd_wire_prerequisites(json_t *o, json_t **out)
 {
     json_t *a = json_object_get(o, "awaits"), *v, *seen;
     size_t i;
@@ -207,7 +207,7 @@
     return true;
 }
 
-json_t *bd_wire_needs_part(json_t *names)
+json_t *bd_wire_prerequisites_part(json_t *names)
 {
     return json_pack("{s:o}", "awaits", names);
 }
@@ -230,9 +230,9 @@
         json_array_append_new(types, json_string(s->types[i]));
     return json_pack(
         "{s:s,s:s,s:s,s:s,s:i,s:f,s:f,s:f,s:s,s:f,s:o,s:o,s:b,s:b,s:b,s:f,s:f,s:f,s:o}", "kin",
-        s->klass, "household", s->team, "shape", shapes[s->shape], "rank", ranks[s->rank], "chores",
-        (int)s->tasks, "vcpus", s->cpus, "accelerators", s->gpus, "memGb", s->mem, "seed", s->image,
-        "imageGb", s->image_gb, "breeds", types, "glade", maybe(s->zone), "together",
+        s->job_class, "household", s->team, "shape", shapes[s->shape], "rank", ranks[s->rank],
+        "chores", (int)s->tasks, "vcpus", s->cpus, "accelerators", s->gpus, "memGb", s->mem, "seed",
+        s->image, "imageGb", s->image_gb, "breeds", types, "glade", maybe(s->zone), "together",
         (int)s->together, "scatter", (int)s->scatter, "windfall", (int)s->spot, "guessS",
         s->estimate, "markS", s->checkpoint, "stowS", s->save, "dueS",
         s->due < 0 ? json_null() : json_real(s->due));
@@ -248,22 +248,24 @@
 
 json_t *bd_wire_record(const struct bd_record *r)
 {
-    json_t *o = json_pack("{s:s,s:i,s:f}", "s", moods[r->mood], "n", (int)r->tasks, "at", r->at);
+    json_t *o =
+        json_pack("{s:s,s:i,s:f}", "s", state_names[r->state], "n", (int)r->tasks, "at", r->at);
     if (o && r->has_spec)
         json_object_set_new(o, "job", bd_wire_spec(&r->spec));
-    else if (o && *r->spec.klass) /* a finished job's class still tells how many come */
-        json_object_set_new(o, "k", json_string(r->spec.klass));
-    if (o && r->needs.parts)
-        json_object_set_new(o, "parts",
-                            json_pack("{s:s,s:i}", "of", r->needs.of, "n", (int)r->needs.parts));
-    else if (o && r->needs.names)
-        json_object_set(o, "awaits", r->needs.names);
+    else if (o && *r->spec.job_class) /* a finished job's class still tells how many come */
+        json_object_set_new(o, "k", json_string(r->spec.job_class));
+    if (o && r->prerequisites.parts)
+        json_object_set_new(
+            o, "parts",
+            json_pack("{s:s,s:i}", "of", r->prerequisites.of, "n", (int)r->prerequisites.parts));
+    else if (o && r->prerequisites.names)
+        json_object_set(o, "awaits", r->prerequisites.names);
     if (o && r->end > 0)
         json_object_set_new(o, "end", json_real(r->end));
     return o;
 }
 
-static void read_needs(json_t *v, struct bd_record_needs *out)
+static void read_prerequisites(json_t *v, struct bd_record_prerequisites *out)
 {
     json_t *names = json_object_get(v, "awaits"), *parts = json_object_get(v, "parts");
     uint64_t n = 0;
@@ -274,7 +276,8 @@
         out->names = names;
     if (!parts)
         return;
-    if (!of || strlen(of) >= BD_HASH || !whole(parts, "n", &n) || n < 1 || n > BD_NEED_PARTS) {
+    if (!of || strlen(of) >= BD_HASH || !whole(parts, "n", &n) || n < 1 ||
+        n > BD_PREREQUISITE_PARTS) {
         out->damaged = true;
         return;
     }
@@ -286,19 +289,19 @@
 {
     uint64_t n = 0;
     memset(out, 0, sizeof *out);
-    int m = index_of(moods, COUNT(moods), json_string_value(json_object_get(v, "s")));
+    int m = index_of(state_names, COUNT(state_names), json_string_value(json_object_get(v, "s")));
     if (m < 0 || !whole(v, "n", &n) || n < 1 || n > BD_MAX_TASKS)
         return false;
     out->at = json_number_value(json_object_get(v, "at"));
     out->end = json_number_value(json_object_get(v, "end"));
-    out->mood = (enum bd_mood)m;
+    out->state = (enum bd_job_state)m;
     out->tasks = (uint32_t)n;
-    read_needs(v, &out->needs);
+    read_prerequisites(v, &out->prerequisites);
     json_t *job = json_object_get(v, "job");
     out->has_spec = json_is_object(job) && spec_of(job, &out->spec) == NULL;
-    if (!out->has_spec && !label(v, "k", out->spec.klass))
-        out->spec.klass[0] = '\0';
-    return out->has_spec || out->mood == BD_DONE;
+    if (!out->has_spec && !label(v, "k", out->spec.job_class))
+        out->spec.job_class[0] = '\0';
+    return out->has_spec || out->state == BD_DONE;
 }
 
 char *bd_wire_accepted(const char *id)
@@ -308,11 +311,11 @@
     return strdup(buf);
 }
 
-char *bd_wire_state(const char *id, const char *mood, uint32_t done, uint32_t running)
+char *bd_wire_state(const char *id, const char *state, uint32_t done, uint32_t running)
 {
     char buf[160];
     snprintf(buf, sizeof buf, "{\"id\":\"%s\",\"mood\":\"%s\",\"done\":%u,\"running\":%u}", id,
-             mood, done, running);
+             state, done, running);
     return strdup(buf);
 }
 
@@ -338,7 +341,7 @@
         !label(o, "endpoint", out->addr) || !label(o, "breed", out->type) ||
         !label(o, "glade", out->zone) || !flag(o, "windfall", &out->spot) ||
         !whole(o, "tenancy", &out->session) || !whole(o, "tally", &out->seq) ||
-        !whole(o, "seal", &out->seal))
+        !whole(o, "seal", &out->token))
         return false;
     out->notice = -1;
     json_t *w = json_object_get(o, "warningS");
@@ -389,13 +392,13 @@
     r->n = 0;
 }
 
-char *bd_wire_orders(uint64_t seal, uint64_t session, const struct bd_order *o, size_t n)
+char *bd_wire_orders(uint64_t token, uint64_t session, const struct bd_order *o, size_t n)
 {
     size_t cap = 96 + n * 128, len = 0;
     char *buf = malloc(cap);
     if (!buf)
         return NULL;
-    len += (size_t)snprintf(buf, cap, "{\"seal\":%llu,", (unsigned long long)seal);
+    len += (size_t)snprintf(buf, cap, "{\"seal\":%llu,", (unsigned long long)token);
     if (session)
         len += (size_t)snprintf(buf + len, cap - len, "\"tenancy\":%llu,",
                                 (unsigned long long)session);
@@ -459,17 +462,17 @@
 static bool cloud_machine(json_t *v, struct bd_cloud_machine *m)
 {
     memset(m, 0, sizeof *m);
-    const char *mood = json_string_value(json_object_get(v, "mood"));
-    if (!mood || !label(v, "id", m->id) || !label(v, "breed", m->type) ||
+    const char *state = json_string_value(json_object_get(v, "mood"));
+    if (!state || !label(v, "id", m->id) || !label(v, "breed", m->type) ||
         !label(v, "glade", m->zone) || !flag(v, "windfall", &m->spot))
         return false;
     if (!label(v, "endpoint", m->addr))
         m->addr[0] = '\0';
     if (!amount(v, "heldS", &m->age))
         m->age = 0;
-    m->mood = strcmp(mood, "running") == 0  ? BD_UP
-              : strcmp(mood, "failed") == 0 ? BD_FAILED
-                                            : BD_BOOTING;
+    m->state = strcmp(state, "running") == 0  ? BD_UP
+               : strcmp(state, "failed") == 0 ? BD_FAILED
+                                              : BD_BOOTING;
     return true;
 }
 
@@ -490,7 +493,8 @@
     return n;
 }
 
-char *bd_wire_rent(const char *request, const char *type, const char *zone, bool spot, int count)
+char *bd_wire_provision(const char *request, const char *type, const char *zone, bool spot,
+                        int count)
 {
     json_t *o = json_pack("{s:s,s:s,s:s,s:b,s:i}", "plea", request, "breed", type, "glade", zone,
                           "windfall", (int)spot, "howMany", count);
@@ -510,7 +514,7 @@
     return s;
 }
 
-int bd_wire_rented(json_t *o, char (*names)[BD_LABEL], int max)
+int bd_wire_machine_names(json_t *o, char (*names)[BD_LABEL], int max)
 {
     json_t *a = json_object_get(o, "hearths"), *v;
     size_t i;
@@ -526,7 +530,7 @@
     return n;
 }
 
-char *bd_wire_steer(const char *node)
+char *bd_wire_redirect(const char *node)
 {
     char buf[128];
     if (!node || !*node)
--- a/src/worker_client.c
+++ b/src/worker_client.c
@@ -69,7 +69,7 @@
     cmd->text = r.body;
     cmd->len = r.len;
     cmd->machine = e->machine;
-    cmd->number = e->seal;
+    cmd->number = e->token;
     cmd->flag = e->launch;
     bd_effect_free(e);
     bd_tell(s->n, cmd);
@@ -78,7 +78,7 @@
 static void *sender_run(void *arg)
 {
     struct sender *s = arg;
-    struct bd_http *h = bd_http_new(kept_connections(&s->n->set),
+    struct bd_http *h = bd_http_new(kept_connections(&s->n->settings),
                                     bd_metrics_counter(s->n->metrics, BD_TRAFFIC_DIRECT));
     while (h) {
         void *item;
@@ -131,7 +131,7 @@
     if (!w)
         return -1;
     n->worker_client = w;
-    w->nsenders = sender_count(&n->set);
+    w->nsenders = sender_count(&n->settings);
     for (int i = 0; i < w->nsenders && rc == 0; i++) {
         w->senders[i].n = n;
         rc = bd_queue_init(&w->senders[i].queue, QUEUE_CAP);
