--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -38,7 +38,7 @@
 
 struct job {
     bool tried, accepted, told_cancelled;
-    int needs[NEEDS], nneeds;
+    int prerequisites[NEEDS], nprerequisites;
 };
 
 struct task {
@@ -48,14 +48,14 @@
 };
 
 struct world {
-    struct bd_settings set[NODES];
+    struct bd_settings settings[NODES];
     struct bd_log log;
     struct bd_core *c[NODES];
     struct bd_effect *commit[NODES]; /* on its way */
     gsl_rng *rng;
     struct key keys[4 * JOBS + 4000];
     int nkeys, leader, faults, ends, cancels;
-    uint64_t ring, seen[NODES], seq, seal;
+    uint64_t ring, seen[NODES], seq, token;
     double now;
     struct job jobs[JOBS];
     struct task tasks[TASKS];
@@ -83,7 +83,7 @@
     return NULL;
 }
 
-static void set(struct world *w, const char *name, json_t *value)
+static void set_key(struct world *w, const char *name, json_t *value)
 {
     struct key *k = find(w, name);
     if (!k) {
@@ -127,7 +127,7 @@
     {
         const char *name = json_string_value(json_object_get(v, "set"));
         if (name)
-            set(w, name, json_object_get(v, "value"));
+            set_key(w, name, json_object_get(v, "value"));
         else
             drop(w, json_string_value(json_object_get(v, "drop")));
     }
@@ -135,13 +135,13 @@
     return ok ? 200 : 409;
 }
 
-static bool record_says(struct world *w, const char *id, const char *mood)
+static bool record_says(struct world *w, const char *id, const char *state)
 {
     char key[96];
     snprintf(key, sizeof key, "j/%s", id);
     struct key *k = find(w, key);
     const char *s = k ? json_string_value(json_object_get(k->value, "s")) : NULL;
-    return s && strcmp(s, mood) == 0;
+    return s && strcmp(s, state) == 0;
 }
 
 /* ---- the model ---- */
@@ -153,8 +153,8 @@
     for (int i = 0; i <= n; i++) { /* a job's needs have lower numbers */
         snprintf(id, sizeof id, "job-%d", i);
         cancelled[i] = record_says(w, id, "cancelled");
-        for (int k = 0; k < w->jobs[i].nneeds; k++)
-            cancelled[i] = cancelled[i] || cancelled[w->jobs[i].needs[k]];
+        for (int k = 0; k < w->jobs[i].nprerequisites; k++)
+            cancelled[i] = cancelled[i] || cancelled[w->jobs[i].prerequisites[k]];
     }
     return cancelled[n];
 }
@@ -163,8 +163,8 @@
 {
     int n = atoi(task + strlen("job-"));
     char id[32];
-    for (int k = 0; k < w->jobs[n].nneeds; k++) {
-        snprintf(id, sizeof id, "job-%d", w->jobs[n].needs[k]);
+    for (int k = 0; k < w->jobs[n].nprerequisites; k++) {
+        snprintf(id, sizeof id, "job-%d", w->jobs[n].prerequisites[k]);
         if (!record_says(w, id, "done"))
             fault(w, "started too early", n);
     }
@@ -200,9 +200,9 @@
 {
     json_t *o = json_loads(body, 0, NULL), *v;
     size_t i;
-    uint64_t seal = (uint64_t)json_integer_value(json_object_get(o, "seal"));
-    if (seal >= w->seal) {
-        w->seal = seal;
+    uint64_t token = (uint64_t)json_integer_value(json_object_get(o, "seal"));
+    if (token >= w->token) {
+        w->token = token;
         json_array_foreach(json_object_get(o, "bids"), i, v)
         {
             order(w, v);
@@ -220,7 +220,7 @@
     snprintf(r->zone, sizeof r->zone, "a");
     r->session = 1;
     r->seq = ++w->seq;
-    r->seal = w->seal;
+    r->token = w->token;
     r->notice = -1;
     r->tasks = seen;
     for (int i = 0; i < TASKS; i++) {
@@ -266,7 +266,7 @@
     free(q);
 }
 
-static void look(struct world *w, int n, bool all);
+static void refresh(struct world *w, int n, bool all);
 
 static void direct(struct world *w, int n, struct bd_effect *e)
 {
@@ -277,7 +277,7 @@
         orders(w, e->body);
     if (told)
         fill_report(w, &r, seen);
-    bd_core_did(w->c[n], e->machine, e->seal, e->launch, told ? 200 : 0, told ? &r : NULL);
+    bd_core_did(w->c[n], e->machine, e->token, e->launch, told ? 200 : 0, told ? &r : NULL);
     free(seen);
 }
 
@@ -313,7 +313,7 @@
         else if (e->kind == BD_E_DO)
             direct(w, n, e);
         else if (e->kind == BD_E_BARRIER)
-            look(w, n, dice(w, 10) != 0);
+            refresh(w, n, dice(w, 10) != 0);
         else if (e->kind == BD_E_REPLY && e->status == 200)
             orders(w, e->body);
         if (e->kind == BD_E_COMMIT) {
@@ -328,7 +328,7 @@
 /* ---- steps ---- */
 
 /* What changed since the node's last look; sometimes the look fails. */
-static void look(struct world *w, int n, bool ok)
+static void refresh(struct world *w, int n, bool ok)
 {
     uint64_t after = w->seen[n];
     for (int i = 0; ok && i < w->nkeys; i++) {
@@ -370,7 +370,7 @@
     snprintf(t.label, sizeof t.label, "big");
     snprintf(t.zones[t.nzones++], BD_LABEL, "a");
     t.fetch = t.cache_gb = 100;
-    w->c[n] = bd_core_new(&w->set[n], &w->log);
+    w->c[n] = bd_core_new(&w->settings[n], &w->log);
     if (!w->c[n])
         abort();
     times(w);
@@ -403,13 +403,13 @@
     struct key *wit = find(w, "w");
     w->leader = n;
     w->ring++;
-    set(w, "leader", value);
+    set_key(w, "leader", value);
     json_decref(value);
     struct bd_gain g = {.term = w->ring, .grant = 7, .nonce = "n", .renewed = w->c[n]->now};
-    g.witness_mark = wit ? wit->mark : 0;
+    g.sequence_mark = wit ? wit->mark : 0;
     g.receipts = listed(w, "r/");
     g.intents = listed(w, "i/");
-    look(w, n, true); /* the replica is at least as new as the term */
+    refresh(w, n, true); /* the replica is at least as new as the term */
     bd_core_gained(w->c[n], &g);
     json_decref(g.receipts);
     json_decref(g.intents);
@@ -448,19 +448,19 @@
 
 static void submit(struct world *w, int n)
 {
-    char body[1024], needs[256] = "", id[32];
+    char body[1024], prerequisites[256] = "", id[32];
     struct job *j = &w->jobs[n];
     for (unsigned k = dice(w, NEEDS + 1); !j->tried && n > 0 && k > 0; k--) {
         /* chains, and wide ones: half of them near */
         int x =
             dice(w, 2) ? n - 1 - (int)dice(w, n < 3 ? (unsigned)n : 3) : (int)dice(w, (unsigned)n);
         if (w->jobs[x].accepted)
-            j->needs[j->nneeds++] = x;
+            j->prerequisites[j->nprerequisites++] = x;
     }
     j->tried = true;
-    for (int k = 0; k < j->nneeds; k++) {
-        snprintf(id, sizeof id, "%s\"job-%d\"", k ? "," : "", j->needs[k]);
-        strcat(needs, id);
+    for (int k = 0; k < j->nprerequisites; k++) {
+        snprintf(id, sizeof id, "%s\"job-%d\"", k ? "," : "", j->prerequisites[k]);
+        strcat(prerequisites, id);
     }
     snprintf(
         body, sizeof body,
@@ -468,7 +468,7 @@
         "\"standard\",\"chores\":%d,\"vcpus\":1,\"accelerators\":0,\"memGb\":1,\"seed\":\"i\","
         "\"imageGb\":0,\"breeds\":null,\"glade\":null,\"together\":false,\"scatter\":false,"
         "\"windfall\":false,\"guessS\":1,\"markS\":0,\"stowS\":0,\"dueS\":null,\"awaits\":[%s]}",
-        n, n % 3 ? "sweep" : "gang", 1 + n % 3, needs);
+        n, n % 3 ? "sweep" : "gang", 1 + n % 3, prerequisites);
     bd_core_submit(w->c[dice(w, NODES)], ask(w, ASK_SUBMIT, n), body, strlen(body));
 }
 
@@ -493,7 +493,7 @@
         return;
     snprintf(id, sizeof id, "job-%d", n);
     if (may_cancel && dice(w, 14) == 0)
-        bd_core_withdraw(w->c[node], ask(w, ASK_WITHDRAW, n), id);
+        bd_core_cancel(w->c[node], ask(w, ASK_WITHDRAW, n), id);
     else
         bd_core_get(w->c[node], ask(w, ASK_GET, n), id);
 }
@@ -516,7 +516,7 @@
     user_step(w, next, troubles);
     machine_step(w);
     for (int n = 0; n < NODES; n++)
-        look(w, n, dice(w, 8) != 0);
+        refresh(w, n, dice(w, 8) != 0);
     if (dice(w, 3))
         settle(w);
     for (int n = 0; n < NODES; n++) {
@@ -526,7 +526,7 @@
     /* a crash loses what users asked of the process: they are answered before it here */
     if (troubles && dice(w, 40) == 0) {
         for (int n = 0; n < NODES; n++) {
-            look(w, n, true);
+            refresh(w, n, true);
             perform(w, n);
         }
         crash(w, (int)dice(w, NODES));
@@ -570,7 +570,7 @@
     w->rng = gsl_rng_alloc(gsl_rng_taus2);
     gsl_rng_set(w->rng, seed);
     for (int n = 0; n < NODES; n++)
-        settings(&w->set[n], n);
+        settings(&w->settings[n], n);
     w->ring = 1;
     for (int n = 0; n < NODES; n++)
         boot(w, n);
@@ -594,23 +594,23 @@
 
 #define MANY 30000
 
-static void record(struct bd_core *c, int n, const char *mood, int needs, uint64_t mark)
+static void record(struct bd_core *c, int n, const char *state, int prerequisites, uint64_t mark)
 {
     char key[64], name[32];
-    struct bd_record r = {.mood = BD_LIVE, .tasks = 1, .at = 1000, .has_spec = true};
+    struct bd_record r = {.state = BD_LIVE, .tasks = 1, .at = 1000, .has_spec = true};
     json_t *names = json_array();
     snprintf(key, sizeof key, "j/job-%d", n);
-    snprintf(name, sizeof name, "job-%d", needs);
-    if (needs >= 0)
+    snprintf(name, sizeof name, "job-%d", prerequisites);
+    if (prerequisites >= 0)
         json_array_append_new(names, json_string(name));
-    snprintf(r.spec.klass, BD_LABEL, "k");
+    snprintf(r.spec.job_class, BD_LABEL, "k");
     snprintf(r.spec.team, BD_LABEL, "a");
     snprintf(r.spec.image, BD_LABEL, "i");
     r.spec.ntypes = r.spec.due = -1;
     r.spec.cpus = r.spec.tasks = 1;
     r.spec.rank = n == MANY - 1 ? BD_HIGH : BD_IDLE;
-    r.needs.names = names;
-    r.mood = strcmp(mood, "cancelled") == 0 ? BD_CANCELLED : BD_LIVE;
+    r.prerequisites.names = names;
+    r.state = strcmp(state, "cancelled") == 0 ? BD_CANCELLED : BD_LIVE;
     json_t *v = bd_wire_record(&r);
     struct bd_change ch = {key, v, mark};
     bd_core_change(c, &ch);
@@ -645,8 +645,8 @@
     faults += job_of(c, 0)->rank != BD_HIGH || job_of(c, 1)->open != 1;
     record(c, 0, "cancelled", -1, 2);
     for (int n = 0; n < 2 * MANY; n++)
-        faults += n != MANY && job_of(c, n)->mood != BD_CANCELLED;
-    faults += c->needs != NULL || c->nderived != 2 * MANY - 2;
+        faults += n != MANY && job_of(c, n)->state != BD_CANCELLED;
+    faults += c->prerequisites != NULL || c->nderived != 2 * MANY - 2;
     bd_core_free(c);
     if (faults)
         fprintf(stderr, "a large graph: %d faults\n", faults);
--- a/tests/inputs.c
+++ b/tests/inputs.c
@@ -221,7 +221,7 @@
 }
 
 /* What a submission may say of the jobs it waits for; expected: how many names are left, or -1. */
-static void needs(void)
+static void prerequisites(void)
 {
     static const struct {
         const char *text;
@@ -240,7 +240,7 @@
                  {"{\"awaits\":[\"job-1234567890123456789\"]}", -1}};
     for (size_t i = 0; i < sizeof forms / sizeof *forms; i++) {
         json_t *o = json_loads(forms[i].text, 0, NULL), *names = NULL;
-        bool ok = bd_wire_needs(o, &names);
+        bool ok = bd_wire_prerequisites(o, &names);
         check(ok == (forms[i].names >= 0) &&
                   json_array_size(names) == (size_t)(forms[i].names > 0 ? forms[i].names : 0) &&
                   (names != NULL) == (forms[i].names > 0),
@@ -298,7 +298,7 @@
     memset(&r, 0, sizeof r);
     check(bd_wire_submission(o, id, &r.spec) == NULL, "record: submission");
     json_decref(o);
-    r.mood = BD_LIVE;
+    r.state = BD_LIVE;
     r.tasks = 3;
     r.at = 1000.5;
     r.has_spec = true;
@@ -421,8 +421,10 @@
         if (strncmp(key, "j/", 2) != 0)
             continue;
         bool ok = bd_wire_read_record(v, &r);
-        check(ok && !r.needs.names && !r.needs.parts && !r.needs.damaged && r.end == 0, key);
-        jobs[ok ? r.mood : 0]++;
+        check(ok && !r.prerequisites.names && !r.prerequisites.parts && !r.prerequisites.damaged &&
+                  r.end == 0,
+              key);
+        jobs[ok ? r.state : 0]++;
     }
     check(jobs[BD_LIVE] == 2 && jobs[BD_DONE] == 1 && jobs[BD_CANCELLED] == 1 && intents > 0,
           "records of production");
@@ -466,7 +468,7 @@
     const struct bd_report *r = read_cached(c, "vm-1", "7", "running");
     check(r && r->seq == 7 && r->n == 1 && r->tasks[0].sub == BD_RUNNING, "a report is read");
     r = read_cached(c, "vm-1", "1008", "running");
-    check(r && r->seq == 1008 && r->session == 1 && r->seal == 4 && r->n == 1 &&
+    check(r && r->seq == 1008 && r->session == 1 && r->token == 4 && r->n == 1 &&
               strcmp(r->machine, "vm-1") == 0 && r->tasks[0].sub == BD_RUNNING,
           "one that only has another number says the same");
     r = read_cached(c, "vm-1", "1009", "pulling");
@@ -506,7 +508,7 @@
     settings(argv[1]);
     operator_files();
     submissions(argv[1]);
-    needs();
+    prerequisites();
     reports(argv[1]);
     cached_reports();
     records();
--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -42,7 +42,7 @@
 static void write_settings(struct test *t, int i, int apart)
 {
     json_t *others = json_array();
-    char mesh[32], a[32];
+    char peer_addr[32], a[32];
     for (int k = 0; k < NODES; k++) {
         int wrong = apart && i != 1 && k != 1 ? 50 : 10; /* nobody listens there */
         snprintf(a, sizeof a, "127.0.0.1:%d", t->base + wrong + k);
@@ -54,7 +54,7 @@
     }
     char name[16], cloud[32], state[32];
     snprintf(name, sizeof name, "node-%d", i);
-    snprintf(mesh, sizeof mesh, "127.0.0.1:%d", t->base + 10 + i);
+    snprintf(peer_addr, sizeof peer_addr, "127.0.0.1:%d", t->base + 10 + i);
     snprintf(state, sizeof state, "127.0.0.1:%d", t->base + 22 + i);
     snprintf(cloud, sizeof cloud, "127.0.0.1:%d", t->base + 21);
     json_t *team = json_pack("{s:s,s:f,s:f,s:f,s:f}", "name", "blue", "cpus", 0.0, "cpus_max", 32.0,
@@ -69,8 +69,8 @@
         "rps", 20.0, "list_lag_s", 0.5, "limits", "cpu", 1.0, "ram_mb", 256.0, "max_sockets", 300,
         "clock_error_ms", 5.0);
     json_t *o = json_pack("{s:s,s:s,s:s,s:s,s:o,s:{s:s,s:s},s:o}", "node_name", name, "location",
-                          "a", "front", t->addr[i], "mesh_addr", mesh, "others", others, "external",
-                          "cloud", cloud, "state", state, "facts", facts);
+                          "a", "front", t->addr[i], "mesh_addr", peer_addr, "others", others,
+                          "external", "cloud", cloud, "state", state, "facts", facts);
     snprintf(t->file[i], sizeof t->file[i], "%s/%s.json", t->dir, name);
     if (!o || json_dump_file(o, t->file[i], 0) != 0)
         abort();
@@ -274,34 +274,34 @@
 
 /* A worker's check-in; its number rises each time, the thousands name the worker. Returns the
  * status, *seal from the answer. */
-static long check_in(struct test *t, int node, int *tally, long long *seal, char *out, size_t cap)
+static long check_in(struct test *t, int node, int *tally, long long *token, char *out, size_t cap)
 {
     char body[320];
     snprintf(body, sizeof body,
              "{\"hearth\":\"vm-9%05d\",\"endpoint\":\"127.0.0.1:1\",\"breed\":\"odd\",\"glade\":"
              "\"a\",\"windfall\":false,\"tenancy\":1,\"tally\":%d,\"seal\":%lld,\"warningS\":null,"
              "\"chores\":[]}",
-             *tally / 1000, *tally % 1000, *seal);
+             *tally / 1000, *tally % 1000, *token);
     ++*tally;
     long status = ask(t, node, "POST", "/checkin", body, out, cap);
     const char *at = strstr(out, "\"seal\":");
     if (status == 200 && at)
-        *seal = strtoll(at + 7, NULL, 10);
+        *token = strtoll(at + 7, NULL, 10);
     return status;
 }
 
 /* As check_in, until the status comes, for at most so long. */
-static int check_in_until(struct test *t, int node, int *tally, long long *seal, long status,
+static int check_in_until(struct test *t, int node, int *tally, long long *token, long status,
                           double seconds)
 {
     char out[512] = "";
     struct timespec end = bd_add(bd_now(), bd_secs(seconds));
     while (bd_before(bd_now(), end)) {
-        if (check_in(t, node, tally, seal, out, sizeof out) == status)
+        if (check_in(t, node, tally, token, out, sizeof out) == status)
             return 1;
         bd_pause(0.3);
     }
-    printf("     last answer to a check-in with seal %lld: %s\n", *seal, out);
+    printf("     last answer to a check-in with seal %lld: %s\n", *token, out);
     return 0;
 }
 
@@ -310,30 +310,30 @@
 static void apart(struct test *t)
 {
     int tally = 1001;
-    long long seal = 0;
+    long long token = 0;
     for (int i = 0; i < NODES; i++) {
         end(t, i);
         write_settings(t, i, 1);
     }
     bd_pause(4); /* whoever led has led */
     start(t, 0);
-    check(t, check_in_until(t, 0, &tally, &seal, 200, 20), "the first node leads");
+    check(t, check_in_until(t, 0, &tally, &token, 200, 20), "the first node leads");
     /* the stand-in's own workers are to be there, and the relay, before the last node starts: one
      * that met it first would end it as a deputy for half a minute */
     bd_pause(5);
     start(t, 1);
-    check(t, check_in_until(t, 1, &tally, &seal, 200, 20),
+    check(t, check_in_until(t, 1, &tally, &token, 200, 20),
           "the node between them passes reports on");
     start(t, 2);
-    long long before = seal;
-    check(t, check_in_until(t, 2, &tally, &seal, 200, 20) && seal >= before,
+    long long before = token;
+    check(t, check_in_until(t, 2, &tally, &token, 200, 20) && token >= before,
           "a report is relayed to a leader who is not heard");
     end(t, 1);
     bd_pause(2);
     tally = 2001; /* one that the leader does not know yet */
-    check(t, check_in_until(t, 2, &tally, &seal, 200, 25), "without a relay a deputy answers");
-    check(t, check_in_until(t, 0, &tally, &seal, 200, 10), "its worker comes to the leader");
-    check(t, check_in_until(t, 2, &tally, &seal, 421, 10),
+    check(t, check_in_until(t, 2, &tally, &token, 200, 25), "without a relay a deputy answers");
+    check(t, check_in_until(t, 0, &tally, &token, 200, 10), "its worker comes to the leader");
+    check(t, check_in_until(t, 2, &tally, &token, 421, 10),
           "the leader's key sends the deputy away");
     start(t, 1);
 }
@@ -541,7 +541,7 @@
 }
 
 /* No node may answer older than another did, whatever the state service's answers become. */
-static void look_closely(struct test *t, const char *id, const char *const *moods, int from)
+static void look_closely(struct test *t, const char *id, const char *const *state_names, int from)
 {
     char path[64], out[256];
     snprintf(path, sizeof path, "/submissions/%s", id);
@@ -551,8 +551,8 @@
             i < NODES ? ask(t, node, "GET", path, NULL, out, sizeof out)
                       : ask(t, node, "POST", "/submissions", job(id, "sweep", 1), out, sizeof out);
         bool good = status == 503;
-        for (int m = 0; moods[m] && status == 200; m++)
-            good = good || strstr(out, moods[m]);
+        for (int m = 0; state_names[m] && status == 200; m++)
+            good = good || strstr(out, state_names[m]);
         if (!good) {
             printf("     node %d on %s: %ld %s\n", node, id, status, out);
             t->older++;
--- a/tests/meetings.c
+++ b/tests/meetings.c
@@ -123,7 +123,7 @@
     e->who = job;
     e->status = verb;
     e->number = (uint64_t)(s->now * 1e6);
-    if (verb == SIM_WITHDRAW && j->asked_cancel <= 0)
+    if (verb == SIM_CANCEL && j->asked_cancel <= 0)
         j->asked_cancel = s->now;
     if (verb != SIM_SUBMIT)
         return;
@@ -163,8 +163,8 @@
     bool over = j->done_at > 0 || j->cancelled_at > 0;
     if (j->accepted_at <= 0)
         ask_node(s, e->who, some_node(s), SIM_SUBMIT);
-    else if (j->withdraw_at > 0 && s->now >= j->withdraw_at && !over)
-        ask_node(s, e->who, some_node(s), SIM_WITHDRAW);
+    else if (j->cancel_at > 0 && s->now >= j->cancel_at && !over)
+        ask_node(s, e->who, some_node(s), SIM_CANCEL);
     else
         ask_node(s, e->who, some_node(s), SIM_ASK);
     double last = j->answered_at > s->trouble_ends ? j->answered_at : s->trouble_ends;
@@ -175,7 +175,7 @@
     sim_post(s, over ? sim_between(s, 5, 15) : sim_between(s, 1, 4), SIM_USER_WAKE)->who = e->who;
 }
 
-static void told(struct sim *s, struct sim_event *e, const char *mood)
+static void told(struct sim *s, struct sim_event *e, const char *state)
 {
     struct sim_job *j = &s->jobs[e->who];
     double sent = (double)e->number / 1e6;
@@ -183,7 +183,7 @@
     if (first)
         j->accepted_at = s->now;
     j->answered_at = s->now;
-    if (strcmp(mood, "done") == 0) {
+    if (strcmp(state, "done") == 0) {
         for (uint32_t i = 0; i < j->tasks; i++)
             if (!j->done[i])
                 sim_broken(s, "not_done: %s is called done, task %u is not", j->id, i);
@@ -191,7 +191,7 @@
         if (j->cancelled_at > 0 && sent > j->cancelled_at)
             sim_broken(s, "went_back: %s was cancelled, now done", j->id);
         j->done_at = j->done_at > 0 ? j->done_at : s->now;
-    } else if (strcmp(mood, "cancelled") == 0) {
+    } else if (strcmp(state, "cancelled") == 0) {
         if (j->asked_cancel <= 0)
             sim_broken(s, "went_back: %s is called cancelled, nobody asked for it", j->id);
         if (j->done_at > 0 && sent > j->done_at)
@@ -203,13 +203,13 @@
     } else if ((j->done_at > 0 && sent > j->done_at) ||
                (j->cancelled_at > 0 && sent > j->cancelled_at)) {
         sim_broken(s, "went_back: %s was %s, now %s", j->id, j->done_at > 0 ? "done" : "cancelled",
-                   mood);
+                   state);
     }
     if (first)
         look_closely(s, e->who);
-    if (first && j->withdraw_at < 0) { /* some cancel at once */
-        j->withdraw_at = s->now;
-        ask_node(s, e->who, some_node(s), SIM_WITHDRAW);
+    if (first && j->cancel_at < 0) { /* some cancel at once */
+        j->cancel_at = s->now;
+        ask_node(s, e->who, some_node(s), SIM_CANCEL);
     }
 }
 
@@ -218,11 +218,11 @@
     struct sim_job *j = &s->jobs[e->who];
     bool known = j->accepted_at > 0 && (double)e->number / 1e6 > j->accepted_at;
     json_t *o = e->text ? json_loads(e->text, 0, NULL) : NULL;
-    const char *mood = json_string_value(json_object_get(o, "mood"));
+    const char *state = json_string_value(json_object_get(o, "mood"));
     if (e->status == 200 || e->status == 201) {
         if (j->odd)
             sim_broken(s, "accepted: %s lacks a field, or has no zone", j->id);
-        told(s, e, mood ? mood : "");
+        told(s, e, state ? state : "");
     } else if (e->status == 404 || e->status == 400 || e->status == 422) {
         if (known)
             sim_broken(s, "forgotten: %s gets %ld", j->id, e->status);
@@ -260,7 +260,7 @@
               : where < 0.2        ? "\"b\""
                                    : "null";
     if (sim_rnd(s) < p->cancelled)
-        j->withdraw_at = sim_rnd(s) < 0.2 ? -1 : s->now + at + sim_between(s, 0.1, 40);
+        j->cancel_at = sim_rnd(s) < 0.2 ? -1 : s->now + at + sim_between(s, 0.1, 40);
     for (int i = 0; i < SIM_TASKS; i++)
         j->machine[i] = -1;
     sim_post(s, at, SIM_USER_WAKE)->who = n;
@@ -296,9 +296,9 @@
         if (strcmp(t->verb, "hang") == 0)
             w->hangs = until;
         else if (strcmp(t->verb, "deaf") == 0)
-            w->deaf = until;
+            w->inbound_cut = until;
         else if (strcmp(t->verb, "mute") == 0)
-            w->mute = until;
+            w->outbound_cut = until;
         else if (strcmp(t->verb, "die") == 0)
             sim_worker_gone(s, w);
         else {
@@ -316,8 +316,8 @@
         struct sim_job *j = &s->jobs[i];
         if (j->accepted_at <= 0 || j->done_at > 0 || j->asked_cancel > 0 || j->on == 0)
             continue;
-        j->withdraw_at = s->now;
-        ask_node(s, i, some_node(s), SIM_WITHDRAW);
+        j->cancel_at = s->now;
+        ask_node(s, i, some_node(s), SIM_CANCEL);
         n--;
     }
 }
@@ -386,37 +386,37 @@
 
 static void settings(struct sim *s, int i)
 {
-    struct bd_settings *set = &s->nodes[i].set;
-    small_settings(set);
-    snprintf(set->node, sizeof set->node, "node-%d", i);
-    set->lease = bd_secs(s->lease_s);
-    set->cancel = bd_secs(s->cancel_s);
-    set->report = bd_secs(s->report_s);
-    set->leader_ttl = bd_secs(2);
-    set->clock_error = bd_secs(0.005);
-    set->list_lag = bd_secs(3);
-    set->ram_mb = 64;
-    set->max_sockets = 500;
-    set->cpu = 0.5;
-    set->nodes = SIM_NODES;
-    set->nzones = 2;
-    snprintf(set->zones[0], BD_NAME, "a");
-    snprintf(set->zones[1], BD_NAME, "b");
-    snprintf(set->zone, BD_NAME, "%s", zone_of(s, i));
+    struct bd_settings *settings = &s->nodes[i].settings;
+    small_settings(settings);
+    snprintf(settings->node, sizeof settings->node, "node-%d", i);
+    settings->lease = bd_secs(s->lease_s);
+    settings->cancel = bd_secs(s->cancel_s);
+    settings->report = bd_secs(s->report_s);
+    settings->leader_ttl = bd_secs(2);
+    settings->clock_error = bd_secs(0.005);
+    settings->list_lag = bd_secs(3);
+    settings->ram_mb = 64;
+    settings->max_sockets = 500;
+    settings->cpu = 0.5;
+    settings->nodes = SIM_NODES;
+    settings->nzones = 2;
+    snprintf(settings->zones[0], BD_NAME, "a");
+    snprintf(settings->zones[1], BD_NAME, "b");
+    snprintf(settings->zone, BD_NAME, "%s", zone_of(s, i));
     for (int k = 0; k < SIM_NODES; k++) {
         if (k == i)
             continue;
-        struct bd_peer *q = &set->peers[set->npeers++];
+        struct bd_peer *q = &settings->peers[settings->npeers++];
         snprintf(q->name, sizeof q->name, "node-%d", k);
         snprintf(q->zone, sizeof q->zone, "%s", zone_of(s, k));
     }
-    set->nteams = 2;
+    settings->nteams = 2;
     for (int k = 0; k < 2; k++) {
-        snprintf(set->teams[k].name, BD_NAME, "%s", k ? "b" : "a");
-        set->teams[k].cpus = 4;
-        set->teams[k].cpus_max = s->team_max[k];
+        snprintf(settings->teams[k].name, BD_NAME, "%s", k ? "b" : "a");
+        settings->teams[k].cpus = 4;
+        settings->teams[k].cpus_max = s->team_max[k];
     }
-    s->nodes[i].log = (struct bd_log){BD_ERROR, s->nodes[i].set.node};
+    s->nodes[i].log = (struct bd_log){BD_ERROR, s->nodes[i].settings.node};
 }
 
 static void begin(struct sim *s, const struct plan *p, unsigned long seed)
@@ -438,7 +438,7 @@
         sim_node_start(s, i);
     }
     for (int i = 0; i < 6; i++)
-        (void)sim_rent(s, i % 2 ? "b" : "a", 0.1);
+        (void)sim_provision(s, i % 2 ? "b" : "a", 0.1);
     for (int i = 0; i < p->n; i++) {
         const struct trouble *t = &p->t[i];
         bool shared = strcmp(t->verb, "late") == 0 || strcmp(t->verb, "lost") == 0 ||
@@ -465,11 +465,11 @@
     case SIM_STATE_GIVEN_UP:
         node = e->call->node;
         break;
-    case SIM_MESH:
+    case SIM_FRAME:
         node = e->who;
         break;
     case SIM_READER:
-    case SIM_SEAT:
+    case SIM_ELECTION:
     case SIM_NODE_TICK:
     case SIM_REPORT_IN:
     case SIM_REPORT_COPY:
@@ -527,10 +527,10 @@
         left += !j->done[i];
         missing += !j->done[i] && j->machine[i] < 0;
     }
-    double need = j->cpus * (j->shape == BD_ARRAY ? 1 : missing);
+    double prerequisite = j->cpus * (j->shape == BD_ARRAY ? 1 : missing);
     bool could = j->accepted_at > 0 && j->asked_cancel <= 0 && left > 0 && missing > 0 &&
                  s->now > s->trouble_ends &&
-                 s->team_use[j->team] + need <= s->team_max[j->team] + 1e-6;
+                 s->team_use[j->team] + prerequisite <= s->team_max[j->team] + 1e-6;
     if (!could)
         j->room_since = 0;
     else if (j->room_since <= 0)
@@ -585,7 +585,7 @@
         s->queue = e->next;
         if (e->kind == SIM_STATE_BACK)
             json_decref(e->data);
-        if (e->kind == SIM_MESH)
+        if (e->kind == SIM_FRAME)
             free(e->data);
         if (e->kind == SIM_DO_IN || e->kind == SIM_DO_BACK || e->kind == SIM_DO_GIVEN_UP) {
             struct sim_try *t = e->data;
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -27,7 +27,7 @@
 #define COMMITS_MOST 16
 
 struct world {
-    struct bd_settings set;
+    struct bd_settings settings;
     struct bd_log log;
     struct bd_core *c;
     struct bd_report_cache *reports;
@@ -52,15 +52,15 @@
     w->commits++;
     if (strlen(body) > 65536)
         fault(w, "bytes of a transaction", strlen(body), 65536);
-    if (json_array_size(ops) > w->set.txn_ops)
-        fault(w, "changes", json_array_size(ops), w->set.txn_ops);
-    if (conds > 4 * w->set.txn_ops)
-        fault(w, "conditions", conds, 4 * w->set.txn_ops);
+    if (json_array_size(ops) > w->settings.txn_ops)
+        fault(w, "changes", json_array_size(ops), w->settings.txn_ops);
+    if (conds > 4 * w->settings.txn_ops)
+        fault(w, "conditions", conds, 4 * w->settings.txn_ops);
     json_array_foreach(ops, i, v)
     {
         char *text = json_dumps(json_object_get(v, "value"), JSON_COMPACT | JSON_ENCODE_ANY);
-        if (text && strlen(text) > w->set.value_bytes)
-            fault(w, "bytes of a value", strlen(text), w->set.value_bytes);
+        if (text && strlen(text) > w->settings.value_bytes)
+            fault(w, "bytes of a value", strlen(text), w->settings.value_bytes);
         free(text);
     }
     json_decref(o);
@@ -126,10 +126,10 @@
 static void job(struct world *w, int n, enum bd_shape shape, uint32_t tasks, double cpus,
                 double gpus, double mem)
 {
-    struct bd_record r = {.mood = BD_LIVE, .at = 1000 + w->now, .has_spec = true, .tasks = tasks};
+    struct bd_record r = {.state = BD_LIVE, .at = 1000 + w->now, .has_spec = true, .tasks = tasks};
     char key[BD_LABEL];
     snprintf(key, sizeof key, "j/job-%06d", n);
-    snprintf(r.spec.klass, sizeof r.spec.klass, "class-%d", (int)shape);
+    snprintf(r.spec.job_class, sizeof r.spec.job_class, "class-%d", (int)shape);
     snprintf(r.spec.team, sizeof r.spec.team, "team-%d", n % 2);
     snprintf(r.spec.image, sizeof r.spec.image, "img-%d-%d", (int)shape, n % 8);
     r.spec.ntypes = -1;
@@ -153,7 +153,7 @@
 /* One machine reports; the tasks that it holds are all running. */
 static void report(struct world *w, uint32_t i)
 {
-    struct bd_report r = {.session = 1, .seq = ++w->seq, .seal = w->c->term, .notice = -1};
+    struct bd_report r = {.session = 1, .seq = ++w->seq, .token = w->c->term, .notice = -1};
     struct bd_seen_task tasks[128];
     struct bd_machine *m = NULL;
     snprintf(r.machine, sizeof r.machine, "vm-%06u", i);
@@ -187,8 +187,8 @@
 
 static void build(struct world *w)
 {
-    settings(&w->set);
-    w->c = bd_core_new(&w->set, &w->log);
+    settings(&w->settings);
+    w->c = bd_core_new(&w->settings, &w->log);
     if (!w->c)
         abort();
     at(w, 0);
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -36,7 +36,7 @@
 #define WORDS 64
 
 struct play {
-    struct bd_settings set;
+    struct bd_settings settings;
     struct bd_log log;
     struct bd_core *c;
     struct bd_effect *left;
@@ -44,7 +44,7 @@
     int n, line, faults;
     const char *path, *raw;
     uint64_t ring;
-    uint64_t seal_out;
+    uint64_t token_out;
     struct bd_effect *user; /* the user's transaction in flight */
 };
 
@@ -97,9 +97,9 @@
 {
     if (p->c)
         return;
-    if (bd_is_zero(p->set.leader_ttl))
-        p->set.leader_ttl = bd_secs(3);
-    p->c = bd_core_new(&p->set, &p->log);
+    if (bd_is_zero(p->settings.leader_ttl))
+        p->settings.leader_ttl = bd_secs(3);
+    p->c = bd_core_new(&p->settings, &p->log);
     if (!p->c)
         abort();
     bd_core_time(p->c, bd_secs(100), 1000);
@@ -115,29 +115,29 @@
 
 static void cmd_set(struct play *p)
 {
-    p->set.lease = bd_secs(num(p, "lease", bd_to_secs(p->set.lease)));
-    p->set.cancel = bd_secs(num(p, "cancel", bd_to_secs(p->set.cancel)));
-    p->set.report = bd_secs(num(p, "report", bd_to_secs(p->set.report)));
-    p->set.leader_ttl = bd_secs(num(p, "ttl", bd_to_secs(p->set.leader_ttl)));
-    p->set.txn_ops = (size_t)num(p, "ops", (double)p->set.txn_ops);
-    p->set.value_bytes = (size_t)num(p, "value", (double)p->set.value_bytes);
-    p->set.state_write_rps = num(p, "writes", p->set.state_write_rps);
+    p->settings.lease = bd_secs(num(p, "lease", bd_to_secs(p->settings.lease)));
+    p->settings.cancel = bd_secs(num(p, "cancel", bd_to_secs(p->settings.cancel)));
+    p->settings.report = bd_secs(num(p, "report", bd_to_secs(p->settings.report)));
+    p->settings.leader_ttl = bd_secs(num(p, "ttl", bd_to_secs(p->settings.leader_ttl)));
+    p->settings.txn_ops = (size_t)num(p, "ops", (double)p->settings.txn_ops);
+    p->settings.value_bytes = (size_t)num(p, "value", (double)p->settings.value_bytes);
+    p->settings.state_write_rps = num(p, "writes", p->settings.state_write_rps);
     const char *t = arg(p, "team"), *peer = arg(p, "peer");
     if (peer) {
-        struct bd_peer *b = &p->set.peers[p->set.npeers++];
+        struct bd_peer *b = &p->settings.peers[p->settings.npeers++];
         (void)sscanf(peer, "%63[^:]:%63s", b->name, b->zone);
     }
     const char *aim = arg(p, "aim");
     if (aim) {
-        struct bd_aim *a = &p->set.aims[p->set.naims++];
-        if (sscanf(aim, "%63[^:]:%lf:%lf", a->klass, &a->within_s, &a->share) != 3)
+        struct bd_aim *a = &p->settings.aims[p->settings.naims++];
+        if (sscanf(aim, "%63[^:]:%lf:%lf", a->job_class, &a->within_s, &a->share) != 3)
             fail(p, "aim");
         a->kind = BD_AIM_WAIT;
     }
     if (arg(p, "zone"))
-        snprintf(p->set.zone, sizeof p->set.zone, "%s", arg(p, "zone"));
+        snprintf(p->settings.zone, sizeof p->settings.zone, "%s", arg(p, "zone"));
     if (t) {
-        struct bd_team_limits *l = &p->set.teams[p->set.nteams++];
+        struct bd_team_limits *l = &p->settings.teams[p->settings.nteams++];
         char name[BD_NAME];
         if (sscanf(t, "%63[^:]:%lf:%lf:%lf:%lf", name, &l->cpus, &l->cpus_max, &l->gpus,
                    &l->gpus_max) != 5)
@@ -173,7 +173,7 @@
 static void spec(struct play *p, struct bd_spec_text *s)
 {
     memset(s, 0, sizeof *s);
-    snprintf(s->klass, sizeof s->klass, "%s", arg(p, "class") ? arg(p, "class") : "k");
+    snprintf(s->job_class, sizeof s->job_class, "%s", arg(p, "class") ? arg(p, "class") : "k");
     snprintf(s->team, sizeof s->team, "%s", arg(p, "team") ? arg(p, "team") : "a");
     snprintf(s->image, sizeof s->image, "%s", arg(p, "image") ? arg(p, "image") : "img");
     s->image_gb = num(p, "gb", 0);
@@ -212,7 +212,7 @@
 {
     char key[BD_LABEL + 8];
     snprintf(key, sizeof key, "j/%s", p->w[1]);
-    json_t *v = bd_wire_needs_part(names_in(p->n > 2 ? p->w[2] : ""));
+    json_t *v = bd_wire_prerequisites_part(names_in(p->n > 2 ? p->w[2] : ""));
     struct bd_change ch = {key, v, (uint64_t)num(p, "mark", 1)};
     bd_core_change(p->c, &ch);
     json_decref(v);
@@ -233,9 +233,9 @@
 }
 
 /* mood job-1 live|done|cancelled [rank=N] [ready=0|1]: what the core holds of a job */
-static void cmd_mood(struct play *p)
+static void cmd_state(struct play *p)
 {
-    static const char *const moods[] = {"live", "done", "cancelled"};
+    static const char *const state_names[] = {"live", "done", "cancelled"};
     struct bd_job *j = NULL;
     HASH_FIND_STR(p->c->jobs, p->w[1], j);
     if (!j) {
@@ -243,8 +243,8 @@
         return;
     }
     bd_core_weigh(p->c);
-    if (strcmp(moods[j->mood], p->w[2]) != 0)
-        fail(p, moods[j->mood]);
+    if (strcmp(state_names[j->state], p->w[2]) != 0)
+        fail(p, state_names[j->state]);
     if (num(p, "rank", j->rank) != (double)j->rank)
         fail(p, "another rank");
     if (num(p, "ready", j->open == 0) != (double)(j->open == 0))
@@ -253,17 +253,18 @@
 
 static void cmd_job(struct play *p)
 {
-    struct bd_record r = {.mood = BD_LIVE, .at = num(p, "mark", 1), .has_spec = true};
-    const char *mood = arg(p, "mood");
+    struct bd_record r = {.state = BD_LIVE, .at = num(p, "mark", 1), .has_spec = true};
+    const char *state = arg(p, "mood");
     char key[BD_LABEL];
     spec(p, &r.spec);
     r.tasks = r.spec.tasks;
-    if (mood)
-        r.mood = strcmp(mood, "done") == 0 ? BD_DONE : BD_CANCELLED;
+    if (state)
+        r.state = strcmp(state, "done") == 0 ? BD_DONE : BD_CANCELLED;
     snprintf(key, sizeof key, "j/%s", p->w[1]);
     json_t *names = arg(p, "needs") ? names_in(arg(p, "needs")) : NULL;
-    r.needs.names = names;
-    if (arg(p, "parts") && sscanf(arg(p, "parts"), "%15[^:]:%u", r.needs.of, &r.needs.parts) != 2)
+    r.prerequisites.names = names;
+    if (arg(p, "parts") &&
+        sscanf(arg(p, "parts"), "%15[^:]:%u", r.prerequisites.of, &r.prerequisites.parts) != 2)
         fail(p, "parts");
     r.end = num(p, "end", 0);
     json_t *v = bd_wire_record(&r);
@@ -329,7 +330,7 @@
     snprintf(r->addr, sizeof r->addr, "addr-%s", p->w[1]);
     r->session = (uint64_t)num(p, "session", 1);
     r->seq = (uint64_t)num(p, "seq", 1);
-    r->seal = (uint64_t)num(p, "seal", 0);
+    r->token = (uint64_t)num(p, "seal", 0);
     r->notice = num(p, "notice", -1);
     r->spot = yes(p, "spot");
     r->tasks = tasks;
@@ -406,11 +407,11 @@
     memset(l, 0, sizeof l);
     size_t n = 0;
     for (int i = 1; i < p->n; i++, n++) {
-        char mood[32] = "running";
-        if (sscanf(p->w[i], "%63[^:]:%63[^:]:%63[^:]:%31s", l[n].id, l[n].type, l[n].zone, mood) <
+        char state[32] = "running";
+        if (sscanf(p->w[i], "%63[^:]:%63[^:]:%63[^:]:%31s", l[n].id, l[n].type, l[n].zone, state) <
             3)
             fail(p, "listed");
-        l[n].mood = *mood == 'r' ? BD_UP : *mood == 'f' ? BD_FAILED : BD_BOOTING;
+        l[n].state = *state == 'r' ? BD_UP : *state == 'f' ? BD_FAILED : BD_BOOTING;
     }
     bd_core_machines(p->c, l, n, p->c->now);
 }
@@ -419,7 +420,7 @@
 {
     uint8_t flags = num(p, "state", 1) != 0 ? BD_PEER_STATE : 0;
     flags |= num(p, "hears", 1) != 0 ? BD_PEER_HEARS : 0;
-    flags |= num(p, "deaf", 0) != 0 ? BD_PEER_DEAF : 0;
+    flags |= num(p, "deaf", 0) != 0 ? BD_PEER_INBOUND_CUT : 0;
     flags |= yes(p, "cut") ? BD_PEER_CUT : 0;
     flags |= num(p, "deps", 1) != 0 ? BD_PEER_DEPS : 0;
     bd_core_peer(p->c, p->w[1], (uint64_t)num(p, "term", 0), flags, num(p, "age", 0),
@@ -433,10 +434,10 @@
 
 static void cmd_limits(struct play *p)
 {
-    if (p->c->lim.value_bytes != strtoull(p->w[1], NULL, 10) ||
-        p->c->lim.txn_ops != strtoull(p->w[2], NULL, 10)) {
-        fprintf(stderr, "values of %zu bytes, %zu changes\n", p->c->lim.value_bytes,
-                p->c->lim.txn_ops);
+    if (p->c->limits.value_bytes != strtoull(p->w[1], NULL, 10) ||
+        p->c->limits.txn_ops != strtoull(p->w[2], NULL, 10)) {
+        fprintf(stderr, "values of %zu bytes, %zu changes\n", p->c->limits.value_bytes,
+                p->c->limits.txn_ops);
         fail(p, "limits");
     }
 }
@@ -447,7 +448,7 @@
     bd_core_leader_is(p->c, name, strtoull(p->w[2], NULL, 10), p->c->now, yes(p, "away"));
 }
 
-static void cmd_deputies(struct play *p)
+static void cmd_delegates(struct play *p)
 {
     json_t *pairs = json_array();
     for (int i = 1; i < p->n; i++) {
@@ -461,7 +462,7 @@
         json_array_append_new(pairs, json_pack("{s:s,s:{s:i,s:o},s:i}", "k", key, "value", "t", 1,
                                                "m", m, "mark", (int)mark));
     }
-    bd_core_deputies(p->c, pairs, p->c->now);
+    bd_core_delegates(p->c, pairs, p->c->now);
     json_decref(pairs);
 }
 
@@ -472,7 +473,7 @@
     for (int i = 0; i < n; i++) {
         char key[BD_LABEL];
         snprintf(key, sizeof key, "j/job-%d", 1000000 + i);
-        struct bd_record r = {.mood = BD_DONE, .tasks = 1, .at = 1, .end = 2};
+        struct bd_record r = {.state = BD_DONE, .tasks = 1, .at = 1, .end = 2};
         json_t *v = bd_wire_record(&r);
         struct bd_change ch = {key, v, (uint64_t)(i + 1)};
         bd_core_change(p->c, &ch);
@@ -487,11 +488,11 @@
     char key[BD_LABEL];
     snprintf(key, sizeof key, "j/%s", p->w[1]);
     long status = atol(p->w[3]);
-    struct bd_record r = {.mood = BD_DONE, .tasks = 1, .at = 1};
+    struct bd_record r = {.state = BD_DONE, .tasks = 1, .at = 1};
     if (p->n > 4 && strcmp(p->w[4], "cancelled") == 0) {
         spec(p, &r.spec);
         r.has_spec = true;
-        r.mood = BD_CANCELLED;
+        r.state = BD_CANCELLED;
     }
     struct bd_change ch = {key, v = bd_wire_record(&r), 5};
     bd_core_looked_up(p->c, NULL, p->w[1], atoi(p->w[2]), status, status == 200 ? &ch : NULL);
@@ -500,7 +501,7 @@
 
 /* time passes until the first argument; the leader looks every two seconds and sees when the other
  * controllers were last in touch */
-static void cmd_touched(struct play *p)
+static void cmd_liveness(struct play *p)
 {
     double to = strtod(p->w[1], NULL), at = bd_to_secs(p->c->now) - 100;
     json_t *pairs = json_array();
@@ -518,7 +519,7 @@
         more = at < to;
         bd_core_time(p->c, bd_secs(100 + at), 1000 + at);
         bd_core_renewed(p->c, 7, p->c->now);
-        bd_core_deputies(p->c, pairs, p->c->now);
+        bd_core_delegates(p->c, pairs, p->c->now);
         bd_core_tick(p->c);
     }
     json_decref(pairs);
@@ -531,18 +532,18 @@
     json_t *none = json_array();
     for (at += 2; at < to; at += 2) {
         bd_core_time(p->c, bd_secs(100 + at), 1000 + at);
-        bd_core_deputies(p->c, none, p->c->now);
+        bd_core_delegates(p->c, none, p->c->now);
     }
     bd_core_time(p->c, bd_secs(100 + to), 1000 + to);
-    bd_core_deputies(p->c, none, p->c->now);
+    bd_core_delegates(p->c, none, p->c->now);
     json_decref(none);
 }
 
-static void cmd_deputycommitted(struct play *p)
+static void cmd_delegatecommitted(struct play *p)
 {
     bool known = p->n < 3;
     p->ring = p->ring < 1000 ? 1000 : p->ring + 1;
-    bd_core_deputy_committed(p->c, atol(p->w[1]), p->ring, p->c->now, known);
+    bd_core_delegate_committed(p->c, atol(p->w[1]), p->ring, p->c->now, known);
 }
 
 static void cmd_committed(struct play *p)
@@ -577,20 +578,20 @@
     bd_effect_free(e);
 }
 
-static void cmd_rented(struct play *p)
+static void cmd_provisioned(struct play *p)
 {
     char names[WORDS][BD_LABEL];
     int n = 0;
-    if (p->c->nrentals == 0) {
+    if (p->c->nprovisions == 0) {
         fail(p, "no rental is open");
         return;
     }
     char request[BD_LABEL];
-    snprintf(request, sizeof request, "%s", p->c->rentals[0].request);
+    snprintf(request, sizeof request, "%s", p->c->provisions[0].request);
     bool refused = strcmp(p->w[1], "refused") == 0;
     for (int i = 2; i < p->n; i++)
         snprintf(names[n++], BD_LABEL, "%s", p->w[i]);
-    bd_core_rented(p->c, request, refused ? 503 : 200, names, n);
+    bd_core_provisioned(p->c, request, refused ? 503 : 200, names, n);
 }
 
 static const char *const kinds[] = {"reply",   "user",    "commit",   "do",     "rent",
@@ -682,8 +683,8 @@
 
 static void cmd_team(struct play *p)
 {
-    for (int i = 0; i < p->set.nteams; i++) {
-        if (strcmp(p->set.teams[i].name, p->w[1]) != 0)
+    for (int i = 0; i < p->settings.nteams; i++) {
+        if (strcmp(p->settings.teams[i].name, p->w[1]) != 0)
             continue;
         if (num(p, "cpus", p->c->team_cpus[i]) != p->c->team_cpus[i] ||
             num(p, "gpus", p->c->team_gpus[i]) != p->c->team_gpus[i])
@@ -730,9 +731,9 @@
     else if (strcmp(v, "busy") == 0)
         bd_core_busy(p->c);
     else if (strcmp(v, "confirmed") == 0)
-        bd_core_confirmed(p->c, p->c->now);
+        bd_core_liveness_written(p->c, p->c->now);
     else if (strcmp(v, "offered") == 0)
-        bd_core_offered(p->c, p->c->now);
+        bd_core_liveness_sent(p->c, p->c->now);
     else if (strcmp(v, "renew") == 0)
         bd_core_renewed(p->c, 7, p->c->now);
     else if (strcmp(v, "lose") == 0)
@@ -740,7 +741,7 @@
     else if (strcmp(v, "get") == 0)
         bd_core_get(p->c, NULL, p->w[1]);
     else if (strcmp(v, "withdraw") == 0)
-        bd_core_withdraw(p->c, NULL, p->w[1]);
+        bd_core_cancel(p->c, NULL, p->w[1]);
     else if (strcmp(v, "seed") == 0)
         bd_core_seed(p->c, p->n > 1 ? strtoull(p->w[1], NULL, 10) : 0);
     else if (strcmp(v, "up") == 0) {
@@ -762,7 +763,7 @@
                  {"job", 2, cmd_job},
                  {"part", 2, cmd_part},
                  {"record", 4, cmd_record},
-                 {"mood", 3, cmd_mood},
+                 {"mood", 3, cmd_state},
                  {"gain", 2, cmd_gain},
                  {"report", 4, cmd_report},
                  {"forwarded", 6, cmd_forwarded},
@@ -771,7 +772,7 @@
                  {"listed", 1, cmd_listed},
                  {"committed", 2, cmd_committed},
                  {"usercommitted", 2, cmd_usercommitted},
-                 {"rented", 2, cmd_rented},
+                 {"rented", 2, cmd_provisioned},
                  {"returned", 2, cmd_returned},
                  {"expect", 2, cmd_expect},
                  {"none", 2, cmd_none},
@@ -784,9 +785,9 @@
                  {"leader", 3, cmd_leader},
                  {"heard", 2, cmd_heard},
                  {"limits", 3, cmd_limits},
-                 {"deputies", 1, cmd_deputies},
-                 {"touched", 2, cmd_touched},
-                 {"deputycommitted", 2, cmd_deputycommitted},
+                 {"deputies", 1, cmd_delegates},
+                 {"touched", 2, cmd_liveness},
+                 {"deputycommitted", 2, cmd_delegatecommitted},
                  {"finals", 2, cmd_finals},
                  {"lookedup", 4, cmd_lookedup},
                  {"watch", 2, cmd_watch},
@@ -822,7 +823,7 @@
         perror(argv[1]);
         return 2;
     }
-    small_settings(&p.set);
+    small_settings(&p.settings);
     int steps = 0;
     while (fgets(line, sizeof line, f)) {
         p.line++;
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -21,10 +21,10 @@
     SIM_STATE_BACK,
     SIM_STATE_GIVEN_UP,
     SIM_READER,
-    SIM_SEAT,
+    SIM_ELECTION,
     SIM_NODE_TICK,
     SIM_NODE_UP,
-    SIM_MESH,
+    SIM_FRAME,
     SIM_REPORT_IN,
     SIM_REPORT_BACK,
     SIM_REPORT_GIVEN_UP,
@@ -72,7 +72,7 @@
     double ends, ttl;
 };
 
-enum sim_op { SIM_GET, SIM_LIST, SIM_LOOK, SIM_COMMIT, SIM_GRANT, SIM_RENEW };
+enum sim_op { SIM_GET, SIM_LIST, SIM_REFRESH, SIM_COMMIT, SIM_GRANT, SIM_RENEW };
 
 struct sim_call { /* of a controller to the state service */
     enum sim_op op;
@@ -86,7 +86,7 @@
 };
 
 struct sim_node {
-    struct bd_settings set;
+    struct bd_settings settings;
     struct bd_log log;
     struct bd_core *core; /* NULL: not running */
     uint64_t epoch;
@@ -94,13 +94,13 @@
     double stalled; /* until then the process stands still */
     /* reader */
     uint64_t after;
-    bool list_again, want_barrier, look_out, reads_refused;
-    double next_deputies;
+    bool list_again, want_barrier, refresh_out, reads_refused;
+    double next_delegates;
     /* seat */
-    bool leading, seat_out, step_down;
+    bool leading, election_out, step_down;
     char nonce[BD_LABEL];
     uint64_t grant;
-    struct timespec granted, touched;
+    struct timespec granted, liveness_at;
     struct bd_gain gain;
     bool gained; /* a gain waits for the replica */
     /* committer */
@@ -120,13 +120,13 @@
 struct sim_worker {
     char id[BD_LABEL], zone[BD_LABEL], type[BD_LABEL];
     bool gone;
-    double rented_at, up_at, answered, next_report;
-    uint64_t session, tally, seal, asked; /* asked: the number of the check-in under way */
+    double provisioned_at, up_at, answered, next_report;
+    uint64_t session, tally, token, asked; /* asked: the number of the check-in under way */
     bool asking;
     double asked_at;
     int node;
-    double hangs, mute, deaf, cut; /* until then */
-    bool holds;                    /* the cut delivers late instead of never */
+    double hangs, outbound_cut, inbound_cut, cut; /* until then */
+    bool holds;                                   /* the cut delivers late instead of never */
     int nslots;
     struct sim_slot slots[SIM_SLOTS];
 };
@@ -136,7 +136,7 @@
     enum bd_shape shape;
     uint32_t tasks;
     int team, rank;
-    double cpus, run_s, withdraw_at;                         /* withdraw_at: 0 never */
+    double cpus, run_s, cancel_at;                           /* withdraw_at: 0 never */
     double asked_cancel, accepted_at, done_at, cancelled_at; /* when the user was told; 0 not yet */
     double answered_at, room_since; /* it waits since then though it could begin; 0: it could not */
     bool odd;                       /* can never be accepted */
@@ -210,16 +210,16 @@
     bool over, launch;
     int refs;
     uint32_t machine;
-    uint64_t seal;
+    uint64_t token;
 };
-enum sim_verb { SIM_SUBMIT, SIM_ASK, SIM_WITHDRAW };
+enum sim_verb { SIM_SUBMIT, SIM_ASK, SIM_CANCEL };
 void sim_node_start(struct sim *s, int i);
 void sim_node_end(struct sim *s, int i);
 void sim_node_event(struct sim *s, struct sim_event *e);
 void sim_node_answered(struct sim *s, struct sim_call *c, long status, json_t *o);
 
 /* workers and cloud, sim_work.c */
-int sim_rent(struct sim *s, const char *zone, double boot);
+int sim_provision(struct sim *s, const char *zone, double boot);
 void sim_worker_event(struct sim *s, struct sim_event *e);
 void sim_copies_now(struct sim *s); /* a new leader begins */
 void sim_workers_tick(struct sim *s);
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -9,22 +9,22 @@
 
 enum then { /* what an answer of the state service is for */
             THEN_LIST,
-            THEN_LOOK,
-            THEN_DEPUTIES,
+            THEN_REFRESH,
+            THEN_DELEGATES,
             THEN_SEE,
-            THEN_TOUCH,
+            THEN_LIVENESS,
             THEN_GRANT,
             THEN_ACQUIRE,
             THEN_OURS,
-            THEN_WITNESS,
+            THEN_SEQUENCE,
             THEN_RECEIPTS,
             THEN_INTENTS,
             THEN_RENEW,
             THEN_COMMIT,
-            THEN_WITNESSED,
+            THEN_SEQUENCE_SHOWS,
             THEN_USER,
-            THEN_DEPUTY,
-            THEN_DEPUTY_MARK,
+            THEN_DELEGATE,
+            THEN_DELEGATE_MARK,
             THEN_LOOKUP
 };
 
@@ -90,7 +90,7 @@
                                  enum bd_frame_type type, struct bd_effect *e)
 {
     int to = peer + (peer >= (int)(n - s->nodes)); /* the settings leave ourselves out */
-    struct sim_event *m = wake(s, n, sim_delay(s), SIM_MESH);
+    struct sim_event *m = wake(s, n, sim_delay(s), SIM_FRAME);
     struct bd_frame *f = calloc(1, sizeof *f);
     if (!f)
         abort();
@@ -98,9 +98,9 @@
     m->epoch = s->nodes[to].epoch;
     m->data = f;
     f->type = type;
-    snprintf(f->name, sizeof f->name, "%s", n->set.node);
+    snprintf(f->name, sizeof f->name, "%s", n->settings.node);
     if (e) {
-        f->id = e->seal;
+        f->id = e->token;
         f->status = (uint16_t)e->status;
         m->text = e->body;
         e->body = NULL;
@@ -113,7 +113,7 @@
     struct sim_try *t = calloc(1, sizeof *t);
     if (!t)
         abort();
-    *t = (struct sim_try){.refs = 2, .machine = e->machine, .seal = e->seal, .launch = e->launch};
+    *t = (struct sim_try){.refs = 2, .machine = e->machine, .token = e->token, .launch = e->launch};
     bool held = sim_held_up(s);
     struct sim_event *d = wake(s, n, sim_delay(s) + (held ? sim_between(s, 0.5, 6) : 0), SIM_DO_IN);
     d->who = atoi(e->addr + 2); /* "w-N" */
@@ -127,7 +127,7 @@
 static void cloud(struct sim *s, struct sim_node *n, struct bd_effect *e)
 {
     struct sim_event *b = wake(s, n, sim_between(s, 0.1, 0.4), SIM_CLOUD_BACK);
-    b->flag = e->kind == BD_E_RENT;
+    b->flag = e->kind == BD_E_PROVISION;
     b->text = e->body;
     e->body = NULL;
 }
@@ -154,7 +154,7 @@
             sim_end_grant(s, n->grant);
         break;
     case BD_E_CANCELLED: /* in half of the days nobody tells: the rules hold without the news */
-        for (int i = 0; s->seed % 2 && i < n->set.npeers; i++)
+        for (int i = 0; s->seed % 2 && i < n->settings.npeers; i++)
             to_peer(s, n, i, BD_FRAME_CANCELLED, NULL)->text = strdup(e->key);
         break;
     case BD_E_FORWARD:
@@ -162,9 +162,9 @@
         (void)to_peer(s, n, (int)e->machine,
                       e->kind == BD_E_FORWARD ? BD_FRAME_REPORT : BD_FRAME_ANSWER, e);
         break;
-    case BD_E_DEPUTY:
-        c = e->body ? call(s, n, SIM_COMMIT, THEN_DEPUTY, NULL, strdup(e->body), 1.5)
-                    : call(s, n, SIM_GET, THEN_DEPUTY_MARK, e->key, NULL, 1.5);
+    case BD_E_DELEGATE:
+        c = e->body ? call(s, n, SIM_COMMIT, THEN_DELEGATE, NULL, strdup(e->body), 1.5)
+                    : call(s, n, SIM_GET, THEN_DELEGATE_MARK, e->key, NULL, 1.5);
         (void)c;
         break;
     case BD_E_USER_COMMIT:
@@ -187,7 +187,7 @@
     case BD_E_DO:
         direct(s, n, e);
         break;
-    case BD_E_RENT:
+    case BD_E_PROVISION:
     case BD_E_RETURN:
         cloud(s, n, e);
         break;
@@ -207,7 +207,7 @@
     n->gain.receipts = n->gain.intents = NULL;
     s->terms++;
     sim_copies_now(s);
-    sim_note(s, "%s leads, term %llu", n->set.node, (unsigned long long)n->core->term);
+    sim_note(s, "%s leads, term %llu", n->settings.node, (unsigned long long)n->core->term);
 }
 
 static void say_status(struct sim *s, struct sim_node *n)
@@ -216,14 +216,14 @@
     if (s->now < n->next_status)
         return;
     n->next_status = s->now + 0.3;
-    double age = bd_between(c->fresh, c->now);
+    double age = bd_between(c->refreshed_at, c->now);
     uint8_t flags = BD_PEER_DEPS;
     flags |= c->role == BD_LEADER ? BD_PEER_LEADS : 0;
     flags |= bd_core_hears_leader(c) ? BD_PEER_HEARS : 0;
-    flags |= c->role == BD_LEADER && c->deaf ? BD_PEER_DEAF : 0;
+    flags |= c->role == BD_LEADER && c->inbound_cut ? BD_PEER_INBOUND_CUT : 0;
     flags |= age < 1.0 && c->replica_ready ? BD_PEER_STATE : 0;
     flags |= bd_core_cut(c) ? BD_PEER_CUT : 0;
-    for (int i = 0; i < n->set.npeers; i++) {
+    for (int i = 0; i < n->settings.npeers; i++) {
         struct bd_frame *f = to_peer(s, n, i, BD_FRAME_STATUS, NULL)->data;
         f->term = c->role == BD_LEADER ? c->term : 0;
         f->flags = flags;
@@ -249,19 +249,19 @@
 
 static void read_next(struct sim *s, struct sim_node *n)
 {
-    if (n->look_out)
+    if (n->refresh_out)
         return;
-    n->look_out = true;
+    n->refresh_out = true;
     if (n->list_again) {
         (void)call(s, n, SIM_LIST, THEN_LIST, "j/", NULL, 1.5);
         return;
     }
-    if (n->core->role == BD_LEADER && s->now > n->next_deputies) {
-        n->next_deputies = s->now + 0.7;
-        (void)call(s, n, SIM_LIST, THEN_DEPUTIES, "p/", NULL, 1.5);
+    if (n->core->role == BD_LEADER && s->now > n->next_delegates) {
+        n->next_delegates = s->now + 0.7;
+        (void)call(s, n, SIM_LIST, THEN_DELEGATES, "p/", NULL, 1.5);
         return;
     }
-    struct sim_call *c = call(s, n, SIM_LOOK, THEN_LOOK, NULL, NULL, 1.5);
+    struct sim_call *c = call(s, n, SIM_REFRESH, THEN_REFRESH, NULL, NULL, 1.5);
     c->number = n->after;
     c->flag = n->want_barrier;
     n->want_barrier = false;
@@ -279,46 +279,46 @@
     }
 }
 
-static void looked(struct sim *s, struct sim_node *n, struct sim_call *c, long status, json_t *o)
+static void refreshed(struct sim *s, struct sim_node *n, struct sim_call *c, long status, json_t *o)
 {
     bool ignored;
-    n->look_out = false;
+    n->refresh_out = false;
     if (c->then == THEN_LIST && status == 200) {
         changes(n, bd_wire_pairs(o, &ignored));
         bd_core_relisted(n->core, bd_wire_ring(o), c->sent);
         n->after = n->core->ring;
         n->list_again = false;
-    } else if (c->then == THEN_LOOK) {
+    } else if (c->then == THEN_REFRESH) {
         n->reads_refused = status != 200;
         if (status == 200)
             changes(n, bd_wire_log(o));
         bd_core_followed(n->core, c->number, bd_wire_ring(o), c->sent, c->flag, status == 200);
         if (status == 200 && bd_wire_ring(o) > n->after)
             n->after = bd_wire_ring(o);
-    } else if (c->then == THEN_DEPUTIES && status == 200) {
+    } else if (c->then == THEN_DELEGATES && status == 200) {
         if (s->loud && getenv("SIM_DEPUTIES")) {
             char *text = json_dumps(bd_wire_pairs(o, &ignored), JSON_COMPACT);
-            sim_note(s, "%s sees %s", n->set.node, text);
+            sim_note(s, "%s sees %s", n->settings.node, text);
             free(text);
         }
-        bd_core_deputies(n->core, bd_wire_pairs(o, &ignored), c->sent);
+        bd_core_delegates(n->core, bd_wire_pairs(o, &ignored), c->sent);
     }
     wake(s, n, status == 200 ? (n->want_barrier ? 0.04 : 0.2) : 0.25, SIM_READER);
 }
 
 /* ---- seat ---- */
 
-static void seat_again(struct sim *s, struct sim_node *n, double delay)
+static void election_again(struct sim *s, struct sim_node *n, double delay)
 {
-    n->seat_out = false;
-    wake(s, n, delay, SIM_SEAT);
+    n->election_out = false;
+    wake(s, n, delay, SIM_ELECTION);
 }
 
-static void seat_next(struct sim *s, struct sim_node *n)
+static void election_next(struct sim *s, struct sim_node *n)
 {
-    if (n->seat_out)
+    if (n->election_out)
         return;
-    n->seat_out = true;
+    n->election_out = true;
     if (n->leading && n->step_down)
         n->leading = false;
     n->step_down = false;
@@ -339,18 +339,18 @@
     c->number = mark;
 }
 
-static void touch(struct sim *s, struct sim_node *n, uint64_t mark)
+static void write_liveness(struct sim *s, struct sim_node *n, uint64_t mark)
 {
     struct bd_txn t;
     char key[BD_LABEL + 8];
-    if (bd_between(n->touched, steady(s, n)) < 0.8 || !bd_txn_start(&t))
+    if (bd_between(n->liveness_at, steady(s, n)) < 0.8 || !bd_txn_start(&t))
         return;
-    n->touched = steady(s, n);
-    snprintf(key, sizeof key, "p/%.50s/at", n->set.node);
+    n->liveness_at = steady(s, n);
+    snprintf(key, sizeof key, "p/%.50s/at", n->settings.node);
     bd_txn_if(&t, "leader", mark);
     bd_txn_set(&t, key, json_pack("{s:f}", "at", wall_of(s, n)), 0);
-    bd_core_offered(n->core, n->touched);
-    (void)call(s, n, SIM_COMMIT, THEN_TOUCH, NULL, bd_txn_end(&t), TTL_S / 3);
+    bd_core_liveness_sent(n->core, n->liveness_at);
+    (void)call(s, n, SIM_COMMIT, THEN_LIVENESS, NULL, bd_txn_end(&t), TTL_S / 3);
 }
 
 static void saw(struct sim *s, struct sim_node *n, struct sim_call *c, long status, json_t *o)
@@ -362,7 +362,7 @@
         if (told)
             bd_core_leader_is(n->core, "", 0, c->sent, false);
         if (n->reads_refused)
-            seat_again(s, n, 0.3);
+            election_again(s, n, 0.3);
         else
             get_grant(s, n, 0);
         return;
@@ -374,17 +374,17 @@
         size_t i;
         json_array_foreach(json_object_get(ch.value, "away"), i, v)
         {
-            away = away || strcmp(json_string_value(v), n->set.node) == 0;
+            away = away || strcmp(json_string_value(v), n->settings.node) == 0;
         }
         if (told)
             bd_core_leader_is(n->core, node, ch.mark, c->sent, away);
-        if (strcmp(node, n->set.node) == 0 && !n->reads_refused) {
+        if (strcmp(node, n->settings.node) == 0 && !n->reads_refused) {
             get_grant(s, n, ch.mark);
             return;
         }
-        touch(s, n, ch.mark);
+        write_liveness(s, n, ch.mark);
     }
-    seat_again(s, n, sim_between(s, 0.2, 0.4));
+    election_again(s, n, sim_between(s, 0.2, 0.4));
 }
 
 static void got_grant(struct sim *s, struct sim_node *n, struct sim_call *c, long status, json_t *o)
@@ -392,11 +392,11 @@
     struct bd_txn t;
     n->grant = status == 200 ? bd_wire_grant(o) : 0;
     if (!n->grant || !bd_txn_start(&t)) {
-        seat_again(s, n, 0.3);
+        election_again(s, n, 0.3);
         return;
     }
     bd_txn_if(&t, "leader", c->number);
-    bd_txn_set(&t, "leader", json_pack("{s:s,s:s}", "node", n->set.node, "nonce", n->nonce),
+    bd_txn_set(&t, "leader", json_pack("{s:s,s:s}", "node", n->settings.node, "nonce", n->nonce),
                n->grant);
     (void)call(s, n, SIM_COMMIT, THEN_ACQUIRE, NULL, bd_txn_end(&t), TTL_S / 3);
 }
@@ -406,11 +406,11 @@
     memset(&n->gain, 0, sizeof n->gain);
     n->gain.term = term;
     n->gain.grant = n->grant;
-    (void)call(s, n, SIM_GET, THEN_WITNESS, "w", NULL, 1.5);
+    (void)call(s, n, SIM_GET, THEN_SEQUENCE, "w", NULL, 1.5);
 }
 
-static void seat_answer(struct sim *s, struct sim_node *n, struct sim_call *c, long status,
-                        json_t *o)
+static void election_answer(struct sim *s, struct sim_node *n, struct sim_call *c, long status,
+                            json_t *o)
 {
     struct bd_change ch;
     uint64_t grant;
@@ -426,7 +426,7 @@
         if (status == 200)
             acquired(s, n, bd_wire_ring(o));
         else if (status == 409 || status == 400)
-            seat_again(s, n, 0.3);
+            election_again(s, n, 0.3);
         else
             (void)call(s, n, SIM_GET, THEN_OURS, "leader", NULL, TTL_S / 3);
         return;
@@ -435,11 +435,11 @@
             strcmp(json_string_value(json_object_get(ch.value, "nonce")), n->nonce) == 0)
             acquired(s, n, ch.mark);
         else
-            seat_again(s, n, 0.3);
+            election_again(s, n, 0.3);
         return;
-    case THEN_WITNESS:
+    case THEN_SEQUENCE:
         if (status == 200 && bd_wire_pair(o, &ch, &grant))
-            n->gain.witness_mark = ch.mark;
+            n->gain.sequence_mark = ch.mark;
         break;
     case THEN_RECEIPTS:
         n->gain.receipts = status == 200 ? json_incref(bd_wire_pairs(o, &ignored)) : NULL;
@@ -450,13 +450,13 @@
     default:
         return;
     }
-    bool ok = status == 200 || (status == 404 && c->then == THEN_WITNESS);
+    bool ok = status == 200 || (status == 404 && c->then == THEN_SEQUENCE);
     if (!ok) { /* the term is given up: the key ends with its grant */
         json_decref(n->gain.receipts);
         json_decref(n->gain.intents);
         n->gain.receipts = n->gain.intents = NULL;
-        seat_again(s, n, 0.3);
-    } else if (c->then == THEN_WITNESS) {
+        election_again(s, n, 0.3);
+    } else if (c->then == THEN_SEQUENCE) {
         (void)call(s, n, SIM_LIST, THEN_RECEIPTS, "r/", NULL, 1.5);
     } else if (c->then == THEN_RECEIPTS) {
         (void)call(s, n, SIM_LIST, THEN_INTENTS, "i/", NULL, 1.5);
@@ -464,7 +464,7 @@
         n->gain.renewed = n->granted;
         n->step_down = false;
         n->leading = n->gained = true;
-        seat_again(s, n, 0);
+        election_again(s, n, 0);
     }
 }
 
@@ -477,12 +477,12 @@
         n->gain.receipts = n->gain.intents = NULL;
         n->gained = false;
         bd_core_lost(n->core);
-        seat_again(s, n, 0);
+        election_again(s, n, 0);
         return;
     }
     if (status == 200)
         bd_core_renewed(n->core, c->number, c->sent);
-    seat_again(s, n, TTL_S / 6);
+    election_again(s, n, TTL_S / 6);
 }
 
 /* ---- the leader's transactions ---- */
@@ -504,7 +504,7 @@
     struct bd_effect *e = n->commit;
     struct bd_core *c = n->core;
     n->commit = NULL;
-    if (strtoull(e->key, NULL, 10) == c->base_term && e->seal == c->witness_n)
+    if (strtoull(e->key, NULL, 10) == c->base_term && e->token == c->sequence)
         bd_core_committed(c, outcome, ring, bd_wire_failed(o));
     bd_effect_free(e);
     (void)s;
@@ -518,27 +518,28 @@
     json_t *failed = bd_wire_failed(o);
     if (!n->commit)
         return;
-    if (c->then == THEN_WITNESSED) {
-        bool ours = status == 200 && bd_wire_pair(o, &ch, &grant) &&
-                    (uint64_t)json_integer_value(json_object_get(ch.value, "t")) ==
-                        strtoull(n->commit->key, NULL, 10) &&
-                    (uint64_t)json_integer_value(json_object_get(ch.value, "n")) == n->commit->seal;
+    if (c->then == THEN_SEQUENCE_SHOWS) {
+        bool ours =
+            status == 200 && bd_wire_pair(o, &ch, &grant) &&
+            (uint64_t)json_integer_value(json_object_get(ch.value, "t")) ==
+                strtoull(n->commit->key, NULL, 10) &&
+            (uint64_t)json_integer_value(json_object_get(ch.value, "n")) == n->commit->token;
         if (ours)
             committed(s, n, 1, ch.mark, NULL);
         else if (status == 200 || status == 404)
             committed(s, n, -1, 0, NULL);
         else
-            (void)call(s, n, SIM_GET, THEN_WITNESSED, "w", NULL, 1.5);
+            (void)call(s, n, SIM_GET, THEN_SEQUENCE_SHOWS, "w", NULL, 1.5);
     } else if (status == 200) {
         committed(s, n, 1, bd_wire_ring(o), NULL);
     } else if (status == 409 && names(failed, "w")) {
-        (void)call(s, n, SIM_GET, THEN_WITNESSED, "w", NULL, 1.5);
+        (void)call(s, n, SIM_GET, THEN_SEQUENCE_SHOWS, "w", NULL, 1.5);
     } else if (status == 409) {
         committed(s, n, names(failed, "leader") ? -1 : 0, 0, o);
     } else if (status == 400 || !n->leading) {
         committed(s, n, -1, 0, NULL);
     } else {
-        wake(s, n, 0.25, SIM_SEAT)->flag = true; /* the same once more */
+        wake(s, n, 0.25, SIM_ELECTION)->flag = true; /* the same once more */
     }
 }
 
@@ -555,31 +556,31 @@
     struct bd_effect *e = c->effect;
     switch ((enum then)c->then) {
     case THEN_LIST:
-    case THEN_LOOK:
-    case THEN_DEPUTIES:
-        looked(s, n, c, status, o);
+    case THEN_REFRESH:
+    case THEN_DELEGATES:
+        refreshed(s, n, c, status, o);
         break;
-    case THEN_TOUCH:
+    case THEN_LIVENESS:
         if (status == 200)
-            bd_core_confirmed(n->core, c->sent);
+            bd_core_liveness_written(n->core, c->sent);
         break;
     case THEN_RENEW:
         renewed(s, n, c, status);
         break;
     case THEN_COMMIT:
-    case THEN_WITNESSED:
+    case THEN_SEQUENCE_SHOWS:
         commit_answer(s, n, c, status, o);
         break;
     case THEN_USER:
         bd_core_user_committed(n->core, e->request, e->key, e->body, e->status, status,
                                bd_wire_ring(o));
         break;
-    case THEN_DEPUTY:
-        bd_core_deputy_committed(n->core, status, bd_wire_ring(o), c->sent, status == 200);
+    case THEN_DELEGATE:
+        bd_core_delegate_committed(n->core, status, bd_wire_ring(o), c->sent, status == 200);
         break;
-    case THEN_DEPUTY_MARK: {
+    case THEN_DELEGATE_MARK: {
         bool pair = status == 200 && bd_wire_pair(o, &ch, &grant);
-        bd_core_deputy_committed(n->core, 0, pair ? ch.mark : 0, c->sent, status == 404 || pair);
+        bd_core_delegate_committed(n->core, 0, pair ? ch.mark : 0, c->sent, status == 404 || pair);
         break;
     }
     case THEN_LOOKUP:
@@ -588,7 +589,7 @@
                           status == 200 ? &ch : NULL);
         break;
     default:
-        seat_answer(s, n, c, status, o);
+        election_answer(s, n, c, status, o);
     }
     settle(s, n);
 }
@@ -596,7 +597,8 @@
 static bool peers_apart(const struct sim *s, int a, int b)
 {
     return s->now < s->peers_cut[a] || s->now < s->peers_cut[b] ||
-           (s->now < s->zones_cut && strcmp(s->nodes[a].set.zone, s->nodes[b].set.zone) != 0);
+           (s->now < s->zones_cut &&
+            strcmp(s->nodes[a].settings.zone, s->nodes[b].settings.zone) != 0);
 }
 
 static bool read_report(const char *text, struct bd_report *r)
@@ -678,7 +680,7 @@
     if (!t->over && n->core && n->epoch == e->epoch) {
         bool ok = e->kind == SIM_DO_BACK && read_report(e->text, &r);
         clock_core(s, n);
-        bd_core_did(n->core, t->machine, t->seal, t->launch, ok ? e->status : 0, ok ? &r : NULL);
+        bd_core_did(n->core, t->machine, t->token, t->launch, ok ? e->status : 0, ok ? &r : NULL);
         if (ok)
             bd_wire_report_drop(&r);
         settle(s, n);
@@ -700,8 +702,8 @@
     clock_core(s, n);
     if (e->status == SIM_SUBMIT)
         bd_core_submit(n->core, q, e->text, strlen(e->text));
-    else if (e->status == SIM_WITHDRAW)
-        bd_core_withdraw(n->core, q, j->id);
+    else if (e->status == SIM_CANCEL)
+        bd_core_cancel(n->core, q, j->id);
     else
         bd_core_get(n->core, q, j->id);
     settle(s, n);
@@ -718,8 +720,9 @@
         int many = (int)json_integer_value(json_object_get(o, "howMany"));
         while (count < many && count < 2) {
             /* up within two seconds, or late */
-            int w = sim_rent(s, json_string_value(json_object_get(o, "glade")),
-                             sim_rnd(s) < 0.6 ? sim_between(s, 0.3, 2) : sim_between(s, 5, 15));
+            int w =
+                sim_provision(s, json_string_value(json_object_get(o, "glade")),
+                              sim_rnd(s) < 0.6 ? sim_between(s, 0.3, 2) : sim_between(s, 5, 15));
             if (w < 0)
                 break;
             snprintf(names_of[count++], BD_LABEL, "%s", s->workers[w].id);
@@ -735,11 +738,11 @@
     if (n->core && n->epoch == e->epoch) {
         clock_core(s, n);
         if (e->flag) {
-            bd_core_rented(n->core, json_string_value(json_object_get(o, "plea")),
-                           count ? 200 : 503, names_of, count);
+            bd_core_provisioned(n->core, json_string_value(json_object_get(o, "plea")),
+                                count ? 200 : 503, names_of, count);
         } else {
             char(*back)[BD_LABEL] = calloc(128, sizeof *back);
-            int k = bd_wire_rented(o, back, 128);
+            int k = bd_wire_machine_names(o, back, 128);
             bd_core_returned(n->core, back, k, true);
             free(back);
         }
@@ -756,14 +759,14 @@
         abort();
     for (int i = 0; i < s->nworkers; i++) {
         struct sim_worker *w = &s->workers[i];
-        if (w->gone || s->now - w->rented_at < 3) /* the list lags */
+        if (w->gone || s->now - w->provisioned_at < 3) /* the list lags */
             continue;
         snprintf(l[k].id, BD_LABEL, "%s", w->id);
         snprintf(l[k].addr, BD_LABEL, "w-%d", i);
         snprintf(l[k].type, BD_LABEL, "%s", w->type);
         snprintf(l[k].zone, BD_LABEL, "%s", w->zone);
-        l[k].mood = s->now < w->up_at ? BD_BOOTING : BD_UP;
-        l[k++].age = s->now - w->rented_at;
+        l[k].state = s->now < w->up_at ? BD_BOOTING : BD_UP;
+        l[k++].age = s->now - w->provisioned_at;
     }
     bd_core_machines(n->core, l, k, bd_sub(n->core->now, bd_secs(0.1)));
     free(l);
@@ -789,11 +792,11 @@
         if (ours)
             read_next(s, n);
         break;
-    case SIM_SEAT:
+    case SIM_ELECTION:
         if (ours && e->flag && n->commit)
             next_commit(s, n);
         else if (ours && !e->flag)
-            seat_next(s, n);
+            election_next(s, n);
         break;
     case SIM_NODE_TICK:
         if (ours)
@@ -803,7 +806,7 @@
         if (!n->core)
             sim_node_start(s, e->node);
         break;
-    case SIM_MESH:
+    case SIM_FRAME:
         frame_in(s, e);
         break;
     case SIM_REPORT_IN:
@@ -829,11 +832,11 @@
 {
     struct sim_node *n = &s->nodes[i];
     uint64_t epoch = n->epoch + 1;
-    struct bd_settings set = n->set;
+    struct bd_settings settings = n->settings;
     struct bd_log log = n->log;
     double stalled = n->stalled;
     memset(n, 0, sizeof *n);
-    n->set = set;
+    n->settings = settings;
     n->log = log;
     n->stalled = stalled;
     n->epoch = epoch;
@@ -842,7 +845,7 @@
     n->clock_from = sim_between(s, 1000, 5000);
     n->wall_off = sim_between(s, -0.005, 0.005);
     n->list_again = true;
-    n->core = bd_core_new(&n->set, &n->log);
+    n->core = bd_core_new(&n->settings, &n->log);
     if (!n->core)
         abort();
     clock_core(s, n);
@@ -860,7 +863,7 @@
     snprintf(t.zones[1], BD_LABEL, "b");
     bd_core_types(n->core, &t, 1);
     wake(s, n, 0.01, SIM_READER);
-    wake(s, n, 0.02, SIM_SEAT);
+    wake(s, n, 0.02, SIM_ELECTION);
     wake(s, n, 0.03, SIM_NODE_TICK);
 }
 
@@ -879,5 +882,5 @@
     bd_core_free(n->core);
     n->core = NULL;
     n->epoch++;
-    sim_note(s, "%s ends", n->set.node);
+    sim_note(s, "%s ends", n->settings.node);
 }
--- a/tests/sim_state.c
+++ b/tests/sim_state.c
@@ -112,9 +112,9 @@
         const char *id = json_string_value(json_array_get(v, 0));
         snprintf(key, sizeof key, "j/%s", id ? id : "");
         struct sim_key *k = find(s, key);
-        const char *mood = k ? json_string_value(json_object_get(k->value, "s")) : NULL;
-        if (!mood || strcmp(mood, "live") != 0)
-            sim_broken(s, "intent: %s is %s", key, mood ? mood : "not there");
+        const char *state = k ? json_string_value(json_object_get(k->value, "s")) : NULL;
+        if (!state || strcmp(state, "live") != 0)
+            sim_broken(s, "intent: %s is %s", key, state ? state : "not there");
     }
 }
 
@@ -130,8 +130,8 @@
                    (long long)t, (long long)n0, (long long)t0);
     const char *name =
         leader ? json_string_value(json_object_get(leader->value, "node")) : "nobody";
-    if (strcmp(name, s->nodes[node].set.node) != 0)
-        sim_broken(s, "deposed: %s writes while %s leads", s->nodes[node].set.node, name);
+    if (strcmp(name, s->nodes[node].settings.node) != 0)
+        sim_broken(s, "deposed: %s writes while %s leads", s->nodes[node].settings.node, name);
 }
 
 static long commit(struct sim *s, int node, const char *body, json_t **out)
@@ -154,13 +154,13 @@
         s->ring++;
         json_array_foreach(json_object_get(in, "apply"), i, v)
         {
-            const char *set = json_string_value(json_object_get(v, "set"));
-            if (set && strncmp(set, "i/", 2) == 0)
+            const char *settings = json_string_value(json_object_get(v, "set"));
+            if (settings && strncmp(settings, "i/", 2) == 0)
                 check_intents(s, json_object_get(v, "value"));
-            if (set && strcmp(set, "w") == 0)
+            if (settings && strcmp(settings, "w") == 0)
                 check_witness(s, node, json_object_get(v, "value"));
-            if (set)
-                set_key(s, set, json_object_get(v, "value"),
+            if (settings)
+                set_key(s, settings, json_object_get(v, "value"),
                         (uint64_t)json_integer_value(json_object_get(v, "charter")));
             else
                 drop_key(s, json_string_value(json_object_get(v, "drop")));
@@ -178,7 +178,7 @@
                      (json_int_t)k->mark, "charter", (json_int_t)k->grant);
 }
 
-static long look(struct sim *s, const struct sim_call *c, json_t **out)
+static long refresh(struct sim *s, const struct sim_call *c, json_t **out)
 {
     json_t *log = json_array();
     size_t from = s->nlog;
@@ -214,8 +214,8 @@
                 json_array_append_new(pairs, pair(&s->keys[i]));
         *out = json_pack("{s:o,s:b,s:I}", "pairs", pairs, "more", 0, "ring", (json_int_t)s->ring);
         return 200;
-    case SIM_LOOK:
-        return look(s, c, out);
+    case SIM_REFRESH:
+        return refresh(s, c, out);
     case SIM_COMMIT:
         return commit(s, c->node, c->body, out);
     case SIM_GRANT:
@@ -257,7 +257,7 @@
 {
     double there = sim_delay(s) + (s->now < s->slow ? sim_between(s, 0.02, 0.6) : 0);
     bool refused = s->now < s->outage || s->now < s->refuses[c->node] ||
-                   (c->op == SIM_LOOK && s->now < s->blind[c->node]);
+                   (c->op == SIM_REFRESH && s->now < s->blind[c->node]);
     bool write = c->op == SIM_COMMIT && !refused;
     struct sim_event *e = sim_post(s, there, SIM_STATE_RUN);
     e->call = c;
@@ -283,7 +283,7 @@
     json_t *out = NULL;
     if (e->kind == SIM_STATE_RUN && e->status != -1) {
         bool refused = s->now < s->outage || s->now < s->refuses[c->node] ||
-                       (c->op == SIM_LOOK && s->now < s->blind[c->node]);
+                       (c->op == SIM_REFRESH && s->now < s->blind[c->node]);
         long status = refused ? 503 : execute(s, c, &out);
         if (e->flag) {
             struct sim_event *back = sim_post(s, sim_delay(s), SIM_STATE_BACK);
--- a/tests/sim_work.c
+++ b/tests/sim_work.c
@@ -18,7 +18,7 @@
     return i >= 0 && i < s->njobs ? &s->jobs[i] : NULL;
 }
 
-int sim_rent(struct sim *s, const char *zone, double boot)
+int sim_provision(struct sim *s, const char *zone, double boot)
 {
     if (s->nworkers == SIM_MACHINES)
         return -1;
@@ -32,7 +32,7 @@
     snprintf(w->id, sizeof w->id, "vm-%d", s->nworkers);
     snprintf(w->zone, sizeof w->zone, "%s", zone);
     snprintf(w->type, sizeof w->type, "small");
-    w->rented_at = s->now;
+    w->provisioned_at = s->now;
     w->up_at = w->answered = s->now + boot;
     w->next_report = w->up_at + sim_between(s, 0, 0.5);
     w->session = 1;
@@ -232,7 +232,7 @@
     json_t *o = json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:n,s:o}", "hearth", w->id, "endpoint",
                           addr, "breed", w->type, "glade", w->zone, "windfall", 0, "tenancy",
                           (json_int_t)w->session, "tally", (json_int_t)++w->tally, "seal",
-                          (json_int_t)w->seal, "warningS", "chores", list);
+                          (json_int_t)w->token, "warningS", "chores", list);
     char *text = json_dumps(o, JSON_COMPACT);
     json_decref(o);
     return text;
@@ -243,7 +243,7 @@
 static bool reaches(const struct sim *s, int node, const struct sim_worker *w)
 {
     return !w->gone && s->now >= w->cut &&
-           !(s->now < s->zones_cut && strcmp(s->nodes[node].set.zone, w->zone) != 0);
+           !(s->now < s->zones_cut && strcmp(s->nodes[node].settings.zone, w->zone) != 0);
 }
 
 static void copy_later(struct sim *s, const char *text, int node, int who)
@@ -278,7 +278,7 @@
 {
     int who = (int)(w - s->workers);
     char *text = report_text(s, w);
-    bool there = reaches(s, w->node, w) && s->now >= w->mute;
+    bool there = reaches(s, w->node, w) && s->now >= w->outbound_cut;
     w->asking = true;
     w->asked = w->tally;
     w->asked_at = s->now;
@@ -312,8 +312,8 @@
 static void answered(struct sim *s, struct sim_worker *w, struct sim_event *e)
 {
     json_t *o = e->text ? json_loads(e->text, 0, NULL) : NULL;
-    bool deaf = s->now < w->deaf || !reaches(s, e->node, w);
-    if (w->gone || !w->asking || w->asked != e->number || deaf || s->now < w->hangs) {
+    bool inbound_cut = s->now < w->inbound_cut || !reaches(s, e->node, w);
+    if (w->gone || !w->asking || w->asked != e->number || inbound_cut || s->now < w->hangs) {
         json_decref(o);
         return; /* given up, or lost on the way */
     }
@@ -330,16 +330,16 @@
     } else if (e->status != 200) {
         next_node(s, w, 1);
     } else {
-        uint64_t seal = (uint64_t)json_integer_value(json_object_get(o, "seal"));
+        uint64_t token = (uint64_t)json_integer_value(json_object_get(o, "seal"));
         w->asking = false;
         w->next_report = w->asked_at + s->report_s * sim_between(s, 0.75, 1.25);
-        if (seal >= w->seal) {
-            if (seal > w->seal && w->next_report > s->now + 0.5)
+        if (token >= w->token) {
+            if (token > w->token && w->next_report > s->now + 0.5)
                 w->next_report = s->now + 0.5;
-            w->seal = seal;
+            w->token = token;
             w->answered = w->asked_at;
             sim_note(s, "%s is answered by node-%d, seal %llu", w->id, e->node,
-                     (unsigned long long)seal);
+                     (unsigned long long)token);
             obey(s, w, o);
         }
     }
@@ -353,17 +353,17 @@
     struct sim_worker *w = &s->workers[e->who];
     struct sim_try *t = e->data;
     json_t *o = json_loads(e->text, 0, NULL);
-    bool there = reaches(s, e->node, w) && s->now >= w->deaf;
+    bool there = reaches(s, e->node, w) && s->now >= w->inbound_cut;
     bool late = (!there && w->holds && s->now < w->cut) || (there && s->now < w->hangs);
     if (late && !w->gone) { /* executed when the cut ends, or the machine goes on */
         (void)sim_post_again(s, e, (there ? w->hangs : w->cut) - s->now + 0.05);
         t->refs++;
     } else if (there && s->now >= w->up_at) {
-        uint64_t seal = (uint64_t)json_integer_value(json_object_get(o, "seal"));
+        uint64_t token = (uint64_t)json_integer_value(json_object_get(o, "seal"));
         uint64_t session = (uint64_t)json_integer_value(json_object_get(o, "tenancy"));
-        bool good = seal >= w->seal && session == w->session;
+        bool good = token >= w->token && session == w->session;
         if (good) {
-            w->seal = seal;
+            w->token = token;
             obey(s, w, o);
         }
         bool held = sim_held_up(s);
--- a/tests/standin.c
+++ b/tests/standin.c
@@ -32,7 +32,7 @@
 struct task {
     char name[64];
     uint64_t attempt;
-    int mood; /* 0 free, 1 running, 2 exited */
+    int state; /* 0 free, 1 running, 2 exited */
     const char *cause;
     struct timespec ends;
     bool for_ever;
@@ -45,7 +45,7 @@
     bool used, stop;
     pthread_t thread;
     struct MHD_Daemon *daemon;
-    uint64_t tally, seal, session;
+    uint64_t tally, token, session;
     struct timespec answered; /* when the last report that got an answer was sent */
     struct task tasks[TASKS];
 };
@@ -320,9 +320,9 @@
     w->ring++;
     json_array_foreach(json_object_get(in, "apply"), i, v)
     {
-        const char *set = json_string_value(json_object_get(v, "set"));
-        if (set)
-            set_key(w, set, json_object_get(v, "value"),
+        const char *settings = json_string_value(json_object_get(v, "set"));
+        if (settings)
+            set_key(w, settings, json_object_get(v, "value"),
                     (uint64_t)json_integer_value(json_object_get(v, "charter")));
         else
             drop_key(w, json_string_value(json_object_get(v, "drop")));
@@ -512,7 +512,7 @@
 {
     for (int i = 0; i < w->nworkers; i++)
         for (int k = 0; w->workers[i].used && &w->workers[i] != me && k < TASKS; k++)
-            if (w->workers[i].tasks[k].mood == 1 && strcmp(w->workers[i].tasks[k].name, name) == 0)
+            if (w->workers[i].tasks[k].state == 1 && strcmp(w->workers[i].tasks[k].name, name) == 0)
                 return true;
     return false;
 }
@@ -520,7 +520,7 @@
 static struct task *find_task(struct worker *k, const char *name, uint64_t attempt)
 {
     for (int i = 0; i < TASKS; i++)
-        if (k->tasks[i].mood && strcmp(k->tasks[i].name, name) == 0 &&
+        if (k->tasks[i].state && strcmp(k->tasks[i].name, name) == 0 &&
             k->tasks[i].attempt == attempt)
             return &k->tasks[i];
     return NULL;
@@ -557,7 +557,7 @@
         return;
     for (int i = 0; i < TASKS; i++) {
         struct task *t = &k->tasks[i];
-        if (t->mood)
+        if (t->state)
             continue;
         if (runs_elsewhere(k->w, k, name))
             k->w->ran_twice++;
@@ -565,7 +565,7 @@
         k->w->too_early += is_early(k->w, name);
         snprintf(t->name, sizeof t->name, "%s", name);
         t->attempt = attempt;
-        t->mood = 1;
+        t->state = 1;
         t->for_ever = strncmp(name, "job-9", 5) == 0; /* the test's services */
         t->ends = bd_add(bd_now(), bd_secs(RUN_S));
         return;
@@ -582,11 +582,11 @@
         return;
     if (strcmp(verb, "launch") == 0) {
         launch(k, name, attempt);
-    } else if (t && strcmp(verb, "halt") == 0 && t->mood == 1) {
-        t->mood = 2;
+    } else if (t && strcmp(verb, "halt") == 0 && t->state == 1) {
+        t->state = 2;
         t->cause = "stopped";
-    } else if (t && strcmp(verb, "forget") == 0 && t->mood == 2) {
-        t->mood = 0;
+    } else if (t && strcmp(verb, "forget") == 0 && t->state == 2) {
+        t->state = 0;
     }
 }
 
@@ -597,14 +597,14 @@
     char addr[32];
     for (int i = 0; i < TASKS; i++) {
         struct task *t = &k->tasks[i];
-        if (t->mood == 1 && !t->for_ever && bd_before(t->ends, now)) {
-            t->mood = 2;
+        if (t->state == 1 && !t->for_ever && bd_before(t->ends, now)) {
+            t->state = 2;
             t->cause = "done";
         }
-        if (t->mood == 1)
+        if (t->state == 1)
             json_array_append_new(tasks, json_pack("{s:s,s:I,s:s}", "chore", t->name, "try",
                                                    (json_int_t)t->attempt, "mood", "running"));
-        else if (t->mood == 2)
+        else if (t->state == 2)
             json_array_append_new(tasks, json_pack("{s:s,s:I,s:s,s:s}", "chore", t->name, "try",
                                                    (json_int_t)t->attempt, "mood", "exited",
                                                    "cause", t->cause));
@@ -613,17 +613,17 @@
     return json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:n,s:o}", "hearth", k->id, "endpoint", addr,
                      "breed", "small", "glade", "a", "windfall", 0, "tenancy",
                      (json_int_t)k->session, "tally", (json_int_t)++k->tally, "seal",
-                     (json_int_t)k->seal, "warningS", "chores", tasks);
+                     (json_int_t)k->token, "warningS", "chores", tasks);
 }
 
 static bool obey(struct worker *k, json_t *in)
 {
     json_t *v;
     size_t i;
-    uint64_t seal = (uint64_t)json_integer_value(json_object_get(in, "seal"));
-    if (seal < k->seal || !json_object_get(in, "seal"))
+    uint64_t token = (uint64_t)json_integer_value(json_object_get(in, "seal"));
+    if (token < k->token || !json_object_get(in, "seal"))
         return false;
-    k->seal = seal;
+    k->token = token;
     json_array_foreach(json_object_get(in, "bids"), i, v)
     {
         order(k, v);
@@ -821,7 +821,7 @@
     int n = 0;
     for (int i = 0; i < w->nworkers; i++)
         for (int k = 0; k < TASKS; k++)
-            n += w->workers[i].tasks[k].mood == 1;
+            n += w->workers[i].tasks[k].state == 1;
     return n;
 }
 
@@ -943,7 +943,7 @@
     pthread_mutex_lock(&w->lock);
     for (int i = 0; i < w->nworkers; i++)
         for (int k = 0; k < TASKS; k++)
-            n += w->workers[i].tasks[k].mood == 1 &&
+            n += w->workers[i].tasks[k].state == 1 &&
                  strncmp(w->workers[i].tasks[k].name, job, len) == 0 &&
                  w->workers[i].tasks[k].name[len] == '/';
     pthread_mutex_unlock(&w->lock);
