--- a/cli/main.c
+++ b/cli/main.c
@@ -44,12 +44,14 @@
 }
 
 /* The leader's grant is a part of the workers' lease, so that a takeover fits into one. */
-static void derive(struct bd_settings *s)
+static void derive(struct bd_settings *settings)
 {
-    if (!bd_is_zero(s->leader_ttl))
+    if (!bd_is_zero(settings->leader_ttl))
         return;
-    double ttl = bd_to_secs(s->lease) / 5;
-    s->leader_ttl = bd_secs(ttl < TTL_LEAST_S ? TTL_LEAST_S : ttl > TTL_MOST_S ? TTL_MOST_S : ttl);
+    double ttl = bd_to_secs(settings->lease) / 5;
+    settings->leader_ttl = bd_secs(ttl < TTL_LEAST_S  ? TTL_LEAST_S
+                                   : ttl > TTL_MOST_S ? TTL_MOST_S
+                                                      : ttl);
 }
 
 int main(int argc, char **argv)
--- a/include/brambledoor/core.h
+++ b/include/brambledoor/core.h
@@ -402,32 +402,32 @@
 };
 
 struct bd_core *bd_core_new(const struct bd_settings *settings, const struct bd_log *log);
-void bd_core_free(struct bd_core *c);
+void bd_core_free(struct bd_core *core);
 /* where the numbers begin that other controllers send back to us: not where our last process's did
  */
-void bd_core_seed(struct bd_core *c, uint64_t seed);
-struct bd_effect *bd_core_effects(struct bd_core *c); /* takes the list */
-void bd_effect_free(struct bd_effect *e);
-void bd_core_time(struct bd_core *c, struct timespec now, double wall);
+void bd_core_seed(struct bd_core *core, uint64_t seed);
+struct bd_effect *bd_core_effects(struct bd_core *core); /* takes the list */
+void bd_effect_free(struct bd_effect *effect);
+void bd_core_time(struct bd_core *core, struct timespec now, double wall);
 
 /* users */
-void bd_core_submit(struct bd_core *c, void *request, const char *body, size_t len);
-void bd_core_get(struct bd_core *c, void *request, const char *id);
-void bd_core_cancel(struct bd_core *c, void *request, const char *id);
+void bd_core_submit(struct bd_core *core, void *request, const char *body, size_t len);
+void bd_core_get(struct bd_core *core, void *request, const char *id);
+void bd_core_cancel(struct bd_core *core, void *request, const char *id);
 /* status 200 with ring, 409, or 0 and others: not known */
 /* how: as the effect's status said */
-void bd_core_user_committed(struct bd_core *c, void *request, const char *id, const char *body,
+void bd_core_user_committed(struct bd_core *core, void *request, const char *id, const char *body,
                             int how, long status, uint64_t ring);
 /* replica */
-void bd_core_change(struct bd_core *c, const struct bd_change *ch);
-void bd_core_followed(struct bd_core *c, uint64_t after, uint64_t ring, struct timespec sent,
+void bd_core_change(struct bd_core *core, const struct bd_change *ch);
+void bd_core_followed(struct bd_core *core, uint64_t after, uint64_t ring, struct timespec sent,
                       bool barrier, bool ok);
 /* keeps only the newer of the final records when there are many */
-void bd_core_evict(struct bd_core *c);
+void bd_core_evict(struct bd_core *core);
 /* status 200 with the record, 404, or others: not known */
-void bd_core_looked_up(struct bd_core *c, void *request, const char *id, int how, long status,
+void bd_core_looked_up(struct bd_core *core, void *request, const char *id, int how, long status,
                        const struct bd_change *ch);
-void bd_core_relisted(struct bd_core *c, uint64_t ring, struct timespec sent);
+void bd_core_relisted(struct bd_core *core, uint64_t ring, struct timespec sent);
 /* leadership */
 struct bd_gain {
     uint64_t term, grant, sequence_mark, sequence;
@@ -438,56 +438,56 @@
     json_t *intents;
 };
 /* dismissed: the leader's key says that he hears the workers that we answer for him */
-void bd_core_leader_is(struct bd_core *c, const char *name, uint64_t mark, struct timespec sent,
+void bd_core_leader_is(struct bd_core *core, const char *name, uint64_t mark, struct timespec sent,
                        bool dismissed);
-void bd_core_gained(struct bd_core *c, const struct bd_gain *g);
-void bd_core_renewed(struct bd_core *c, uint64_t grant, struct timespec sent);
-void bd_core_lost(struct bd_core *c);
+void bd_core_gained(struct bd_core *core, const struct bd_gain *g);
+void bd_core_renewed(struct bd_core *core, uint64_t grant, struct timespec sent);
+void bd_core_lost(struct bd_core *core);
 /* a commit was answered that the rate is used up */
-void bd_core_busy(struct bd_core *c);
+void bd_core_busy(struct bd_core *core);
 /* outcome: 1 committed, 0 refused (failed lists the keys), -1 leadership is gone, 2 called
  * malformed: not applied, and to be decided anew in smaller pieces */
-void bd_core_committed(struct bd_core *c, int outcome, uint64_t ring, json_t *failed);
+void bd_core_committed(struct bd_core *core, int outcome, uint64_t ring, json_t *failed);
 /* the other controllers */
 /* heard: when its frame arrived, which may be some time before the frame is handled */
-void bd_core_peer(struct bd_core *c, const char *name, uint64_t term, uint8_t flags,
+void bd_core_peer(struct bd_core *core, const char *name, uint64_t term, uint8_t flags,
                   double state_age, double said_at, struct timespec heard);
 /* our own record of being in touch is about to be sent; it was written */
-void bd_core_liveness_sent(struct bd_core *c, struct timespec sent);
-void bd_core_liveness_written(struct bd_core *c, struct timespec sent);
+void bd_core_liveness_sent(struct bd_core *core, struct timespec sent);
+void bd_core_liveness_written(struct bd_core *core, struct timespec sent);
 /* we have not been in touch for so long that we may stand by */
-bool bd_core_cut(const struct bd_core *c);
+bool bd_core_cut(const struct bd_core *core);
 /* Another controller says that the job's cancellation was confirmed: until the record shows it, the
  * news stops the job's tasks and starts none. No rule rests on it. */
-void bd_core_cancelled_elsewhere(struct bd_core *c, const char *id);
-void bd_core_progress(struct bd_core *c, const char *job, uint32_t done, uint32_t running);
+void bd_core_cancelled_elsewhere(struct bd_core *core, const char *id);
+void bd_core_progress(struct bd_core *core, const char *job, uint32_t done, uint32_t running);
 /* a leader's look at the deputies' records; a follower's own record was written */
-void bd_core_delegates(struct bd_core *c, json_t *pairs, struct timespec sent);
-void bd_core_delegate_committed(struct bd_core *c, long status, uint64_t ring, struct timespec sent,
-                                bool mark_known);
-bool bd_core_up(const struct bd_core *c);
-bool bd_core_hears_leader(const struct bd_core *c);
+void bd_core_delegates(struct bd_core *core, json_t *pairs, struct timespec sent);
+void bd_core_delegate_committed(struct bd_core *core, long status, uint64_t ring,
+                                struct timespec sent, bool mark_known);
+bool bd_core_up(const struct bd_core *core);
+bool bd_core_hears_leader(const struct bd_core *core);
 /* workers */
 /* body: the report as it came, passed on if the leader is elsewhere */
-void bd_core_checkin(struct bd_core *c, void *request, const struct bd_report *r, const char *body,
-                     size_t len);
+void bd_core_checkin(struct bd_core *core, void *request, const struct bd_report *report,
+                     const char *body, size_t len);
 /* a report that another controller passed on to us, and the answer to one that we passed on */
-void bd_core_forwarded(struct bd_core *c, const char *peer, uint64_t id, const struct bd_report *r,
-                       const char *body, size_t len);
-void bd_core_answered(struct bd_core *c, uint64_t id, int status, const char *body, size_t len);
-void bd_core_did(struct bd_core *c, uint32_t machine, uint64_t token, bool launch, long status,
-                 const struct bd_report *r);
+void bd_core_forwarded(struct bd_core *core, const char *peer, uint64_t id,
+                       const struct bd_report *report, const char *body, size_t len);
+void bd_core_answered(struct bd_core *core, uint64_t id, int status, const char *body, size_t len);
+void bd_core_did(struct bd_core *core, uint32_t machine, uint64_t token, bool launch, long status,
+                 const struct bd_report *report);
 /* cloud */
-void bd_core_types(struct bd_core *c, const struct bd_type_text *t, int n);
-void bd_core_machines(struct bd_core *c, const struct bd_cloud_machine *m, size_t n,
+void bd_core_types(struct bd_core *core, const struct bd_type_text *t, int n);
+void bd_core_machines(struct bd_core *core, const struct bd_cloud_machine *m, size_t n,
                       struct timespec asked);
-void bd_core_provisioned(struct bd_core *c, const char *request, long status,
+void bd_core_provisioned(struct bd_core *core, const char *request, long status,
                          char (*names)[BD_LABEL], int n);
-void bd_core_returned(struct bd_core *c, char (*names)[BD_LABEL], int n, bool ok);
-void bd_core_tick(struct bd_core *c);
+void bd_core_returned(struct bd_core *core, char (*names)[BD_LABEL], int n, bool ok);
+void bd_core_tick(struct bd_core *core);
 /* ranks and due times, if what waits for what has changed */
-void bd_core_weigh(struct bd_core *c);
-struct timespec bd_core_next(const struct bd_core *c);
-bool bd_core_may_answer(const struct bd_core *c);
-bool bd_core_valid(const struct bd_core *c);
+void bd_core_weigh(struct bd_core *core);
+struct timespec bd_core_next(const struct bd_core *core);
+bool bd_core_may_answer(const struct bd_core *core);
+bool bd_core_valid(const struct bd_core *core);
 #endif
--- a/include/brambledoor/http.h
+++ b/include/brambledoor/http.h
@@ -16,9 +16,9 @@
 void bd_http_end(void);
 /* keep: connections that are kept; counter: of its calls, or NULL */
 struct bd_http *bd_http_new(long keep, struct bd_counter *counter);
-void bd_http_free(struct bd_http *h);
+void bd_http_free(struct bd_http *http);
 /* method GET, POST or DELETE; body may be NULL */
-void bd_http_call(struct bd_http *h, const char *method, const char *url, const char *body,
+void bd_http_call(struct bd_http *http, const char *method, const char *url, const char *body,
                   double timeout_s, struct bd_reply *out);
 void bd_reply_drop(struct bd_reply *r);
 #endif
--- a/include/brambledoor/node.h
+++ b/include/brambledoor/node.h
@@ -88,31 +88,31 @@
 };
 
 /* 0, or -1 with a logged reason */
-int bd_node_start(struct bd_node *n);
-void bd_event_loop_run(struct bd_node *n); /* does not return */
+int bd_node_start(struct bd_node *node);
+void bd_event_loop_run(struct bd_node *node); /* does not return */
 
 struct bd_cmd *bd_cmd_new(enum bd_cmd_kind kind);
-void bd_cmd_free(struct bd_cmd *cmd);
-void bd_tell(struct bd_node *n, struct bd_cmd *cmd);
+void bd_cmd_free(struct bd_cmd *command);
+void bd_tell(struct bd_node *node, struct bd_cmd *command);
 /* what brings nothing new does not wake the owner: it is handled before the next command that does
  */
-void bd_tell_quietly(struct bd_node *n, struct bd_cmd *cmd);
+void bd_tell_quietly(struct bd_node *node, struct bd_cmd *command);
 int bd_thread(void *(*run)(void *), void *arg, size_t stack);
 
-int bd_api_start(struct bd_node *n);
-void bd_api_reply(struct bd_node *n, void *request, int status, char *body, int retry_after);
-int bd_state_client_start(struct bd_node *n);
-int bd_election_start(struct bd_node *n);
-int bd_cloud_start(struct bd_node *n);
-int bd_worker_client_start(struct bd_node *n);
+int bd_api_start(struct bd_node *node);
+void bd_api_reply(struct bd_node *node, void *request, int status, char *body, int retry_after);
+int bd_state_client_start(struct bd_node *node);
+int bd_election_start(struct bd_node *node);
+int bd_cloud_start(struct bd_node *node);
+int bd_worker_client_start(struct bd_node *node);
 /* A direct command; takes the effect over. The answer comes as BD_C_DID. */
-void bd_worker_client_send(struct bd_node *n, struct bd_effect *e);
+void bd_worker_client_send(struct bd_node *node, struct bd_effect *effect);
 /* sockets that it may hold */
-int bd_worker_client_sockets(const struct bd_settings *s);
-int bd_transport_start(struct bd_node *n);
+int bd_worker_client_sockets(const struct bd_settings *settings);
+int bd_transport_start(struct bd_node *node);
 /* A frame for a peer, sent with the next flush. False: dropped, nothing will come back. */
-bool bd_transport_send(struct bd_node *n, int peer, const struct bd_frame *f);
-void bd_transport_flush(struct bd_node *n);
+bool bd_transport_send(struct bd_node *node, int peer, const struct bd_frame *frame);
+void bd_transport_flush(struct bd_node *node);
 struct sockaddr_in;
 bool bd_parse_addr(const char *text, struct sockaddr_in *out);
 #endif
--- a/include/brambledoor/settings.h
+++ b/include/brambledoor/settings.h
@@ -52,6 +52,6 @@
 };
 
 /* 0, or -1 with one line in err naming file and field */
-int bd_settings_load(struct bd_settings *s, const char *path, char *err, size_t errlen);
-int bd_settings_operator(struct bd_settings *s, const char *path, char *err, size_t errlen);
+int bd_settings_load(struct bd_settings *settings, const char *path, char *err, size_t errlen);
+int bd_settings_operator(struct bd_settings *settings, const char *path, char *err, size_t errlen);
 #endif
--- a/include/brambledoor/store.h
+++ b/include/brambledoor/store.h
@@ -4,7 +4,7 @@
 #include "brambledoor/http.h"
 #include "brambledoor/node.h"
 
-long bd_state_call(struct bd_node *n, struct bd_http *h, const char *method, const char *path,
+long bd_state_call(struct bd_node *node, struct bd_http *http, const char *method, const char *path,
                    const char *body, double timeout_s, json_t **out);
-json_t *bd_state_list(struct bd_node *n, struct bd_http *h, const char *prefix);
+json_t *bd_state_list(struct bd_node *node, struct bd_http *http, const char *prefix);
 #endif
--- a/include/brambledoor/wire.h
+++ b/include/brambledoor/wire.h
@@ -117,12 +117,12 @@
 /* a job's text once it is cancelled: as short as it can be read */
 json_t *bd_wire_ended_spec(json_t *spec);
 json_t *bd_wire_spec(const struct bd_spec_text *s);
-json_t *bd_wire_record(const struct bd_record *r);
+json_t *bd_wire_record(const struct bd_record *record);
 bool bd_wire_read_record(json_t *v, struct bd_record *out);
 char *bd_wire_accepted(const char *id);
 char *bd_wire_state(const char *id, const char *state, uint32_t done, uint32_t running);
 bool bd_wire_report(json_t *o, struct bd_report *out);
-void bd_wire_report_drop(struct bd_report *r);
+void bd_wire_report_drop(struct bd_report *report);
 /* Where the digits of the report's number stand in its text, and what they say. */
 struct bd_report_number {
     size_t at, len;
@@ -144,11 +144,11 @@
 struct bd_txn {
     json_t *conds, *ops;
 };
-bool bd_txn_start(struct bd_txn *t);
-void bd_txn_if(struct bd_txn *t, const char *key, uint64_t mark);
-void bd_txn_set(struct bd_txn *t, const char *key, json_t *value, uint64_t grant);
-void bd_txn_drop(struct bd_txn *t, const char *key);
-char *bd_txn_end(struct bd_txn *t);
+bool bd_txn_start(struct bd_txn *txn);
+void bd_txn_if(struct bd_txn *txn, const char *key, uint64_t mark);
+void bd_txn_set(struct bd_txn *txn, const char *key, json_t *value, uint64_t grant);
+void bd_txn_drop(struct bd_txn *txn, const char *key);
+char *bd_txn_end(struct bd_txn *txn);
 
 struct bd_change {
     const char *key;
--- a/src/accept.c
+++ b/src/accept.c
@@ -11,10 +11,10 @@
 #define TXN_BYTES 50000u  /* of a transaction of parts */
 #define LOOKUPS_EXTRA 16u /* beyond one for each name a submission is sent away */
 
-static bool fits_type(const struct bd_type *t, const struct bd_spec_text *s, int zone)
+static bool fits_type(const struct bd_type *type, const struct bd_spec_text *s, int zone)
 {
-    return t->known && s->cpus <= t->cpus + 1e-9 && s->gpus <= t->gpus + 1e-9 &&
-           s->mem <= t->mem + 1e-9 && (zone < 0 || (t->zones >> zone & 1));
+    return type->known && s->cpus <= type->cpus + 1e-9 && s->gpus <= type->gpus + 1e-9 &&
+           s->mem <= type->mem + 1e-9 && (zone < 0 || (type->zones >> zone & 1));
 }
 
 static bool over(double max, double use)
@@ -31,31 +31,31 @@
 }
 
 /* Where the job's tasks could be, by zones. */
-static uint32_t zones_for(const struct bd_core *c, const struct bd_spec_text *s)
+static uint32_t zones_for(const struct bd_core *core, const struct bd_spec_text *s)
 {
     uint32_t zones = 0;
-    int only = bd_zone_find(c, s->zone);
+    int only = bd_zone_find(core, s->zone);
     if (*s->zone && only < 0)
         return 0;
-    for (int i = 0; i < c->ntypes; i++)
-        if (names_type(s, c->types[i].label) && fits_type(&c->types[i], s, only))
-            zones |= c->types[i].zones & (only < 0 ? UINT32_MAX : 1u << only);
+    for (int i = 0; i < core->ntypes; i++)
+        if (names_type(s, core->types[i].label) && fits_type(&core->types[i], s, only))
+            zones |= core->types[i].zones & (only < 0 ? UINT32_MAX : 1u << only);
     return zones;
 }
 
 /* Whether the job could run at all, on an empty fleet. Nothing is remembered of one that can't: bad
  * names must not fill our tables. */
-static bool can_run(const struct bd_core *c, const struct bd_spec_text *s)
+static bool can_run(const struct bd_core *core, const struct bd_spec_text *s)
 {
-    int team = bd_team_index(c, s->team);
+    int team = bd_team_index(core, s->team);
     if (team < 0)
         return false;
-    const struct bd_team_limits *t = &c->settings->teams[team];
+    const struct bd_team_limits *t = &core->settings->teams[team];
     bool at_once = s->shape != BD_ARRAY && s->tasks > 1;
     double n = s->shape == BD_ARRAY ? 1 : s->tasks;
     if (over(t->cpus_max, s->cpus * n) || over(t->gpus_max, s->gpus * n))
         return false;
-    uint32_t zones = zones_for(c, s);
+    uint32_t zones = zones_for(core, s);
     bool one_zone = s->together || (zones & (zones - 1)) == 0;
     return zones != 0 && !(at_once && s->scatter && one_zone);
 }
@@ -73,23 +73,23 @@
     return bd_txn_end(&t);
 }
 
-static void send_commit(struct bd_core *c, void *request, const char *id, char *body,
+static void send_commit(struct bd_core *core, void *request, const char *id, char *body,
                         enum bd_wait_how how)
 {
-    struct bd_effect *e = bd_emit(c, BD_E_USER_COMMIT);
-    e->request = request;
-    e->status = (int)how;
-    snprintf(e->key, sizeof e->key, "%s", id);
-    e->body = body;
+    struct bd_effect *effect = bd_emit(core, BD_E_USER_COMMIT);
+    effect->request = request;
+    effect->status = (int)how;
+    snprintf(effect->key, sizeof effect->key, "%s", id);
+    effect->body = body;
 }
 
-void bd_user_commit(struct bd_core *c, void *request, const char *id, uint64_t mark, json_t *record,
-                    enum bd_wait_how how)
+void bd_user_commit(struct bd_core *core, void *request, const char *id, uint64_t mark,
+                    json_t *record, enum bd_wait_how how)
 {
-    send_commit(c, request, id, transaction(id, mark, record), how);
+    send_commit(core, request, id, transaction(id, mark, record), how);
 }
 
-struct bd_wait *bd_wait_barrier(struct bd_core *c, void *request, const char *id,
+struct bd_wait *bd_wait_barrier(struct bd_core *core, void *request, const char *id,
                                 enum bd_wait_how how)
 {
     struct bd_wait *w = calloc(1, sizeof *w);
@@ -98,8 +98,8 @@
     w->request = request;
     w->how = how;
     snprintf(w->id, sizeof w->id, "%s", id);
-    w->next = c->waiting;
-    c->waiting = w;
+    w->next = core->waiting;
+    core->waiting = w;
     return w;
 }
 
@@ -113,33 +113,33 @@
     return n;
 }
 
-static json_t *record_of(struct bd_admission *a, bool inline_names)
+static json_t *record_of(struct bd_admission *admission, bool inline_names)
 {
-    a->record.prerequisites.names = inline_names ? a->prerequisites : NULL;
-    return bd_wire_record(&a->record);
+    admission->record.prerequisites.names = inline_names ? admission->prerequisites : NULL;
+    return bd_wire_record(&admission->record);
 }
 
 /* The parts' keys hold a hash of the names: a retry by another node writes the same parts, and a
  * submission that differs does not touch them. */
-static void name_parts(struct bd_admission *a)
+static void name_parts(struct bd_admission *admission)
 {
     uint64_t h = 1469598103934665603u;
     json_t *v;
     size_t i;
-    json_array_foreach(a->prerequisites, i, v)
+    json_array_foreach(admission->prerequisites, i, v)
     {
         for (const char *s = json_string_value(v); *s; s++)
             h = (h ^ (unsigned char)*s) * 1099511628211u;
         h = (h ^ ',') * 1099511628211u;
     }
-    snprintf(a->record.prerequisites.of, sizeof a->record.prerequisites.of, "%016llx",
-             (unsigned long long)h);
+    snprintf(admission->record.prerequisites.of, sizeof admission->record.prerequisites.of,
+             "%016llx", (unsigned long long)h);
 }
 
 /* Names from *i on, as many as a value holds. */
-static json_t *some_names(const struct bd_core *c, json_t *prerequisites, size_t *i)
+static json_t *some_names(const struct bd_core *core, json_t *prerequisites, size_t *i)
 {
-    double room = BD_VALUE_SHARE * (double)c->limits.value_bytes - 32;
+    double room = BD_VALUE_SHARE * (double)core->limits.value_bytes - 32;
     json_t *some = json_array(), *v;
     while ((v = json_array_get(prerequisites, *i)) &&
            (room -= (double)json_string_length(v) + 3) > 0) {
@@ -164,110 +164,113 @@
 }
 
 /* The transactions that write the parts, a line each. NULL: they are too many. */
-static char *write_parts(struct bd_core *c, struct bd_admission *a)
+static char *write_parts(struct bd_core *core, struct bd_admission *admission)
 {
     char *text = NULL, key[2 * BD_LABEL];
-    size_t len = 0, i = 0, n = json_array_size(a->prerequisites);
-    name_parts(a);
+    size_t len = 0, i = 0, n = json_array_size(admission->prerequisites);
+    name_parts(admission);
     while (i < n) {
         struct bd_txn t;
         size_t ops = 0, bytes = 0;
-        snprintf(key, sizeof key, "j/%s", a->id);
+        snprintf(key, sizeof key, "j/%s", admission->id);
         if (!bd_txn_start(&t))
             abort();
         bd_txn_if(&t, key, 0); /* one that was accepted meanwhile needs no more of them */
-        while (i < n && ops < c->limits.txn_ops && bytes + c->limits.value_bytes < TXN_BYTES) {
+        while (i < n && ops < core->limits.txn_ops &&
+               bytes + core->limits.value_bytes < TXN_BYTES) {
             size_t from = i;
-            snprintf(key, sizeof key, "j/%s/%s/%u", a->id, a->record.prerequisites.of,
-                     a->record.prerequisites.parts++);
-            bd_txn_set(&t, key, bd_wire_prerequisites_part(some_names(c, a->prerequisites, &i)), 0);
+            snprintf(key, sizeof key, "j/%s/%s/%u", admission->id,
+                     admission->record.prerequisites.of, admission->record.prerequisites.parts++);
+            bd_txn_set(&t, key,
+                       bd_wire_prerequisites_part(some_names(core, admission->prerequisites, &i)),
+                       0);
             if (i == from)
                 n = 0; /* a value holds no name: this cannot be written */
             ops++;
-            bytes += c->limits.value_bytes;
+            bytes += core->limits.value_bytes;
         }
         add_line(&text, &len, bd_txn_end(&t));
     }
-    if (n == 0 || a->record.prerequisites.parts > BD_PREREQUISITE_PARTS) {
+    if (n == 0 || admission->record.prerequisites.parts > BD_PREREQUISITE_PARTS) {
         free(text);
         return NULL;
     }
     return text;
 }
 
-static bool fits_value(const struct bd_core *c, json_t *v)
+static bool fits_value(const struct bd_core *core, json_t *v)
 {
-    return (double)bytes_of(v) <= BD_VALUE_SHARE * (double)c->limits.value_bytes;
+    return (double)bytes_of(v) <= BD_VALUE_SHARE * (double)core->limits.value_bytes;
 }
 
 /* All that the acceptance writes, a transaction a line, the record that counts last. NULL: it
  * cannot be written. */
-static char *writes(struct bd_core *c, struct bd_admission *a)
+static char *writes(struct bd_core *core, struct bd_admission *admission)
 {
-    json_t *whole = record_of(a, true);
-    if (fits_value(c, whole))
-        return transaction(a->id, 0, whole);
+    json_t *whole = record_of(admission, true);
+    if (fits_value(core, whole))
+        return transaction(admission->id, 0, whole);
     json_decref(whole);
-    char *text = a->prerequisites ? write_parts(c, a) : NULL;
-    json_t *record = record_of(a, false);
-    if (!text || !fits_value(c, record)) {
+    char *text = admission->prerequisites ? write_parts(core, admission) : NULL;
+    json_t *record = record_of(admission, false);
+    if (!text || !fits_value(core, record)) {
         json_decref(record);
         free(text);
         return NULL;
     }
     size_t len = strlen(text);
-    add_line(&text, &len, transaction(a->id, 0, record));
+    add_line(&text, &len, transaction(admission->id, 0, record));
     return text;
 }
 
-static void accept_now(struct bd_core *c, struct bd_admission *a)
+static void accept_now(struct bd_core *core, struct bd_admission *admission)
 {
-    char *body = writes(c, a);
+    char *body = writes(core, admission);
     if (body)
-        send_commit(c, a->request, a->id, body, BD_WAIT_STATE);
+        send_commit(core, admission->request, admission->id, body, BD_WAIT_STATE);
     else
-        bd_refuse(c, a->request, 400, "malformed: longer than can be kept", 0);
+        bd_refuse(core, admission->request, 400, "malformed: longer than can be kept", 0);
 }
 
 /* ---- judging ---- */
 
-void bd_admission_drop(struct bd_admission *a)
+void bd_admission_drop(struct bd_admission *admission)
 {
-    if (a)
-        json_decref(a->prerequisites);
-    free(a);
+    if (admission)
+        json_decref(admission->prerequisites);
+    free(admission);
 }
 
 /* All that wait for a record that left memory. */
-void bd_admission_end(struct bd_core *c)
+void bd_admission_end(struct bd_core *core)
 {
-    while (c->accepting) {
-        struct bd_admission *a = c->accepting;
-        c->accepting = a->next;
-        bd_admission_drop(a);
+    while (core->accepting) {
+        struct bd_admission *admission = core->accepting;
+        core->accepting = admission->next;
+        bd_admission_drop(admission);
     }
 }
 
 /* An older controller that leads would start the job too early, and forget what it waits for. */
-static bool older_heard(const struct bd_core *c)
+static bool older_heard(const struct bd_core *core)
 {
-    for (int i = 0; i < c->settings->npeers; i++)
-        if (bd_peer_heard(c, i, OLD_HEARD_S) && !bd_is_zero(c->peers[i].heard) &&
-            !(c->peers[i].flags & BD_PEER_DEPS))
+    for (int i = 0; i < core->settings->npeers; i++)
+        if (bd_peer_heard(core, i, OLD_HEARD_S) && !bd_is_zero(core->peers[i].heard) &&
+            !(core->peers[i].flags & BD_PEER_DEPS))
             return true;
     return false;
 }
 
 /* The first name that is not in memory, or NULL; *never: the job can never run, *cancelled: a job
  * that it needs is. */
-static const char *find_prerequisites(struct bd_core *c, const struct bd_admission *a, bool *never,
-                                      bool *cancelled)
+static const char *find_prerequisites(struct bd_core *core, const struct bd_admission *admission,
+                                      bool *never, bool *cancelled)
 {
     json_t *v;
     size_t i;
-    json_array_foreach(a->prerequisites, i, v)
+    json_array_foreach(admission->prerequisites, i, v)
     {
-        struct bd_job *x = bd_job_find(c, json_string_value(v));
+        struct bd_job *x = bd_job_find(core, json_string_value(v));
         if (!x)
             return json_string_value(v);
         *cancelled |= x->state == BD_CANCELLED;
@@ -276,113 +279,117 @@
     return NULL;
 }
 
-static void look_for(struct bd_core *c, struct bd_admission *a, const char *name)
+static void look_for(struct bd_core *core, struct bd_admission *admission, const char *name)
 {
-    struct bd_effect *e = bd_emit(c, BD_E_LOOKUP);
-    e->request = a->request;
-    e->status = BD_WAIT_ACCEPT;
-    snprintf(e->key, sizeof e->key, "%s", name);
-    a->lookups++;
-    a->next = c->accepting;
-    c->accepting = a;
+    struct bd_effect *effect = bd_emit(core, BD_E_LOOKUP);
+    effect->request = admission->request;
+    effect->status = BD_WAIT_ACCEPT;
+    snprintf(effect->key, sizeof effect->key, "%s", name);
+    admission->lookups++;
+    admission->next = core->accepting;
+    core->accepting = admission;
 }
 
 /* proven: a read barrier stands behind what the replica lacks. Takes over `a`. */
-static void judge(struct bd_core *c, struct bd_admission *a, bool proven)
+static void judge(struct bd_core *core, struct bd_admission *admission, bool proven)
 {
     bool never = false, cancelled = false;
-    const char *missing = a->prerequisites ? find_prerequisites(c, a, &never, &cancelled) : NULL;
+    const char *missing =
+        admission->prerequisites ? find_prerequisites(core, admission, &never, &cancelled) : NULL;
     if (missing && !proven) {
-        bd_wait_barrier(c, a->request, a->id, BD_WAIT_ACCEPT)->accept = a;
+        bd_wait_barrier(core, admission->request, admission->id, BD_WAIT_ACCEPT)->accept =
+            admission;
         return;
     }
-    bool refresh = missing && c->evicted;
-    if (refresh && a->lookups < json_array_size(a->prerequisites) + LOOKUPS_EXTRA) {
-        look_for(c, a, missing);
+    bool refresh = missing && core->evicted;
+    if (refresh && admission->lookups < json_array_size(admission->prerequisites) + LOOKUPS_EXTRA) {
+        look_for(core, admission, missing);
         return;
     }
     if (refresh)
-        bd_refuse(c, a->request, 503, "not ready", 1);
+        bd_refuse(core, admission->request, 503, "not ready", 1);
     else if (missing)
-        bd_refuse(c, a->request, 422, "awaits a job that was never accepted", 0);
+        bd_refuse(core, admission->request, 422, "awaits a job that was never accepted", 0);
     else if (never)
-        bd_refuse(c, a->request, 422, "awaits a service, which is never done", 0);
-    else if (a->prerequisites && older_heard(c))
-        bd_refuse(c, a->request, 503, "an older controller serves beside this one", OUTAGE_RETRY_S);
+        bd_refuse(core, admission->request, 422, "awaits a service, which is never done", 0);
+    else if (admission->prerequisites && older_heard(core))
+        bd_refuse(core, admission->request, 503, "an older controller serves beside this one",
+                  OUTAGE_RETRY_S);
     else {
-        a->record.state = cancelled ? BD_CANCELLED : BD_LIVE;
-        accept_now(c, a);
+        admission->record.state = cancelled ? BD_CANCELLED : BD_LIVE;
+        accept_now(core, admission);
     }
-    bd_admission_drop(a);
+    bd_admission_drop(admission);
 }
 
-void bd_admission_proven(struct bd_core *c, struct bd_admission *a)
+void bd_admission_proven(struct bd_core *core, struct bd_admission *admission)
 {
-    judge(c, a, true);
+    judge(core, admission, true);
 }
 
 /* A record that a submission names was looked up; if it exists, the core has it by now. */
-void bd_admission_looked_up(struct bd_core *c, void *request, long status)
+void bd_admission_looked_up(struct bd_core *core, void *request, long status)
 {
-    struct bd_admission **at = &c->accepting;
+    struct bd_admission **at = &core->accepting;
     while (*at && (*at)->request != request)
         at = &(*at)->next;
-    struct bd_admission *a = *at;
-    if (!a)
+    struct bd_admission *admission = *at;
+    if (!admission)
         return;
-    *at = a->next;
+    *at = admission->next;
     if (status == 200) {
-        judge(c, a, true);
+        judge(core, admission, true);
         return;
     }
     if (status == 404)
-        bd_refuse(c, request, 422, "awaits a job that was never accepted", 0);
+        bd_refuse(core, request, 422, "awaits a job that was never accepted", 0);
     else
-        bd_refuse(c, request, 503, "state service not reached", OUTAGE_RETRY_S);
-    bd_admission_drop(a);
+        bd_refuse(core, request, 503, "state service not reached", OUTAGE_RETRY_S);
+    bd_admission_drop(admission);
 }
 
-static struct bd_admission *new_admission(void *request, const char *id, const struct bd_record *r)
+static struct bd_admission *new_admission(void *request, const char *id,
+                                          const struct bd_record *record)
 {
     struct bd_admission *a = calloc(1, sizeof *a);
     if (!a)
         abort();
     a->request = request;
-    a->record = *r;
-    a->record.tasks = r->spec.tasks;
+    a->record = *record;
+    a->record.tasks = record->spec.tasks;
     snprintf(a->id, sizeof a->id, "%s", id);
     return a;
 }
 
-void bd_core_submit(struct bd_core *c, void *request, const char *body, size_t len)
+void bd_core_submit(struct bd_core *core, void *request, const char *body, size_t len)
 {
-    struct bd_record r = {.state = BD_LIVE, .at = c->wall, .has_spec = true};
+    struct bd_record r = {.state = BD_LIVE, .at = core->wall, .has_spec = true};
     char id[BD_ID] = "";
     json_t *prerequisites = NULL, *o = json_loadb(body, len, JSON_REJECT_DUPLICATES, NULL);
     const char *bad = o ? bd_wire_submission(o, id, &r.spec) : "body";
     if (!bad && !bd_wire_prerequisites(o, &prerequisites))
         bad = "awaits";
     json_decref(o);
-    struct bd_job *j = *id ? bd_job_find(c, id) : NULL;
-    if (j) { /* known: its state, whatever the body says now */
+    struct bd_job *job = *id ? bd_job_find(core, id) : NULL;
+    if (job) { /* known: its state, whatever the body says now */
         json_decref(prerequisites);
-        bd_core_get(c, request, id);
+        bd_core_get(core, request, id);
         return;
     }
-    bool wrong = !bad && c->types_known && !can_run(c, &r.spec);
+    bool wrong = !bad && core->types_known && !can_run(core, &r.spec);
     /* an id that another node may have accepted must not get 400 or 422 */
     if ((bad || wrong) && *id) {
-        (void)bd_wait_barrier(c, request, id, bad ? BD_WAIT_BAD : BD_WAIT_NEVER);
+        (void)bd_wait_barrier(core, request, id, bad ? BD_WAIT_BAD : BD_WAIT_NEVER);
     } else if (bad) {
         char why[96];
         snprintf(why, sizeof why, "malformed: %s", bad);
-        bd_refuse(c, request, 400, why, 0);
-    } else if (!c->types_known || !bd_reachable(c)) {
-        bd_refuse(c, request, 503, "not ready", OUTAGE_RETRY_S);
+        bd_refuse(core, request, 400, why, 0);
+    } else if (!core->types_known || !bd_reachable(core)) {
+        bd_refuse(core, request, 503, "not ready", OUTAGE_RETRY_S);
     } else {
-        struct bd_admission *a = new_admission(request, id, &r);
-        a->prerequisites = json_incref(prerequisites);
-        judge(c, a, false);
+        struct bd_admission *admission = new_admission(request, id, &r);
+        admission->prerequisites = json_incref(prerequisites);
+        judge(core, admission, false);
     }
     json_decref(prerequisites);
 }
@@ -390,7 +397,7 @@
 /* ---- outcome ---- */
 
 /* What was committed shows here at once: the record, and the parts before it. */
-static void take_writes(struct bd_core *c, const char *body, uint64_t ring)
+static void take_writes(struct bd_core *core, const char *body, uint64_t ring)
 {
     const char *line = body;
     while (line && *line) {
@@ -402,41 +409,41 @@
         {
             json_object_set_new(op, "mark", json_integer((json_int_t)ring));
             if (bd_wire_change(op, &ch))
-                bd_core_change(c, &ch);
+                bd_core_change(core, &ch);
         }
         json_decref(o);
         line += n + (line[n] == '\n');
     }
 }
 
-static void accepted(struct bd_core *c, void *request, const char *id, enum bd_wait_how how)
+static void accepted(struct bd_core *core, void *request, const char *id, enum bd_wait_how how)
 {
-    struct bd_job *j = bd_job_find(c, id);
-    if (!j)
-        bd_refuse(c, request, 503, "not ready", 1);
-    else if (j->state == BD_LIVE)
-        bd_reply(c, request, 201, bd_wire_accepted(id), 0);
-    else if (how == BD_WAIT_STATE && j->state == BD_CANCELLED) /* with a job that it needs */
-        bd_reply(c, request, 201, bd_wire_state(id, "cancelled", 0, 0), 0);
+    struct bd_job *job = bd_job_find(core, id);
+    if (!job)
+        bd_refuse(core, request, 503, "not ready", 1);
+    else if (job->state == BD_LIVE)
+        bd_reply(core, request, 201, bd_wire_accepted(id), 0);
+    else if (how == BD_WAIT_STATE && job->state == BD_CANCELLED) /* with a job that it needs */
+        bd_reply(core, request, 201, bd_wire_state(id, "cancelled", 0, 0), 0);
     else
-        bd_answer_state(c, request, j);
+        bd_answer_state(core, request, job);
 }
 
-void bd_core_user_committed(struct bd_core *c, void *request, const char *id, const char *body,
+void bd_core_user_committed(struct bd_core *core, void *request, const char *id, const char *body,
                             int how, long status, uint64_t ring)
 {
     if (status == 200) {
-        take_writes(c, body, ring);
+        take_writes(core, body, ring);
         if (how == BD_WAIT_CANCEL) {
-            struct bd_effect *e = bd_emit(c, BD_E_CANCELLED);
-            snprintf(e->key, sizeof e->key, "%s", id);
+            struct bd_effect *effect = bd_emit(core, BD_E_CANCELLED);
+            snprintf(effect->key, sizeof effect->key, "%s", id);
         }
-        accepted(c, request, id, (enum bd_wait_how)how);
+        accepted(core, request, id, (enum bd_wait_how)how);
     } else if (status == 409) { /* somebody was faster: look again, then answer what is */
-        (void)bd_wait_barrier(c, request, id, (enum bd_wait_how)how);
+        (void)bd_wait_barrier(core, request, id, (enum bd_wait_how)how);
     } else {
         if (status == 400) /* the next try is in smaller pieces */
-            (void)bd_limits_refused(c, id);
-        bd_refuse(c, request, 503, "state service not reached", 1);
+            (void)bd_limits_refused(core, id);
+        bd_refuse(core, request, 503, "state service not reached", 1);
     }
 }
--- a/src/cloud.c
+++ b/src/cloud.c
@@ -70,91 +70,92 @@
         return;
     }
     d->fails = 0;
-    struct bd_cmd *cmd = bd_cmd_new(BD_C_TYPES);
-    cmd->data = malloc((size_t)n * sizeof *d->types);
-    if (!cmd->data)
+    struct bd_cmd *command = bd_cmd_new(BD_C_TYPES);
+    command->data = malloc((size_t)n * sizeof *d->types);
+    if (!command->data)
         abort();
-    memcpy(cmd->data, d->types, (size_t)n * sizeof *d->types);
-    cmd->n = (size_t)n;
-    bd_tell(d->n, cmd);
+    memcpy(command->data, d->types, (size_t)n * sizeof *d->types);
+    command->n = (size_t)n;
+    bd_tell(d->n, command);
     double pause = atomic_load(&d->n->leading) ? TYPES_S : TYPES_IDLE_S;
     d->next_types = bd_add(bd_now(), bd_secs(pause));
 }
 
 static void get_list(struct desk *d)
 {
-    struct bd_cmd *cmd = bd_cmd_new(BD_C_MACHINES);
+    struct bd_cmd *command = bd_cmd_new(BD_C_MACHINES);
     struct bd_cloud_machine *all = NULL;
     char path[160], after[BD_LABEL] = "";
     bool more = true;
-    cmd->sent = bd_now();
+    command->sent = bd_now();
     while (more) {
         json_t *o = NULL;
         snprintf(path, sizeof path, "/machines?%s%s%slimit=%d", *after ? "after=" : "", after,
                  *after ? "&" : "", PAGE);
         long status = call(d, "GET", path, NULL, &o);
-        struct bd_cloud_machine *grown = realloc(all, (cmd->n + PAGE) * sizeof *all);
+        struct bd_cloud_machine *grown = realloc(all, (command->n + PAGE) * sizeof *all);
         if (!grown)
             abort();
         all = grown;
-        int n = status == 200 ? bd_wire_machines(o, all + cmd->n, PAGE, &more) : -1;
+        int n = status == 200 ? bd_wire_machines(o, all + command->n, PAGE, &more) : -1;
         json_decref(o);
         if (n < 0) {
             free(all);
-            bd_cmd_free(cmd);
+            bd_cmd_free(command);
             failed(d);
             return;
         }
-        cmd->n += (size_t)n;
+        command->n += (size_t)n;
         more = more && n > 0;
         if (n > 0)
-            snprintf(after, sizeof after, "%s", all[cmd->n - 1].id);
+            snprintf(after, sizeof after, "%s", all[command->n - 1].id);
     }
     d->fails = 0;
-    cmd->data = all;
-    bd_tell(d->n, cmd);
+    command->data = all;
+    bd_tell(d->n, command);
     d->next_list = bd_add(bd_now(), bd_secs(d->list_s));
 }
 
 /* A request without a clear answer is repeated by its name: the name rents once only. */
-static void provision_machines(struct desk *d, struct bd_effect *e)
+static void provision_machines(struct desk *d, struct bd_effect *effect)
 {
-    struct bd_cmd *cmd = bd_cmd_new(BD_C_PROVISIONED);
-    snprintf(cmd->name, sizeof cmd->name, "%s", e->key);
+    struct bd_cmd *command = bd_cmd_new(BD_C_PROVISIONED);
+    snprintf(command->name, sizeof command->name, "%s", effect->key);
     for (int i = 0; i < PROVISION_TRIES; i++) {
         json_t *o = NULL;
-        cmd->status = call(d, "POST", "/machines", e->body, &o);
+        command->status = call(d, "POST", "/machines", effect->body, &o);
         const char *why = json_string_value(json_object_get(o, "error"));
-        bool trouble = cmd->status == 503 && why && strcmp(why, "trouble") == 0;
-        if (cmd->status == 200) {
+        bool trouble = command->status == 503 && why && strcmp(why, "trouble") == 0;
+        if (command->status == 200) {
             char(*names)[BD_LABEL] = calloc(64, sizeof *names);
             int n = names ? bd_wire_machine_names(o, names, 64) : -1;
-            cmd->data = names;
-            cmd->n = n > 0 ? (size_t)n : 0;
+            command->data = names;
+            command->n = n > 0 ? (size_t)n : 0;
         }
         json_decref(o);
-        if (cmd->status == 200 || cmd->status == 400 || (cmd->status == 503 && !trouble))
+        if (command->status == 200 || command->status == 400 ||
+            (command->status == 503 && !trouble))
             break;
         if (!atomic_load(&d->n->leading))
             break;
         failed(d);
     }
-    bd_tell(d->n, cmd);
+    bd_tell(d->n, command);
 }
 
-static void do_return(struct desk *d, struct bd_effect *e)
+static void do_return(struct desk *d, struct bd_effect *effect)
 {
-    struct bd_cmd *cmd = bd_cmd_new(BD_C_RETURNED);
+    struct bd_cmd *command = bd_cmd_new(BD_C_RETURNED);
     json_t *o = NULL;
-    cmd->status = call(d, "POST", "/machines/return", e->body, &o);
+    command->status = call(d, "POST", "/machines/return", effect->body, &o);
     json_decref(o);
-    json_t *sent = json_loads(e->body, 0, NULL);
+    json_t *sent = json_loads(effect->body, 0, NULL);
     char(*names)[BD_LABEL] = calloc(128, sizeof *names);
     int n = names ? bd_wire_machine_names(sent, names, 128) : -1;
-    cmd->data = names;
-    cmd->n = n > 0 ? (size_t)n : 0;
+    command->data = names;
+    command->n = n > 0 ? (size_t)n : 0;
     json_decref(sent);
-    bd_tell(d->n, cmd);
+    bd_tell(d->n, command);
 }
 
 static void *run(void *arg)
@@ -163,12 +164,12 @@
     for (;;) {
         void *item;
         if (bd_queue_take(&d->n->to_cloud, &item, 1, bd_add(bd_now(), bd_secs(0.2))) == 1) {
-            struct bd_effect *e = item;
-            if (e->kind == BD_E_PROVISION)
-                provision_machines(d, e);
+            struct bd_effect *effect = item;
+            if (effect->kind == BD_E_PROVISION)
+                provision_machines(d, effect);
             else
-                do_return(d, e);
-            bd_effect_free(e);
+                do_return(d, effect);
+            bd_effect_free(effect);
         }
         struct timespec now = bd_now();
         if (!atomic_load(&d->n->types_known) || bd_before(d->next_types, now))
@@ -179,15 +180,15 @@
     return NULL;
 }
 
-int bd_cloud_start(struct bd_node *n)
+int bd_cloud_start(struct bd_node *node)
 {
     struct desk *d = calloc(1, sizeof *d);
     if (!d)
         return -1;
-    d->n = n;
-    d->h = bd_http_new(1, bd_metrics_counter(n->metrics, BD_TRAFFIC_CLOUD));
-    double lag = bd_to_secs(n->settings.list_lag);
-    double least = 2.0 / n->settings.cloud_rps;
+    d->n = node;
+    d->h = bd_http_new(1, bd_metrics_counter(node->metrics, BD_TRAFFIC_CLOUD));
+    double lag = bd_to_secs(node->settings.list_lag);
+    double least = 2.0 / node->settings.cloud_rps;
     d->list_s = lag / 3 > least ? lag / 3 : least;
     return d->h ? bd_thread(run, d, 131072) : -1;
 }
--- a/src/core_in.h
+++ b/src/core_in.h
@@ -32,9 +32,9 @@
 #define BD_VALUE_SHARE 0.9 /* of a value, as reckoned */
 
 /* bytes of a job's tasks on one machine in an intent record, without the tasks' numbers */
-static inline size_t bd_group_bytes(const struct bd_job *j, const struct bd_machine *m)
+static inline size_t bd_group_bytes(const struct bd_job *job, const struct bd_machine *machine)
 {
-    return strlen(j->id) + strlen(m->id) + 36;
+    return strlen(job->id) + strlen(machine->id) + 36;
 }
 #define BD_TASK_BYTES 7u /* of a task's number in it */
 
@@ -61,148 +61,151 @@
     bool raises_token;
 };
 
-static inline bool bd_peer_heard(const struct bd_core *c, int peer, double within_s)
+static inline bool bd_peer_heard(const struct bd_core *core, int peer, double within_s)
 {
-    return bd_between(c->peers[peer].heard, c->now) < within_s;
+    return bd_between(core->peers[peer].heard, core->now) < within_s;
 }
 
-static inline bool bd_peer_near(const struct bd_core *c, int peer) /* of our own zone */
+static inline bool bd_peer_near(const struct bd_core *core, int peer) /* of our own zone */
 {
-    return strcmp(c->settings->peers[peer].zone, c->settings->zone) == 0;
+    return strcmp(core->settings->peers[peer].zone, core->settings->zone) == 0;
 }
 
-static inline bool bd_type_allowed(const struct bd_spec *s, int type)
+static inline bool bd_type_allowed(const struct bd_spec *spec, int type)
 {
-    return s->any_type || (s->types >> type & 1);
+    return spec->any_type || (spec->types >> type & 1);
 }
 
-struct bd_effect *bd_emit(struct bd_core *c, enum bd_effect_kind kind);
-void bd_reply(struct bd_core *c, void *request, int status, char *body, int retry_after);
+struct bd_effect *bd_emit(struct bd_core *core, enum bd_effect_kind kind);
+void bd_reply(struct bd_core *core, void *request, int status, char *body, int retry_after);
 int bd_intern(struct bd_names **table, const char *name);
-int bd_type_index(struct bd_core *c, const char *label);
-int bd_zone_find(const struct bd_core *c, const char *name); /* -1: not known */
-int bd_zone_index(struct bd_core *c, const char *name);
-int bd_team_index(const struct bd_core *c, const char *name);
-struct bd_job *bd_job_find(struct bd_core *c, const char *id);
-struct bd_machine *bd_machine_get(struct bd_core *c, const char *id);
-struct bd_machine *bd_machine_of(struct bd_core *c, uint32_t index);
-void bd_spec_resolve(struct bd_core *c, const struct bd_spec_text *t, struct bd_spec *s);
+int bd_type_index(struct bd_core *core, const char *label);
+int bd_zone_find(const struct bd_core *core, const char *name); /* -1: not known */
+int bd_zone_index(struct bd_core *core, const char *name);
+int bd_team_index(const struct bd_core *core, const char *name);
+struct bd_job *bd_job_find(struct bd_core *core, const char *id);
+struct bd_machine *bd_machine_get(struct bd_core *core, const char *id);
+struct bd_machine *bd_machine_of(struct bd_core *core, uint32_t index);
+void bd_spec_resolve(struct bd_core *core, const struct bd_spec_text *t, struct bd_spec *spec);
 
 /* users */
-void bd_refuse(struct bd_core *c, void *request, int status, const char *why, int retry_after);
-void bd_answer_state(struct bd_core *c, void *request, const struct bd_job *j);
-bool bd_reachable(const struct bd_core *c);
-struct bd_wait *bd_wait_barrier(struct bd_core *c, void *request, const char *id,
+void bd_refuse(struct bd_core *core, void *request, int status, const char *why, int retry_after);
+void bd_answer_state(struct bd_core *core, void *request, const struct bd_job *job);
+bool bd_reachable(const struct bd_core *core);
+struct bd_wait *bd_wait_barrier(struct bd_core *core, void *request, const char *id,
                                 enum bd_wait_how how);
-void bd_user_commit(struct bd_core *c, void *request, const char *id, uint64_t mark, json_t *record,
-                    enum bd_wait_how how);
-void bd_admission_proven(struct bd_core *c, struct bd_admission *a);
-void bd_admission_looked_up(struct bd_core *c, void *request, long status);
-void bd_admission_drop(struct bd_admission *a);
-void bd_admission_end(struct bd_core *c);
-json_t *bd_cancelled_record(const struct bd_job *j);
-void bd_job_set_state(struct bd_core *c, struct bd_job *j, enum bd_job_state state);
+void bd_user_commit(struct bd_core *core, void *request, const char *id, uint64_t mark,
+                    json_t *record, enum bd_wait_how how);
+void bd_admission_proven(struct bd_core *core, struct bd_admission *admission);
+void bd_admission_looked_up(struct bd_core *core, void *request, long status);
+void bd_admission_drop(struct bd_admission *admission);
+void bd_admission_end(struct bd_core *core);
+json_t *bd_cancelled_record(const struct bd_job *job);
+void bd_job_set_state(struct bd_core *core, struct bd_job *job, enum bd_job_state state);
 
 /* dependencies */
-static inline bool bd_job_waits(const struct bd_job *j)
+static inline bool bd_job_waits(const struct bd_job *job)
 {
-    return j->open > 0;
+    return job->open > 0;
 }
-void bd_deps_take(struct bd_core *c, struct bd_job *j, const struct bd_record_prerequisites *r);
-void bd_deps_part(struct bd_core *c, const char *key, json_t *value);
-void bd_deps_seen(struct bd_core *c, struct bd_job *j);
-void bd_deps_settled(struct bd_core *c, struct bd_job *j);
-void bd_deps_written(struct bd_core *c, struct bd_job *j);
-double bd_due_slack(const struct bd_core *c, const struct bd_job *j);
-void bd_deps_tick(struct bd_core *c);
-void bd_deps_free(struct bd_core *c);
+void bd_deps_take(struct bd_core *core, struct bd_job *job,
+                  const struct bd_record_prerequisites *r);
+void bd_deps_part(struct bd_core *core, const char *key, json_t *value);
+void bd_deps_seen(struct bd_core *core, struct bd_job *job);
+void bd_deps_settled(struct bd_core *core, struct bd_job *job);
+void bd_deps_written(struct bd_core *core, struct bd_job *job);
+double bd_due_slack(const struct bd_core *core, const struct bd_job *job);
+void bd_deps_tick(struct bd_core *core);
+void bd_deps_free(struct bd_core *core);
 
 /* tasks: the only ways their state changes */
-void bd_task_set(struct bd_core *c, struct bd_job *j, uint32_t i, enum bd_task_state st);
-void bd_task_assign(struct bd_core *c, struct bd_job *j, uint32_t i, struct bd_machine *m,
-                    uint64_t attempt, enum bd_task_state st);
-void bd_task_free(struct bd_core *c, struct bd_job *j, uint32_t i);
-void bd_task_done(struct bd_core *c, struct bd_job *j, uint32_t i);
-void bd_task_stop(struct bd_core *c, struct bd_job *j, uint32_t i, bool force);
-bool bd_job_lead(struct bd_core *c, struct bd_job *j);
-void bd_job_unlead(struct bd_job *j);
-void bd_machine_lapse(struct bd_core *c, struct bd_machine *m);
-void bd_machine_gone(struct bd_core *c, struct bd_machine *m);
-bool bd_overdue(const struct bd_core *c, const struct bd_machine *m);
-bool bd_machine_usable(const struct bd_core *c, const struct bd_machine *m);
-struct timespec bd_lease_end(const struct bd_core *c, struct timespec answered);
+void bd_task_set(struct bd_core *core, struct bd_job *job, uint32_t i, enum bd_task_state st);
+void bd_task_assign(struct bd_core *core, struct bd_job *job, uint32_t i,
+                    struct bd_machine *machine, uint64_t attempt, enum bd_task_state st);
+void bd_task_free(struct bd_core *core, struct bd_job *job, uint32_t i);
+void bd_task_done(struct bd_core *core, struct bd_job *job, uint32_t i);
+void bd_task_stop(struct bd_core *core, struct bd_job *job, uint32_t i, bool force);
+bool bd_job_lead(struct bd_core *core, struct bd_job *job);
+void bd_job_unlead(struct bd_job *job);
+void bd_machine_lapse(struct bd_core *core, struct bd_machine *machine);
+void bd_machine_gone(struct bd_core *core, struct bd_machine *machine);
+bool bd_overdue(const struct bd_core *core, const struct bd_machine *machine);
+bool bd_machine_usable(const struct bd_core *core, const struct bd_machine *machine);
+struct timespec bd_lease_end(const struct bd_core *core, struct timespec answered);
 uint32_t bd_tenths(struct timespec t);
-void bd_find_slow(struct bd_core *c, struct bd_machine *m);
-void bd_find_outbound_cut(struct bd_core *c);
-void bd_orders_send(struct bd_core *c, struct bd_machine *m);
-bool bd_has_image(const struct bd_machine *m, int image);
-double bd_fetch_s(const struct bd_core *c, const struct bd_machine *m, const struct bd_spec *s);
-void bd_remember_image(struct bd_core *c, struct bd_machine *m, const struct bd_spec *s,
+void bd_find_slow(struct bd_core *core, struct bd_machine *machine);
+void bd_find_outbound_cut(struct bd_core *core);
+void bd_orders_send(struct bd_core *core, struct bd_machine *machine);
+bool bd_has_image(const struct bd_machine *machine, int image);
+double bd_fetch_s(const struct bd_core *core, const struct bd_machine *machine,
+                  const struct bd_spec *spec);
+void bd_remember_image(struct bd_core *core, struct bd_machine *machine, const struct bd_spec *spec,
                        bool there);
 
-void bd_limits_init(struct bd_core *c);
-bool bd_limits_refused(struct bd_core *c, const char *what);
-size_t bd_limits_ops(const struct bd_core *c);
-void bd_limits_tick(struct bd_core *c);
-void bd_limits_back_off(struct bd_core *c, struct bd_job *j);
+void bd_limits_init(struct bd_core *core);
+bool bd_limits_refused(struct bd_core *core, const char *what);
+size_t bd_limits_ops(const struct bd_core *core);
+void bd_limits_tick(struct bd_core *core);
+void bd_limits_back_off(struct bd_core *core, struct bd_job *job);
 
-void bd_core_yield(struct bd_core *c);
-void bd_core_give_up_if_blind(struct bd_core *c);
+void bd_core_yield(struct bd_core *core);
+void bd_core_give_up_if_blind(struct bd_core *core);
 /* whether another controller has just said that the job is cancelled */
-bool bd_cancel_heard(const struct bd_core *c, const struct bd_job *j);
+bool bd_cancel_heard(const struct bd_core *core, const struct bd_job *job);
 
 /* answering in time: grace.c */
-double bd_grace_s(const struct bd_settings *s);
-bool bd_in_grace(const struct bd_core *c, struct timespec seen);
-bool bd_may_renew(const struct bd_core *c);
-bool bd_may_launch(const struct bd_core *c);
+double bd_grace_s(const struct bd_settings *settings);
+bool bd_in_grace(const struct bd_core *core, struct timespec seen);
+bool bd_may_renew(const struct bd_core *core);
+bool bd_may_launch(const struct bd_core *core);
 
 /* prices: which machines a job may take, by how long it has waited */
 enum bd_reach { BD_REACH_SPOT, BD_REACH_CHEAP, BD_REACH_ANY };
-const char *bd_class_name(const struct bd_core *c, int id);
-int bd_tasks_a_machine(const struct bd_type *t, const struct bd_spec *s);
-bool bd_dear(const struct bd_core *c, const struct bd_spec *s, int type, bool spot);
-double bd_slack(const struct bd_core *c, int job_class, double estimate, const struct bd_aim *a);
-enum bd_reach bd_reach_of(const struct bd_core *c, const struct bd_job *j);
-bool bd_in_reach(const struct bd_core *c, const struct bd_spec *s, enum bd_reach reach, int type,
-                 bool spot);
+const char *bd_class_name(const struct bd_core *core, int id);
+int bd_tasks_a_machine(const struct bd_type *type, const struct bd_spec *spec);
+bool bd_dear(const struct bd_core *core, const struct bd_spec *spec, int type, bool spot);
+double bd_slack(const struct bd_core *core, int job_class, double estimate, const struct bd_aim *a);
+enum bd_reach bd_reach_of(const struct bd_core *core, const struct bd_job *job);
+bool bd_in_reach(const struct bd_core *core, const struct bd_spec *spec, enum bd_reach reach,
+                 int type, bool spot);
 
 /* standing by in a zone that is cut off */
 #define STANDBY_AFTER_S 3.0 /* without a word from the state service */
-bool bd_standby_answers(const struct bd_core *c, const struct bd_report *r);
-bool bd_standby_near(const struct bd_core *c, const struct bd_report *r);
-void bd_standby_record(struct bd_core *c, const char *node, double at);
-void bd_standby_zones(struct bd_core *c, struct timespec *until);
-struct timespec bd_standby_until(const struct bd_core *c, const struct bd_machine *m,
+bool bd_standby_answers(const struct bd_core *core, const struct bd_report *report);
+bool bd_standby_near(const struct bd_core *core, const struct bd_report *report);
+void bd_standby_record(struct bd_core *core, const char *node, double at);
+void bd_standby_zones(struct bd_core *core, struct timespec *until);
+struct timespec bd_standby_until(const struct bd_core *core, const struct bd_machine *machine,
                                  const struct timespec *until);
 
 /* deputies */
 #define LEADER_SILENT_S 1.3  /* not heard on the mesh for so long: he may be cut off */
 #define DELEGATE_FRESH_S 1.5 /* a deputy answers so long after its record was last confirmed */
-int bd_leader_index(const struct bd_core *c); /* among the peers, or -1 */
-struct bd_report *bd_report_copy(const struct bd_report *r);
-void bd_report_free(struct bd_report *r);
-bool bd_forward_checkin(struct bd_core *c, void *request, const struct bd_report *r,
+int bd_leader_index(const struct bd_core *core); /* among the peers, or -1 */
+struct bd_report *bd_report_copy(const struct bd_report *report);
+void bd_report_free(struct bd_report *report);
+bool bd_forward_checkin(struct bd_core *core, void *request, const struct bd_report *report,
                         const char *body, size_t len);
-bool bd_forward_relay(struct bd_core *c, struct bd_remote *q, const struct bd_report *r,
+bool bd_forward_relay(struct bd_core *core, struct bd_remote *q, const struct bd_report *report,
                       const char *body, size_t len);
-void bd_forward_away(struct bd_core *c, void *request, const struct bd_report *r);
-int bd_forward_redirect(struct bd_core *c, struct bd_machine *m, const struct bd_report *r);
-void bd_forward_listen(struct bd_core *c);
-void bd_forward_tick(struct bd_core *c);
-void bd_forward_end(struct bd_core *c);
-bool bd_delegate_checkin(struct bd_core *c, void *request, const struct bd_report *r);
-void bd_delegate_tick(struct bd_core *c);
-void bd_delegate_needless(struct bd_core *c, const struct bd_machine *m);
-json_t *bd_dismissed(const struct bd_core *c);
-void bd_delegate_end(struct bd_core *c);
+void bd_forward_away(struct bd_core *core, void *request, const struct bd_report *report);
+int bd_forward_redirect(struct bd_core *core, struct bd_machine *machine,
+                        const struct bd_report *report);
+void bd_forward_listen(struct bd_core *core);
+void bd_forward_tick(struct bd_core *core);
+void bd_forward_end(struct bd_core *core);
+bool bd_delegate_checkin(struct bd_core *core, void *request, const struct bd_report *report);
+void bd_delegate_tick(struct bd_core *core);
+void bd_delegate_needless(struct bd_core *core, const struct bd_machine *machine);
+json_t *bd_dismissed(const struct bd_core *core);
+void bd_delegate_end(struct bd_core *core);
 
 /* rounds */
-void bd_round_place(struct bd_core *c); /* fills c->commit's plan */
-uint32_t bd_round_parts(const struct bd_core *c);
-void bd_round_commit(struct bd_core *c); /* builds and sends the transaction */
-void bd_commit_free(struct bd_commit *k);
-uint32_t bd_jobs_in_order(struct bd_core *c, struct bd_job ***out);
-bool bd_allowed(const struct bd_spec *s, int type, int zone, bool spot);
-void bd_autoscaler_tick(struct bd_core *c);
+void bd_round_place(struct bd_core *core); /* fills c->commit's plan */
+uint32_t bd_round_parts(const struct bd_core *core);
+void bd_round_commit(struct bd_core *core); /* builds and sends the transaction */
+void bd_commit_free(struct bd_commit *commit);
+uint32_t bd_jobs_in_order(struct bd_core *core, struct bd_job ***out);
+bool bd_allowed(const struct bd_spec *spec, int type, int zone, bool spot);
+void bd_autoscaler_tick(struct bd_core *core);
 #endif
--- a/src/deps.c
+++ b/src/deps.c
@@ -23,160 +23,161 @@
 #define UNSEEN_S 2.0     /* a record that is not in memory is asked about so often */
 #define UNSEEN_MOST 8u   /* at once */
 
-static struct bd_prerequisite *prerequisite_of(struct bd_core *c, const char *id)
+static struct bd_prerequisite *prerequisite_of(struct bd_core *core, const char *id)
 {
     struct bd_prerequisite *n = NULL;
-    HASH_FIND_STR(c->prerequisites, id, n);
+    HASH_FIND_STR(core->prerequisites, id, n);
     if (n)
         return n;
     n = calloc(1, sizeof *n);
     if (!n)
         abort();
     snprintf(n->id, sizeof n->id, "%s", id);
-    n->job = bd_job_find(c, id);
+    n->job = bd_job_find(core, id);
     if (n->job)
         n->job->prerequisite = n;
     else
-        c->nunseen++;
-    HASH_ADD_STR(c->prerequisites, id, n);
+        core->nunseen++;
+    HASH_ADD_STR(core->prerequisites, id, n);
     return n;
 }
 
-static void drop_prerequisite(struct bd_core *c, struct bd_prerequisite *n)
+static void drop_prerequisite(struct bd_core *core, struct bd_prerequisite *prerequisite)
 {
-    if (n->job)
-        n->job->prerequisite = NULL;
+    if (prerequisite->job)
+        prerequisite->job->prerequisite = NULL;
     else
-        c->nunseen--;
-    HASH_DEL(c->prerequisites, n);
-    free(n);
+        core->nunseen--;
+    HASH_DEL(core->prerequisites, prerequisite);
+    free(prerequisite);
 }
 
 /* The job waits no more: it is final, or ready. */
-static void release(struct bd_core *c, struct bd_job *j)
+static void release(struct bd_core *core, struct bd_job *job)
 {
-    for (uint32_t i = 0; i < j->ndependencies; i++) {
-        struct bd_dependency *e = &j->dependencies[i];
+    for (uint32_t i = 0; i < job->ndependencies; i++) {
+        struct bd_dependency *e = &job->dependencies[i];
         if (!e->prerequisite)
             continue;
         DL_DELETE(e->prerequisite->after, e);
         if (--e->prerequisite->nafter == 0)
-            drop_prerequisite(c, e->prerequisite);
+            drop_prerequisite(core, e->prerequisite);
     }
-    free(j->dependencies);
-    j->dependencies = NULL;
-    j->ndependencies = j->open = j->parts = 0;
-    c->weigh = true;
+    free(job->dependencies);
+    job->dependencies = NULL;
+    job->ndependencies = job->open = job->parts = 0;
+    core->weigh = true;
 }
 
-static void one_less(struct bd_core *c, struct bd_job *j, double end)
+static void one_less(struct bd_core *core, struct bd_job *job, double end)
 {
-    j->ready = end > j->ready ? end : j->ready;
-    if (--j->open > 0)
+    job->ready = end > job->ready ? end : job->ready;
+    if (--job->open > 0)
         return;
-    release(c, j);
-    bd_say(c->log, BD_INFO, "%s is ready, %.1f s after its submission", j->id, c->wall - j->at);
-    c->round_wanted = true;
+    release(core, job);
+    bd_say(core->log, BD_INFO, "%s is ready, %.1f s after its submission", job->id,
+           core->wall - job->at);
+    core->round_wanted = true;
 }
 
-static void derive_cancelled(struct bd_core *c, struct bd_job *j)
+static void derive_cancelled(struct bd_core *core, struct bd_job *job)
 {
-    release(c, j);
-    bd_job_set_state(c, j, BD_CANCELLED);
-    j->derived = true;
-    c->nderived++;
+    release(core, job);
+    bd_job_set_state(core, job, BD_CANCELLED);
+    job->derived = true;
+    core->nderived++;
 }
 
 /* The job is done or cancelled: those that wait for it go on or are cancelled too, and with them
  * what waits for them. A list of work, not a recursion: chains may be long. */
-void bd_deps_settled(struct bd_core *c, struct bd_job *j)
+void bd_deps_settled(struct bd_core *core, struct bd_job *job)
 {
-    struct bd_job *work = j;
-    if (j->dependencies)
-        release(c, j);
-    j->todo = NULL;
+    struct bd_job *work = job;
+    if (job->dependencies)
+        release(core, job);
+    job->todo = NULL;
     while (work) {
         struct bd_job *k = work;
-        struct bd_prerequisite *n = k->prerequisite;
+        struct bd_prerequisite *prerequisite = k->prerequisite;
         work = k->todo;
-        while (n && n->after) {
-            struct bd_dependency *e = n->after;
+        while (prerequisite && prerequisite->after) {
+            struct bd_dependency *e = prerequisite->after;
             struct bd_job *d = e->job;
-            DL_DELETE(n->after, e);
-            n->nafter--;
+            DL_DELETE(prerequisite->after, e);
+            prerequisite->nafter--;
             e->prerequisite = NULL;
             if (k->state == BD_DONE) {
-                one_less(c, d, k->end);
+                one_less(core, d, k->end);
                 continue;
             }
-            derive_cancelled(c, d);
+            derive_cancelled(core, d);
             d->todo = work;
             work = d;
         }
-        if (n)
-            drop_prerequisite(c, n);
+        if (prerequisite)
+            drop_prerequisite(core, prerequisite);
     }
-    c->weigh = true;
+    core->weigh = true;
 }
 
 /* A job's record is there now. */
-void bd_deps_seen(struct bd_core *c, struct bd_job *j)
+void bd_deps_seen(struct bd_core *core, struct bd_job *job)
 {
-    struct bd_prerequisite *n = NULL;
-    HASH_FIND_STR(c->prerequisites, j->id, n);
-    if (!n || n->job)
+    struct bd_prerequisite *prerequisite = NULL;
+    HASH_FIND_STR(core->prerequisites, job->id, prerequisite);
+    if (!prerequisite || prerequisite->job)
         return;
-    n->job = j;
-    j->prerequisite = n;
-    c->nunseen--;
+    prerequisite->job = job;
+    job->prerequisite = prerequisite;
+    core->nunseen--;
 }
 
 /* One more that the job waits for. True: that one is cancelled. */
-static bool add_prerequisite(struct bd_core *c, struct bd_job *j, const char *name)
+static bool add_prerequisite(struct bd_core *core, struct bd_job *job, const char *name)
 {
-    struct bd_job *x = bd_job_find(c, name);
-    struct bd_dependency *e = &j->dependencies[j->ndependencies++];
-    e->job = j;
+    struct bd_job *x = bd_job_find(core, name);
+    struct bd_dependency *e = &job->dependencies[job->ndependencies++];
+    e->job = job;
     if (x && x->state == BD_DONE) {
-        j->ready = x->end > j->ready ? x->end : j->ready;
+        job->ready = x->end > job->ready ? x->end : job->ready;
         return false;
     }
     if (x && x->state == BD_CANCELLED)
         return true;
-    struct bd_prerequisite *n = prerequisite_of(c, name);
-    if (n->after && n->after->prev->job == j)
+    struct bd_prerequisite *prerequisite = prerequisite_of(core, name);
+    if (prerequisite->after && prerequisite->after->prev->job == job)
         return false; /* named twice */
-    e->prerequisite = n;
+    e->prerequisite = prerequisite;
     DL_APPEND(e->prerequisite->after, e);
     e->prerequisite->nafter++;
-    j->open++;
+    job->open++;
     return false;
 }
 
-static void take_names(struct bd_core *c, struct bd_job *j, json_t *names)
+static void take_names(struct bd_core *core, struct bd_job *job, json_t *names)
 {
     json_t *v;
     size_t i;
     bool cancelled = false;
-    j->dependencies = calloc(json_array_size(names) + 1, sizeof *j->dependencies);
-    if (!j->dependencies)
+    job->dependencies = calloc(json_array_size(names) + 1, sizeof *job->dependencies);
+    if (!job->dependencies)
         abort();
-    j->open = 1; /* while names are added */
+    job->open = 1; /* while names are added */
     json_array_foreach(names, i, v)
     {
         const char *name = json_string_value(v);
-        if (bd_wire_job_id(name) && strcmp(name, j->id) != 0)
-            cancelled = add_prerequisite(c, j, name) || cancelled;
+        if (bd_wire_job_id(name) && strcmp(name, job->id) != 0)
+            cancelled = add_prerequisite(core, job, name) || cancelled;
         else /* what cannot be read is never known to be done */
-            j->open++;
+            job->open++;
     }
-    c->weigh = true;
+    core->weigh = true;
     if (!cancelled) {
-        one_less(c, j, j->ready);
+        one_less(core, job, job->ready);
         return;
     }
-    derive_cancelled(c, j);
-    bd_deps_settled(c, j);
+    derive_cancelled(core, job);
+    bd_deps_settled(core, job);
 }
 
 static void part_key(char *key, size_t cap, const char *id, const char *of, uint32_t n)
@@ -184,117 +185,119 @@
     snprintf(key, cap, "%s/%s/%u", id, of, n);
 }
 
-static struct bd_prerequisites_part *find_part(struct bd_core *c, const struct bd_job *j,
+static struct bd_prerequisites_part *find_part(struct bd_core *core, const struct bd_job *job,
                                                uint32_t n)
 {
     struct bd_prerequisites_part *p = NULL;
     char key[BD_LABEL + BD_HASH];
-    part_key(key, sizeof key, j->id, j->parts_of, n);
-    HASH_FIND_STR(c->parts, key, p);
+    part_key(key, sizeof key, job->id, job->parts_of, n);
+    HASH_FIND_STR(core->parts, key, p);
     return p;
 }
 
-static void drop_part(struct bd_core *c, struct bd_prerequisites_part *p)
+static void drop_part(struct bd_core *core, struct bd_prerequisites_part *p)
 {
-    HASH_DEL(c->parts, p);
+    HASH_DEL(core->parts, p);
     json_decref(p->names);
     free(p);
 }
 
 /* Once all parts are there. */
-static void put_together(struct bd_core *c, struct bd_job *j)
+static void put_together(struct bd_core *core, struct bd_job *job)
 {
-    for (uint32_t i = 0; i < j->parts; i++)
-        if (!find_part(c, j, i))
+    for (uint32_t i = 0; i < job->parts; i++)
+        if (!find_part(core, job, i))
             return;
     json_t *all = json_array();
-    for (uint32_t i = 0; i < j->parts; i++) {
-        struct bd_prerequisites_part *p = find_part(c, j, i);
+    for (uint32_t i = 0; i < job->parts; i++) {
+        struct bd_prerequisites_part *p = find_part(core, job, i);
         (void)json_array_extend(all, p->names);
-        drop_part(c, p);
+        drop_part(core, p);
     }
-    j->parts = 0;
-    take_names(c, j, all);
+    job->parts = 0;
+    take_names(core, job, all);
     json_decref(all);
 }
 
 /* The part of a job's names: kept until its record is there, which may come before or after. */
-void bd_deps_part(struct bd_core *c, const char *key, json_t *value)
+void bd_deps_part(struct bd_core *core, const char *key, json_t *value)
 {
     char id[BD_ID];
     struct bd_prerequisites_part *p = NULL;
     json_t *names = bd_wire_read_part(value);
     size_t n = strcspn(key, "/");
     if (!names || n >= sizeof id || strlen(key) >= sizeof p->key) {
-        bd_say(c->log, BD_ERROR, "record j/%s cannot be read", key);
+        bd_say(core->log, BD_ERROR, "record j/%s cannot be read", key);
         return;
     }
     snprintf(id, sizeof id, "%.*s", (int)n, key);
-    struct bd_job *j = bd_job_find(c, id);
-    if (j && !j->parts)
+    struct bd_job *job = bd_job_find(core, id);
+    if (job && !job->parts)
         return; /* complete, or final */
-    HASH_FIND_STR(c->parts, key, p);
+    HASH_FIND_STR(core->parts, key, p);
     if (!p) {
         p = calloc(1, sizeof *p);
         if (!p)
             abort();
         snprintf(p->key, sizeof p->key, "%s", key);
         p->names = json_deep_copy(names);
-        HASH_ADD_STR(c->parts, key, p);
+        HASH_ADD_STR(core->parts, key, p);
     }
-    if (j)
-        put_together(c, j);
+    if (job)
+        put_together(core, job);
 }
 
 /* The record of a live job, seen for the first time. */
-void bd_deps_take(struct bd_core *c, struct bd_job *j, const struct bd_record_prerequisites *r)
+void bd_deps_take(struct bd_core *core, struct bd_job *job, const struct bd_record_prerequisites *r)
 {
-    j->chained = r->damaged || r->parts || json_array_size(r->names) > 0;
+    job->chained = r->damaged || r->parts || json_array_size(r->names) > 0;
     if (r->damaged) {
-        bd_say(c->log, BD_ERROR, "%s: what it awaits cannot be read: it is not started", j->id);
-        j->open = 1;
+        bd_say(core->log, BD_ERROR, "%s: what it awaits cannot be read: it is not started",
+               job->id);
+        job->open = 1;
     } else if (r->parts) {
-        j->parts = r->parts;
-        j->open = 1;
-        snprintf(j->parts_of, sizeof j->parts_of, "%s", r->of);
-        put_together(c, j);
+        job->parts = r->parts;
+        job->open = 1;
+        snprintf(job->parts_of, sizeof job->parts_of, "%s", r->of);
+        put_together(core, job);
     } else if (json_array_size(r->names) > 0) {
-        take_names(c, j, r->names);
+        take_names(core, job, r->names);
     }
 }
 
-void bd_deps_written(struct bd_core *c, struct bd_job *j)
+void bd_deps_written(struct bd_core *core, struct bd_job *job)
 {
-    c->nderived -= j->derived;
-    j->derived = false;
+    core->nderived -= job->derived;
+    job->derived = false;
 }
 
 /* ---- urgency ---- */
 
 /* How long the job takes, from when it is ready, by its owner's guess. */
-static double span_s(const struct bd_job *j)
+static double span_s(const struct bd_job *job)
 {
-    return PATH_FACTOR * j->spec.estimate + PATH_EXTRA_S;
+    return PATH_FACTOR * job->spec.estimate + PATH_EXTRA_S;
 }
 
 /* Seconds that the job can still wait for its start, for all that need it to be in time. */
-double bd_due_slack(const struct bd_core *c, const struct bd_job *j)
+double bd_due_slack(const struct bd_core *core, const struct bd_job *job)
 {
-    return j->due_by - span_s(j) - c->wall;
+    return job->due_by - span_s(job) - core->wall;
 }
 
-static void start_weighing(struct bd_core *c, struct bd_job **work)
+static void start_weighing(struct bd_core *core, struct bd_job **work)
 {
-    for (struct bd_prerequisite *n = c->prerequisites; n; n = n->hh.next)
-        n->left = n->nafter;
-    for (struct bd_job *j = c->jobs; j; j = j->hh.next) {
-        if (j->state != BD_LIVE)
+    for (struct bd_prerequisite *prerequisite = core->prerequisites; prerequisite;
+         prerequisite = prerequisite->hh.next)
+        prerequisite->left = prerequisite->nafter;
+    for (struct bd_job *job = core->jobs; job; job = job->hh.next) {
+        if (job->state != BD_LIVE)
             continue;
-        j->rank = j->spec.rank;
-        j->due_by = j->chained && j->spec.due >= 0 ? j->at + j->spec.due : INFINITY;
-        if (j->dependencies && !j->prerequisite) {
-            j->todo = *work;
-            *work = j;
+        job->rank = job->spec.rank;
+        job->due_by = job->chained && job->spec.due >= 0 ? job->at + job->spec.due : INFINITY;
+        if (job->dependencies && !job->prerequisite) {
+            job->todo = *work;
+            *work = job;
         }
     }
 }
@@ -302,24 +305,24 @@
 /* A job's rank is the highest among it and all that need it, and its end is due early enough for
  * them: from the last ones back, each edge once. Worked out anew when the graph has changed, so
  * that it lasts no longer than those that need it. */
-void bd_core_weigh(struct bd_core *c)
+void bd_core_weigh(struct bd_core *core)
 {
     struct bd_job *work = NULL;
-    if (!c->weigh)
+    if (!core->weigh)
         return;
-    c->weigh = false;
-    start_weighing(c, &work);
+    core->weigh = false;
+    start_weighing(core, &work);
     while (work) {
-        struct bd_job *j = work;
-        work = j->todo;
-        for (uint32_t i = 0; i < j->ndependencies; i++) {
-            struct bd_prerequisite *n = j->dependencies[i].prerequisite;
-            struct bd_job *x = n ? n->job : NULL;
+        struct bd_job *job = work;
+        work = job->todo;
+        for (uint32_t i = 0; i < job->ndependencies; i++) {
+            struct bd_prerequisite *prerequisite = job->dependencies[i].prerequisite;
+            struct bd_job *x = prerequisite ? prerequisite->job : NULL;
             if (!x)
                 continue;
-            x->rank = j->rank > x->rank ? j->rank : x->rank;
-            x->due_by = fmin(x->due_by, j->due_by - span_s(j));
-            if (--n->left == 0 && x->dependencies) {
+            x->rank = job->rank > x->rank ? job->rank : x->rank;
+            x->due_by = fmin(x->due_by, job->due_by - span_s(job));
+            if (--prerequisite->left == 0 && x->dependencies) {
                 x->todo = work;
                 work = x;
             }
@@ -331,37 +334,39 @@
 
 /* What a job waits for left memory before the job's own record was read: it is final, and looked
  * up. */
-void bd_deps_tick(struct bd_core *c)
+void bd_deps_tick(struct bd_core *core)
 {
     uint32_t asked = 0;
-    if (c->nunseen == 0 || !c->replica_ready || bd_before(c->now, c->next_unseen))
+    if (core->nunseen == 0 || !core->replica_ready || bd_before(core->now, core->next_unseen))
         return;
-    c->next_unseen = bd_add(c->now, bd_secs(UNSEEN_S));
-    for (struct bd_prerequisite *n = c->prerequisites; n && asked < UNSEEN_MOST; n = n->hh.next) {
-        if (n->job ||
-            (!bd_is_zero(n->asked_at) && bd_between(n->asked_at, c->now) < UNSEEN_S * UNSEEN_MOST))
+    core->next_unseen = bd_add(core->now, bd_secs(UNSEEN_S));
+    for (struct bd_prerequisite *prerequisite = core->prerequisites;
+         prerequisite && asked < UNSEEN_MOST; prerequisite = prerequisite->hh.next) {
+        if (prerequisite->job ||
+            (!bd_is_zero(prerequisite->asked_at) &&
+             bd_between(prerequisite->asked_at, core->now) < UNSEEN_S * UNSEEN_MOST))
             continue;
-        n->asked_at = c->now;
-        struct bd_effect *e = bd_emit(c, BD_E_LOOKUP);
-        e->status = BD_WAIT_PREREQUISITE;
-        snprintf(e->key, sizeof e->key, "%s", n->id);
+        prerequisite->asked_at = core->now;
+        struct bd_effect *effect = bd_emit(core, BD_E_LOOKUP);
+        effect->status = BD_WAIT_PREREQUISITE;
+        snprintf(effect->key, sizeof effect->key, "%s", prerequisite->id);
         asked++;
     }
     if (asked == UNSEEN_MOST)
-        c->next_unseen = c->now;
+        core->next_unseen = core->now;
 }
 
-void bd_deps_free(struct bd_core *c)
+void bd_deps_free(struct bd_core *core)
 {
-    struct bd_prerequisite *n, *nt;
+    struct bd_prerequisite *prerequisite, *nt;
     struct bd_prerequisites_part *p, *pt;
-    HASH_ITER(hh, c->prerequisites, n, nt)
+    HASH_ITER(hh, core->prerequisites, prerequisite, nt)
     {
-        HASH_DEL(c->prerequisites, n);
-        free(n);
+        HASH_DEL(core->prerequisites, prerequisite);
+        free(prerequisite);
     }
-    HASH_ITER(hh, c->parts, p, pt)
+    HASH_ITER(hh, core->parts, p, pt)
     {
-        drop_part(c, p);
+        drop_part(core, p);
     }
 }
--- a/src/fleet.c
+++ b/src/fleet.c
@@ -30,15 +30,15 @@
 #define MOVE_FETCH_S 4.0 /* a longer fetch is not worth a move, */
 #define CHEAP_FETCH_S 15.0 /* ... nor this to a cheap machine */
 
-void bd_core_types(struct bd_core *c, const struct bd_type_text *t, int n)
+void bd_core_types(struct bd_core *core, const struct bd_type_text *t, int n)
 {
     for (int i = 0; i < n; i++) {
-        int k = bd_type_index(c, t[i].label);
+        int k = bd_type_index(core, t[i].label);
         if (k < 0) {
-            bd_say(c->log, BD_ERROR, "machine type %s is one too many", t[i].label);
+            bd_say(core->log, BD_ERROR, "machine type %s is one too many", t[i].label);
             continue;
         }
-        struct bd_type *d = &c->types[k];
+        struct bd_type *d = &core->types[k];
         d->known = true;
         d->cpus = t[i].cpus;
         d->gpus = t[i].gpus;
@@ -50,143 +50,145 @@
         d->boot = t[i].boot;
         d->zones = 0;
         for (int z = 0; z < t[i].nzones; z++) {
-            int zi = bd_zone_index(c, t[i].zones[z]);
+            int zi = bd_zone_index(core, t[i].zones[z]);
             if (zi >= 0)
                 d->zones |= 1u << zi;
         }
     }
     if (n > 0)
-        c->types_known = true;
+        core->types_known = true;
 }
 
 /* ---- the list ---- */
 
-static void take_listed(struct bd_core *c, const struct bd_cloud_machine *l)
+static void take_listed(struct bd_core *core, const struct bd_cloud_machine *l)
 {
-    struct bd_machine *m = bd_machine_get(c, l->id);
-    if (m->gone)
+    struct bd_machine *machine = bd_machine_get(core, l->id);
+    if (machine->gone)
         return;
-    m->listed_now = true;
-    m->type = bd_type_index(c, l->type);
-    m->zone = bd_zone_index(c, l->zone);
-    m->spot = l->spot;
-    m->age_at_known = l->age;
-    m->age_known = c->now;
-    if (!*m->addr)
-        snprintf(m->addr, sizeof m->addr, "%s", l->addr);
-    if (l->state == BD_FAILED && !m->failed) {
-        m->failed = true;
-        bd_say(c->log, BD_INFO, "%s failed", m->id);
-        bd_machine_lapse(c, m);
+    machine->listed_now = true;
+    machine->type = bd_type_index(core, l->type);
+    machine->zone = bd_zone_index(core, l->zone);
+    machine->spot = l->spot;
+    machine->age_at_known = l->age;
+    machine->age_known = core->now;
+    if (!*machine->addr)
+        snprintf(machine->addr, sizeof machine->addr, "%s", l->addr);
+    if (l->state == BD_FAILED && !machine->failed) {
+        machine->failed = true;
+        bd_say(core->log, BD_INFO, "%s failed", machine->id);
+        bd_machine_lapse(core, machine);
     }
 }
 
 /* A machine that existed at some moment and is missing from a list of a later moment is gone. */
-static void take_missing(struct bd_core *c, struct bd_machine *m, struct timespec asked)
+static void take_missing(struct bd_core *core, struct bd_machine *machine, struct timespec asked)
 {
-    double lag = 2 * bd_to_secs(c->settings->list_lag) + 1.0;
-    struct timespec existed = bd_max(m->heard, m->known_at);
-    if (m->gone || m->listed_now || bd_between(existed, asked) < lag)
+    double lag = 2 * bd_to_secs(core->settings->list_lag) + 1.0;
+    struct timespec existed = bd_max(machine->heard, machine->known_at);
+    if (machine->gone || machine->listed_now || bd_between(existed, asked) < lag)
         return;
-    bd_say(c->log, BD_INFO, "%s is gone from the list, %u tasks lost", m->id, m->nrefs);
-    bd_machine_gone(c, m);
+    bd_say(core->log, BD_INFO, "%s is gone from the list, %u tasks lost", machine->id,
+           machine->nrefs);
+    bd_machine_gone(core, machine);
 }
 
-void bd_core_machines(struct bd_core *c, const struct bd_cloud_machine *l, size_t n,
+void bd_core_machines(struct bd_core *core, const struct bd_cloud_machine *l, size_t n,
                       struct timespec asked)
 {
-    if (c->role != BD_LEADER)
+    if (core->role != BD_LEADER)
         return;
-    for (uint32_t i = 0; i < c->nmachines; i++)
-        c->by_index[i]->listed_now = false;
+    for (uint32_t i = 0; i < core->nmachines; i++)
+        core->by_index[i]->listed_now = false;
     for (size_t i = 0; i < n; i++)
-        take_listed(c, &l[i]);
-    for (uint32_t i = 0; i < c->nmachines; i++)
-        take_missing(c, c->by_index[i], asked);
-    c->listed_once = true;
+        take_listed(core, &l[i]);
+    for (uint32_t i = 0; i < core->nmachines; i++)
+        take_missing(core, core->by_index[i], asked);
+    core->listed_once = true;
 }
 
 /* ---- rentals ---- */
 
-static struct bd_pool *pool(struct bd_core *c, int type, int zone, bool spot)
+static struct bd_pool *pool(struct bd_core *core, int type, int zone, bool spot)
 {
-    return &c->pools[type][zone][spot ? 1 : 0];
+    return &core->pools[type][zone][spot ? 1 : 0];
 }
 
-static void backoff(struct bd_core *c, struct bd_pool *k)
+static void backoff(struct bd_core *core, struct bd_pool *k)
 {
     k->backoff = k->backoff <= 0 ? BACKOFF_FIRST_S : fmin(k->backoff * 2, BACKOFF_MOST_S);
-    k->refuse_until = bd_add(c->now, bd_secs(k->backoff));
+    k->refuse_until = bd_add(core->now, bd_secs(k->backoff));
 }
 
-void bd_core_provisioned(struct bd_core *c, const char *request, long status,
+void bd_core_provisioned(struct bd_core *core, const char *request, long status,
                          char (*names)[BD_LABEL], int n)
 {
     int k = 0;
-    while (k < c->nprovisions && strcmp(c->provisions[k].request, request) != 0)
+    while (k < core->nprovisions && strcmp(core->provisions[k].request, request) != 0)
         k++;
-    if (c->role != BD_LEADER || k == c->nprovisions)
+    if (core->role != BD_LEADER || k == core->nprovisions)
         return;
-    struct bd_provision r = c->provisions[k];
-    c->provisions[k] = c->provisions[--c->nprovisions];
-    struct bd_pool *mk = pool(c, r.type, r.zone, r.spot);
+    struct bd_provision r = core->provisions[k];
+    core->provisions[k] = core->provisions[--core->nprovisions];
+    struct bd_pool *mk = pool(core, r.type, r.zone, r.spot);
     mk->asked = false;
-    c->next_fleet = c->now; /* what was not filled is sought elsewhere at once */
+    core->next_fleet = core->now; /* what was not filled is sought elsewhere at once */
     if (status != 200 || n < r.count)
-        backoff(c, mk);
+        backoff(core, mk);
     else
         mk->backoff = 0;
     for (int i = 0; status == 200 && i < n; i++) {
-        struct bd_machine *m = bd_machine_get(c, names[i]);
-        if (m->gone)
+        struct bd_machine *machine = bd_machine_get(core, names[i]);
+        if (machine->gone)
             continue;
-        m->type = r.type;
-        m->zone = r.zone;
-        m->spot = r.spot;
-        m->age_at_known = bd_between(r.sent, c->now);
-        m->age_known = c->now;
+        machine->type = r.type;
+        machine->zone = r.zone;
+        machine->spot = r.spot;
+        machine->age_at_known = bd_between(r.sent, core->now);
+        machine->age_known = core->now;
     }
-    bd_say(c->log, BD_INFO, "rental of %d %s in %s%s: status %ld, %d machines", r.count,
-           c->types[r.type].label, c->zones[r.zone], r.spot ? " (spot)" : "", status, n);
+    bd_say(core->log, BD_INFO, "rental of %d %s in %s%s: status %ld, %d machines", r.count,
+           core->types[r.type].label, core->zones[r.zone], r.spot ? " (spot)" : "", status, n);
 }
 
-void bd_core_returned(struct bd_core *c, char (*names)[BD_LABEL], int n, bool ok)
+void bd_core_returned(struct bd_core *core, char (*names)[BD_LABEL], int n, bool ok)
 {
-    if (c->role != BD_LEADER)
+    if (core->role != BD_LEADER)
         return;
     for (int i = 0; i < n; i++) {
-        struct bd_machine *m = NULL;
-        HASH_FIND_STR(c->machines, names[i], m);
-        if (!m)
+        struct bd_machine *machine = NULL;
+        HASH_FIND_STR(core->machines, names[i], machine);
+        if (!machine)
             continue;
         if (ok) {
-            if (m->type >= 0 && m->zone >= 0)
-                pool(c, m->type, m->zone, m->spot)->refuse_until = c->now;
-            bd_machine_gone(c, m);
+            if (machine->type >= 0 && machine->zone >= 0)
+                pool(core, machine->type, machine->zone, machine->spot)->refuse_until = core->now;
+            bd_machine_gone(core, machine);
         } else { /* it may be gone all the same: it is not used again, and asked for again */
-            m->return_after = bd_add(c->now, bd_secs(3.0));
+            machine->return_after = bd_add(core->now, bd_secs(3.0));
         }
     }
 }
 
-static void provision_request(struct bd_core *c, int type, int zone, bool spot, int count)
+static void provision_request(struct bd_core *core, int type, int zone, bool spot, int count)
 {
-    if (c->nprovisions == (int)(sizeof c->provisions / sizeof *c->provisions))
+    if (core->nprovisions == (int)(sizeof core->provisions / sizeof *core->provisions))
         return;
-    struct bd_provision *r = &c->provisions[c->nprovisions++];
+    struct bd_provision *r = &core->provisions[core->nprovisions++];
     memset(r, 0, sizeof *r);
     /* never used again: the term is ours alone, and so is the number within it */
-    snprintf(r->request, sizeof r->request, "r-%llu-%llu", (unsigned long long)c->base_term,
-             (unsigned long long)++c->request_n);
-    pool(c, type, zone, spot)->asked = true;
+    snprintf(r->request, sizeof r->request, "r-%llu-%llu", (unsigned long long)core->base_term,
+             (unsigned long long)++core->request_n);
+    pool(core, type, zone, spot)->asked = true;
     r->type = type;
     r->zone = zone;
     r->spot = spot;
     r->count = count < PROVISION_MOST ? count : PROVISION_MOST;
-    r->sent = c->now;
-    struct bd_effect *e = bd_emit(c, BD_E_PROVISION);
-    snprintf(e->key, sizeof e->key, "%s", r->request);
-    e->body = bd_wire_provision(r->request, c->types[type].label, c->zones[zone], spot, r->count);
+    r->sent = core->now;
+    struct bd_effect *effect = bd_emit(core, BD_E_PROVISION);
+    snprintf(effect->key, sizeof effect->key, "%s", r->request);
+    effect->body =
+        bd_wire_provision(r->request, core->types[type].label, core->zones[zone], spot, r->count);
 }
 
 /* ---- demand ---- */
@@ -199,7 +201,7 @@
 };
 
 struct demand {
-    struct bd_core *c;
+    struct bd_core *core;
     struct bin *bins;
     int n, cap;
     double zone_use[BD_MAX_ZONES]; /* machines there */
@@ -217,78 +219,80 @@
         d->bins = b;
         d->cap = cap;
     }
-    const struct bd_type *t = &d->c->types[type];
+    const struct bd_type *t = &d->core->types[type];
     d->bins[d->n] = (struct bin){type, zone, spot, wanted, NULL, t->cpus, t->gpus, t->mem};
     return &d->bins[d->n++];
 }
 
-static bool booting(const struct bd_core *c, const struct bd_machine *m)
+static bool booting(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return !m->gone && !m->returning && !m->failed && !m->session && m->type >= 0 && m->zone >= 0 &&
-           c->types[m->type].known;
+    return !machine->gone && !machine->returning && !machine->failed && !machine->session &&
+           machine->type >= 0 && machine->zone >= 0 && core->types[machine->type].known;
 }
 
-static double age(const struct bd_core *c, const struct bd_machine *m)
+static double age(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return m->age_at_known + bd_between(m->age_known, c->now);
+    return machine->age_at_known + bd_between(machine->age_known, core->now);
 }
 
 static void bins_coming(struct demand *d)
 {
-    struct bd_core *c = d->c;
-    for (uint32_t i = 0; i < c->nmachines; i++) {
-        struct bd_machine *m = c->by_index[i];
-        if (booting(c, m) && age(c, m) < BOOT_HOPE * c->types[m->type].boot + BOOT_EXTRA_S)
-            (void)add_bin(d, m->type, m->zone, m->spot, false);
+    struct bd_core *core = d->core;
+    for (uint32_t i = 0; i < core->nmachines; i++) {
+        struct bd_machine *machine = core->by_index[i];
+        if (booting(core, machine) &&
+            age(core, machine) < BOOT_HOPE * core->types[machine->type].boot + BOOT_EXTRA_S)
+            (void)add_bin(d, machine->type, machine->zone, machine->spot, false);
     }
-    for (int k = 0; k < c->nprovisions; k++)
-        for (int i = 0; i < c->provisions[k].count; i++)
-            (void)add_bin(d, c->provisions[k].type, c->provisions[k].zone, c->provisions[k].spot,
-                          false);
+    for (int k = 0; k < core->nprovisions; k++)
+        for (int i = 0; i < core->provisions[k].count; i++)
+            (void)add_bin(d, core->provisions[k].type, core->provisions[k].zone,
+                          core->provisions[k].spot, false);
 }
 
-static bool bin_fits(const struct bin *b, const struct bd_spec *s)
+static bool bin_fits(const struct bin *b, const struct bd_spec *spec)
 {
-    return s->cpus <= b->cpus + 1e-9 && s->gpus <= b->gpus + 1e-9 && s->mem <= b->mem + 1e-9;
+    return spec->cpus <= b->cpus + 1e-9 && spec->gpus <= b->gpus + 1e-9 &&
+           spec->mem <= b->mem + 1e-9;
 }
 
-static void bin_take(struct bin *b, const struct bd_spec *s)
+static void bin_take(struct bin *b, const struct bd_spec *spec)
 {
-    b->cpus -= s->cpus;
-    b->gpus -= s->gpus;
-    b->mem -= s->mem;
+    b->cpus -= spec->cpus;
+    b->gpus -= spec->gpus;
+    b->mem -= spec->mem;
 }
 
 static void count_zones(struct demand *d)
 {
-    for (uint32_t i = 0; i < d->c->nmachines; i++) {
-        const struct bd_machine *m = d->c->by_index[i];
-        if (!m->gone && m->zone >= 0)
-            d->zone_use[m->zone]++;
+    for (uint32_t i = 0; i < d->core->nmachines; i++) {
+        const struct bd_machine *machine = d->core->by_index[i];
+        if (!machine->gone && machine->zone >= 0)
+            d->zone_use[machine->zone]++;
     }
 }
 
 /* The cheapest kind of machine for `left` more tasks, or false. */
-static bool choose(struct demand *d, const struct bd_spec *s, uint32_t left, enum bd_reach reach,
+static bool choose(struct demand *d, const struct bd_spec *spec, uint32_t left, enum bd_reach reach,
                    int *type, int *zone, bool *spot)
 {
-    struct bd_core *c = d->c;
+    struct bd_core *core = d->core;
     double low = INFINITY;
-    for (int t = 0; t < c->ntypes; t++) {
-        if (!c->types[t].known)
+    for (int t = 0; t < core->ntypes; t++) {
+        if (!core->types[t].known)
             continue;
-        int n = bd_tasks_a_machine(&c->types[t], s);
+        int n = bd_tasks_a_machine(&core->types[t], spec);
         if (n < 1)
             continue;
         n = (uint32_t)n < left ? n : (int)left;
-        for (int z = 0; z < c->nzones; z++) {
+        for (int z = 0; z < core->nzones; z++) {
             for (int sp = 0; sp < 2; sp++) {
-                if (!(c->types[t].zones >> z & 1) || !bd_allowed(s, t, z, sp) ||
-                    !bd_in_reach(c, s, reach, t, sp) ||
-                    bd_before(c->now, c->pools[t][z][sp].refuse_until))
+                if (!(core->types[t].zones >> z & 1) || !bd_allowed(spec, t, z, sp) ||
+                    !bd_in_reach(core, spec, reach, t, sp) ||
+                    bd_before(core->now, core->pools[t][z][sp].refuse_until))
                     continue;
-                double v = (sp ? c->types[t].spot_price : c->types[t].price) / n;
-                if (s->spot && !sp)
+                double v = (sp ? core->types[t].spot_price : core->types[t].price) / n;
+                if (spec->spot && !sp)
                     v *= FIXED_PENALTY;
                 v *= 1 + 1e-6 * d->zone_use[z]; /* the emptier zone of equals */
                 if (v < low - 1e-12) {
@@ -303,42 +307,44 @@
     return low < INFINITY;
 }
 
-static uint32_t under_quota(struct demand *d, const struct bd_spec *s, uint32_t n)
+static uint32_t under_quota(struct demand *d, const struct bd_spec *spec, uint32_t n)
 {
-    const struct bd_team_limits *t = &d->c->settings->teams[s->team];
-    if (t->cpus_max > 0 && s->cpus > 0)
-        n = (uint32_t)fmin(n, fmax(0, floor((t->cpus_max - d->team_cpus[s->team]) / s->cpus)));
-    if (t->gpus_max > 0 && s->gpus > 0)
-        n = (uint32_t)fmin(n, fmax(0, floor((t->gpus_max - d->team_gpus[s->team]) / s->gpus)));
-    d->team_cpus[s->team] += n * s->cpus;
-    d->team_gpus[s->team] += n * s->gpus;
+    const struct bd_team_limits *t = &d->core->settings->teams[spec->team];
+    if (t->cpus_max > 0 && spec->cpus > 0)
+        n = (uint32_t)fmin(n,
+                           fmax(0, floor((t->cpus_max - d->team_cpus[spec->team]) / spec->cpus)));
+    if (t->gpus_max > 0 && spec->gpus > 0)
+        n = (uint32_t)fmin(n,
+                           fmax(0, floor((t->gpus_max - d->team_gpus[spec->team]) / spec->gpus)));
+    d->team_cpus[spec->team] += n * spec->cpus;
+    d->team_gpus[spec->team] += n * spec->gpus;
     return n;
 }
 
 /* Finds n tasks room within the reach, in what is there or coming and then in what can be rented;
  * returns for how many there was none. */
-static uint32_t want_within(struct demand *d, const struct bd_spec *s, uint32_t n,
+static uint32_t want_within(struct demand *d, const struct bd_spec *spec, uint32_t n,
                             enum bd_reach reach)
 {
     int type = 0, zone = 0;
     bool spot = false, in[BD_MAX_TYPES][2];
-    for (int t = 0; t < d->c->ntypes; t++)
+    for (int t = 0; t < d->core->ntypes; t++)
         for (int sp = 0; sp < 2; sp++)
-            in[t][sp] = bd_in_reach(d->c, s, reach, t, sp);
+            in[t][sp] = bd_in_reach(d->core, spec, reach, t, sp);
     for (int i = 0; i < d->n && n > 0; i++) {
         struct bin *b = &d->bins[i];
-        while (n > 0 && in[b->type][b->spot] && bin_fits(b, s) &&
-               bd_allowed(s, b->type, b->zone, b->spot)) {
-            bin_take(b, s);
+        while (n > 0 && in[b->type][b->spot] && bin_fits(b, spec) &&
+               bd_allowed(spec, b->type, b->zone, b->spot)) {
+            bin_take(b, spec);
             n--;
             if (b->machine)
                 b->machine->spare = true;
         }
     }
-    while (n > 0 && choose(d, s, n, reach, &type, &zone, &spot)) {
+    while (n > 0 && choose(d, spec, n, reach, &type, &zone, &spot)) {
         struct bin *b = add_bin(d, type, zone, spot, true);
-        while (n > 0 && bin_fits(b, s)) {
-            bin_take(b, s);
+        while (n > 0 && bin_fits(b, spec)) {
+            bin_take(b, spec);
             n--;
         }
     }
@@ -347,11 +353,11 @@
 
 /* A job that may have a dear place by now still gets a cheap one rented where there is one: dear
  * machines on their way are for work that needs them. */
-static void want_job(struct demand *d, const struct bd_spec *s, uint32_t n, enum bd_reach reach)
+static void want_job(struct demand *d, const struct bd_spec *spec, uint32_t n, enum bd_reach reach)
 {
     if (reach == BD_REACH_ANY)
-        n = want_within(d, s, n, BD_REACH_CHEAP);
-    (void)want_within(d, s, n, reach);
+        n = want_within(d, spec, n, BD_REACH_CHEAP);
+    (void)want_within(d, spec, n, reach);
 }
 
 /* ---- spare room, from the aims and what arrives ---- */
@@ -377,43 +383,44 @@
 
 /* When the window in which arrivals are counted began: what was there at the very start of the
  * service came at once and says nothing of the rate. */
-static double window_start(const struct bd_core *c)
+static double window_start(const struct bd_core *core)
 {
     double first = INFINITY;
-    for (struct bd_job *j = c->jobs; j; j = j->hh.next)
-        first = fmin(first, j->at);
-    return fmax(first + SETTLE_S, c->wall - WINDOW_S);
+    for (struct bd_job *job = core->jobs; job; job = job->hh.next)
+        first = fmin(first, job->at);
+    return fmax(first + SETTLE_S, core->wall - WINDOW_S);
 }
 
-static void count_job(struct job_class *f, const struct bd_job *j, double from)
+static void count_job(struct job_class *f, const struct bd_job *job, double from)
 {
-    if (bd_job_waits(j))
+    if (bd_job_waits(job))
         return;
-    f->arrived += j->ready >= from;
-    if (!j->has_spec)
+    f->arrived += job->ready >= from;
+    if (!job->has_spec)
         return;
     f->jobs++;
-    f->tasks += j->ntasks;
-    f->estimate += j->spec.estimate;
-    f->image_gb += j->spec.image_gb;
-    if (j->at >= f->at) {
-        f->at = j->at;
-        f->spec = j->spec;
+    f->tasks += job->ntasks;
+    f->estimate += job->spec.estimate;
+    f->image_gb += job->spec.image_gb;
+    if (job->at >= f->at) {
+        f->at = job->at;
+        f->spec = job->spec;
     }
 }
 
-static int arrivals(struct bd_core *c, struct job_class *k, double from)
+static int arrivals(struct bd_core *core, struct job_class *k, double from)
 {
     int n = 0;
-    for (struct bd_job *j = c->jobs; j; j = j->hh.next) {
-        if (j->job_class < 0 || c->wall - j->ready > 2 * WINDOW_S)
+    for (struct bd_job *job = core->jobs; job; job = job->hh.next) {
+        if (job->job_class < 0 || core->wall - job->ready > 2 * WINDOW_S)
             continue;
-        struct job_class *f = class_of(k, &n, j->job_class);
+        struct job_class *f = class_of(k, &n, job->job_class);
         if (f)
-            count_job(f, j, from);
-        else if (!c->classes_said)
-            bd_say(c->log, BD_ERROR, "more than %d classes: the rest gets no spare room", CLASSES);
-        c->classes_said |= !f;
+            count_job(f, job, from);
+        else if (!core->classes_said)
+            bd_say(core->log, BD_ERROR, "more than %d classes: the rest gets no spare room",
+                   CLASSES);
+        core->classes_said |= !f;
     }
     return n;
 }
@@ -422,46 +429,46 @@
  * the aims' shares ask for it. */
 static uint32_t spare_slots(struct demand *d, const struct job_class *k, double window)
 {
-    struct bd_core *c = d->c;
+    struct bd_core *core = d->core;
     int type = 0, zone = 0;
     bool spot = false;
     double most = 0, per_job = (double)k->tasks / k->jobs;
     if (!choose(d, &k->spec, (uint32_t)ceil(per_job), BD_REACH_ANY, &type, &zone, &spot))
         return 0;
-    double lead = c->types[type].boot + k->image_gb / k->jobs / c->types[type].fetch;
-    for (int i = 0; i < c->settings->naims; i++) {
-        const struct bd_aim *a = &c->settings->aims[i];
-        double wait = bd_slack(c, k->id, k->estimate / k->jobs, a);
+    double lead = core->types[type].boot + k->image_gb / k->jobs / core->types[type].fetch;
+    for (int i = 0; i < core->settings->naims; i++) {
+        const struct bd_aim *a = &core->settings->aims[i];
+        double wait = bd_slack(core, k->id, k->estimate / k->jobs, a);
         if (wait < 0 || wait >= lead)
             continue;
         double z = gsl_cdf_ugaussian_Pinv(fmin(0.995, (1 + a->share) / 2));
         most = fmax(most, z * sqrt(2 * k->arrived / window * lead) * per_job);
     }
-    return (uint32_t)ceil(most * c->settings->spare_share);
+    return (uint32_t)ceil(most * core->settings->spare_share);
 }
 
 static void bins_free(struct demand *d, bool idle)
 {
-    struct bd_core *c = d->c;
-    for (uint32_t i = 0; i < c->nmachines; i++) {
-        struct bd_machine *m = c->by_index[i];
-        if (!bd_machine_usable(c, m) || (m->nrefs == 0) != idle)
+    struct bd_core *core = d->core;
+    for (uint32_t i = 0; i < core->nmachines; i++) {
+        struct bd_machine *machine = core->by_index[i];
+        if (!bd_machine_usable(core, machine) || (machine->nrefs == 0) != idle)
             continue;
-        struct bin *b = add_bin(d, m->type, m->zone, m->spot, false);
-        b->machine = m;
-        b->cpus -= m->cpus;
-        b->gpus -= m->gpus;
-        b->mem -= m->mem;
+        struct bin *b = add_bin(d, machine->type, machine->zone, machine->spot, false);
+        b->machine = machine;
+        b->cpus -= machine->cpus;
+        b->gpus -= machine->gpus;
+        b->mem -= machine->mem;
     }
 }
 
 static void want_spares(struct demand *d)
 {
     struct job_class k[CLASSES];
-    double from = window_start(d->c), window = d->c->wall - from;
+    double from = window_start(d->core), window = d->core->wall - from;
     if (window < WINDOW_LEAST_S)
         return;
-    int n = arrivals(d->c, k, from);
+    int n = arrivals(d->core, k, from);
     bins_free(d, false);
     bins_free(d, true);
     for (int gpus = 1; gpus >= 0; gpus--)
@@ -473,30 +480,33 @@
 /* ---- gathering: services that keep dear machines busy move together ---- */
 
 /* Whether services alone keep a dear machine from GPU work, and how much of it they use. */
-static bool only_services(const struct bd_core *c, const struct bd_machine *m, double *services)
+static bool only_services(const struct bd_core *core, const struct bd_machine *machine,
+                          double *services)
 {
     *services = 0;
-    if (m->gpus > 0)
+    if (machine->gpus > 0)
         return false;
-    for (uint32_t k = 0; k < m->nrefs; k++) {
-        const struct bd_job *j = m->refs[k].job;
-        if (j->spec.shape == BD_SERVICE && bd_dear(c, &j->spec, m->type, m->spot))
-            *services += j->spec.cpus;
+    for (uint32_t k = 0; k < machine->nrefs; k++) {
+        const struct bd_job *job = machine->refs[k].job;
+        if (job->spec.shape == BD_SERVICE &&
+            bd_dear(core, &job->spec, machine->type, machine->spot))
+            *services += job->spec.cpus;
     }
     return *services > 0;
 }
 
-static bool settled(const struct bd_core *c, const struct bd_job *j, const struct bd_task *t)
+static bool settled(const struct bd_core *core, const struct bd_job *job,
+                    const struct bd_task *task)
 {
-    return j->spec.shape == BD_SERVICE && j->nwait == 0 && t->state == BD_T_LIVE &&
-           t->sub == BD_RUNNING && !(t->flags & BD_F_STOP) &&
-           bd_between(j->last_begun, c->now) > SETTLED_S;
+    return job->spec.shape == BD_SERVICE && job->nwait == 0 && task->state == BD_T_LIVE &&
+           task->sub == BD_RUNNING && !(task->flags & BD_F_STOP) &&
+           bd_between(job->last_begun, core->now) > SETTLED_S;
 }
 
 /* A look at where services could gather: the machines with room for some, and what moves that are
  * decided in this look take of it. */
 struct gathering {
-    struct bd_core *c;
+    struct bd_core *core;
     struct source {
         struct bd_machine *m;
         double services;
@@ -512,39 +522,40 @@
 };
 
 /* How long the replica's image takes there; none where another move of this look brings it. */
-static double move_fetch_s(const struct bd_core *c, const struct target *t, const struct bd_spec *s)
+static double move_fetch_s(const struct bd_core *core, const struct target *t,
+                           const struct bd_spec *spec)
 {
-    return t->fetches == s->image ? 0 : bd_fetch_s(c, t->m, s);
+    return t->fetches == spec->image ? 0 : bd_fetch_s(core, t->m, spec);
 }
 
-static bool target_fits(const struct bd_core *c, const struct bd_job *j, const struct target *t,
-                        const struct bd_machine *from, double services)
+static bool target_fits(const struct bd_core *core, const struct bd_job *job,
+                        const struct target *t, const struct bd_machine *from, double services)
 {
-    const struct bd_machine *m = t->m;
-    if (m == from || m->drain || m->zone != from->zone || t->cpus < j->spec.cpus ||
-        t->gpus < j->spec.gpus || t->mem < j->spec.mem ||
-        !bd_allowed(&j->spec, m->type, m->zone, m->spot))
+    const struct bd_machine *machine = t->m;
+    if (machine == from || machine->drain || machine->zone != from->zone ||
+        t->cpus < job->spec.cpus || t->gpus < job->spec.gpus || t->mem < job->spec.mem ||
+        !bd_allowed(&job->spec, machine->type, machine->zone, machine->spot))
         return false;
-    bool cheap = !bd_dear(c, &j->spec, m->type, m->spot);
-    if (move_fetch_s(c, t, &j->spec) >= (cheap ? CHEAP_FETCH_S : MOVE_FETCH_S))
+    bool cheap = !bd_dear(core, &job->spec, machine->type, machine->spot);
+    if (move_fetch_s(core, t, &job->spec) >= (cheap ? CHEAP_FETCH_S : MOVE_FETCH_S))
         return false;
-    return cheap || m->gpus > 0 || t->services > services;
+    return cheap || machine->gpus > 0 || t->services > services;
 }
 
 /* A place for the task where no GPU work is harmed: on a cheap machine, on the one that holds most
  * services already, or beside GPU work, which will end and leave the service alone there. */
-static struct target *place_elsewhere(struct gathering *g, const struct bd_job *j,
+static struct target *place_elsewhere(struct gathering *g, const struct bd_job *job,
                                       const struct bd_machine *from, double services)
 {
     struct target *found = NULL;
     double high = -1;
     for (uint32_t i = 0; i < g->ntargets; i++) {
         struct target *t = &g->targets[i];
-        if (!target_fits(g->c, j, t, from, services))
+        if (!target_fits(g->core, job, t, from, services))
             continue;
         double v = t->m->gpus > 0 ? 0 : 1 + t->services;
-        if (!bd_dear(g->c, &j->spec, t->m->type, t->m->spot)) /* the sooner there the better */
-            v += 1e6 * (1 + CHEAP_FETCH_S - move_fetch_s(g->c, t, &j->spec));
+        if (!bd_dear(g->core, &job->spec, t->m->type, t->m->spot)) /* the sooner there the better */
+            v += 1e6 * (1 + CHEAP_FETCH_S - move_fetch_s(g->core, t, &job->spec));
         if (v > high) {
             high = v;
             found = t;
@@ -553,11 +564,11 @@
     return found;
 }
 
-static void target_take(struct target *t, const struct bd_spec *s, double sign)
+static void target_take(struct target *t, const struct bd_spec *spec, double sign)
 {
-    t->cpus -= sign * s->cpus;
-    t->gpus -= sign * s->gpus;
-    t->mem -= sign * s->mem;
+    t->cpus -= sign * spec->cpus;
+    t->gpus -= sign * spec->gpus;
+    t->mem -= sign * spec->mem;
 }
 
 static int fewer_services(const void *x, const void *y)
@@ -570,31 +581,36 @@
 
 static void look_round(struct gathering *g)
 {
-    struct bd_core *c = g->c;
-    g->sources = calloc(c->nmachines + 1, sizeof *g->sources);
-    g->targets = calloc(c->nmachines + 1, sizeof *g->targets);
+    struct bd_core *core = g->core;
+    g->sources = calloc(core->nmachines + 1, sizeof *g->sources);
+    g->targets = calloc(core->nmachines + 1, sizeof *g->targets);
     if (!g->sources || !g->targets)
         abort();
-    for (uint32_t i = 0; i < c->nmachines; i++) {
-        struct bd_machine *m = c->by_index[i];
+    for (uint32_t i = 0; i < core->nmachines; i++) {
+        struct bd_machine *machine = core->by_index[i];
         double held = 0;
-        m->drain = m->drain && m->nrefs > 0 && !m->gone;
-        if (m->gone || !bd_machine_usable(c, m))
+        machine->drain = machine->drain && machine->nrefs > 0 && !machine->gone;
+        if (machine->gone || !bd_machine_usable(core, machine))
             continue;
-        if (only_services(c, m, &held))
-            g->sources[g->nsources++] = (struct source){m, held};
-        const struct bd_type *t = &c->types[m->type];
-        if (t->cpus - m->cpus > 0)
-            g->targets[g->ntargets++] = (struct target){
-                m, t->cpus - m->cpus, t->gpus - m->gpus, t->mem - m->mem, held, false, -1};
+        if (only_services(core, machine, &held))
+            g->sources[g->nsources++] = (struct source){machine, held};
+        const struct bd_type *type = &core->types[machine->type];
+        if (type->cpus - machine->cpus > 0)
+            g->targets[g->ntargets++] = (struct target){machine,
+                                                        type->cpus - machine->cpus,
+                                                        type->gpus - machine->gpus,
+                                                        type->mem - machine->mem,
+                                                        held,
+                                                        false,
+                                                        -1};
     }
     qsort(g->sources, g->nsources, sizeof *g->sources, fewer_services);
 }
 
-static bool is_target(const struct gathering *g, const struct bd_machine *m)
+static bool is_target(const struct gathering *g, const struct bd_machine *machine)
 {
     for (uint32_t i = 0; i < g->ntargets; i++)
-        if (g->targets[i].m == m)
+        if (g->targets[i].m == machine)
             return g->targets[i].taken;
     return false;
 }
@@ -613,18 +629,18 @@
         struct bd_ref r = s->m->refs[k];
         if (r.job->tasks[r.task].flags & BD_F_STOP)
             continue;
-        struct target *t = settled(g->c, r.job, &r.job->tasks[r.task])
+        struct target *t = settled(g->core, r.job, &r.job->tasks[r.task])
                                ? place_elsewhere(g, r.job, s->m, than)
                                : NULL;
         all = t != NULL;
         if (!t)
             break;
         target_take(t, &r.job->spec, 1);
-        double fetch = move_fetch_s(g->c, t, &r.job->spec);
+        double fetch = move_fetch_s(g->core, t, &r.job->spec);
         slow = slow || fetch >= MOVE_FETCH_S;
         away += MOVE_S + fetch;
         fetched[n] = t->fetches;
-        if (bd_fetch_s(g->c, t->m, &r.job->spec) > 0)
+        if (bd_fetch_s(g->core, t->m, &r.job->spec) > 0)
             t->fetches = r.job->spec.image;
         took[n] = t;
         what[n++] = &r.job->spec;
@@ -634,7 +650,7 @@
         target_take(took[n], what[n], -1);
         took[n]->fetches = fetched[n];
     }
-    return all && (!slow || away <= g->c->moves_s);
+    return all && (!slow || away <= g->core->moves_s);
 }
 
 /* All tasks leave the machine at once: a job that was moved is not settled for a while. Returns for
@@ -646,50 +662,51 @@
         if (k > s->m->nrefs)
             continue;
         struct bd_ref r = s->m->refs[k - 1];
-        if (!settled(g->c, r.job, &r.job->tasks[r.task]))
+        if (!settled(g->core, r.job, &r.job->tasks[r.task]))
             continue;
         struct target *t = place_elsewhere(g, r.job, s->m, than);
         if (!t)
             continue;
         target_take(t, &r.job->spec, 1);
-        away += MOVE_S + move_fetch_s(g->c, t, &r.job->spec);
-        if (bd_fetch_s(g->c, t->m, &r.job->spec) > 0)
+        away += MOVE_S + move_fetch_s(g->core, t, &r.job->spec);
+        if (bd_fetch_s(g->core, t->m, &r.job->spec) > 0)
             t->fetches = r.job->spec.image;
         t->taken = true;
         s->m->drain = true;
-        bd_say(g->c->log, BD_INFO, "%s/%u moves off %s", r.job->id, r.task, s->m->id);
-        bd_task_stop(g->c, r.job, r.task, false);
+        bd_say(g->core->log, BD_INFO, "%s/%u moves off %s", r.job->id, r.task, s->m->id);
+        bd_task_stop(g->core, r.job, r.task, false);
     }
     return away;
 }
 
 /* What moves may keep replicas away comes as time goes on, and is spent a machine at a time. */
-static void allow_moves(struct bd_core *c)
+static void allow_moves(struct bd_core *core)
 {
-    double running = 0, passed = fmin(bd_between(c->moves_at, c->now), AWAY_KEPT_S);
-    for (const struct bd_job *j = c->jobs; j; j = j->hh.next)
-        running += j->state == BD_LIVE && j->has_spec && j->spec.shape == BD_SERVICE ? j->nrun : 0;
+    double running = 0, passed = fmin(bd_between(core->moves_at, core->now), AWAY_KEPT_S);
+    for (const struct bd_job *job = core->jobs; job; job = job->hh.next)
+        running +=
+            job->state == BD_LIVE && job->has_spec && job->spec.shape == BD_SERVICE ? job->nrun : 0;
     double rate = fmax(AWAY_LEAST_S, AWAY_SHARE * running);
-    c->moves_s = fmin(c->moves_s + rate * passed, rate * AWAY_KEPT_S);
-    c->moves_at = c->now;
+    core->moves_s = fmin(core->moves_s + rate * passed, rate * AWAY_KEPT_S);
+    core->moves_at = core->now;
 }
 
 /* Dear machines are emptied, those with the fewest services first; one that cannot be emptied now
  * does not hold up the others. */
-static void gather(struct bd_core *c)
+static void gather(struct bd_core *core)
 {
-    struct gathering g = {.c = c};
+    struct gathering g = {.core = core};
     look_round(&g);
-    allow_moves(c);
-    for (uint32_t i = 0; i < g.nsources && c->moves_s > 0; i++) {
+    allow_moves(core);
+    for (uint32_t i = 0; i < g.nsources && core->moves_s > 0; i++) {
         struct source *s = &g.sources[i];
         /* a machine full of services is worth emptying into cheap room only */
         double than =
-            s->services > GATHER_SHARE * c->types[s->m->type].cpus ? INFINITY : s->services;
+            s->services > GATHER_SHARE * core->types[s->m->type].cpus ? INFINITY : s->services;
         s->m->drain = false; /* new services may come if it is not to be emptied after all */
         if (is_target(&g, s->m) || !can_empty(&g, s, than))
             continue;
-        c->moves_s -= empty(&g, s, than);
+        core->moves_s -= empty(&g, s, than);
     }
     free(g.sources);
     free(g.targets);
@@ -698,25 +715,27 @@
 /* Cheap room for the services on dear machines: nothing waits for it, so that no demand shows. */
 static void want_cheap_room(struct demand *d)
 {
-    struct bd_core *c = d->c;
-    for (uint32_t i = 0; i < c->nmachines; i++) {
-        struct bd_machine *m = c->by_index[i];
+    struct bd_core *core = d->core;
+    for (uint32_t i = 0; i < core->nmachines; i++) {
+        struct bd_machine *machine = core->by_index[i];
         double held;
-        if (m->gone || !bd_machine_usable(c, m) || !only_services(c, m, &held))
+        if (machine->gone || !bd_machine_usable(core, machine) ||
+            !only_services(core, machine, &held))
             continue;
-        for (uint32_t k = 0; k < m->nrefs; k++)
-            if (m->refs[k].job->spec.shape == BD_SERVICE && m->refs[k].job->state == BD_LIVE)
-                want_job(d, &m->refs[k].job->spec, 1, BD_REACH_CHEAP);
+        for (uint32_t k = 0; k < machine->nrefs; k++)
+            if (machine->refs[k].job->spec.shape == BD_SERVICE &&
+                machine->refs[k].job->state == BD_LIVE)
+                want_job(d, &machine->refs[k].job->spec, 1, BD_REACH_CHEAP);
     }
 }
 
 static void provision_wanted(struct demand *d)
 {
-    struct bd_core *c = d->c;
-    for (int i = 0; i < d->n && c->nprovisions < PROVISIONS_OPEN; i++) {
+    struct bd_core *core = d->core;
+    for (int i = 0; i < d->n && core->nprovisions < PROVISIONS_OPEN; i++) {
         struct bin *w = &d->bins[i];
         /* what a market has that was asked already is about to be known */
-        if (!w->wanted || pool(c, w->type, w->zone, w->spot)->asked)
+        if (!w->wanted || pool(core, w->type, w->zone, w->spot)->asked)
             continue;
         int count = 0;
         struct bin b = d->bins[i];
@@ -727,29 +746,29 @@
                 count++;
             }
         }
-        provision_request(c, b.type, b.zone, b.spot, count);
+        provision_request(core, b.type, b.zone, b.spot, count);
     }
 }
 
-static void provision_for_demand(struct bd_core *c)
+static void provision_for_demand(struct bd_core *core)
 {
     struct demand *d = calloc(1, sizeof *d);
     struct bd_job **jobs;
     if (!d)
         return;
-    d->c = c;
+    d->core = core;
     count_zones(d);
-    memcpy(d->team_cpus, c->team_cpus, sizeof d->team_cpus);
-    memcpy(d->team_gpus, c->team_gpus, sizeof d->team_gpus);
+    memcpy(d->team_cpus, core->team_cpus, sizeof d->team_cpus);
+    memcpy(d->team_gpus, core->team_gpus, sizeof d->team_gpus);
     bins_coming(d);
-    uint32_t n = bd_jobs_in_order(c, &jobs);
+    uint32_t n = bd_jobs_in_order(core, &jobs);
     for (uint32_t i = 0; i < n; i++)
-        if (jobs[i]->nwait > 0 && bd_before(jobs[i]->hold_until, c->now))
+        if (jobs[i]->nwait > 0 && bd_before(jobs[i]->hold_until, core->now))
             want_job(d, &jobs[i]->spec, under_quota(d, &jobs[i]->spec, jobs[i]->nwait),
-                     bd_reach_of(c, jobs[i]));
+                     bd_reach_of(core, jobs[i]));
     free(jobs);
-    for (uint32_t i = 0; i < c->nmachines; i++)
-        c->by_index[i]->spare = false;
+    for (uint32_t i = 0; i < core->nmachines; i++)
+        core->by_index[i]->spare = false;
     want_spares(d);
     want_cheap_room(d);
     provision_wanted(d);
@@ -759,71 +778,71 @@
 
 /* ---- returns ---- */
 
-static bool boot_given_up(const struct bd_core *c, const struct bd_machine *m)
+static bool boot_given_up(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return booting(c, m) && m->nrefs == 0 &&
-           age(c, m) > BOOT_PATIENCE * c->types[m->type].boot + BOOT_EXTRA_S;
+    return booting(core, machine) && machine->nrefs == 0 &&
+           age(core, machine) > BOOT_PATIENCE * core->types[machine->type].boot + BOOT_EXTRA_S;
 }
 
-static bool dead(const struct bd_core *c, const struct bd_machine *m)
+static bool dead(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return m->session && m->nrefs == 0 && !m->fenced &&
-           bd_between(m->heard, c->now) > bd_to_secs(c->settings->lease) + DEAD_EXTRA_S;
+    return machine->session && machine->nrefs == 0 && !machine->fenced &&
+           bd_between(machine->heard, core->now) > bd_to_secs(core->settings->lease) + DEAD_EXTRA_S;
 }
 
 /* A machine is kept idle for about as long as getting it again would take. */
-static bool wants_return(struct bd_core *c, struct bd_machine *m)
+static bool wants_return(struct bd_core *core, struct bd_machine *machine)
 {
-    if (m->gone || bd_before(c->now, m->return_after))
+    if (machine->gone || bd_before(core->now, machine->return_after))
         return false;
-    if (m->returning || m->failed)
+    if (machine->returning || machine->failed)
         return true;
-    if (m->nrefs > 0)
+    if (machine->nrefs > 0)
         return false;
-    if (boot_given_up(c, m) || dead(c, m))
+    if (boot_given_up(core, machine) || dead(core, machine))
         return true;
-    if (!m->fenced)
+    if (!machine->fenced)
         return false;
-    return m->bad || m->notice_left >= 0 ||
-           (!m->spare &&
-            bd_between(m->idle_since, c->now) > c->settings->idle_boots * c->types[m->type].boot);
+    return machine->bad || machine->notice_left >= 0 ||
+           (!machine->spare && bd_between(machine->idle_since, core->now) >
+                                   core->settings->idle_boots * core->types[machine->type].boot);
 }
 
-static void return_machines(struct bd_core *c)
+static void return_machines(struct bd_core *core)
 {
     char names[RETURN_MOST][BD_LABEL];
     int n = 0;
-    for (uint32_t i = 0; i < c->nmachines && n < RETURN_MOST; i++) {
-        struct bd_machine *m = c->by_index[i];
-        if (!wants_return(c, m))
+    for (uint32_t i = 0; i < core->nmachines && n < RETURN_MOST; i++) {
+        struct bd_machine *machine = core->by_index[i];
+        if (!wants_return(core, machine))
             continue;
-        m->returning = true;
-        m->return_after = bd_add(c->now, bd_secs(6.0));
-        snprintf(names[n++], BD_LABEL, "%s", m->id);
-        bd_say(c->log, BD_INFO, "%s goes back%s", m->id, m->bad ? " (faulty)" : "");
+        machine->returning = true;
+        machine->return_after = bd_add(core->now, bd_secs(6.0));
+        snprintf(names[n++], BD_LABEL, "%s", machine->id);
+        bd_say(core->log, BD_INFO, "%s goes back%s", machine->id, machine->bad ? " (faulty)" : "");
     }
     if (n == 0)
         return;
-    struct bd_effect *e = bd_emit(c, BD_E_RETURN);
-    e->body = bd_wire_return(names, n);
+    struct bd_effect *effect = bd_emit(core, BD_E_RETURN);
+    effect->body = bd_wire_return(names, n);
 }
 
 /* Tasks that can save leave a machine that the cloud takes back or that fails its tasks. */
-static void drain(struct bd_core *c)
+static void drain(struct bd_core *core)
 {
-    for (uint32_t i = 0; i < c->nmachines; i++) {
-        struct bd_machine *m = c->by_index[i];
-        bd_find_slow(c, m);
-        if (m->gone || (m->notice_left < 0 && !m->bad))
+    for (uint32_t i = 0; i < core->nmachines; i++) {
+        struct bd_machine *machine = core->by_index[i];
+        bd_find_slow(core, machine);
+        if (machine->gone || (machine->notice_left < 0 && !machine->bad))
             continue;
-        for (uint32_t k = m->nrefs; k > 0; k--) {
-            if (k > m->nrefs)
+        for (uint32_t k = machine->nrefs; k > 0; k--) {
+            if (k > machine->nrefs)
                 continue;
-            struct bd_ref r = m->refs[k - 1];
-            struct bd_task *t = &r.job->tasks[r.task];
-            if ((t->state == BD_T_LIVE || t->state == BD_T_LAUNCH) && !(t->flags & BD_F_STOP) &&
-                (r.job->spec.checkpoint > 0 || m->bad))
-                bd_task_stop(c, r.job, r.task, false);
+            struct bd_ref r = machine->refs[k - 1];
+            struct bd_task *task = &r.job->tasks[r.task];
+            if ((task->state == BD_T_LIVE || task->state == BD_T_LAUNCH) &&
+                !(task->flags & BD_F_STOP) && (r.job->spec.checkpoint > 0 || machine->bad))
+                bd_task_stop(core, r.job, r.task, false);
         }
     }
 }
@@ -831,59 +850,61 @@
 /* What a machine is kept busy with, the dearest kind of work first. */
 enum use { USE_COMING, USE_GPU, USE_SERVICES, USE_ARRAYS, USE_IDLE, USES };
 
-static enum use use_of(const struct bd_machine *m)
+static enum use use_of(const struct bd_machine *machine)
 {
-    enum use u = m->session ? USE_IDLE : USE_COMING;
-    for (uint32_t k = 0; k < m->nrefs; k++) {
-        const struct bd_spec *s = &m->refs[k].job->spec;
-        enum use v = s->gpus > 0 ? USE_GPU : s->shape == BD_SERVICE ? USE_SERVICES : USE_ARRAYS;
+    enum use u = machine->session ? USE_IDLE : USE_COMING;
+    for (uint32_t k = 0; k < machine->nrefs; k++) {
+        const struct bd_spec *spec = &machine->refs[k].job->spec;
+        enum use v = spec->gpus > 0              ? USE_GPU
+                     : spec->shape == BD_SERVICE ? USE_SERVICES
+                                                 : USE_ARRAYS;
         u = u == USE_COMING || v < u ? v : u;
     }
     return u;
 }
 
-static void say_kind(struct bd_core *c, int t, bool spot)
+static void say_kind(struct bd_core *core, int t, bool spot)
 {
     uint32_t n[USES] = {0}, up = 0;
     double cpus = 0, gpus = 0;
-    for (uint32_t i = 0; i < c->nmachines; i++) {
-        const struct bd_machine *m = c->by_index[i];
-        if (m->gone || m->type != t || m->spot != spot)
+    for (uint32_t i = 0; i < core->nmachines; i++) {
+        const struct bd_machine *machine = core->by_index[i];
+        if (machine->gone || machine->type != t || machine->spot != spot)
             continue;
-        n[use_of(m)]++;
-        up += m->session != 0;
-        cpus += m->cpus;
-        gpus += m->gpus;
+        n[use_of(machine)]++;
+        up += machine->session != 0;
+        cpus += machine->cpus;
+        gpus += machine->gpus;
     }
     if (up + n[USE_COMING] == 0)
         return;
-    bd_say(c->log, BD_INFO,
+    bd_say(core->log, BD_INFO,
            "fleet %s%s: %u up, %u coming, %u idle; %u with gpu work, %u with services, %u with "
            "arrays; in use %.0f of %.0f cpus, %.0f of %.0f gpus",
-           c->types[t].label, spot ? " (spot)" : "", up, n[USE_COMING], n[USE_IDLE], n[USE_GPU],
-           n[USE_SERVICES], n[USE_ARRAYS], cpus, up * c->types[t].cpus, gpus,
-           up * c->types[t].gpus);
+           core->types[t].label, spot ? " (spot)" : "", up, n[USE_COMING], n[USE_IDLE], n[USE_GPU],
+           n[USE_SERVICES], n[USE_ARRAYS], cpus, up * core->types[t].cpus, gpus,
+           up * core->types[t].gpus);
 }
 
 /* A line a type and kind, for whoever asks what the money is spent on. */
-static void say_fleet(struct bd_core *c)
+static void say_fleet(struct bd_core *core)
 {
-    if (bd_before(c->now, c->next_summary))
+    if (bd_before(core->now, core->next_summary))
         return;
-    c->next_summary = bd_add(c->now, bd_secs(SUMMARY_S));
-    for (int t = 0; t < c->ntypes; t++) {
-        say_kind(c, t, false);
-        say_kind(c, t, true);
+    core->next_summary = bd_add(core->now, bd_secs(SUMMARY_S));
+    for (int t = 0; t < core->ntypes; t++) {
+        say_kind(core, t, false);
+        say_kind(core, t, true);
     }
 }
 
-void bd_autoscaler_tick(struct bd_core *c)
+void bd_autoscaler_tick(struct bd_core *core)
 {
-    say_fleet(c);
-    drain(c);
-    if (!c->listed_once)
+    say_fleet(core);
+    drain(core);
+    if (!core->listed_once)
         return;
-    provision_for_demand(c);
-    gather(c);
-    return_machines(c);
+    provision_for_demand(core);
+    gather(core);
+    return_machines(core);
 }
--- a/src/frame.c
+++ b/src/frame.c
@@ -45,54 +45,54 @@
     o->len += n;
 }
 
-static void put_body(struct out *o, const struct bd_frame *f)
+static void put_body(struct out *o, const struct bd_frame *frame)
 {
-    switch (f->type) {
+    switch (frame->type) {
     case BD_FRAME_STATUS:
-        put_text(o, f->name);
-        put(o, f->term, 8);
-        put(o, f->flags, 1);
-        put(o, f->age_ms, 4);
-        put(o, f->at_ms, 8);
+        put_text(o, frame->name);
+        put(o, frame->term, 8);
+        put(o, frame->flags, 1);
+        put(o, frame->age_ms, 4);
+        put(o, frame->at_ms, 8);
         break;
     case BD_FRAME_PROGRESS:
-        put(o, f->count, 2);
-        for (unsigned i = 0; i < f->count; i++) {
-            put_text(o, f->jobs[i].id);
-            put(o, f->jobs[i].done, 4);
-            put(o, f->jobs[i].running, 4);
+        put(o, frame->count, 2);
+        for (unsigned i = 0; i < frame->count; i++) {
+            put_text(o, frame->jobs[i].id);
+            put(o, frame->jobs[i].done, 4);
+            put(o, frame->jobs[i].running, 4);
         }
         break;
     case BD_FRAME_REPORT:
-        put(o, f->id, 8);
-        put_text(o, f->name);
-        put_bytes(o, f->text, f->len);
+        put(o, frame->id, 8);
+        put_text(o, frame->name);
+        put_bytes(o, frame->text, frame->len);
         break;
     case BD_FRAME_ANSWER:
-        put(o, f->id, 8);
-        put(o, f->status, 2);
-        put_bytes(o, f->text, f->len);
+        put(o, frame->id, 8);
+        put(o, frame->status, 2);
+        put_bytes(o, frame->text, frame->len);
         break;
     case BD_FRAME_CANCELLED:
-        put_bytes(o, f->text, f->len);
+        put_bytes(o, frame->text, frame->len);
         break;
     }
 }
 
-size_t bd_frame_bytes(const struct bd_frame *f)
+size_t bd_frame_bytes(const struct bd_frame *frame)
 {
-    return BD_FRAME_HEAD + FIELDS_MOST + f->count * sizeof f->jobs[0] + f->len;
+    return BD_FRAME_HEAD + FIELDS_MOST + frame->count * sizeof frame->jobs[0] + frame->len;
 }
 
-size_t bd_frame_write(const struct bd_frame *f, unsigned char *buf, size_t cap)
+size_t bd_frame_write(const struct bd_frame *frame, unsigned char *buf, size_t cap)
 {
     struct out o = {buf, 0, cap < BD_FRAME_MOST ? cap : BD_FRAME_MOST, 0};
     put(&o, MAGIC, 4);
     put(&o, VERSION, 1);
-    put(&o, f->type, 1);
+    put(&o, frame->type, 1);
     put(&o, 0, 2);
     put(&o, 0, 4);
-    put_body(&o, f);
+    put_body(&o, frame);
     if (o.bad)
         return 0;
     struct out head = {buf + 8, 0, 4, 0};
@@ -132,55 +132,55 @@
     i->at += n;
 }
 
-static void read_progress(struct in *i, struct bd_frame *f)
+static void read_progress(struct in *i, struct bd_frame *frame)
 {
-    f->count = (uint16_t)get(i, 2);
-    if (f->count > BD_FRAME_JOBS)
+    frame->count = (uint16_t)get(i, 2);
+    if (frame->count > BD_FRAME_JOBS)
         i->bad = 1;
-    for (unsigned k = 0; k < f->count && !i->bad; k++) {
-        get_text(i, f->jobs[k].id, sizeof f->jobs[k].id);
-        f->jobs[k].done = (uint32_t)get(i, 4);
-        f->jobs[k].running = (uint32_t)get(i, 4);
+    for (unsigned k = 0; k < frame->count && !i->bad; k++) {
+        get_text(i, frame->jobs[k].id, sizeof frame->jobs[k].id);
+        frame->jobs[k].done = (uint32_t)get(i, 4);
+        frame->jobs[k].running = (uint32_t)get(i, 4);
     }
 }
 
-static void get_bytes(struct in *i, struct bd_frame *f)
+static void get_bytes(struct in *i, struct bd_frame *frame)
 {
-    f->len = (uint32_t)get(i, 4);
-    if (i->bad || f->len > i->len - i->at) {
+    frame->len = (uint32_t)get(i, 4);
+    if (i->bad || frame->len > i->len - i->at) {
         i->bad = 1;
-        f->len = 0;
+        frame->len = 0;
         return;
     }
-    f->text = (const char *)i->p + i->at;
-    i->at += f->len;
+    frame->text = (const char *)i->p + i->at;
+    i->at += frame->len;
 }
 
-static void get_body(struct in *i, struct bd_frame *f)
+static void get_body(struct in *i, struct bd_frame *frame)
 {
-    switch (f->type) {
+    switch (frame->type) {
     case BD_FRAME_STATUS:
-        get_text(i, f->name, sizeof f->name);
-        f->term = get(i, 8);
-        f->flags = (uint8_t)get(i, 1);
-        f->age_ms = (uint32_t)get(i, 4);
-        f->at_ms = get(i, 8);
+        get_text(i, frame->name, sizeof frame->name);
+        frame->term = get(i, 8);
+        frame->flags = (uint8_t)get(i, 1);
+        frame->age_ms = (uint32_t)get(i, 4);
+        frame->at_ms = get(i, 8);
         break;
     case BD_FRAME_PROGRESS:
-        read_progress(i, f);
+        read_progress(i, frame);
         break;
     case BD_FRAME_REPORT:
-        f->id = get(i, 8);
-        get_text(i, f->name, sizeof f->name);
-        get_bytes(i, f);
+        frame->id = get(i, 8);
+        get_text(i, frame->name, sizeof frame->name);
+        get_bytes(i, frame);
         break;
     case BD_FRAME_ANSWER:
-        f->id = get(i, 8);
-        f->status = (uint16_t)get(i, 2);
-        get_bytes(i, f);
+        frame->id = get(i, 8);
+        frame->status = (uint16_t)get(i, 2);
+        get_bytes(i, frame);
         break;
     case BD_FRAME_CANCELLED:
-        get_bytes(i, f);
+        get_bytes(i, frame);
         break;
     }
 }
--- a/src/front.c
+++ b/src/front.c
@@ -76,15 +76,15 @@
     return kind == BD_C_GET ? BD_TIMING_POLL : BD_TIMING_CANCELLATION;
 }
 
-void bd_api_reply(struct bd_node *n, void *request, int status, char *body, int retry_after)
+void bd_api_reply(struct bd_node *node, void *request, int status, char *body, int retry_after)
 {
     struct request *r = request;
-    bd_metrics_time(n->metrics, timing_of(r->kind), bd_between(r->since, bd_now()));
+    bd_metrics_time(node->metrics, timing_of(r->kind), bd_between(r->since, bd_now()));
     r->status = status;
     r->body = body;
     r->retry_after = retry_after;
     r->answered = true;
-    atomic_fetch_sub(&n->api_server->pending, 1);
+    atomic_fetch_sub(&node->api_server->pending, 1);
     MHD_resume_connection(r->conn);
 }
 
@@ -142,34 +142,34 @@
     return -404;
 }
 
-static enum MHD_Result ask_core(struct bd_node *n, struct request *r, int kind, const char *name)
+static enum MHD_Result ask_core(struct bd_node *node, struct request *r, int kind, const char *name)
 {
-    struct bd_cmd *cmd = bd_cmd_new((enum bd_cmd_kind)kind);
-    cmd->request = r;
-    cmd->text = r->buf ? r->buf : strdup("");
-    cmd->len = r->len;
+    struct bd_cmd *command = bd_cmd_new((enum bd_cmd_kind)kind);
+    command->request = r;
+    command->text = r->buf ? r->buf : strdup("");
+    command->len = r->len;
     r->buf = NULL;
-    snprintf(cmd->name, sizeof cmd->name, "%s", name);
+    snprintf(command->name, sizeof command->name, "%s", name);
     r->asked = true;
-    r->kind = cmd->kind;
+    r->kind = command->kind;
     r->since = bd_now();
-    atomic_fetch_add(&n->api_server->pending, 1);
+    atomic_fetch_add(&node->api_server->pending, 1);
     MHD_suspend_connection(r->conn);
-    bd_tell(n, cmd);
+    bd_tell(node, command);
     return MHD_YES;
 }
 
 /* Users are refused before workers: a user asks again, a lease runs out. */
-static bool room_for(const struct bd_node *n, int kind)
+static bool room_for(const struct bd_node *node, int kind)
 {
-    int most = n->settings.max_sockets / 2;
+    int most = node->settings.max_sockets / 2;
     most = most < PENDING_LEAST ? PENDING_LEAST : most;
     if (kind != BD_C_CHECKIN)
         most = (int)(PENDING_USERS * most);
-    return atomic_load(&n->api_server->pending) < most;
+    return atomic_load(&node->api_server->pending) < most;
 }
 
-static enum MHD_Result decide(struct bd_node *n, struct request *r, const char *method,
+static enum MHD_Result decide(struct bd_node *node, struct request *r, const char *method,
                               const char *url)
 {
     char name[BD_LABEL] = "";
@@ -177,8 +177,8 @@
         r->health = true;
         if (strcmp(method, "GET") != 0)
             return say(r->conn, 405, "wrong method", 0);
-        return atomic_load(&n->up) ? send_now(r->conn, 200, strdup("{\"up\":true}"), 0)
-                                   : say(r->conn, 503, "not ready", 1);
+        return atomic_load(&node->up) ? send_now(r->conn, 200, strdup("{\"up\":true}"), 0)
+                                      : say(r->conn, 503, "not ready", 1);
     }
     int kind = route(method, url, name, sizeof name);
     if (kind == -404)
@@ -187,9 +187,9 @@
         return say(r->conn, 405, "wrong method", 0);
     if (r->too_large)
         return say(r->conn, 413, "body over 64 KiB", 0);
-    if (r->too_much || !room_for(n, kind))
+    if (r->too_much || !room_for(node, kind))
         return say(r->conn, 503, "busy", 1);
-    return ask_core(n, r, kind, name);
+    return ask_core(node, r, kind, name);
 }
 
 static enum MHD_Result handle(void *arg, struct MHD_Connection *conn, const char *url,
@@ -241,24 +241,24 @@
 static void connection_changed(void *arg, struct MHD_Connection *conn, void **ctx,
                                enum MHD_ConnectionNotificationCode code)
 {
-    struct bd_node *n = arg;
+    struct bd_node *node = arg;
     (void)conn;
     (void)ctx;
     if (code == MHD_CONNECTION_NOTIFY_STARTED)
-        bd_count_connections(bd_metrics_counter(n->metrics, BD_TRAFFIC_CHECKIN), 1);
+        bd_count_connections(bd_metrics_counter(node->metrics, BD_TRAFFIC_CHECKIN), 1);
 }
 
 static void completed(void *arg, struct MHD_Connection *conn, void **ctx,
                       enum MHD_RequestTerminationCode code)
 {
-    struct bd_node *n = arg;
+    struct bd_node *node = arg;
     (void)conn;
     (void)code;
     struct request *r = *ctx;
     if (!r)
         return;
-    n->api_server->held -= r->len;
-    bd_count_message(bd_metrics_counter(n->metrics, traffic_of(r)), r->sent, r->len);
+    node->api_server->held -= r->len;
+    bd_count_message(bd_metrics_counter(node->metrics, traffic_of(r)), r->sent, r->len);
     free(r->buf);
     free(r->body);
     free(r);
@@ -279,24 +279,24 @@
     return inet_pton(AF_INET, host, &out->sin_addr) == 1;
 }
 
-int bd_api_start(struct bd_node *n)
+int bd_api_start(struct bd_node *node)
 {
     struct sockaddr_in addr;
-    if (!bd_parse_addr(n->settings.api_addr, &addr))
+    if (!bd_parse_addr(node->settings.api_addr, &addr))
         return -1;
-    n->api_server = calloc(1, sizeof *n->api_server);
-    if (!n->api_server)
+    node->api_server = calloc(1, sizeof *node->api_server);
+    if (!node->api_server)
         return -1;
-    n->api_server->most_held = (size_t)(n->settings.ram_mb * BODY_SHARE * 1048576.0);
-    int own = SOCKETS_KEPT + bd_worker_client_sockets(&n->settings);
-    int most = n->settings.max_sockets - own;
-    n->api_server->daemon = MHD_start_daemon(
-        MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, handle, n,
+    node->api_server->most_held = (size_t)(node->settings.ram_mb * BODY_SHARE * 1048576.0);
+    int own = SOCKETS_KEPT + bd_worker_client_sockets(&node->settings);
+    int most = node->settings.max_sockets - own;
+    node->api_server->daemon = MHD_start_daemon(
+        MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, handle, node,
         MHD_OPTION_SOCK_ADDR, (struct sockaddr *)&addr, MHD_OPTION_CONNECTION_LIMIT,
         (unsigned)(most > 8 ? most : 8), MHD_OPTION_CONNECTION_TIMEOUT, IDLE_S,
         MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)POOL_BYTES, MHD_OPTION_NOTIFY_COMPLETED,
-        completed, n, MHD_OPTION_NOTIFY_CONNECTION, connection_changed, n,
+        completed, node, MHD_OPTION_NOTIFY_CONNECTION, connection_changed, node,
         MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u, MHD_OPTION_LISTEN_BACKLOG_SIZE, BACKLOG,
         MHD_OPTION_THREAD_STACK_SIZE, (size_t)131072, MHD_OPTION_END);
-    return n->api_server->daemon ? 0 : -1;
+    return node->api_server->daemon ? 0 : -1;
 }
--- a/src/grace.c
+++ b/src/grace.c
@@ -20,27 +20,27 @@
 
 /* How long after the sending of the last answered look answers may be given. A new leader reckons
  * with it too: all controllers must come to the same figure. */
-double bd_grace_s(const struct bd_settings *s)
+double bd_grace_s(const struct bd_settings *settings)
 {
-    double room = bd_to_secs(s->cancel) - bd_to_secs(s->lease) * (1 + DRIFT);
+    double room = bd_to_secs(settings->cancel) - bd_to_secs(settings->lease) * (1 + DRIFT);
     double margin = room * MARGIN_SHARE < MARGIN_S ? room * MARGIN_SHARE : MARGIN_S;
     return room > 0 ? room - margin : 0;
 }
 
-bool bd_in_grace(const struct bd_core *c, struct timespec seen)
+bool bd_in_grace(const struct bd_core *core, struct timespec seen)
 {
-    double s = bd_grace_s(c->settings) * (1 - DRIFT) - TIMER_S;
-    return !bd_is_zero(seen) && bd_before(c->now, bd_add(seen, bd_secs(s)));
+    double s = bd_grace_s(core->settings) * (1 - DRIFT) - TIMER_S;
+    return !bd_is_zero(seen) && bd_before(core->now, bd_add(seen, bd_secs(s)));
 }
 
 /* Whether a withdrawal that we do not know of still ends in time if we answer now. */
-bool bd_may_renew(const struct bd_core *c)
+bool bd_may_renew(const struct bd_core *core)
 {
-    return bd_in_grace(c, c->refreshed_at);
+    return bd_in_grace(core, core->refreshed_at);
 }
 
 /* A launch is repeated until its task is seen; not while the job may be withdrawn for long. */
-bool bd_may_launch(const struct bd_core *c)
+bool bd_may_launch(const struct bd_core *core)
 {
-    return bd_core_valid(c) && bd_between(c->refreshed_at, c->now) < KNOWN_S;
+    return bd_core_valid(core) && bd_between(core->refreshed_at, core->now) < KNOWN_S;
 }
--- a/src/http.c
+++ b/src/http.c
@@ -63,50 +63,50 @@
     return h;
 }
 
-void bd_http_free(struct bd_http *h)
+void bd_http_free(struct bd_http *http)
 {
-    if (!h)
+    if (!http)
         return;
-    if (h->easy)
-        curl_easy_cleanup(h->easy);
-    curl_slist_free_all(h->headers);
-    free(h);
+    if (http->easy)
+        curl_easy_cleanup(http->easy);
+    curl_slist_free_all(http->headers);
+    free(http);
 }
 
-static void count_call(struct bd_http *h, const struct bd_reply *r)
+static void count_call(struct bd_http *http, const struct bd_reply *r)
 {
     long out = 0, connections = 0;
-    if (!h->counter)
+    if (!http->counter)
         return;
-    curl_easy_getinfo(h->easy, CURLINFO_REQUEST_SIZE, &out);
-    curl_easy_getinfo(h->easy, CURLINFO_NUM_CONNECTS, &connections);
-    bd_count_message(h->counter, (size_t)out, r->len);
-    bd_count_connections(h->counter, (unsigned)connections);
+    curl_easy_getinfo(http->easy, CURLINFO_REQUEST_SIZE, &out);
+    curl_easy_getinfo(http->easy, CURLINFO_NUM_CONNECTS, &connections);
+    bd_count_message(http->counter, (size_t)out, r->len);
+    bd_count_connections(http->counter, (unsigned)connections);
 }
 
-void bd_http_call(struct bd_http *h, const char *method, const char *url, const char *body,
+void bd_http_call(struct bd_http *http, const char *method, const char *url, const char *body,
                   double timeout_s, struct bd_reply *out)
 {
     memset(out, 0, sizeof *out);
     long ms = (long)(timeout_s * 1000.0);
-    curl_easy_setopt(h->easy, CURLOPT_URL, url);
-    curl_easy_setopt(h->easy, CURLOPT_TIMEOUT_MS, ms);
-    curl_easy_setopt(h->easy, CURLOPT_CONNECTTIMEOUT_MS, ms);
-    curl_easy_setopt(h->easy, CURLOPT_WRITEDATA, out);
+    curl_easy_setopt(http->easy, CURLOPT_URL, url);
+    curl_easy_setopt(http->easy, CURLOPT_TIMEOUT_MS, ms);
+    curl_easy_setopt(http->easy, CURLOPT_CONNECTTIMEOUT_MS, ms);
+    curl_easy_setopt(http->easy, CURLOPT_WRITEDATA, out);
     if (strcmp(method, "POST") == 0) {
-        curl_easy_setopt(h->easy, CURLOPT_CUSTOMREQUEST, NULL);
-        curl_easy_setopt(h->easy, CURLOPT_POST, 1L);
-        curl_easy_setopt(h->easy, CURLOPT_POSTFIELDS, body ? body : "");
-        curl_easy_setopt(h->easy, CURLOPT_POSTFIELDSIZE, body ? (long)strlen(body) : 0L);
+        curl_easy_setopt(http->easy, CURLOPT_CUSTOMREQUEST, NULL);
+        curl_easy_setopt(http->easy, CURLOPT_POST, 1L);
+        curl_easy_setopt(http->easy, CURLOPT_POSTFIELDS, body ? body : "");
+        curl_easy_setopt(http->easy, CURLOPT_POSTFIELDSIZE, body ? (long)strlen(body) : 0L);
     } else {
-        curl_easy_setopt(h->easy, CURLOPT_HTTPGET, 1L);
-        curl_easy_setopt(h->easy, CURLOPT_CUSTOMREQUEST,
+        curl_easy_setopt(http->easy, CURLOPT_HTTPGET, 1L);
+        curl_easy_setopt(http->easy, CURLOPT_CUSTOMREQUEST,
                          strcmp(method, "GET") == 0 ? NULL : method);
     }
     long code = 0;
-    if (curl_easy_perform(h->easy) == CURLE_OK)
-        curl_easy_getinfo(h->easy, CURLINFO_RESPONSE_CODE, &code);
-    count_call(h, out);
+    if (curl_easy_perform(http->easy) == CURLE_OK)
+        curl_easy_getinfo(http->easy, CURLINFO_RESPONSE_CODE, &code);
+    count_call(http, out);
     if (code == 0) {
         bd_reply_drop(out);
         return;
--- a/src/leader.c
+++ b/src/leader.c
@@ -67,19 +67,19 @@
 static void tell_leader(struct election *s, const char *name, uint64_t mark, struct timespec sent,
                         bool away)
 {
-    struct bd_cmd *cmd = bd_cmd_new(BD_C_LEADER_IS);
-    snprintf(cmd->name, sizeof cmd->name, "%s", name);
-    cmd->number = mark;
-    cmd->sent = sent;
-    cmd->flag = away;
+    struct bd_cmd *command = bd_cmd_new(BD_C_LEADER_IS);
+    snprintf(command->name, sizeof command->name, "%s", name);
+    command->number = mark;
+    command->sent = sent;
+    command->flag = away;
     bool news = mark != s->told_mark || away != s->told_away || strcmp(name, s->told_name) != 0;
     snprintf(s->told_name, sizeof s->told_name, "%s", name);
     s->told_mark = mark;
     s->told_away = away;
     if (news)
-        bd_tell(s->n, cmd);
+        bd_tell(s->n, command);
     else
-        bd_tell_quietly(s->n, cmd);
+        bd_tell_quietly(s->n, command);
 }
 
 /* Who holds the lease now; the mark of the key into *mark. */
@@ -162,10 +162,10 @@
     if (status != 200)
         return -1;
     s->granted = sent;
-    struct bd_cmd *cmd = bd_cmd_new(BD_C_RENEWED);
-    cmd->number = s->grant;
-    cmd->sent = sent;
-    bd_tell(s->n, cmd);
+    struct bd_cmd *command = bd_cmd_new(BD_C_RENEWED);
+    command->number = s->grant;
+    command->sent = sent;
+    bd_tell(s->n, command);
     return 1;
 }
 
@@ -213,27 +213,27 @@
     if (term == 0)
         return;
     bd_say(&s->n->log, BD_INFO, "holds the lease, term %llu", (unsigned long long)term);
-    struct bd_cmd *cmd = bd_cmd_new(BD_C_GAINED);
-    cmd->sent = s->granted;
-    cmd->gain.term = term;
-    cmd->gain.grant = s->grant;
-    snprintf(cmd->name, sizeof cmd->name, "%s", s->nonce);
-    if (!load(s, &cmd->gain)) {
-        bd_cmd_free(cmd);
+    struct bd_cmd *command = bd_cmd_new(BD_C_GAINED);
+    command->sent = s->granted;
+    command->gain.term = term;
+    command->gain.grant = s->grant;
+    snprintf(command->name, sizeof command->name, "%s", s->nonce);
+    if (!load(s, &command->gain)) {
+        bd_cmd_free(command);
         return;
     }
-    cmd->gain.renewed = s->granted;
+    command->gain.renewed = s->granted;
     atomic_store(&s->n->step_down, false);
     s->leading = true;
-    bd_tell(s->n, cmd);
+    bd_tell(s->n, command);
     (void)bd_queue_put(&s->n->reader_wake, s);
 }
 
 static void tell_liveness(struct election *s, enum bd_cmd_kind kind, struct timespec sent)
 {
-    struct bd_cmd *cmd = bd_cmd_new(kind);
-    cmd->sent = sent;
-    bd_tell_quietly(s->n, cmd); /* it holds its own time */
+    struct bd_cmd *command = bd_cmd_new(kind);
+    command->sent = sent;
+    bd_tell_quietly(s->n, command); /* it holds its own time */
 }
 
 /* Says in the state service that we are in touch with it, under the leader whose key we saw. */
@@ -319,20 +319,20 @@
     return NULL;
 }
 
-int bd_election_start(struct bd_node *n)
+int bd_election_start(struct bd_node *node)
 {
     struct election *s = calloc(1, sizeof *s);
     if (!s)
         return -1;
-    s->n = n;
-    s->h = bd_http_new(1, bd_metrics_counter(n->metrics, BD_TRAFFIC_ELECTION));
+    s->n = node;
+    s->h = bd_http_new(1, bd_metrics_counter(node->metrics, BD_TRAFFIC_ELECTION));
     s->rng = gsl_rng_alloc(gsl_rng_taus2);
     if (!s->h || !s->rng)
         return -1;
     unsigned long seed = (unsigned long)bd_now().tv_nsec;
-    for (const char *p = n->settings.node; *p; p++)
+    for (const char *p = node->settings.node; *p; p++)
         seed = seed * 31 + (unsigned char)*p;
     gsl_rng_set(s->rng, seed);
-    s->ttl = bd_to_secs(n->settings.leader_ttl);
+    s->ttl = bd_to_secs(node->settings.leader_ttl);
     return bd_thread(run, s, 131072);
 }
--- a/src/limits.c
+++ b/src/limits.c
@@ -16,12 +16,12 @@
 #define GROW_EVERY_S 10.0  /* between two steps */
 #define BACKOFF_S 1.0      /* what may be malformed itself rests so long, and up to 8 s more */
 
-void bd_limits_init(struct bd_core *c)
+void bd_limits_init(struct bd_core *core)
 {
-    c->limits.value_bytes = c->settings->value_bytes;
-    c->limits.txn_ops = c->settings->txn_ops;
-    c->limits.write_rps = c->settings->state_write_rps;
-    c->limits.grow_after = GROW_AFTER_S;
+    core->limits.value_bytes = core->settings->value_bytes;
+    core->limits.txn_ops = core->settings->txn_ops;
+    core->limits.write_rps = core->settings->state_write_rps;
+    core->limits.grow_after = GROW_AFTER_S;
 }
 
 static size_t smaller(size_t now, size_t least)
@@ -31,44 +31,44 @@
 }
 
 /* False: they are as small as can be already, so that the size was not the reason. */
-bool bd_limits_refused(struct bd_core *c, const char *what)
+bool bd_limits_refused(struct bd_core *core, const char *what)
 {
-    struct bd_limits was = c->limits;
-    bool tried = !bd_is_zero(was.grown_at) && bd_between(was.grown_at, c->now) < GROW_AFTER_S;
+    struct bd_limits was = core->limits;
+    bool tried = !bd_is_zero(was.grown_at) && bd_between(was.grown_at, core->now) < GROW_AFTER_S;
     if (tried && was.grow_after < GROW_MOST_S)
-        c->limits.grow_after = 2 * was.grow_after;
-    c->limits.grown_at = (struct timespec){0, 0};
-    c->limits.refused_at = c->now;
-    c->limits.value_bytes = smaller(was.value_bytes, VALUE_LEAST);
-    c->limits.txn_ops = smaller(was.txn_ops, OPS_LEAST);
-    bd_say(c->log, BD_ERROR,
+        core->limits.grow_after = 2 * was.grow_after;
+    core->limits.grown_at = (struct timespec){0, 0};
+    core->limits.refused_at = core->now;
+    core->limits.value_bytes = smaller(was.value_bytes, VALUE_LEAST);
+    core->limits.txn_ops = smaller(was.txn_ops, OPS_LEAST);
+    bd_say(core->log, BD_ERROR,
            "the state service calls %s malformed: values of at most %zu bytes and %zu changes from "
            "now on",
-           what, c->limits.value_bytes, c->limits.txn_ops);
-    return c->limits.value_bytes < was.value_bytes || c->limits.txn_ops < was.txn_ops;
+           what, core->limits.value_bytes, core->limits.txn_ops);
+    return core->limits.value_bytes < was.value_bytes || core->limits.txn_ops < was.txn_ops;
 }
 
 /* Changes that one transaction may hold: no more than the rate takes in a second, or it never goes
  * through. */
-size_t bd_limits_ops(const struct bd_core *c)
+size_t bd_limits_ops(const struct bd_core *core)
 {
-    size_t rate = (size_t)c->limits.write_rps;
-    size_t n = c->limits.txn_ops < rate ? c->limits.txn_ops : rate;
+    size_t rate = (size_t)core->limits.write_rps;
+    size_t n = core->limits.txn_ops < rate ? core->limits.txn_ops : rate;
     return n < OPS_LEAST ? OPS_LEAST : n;
 }
 
-void bd_core_busy(struct bd_core *c)
+void bd_core_busy(struct bd_core *core)
 {
-    if (bd_between(c->limits.busy_at, c->now) < BUSY_S && !bd_is_zero(c->limits.busy_at))
+    if (bd_between(core->limits.busy_at, core->now) < BUSY_S && !bd_is_zero(core->limits.busy_at))
         return;
-    c->limits.busy_at = c->limits.raised_at = c->now;
-    c->limits.write_rps = c->limits.write_rps * BUSY_SHARE;
-    if (c->limits.write_rps < RATE_LEAST)
-        c->limits.write_rps = RATE_LEAST;
-    if (c->write_tokens > 0)
-        c->write_tokens = 0;
-    bd_say(c->log, BD_INFO, "the state service is asked too much: %.1f changes a second",
-           c->limits.write_rps);
+    core->limits.busy_at = core->limits.raised_at = core->now;
+    core->limits.write_rps = core->limits.write_rps * BUSY_SHARE;
+    if (core->limits.write_rps < RATE_LEAST)
+        core->limits.write_rps = RATE_LEAST;
+    if (core->write_tokens > 0)
+        core->write_tokens = 0;
+    bd_say(core->log, BD_INFO, "the state service is asked too much: %.1f changes a second",
+           core->limits.write_rps);
 }
 
 static size_t larger(size_t now, size_t most)
@@ -79,36 +79,36 @@
 
 /* What was lowered may have been raised again, and what was called malformed may have been so for
  * another reason. A step too far costs one refused transaction, which is decided anew. */
-static void grow(struct bd_core *c)
+static void grow(struct bd_core *core)
 {
-    struct bd_limits *l = &c->limits;
-    if ((l->value_bytes >= c->settings->value_bytes && l->txn_ops >= c->settings->txn_ops) ||
-        bd_between(l->refused_at, c->now) < l->grow_after ||
-        (!bd_is_zero(l->grown_at) && bd_between(l->grown_at, c->now) < GROW_EVERY_S))
+    struct bd_limits *l = &core->limits;
+    if ((l->value_bytes >= core->settings->value_bytes && l->txn_ops >= core->settings->txn_ops) ||
+        bd_between(l->refused_at, core->now) < l->grow_after ||
+        (!bd_is_zero(l->grown_at) && bd_between(l->grown_at, core->now) < GROW_EVERY_S))
         return;
-    l->grown_at = c->now;
-    l->value_bytes = larger(l->value_bytes, c->settings->value_bytes);
-    l->txn_ops = larger(l->txn_ops, c->settings->txn_ops);
-    bd_say(c->log, BD_INFO, "tries values of up to %zu bytes and %zu changes again", l->value_bytes,
-           l->txn_ops);
+    l->grown_at = core->now;
+    l->value_bytes = larger(l->value_bytes, core->settings->value_bytes);
+    l->txn_ops = larger(l->txn_ops, core->settings->txn_ops);
+    bd_say(core->log, BD_INFO, "tries values of up to %zu bytes and %zu changes again",
+           l->value_bytes, l->txn_ops);
 }
 
-void bd_limits_tick(struct bd_core *c)
+void bd_limits_tick(struct bd_core *core)
 {
-    grow(c);
-    if (c->limits.write_rps >= c->settings->state_write_rps ||
-        bd_between(c->limits.busy_at, c->now) < CALM_S ||
-        bd_between(c->limits.raised_at, c->now) < 1.0)
+    grow(core);
+    if (core->limits.write_rps >= core->settings->state_write_rps ||
+        bd_between(core->limits.busy_at, core->now) < CALM_S ||
+        bd_between(core->limits.raised_at, core->now) < 1.0)
         return;
-    c->limits.raised_at = c->now;
-    c->limits.write_rps *= RISE;
-    if (c->limits.write_rps > c->settings->state_write_rps)
-        c->limits.write_rps = c->settings->state_write_rps;
+    core->limits.raised_at = core->now;
+    core->limits.write_rps *= RISE;
+    if (core->limits.write_rps > core->settings->state_write_rps)
+        core->limits.write_rps = core->settings->state_write_rps;
 }
 
 /* What was in a transaction that no smaller one replaces: each job rests for a time of its own, so
  * that the one at fault does not take the others with it for ever. */
-void bd_limits_back_off(struct bd_core *c, struct bd_job *j)
+void bd_limits_back_off(struct bd_core *core, struct bd_job *job)
 {
-    j->backoff_until = bd_add(c->now, bd_secs(BACKOFF_S + (double)(j->mark % 8)));
+    job->backoff_until = bd_add(core->now, bd_secs(BACKOFF_S + (double)(job->mark % 8)));
 }
--- a/src/metrics.c
+++ b/src/metrics.c
@@ -54,19 +54,19 @@
     return m;
 }
 
-void bd_metrics_free(struct bd_metrics *m)
+void bd_metrics_free(struct bd_metrics *metrics)
 {
-    if (!m)
+    if (!metrics)
         return;
     for (size_t i = 0; i < BD_TIMINGS; i++)
-        if (m->timings[i])
-            gsl_histogram_free(m->timings[i]);
-    free(m);
+        if (metrics->timings[i])
+            gsl_histogram_free(metrics->timings[i]);
+    free(metrics);
 }
 
-struct bd_counter *bd_metrics_counter(struct bd_metrics *m, enum bd_traffic kind)
+struct bd_counter *bd_metrics_counter(struct bd_metrics *metrics, enum bd_traffic kind)
 {
-    return m ? &m->counters[kind] : NULL;
+    return metrics ? &metrics->counters[kind] : NULL;
 }
 
 void bd_count_message(struct bd_counter *c, size_t bytes_out, size_t bytes_in)
@@ -90,13 +90,13 @@
         atomic_fetch_add(&c->writes, 1);
 }
 
-void bd_metrics_time(struct bd_metrics *m, enum bd_timing timing, double seconds)
+void bd_metrics_time(struct bd_metrics *metrics, enum bd_timing timing, double seconds)
 {
-    if (!m || !isfinite(seconds))
+    if (!metrics || !isfinite(seconds))
         return;
     double most = LEAST_S * exp2(DOUBLINGS) * 0.999;
-    (void)gsl_histogram_increment(m->timings[timing], fmin(fmax(seconds, LEAST_S), most));
-    m->longest[timing] = fmax(m->longest[timing], seconds);
+    (void)gsl_histogram_increment(metrics->timings[timing], fmin(fmax(seconds, LEAST_S), most));
+    metrics->longest[timing] = fmax(metrics->longest[timing], seconds);
 }
 
 static void report_traffic(struct bd_counter *c, const char *name, const struct bd_log *log,
@@ -128,27 +128,30 @@
     return LEAST_S * exp2(DOUBLINGS);
 }
 
-static void report_timing(struct bd_metrics *m, enum bd_timing timing, const struct bd_log *log)
+static void report_timing(struct bd_metrics *metrics, enum bd_timing timing,
+                          const struct bd_log *log)
 {
-    gsl_histogram *h = m->timings[timing];
+    gsl_histogram *h = metrics->timings[timing];
     double all = gsl_histogram_sum(h);
     if (all > 0)
         bd_say(log, BD_INFO,
                "time %s: %.0f, half within %.1f ms, 95%% within %.1f ms, at most %.1f ms",
-               timing_names[timing], all, fmin(quantile(h, 0.5, all), m->longest[timing]) * 1e3,
-               fmin(quantile(h, 0.95, all), m->longest[timing]) * 1e3, m->longest[timing] * 1e3);
+               timing_names[timing], all,
+               fmin(quantile(h, 0.5, all), metrics->longest[timing]) * 1e3,
+               fmin(quantile(h, 0.95, all), metrics->longest[timing]) * 1e3,
+               metrics->longest[timing] * 1e3);
     gsl_histogram_reset(h);
-    m->longest[timing] = 0;
+    metrics->longest[timing] = 0;
 }
 
-void bd_metrics_report(struct bd_metrics *m, const struct bd_log *log, double seconds)
+void bd_metrics_report(struct bd_metrics *metrics, const struct bd_log *log, double seconds)
 {
-    if (!m || seconds <= 0)
+    if (!metrics || seconds <= 0)
         return;
     for (size_t i = 0; i < BD_TRAFFIC_KINDS; i++)
-        report_traffic(&m->counters[i], traffic_names[i], log, seconds);
+        report_traffic(&metrics->counters[i], traffic_names[i], log, seconds);
     for (size_t i = 0; i < BD_TIMINGS; i++)
-        report_timing(m, (enum bd_timing)i, log);
+        report_timing(metrics, (enum bd_timing)i, log);
     struct mallinfo2 heap = mallinfo2();
     bd_say(log, BD_INFO, "memory: %zu kB of the heap used, %zu kB held", heap.uordblks / 1024,
            (heap.arena + heap.hblkhd) / 1024);
--- a/src/metrics.h
+++ b/src/metrics.h
@@ -50,14 +50,14 @@
 
 /* NULL: out of memory */
 struct bd_metrics *bd_metrics_new(void);
-void bd_metrics_free(struct bd_metrics *m);
-struct bd_counter *bd_metrics_counter(struct bd_metrics *m, enum bd_traffic kind);
+void bd_metrics_free(struct bd_metrics *metrics);
+struct bd_counter *bd_metrics_counter(struct bd_metrics *metrics, enum bd_traffic kind);
 /* One message of a kind; `c` may be NULL. */
 void bd_count_message(struct bd_counter *c, size_t bytes_out, size_t bytes_in);
 void bd_count_connections(struct bd_counter *c, unsigned n);
 void bd_count_write(struct bd_counter *c);
 /* Owner thread only; `m` may be NULL. */
-void bd_metrics_time(struct bd_metrics *m, enum bd_timing timing, double seconds);
+void bd_metrics_time(struct bd_metrics *metrics, enum bd_timing timing, double seconds);
 /* Writes what was gathered in the last `seconds` to the log and starts anew. */
-void bd_metrics_report(struct bd_metrics *m, const struct bd_log *log, double seconds);
+void bd_metrics_report(struct bd_metrics *metrics, const struct bd_log *log, double seconds);
 #endif
--- a/src/peer_transport.c
+++ b/src/peer_transport.c
@@ -65,35 +65,37 @@
 /* Whether the frame says only that its sender is as it was: the owner thread learns of it with the
  * next command. What is decided then rests on the time of the frame's arrival, not of its handling.
  */
-static bool says_nothing_new(struct incoming *in, const struct bd_frame *f)
+static bool says_nothing_new(struct incoming *in, const struct bd_frame *frame)
 {
-    if (f->type == BD_FRAME_PROGRESS)
+    if (frame->type == BD_FRAME_PROGRESS)
         return true; /* for display only */
-    if (f->type != BD_FRAME_STATUS)
+    if (frame->type != BD_FRAME_STATUS)
         return false;
-    bool same = in->term == f->term && in->flags == f->flags && strcmp(in->name, f->name) == 0;
-    in->term = f->term;
-    in->flags = f->flags;
-    memcpy(in->name, f->name, sizeof in->name);
+    bool same =
+        in->term == frame->term && in->flags == frame->flags && strcmp(in->name, frame->name) == 0;
+    in->term = frame->term;
+    in->flags = frame->flags;
+    memcpy(in->name, frame->name, sizeof in->name);
     return same;
 }
 
-static void hand_over(struct bd_node *n, struct incoming *in, const struct bd_frame *f)
+static void hand_over(struct bd_node *node, struct incoming *in, const struct bd_frame *frame)
 {
-    struct bd_cmd *cmd = bd_cmd_new(BD_C_PEER);
-    size_t size = offsetof(struct bd_frame, jobs) + f->count * sizeof f->jobs[0];
-    cmd->data = malloc(size); /* without the room for jobs that it does not name */
-    if (!cmd->data)
+    struct bd_cmd *command = bd_cmd_new(BD_C_PEER);
+    size_t size = offsetof(struct bd_frame, jobs) + frame->count * sizeof frame->jobs[0];
+    command->data = malloc(size); /* without the room for jobs that it does not name */
+    if (!command->data)
         abort();
-    memcpy(cmd->data, f, size);
-    cmd->sent = in->heard;
-    if (f->text) {
-        cmd->text = strndup(f->text, f->len);
-        cmd->len = f->len;
+    memcpy(command->data, frame, size);
+    command->sent = in->heard;
+    if (frame->text) {
+        command->text = strndup(frame->text, frame->len);
+        command->len = frame->len;
     }
-    bool quiet = says_nothing_new(in, f);
-    if (!(quiet ? bd_queue_put_quietly(&n->commands, cmd) : bd_queue_put(&n->commands, cmd)))
-        bd_cmd_free(cmd); /* the next heartbeat says it again */
+    bool quiet = says_nothing_new(in, frame);
+    if (!(quiet ? bd_queue_put_quietly(&node->commands, command)
+                : bd_queue_put(&node->commands, command)))
+        bd_cmd_free(command); /* the next heartbeat says it again */
 }
 
 /* Room for one whole frame is the most that a connection can claim. */
@@ -112,10 +114,10 @@
     return true;
 }
 
-static enum bd_traffic traffic_of(const struct bd_frame *f)
+static enum bd_traffic traffic_of(const struct bd_frame *frame)
 {
-    return f->type == BD_FRAME_STATUS || f->type == BD_FRAME_PROGRESS ? BD_TRAFFIC_HEARTBEAT
-                                                                      : BD_TRAFFIC_FORWARD;
+    return frame->type == BD_FRAME_STATUS || frame->type == BD_FRAME_PROGRESS ? BD_TRAFFIC_HEARTBEAT
+                                                                              : BD_TRAFFIC_FORWARD;
 }
 
 /* Hands over all whole frames in the buffer. False: what came is not a frame. */
@@ -205,16 +207,16 @@
     return NULL;
 }
 
-static int start_listener(struct bd_node *n)
+static int start_listener(struct bd_node *node)
 {
     struct sockaddr_in at;
     int one = 1;
     struct listener *l = calloc(1, sizeof *l);
-    if (!l || !bd_parse_addr(n->settings.peer_addr, &at)) {
+    if (!l || !bd_parse_addr(node->settings.peer_addr, &at)) {
         free(l);
         return -1;
     }
-    l->n = n;
+    l->n = node;
     for (int i = 0; i < INCOMING; i++)
         l->incoming[i].fd = -1;
     l->fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -222,7 +224,7 @@
         (void)setsockopt(l->fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
     if (l->fd < 0 || bind(l->fd, (struct sockaddr *)&at, sizeof at) != 0 ||
         listen(l->fd, INCOMING) != 0) {
-        bd_say(&n->log, BD_ERROR, "cannot listen on %s", n->settings.peer_addr);
+        bd_say(&node->log, BD_ERROR, "cannot listen on %s", node->settings.peer_addr);
         if (l->fd >= 0)
             (void)close(l->fd);
         free(l);
@@ -245,133 +247,133 @@
 };
 
 /* The caller holds the lock. */
-static void disconnect(struct bd_peer_link *k)
+static void disconnect(struct bd_peer_link *link)
 {
-    if (k->fd >= 0)
-        (void)close(k->fd);
-    k->fd = -1;
-    k->len = k->cap = 0;
-    k->stalled = (struct timespec){0, 0};
-    free(k->outbox); /* a burst's room is given back */
-    k->outbox = NULL;
+    if (link->fd >= 0)
+        (void)close(link->fd);
+    link->fd = -1;
+    link->len = link->cap = 0;
+    link->stalled = (struct timespec){0, 0};
+    free(link->outbox); /* a burst's room is given back */
+    link->outbox = NULL;
 }
 
 /* Sends what the connection takes at once. The caller holds the lock. */
-static void flush_link(struct bd_peer_link *k, enum bd_traffic kind)
+static void flush_link(struct bd_peer_link *link, enum bd_traffic kind)
 {
-    if (k->fd < 0 || k->len == 0)
+    if (link->fd < 0 || link->len == 0)
         return;
-    ssize_t sent = send(k->fd, k->outbox, k->len, MSG_DONTWAIT | MSG_NOSIGNAL);
-    bd_count_write(bd_metrics_counter(k->n->metrics, kind));
+    ssize_t sent = send(link->fd, link->outbox, link->len, MSG_DONTWAIT | MSG_NOSIGNAL);
+    bd_count_write(bd_metrics_counter(link->n->metrics, kind));
     if (sent > 0) {
-        k->len -= (size_t)sent;
-        memmove(k->outbox, k->outbox + sent, k->len);
-        k->stalled = (struct timespec){0, 0};
+        link->len -= (size_t)sent;
+        memmove(link->outbox, link->outbox + sent, link->len);
+        link->stalled = (struct timespec){0, 0};
         return;
     }
     struct timespec now = bd_now();
     bool busy = sent < 0 && (errno == EAGAIN || errno == EINTR);
-    if (busy && bd_is_zero(k->stalled))
-        k->stalled = now;
-    if (busy && bd_between(k->stalled, now) < STALLED_S)
+    if (busy && bd_is_zero(link->stalled))
+        link->stalled = now;
+    if (busy && bd_between(link->stalled, now) < STALLED_S)
         return;
-    disconnect(k);
-    (void)bd_queue_put(&k->connector, k);
+    disconnect(link);
+    (void)bd_queue_put(&link->connector, link);
 }
 
 /* Room for `more` bytes in the outbox. */
-static bool reserve(struct bd_peer_link *k, size_t more)
+static bool reserve(struct bd_peer_link *link, size_t more)
 {
-    size_t cap = k->cap ? k->cap : OUTBOX_LEAST;
-    while (cap < k->len + more)
+    size_t cap = link->cap ? link->cap : OUTBOX_LEAST;
+    while (cap < link->len + more)
         cap *= 2;
     if (cap > OUTBOX_MOST)
         return false;
-    unsigned char *grown = cap > k->cap ? realloc(k->outbox, cap) : k->outbox;
+    unsigned char *grown = cap > link->cap ? realloc(link->outbox, cap) : link->outbox;
     if (!grown)
         return false;
-    k->outbox = grown;
-    k->cap = cap;
+    link->outbox = grown;
+    link->cap = cap;
     return true;
 }
 
 /* False: there is no room or no connection, and the frame is dropped. The caller holds the lock. */
-static bool append(struct bd_peer_link *k, const struct bd_frame *f)
+static bool append(struct bd_peer_link *link, const struct bd_frame *frame)
 {
-    if (k->fd < 0 || !reserve(k, bd_frame_bytes(f)))
+    if (link->fd < 0 || !reserve(link, bd_frame_bytes(frame)))
         return false;
-    size_t len = bd_frame_write(f, k->outbox + k->len, k->cap - k->len);
-    k->len += len;
+    size_t len = bd_frame_write(frame, link->outbox + link->len, link->cap - link->len);
+    link->len += len;
     if (len > 0)
-        bd_count_message(bd_metrics_counter(k->n->metrics, traffic_of(f)), len, 0);
+        bd_count_message(bd_metrics_counter(link->n->metrics, traffic_of(frame)), len, 0);
     return len > 0;
 }
 
-bool bd_transport_send(struct bd_node *n, int peer, const struct bd_frame *f)
+bool bd_transport_send(struct bd_node *node, int peer, const struct bd_frame *frame)
 {
-    struct bd_peer_link *k = n->links[peer];
-    (void)pthread_mutex_lock(&k->lock);
-    bool ok = append(k, f);
-    (void)pthread_mutex_unlock(&k->lock);
+    struct bd_peer_link *link = node->links[peer];
+    (void)pthread_mutex_lock(&link->lock);
+    bool ok = append(link, frame);
+    (void)pthread_mutex_unlock(&link->lock);
     return ok;
 }
 
-void bd_transport_flush(struct bd_node *n)
+void bd_transport_flush(struct bd_node *node)
 {
-    for (int i = 0; i < n->settings.npeers; i++) {
-        struct bd_peer_link *k = n->links[i];
-        (void)pthread_mutex_lock(&k->lock);
-        flush_link(k, BD_TRAFFIC_FORWARD);
-        (void)pthread_mutex_unlock(&k->lock);
+    for (int i = 0; i < node->settings.npeers; i++) {
+        struct bd_peer_link *link = node->links[i];
+        (void)pthread_mutex_lock(&link->lock);
+        flush_link(link, BD_TRAFFIC_FORWARD);
+        (void)pthread_mutex_unlock(&link->lock);
     }
 }
 
 /* ---- heartbeats ---- */
 
 /* The jobs' counts, as many frames as they take. The caller holds the link's lock. */
-static void append_progress(struct bd_peer_link *k, struct bd_frame *f)
+static void append_progress(struct bd_peer_link *link, struct bd_frame *f)
 {
-    struct bd_node *n = k->n;
+    struct bd_node *node = link->n;
     uint32_t from = 0;
     bool more = true;
     while (more) {
-        (void)pthread_mutex_lock(&n->status_lock);
+        (void)pthread_mutex_lock(&node->status_lock);
         memset(f, 0, sizeof *f);
         f->type = BD_FRAME_PROGRESS;
-        while (f->count < BD_FRAME_JOBS && from + f->count < n->nprogress) {
-            f->jobs[f->count] = n->progress[from + f->count];
+        while (f->count < BD_FRAME_JOBS && from + f->count < node->nprogress) {
+            f->jobs[f->count] = node->progress[from + f->count];
             f->count++;
         }
-        (void)pthread_mutex_unlock(&n->status_lock);
-        more = f->count > 0 && append(k, f);
+        (void)pthread_mutex_unlock(&node->status_lock);
+        more = f->count > 0 && append(link, f);
         from += f->count;
     }
 }
 
-static void read_status(struct bd_node *n, struct bd_frame *f)
+static void read_status(struct bd_node *node, struct bd_frame *frame)
 {
-    (void)pthread_mutex_lock(&n->status_lock);
-    memcpy(f, &n->status, offsetof(struct bd_frame, jobs));
-    f->count = 0;
-    (void)pthread_mutex_unlock(&n->status_lock);
+    (void)pthread_mutex_lock(&node->status_lock);
+    memcpy(frame, &node->status, offsetof(struct bd_frame, jobs));
+    frame->count = 0;
+    (void)pthread_mutex_unlock(&node->status_lock);
 }
 
-static void send_heartbeat(struct bd_peer_link *k, struct bd_frame *f, bool progress)
+static void send_heartbeat(struct bd_peer_link *link, struct bd_frame *frame, bool progress)
 {
-    (void)pthread_mutex_lock(&k->lock);
-    if (k->fd >= 0) {
-        read_status(k->n, f);
-        (void)append(k, f);
+    (void)pthread_mutex_lock(&link->lock);
+    if (link->fd >= 0) {
+        read_status(link->n, frame);
+        (void)append(link, frame);
         if (progress)
-            append_progress(k, f);
-        flush_link(k, BD_TRAFFIC_HEARTBEAT);
+            append_progress(link, frame);
+        flush_link(link, BD_TRAFFIC_HEARTBEAT);
     }
-    (void)pthread_mutex_unlock(&k->lock);
+    (void)pthread_mutex_unlock(&link->lock);
 }
 
 static void *heartbeat_run(void *arg)
 {
-    struct bd_node *n = arg;
+    struct bd_node *node = arg;
     struct timespec next_progress = bd_now();
     struct bd_frame *f = calloc(1, sizeof *f);
     while (f) {
@@ -379,8 +381,8 @@
         bool progress = bd_before(next_progress, now);
         if (progress)
             next_progress = bd_add(now, bd_secs(PROGRESS_S));
-        for (int i = 0; i < n->settings.npeers; i++)
-            send_heartbeat(n->links[i], f, progress);
+        for (int i = 0; i < node->settings.npeers; i++)
+            send_heartbeat(node->links[i], f, progress);
         bd_pause(HEARTBEAT_S);
     }
     return NULL;
@@ -413,16 +415,16 @@
 
 /* Puts a new connection, or none (-1), in place of the old one. What the old one did not take is
  * lost: it may be the middle of a frame. True if the peer had no connection before. */
-static bool replace_connection(struct bd_peer_link *k, int fd)
+static bool replace_connection(struct bd_peer_link *link, int fd)
 {
-    (void)pthread_mutex_lock(&k->lock);
-    bool first = k->fd < 0 && fd >= 0;
-    flush_link(k, BD_TRAFFIC_FORWARD);
-    disconnect(k);
-    k->fd = fd;
-    (void)pthread_mutex_unlock(&k->lock);
+    (void)pthread_mutex_lock(&link->lock);
+    bool first = link->fd < 0 && fd >= 0;
+    flush_link(link, BD_TRAFFIC_FORWARD);
+    disconnect(link);
+    link->fd = fd;
+    (void)pthread_mutex_unlock(&link->lock);
     if (fd >= 0)
-        bd_count_connections(bd_metrics_counter(k->n->metrics, BD_TRAFFIC_HEARTBEAT), 1);
+        bd_count_connections(bd_metrics_counter(link->n->metrics, BD_TRAFFIC_HEARTBEAT), 1);
     return first;
 }
 
@@ -430,16 +432,16 @@
  * hears nothing. So each is replaced after a while, the new one being opened first. */
 static void *connect_run(void *arg)
 {
-    struct bd_peer_link *k = arg;
+    struct bd_peer_link *link = arg;
     struct bd_frame *f = calloc(1, sizeof *f);
     while (f) {
         void *broken;
-        int fd = open_connection(k->n->settings.peers[k->peer].addr);
-        if (replace_connection(k, fd))
-            send_heartbeat(k, f, false);
+        int fd = open_connection(link->n->settings.peers[link->peer].addr);
+        if (replace_connection(link, fd))
+            send_heartbeat(link, f, false);
         struct timespec opened = bd_now();
         double life = fd >= 0 ? CONNECTION_S : HEARTBEAT_S;
-        (void)bd_queue_take(&k->connector, &broken, 1, bd_add(opened, bd_secs(life)));
+        (void)bd_queue_take(&link->connector, &broken, 1, bd_add(opened, bd_secs(life)));
         /* one that breaks at once is not opened without end */
         double open_s = bd_between(opened, bd_now());
         if (open_s < HEARTBEAT_S)
@@ -448,12 +450,12 @@
     return NULL;
 }
 
-static struct bd_peer_link *new_link(struct bd_node *n, int peer)
+static struct bd_peer_link *new_link(struct bd_node *node, int peer)
 {
     struct bd_peer_link *k = calloc(1, sizeof *k);
     if (!k)
         return NULL;
-    k->n = n;
+    k->n = node;
     k->peer = peer;
     k->fd = -1;
     if (bd_queue_init(&k->connector, 1) != 0 || pthread_mutex_init(&k->lock, NULL) != 0) {
@@ -463,19 +465,19 @@
     return k;
 }
 
-int bd_transport_start(struct bd_node *n)
+int bd_transport_start(struct bd_node *node)
 {
-    if (pthread_mutex_init(&n->status_lock, NULL) != 0)
+    if (pthread_mutex_init(&node->status_lock, NULL) != 0)
         return -1;
-    n->status.type = BD_FRAME_STATUS;
-    snprintf(n->status.name, sizeof n->status.name, "%s", n->settings.node);
-    for (int i = 0; i < n->settings.npeers; i++) {
-        n->links[i] = new_link(n, i);
-        if (!n->links[i])
+    node->status.type = BD_FRAME_STATUS;
+    snprintf(node->status.name, sizeof node->status.name, "%s", node->settings.node);
+    for (int i = 0; i < node->settings.npeers; i++) {
+        node->links[i] = new_link(node, i);
+        if (!node->links[i])
             return -1;
     }
-    int rc = start_listener(n);
-    for (int i = 0; i < n->settings.npeers && rc == 0; i++)
-        rc = bd_thread(connect_run, n->links[i], STACK_BYTES);
-    return rc == 0 ? bd_thread(heartbeat_run, n, STACK_BYTES) : rc;
+    int rc = start_listener(node);
+    for (int i = 0; i < node->settings.npeers && rc == 0; i++)
+        rc = bd_thread(connect_run, node->links[i], STACK_BYTES);
+    return rc == 0 ? bd_thread(heartbeat_run, node, STACK_BYTES) : rc;
 }
--- a/src/queue.c
+++ b/src/queue.c
@@ -17,45 +17,45 @@
     return rc == 0 ? 0 : -1;
 }
 
-void bd_queue_end(struct bd_queue *q)
+void bd_queue_end(struct bd_queue *queue)
 {
-    free(q->ring);
-    (void)pthread_cond_destroy(&q->more);
-    (void)pthread_mutex_destroy(&q->lock);
+    free(queue->ring);
+    (void)pthread_cond_destroy(&queue->more);
+    (void)pthread_mutex_destroy(&queue->lock);
 }
 
-bool bd_queue_put_quietly(struct bd_queue *q, void *item)
+bool bd_queue_put_quietly(struct bd_queue *queue, void *item)
 {
-    (void)pthread_mutex_lock(&q->lock);
-    bool ok = q->n < q->cap;
+    (void)pthread_mutex_lock(&queue->lock);
+    bool ok = queue->n < queue->cap;
     if (ok) {
-        q->ring[(q->head + q->n) % q->cap] = item;
-        q->n++;
+        queue->ring[(queue->head + queue->n) % queue->cap] = item;
+        queue->n++;
     }
-    (void)pthread_mutex_unlock(&q->lock);
+    (void)pthread_mutex_unlock(&queue->lock);
     return ok;
 }
 
-bool bd_queue_put(struct bd_queue *q, void *item)
+bool bd_queue_put(struct bd_queue *queue, void *item)
 {
-    bool ok = bd_queue_put_quietly(q, item);
+    bool ok = bd_queue_put_quietly(queue, item);
     if (ok) /* without the lock: the thread that wakes up would only wait for it */
-        (void)pthread_cond_signal(&q->more);
+        (void)pthread_cond_signal(&queue->more);
     return ok;
 }
 
-size_t bd_queue_take(struct bd_queue *q, void **out, size_t max, struct timespec until)
+size_t bd_queue_take(struct bd_queue *queue, void **out, size_t max, struct timespec until)
 {
     size_t got = 0;
-    (void)pthread_mutex_lock(&q->lock);
-    while (q->n == 0)
-        if (pthread_cond_timedwait(&q->more, &q->lock, &until) != 0)
+    (void)pthread_mutex_lock(&queue->lock);
+    while (queue->n == 0)
+        if (pthread_cond_timedwait(&queue->more, &queue->lock, &until) != 0)
             break;
-    while (got < max && q->n > 0) {
-        out[got++] = q->ring[q->head];
-        q->head = (q->head + 1) % q->cap;
-        q->n--;
+    while (got < max && queue->n > 0) {
+        out[got++] = queue->ring[queue->head];
+        queue->head = (queue->head + 1) % queue->cap;
+        queue->n--;
     }
-    (void)pthread_mutex_unlock(&q->lock);
+    (void)pthread_mutex_unlock(&queue->lock);
     return got;
 }
