--- a/src/rounds.c
+++ b/src/rounds.c
@@ -29,31 +29,31 @@
     size_t ops, most_ops, bytes, conds, most_conds;
 };
 
-static bool room_for(const struct build *b, size_t ops, size_t conds, size_t bytes)
+static bool room_for(const struct build *builder, size_t ops, size_t conds, size_t bytes)
 {
-    return b->ops + ops <= b->most_ops && b->conds + conds <= b->most_conds &&
-           b->bytes + bytes <= TXN_BYTES;
+    return builder->ops + ops <= builder->most_ops &&
+           builder->conds + conds <= builder->most_conds && builder->bytes + bytes <= TXN_BYTES;
 }
 
-static void spend(struct build *b, size_t ops, size_t conds, size_t bytes)
+static void spend(struct build *builder, size_t ops, size_t conds, size_t bytes)
 {
-    b->ops += ops;
-    b->conds += conds;
-    b->bytes += bytes;
+    builder->ops += ops;
+    builder->conds += conds;
+    builder->bytes += bytes;
 }
 
-static void if_job(struct build *b, const struct bd_job *j)
+static void if_job(struct build *builder, const struct bd_job *job)
 {
     char key[BD_LABEL];
-    snprintf(key, sizeof key, "j/%s", j->id);
-    bd_txn_if(&b->t, key, j->mark);
-    spend(b, 0, 1, 80);
+    snprintf(key, sizeof key, "j/%s", job->id);
+    bd_txn_if(&builder->t, key, job->mark);
+    spend(builder, 0, 1, 80);
 }
 
 /* How many intent records a transaction may hold beside receipts. */
-uint32_t bd_round_parts(const struct bd_core *c)
+uint32_t bd_round_parts(const struct bd_core *core)
 {
-    size_t n = INTENT_BYTES / c->limits.value_bytes, ops = bd_limits_ops(c) / 4;
+    size_t n = INTENT_BYTES / core->limits.value_bytes, ops = bd_limits_ops(core) / 4;
     n = n < ops ? n : ops;
     return n < 1 ? 1 : n > BD_ROUND_PARTS ? BD_ROUND_PARTS : (uint32_t)n;
 }
@@ -64,14 +64,14 @@
 }
 
 /* The value of one record, from the entries that fit it; *n says how many they were. */
-static json_t *intent_value(struct bd_core *c, const struct bd_intent *e, uint32_t *n)
+static json_t *intent_value(struct bd_core *core, const struct bd_intent *e, uint32_t *n)
 {
     json_t *list = json_array();
-    double room = BD_VALUE_SHARE * (double)c->limits.value_bytes;
+    double room = BD_VALUE_SHARE * (double)core->limits.value_bytes;
     uint32_t i = 0;
     while (i < *n) {
-        struct bd_machine *m = bd_machine_of(c, e[i].machine);
-        size_t head = m ? bd_group_bytes(e[i].job, m) : BD_LABEL;
+        struct bd_machine *machine = bd_machine_of(core, e[i].machine);
+        size_t head = machine ? bd_group_bytes(e[i].job, machine) : BD_LABEL;
         uint32_t k = i;
         json_t *tasks = json_array();
         room -= (double)head;
@@ -84,100 +84,106 @@
             break;
         }
         json_array_append_new(list, json_pack("[s,I,s,o]", e[i].job->id, (json_int_t)e[i].attempt,
-                                              m ? m->id : "?", tasks));
+                                              machine ? machine->id : "?", tasks));
         i = k;
     }
     *n = i;
     return json_pack("{s:o}", "e", list);
 }
 
-static void add_intents(struct bd_core *c, struct build *b)
+static void add_intents(struct bd_core *core, struct build *builder)
 {
-    struct bd_commit *k = c->commit;
+    struct bd_commit *commit = core->commit;
     struct bd_job *prev = NULL;
-    for (uint32_t i = 0; i < k->nplan; i++) {
-        if (k->plan[i].job != prev)
-            if_job(b, k->plan[i].job);
-        prev = k->plan[i].job;
+    for (uint32_t i = 0; i < commit->nplan; i++) {
+        if (commit->plan[i].job != prev)
+            if_job(builder, commit->plan[i].job);
+        prev = commit->plan[i].job;
     }
-    for (uint32_t i = 0; i < k->nplan && k->nparts < bd_round_parts(c);) {
-        struct bd_part *p = &k->parts[k->nparts++];
+    for (uint32_t i = 0; i < commit->nplan && commit->nparts < bd_round_parts(core);) {
+        struct bd_part *p = &commit->parts[commit->nparts++];
         p->from = i;
-        p->n = k->nplan - i;
-        snprintf(p->key, sizeof p->key, "i/%020llu-%08llu", (unsigned long long)c->base_term,
-                 (unsigned long long)++c->round_n);
-        bd_txn_set(&b->t, p->key, intent_value(c, k->plan + i, &p->n), 0);
-        spend(b, 1, 0, c->limits.value_bytes);
+        p->n = commit->nplan - i;
+        snprintf(p->key, sizeof p->key, "i/%020llu-%08llu", (unsigned long long)core->base_term,
+                 (unsigned long long)++core->round_n);
+        bd_txn_set(&builder->t, p->key, intent_value(core, commit->plan + i, &p->n), 0);
+        spend(builder, 1, 0, core->limits.value_bytes);
         i += p->n;
     }
 }
 
 /* What no record had room for is not started: its time comes in the next round. */
-static void unplan_rest(struct bd_core *c)
+static void unplan_rest(struct bd_core *core)
 {
-    struct bd_commit *k = c->commit;
-    uint32_t named = k->nparts ? k->parts[k->nparts - 1].from + k->parts[k->nparts - 1].n : 0;
-    for (uint32_t i = named; i < k->nplan; i++)
-        bd_task_free(c, k->plan[i].job, k->plan[i].task);
-    if (named < k->nplan)
-        bd_say(c->log, BD_ERROR, "%u starts did not fit the intent records", k->nplan - named);
-    k->nplan = named;
+    struct bd_commit *commit = core->commit;
+    uint32_t named = commit->nparts ? commit->parts[commit->nparts - 1].from +
+                                          commit->parts[commit->nparts - 1].n
+                                    : 0;
+    for (uint32_t i = named; i < commit->nplan; i++)
+        bd_task_free(core, commit->plan[i].job, commit->plan[i].task);
+    if (named < commit->nplan)
+        bd_say(core->log, BD_ERROR, "%u starts did not fit the intent records",
+               commit->nplan - named);
+    commit->nplan = named;
 }
 
 /* The job's record, on condition that it is the one that we know; `bytes` of it, at most. */
-static void add_record(struct build *b, const struct bd_job *j, json_t *record, size_t bytes)
+static void add_record(struct build *builder, const struct bd_job *job, json_t *record,
+                       size_t bytes)
 {
     char key[BD_LABEL];
-    snprintf(key, sizeof key, "j/%s", j->id);
-    if_job(b, j);
-    bd_txn_set(&b->t, key, record, 0);
-    spend(b, 1, 0, bytes);
+    snprintf(key, sizeof key, "j/%s", job->id);
+    if_job(builder, job);
+    bd_txn_set(&builder->t, key, record, 0);
+    spend(builder, 1, 0, bytes);
 }
 
-static bool add_done(struct bd_core *c, struct build *b, struct bd_job *j)
+static bool add_done(struct bd_core *core, struct build *builder, struct bd_job *job)
 {
-    struct bd_commit *k = c->commit;
-    if (k->ndone == sizeof k->done / sizeof *k->done || !room_for(b, 1, 1, 300))
+    struct bd_commit *commit = core->commit;
+    if (commit->ndone == sizeof commit->done / sizeof *commit->done ||
+        !room_for(builder, 1, 1, 300))
         return false;
-    struct bd_record r = {.state = BD_DONE, .tasks = j->ntasks, .at = j->at, .end = c->wall};
-    snprintf(r.spec.job_class, sizeof r.spec.job_class, "%s", bd_class_name(c, j->job_class));
-    add_record(b, j, bd_wire_record(&r), 200);
-    k->done[k->ndone++] = j;
+    struct bd_record r = {.state = BD_DONE, .tasks = job->ntasks, .at = job->at, .end = core->wall};
+    snprintf(r.spec.job_class, sizeof r.spec.job_class, "%s", bd_class_name(core, job->job_class));
+    add_record(builder, job, bd_wire_record(&r), 200);
+    commit->done[commit->ndone++] = job;
     return true;
 }
 
 /* The leader makes durable, as the rate allows, what follows from other jobs' cancellations. */
-static void add_cancelled(struct bd_core *c, struct build *b)
+static void add_cancelled(struct bd_core *core, struct build *builder)
 {
-    struct bd_commit *k = c->commit;
-    struct bd_job *j, *jt;
+    struct bd_commit *commit = core->commit;
+    struct bd_job *job, *jt;
     const size_t most = 1000; /* of a cancelled record */
-    if (c->nderived == 0)
+    if (core->nderived == 0)
         return;
-    HASH_ITER(hh, c->jobs, j, jt)
+    HASH_ITER(hh, core->jobs, job, jt)
     {
-        if (!j->derived || j->stale || bd_before(c->now, j->backoff_until))
+        if (!job->derived || job->stale || bd_before(core->now, job->backoff_until))
             continue;
-        if (k->ncancelled == sizeof k->cancelled / sizeof *k->cancelled || !room_for(b, 1, 1, most))
+        if (commit->ncancelled == sizeof commit->cancelled / sizeof *commit->cancelled ||
+            !room_for(builder, 1, 1, most))
             return;
-        add_record(b, j, bd_cancelled_record(j), most);
-        k->cancelled[k->ncancelled++] = j;
+        add_record(builder, job, bd_cancelled_record(job), most);
+        commit->cancelled[commit->ncancelled++] = job;
     }
 }
 
-static void receipt_bits(const struct bd_job *j, struct bd_receipt *r)
+static void receipt_bits(const struct bd_job *job, struct bd_receipt *r)
 {
     uint32_t from = r->chunk * CHUNK;
     memset(r->bits, 0, sizeof r->bits);
-    for (uint32_t i = 0; i < CHUNK && from + i < j->ntasks; i++)
-        if (j->tasks[from + i].state == BD_T_DONE)
+    for (uint32_t i = 0; i < CHUNK && from + i < job->ntasks; i++)
+        if (job->tasks[from + i].state == BD_T_DONE)
             r->bits[i / 8] |= (unsigned char)(1u << (i % 8));
 }
 
-static json_t *receipt_value(const struct bd_job *j, const struct bd_receipt *r)
+static json_t *receipt_value(const struct bd_job *job, const struct bd_receipt *r)
 {
     char text[CHUNK / 4 + 1];
-    uint32_t left = j->ntasks - r->chunk * CHUNK;
+    uint32_t left = job->ntasks - r->chunk * CHUNK;
     uint32_t n = ((left < CHUNK ? left : CHUNK) + 7) / 8;
     for (uint32_t i = 0; i < n; i++) {
         text[2 * i] = hex[r->bits[i] >> 4];
@@ -187,51 +193,52 @@
     return json_pack("{s:s}", "b", text);
 }
 
-static bool add_receipt(struct bd_core *c, struct build *b, struct bd_job *j, uint32_t chunk)
+static bool add_receipt(struct bd_core *core, struct build *builder, struct bd_job *job,
+                        uint32_t chunk)
 {
-    struct bd_commit *k = c->commit;
-    uint32_t left = j->ntasks - chunk * CHUNK;
+    struct bd_commit *commit = core->commit;
+    uint32_t left = job->ntasks - chunk * CHUNK;
     size_t bytes = (left < CHUNK ? left : CHUNK) / 4 + 16;
-    if (!room_for(b, 1, 1, bytes + 200))
+    if (!room_for(builder, 1, 1, bytes + 200))
         return false;
-    if (bytes > c->limits.value_bytes) /* fits no value any more: its done record says it */
+    if (bytes > core->limits.value_bytes) /* fits no value any more: its done record says it */
         return true;
-    struct bd_receipt *grown = realloc(k->receipts, (k->nreceipts + 1) * sizeof *grown);
+    struct bd_receipt *grown = realloc(commit->receipts, (commit->nreceipts + 1) * sizeof *grown);
     if (!grown)
         return false;
-    k->receipts = grown;
-    struct bd_receipt *r = &k->receipts[k->nreceipts++];
-    r->job = j;
+    commit->receipts = grown;
+    struct bd_receipt *r = &commit->receipts[commit->nreceipts++];
+    r->job = job;
     r->chunk = chunk;
-    receipt_bits(j, r);
+    receipt_bits(job, r);
     char key[BD_LABEL];
-    snprintf(key, sizeof key, "r/%s/%u", j->id, chunk);
-    bd_txn_set(&b->t, key, receipt_value(j, r), 0);
-    spend(b, 1, 0, bytes + 100);
+    snprintf(key, sizeof key, "r/%s/%u", job->id, chunk);
+    bd_txn_set(&builder->t, key, receipt_value(job, r), 0);
+    spend(builder, 1, 0, bytes + 100);
     return true;
 }
 
-static void add_receipts(struct bd_core *c, struct build *b)
+static void add_receipts(struct bd_core *core, struct build *builder)
 {
-    struct bd_job *j, *jt;
-    HASH_ITER(hh, c->jobs, j, jt)
+    struct bd_job *job, *jt;
+    HASH_ITER(hh, core->jobs, job, jt)
     {
-        if (!j->dirty || !j->tasks || j->state != BD_LIVE || j->stale ||
-            bd_before(c->now, j->backoff_until))
+        if (!job->dirty || !job->tasks || job->state != BD_LIVE || job->stale ||
+            bd_before(core->now, job->backoff_until))
             continue;
-        if (j->ndone == j->ntasks) {
-            if (!add_done(c, b, j))
+        if (job->ndone == job->ntasks) {
+            if (!add_done(core, builder, job))
                 return;
             continue;
         }
         bool any = false;
-        for (uint32_t ch = 0; ch * CHUNK < j->ntasks; ch++) {
-            if (!(j->dirty_chunks >> ch & 1))
+        for (uint32_t ch = 0; ch * CHUNK < job->ntasks; ch++) {
+            if (!(job->dirty_chunks >> ch & 1))
                 continue;
             if (!any)
-                if_job(b, j);
+                if_job(builder, job);
             any = true;
-            if (!add_receipt(c, b, j, ch))
+            if (!add_receipt(core, builder, job, ch))
                 return;
         }
     }
@@ -243,342 +250,346 @@
         const struct bd_intent *e = &r->e[i];
         if (!e->job->tasks)
             continue;
-        const struct bd_task *t = &e->job->tasks[e->task];
-        if (t->attempt == e->attempt && t->machine == e->machine)
+        const struct bd_task *task = &e->job->tasks[e->task];
+        if (task->attempt == e->attempt && task->machine == e->machine)
             return true;
     }
     return false;
 }
 
-static void drop_key(struct bd_core *c, struct build *b, const char *key)
+static void drop_key(struct bd_core *core, struct build *builder, const char *key)
 {
-    struct bd_commit *k = c->commit;
-    bd_txn_drop(&b->t, key);
-    spend(b, 1, 0, 80);
-    snprintf(k->dropped[k->ndropped++], BD_LABEL, "%s", key);
+    struct bd_commit *commit = core->commit;
+    bd_txn_drop(&builder->t, key);
+    spend(builder, 1, 0, 80);
+    snprintf(commit->dropped[commit->ndropped++], BD_LABEL, "%s", key);
 }
 
-static bool can_drop(const struct bd_core *c, const struct build *b)
+static bool can_drop(const struct bd_core *core, const struct build *builder)
 {
-    return c->commit->ndropped < sizeof c->commit->dropped / BD_LABEL && room_for(b, 1, 0, 80);
+    return core->commit->ndropped < sizeof core->commit->dropped / BD_LABEL &&
+           room_for(builder, 1, 0, 80);
 }
 
 /* Records that nothing needs any more. */
-static void add_drops(struct bd_core *c, struct build *b)
+static void add_drops(struct bd_core *core, struct build *builder)
 {
-    struct bd_job *j, *jt;
+    struct bd_job *job, *jt;
     char key[BD_LABEL];
-    if (*c->stale_delegate && can_drop(c, b))
-        drop_key(c, b, c->stale_delegate);
-    c->stale_delegate[0] = '\0';
-    for (uint32_t i = 0; i < c->nrounds && can_drop(c, b); i++)
-        if (!round_live(&c->rounds[i]))
-            drop_key(c, b, c->rounds[i].key);
-    HASH_ITER(hh, c->jobs, j, jt)
+    if (*core->stale_delegate && can_drop(core, builder))
+        drop_key(core, builder, core->stale_delegate);
+    core->stale_delegate[0] = '\0';
+    for (uint32_t i = 0; i < core->nrounds && can_drop(core, builder); i++)
+        if (!round_live(&core->rounds[i]))
+            drop_key(core, builder, core->rounds[i].key);
+    HASH_ITER(hh, core->jobs, job, jt)
     {
-        if (j->state == BD_CANCELLED && j->tasks && j->nlive == 0)
-            bd_job_unlead(j); /* nothing of it is anywhere any more */
-        if (j->state == BD_LIVE || !j->receipt_chunks)
+        if (job->state == BD_CANCELLED && job->tasks && job->nlive == 0)
+            bd_job_unlead(job); /* nothing of it is anywhere any more */
+        if (job->state == BD_LIVE || !job->receipt_chunks)
             continue;
-        for (uint32_t ch = 0; ch < 64 && can_drop(c, b); ch++) {
-            if (j->receipt_chunks >> ch & 1) {
-                snprintf(key, sizeof key, "r/%s/%u", j->id, ch);
-                drop_key(c, b, key);
-                j->receipt_chunks &= ~(1ull << ch);
+        for (uint32_t ch = 0; ch < 64 && can_drop(core, builder); ch++) {
+            if (job->receipt_chunks >> ch & 1) {
+                snprintf(key, sizeof key, "r/%s/%u", job->id, ch);
+                drop_key(core, builder, key);
+                job->receipt_chunks &= ~(1ull << ch);
             }
         }
     }
 }
 
-static void add_token_raise(struct bd_core *c, struct build *b)
+static void add_token_raise(struct bd_core *core, struct build *builder)
 {
-    if (!c->want_token_raise)
+    if (!core->want_token_raise)
         return;
-    c->want_token_raise = false;
-    c->commit->raises_token = true;
-    json_t *away = bd_dismissed(c);
-    bd_txn_set(
-        &b->t, "leader",
-        json_pack("{s:s,s:s,s:o}", "node", c->settings->node, "nonce", c->nonce, "away", away),
-        c->grant);
-    spend(b, 1, 0, 200);
+    core->want_token_raise = false;
+    core->commit->raises_token = true;
+    json_t *away = bd_dismissed(core);
+    bd_txn_set(&builder->t, "leader",
+               json_pack("{s:s,s:s,s:o}", "node", core->settings->node, "nonce", core->nonce,
+                         "away", away),
+               core->grant);
+    spend(builder, 1, 0, 200);
 }
 
-void bd_round_commit(struct bd_core *c)
+void bd_round_commit(struct bd_core *core)
 {
-    struct bd_commit *k = c->commit;
-    struct build b = {.most_ops = bd_limits_ops(c) - 1, .most_conds = 4 * c->limits.txn_ops - 2};
+    struct bd_commit *commit = core->commit;
+    struct build b = {.most_ops = bd_limits_ops(core) - 1,
+                      .most_conds = 4 * core->limits.txn_ops - 2};
     if (!bd_txn_start(&b.t))
         abort();
-    bd_txn_if(&b.t, "leader", c->term);
-    bd_txn_if(&b.t, "w", c->sequence_mark);
-    add_token_raise(c, &b);
-    add_intents(c, &b);
-    unplan_rest(c);
-    add_receipts(c, &b);
-    add_cancelled(c, &b);
-    if (bd_before(c->next_gc, c->now)) {
-        add_drops(c, &b);
+    bd_txn_if(&b.t, "leader", core->term);
+    bd_txn_if(&b.t, "w", core->sequence_mark);
+    add_token_raise(core, &b);
+    add_intents(core, &b);
+    unplan_rest(core);
+    add_receipts(core, &b);
+    add_cancelled(core, &b);
+    if (bd_before(core->next_gc, core->now)) {
+        add_drops(core, &b);
         /* thousands of old intents would slow the next takeover */
-        c->next_gc = bd_add(c->now, bd_secs(can_drop(c, &b) ? GC_S : GC_AGAIN_S));
+        core->next_gc = bd_add(core->now, bd_secs(can_drop(core, &b) ? GC_S : GC_AGAIN_S));
     }
     if (b.ops == 0) {
         free(bd_txn_end(&b.t));
-        bd_commit_free(k);
-        c->commit = NULL;
+        bd_commit_free(commit);
+        core->commit = NULL;
         return;
     }
-    c->sequence++;
-    bd_txn_set(&b.t, "w",
-               json_pack("{s:I,s:I}", "t", (json_int_t)c->base_term, "n", (json_int_t)c->sequence),
-               0);
-    c->write_tokens -= (double)(b.ops + 1);
-    struct bd_effect *e = bd_emit(c, BD_E_COMMIT);
-    e->body = bd_txn_end(&b.t);
-    e->token = c->sequence;
-    snprintf(e->key, sizeof e->key, "%llu", (unsigned long long)c->base_term);
+    core->sequence++;
+    bd_txn_set(
+        &b.t, "w",
+        json_pack("{s:I,s:I}", "t", (json_int_t)core->base_term, "n", (json_int_t)core->sequence),
+        0);
+    core->write_tokens -= (double)(b.ops + 1);
+    struct bd_effect *effect = bd_emit(core, BD_E_COMMIT);
+    effect->body = bd_txn_end(&b.t);
+    effect->token = core->sequence;
+    snprintf(effect->key, sizeof effect->key, "%llu", (unsigned long long)core->base_term);
 }
 
 /* ---- outcome ---- */
 
-static void keep_round(struct bd_core *c, const char *key, struct bd_intent *e, uint32_t n)
+static void keep_round(struct bd_core *core, const char *key, struct bd_intent *e, uint32_t n)
 {
-    if (c->nrounds == c->cap_rounds) {
-        uint32_t cap = c->cap_rounds ? c->cap_rounds * 2 : 64;
-        struct bd_round *r = realloc(c->rounds, cap * sizeof *r);
+    if (core->nrounds == core->cap_rounds) {
+        uint32_t cap = core->cap_rounds ? core->cap_rounds * 2 : 64;
+        struct bd_round *r = realloc(core->rounds, cap * sizeof *r);
         if (!r)
             abort();
-        c->rounds = r;
-        c->cap_rounds = cap;
+        core->rounds = r;
+        core->cap_rounds = cap;
     }
-    struct bd_round *r = &c->rounds[c->nrounds++];
+    struct bd_round *r = &core->rounds[core->nrounds++];
     memset(r, 0, sizeof *r);
     snprintf(r->key, sizeof r->key, "%s", key);
     r->e = e;
     r->n = n;
 }
 
-static void launch_planned(struct bd_core *c, struct bd_commit *k)
+static void launch_planned(struct bd_core *core, struct bd_commit *commit)
 {
-    for (uint32_t i = 0; i < k->nplan; i++) {
-        struct bd_intent *e = &k->plan[i];
-        struct bd_task *t = e->job->tasks ? &e->job->tasks[e->task] : NULL;
-        if (!t || t->state != BD_T_PLAN || t->attempt != e->attempt)
+    for (uint32_t i = 0; i < commit->nplan; i++) {
+        struct bd_intent *e = &commit->plan[i];
+        struct bd_task *task = e->job->tasks ? &e->job->tasks[e->task] : NULL;
+        if (!task || task->state != BD_T_PLAN || task->attempt != e->attempt)
             continue;
-        struct bd_machine *m = bd_machine_of(c, t->machine);
-        if (e->job->state != BD_LIVE || bd_cancel_heard(c, e->job) || !m || m->gone ||
-            m->returning) {
-            bd_task_free(c, e->job, e->task);
+        struct bd_machine *machine = bd_machine_of(core, task->machine);
+        if (e->job->state != BD_LIVE || bd_cancel_heard(core, e->job) || !machine ||
+            machine->gone || machine->returning) {
+            bd_task_free(core, e->job, e->task);
             continue;
         }
-        bd_task_set(c, e->job, e->task, BD_T_LAUNCH);
+        bd_task_set(core, e->job, e->task, BD_T_LAUNCH);
         if (!e->job->started)
-            bd_metrics_time(c->metrics, BD_TIMING_START, c->wall - e->job->ready);
+            bd_metrics_time(core->metrics, BD_TIMING_START, core->wall - e->job->ready);
         e->job->started = true;
-        bd_remember_image(c, m, &e->job->spec, false);
+        bd_remember_image(core, machine, &e->job->spec, false);
     }
-    for (uint32_t i = 0; i < k->nplan; i++) {
-        struct bd_machine *m = bd_machine_of(c, k->plan[i].machine);
-        if (m)
-            bd_orders_send(c, m);
+    for (uint32_t i = 0; i < commit->nplan; i++) {
+        struct bd_machine *machine = bd_machine_of(core, commit->plan[i].machine);
+        if (machine)
+            bd_orders_send(core, machine);
     }
-    for (uint32_t i = 0; i < k->nparts; i++) {
-        const struct bd_part *p = &k->parts[i];
+    for (uint32_t i = 0; i < commit->nparts; i++) {
+        const struct bd_part *p = &commit->parts[i];
         struct bd_intent *e = malloc((p->n + 1) * sizeof *e);
         if (!e)
             abort();
-        memcpy(e, k->plan + p->from, p->n * sizeof *e);
-        keep_round(c, p->key, e, p->n);
+        memcpy(e, commit->plan + p->from, p->n * sizeof *e);
+        keep_round(core, p->key, e, p->n);
     }
 }
 
 static void receipt_kept(struct bd_receipt *r)
 {
-    struct bd_job *j = r->job;
-    if (!j->tasks)
+    struct bd_job *job = r->job;
+    if (!job->tasks)
         return;
-    j->receipt_chunks |= 1ull << r->chunk;
+    job->receipt_chunks |= 1ull << r->chunk;
     uint32_t from = r->chunk * CHUNK;
     bool all = true;
-    for (uint32_t i = 0; i < CHUNK && from + i < j->ntasks; i++) {
-        struct bd_task *t = &j->tasks[from + i];
+    for (uint32_t i = 0; i < CHUNK && from + i < job->ntasks; i++) {
+        struct bd_task *task = &job->tasks[from + i];
         if (r->bits[i / 8] >> (i % 8) & 1)
-            t->flags |= BD_F_RECEIPT;
-        else if (t->state == BD_T_DONE)
+            task->flags |= BD_F_RECEIPT;
+        else if (task->state == BD_T_DONE)
             all = false;
     }
     if (all)
-        j->dirty_chunks &= ~(1u << r->chunk);
-    j->dirty = j->dirty_chunks != 0;
+        job->dirty_chunks &= ~(1u << r->chunk);
+    job->dirty = job->dirty_chunks != 0;
 }
 
-static void forget_rounds(struct bd_core *c, const struct bd_commit *k)
+static void forget_rounds(struct bd_core *core, const struct bd_commit *commit)
 {
-    for (uint32_t d = 0; d < k->ndropped; d++) {
-        for (uint32_t i = 0; i < c->nrounds; i++) {
-            if (strcmp(c->rounds[i].key, k->dropped[d]) == 0) {
-                free(c->rounds[i].e);
-                c->rounds[i] = c->rounds[--c->nrounds];
+    for (uint32_t d = 0; d < commit->ndropped; d++) {
+        for (uint32_t i = 0; i < core->nrounds; i++) {
+            if (strcmp(core->rounds[i].key, commit->dropped[d]) == 0) {
+                free(core->rounds[i].e);
+                core->rounds[i] = core->rounds[--core->nrounds];
                 break;
             }
         }
     }
 }
 
-static void done_kept(struct bd_core *c, struct bd_job *j, uint64_t ring)
+static void done_kept(struct bd_core *core, struct bd_job *job, uint64_t ring)
 {
-    double age = c->wall - j->at;
+    double age = core->wall - job->at;
     bd_say(
-        c->log, BD_INFO,
+        core->log, BD_INFO,
         "%s is done: %u tasks, rank %d, guess %.0f s; last placed after %.1f s, last begun after "
         "%.1f s, done after %.1f s, %u places lost",
-        j->id, j->ntasks, (int)j->spec.rank, j->spec.estimate,
-        age - bd_between(j->last_placed, c->now), age - bd_between(j->last_begun, c->now), age,
-        j->restarts);
-    j->mark = ring;
-    j->state = BD_DONE;
-    j->end = c->wall;
-    bd_job_unlead(j);
-    json_decref(j->record_spec);
-    j->record_spec = NULL;
-    bd_deps_settled(c, j); /* now, and not before, what waits for it may start */
-}
-
-static void kept(struct bd_core *c, struct bd_commit *k, uint64_t ring)
-{
-    c->sequence_mark = ring;
-    if (k->raises_token) {
-        c->term = ring;
-        c->last_token_raise = c->now;
-        c->fenced_attempt = (c->base_term << 20) + c->counter;
-        c->withheld = 0;
-    }
-    for (uint32_t i = 0; i < k->nreceipts; i++)
-        receipt_kept(&k->receipts[i]);
-    forget_rounds(c, k);
-    if (k->nplan)
-        launch_planned(c, k);
-    for (uint32_t i = 0; i < k->ndone; i++)
-        done_kept(c, k->done[i], ring);
-    for (uint32_t i = 0; i < k->ncancelled; i++) {
-        k->cancelled[i]->mark = ring;
-        bd_deps_written(c, k->cancelled[i]);
-    }
-}
-
-static void refused(struct bd_core *c, struct bd_commit *k, json_t *failed)
+        job->id, job->ntasks, (int)job->spec.rank, job->spec.estimate,
+        age - bd_between(job->last_placed, core->now), age - bd_between(job->last_begun, core->now),
+        age, job->restarts);
+    job->mark = ring;
+    job->state = BD_DONE;
+    job->end = core->wall;
+    bd_job_unlead(job);
+    json_decref(job->record_spec);
+    job->record_spec = NULL;
+    bd_deps_settled(core, job); /* now, and not before, what waits for it may start */
+}
+
+static void kept(struct bd_core *core, struct bd_commit *commit, uint64_t ring)
+{
+    core->sequence_mark = ring;
+    if (commit->raises_token) {
+        core->term = ring;
+        core->last_token_raise = core->now;
+        core->fenced_attempt = (core->base_term << 20) + core->counter;
+        core->withheld = 0;
+    }
+    for (uint32_t i = 0; i < commit->nreceipts; i++)
+        receipt_kept(&commit->receipts[i]);
+    forget_rounds(core, commit);
+    if (commit->nplan)
+        launch_planned(core, commit);
+    for (uint32_t i = 0; i < commit->ndone; i++)
+        done_kept(core, commit->done[i], ring);
+    for (uint32_t i = 0; i < commit->ncancelled; i++) {
+        commit->cancelled[i]->mark = ring;
+        bd_deps_written(core, commit->cancelled[i]);
+    }
+}
+
+static void refused(struct bd_core *core, struct bd_commit *commit, json_t *failed)
 {
     json_t *v;
     size_t i;
     json_array_foreach(failed, i, v)
     {
         const char *key = json_string_value(v);
-        struct bd_job *j = key && strncmp(key, "j/", 2) == 0 ? bd_job_find(c, key + 2) : NULL;
-        if (j)
-            j->stale = true; /* the change itself comes with the next look */
+        struct bd_job *job = key && strncmp(key, "j/", 2) == 0 ? bd_job_find(core, key + 2) : NULL;
+        if (job)
+            job->stale = true; /* the change itself comes with the next look */
     }
-    for (uint32_t n = 0; n < k->nplan; n++) {
-        struct bd_intent *e = &k->plan[n];
+    for (uint32_t n = 0; n < commit->nplan; n++) {
+        struct bd_intent *e = &commit->plan[n];
         if (e->job->tasks && e->job->tasks[e->task].state == BD_T_PLAN &&
             e->job->tasks[e->task].attempt == e->attempt)
-            bd_task_free(c, e->job, e->task);
+            bd_task_free(core, e->job, e->task);
     }
-    c->want_token_raise = c->want_token_raise || k->raises_token;
+    core->want_token_raise = core->want_token_raise || commit->raises_token;
     /* the same number is never used for another content */
 }
 
 /* Called malformed: nothing was applied. All of it is decided anew, in smaller pieces. */
-static void too_large(struct bd_core *c, struct bd_commit *k)
+static void too_large(struct bd_core *core, struct bd_commit *commit)
 {
-    if (bd_limits_refused(c, "a round's transaction"))
+    if (bd_limits_refused(core, "a round's transaction"))
         return;
-    for (uint32_t i = 0; i < k->nplan; i++)
-        bd_limits_back_off(c, k->plan[i].job);
-    for (uint32_t i = 0; i < k->nreceipts; i++)
-        bd_limits_back_off(c, k->receipts[i].job);
-    for (uint32_t i = 0; i < k->ndone; i++)
-        bd_limits_back_off(c, k->done[i]);
-    for (uint32_t i = 0; i < k->ncancelled; i++)
-        bd_limits_back_off(c, k->cancelled[i]);
+    for (uint32_t i = 0; i < commit->nplan; i++)
+        bd_limits_back_off(core, commit->plan[i].job);
+    for (uint32_t i = 0; i < commit->nreceipts; i++)
+        bd_limits_back_off(core, commit->receipts[i].job);
+    for (uint32_t i = 0; i < commit->ndone; i++)
+        bd_limits_back_off(core, commit->done[i]);
+    for (uint32_t i = 0; i < commit->ncancelled; i++)
+        bd_limits_back_off(core, commit->cancelled[i]);
 }
 
-void bd_core_committed(struct bd_core *c, int outcome, uint64_t ring, json_t *failed)
+void bd_core_committed(struct bd_core *core, int outcome, uint64_t ring, json_t *failed)
 {
-    struct bd_commit *k = c->commit;
-    if (!k || c->role != BD_LEADER)
+    struct bd_commit *commit = core->commit;
+    if (!commit || core->role != BD_LEADER)
         return;
     if (outcome < 0) {
-        bd_core_lost(c);
+        bd_core_lost(core);
         return;
     }
-    c->commit = NULL;
+    core->commit = NULL;
     if (outcome == 2)
-        too_large(c, k);
+        too_large(core, commit);
     if (outcome == 1)
-        kept(c, k, ring);
+        kept(core, commit, ring);
     else
-        refused(c, k, failed);
-    bd_commit_free(k);
-    c->round_wanted = true;
+        refused(core, commit, failed);
+    bd_commit_free(commit);
+    core->round_wanted = true;
 }
 
 /* ---- recovery ---- */
 
-static void load_receipt(struct bd_core *c, const char *key, json_t *value)
+static void load_receipt(struct bd_core *core, const char *key, json_t *value)
 {
     char id[BD_ID];
     uint32_t chunk = 0;
     if (strncmp(key, "r/", 2) != 0 || !bd_wire_task_name(key + 2, id, &chunk))
         return;
-    struct bd_job *j = bd_job_find(c, id);
+    struct bd_job *job = bd_job_find(core, id);
     const char *text = json_string_value(json_object_get(value, "b"));
-    if (!j || !text || chunk >= 64)
+    if (!job || !text || chunk >= 64)
         return;
-    j->receipt_chunks |= 1ull << chunk;
-    if (!j->tasks)
+    job->receipt_chunks |= 1ull << chunk;
+    if (!job->tasks)
         return;
     for (uint32_t i = 0; text[i]; i++) {
         const char *p = strchr(hex, text[i]);
         for (uint32_t bit = 0; p && bit < 4; bit++) {
             uint32_t task = chunk * CHUNK + (i / 2) * 8 + (i % 2 ? bit : bit + 4);
-            if (!((p - hex) >> bit & 1) || task >= j->ntasks)
+            if (!((p - hex) >> bit & 1) || task >= job->ntasks)
                 continue;
-            if (j->tasks[task].state != BD_T_DONE)
-                bd_task_set(c, j, task, BD_T_DONE);
-            j->tasks[task].flags |= BD_F_RECEIPT;
+            if (job->tasks[task].state != BD_T_DONE)
+                bd_task_set(core, job, task, BD_T_DONE);
+            job->tasks[task].flags |= BD_F_RECEIPT;
         }
     }
-    if (j->ndone == j->ntasks)
-        j->dirty = true;
+    if (job->ndone == job->ntasks)
+        job->dirty = true;
 }
 
-static void load_group(struct bd_core *c, json_t *g, struct bd_intent **e, uint32_t *n)
+static void load_group(struct bd_core *core, json_t *g, struct bd_intent **e, uint32_t *n)
 {
-    struct bd_job *j = bd_job_find(
-        c, json_string_value(json_array_get(g, 0)) ? json_string_value(json_array_get(g, 0)) : "");
+    struct bd_job *job = bd_job_find(core, json_string_value(json_array_get(g, 0))
+                                               ? json_string_value(json_array_get(g, 0))
+                                               : "");
     uint64_t attempt = (uint64_t)json_integer_value(json_array_get(g, 1));
     const char *machine = json_string_value(json_array_get(g, 2));
     json_t *tasks = json_array_get(g, 3), *v;
     size_t i;
-    if (!j || !j->tasks || !machine)
+    if (!job || !job->tasks || !machine)
         return;
     struct bd_intent *grown = realloc(*e, (*n + json_array_size(tasks) + 1) * sizeof *grown);
     if (!grown)
         abort();
     *e = grown;
-    struct bd_machine *m = bd_machine_get(c, machine);
+    struct bd_machine *m = bd_machine_get(core, machine);
     json_array_foreach(tasks, i, v)
     {
         uint32_t task = (uint32_t)json_integer_value(v);
-        if (task >= j->ntasks)
+        if (task >= job->ntasks)
             continue;
-        (*e)[(*n)++] = (struct bd_intent){j, task, m->index, attempt};
-        if (attempt > j->tasks[task].attempt)
-            j->tasks[task].attempt = attempt;
+        (*e)[(*n)++] = (struct bd_intent){job, task, m->index, attempt};
+        if (attempt > job->tasks[task].attempt)
+            job->tasks[task].attempt = attempt;
     }
 }
 
-static void load_intents(struct bd_core *c, json_t *pairs)
+static void load_intents(struct bd_core *core, json_t *pairs)
 {
     struct bd_change ch;
     json_t *v, *g;
@@ -591,208 +602,210 @@
             continue;
         json_array_foreach(json_object_get(ch.value, "e"), k, g)
         {
-            load_group(c, g, &e, &n);
+            load_group(core, g, &e, &n);
         }
-        keep_round(c, ch.key, e, n);
+        keep_round(core, ch.key, e, n);
     }
 }
 
 /* Only the newest intent of a task counts: it was written after all earlier ones were excluded. */
-static void classify(struct bd_core *c)
+static void classify(struct bd_core *core)
 {
     uint32_t unknown = 0;
-    for (uint32_t r = 0; r < c->nrounds; r++) {
-        for (uint32_t k = 0; k < c->rounds[r].n; k++) {
-            struct bd_intent *e = &c->rounds[r].e[k];
-            struct bd_task *t = &e->job->tasks[e->task];
-            struct bd_machine *m = bd_machine_of(c, e->machine);
-            if (t->state != BD_T_WAIT || t->attempt != e->attempt || !m)
+    for (uint32_t r = 0; r < core->nrounds; r++) {
+        for (uint32_t k = 0; k < core->rounds[r].n; k++) {
+            struct bd_intent *e = &core->rounds[r].e[k];
+            struct bd_task *task = &e->job->tasks[e->task];
+            struct bd_machine *machine = bd_machine_of(core, e->machine);
+            if (task->state != BD_T_WAIT || task->attempt != e->attempt || !machine)
                 continue;
-            bd_task_assign(c, e->job, e->task, m, e->attempt, BD_T_UNKNOWN);
-            t->flags |= BD_F_SENT;
+            bd_task_assign(core, e->job, e->task, machine, e->attempt, BD_T_UNKNOWN);
+            task->flags |= BD_F_SENT;
             if (e->job->state != BD_LIVE)
-                t->flags |= BD_F_STOP | BD_F_FORCE;
+                task->flags |= BD_F_STOP | BD_F_FORCE;
             unknown++;
         }
     }
-    bd_say(c->log, BD_INFO, "term %llu: %u intent records, %u tasks to be accounted for",
-           (unsigned long long)c->base_term, c->nrounds, unknown);
+    bd_say(core->log, BD_INFO, "term %llu: %u intent records, %u tasks to be accounted for",
+           (unsigned long long)core->base_term, core->nrounds, unknown);
 }
 
-void bd_core_gained(struct bd_core *c, const struct bd_gain *g)
+void bd_core_gained(struct bd_core *core, const struct bd_gain *g)
 {
-    struct bd_job *j, *jt;
+    struct bd_job *job, *jt;
     struct bd_change ch;
     json_t *v;
     size_t i;
-    c->role = BD_LEADER;
-    c->base_term = c->term = g->term;
-    c->grant = g->grant;
-    c->counter = 0;
-    c->fenced_attempt = g->term << 20; /* earlier terms' launches carried lower seals */
-    c->withheld = 0;
-    c->round_n = 0;
-    c->request_n = 0;
-    c->sequence_mark = g->sequence_mark;
-    c->sequence = g->sequence;
-    c->listed_once = false;
-    snprintf(c->nonce, sizeof c->nonce, "%s", g->nonce);
-    bd_core_leader_is(c, c->settings->node, g->term, g->renewed, false);
-    bd_delegate_end(c);
-    c->delegates_read = c->now;
+    core->role = BD_LEADER;
+    core->base_term = core->term = g->term;
+    core->grant = g->grant;
+    core->counter = 0;
+    core->fenced_attempt = g->term << 20; /* earlier terms' launches carried lower seals */
+    core->withheld = 0;
+    core->round_n = 0;
+    core->request_n = 0;
+    core->sequence_mark = g->sequence_mark;
+    core->sequence = g->sequence;
+    core->listed_once = false;
+    snprintf(core->nonce, sizeof core->nonce, "%s", g->nonce);
+    bd_core_leader_is(core, core->settings->node, g->term, g->renewed, false);
+    bd_delegate_end(core);
+    core->delegates_read = core->now;
     /* an earlier leader in its grace, or a deputy of one, may have answered until then */
-    double rest = bd_grace_s(c->settings) - bd_to_secs(c->settings->leader_ttl);
+    double rest = bd_grace_s(core->settings) - bd_to_secs(core->settings->leader_ttl);
     rest = rest > DELEGATE_FRESH_S ? rest : DELEGATE_FRESH_S;
-    c->others_lapse = bd_lease_end(c, bd_add(c->now, bd_secs(rest)));
-    HASH_ITER(hh, c->jobs, j, jt)
+    core->others_lapse = bd_lease_end(core, bd_add(core->now, bd_secs(rest)));
+    HASH_ITER(hh, core->jobs, job, jt)
     {
-        j->receipt_chunks = 0;
+        job->receipt_chunks = 0;
         /* withdrawn jobs too: what still runs of them counts and must be stopped */
-        if (j->state != BD_DONE && !bd_job_lead(c, j))
-            bd_say(c->log, BD_ERROR, "%s: no memory for its tasks", j->id);
+        if (job->state != BD_DONE && !bd_job_lead(core, job))
+            bd_say(core->log, BD_ERROR, "%s: no memory for its tasks", job->id);
     }
     json_array_foreach(g->receipts, i, v)
     {
         if (bd_wire_change(v, &ch))
-            load_receipt(c, ch.key, ch.value);
+            load_receipt(core, ch.key, ch.value);
     }
-    load_intents(c, g->intents);
-    classify(c);
-    c->valid_until = c->renewed = g->renewed;
-    bd_core_renewed(c, g->grant, g->renewed);
-    c->round_wanted = true;
+    load_intents(core, g->intents);
+    classify(core);
+    core->valid_until = core->renewed = g->renewed;
+    bd_core_renewed(core, g->grant, g->renewed);
+    core->round_wanted = true;
 }
 
 /* ---- time ---- */
 
-static void lapses(struct bd_core *c)
+static void lapses(struct bd_core *core)
 {
     struct timespec until[BD_MAX_ZONES];
-    bd_standby_zones(c, until);
-    for (uint32_t i = 0; i < c->nmachines; i++) {
-        struct bd_machine *m = c->by_index[i];
-        if (m->gone || m->nrefs == 0)
+    bd_standby_zones(core, until);
+    for (uint32_t i = 0; i < core->nmachines; i++) {
+        struct bd_machine *machine = core->by_index[i];
+        if (machine->gone || machine->nrefs == 0)
             continue;
-        struct timespec answered = bd_standby_until(c, m, until);
+        struct timespec answered = bd_standby_until(core, machine, until);
         if (!bd_is_zero(answered)) /* a controller of its cut zone may have answered it */
-            m->lapse_at = bd_max(m->lapse_at, bd_lease_end(c, answered));
-        if (bd_before(c->now, m->lapse_at))
+            machine->lapse_at = bd_max(machine->lapse_at, bd_lease_end(core, answered));
+        if (bd_before(core->now, machine->lapse_at))
             continue;
         /* a deputy may have answered it: a look begun after the lease's end must not show it */
-        if (m->delegated || bd_before(c->delegates_read, m->lapse_at))
+        if (machine->delegated || bd_before(core->delegates_read, machine->lapse_at))
             continue;
-        bd_say(c->log, BD_INFO, "%s: lease over, %u tasks lost", m->id, m->nrefs);
-        m->lapsed_session = m->session;
-        m->fenced = false;
-        bd_machine_lapse(c, m);
-        m->lapse_at = bd_add(c->now, bd_secs(1.0)); /* plans that stayed, if any */
+        bd_say(core->log, BD_INFO, "%s: lease over, %u tasks lost", machine->id, machine->nrefs);
+        machine->lapsed_session = machine->session;
+        machine->fenced = false;
+        bd_machine_lapse(core, machine);
+        machine->lapse_at = bd_add(core->now, bd_secs(1.0)); /* plans that stayed, if any */
     }
 }
 
-static void late_launches(struct bd_core *c)
+static void late_launches(struct bd_core *core)
 {
-    for (uint32_t i = 0; i < c->nmachines && !c->want_token_raise; i++) {
-        struct bd_machine *m = c->by_index[i];
-        if (!m->late_token || m->late_token < c->term || m->gone ||
-            bd_between(m->do_since, c->now) < TOKEN_RAISE_AFTER_S ||
-            bd_between(m->heard, c->now) > 2 * bd_to_secs(c->settings->report))
+    for (uint32_t i = 0; i < core->nmachines && !core->want_token_raise; i++) {
+        struct bd_machine *machine = core->by_index[i];
+        if (!machine->late_token || machine->late_token < core->term || machine->gone ||
+            bd_between(machine->do_since, core->now) < TOKEN_RAISE_AFTER_S ||
+            bd_between(machine->heard, core->now) > 2 * bd_to_secs(core->settings->report))
             continue;
-        for (uint32_t k = 0; k < m->nrefs; k++)
-            if (m->refs[k].job->tasks[m->refs[k].task].flags & BD_F_DO)
-                c->want_token_raise = bd_between(c->last_token_raise, c->now) > TOKEN_RAISE_EVERY_S;
+        for (uint32_t k = 0; k < machine->nrefs; k++)
+            if (machine->refs[k].job->tasks[machine->refs[k].task].flags & BD_F_DO)
+                core->want_token_raise =
+                    bd_between(core->last_token_raise, core->now) > TOKEN_RAISE_EVERY_S;
     }
 }
 
-static void forgets_due(struct bd_core *c)
+static void forgets_due(struct bd_core *core)
 {
-    if (c->withheld && (bd_between(c->withheld_at, c->now) > FORGET_RAISE_S ||
-                        (c->withheld > WITHHELD_MOST &&
-                         bd_between(c->last_token_raise, c->now) > TOKEN_RAISE_EVERY_S)))
-        c->want_token_raise = true;
+    if (core->withheld && (bd_between(core->withheld_at, core->now) > FORGET_RAISE_S ||
+                           (core->withheld > WITHHELD_MOST &&
+                            bd_between(core->last_token_raise, core->now) > TOKEN_RAISE_EVERY_S)))
+        core->want_token_raise = true;
 }
 
-static void tokens(struct bd_core *c)
+static void tokens(struct bd_core *core)
 {
-    double rate = c->limits.write_rps * WRITE_SHARE;
-    bd_limits_tick(c);
-    c->write_tokens += rate * bd_between(c->token_at, c->now);
-    if (c->write_tokens > rate)
-        c->write_tokens = rate;
-    c->token_at = c->now;
+    double rate = core->limits.write_rps * WRITE_SHARE;
+    bd_limits_tick(core);
+    core->write_tokens += rate * bd_between(core->token_at, core->now);
+    if (core->write_tokens > rate)
+        core->write_tokens = rate;
+    core->token_at = core->now;
 }
 
 /* A round looks at each machine for each waiting job: with many of both, rounds are rarer, so that
  * they leave most of the processor to everything else. */
-static double round_s(const struct bd_core *c)
+static double round_s(const struct bd_core *core)
 {
     double jobs = 0;
-    for (const struct bd_job *j = c->jobs; j; j = j->hh.next)
-        jobs += j->state == BD_LIVE && j->nwait > 0 && !bd_job_waits(j);
-    double s =
-        c->settings->cpu > 0 ? jobs * c->nmachines * REFRESH_S / c->settings->cpu / ROUND_SHARE : 0;
+    for (const struct bd_job *job = core->jobs; job; job = job->hh.next)
+        jobs += job->state == BD_LIVE && job->nwait > 0 && !bd_job_waits(job);
+    double s = core->settings->cpu > 0
+                   ? jobs * core->nmachines * REFRESH_S / core->settings->cpu / ROUND_SHARE
+                   : 0;
     return s < ROUND_S ? ROUND_S : s > ROUND_MOST_S ? ROUND_MOST_S : s;
 }
 
-static void round_now(struct bd_core *c)
+static void round_now(struct bd_core *core)
 {
-    if (c->commit || bd_before(c->now, c->next_round) || c->write_tokens < 2)
+    if (core->commit || bd_before(core->now, core->next_round) || core->write_tokens < 2)
         return;
-    if (!c->round_wanted && !c->want_token_raise && c->nderived == 0 &&
-        bd_before(c->now, c->next_gc))
+    if (!core->round_wanted && !core->want_token_raise && core->nderived == 0 &&
+        bd_before(core->now, core->next_gc))
         return;
-    c->round_wanted = false;
-    c->next_round = bd_add(c->now, bd_secs(round_s(c)));
-    c->commit = calloc(1, sizeof *c->commit);
-    if (!c->commit)
+    core->round_wanted = false;
+    core->next_round = bd_add(core->now, bd_secs(round_s(core)));
+    core->commit = calloc(1, sizeof *core->commit);
+    if (!core->commit)
         abort();
-    if (!c->want_token_raise)
-        bd_round_place(c);
-    bd_round_commit(c);
+    if (!core->want_token_raise)
+        bd_round_place(core);
+    bd_round_commit(core);
 }
 
-void bd_core_tick(struct bd_core *c)
+void bd_core_tick(struct bd_core *core)
 {
-    if (bd_before(c->next_evict, c->now)) {
-        c->next_evict = bd_add(c->now, bd_secs(EVICT_S));
-        bd_core_evict(c);
+    if (bd_before(core->next_evict, core->now)) {
+        core->next_evict = bd_add(core->now, bd_secs(EVICT_S));
+        bd_core_evict(core);
     }
-    if (!c->barrier_out && c->waiting) {
-        c->asked = c->waiting;
-        c->waiting = NULL;
-        c->barrier_out = true;
-        (void)bd_emit(c, BD_E_BARRIER);
+    if (!core->barrier_out && core->waiting) {
+        core->asked = core->waiting;
+        core->waiting = NULL;
+        core->barrier_out = true;
+        (void)bd_emit(core, BD_E_BARRIER);
     }
-    bd_core_yield(c);
-    bd_deps_tick(c);
-    bd_forward_tick(c);
-    if (c->role != BD_LEADER) {
-        bd_delegate_tick(c);
+    bd_core_yield(core);
+    bd_deps_tick(core);
+    bd_forward_tick(core);
+    if (core->role != BD_LEADER) {
+        bd_delegate_tick(core);
         return;
     }
-    if (bd_before(c->next_tick, c->now)) {
-        c->next_tick = bd_add(c->now, bd_secs(0.25));
-        bd_forward_listen(c);
-        lapses(c);
-        late_launches(c);
-        forgets_due(c);
-        bd_find_outbound_cut(c);
-        bd_core_give_up_if_blind(c);
+    if (bd_before(core->next_tick, core->now)) {
+        core->next_tick = bd_add(core->now, bd_secs(0.25));
+        bd_forward_listen(core);
+        lapses(core);
+        late_launches(core);
+        forgets_due(core);
+        bd_find_outbound_cut(core);
+        bd_core_give_up_if_blind(core);
     }
-    if (!bd_core_valid(c))
+    if (!bd_core_valid(core))
         return;
-    tokens(c);
-    if (c->types_known && bd_before(c->next_fleet, c->now)) {
-        c->next_fleet = bd_add(c->now, bd_secs(1.0));
-        bd_autoscaler_tick(c);
-        c->round_wanted = true; /* pauses run out without an event */
+    tokens(core);
+    if (core->types_known && bd_before(core->next_fleet, core->now)) {
+        core->next_fleet = bd_add(core->now, bd_secs(1.0));
+        bd_autoscaler_tick(core);
+        core->round_wanted = true; /* pauses run out without an event */
     }
-    round_now(c);
+    round_now(core);
 }
 
-struct timespec bd_core_next(const struct bd_core *c)
+struct timespec bd_core_next(const struct bd_core *core)
 {
-    double s = c->forwards || c->delegate.nserved || c->delegate.asking ? 0.2 : 1.0;
-    if (c->role == BD_LEADER)
-        s = c->round_wanted && !c->commit ? ROUND_S : 0.25;
-    return bd_add(c->now, bd_secs(s));
+    double s = core->forwards || core->delegate.nserved || core->delegate.asking ? 0.2 : 1.0;
+    if (core->role == BD_LEADER)
+        s = core->round_wanted && !core->commit ? ROUND_S : 0.25;
+    return bd_add(core->now, bd_secs(s));
 }
--- a/src/settings.c
+++ b/src/settings.c
@@ -76,7 +76,7 @@
     return v;
 }
 
-static void peers(struct reader *r, json_t *root, struct bd_settings *s)
+static void peers(struct reader *r, json_t *root, struct bd_settings *settings)
 {
     json_t *a = list(r, root, "others", BD_MAX_PEERS), *o;
     size_t i;
@@ -84,14 +84,14 @@
         return;
     json_array_foreach(a, i, o)
     {
-        text(r, o, "node_name", s->peers[i].name);
-        text(r, o, "location", s->peers[i].zone);
-        text(r, o, "addr", s->peers[i].addr);
-        s->npeers = (int)i + 1;
+        text(r, o, "node_name", settings->peers[i].name);
+        text(r, o, "location", settings->peers[i].zone);
+        text(r, o, "addr", settings->peers[i].addr);
+        settings->npeers = (int)i + 1;
     }
 }
 
-static void teams(struct reader *r, json_t *facts, struct bd_settings *s)
+static void teams(struct reader *r, json_t *facts, struct bd_settings *settings)
 {
     json_t *a = list(r, facts, "teams", BD_MAX_TEAMS), *o;
     size_t i;
@@ -99,13 +99,13 @@
         return;
     json_array_foreach(a, i, o)
     {
-        struct bd_team_limits *t = &s->teams[i];
+        struct bd_team_limits *t = &settings->teams[i];
         text(r, o, "name", t->name);
         t->cpus = number(r, o, "cpus", 0);
         t->cpus_max = number(r, o, "cpus_max", 0);
         t->gpus = number(r, o, "gpus", 0);
         t->gpus_max = number(r, o, "gpus_max", 0);
-        s->nteams = (int)i + 1;
+        settings->nteams = (int)i + 1;
     }
 }
 
@@ -121,7 +121,7 @@
 }
 
 /* Aims only steer; one that cannot be read is passed over, never a fault. */
-static void aims(struct reader *r, json_t *facts, struct bd_settings *s)
+static void aims(struct reader *r, json_t *facts, struct bd_settings *settings)
 {
     json_t *a = json_object_get(facts, "objectives"), *o;
     size_t i;
@@ -129,9 +129,9 @@
         fault(r, "objectives", "has too many entries");
     json_array_foreach(a, i, o)
     {
-        if (s->naims == BD_MAX_AIMS)
+        if (settings->naims == BD_MAX_AIMS)
             return;
-        struct bd_aim *m = &s->aims[s->naims++];
+        struct bd_aim *m = &settings->aims[settings->naims++];
         const char *job_class = json_string_value(json_object_get(o, "class"));
         m->kind = aim_kind(json_string_value(json_object_get(o, "kind")));
         if (job_class)
@@ -141,7 +141,7 @@
     }
 }
 
-static void zones(struct reader *r, json_t *facts, struct bd_settings *s)
+static void zones(struct reader *r, json_t *facts, struct bd_settings *settings)
 {
     json_t *a = list(r, facts, "zones", BD_MAX_ZONES), *o;
     size_t i;
@@ -153,8 +153,8 @@
         if (!z || strlen(z) >= BD_NAME)
             fault(r, "zones", "needs short texts");
         else
-            strcpy(s->zones[i], z);
-        s->nzones = (int)i + 1;
+            strcpy(settings->zones[i], z);
+        settings->nzones = (int)i + 1;
     }
 }
 
@@ -172,34 +172,34 @@
     return v && !json_is_null(v) ? fmin(now, number(r, next, key, min)) : now;
 }
 
-static void facts_in(struct reader *r, json_t *f, struct bd_settings *s)
+static void facts_in(struct reader *r, json_t *f, struct bd_settings *settings)
 {
-    s->nodes = (int)number(r, f, "count", 1);
-    zones(r, f, s);
-    teams(r, f, s);
-    aims(r, f, s);
+    settings->nodes = (int)number(r, f, "count", 1);
+    zones(r, f, settings);
+    teams(r, f, settings);
+    aims(r, f, settings);
     json_t *w = object(r, f, "workers");
-    s->report = span(r, w, "report_s", 0.01);
-    s->lease = span(r, w, "lease_s", 0.1);
-    s->gang_wait = span(r, w, "gang_wait_s", 0);
-    s->gang_peer = span(r, w, "gang_peer_s", 0);
-    s->cancel = span(r, w, "cancel_s", 0.1);
+    settings->report = span(r, w, "report_s", 0.01);
+    settings->lease = span(r, w, "lease_s", 0.1);
+    settings->gang_wait = span(r, w, "gang_wait_s", 0);
+    settings->gang_peer = span(r, w, "gang_peer_s", 0);
+    settings->cancel = span(r, w, "cancel_s", 0.1);
     /* a lease renewed just before the withdrawal is known would outlive it */
-    if (bd_to_secs(s->cancel) < bd_to_secs(s->lease) + CANCEL_ROOM_S)
+    if (bd_to_secs(settings->cancel) < bd_to_secs(settings->lease) + CANCEL_ROOM_S)
         fault(r, "cancel_s", "must be at least a second longer than lease_s");
     json_t *st = object(r, f, "state");
-    s->state_rps = limit(r, st, "rps", 1);
-    s->state_write_rps = limit(r, st, "write_rps", 1);
-    s->value_bytes = (size_t)(limit(r, st, "value_kb", 1) * 1024);
-    s->txn_ops = (size_t)limit(r, st, "txn_ops", 2);
+    settings->state_rps = limit(r, st, "rps", 1);
+    settings->state_write_rps = limit(r, st, "write_rps", 1);
+    settings->value_bytes = (size_t)(limit(r, st, "value_kb", 1) * 1024);
+    settings->txn_ops = (size_t)limit(r, st, "txn_ops", 2);
     json_t *c = object(r, f, "cloud");
-    s->cloud_rps = number(r, c, "rps", 0.01);
-    s->list_lag = span(r, c, "list_lag_s", 0);
+    settings->cloud_rps = number(r, c, "rps", 0.01);
+    settings->list_lag = span(r, c, "list_lag_s", 0);
     json_t *l = object(r, f, "limits");
-    s->cpu = number(r, l, "cpu", CPU_LEAST);
-    s->ram_mb = number(r, l, "ram_mb", RAM_MB_LEAST);
-    s->max_sockets = (int)number(r, l, "max_sockets", SOCKETS_LEAST);
-    s->clock_error = bd_secs(number(r, f, "clock_error_ms", 0) / 1000.0);
+    settings->cpu = number(r, l, "cpu", CPU_LEAST);
+    settings->ram_mb = number(r, l, "ram_mb", RAM_MB_LEAST);
+    settings->max_sockets = (int)number(r, l, "max_sockets", SOCKETS_LEAST);
+    settings->clock_error = bd_secs(number(r, f, "clock_error_ms", 0) / 1000.0);
 }
 
 int bd_settings_load(struct bd_settings *s, const char *path, char *err, size_t errlen)
@@ -245,7 +245,7 @@
     return buf;
 }
 
-static void operator_field(struct reader *r, struct bd_settings *s, const char *name,
+static void operator_field(struct reader *r, struct bd_settings *settings, const char *name,
                            const char *value)
 {
     char *end = NULL;
@@ -253,17 +253,17 @@
     if (end == value || *end || !isfinite(d) || d < 0)
         fault(r, name, "needs a number of at least 0");
     else if (strcmp(name, "leader-ttl-s") == 0)
-        s->leader_ttl = bd_secs(d);
+        settings->leader_ttl = bd_secs(d);
     else if (strcmp(name, "spare-share") == 0)
-        s->spare_share = d;
+        settings->spare_share = d;
     else if (strcmp(name, "idle-boots") == 0)
-        s->idle_boots = d;
+        settings->idle_boots = d;
     else
         fault(r, name, "unknown field");
 }
 
 /* Each (name value) pair may stand at the top or inside one (brambledoor ...) list. */
-static void operator_pairs(struct reader *r, struct bd_settings *s, sexp_t *e)
+static void operator_pairs(struct reader *r, struct bd_settings *settings, sexp_t *e)
 {
     for (; e && !r->bad; e = e->next) {
         if (e->ty != SEXP_LIST || !e->list || e->list->ty != SEXP_VALUE) {
@@ -272,15 +272,15 @@
         }
         sexp_t *v = e->list->next;
         if (strcmp(e->list->val, "brambledoor") == 0)
-            operator_pairs(r, s, v);
+            operator_pairs(r, settings, v);
         else if (!v || v->ty != SEXP_VALUE || v->next)
             fault(r, e->list->val, "needs the form (name value)");
         else
-            operator_field(r, s, e->list->val, v->val);
+            operator_field(r, settings, e->list->val, v->val);
     }
 }
 
-int bd_settings_operator(struct bd_settings *s, const char *path, char *err, size_t errlen)
+int bd_settings_operator(struct bd_settings *settings, const char *path, char *err, size_t errlen)
 {
     struct reader r = {path, err, errlen, false};
     char *body = slurp(path);
@@ -296,7 +296,7 @@
         if (!e)
             fault(&r, "file", "is not a well-formed S-expression");
         else
-            operator_pairs(&r, s, e->list);
+            operator_pairs(&r, settings, e->list);
         if (e)
             destroy_sexp(e);
         sexp_cleanup();
--- a/src/standby.c
+++ b/src/standby.c
@@ -19,121 +19,122 @@
 #define FRAME_FRESH_S 2.0 /* what another says of itself holds so long */
 #define CLOCKS_S 0.3      /* for the leader's reckoning, beside the clocks' error */
 
-static double clocks(const struct bd_core *c)
+static double clocks(const struct bd_core *core)
 {
-    return 2 * bd_to_secs(c->settings->clock_error) + CLOCKS_S;
+    return 2 * bd_to_secs(core->settings->clock_error) + CLOCKS_S;
 }
 
-void bd_core_liveness_written(struct bd_core *c, struct timespec sent)
+void bd_core_liveness_written(struct bd_core *core, struct timespec sent)
 {
-    c->confirmed = bd_max(c->confirmed, sent);
+    core->confirmed = bd_max(core->confirmed, sent);
 }
 
-void bd_core_liveness_sent(struct bd_core *c, struct timespec sent)
+void bd_core_liveness_sent(struct bd_core *core, struct timespec sent)
 {
-    c->liveness_sent = bd_max(c->liveness_sent, sent);
+    core->liveness_sent = bd_max(core->liveness_sent, sent);
 }
 
-bool bd_core_cut(const struct bd_core *c)
+bool bd_core_cut(const struct bd_core *core)
 {
     /* a record that was written while its answer was lost shows the leader that we are in touch: he
      * would count with no answers of ours */
-    return c->role == BD_FOLLOWER &&
-           bd_between(bd_max(c->confirmed, c->liveness_sent), c->now) > STANDBY_AFTER_S;
+    return core->role == BD_FOLLOWER &&
+           bd_between(bd_max(core->confirmed, core->liveness_sent), core->now) > STANDBY_AFTER_S;
 }
 
 /* Whether a controller of our zone is cut off as we are; one that is alone in its zone asks nobody.
  */
-static bool zone_agrees(const struct bd_core *c)
+static bool zone_agrees(const struct bd_core *core)
 {
     bool alone = true;
-    double late = FRAME_FRESH_S + 2 * bd_to_secs(c->settings->clock_error);
-    for (int i = 0; i < c->settings->npeers; i++) {
-        if (!bd_peer_near(c, i))
+    double late = FRAME_FRESH_S + 2 * bd_to_secs(core->settings->clock_error);
+    for (int i = 0; i < core->settings->npeers; i++) {
+        if (!bd_peer_near(core, i))
             continue;
         alone = false;
-        if (c->peers[i].flags & BD_PEER_CUT && bd_peer_heard(c, i, FRAME_FRESH_S) &&
-            c->wall - c->peers[i].said_at < late)
+        if (core->peers[i].flags & BD_PEER_CUT && bd_peer_heard(core, i, FRAME_FRESH_S) &&
+            core->wall - core->peers[i].said_at < late)
             return true;
     }
     return alone;
 }
 
-static bool zone_of_ours(const struct bd_core *c, const struct bd_report *r)
+static bool zone_of_ours(const struct bd_core *core, const struct bd_report *report)
 {
-    return strcmp(r->zone, c->settings->zone) == 0;
+    return strcmp(report->zone, core->settings->zone) == 0;
 }
 
 /* The grace, from the last sign of the state service. */
-static bool in_time(const struct bd_core *c)
+static bool in_time(const struct bd_core *core)
 {
-    return bd_may_renew(c) && bd_in_grace(c, c->confirmed);
+    return bd_may_renew(core) && bd_in_grace(core, core->confirmed);
 }
 
-bool bd_standby_answers(const struct bd_core *c, const struct bd_report *r)
+bool bd_standby_answers(const struct bd_core *core, const struct bd_report *report)
 {
-    return c->last_term && c->replica_ready && bd_core_cut(c) && !bd_core_hears_leader(c) &&
-           in_time(c) && zone_of_ours(c, r) && zone_agrees(c);
+    return core->last_term && core->replica_ready && bd_core_cut(core) &&
+           !bd_core_hears_leader(core) && in_time(core) && zone_of_ours(core, report) &&
+           zone_agrees(core);
 }
 
 /* Whether it is worth while to let a worker wait: the cut may just have begun. */
-bool bd_standby_near(const struct bd_core *c, const struct bd_report *r)
+bool bd_standby_near(const struct bd_core *core, const struct bd_report *report)
 {
-    return c->role == BD_FOLLOWER && c->last_term && in_time(c) && zone_of_ours(c, r) &&
-           !bd_core_hears_leader(c) &&
-           bd_between(c->confirmed, c->now) < STANDBY_AFTER_S + FRAME_FRESH_S;
+    return core->role == BD_FOLLOWER && core->last_term && in_time(core) &&
+           zone_of_ours(core, report) && !bd_core_hears_leader(core) &&
+           bd_between(core->confirmed, core->now) < STANDBY_AFTER_S + FRAME_FRESH_S;
 }
 
 /* ---- the leader's view ---- */
 
-void bd_standby_record(struct bd_core *c, const char *node, double at)
+void bd_standby_record(struct bd_core *core, const char *node, double at)
 {
-    for (int i = 0; i < c->settings->npeers; i++)
-        if (strcmp(c->settings->peers[i].name, node) == 0 && at > c->peers[i].contact)
-            c->peers[i].contact = at;
+    for (int i = 0; i < core->settings->npeers; i++)
+        if (strcmp(core->settings->peers[i].name, node) == 0 && at > core->peers[i].contact)
+            core->peers[i].contact = at;
 }
 
 /* Seconds from now until the controller can answer nobody any more, standing by; below 0: it does
  * not stand by, or not any more. One without a record may have had one that we have not seen. */
-static double answers_for(struct bd_core *c, int peer)
+static double answers_for(struct bd_core *core, int peer)
 {
-    double age = c->wall - c->peers[peer].contact;
-    if (age > STANDBY_AFTER_S - clocks(c))
-        c->peers[peer].suspect_until = bd_add(c->now, bd_secs(STICKY_S));
-    if (!bd_before(c->now, c->peers[peer].suspect_until))
+    double age = core->wall - core->peers[peer].contact;
+    if (age > STANDBY_AFTER_S - clocks(core))
+        core->peers[peer].suspect_until = bd_add(core->now, bd_secs(STICKY_S));
+    if (!bd_before(core->now, core->peers[peer].suspect_until))
         return -1;
-    return bd_grace_s(c->settings) - age + clocks(c);
+    return bd_grace_s(core->settings) - age + clocks(core);
 }
 
 /* As leader, before leases are looked at: for each zone until when workers there may have been
  * answered by controllers that stand by; zero: they are not. */
-void bd_standby_zones(struct bd_core *c, struct timespec *until)
+void bd_standby_zones(struct bd_core *core, struct timespec *until)
 {
-    for (int z = 0; z < c->nzones; z++) {
+    for (int z = 0; z < core->nzones; z++) {
         int here = 0, suspects = 0;
         double longest = -1;
-        for (int i = 0; i < c->settings->npeers; i++) {
-            if (strcmp(c->settings->peers[i].zone, c->zones[z]) != 0)
+        for (int i = 0; i < core->settings->npeers; i++) {
+            if (strcmp(core->settings->peers[i].zone, core->zones[z]) != 0)
                 continue;
-            double s = answers_for(c, i);
+            double s = answers_for(core, i);
             here++;
-            suspects += bd_before(c->now, c->peers[i].suspect_until);
+            suspects += bd_before(core->now, core->peers[i].suspect_until);
             longest = s > longest ? s : longest;
         }
-        here += strcmp(c->settings->zone, c->zones[z]) == 0;
+        here += strcmp(core->settings->zone, core->zones[z]) == 0;
         bool may = suspects >= 2 || (here == 1 && suspects == 1);
-        until[z] = may && longest > 0 ? c->now : (struct timespec){0, 0};
+        until[z] = may && longest > 0 ? core->now : (struct timespec){0, 0};
     }
 }
 
 /* Until when the machine may have been answered; one whose zone is not known may be in any. */
-struct timespec bd_standby_until(const struct bd_core *c, const struct bd_machine *m,
+struct timespec bd_standby_until(const struct bd_core *core, const struct bd_machine *machine,
                                  const struct timespec *until)
 {
     struct timespec last = {0, 0};
-    if (m->zone >= 0)
-        return until[m->zone];
-    for (int z = 0; z < c->nzones; z++)
+    if (machine->zone >= 0)
+        return until[machine->zone];
+    for (int z = 0; z < core->nzones; z++)
         last = bd_max(last, until[z]);
     return last;
 }
--- a/src/store.c
+++ b/src/store.c
@@ -19,13 +19,13 @@
 #define DELEGATES_S 0.7 /* a leader's looks at the deputies' records */
 #define BUSY_TRIES 3    /* 429s in a row: then the transaction is decided anew */
 
-long bd_state_call(struct bd_node *n, struct bd_http *h, const char *method, const char *path,
+long bd_state_call(struct bd_node *node, struct bd_http *http, const char *method, const char *path,
                    const char *body, double timeout_s, json_t **out)
 {
     char url[640];
     struct bd_reply r;
-    snprintf(url, sizeof url, "http://%s%s", n->settings.state, path);
-    bd_http_call(h, method, url, body, timeout_s, &r);
+    snprintf(url, sizeof url, "http://%s%s", node->settings.state, path);
+    bd_http_call(http, method, url, body, timeout_s, &r);
     long status = r.status;
     *out = r.body ? json_loadb(r.body, r.len, 0, NULL) : NULL;
     if (status == 200 && !*out && strcmp(method, "DELETE") != 0)
@@ -35,8 +35,8 @@
 }
 
 /* One page of a prefix after a key; NULL: failed. `after` moves on. */
-static json_t *list_page(struct bd_node *n, struct bd_http *h, const char *prefix, char *after,
-                         size_t cap, bool *more)
+static json_t *list_page(struct bd_node *node, struct bd_http *http, const char *prefix,
+                         char *after, size_t cap, bool *more)
 {
     char path[512];
     json_t *page = NULL;
@@ -45,7 +45,7 @@
         snprintf(path, sizeof path, "/kv?starts=%s&after=%s&limit=1000", prefix, after);
     else
         snprintf(path, sizeof path, "/kv?starts=%s&limit=1000", prefix);
-    if (bd_state_call(n, h, "GET", path, NULL, ANSWER_S, &page) != 200) {
+    if (bd_state_call(node, http, "GET", path, NULL, ANSWER_S, &page) != 200) {
         json_decref(page);
         return NULL;
     }
@@ -58,13 +58,13 @@
 }
 
 /* All pairs of a prefix, for lists that fit the memory. NULL: failed. */
-json_t *bd_state_list(struct bd_node *n, struct bd_http *h, const char *prefix)
+json_t *bd_state_list(struct bd_node *node, struct bd_http *http, const char *prefix)
 {
     json_t *all = json_array();
     char after[256] = "";
     bool more = true;
     while (more) {
-        json_t *page = list_page(n, h, prefix, after, sizeof after, &more);
+        json_t *page = list_page(node, http, prefix, after, sizeof after, &more);
         if (!page) {
             json_decref(all);
             return NULL;
@@ -79,7 +79,7 @@
 /* ---- looking ---- */
 
 /* Job records are many: page by page, the owner taking in each before the next is read. */
-static void relist(struct bd_node *n, struct bd_http *h)
+static void relist(struct bd_node *node, struct bd_http *http)
 {
     uint64_t ring = 0;
     struct timespec sent = bd_now();
@@ -87,75 +87,75 @@
     bool more = true;
     while (more) {
         bool ignored;
-        json_t *page = list_page(n, h, "j/", after, sizeof after, &more);
+        json_t *page = list_page(node, http, "j/", after, sizeof after, &more);
         if (!page) {
             bd_pause(PAUSE_S);
             return;
         }
         if (ring == 0)
             ring = bd_wire_ring(page);
-        struct bd_cmd *cmd = bd_cmd_new(BD_C_RELISTED);
-        cmd->json = json_incref(bd_wire_pairs(page, &ignored));
+        struct bd_cmd *command = bd_cmd_new(BD_C_RELISTED);
+        command->json = json_incref(bd_wire_pairs(page, &ignored));
         json_decref(page);
-        cmd->ring = ring;
-        cmd->sent = sent;
-        cmd->flag = !more;
-        atomic_store(&n->page_out, true);
-        bd_tell(n, cmd);
-        while (atomic_load(&n->page_out))
+        command->ring = ring;
+        command->sent = sent;
+        command->flag = !more;
+        atomic_store(&node->page_out, true);
+        bd_tell(node, command);
+        while (atomic_load(&node->page_out))
             bd_pause(0.005);
     }
 }
 
 /* One look; true if the list must be read anew. */
-static bool refresh(struct bd_node *n, struct bd_http *h, uint64_t *after, bool barrier)
+static bool refresh(struct bd_node *node, struct bd_http *http, uint64_t *after, bool barrier)
 {
     char path[96];
     json_t *o = NULL;
     snprintf(path, sizeof path, "/follow?starts=j/&after=%llu&waitMs=0",
              (unsigned long long)*after);
-    struct bd_cmd *cmd = bd_cmd_new(BD_C_FOLLOWED);
-    cmd->sent = bd_now();
-    long status = bd_state_call(n, h, "GET", path, NULL, ANSWER_S, &o);
-    cmd->flag = barrier;
-    cmd->outcome = status == 200;
-    cmd->after = *after;
-    cmd->json = o;
+    struct bd_cmd *command = bd_cmd_new(BD_C_FOLLOWED);
+    command->sent = bd_now();
+    long status = bd_state_call(node, http, "GET", path, NULL, ANSWER_S, &o);
+    command->flag = barrier;
+    command->outcome = status == 200;
+    command->after = *after;
+    command->json = o;
     bool news = barrier || status != 200;
-    atomic_store(&n->reads_refused, status != 200 && status != 410);
+    atomic_store(&node->reads_refused, status != 200 && status != 410);
     if (status == 200) {
-        cmd->ring = bd_wire_ring(o);
+        command->ring = bd_wire_ring(o);
         news = news || json_array_size(bd_wire_log(o)) > 0;
-        if (cmd->ring > *after)
-            *after = cmd->ring;
+        if (command->ring > *after)
+            *after = command->ring;
     }
     if (news)
-        bd_tell(n, cmd);
+        bd_tell(node, command);
     else
-        bd_tell_quietly(n, cmd); /* it holds the time at which it was sent */
+        bd_tell_quietly(node, command); /* it holds the time at which it was sent */
     if (status != 200 && status != 410)
         bd_pause(PAUSE_S);
     return status == 410;
 }
 
-static void read_delegates(struct bd_node *n, struct bd_http *h)
+static void read_delegates(struct bd_node *node, struct bd_http *http)
 {
-    struct bd_cmd *cmd = bd_cmd_new(BD_C_DELEGATES);
-    cmd->sent = bd_now();
-    cmd->json = bd_state_list(n, h, "p/");
-    if (cmd->json)
-        bd_tell(n, cmd);
+    struct bd_cmd *command = bd_cmd_new(BD_C_DELEGATES);
+    command->sent = bd_now();
+    command->json = bd_state_list(node, http, "p/");
+    if (command->json)
+        bd_tell(node, command);
     else
-        bd_cmd_free(cmd);
+        bd_cmd_free(command);
 }
 
 /* Until the next look is due, or polls wait for one; one wake-up where that is enough. */
-static void wait_to_read(struct bd_node *n)
+static void wait_to_read(struct bd_node *node)
 {
     void *woken;
     struct timespec earliest = bd_add(bd_now(), bd_secs(REFRESH_LEAST_S));
-    if (!atomic_load(&n->want_barrier))
-        (void)bd_queue_take(&n->reader_wake, &woken, 1, bd_add(earliest, bd_secs(REFRESH_S)));
+    if (!atomic_load(&node->want_barrier))
+        (void)bd_queue_take(&node->reader_wake, &woken, 1, bd_add(earliest, bd_secs(REFRESH_S)));
     double early = bd_between(bd_now(), earliest);
     if (early > 0)
         bd_pause(early);
@@ -163,26 +163,26 @@
 
 static void *reader(void *arg)
 {
-    struct bd_node *n = arg;
-    struct bd_http *h = bd_http_new(1, bd_metrics_counter(n->metrics, BD_TRAFFIC_FOLLOW));
+    struct bd_node *node = arg;
+    struct bd_http *http = bd_http_new(1, bd_metrics_counter(node->metrics, BD_TRAFFIC_FOLLOW));
     uint64_t after = 0;
     bool again = true;
     struct timespec next = bd_now();
-    while (h) {
+    while (http) {
         if (again) {
-            relist(n, h);
+            relist(node, http);
             bd_pause(0.02); /* until the owner has said how new it is */
-            after = atomic_load(&n->ring);
+            after = atomic_load(&node->ring);
             again = after == 0;
             continue;
         }
-        bool barrier = atomic_exchange(&n->want_barrier, false);
-        again = refresh(n, h, &after, barrier);
-        if (atomic_load(&n->leading) && bd_before(next, bd_now())) {
+        bool barrier = atomic_exchange(&node->want_barrier, false);
+        again = refresh(node, http, &after, barrier);
+        if (atomic_load(&node->leading) && bd_before(next, bd_now())) {
             next = bd_add(bd_now(), bd_secs(DELEGATES_S));
-            read_delegates(n, h);
+            read_delegates(node, http);
         }
-        wait_to_read(n);
+        wait_to_read(node);
     }
     return NULL;
 }
@@ -190,22 +190,22 @@
 /* ---- the leader's transactions ---- */
 
 /* Whether the witness shows the transaction: 1 yes, 0 no, -1 not known. */
-static int sequence_shows(struct bd_node *n, struct bd_http *h, const struct bd_effect *e,
-                          uint64_t *ring)
+static int sequence_shows(struct bd_node *node, struct bd_http *http,
+                          const struct bd_effect *effect, uint64_t *ring)
 {
     json_t *o = NULL;
     struct bd_change ch;
     uint64_t grant;
     int found = -1;
-    long status = bd_state_call(n, h, "GET", "/kv/w", NULL, ANSWER_S, &o);
+    long status = bd_state_call(node, http, "GET", "/kv/w", NULL, ANSWER_S, &o);
     if (status == 404)
         found = 0;
     if (status == 200 && bd_wire_pair(o, &ch, &grant)) {
         char term[32];
         snprintf(term, sizeof term, "%lld",
                  (long long)json_integer_value(json_object_get(ch.value, "t")));
-        found = strcmp(term, e->key) == 0 &&
-                (uint64_t)json_integer_value(json_object_get(ch.value, "n")) == e->token;
+        found = strcmp(term, effect->key) == 0 &&
+                (uint64_t)json_integer_value(json_object_get(ch.value, "n")) == effect->token;
         *ring = ch.mark;
     }
     json_decref(o);
@@ -227,46 +227,48 @@
 
 /* Repeats one and the same transaction until its fate is known: it can apply once only, since it
  * is conditional on the witness and changes it. */
-static void settle(struct bd_node *n, struct bd_http *h, struct bd_effect *e, struct bd_cmd *cmd)
+static void settle(struct bd_node *node, struct bd_http *http, struct bd_effect *effect,
+                   struct bd_cmd *command)
 {
     const int open = 3;
     bool unsure = false; /* a copy without an answer may have been applied */
     int busy = 0;
-    cmd->outcome = open;
-    while (cmd->outcome == open) {
+    command->outcome = open;
+    while (command->outcome == open) {
         json_t *o = NULL;
-        long status = bd_state_call(n, h, "POST", "/commit", e->body, ANSWER_S, &o);
+        long status = bd_state_call(node, http, "POST", "/commit", effect->body, ANSWER_S, &o);
         if (status == 200) {
-            cmd->outcome = 1;
-            cmd->ring = bd_wire_ring(o);
+            command->outcome = 1;
+            command->ring = bd_wire_ring(o);
         } else if (status == 409) {
             json_t *failed = bd_wire_failed(o);
-            int w = names(failed, "w") ? sequence_shows(n, h, e, &cmd->ring) : 0;
+            int w = names(failed, "w") ? sequence_shows(node, http, effect, &command->ring) : 0;
             if (w == 1)
-                cmd->outcome = 1;
+                command->outcome = 1;
             else if (w == 0)
-                cmd->outcome = names(failed, "w") || names(failed, "leader") ? -1 : 0;
-            json_decref(cmd->json);
-            cmd->json = json_incref(o);
+                command->outcome = names(failed, "w") || names(failed, "leader") ? -1 : 0;
+            json_decref(command->json);
+            command->json = json_incref(o);
         } else if (status == 400 && bd_wire_no_grant(o)) {
-            bd_say(&n->log, BD_ERROR, "transaction without grant");
-            cmd->outcome = -1;
+            bd_say(&node->log, BD_ERROR, "transaction without grant");
+            command->outcome = -1;
         } else if (status == 400) {
             /* not applied now, perhaps beyond a limit that was lowered; but an earlier copy may be
              */
-            int w = unsure ? sequence_shows(n, h, e, &cmd->ring) : 0;
-            cmd->outcome = w == 1 ? 1 : w == 0 ? 2 : open;
-        } else if (!atomic_load(&n->leading)) {
-            cmd->outcome = -1;
+            int w = unsure ? sequence_shows(node, http, effect, &command->ring) : 0;
+            command->outcome = w == 1 ? 1 : w == 0 ? 2 : open;
+        } else if (!atomic_load(&node->leading)) {
+            command->outcome = -1;
         } else {
             unsure = unsure || (status != 429 && status != 503);
             busy = status == 429 ? busy + 1 : 0;
             if (status == 429)
-                bd_tell(n, bd_cmd_new(BD_C_BUSY));
+                bd_tell(node, bd_cmd_new(BD_C_BUSY));
             bd_pause(PAUSE_S);
             /* one larger than a second's changes would be refused for ever */
-            if (busy >= BUSY_TRIES && (!unsure || sequence_shows(n, h, e, &cmd->ring) == 0))
-                cmd->outcome = 0;
+            if (busy >= BUSY_TRIES &&
+                (!unsure || sequence_shows(node, http, effect, &command->ring) == 0))
+                command->outcome = 0;
         }
         json_decref(o);
     }
@@ -274,106 +276,106 @@
 
 static void *committer(void *arg)
 {
-    struct bd_node *n = arg;
-    struct bd_http *h = bd_http_new(1, bd_metrics_counter(n->metrics, BD_TRAFFIC_COMMIT));
-    while (h) {
+    struct bd_node *node = arg;
+    struct bd_http *http = bd_http_new(1, bd_metrics_counter(node->metrics, BD_TRAFFIC_COMMIT));
+    while (http) {
         void *item;
-        if (bd_queue_take(&n->to_commit, &item, 1, bd_add(bd_now(), bd_secs(5))) == 0)
+        if (bd_queue_take(&node->to_commit, &item, 1, bd_add(bd_now(), bd_secs(5))) == 0)
             continue;
-        struct bd_effect *e = item;
-        struct bd_cmd *cmd = bd_cmd_new(BD_C_COMMITTED);
-        cmd->number = e->token;
-        cmd->term = strtoull(e->key, NULL, 10);
-        settle(n, h, e, cmd);
-        bd_tell(n, cmd);
-        bd_effect_free(e);
+        struct bd_effect *effect = item;
+        struct bd_cmd *command = bd_cmd_new(BD_C_COMMITTED);
+        command->number = effect->token;
+        command->term = strtoull(effect->key, NULL, 10);
+        settle(node, http, effect, command);
+        bd_tell(node, command);
+        bd_effect_free(effect);
     }
     return NULL;
 }
 
 /* ---- users' transactions ---- */
 
-static void commit_delegate(struct bd_node *n, struct bd_http *h, struct bd_effect *e)
+static void commit_delegate(struct bd_node *node, struct bd_http *http, struct bd_effect *effect)
 {
-    struct bd_cmd *cmd = bd_cmd_new(BD_C_DELEGATE_COMMITTED);
+    struct bd_cmd *command = bd_cmd_new(BD_C_DELEGATE_COMMITTED);
     json_t *o = NULL;
     struct bd_change ch;
     uint64_t grant;
     char path[128];
-    cmd->sent = bd_now();
-    if (e->body) {
-        cmd->status = bd_state_call(n, h, "POST", "/commit", e->body, ANSWER_S, &o);
-        cmd->ring = bd_wire_ring(o);
-        cmd->flag = cmd->status == 200;
+    command->sent = bd_now();
+    if (effect->body) {
+        command->status = bd_state_call(node, http, "POST", "/commit", effect->body, ANSWER_S, &o);
+        command->ring = bd_wire_ring(o);
+        command->flag = command->status == 200;
     } else { /* only the record's mark is asked for */
-        snprintf(path, sizeof path, "/kv/%s", e->key);
-        long status = bd_state_call(n, h, "GET", path, NULL, ANSWER_S, &o);
-        cmd->flag = status == 404 || (status == 200 && bd_wire_pair(o, &ch, &grant));
-        cmd->ring = status == 200 && cmd->flag ? ch.mark : 0;
+        snprintf(path, sizeof path, "/kv/%s", effect->key);
+        long status = bd_state_call(node, http, "GET", path, NULL, ANSWER_S, &o);
+        command->flag = status == 404 || (status == 200 && bd_wire_pair(o, &ch, &grant));
+        command->ring = status == 200 && command->flag ? ch.mark : 0;
     }
     json_decref(o);
-    bd_tell(n, cmd);
+    bd_tell(node, command);
 }
 
-static void commit_user(struct bd_node *n, struct bd_http *h, struct bd_effect *e)
+static void commit_user(struct bd_node *node, struct bd_http *http, struct bd_effect *effect)
 {
-    struct bd_cmd *cmd = bd_cmd_new(BD_C_USER_COMMITTED);
+    struct bd_cmd *command = bd_cmd_new(BD_C_USER_COMMITTED);
     json_t *o = NULL;
     /* a transaction a line: what a record needs before the record itself */
-    char *rest = NULL, *copy = strdup(e->body);
-    cmd->status = copy ? 200 : 0;
-    for (char *line = copy ? strtok_r(copy, "\n", &rest) : NULL; line && cmd->status == 200;
+    char *rest = NULL, *copy = strdup(effect->body);
+    command->status = copy ? 200 : 0;
+    for (char *line = copy ? strtok_r(copy, "\n", &rest) : NULL; line && command->status == 200;
          line = strtok_r(NULL, "\n", &rest)) {
         json_decref(o);
-        cmd->status = bd_state_call(n, h, "POST", "/commit", line, USER_ANSWER_S, &o);
-        cmd->ring = bd_wire_ring(o);
+        command->status = bd_state_call(node, http, "POST", "/commit", line, USER_ANSWER_S, &o);
+        command->ring = bd_wire_ring(o);
     }
     free(copy);
-    cmd->request = e->request;
-    cmd->outcome = e->status;
-    cmd->text = e->body;
-    e->body = NULL;
-    snprintf(cmd->name, sizeof cmd->name, "%s", e->key);
+    command->request = effect->request;
+    command->outcome = effect->status;
+    command->text = effect->body;
+    effect->body = NULL;
+    snprintf(command->name, sizeof command->name, "%s", effect->key);
     json_decref(o);
-    bd_tell(n, cmd);
+    bd_tell(node, command);
 }
 
-static void look_up(struct bd_node *n, struct bd_http *h, struct bd_effect *e)
+static void look_up(struct bd_node *node, struct bd_http *http, struct bd_effect *effect)
 {
-    struct bd_cmd *cmd = bd_cmd_new(BD_C_LOOKED_UP);
+    struct bd_cmd *command = bd_cmd_new(BD_C_LOOKED_UP);
     char path[128];
-    snprintf(path, sizeof path, "/kv/j/%s", e->key);
-    cmd->status = bd_state_call(n, h, "GET", path, NULL, ANSWER_S, &cmd->json);
-    cmd->request = e->request;
-    cmd->outcome = e->status;
-    snprintf(cmd->name, sizeof cmd->name, "%s", e->key);
-    bd_tell(n, cmd);
+    snprintf(path, sizeof path, "/kv/j/%s", effect->key);
+    command->status = bd_state_call(node, http, "GET", path, NULL, ANSWER_S, &command->json);
+    command->request = effect->request;
+    command->outcome = effect->status;
+    snprintf(command->name, sizeof command->name, "%s", effect->key);
+    bd_tell(node, command);
 }
 
 static void *user_committer(void *arg)
 {
-    struct bd_node *n = arg;
-    struct bd_http *h = bd_http_new(1, bd_metrics_counter(n->metrics, BD_TRAFFIC_USER));
-    while (h) {
+    struct bd_node *node = arg;
+    struct bd_http *http = bd_http_new(1, bd_metrics_counter(node->metrics, BD_TRAFFIC_USER));
+    while (http) {
         void *item;
-        if (bd_queue_take(&n->to_users, &item, 1, bd_add(bd_now(), bd_secs(5))) == 0)
+        if (bd_queue_take(&node->to_users, &item, 1, bd_add(bd_now(), bd_secs(5))) == 0)
             continue;
-        struct bd_effect *e = item;
-        if (e->kind == BD_E_DELEGATE)
-            commit_delegate(n, h, e);
-        else if (e->kind == BD_E_LOOKUP)
-            look_up(n, h, e);
+        struct bd_effect *effect = item;
+        if (effect->kind == BD_E_DELEGATE)
+            commit_delegate(node, http, effect);
+        else if (effect->kind == BD_E_LOOKUP)
+            look_up(node, http, effect);
         else
-            commit_user(n, h, e);
-        bd_effect_free(e);
+            commit_user(node, http, effect);
+        bd_effect_free(effect);
     }
     return NULL;
 }
 
-int bd_state_client_start(struct bd_node *n)
+int bd_state_client_start(struct bd_node *node)
 {
-    int rc = bd_thread(reader, n, 131072) | bd_thread(committer, n, 131072);
+    int rc = bd_thread(reader, node, 131072) | bd_thread(committer, node, 131072);
     for (int i = 0; i < USER_THREADS; i++)
-        rc |= bd_thread(user_committer, n, 131072);
+        rc |= bd_thread(user_committer, node, 131072);
     return rc;
 }
--- a/src/wire.c
+++ b/src/wire.c
@@ -246,22 +246,22 @@
     return o;
 }
 
-json_t *bd_wire_record(const struct bd_record *r)
-{
-    json_t *o =
-        json_pack("{s:s,s:i,s:f}", "s", state_names[r->state], "n", (int)r->tasks, "at", r->at);
-    if (o && r->has_spec)
-        json_object_set_new(o, "job", bd_wire_spec(&r->spec));
-    else if (o && *r->spec.job_class) /* a finished job's class still tells how many come */
-        json_object_set_new(o, "k", json_string(r->spec.job_class));
-    if (o && r->prerequisites.parts)
-        json_object_set_new(
-            o, "parts",
-            json_pack("{s:s,s:i}", "of", r->prerequisites.of, "n", (int)r->prerequisites.parts));
-    else if (o && r->prerequisites.names)
-        json_object_set(o, "awaits", r->prerequisites.names);
-    if (o && r->end > 0)
-        json_object_set_new(o, "end", json_real(r->end));
+json_t *bd_wire_record(const struct bd_record *record)
+{
+    json_t *o = json_pack("{s:s,s:i,s:f}", "s", state_names[record->state], "n", (int)record->tasks,
+                          "at", record->at);
+    if (o && record->has_spec)
+        json_object_set_new(o, "job", bd_wire_spec(&record->spec));
+    else if (o && *record->spec.job_class) /* a finished job's class still tells how many come */
+        json_object_set_new(o, "k", json_string(record->spec.job_class));
+    if (o && record->prerequisites.parts)
+        json_object_set_new(o, "parts",
+                            json_pack("{s:s,s:i}", "of", record->prerequisites.of, "n",
+                                      (int)record->prerequisites.parts));
+    else if (o && record->prerequisites.names)
+        json_object_set(o, "awaits", record->prerequisites.names);
+    if (o && record->end > 0)
+        json_object_set_new(o, "end", json_real(record->end));
     return o;
 }
 
@@ -385,11 +385,11 @@
     return out->len > 0 && out->len <= digits_most && (*p != '0' || out->len == 1) && whole;
 }
 
-void bd_wire_report_drop(struct bd_report *r)
+void bd_wire_report_drop(struct bd_report *report)
 {
-    free(r->tasks);
-    r->tasks = NULL;
-    r->n = 0;
+    free(report->tasks);
+    report->tasks = NULL;
+    report->n = 0;
 }
 
 char *bd_wire_orders(uint64_t token, uint64_t session, const struct bd_order *o, size_t n)
@@ -539,37 +539,37 @@
     return strdup(buf);
 }
 
-bool bd_txn_start(struct bd_txn *t)
+bool bd_txn_start(struct bd_txn *txn)
 {
-    t->conds = json_array();
-    t->ops = json_array();
-    return t->conds && t->ops;
+    txn->conds = json_array();
+    txn->ops = json_array();
+    return txn->conds && txn->ops;
 }
 
-void bd_txn_if(struct bd_txn *t, const char *key, uint64_t mark)
+void bd_txn_if(struct bd_txn *txn, const char *key, uint64_t mark)
 {
-    json_array_append_new(t->conds, json_pack("{s:s,s:I}", "k", key, "mark", (json_int_t)mark));
+    json_array_append_new(txn->conds, json_pack("{s:s,s:I}", "k", key, "mark", (json_int_t)mark));
 }
 
-void bd_txn_set(struct bd_txn *t, const char *key, json_t *value, uint64_t grant)
+void bd_txn_set(struct bd_txn *txn, const char *key, json_t *value, uint64_t grant)
 {
     json_t *o = json_pack("{s:s,s:o}", "set", key, "value", value);
     if (o && grant)
         json_object_set_new(o, "charter", json_integer((json_int_t)grant));
-    json_array_append_new(t->ops, o);
+    json_array_append_new(txn->ops, o);
 }
 
-void bd_txn_drop(struct bd_txn *t, const char *key)
+void bd_txn_drop(struct bd_txn *txn, const char *key)
 {
-    json_array_append_new(t->ops, json_pack("{s:s}", "drop", key));
+    json_array_append_new(txn->ops, json_pack("{s:s}", "drop", key));
 }
 
-char *bd_txn_end(struct bd_txn *t)
+char *bd_txn_end(struct bd_txn *txn)
 {
-    json_t *o = json_pack("{s:o,s:o}", "if", t->conds, "apply", t->ops);
+    json_t *o = json_pack("{s:o,s:o}", "if", txn->conds, "apply", txn->ops);
     char *s = json_dumps(o, JSON_COMPACT);
     json_decref(o);
-    t->conds = t->ops = NULL;
+    txn->conds = txn->ops = NULL;
     return s;
 }
 
--- a/src/worker_client.c
+++ b/src/worker_client.c
@@ -40,52 +40,52 @@
     return (long long)(bd_to_secs(bd_now()) * 1000.0);
 }
 
-static int sender_count(const struct bd_settings *s)
+static int sender_count(const struct bd_settings *settings)
 {
-    int n = s->max_sockets / SOCKETS_A_SENDER;
+    int n = settings->max_sockets / SOCKETS_A_SENDER;
     return n < SENDERS_LEAST ? SENDERS_LEAST : n > SENDERS_MOST ? SENDERS_MOST : n;
 }
 
-static int kept_connections(const struct bd_settings *s)
+static int kept_connections(const struct bd_settings *settings)
 {
-    int n = (int)(KEEP_SHARE * s->max_sockets) / sender_count(s);
+    int n = (int)(KEEP_SHARE * settings->max_sockets) / sender_count(settings);
     return n < KEEP_LEAST ? KEEP_LEAST : n;
 }
 
-int bd_worker_client_sockets(const struct bd_settings *s)
+int bd_worker_client_sockets(const struct bd_settings *settings)
 {
-    return sender_count(s) * kept_connections(s);
+    return sender_count(settings) * kept_connections(settings);
 }
 
 /* Sends one command; the answer, or that there was none, goes to the owner. */
-static void send_command(struct sender *s, struct bd_http *h, struct bd_effect *e)
+static void send_command(struct sender *s, struct bd_http *http, struct bd_effect *effect)
 {
     char url[128];
     struct bd_reply r;
-    struct bd_cmd *cmd = bd_cmd_new(BD_C_DID);
-    snprintf(url, sizeof url, "http://%s/do", e->addr);
-    bd_http_call(h, "POST", url, e->body, ANSWER_S, &r);
-    cmd->status = r.status;
-    cmd->text = r.body;
-    cmd->len = r.len;
-    cmd->machine = e->machine;
-    cmd->number = e->token;
-    cmd->flag = e->launch;
-    bd_effect_free(e);
-    bd_tell(s->n, cmd);
+    struct bd_cmd *command = bd_cmd_new(BD_C_DID);
+    snprintf(url, sizeof url, "http://%s/do", effect->addr);
+    bd_http_call(http, "POST", url, effect->body, ANSWER_S, &r);
+    command->status = r.status;
+    command->text = r.body;
+    command->len = r.len;
+    command->machine = effect->machine;
+    command->number = effect->token;
+    command->flag = effect->launch;
+    bd_effect_free(effect);
+    bd_tell(s->n, command);
 }
 
 static void *sender_run(void *arg)
 {
     struct sender *s = arg;
-    struct bd_http *h = bd_http_new(kept_connections(&s->n->settings),
-                                    bd_metrics_counter(s->n->metrics, BD_TRAFFIC_DIRECT));
-    while (h) {
+    struct bd_http *http = bd_http_new(kept_connections(&s->n->settings),
+                                       bd_metrics_counter(s->n->metrics, BD_TRAFFIC_DIRECT));
+    while (http) {
         void *item;
         if (bd_queue_take(&s->queue, &item, 1, bd_add(bd_now(), bd_secs(IDLE_WAIT_S))) == 0)
             continue;
         atomic_store(&s->asked_at_ms, now_ms());
-        send_command(s, h, item);
+        send_command(s, http, item);
         atomic_store(&s->asked_at_ms, 0);
         atomic_fetch_sub(&s->waiting, 1);
     }
@@ -114,26 +114,26 @@
     return best;
 }
 
-void bd_worker_client_send(struct bd_node *n, struct bd_effect *e)
+void bd_worker_client_send(struct bd_node *node, struct bd_effect *effect)
 {
-    struct sender *s = sender_for(n->worker_client, e->machine);
+    struct sender *s = sender_for(node->worker_client, effect->machine);
     atomic_fetch_add(&s->waiting, 1);
-    while (!bd_queue_put(&s->queue, e)) {
-        bd_say(&n->log, BD_ERROR, "too many direct commands wait");
+    while (!bd_queue_put(&s->queue, effect)) {
+        bd_say(&node->log, BD_ERROR, "too many direct commands wait");
         bd_pause(0.05);
     }
 }
 
-int bd_worker_client_start(struct bd_node *n)
+int bd_worker_client_start(struct bd_node *node)
 {
     int rc = 0;
     struct bd_worker_client *w = calloc(1, sizeof *w);
     if (!w)
         return -1;
-    n->worker_client = w;
-    w->nsenders = sender_count(&n->settings);
+    node->worker_client = w;
+    w->nsenders = sender_count(&node->settings);
     for (int i = 0; i < w->nsenders && rc == 0; i++) {
-        w->senders[i].n = n;
+        w->senders[i].n = node;
         rc = bd_queue_init(&w->senders[i].queue, QUEUE_CAP);
         if (rc == 0)
             rc = bd_thread(sender_run, &w->senders[i], STACK_BYTES);
