--- a/include/brambledoor/core.h
+++ b/include/brambledoor/core.h
@@ -12,7 +12,7 @@
 #define BD_IMAGES 40
 #define BD_PROBES 64
 #define BD_SENT_AWAY 8192
-#define BD_DELEGATE_PARTS 6 /* of a deputy's record, a value each */
+#define BD_DELEGATE_PARTS 6 /* of a delegate's record, a value each */
 
 enum bd_task_state {
     BD_T_WAIT,    /* on no machine; may be placed */
@@ -72,7 +72,7 @@
     uint32_t runs, longest_run; /* finished tasks seen from begin to end, and tenths of a second */
     struct bd_spec spec;
     bool has_spec, in_guarantee, pinned;
-    /* what it waits for, see deps.c */
+    /* what it waits for, see dependencies.c */
     struct bd_dependency *dependencies;
     uint32_t ndependencies, open;         /* it is ready when none is open */
     struct bd_prerequisite *prerequisite; /* who waits for it */
@@ -96,7 +96,7 @@
     struct bd_job *job;          /* NULL: not seen */
     struct bd_dependency *after; /* those that wait for it */
     uint32_t nafter, left;       /* left: while ranks are worked out */
-    struct timespec asked_at;    /* a look at its record */
+    struct timespec asked_at;    /* a refresh at its record */
 };
 
 struct bd_dependency {
@@ -154,7 +154,7 @@
     bool do_busy;       /* one direct command at a time */
     uint32_t do_fails;  /* without an answer, in a row */
     struct timespec do_after;
-    uint64_t late_token; /* highest seal of a direct launch without an answer, 0: none */
+    uint64_t late_token; /* highest token of a direct launch without an answer, 0: none */
     struct timespec do_since;
     struct bd_ref *refs;
     uint32_t nrefs, cap;
@@ -169,8 +169,8 @@
     struct timespec fetched_by; /* when all that it fetches is there */
     uint32_t errors;            /* failed tasks in a row, of different jobs */
     struct bd_job *error_job;
-    bool delegated;             /* in a deputy's record at the last look, */
-    int delegate;               /* whose: an index into the core's deputies */
+    bool delegated;             /* in a delegate's record at the last refresh, */
+    int delegate;               /* whose: an index into the core's delegates */
     struct timespec redirected; /* when it was last sent to its own zone's controller */
     bool direct;                /* its last report came from itself, not by another controller */
     bool drain;                 /* being emptied, so that a dear machine is free again */
@@ -203,8 +203,8 @@
     bool asked; /* a request is under way */
 };
 
-/* What a request is to the core: the front's own, or one that another controller passed on. Both
- * begin alike, so that a reply finds its way. */
+/* What a request is to the core: the API server's own, or one that another controller passed on.
+ * Both begin alike, so that a reply finds its way. */
 struct bd_remote {
     bool remote;
     int peer;
@@ -222,7 +222,7 @@
     BD_E_LOST, /* the term is over; status: BD_LOST_... */
     BD_E_DELEGATE,
     BD_E_LOOKUP,   /* one job's record: request, key is the id, status is how it was asked */
-    BD_E_FORWARD,  /* a report to the leader: seal is the id, machine the peer */
+    BD_E_FORWARD,  /* a report to the leader: token is the id, machine the peer */
     BD_E_ANSWER,   /* the answer to a forwarded one */
     BD_E_CANCELLED /* a cancellation was confirmed: key is the job's id */
 };
@@ -286,7 +286,8 @@
     bool replica_ready;
     bool evicted; /* some old final records are not in memory any more */
     struct timespec next_evict;
-    struct timespec refreshed_at; /* when the newest answered look at the state service was sent */
+    struct timespec
+        refreshed_at; /* when the newest answered refresh at the state service was sent */
     struct bd_wait *waiting, *asked;
     struct bd_admission *accepting; /* submissions while a record that left memory is looked up */
     struct bd_prerequisite *prerequisites; /* hash by id */
@@ -322,7 +323,7 @@
         } * served;
         uint32_t nserved, cap_served, parts; /* parts of the record that were ever written */
         struct bd_wait_checkin *asking;
-        /* workers sent to the leader, to see whether he can be reached */
+        /* workers sent to the leader, to see whether it can be reached */
         char probes[BD_PROBES][BD_LABEL];
         uint32_t nprobes, batch;
         struct timespec probes_at, since;
@@ -345,17 +346,17 @@
         bool back; /* it came back: its reports are passed on */
     } * sent_away;
     struct timespec
-        inbound_cut_until;  /* the leader's workers are better passed on than sent to him */
+        inbound_cut_until;  /* the leader's workers are better passed on than sent to it */
     bool inbound_cut;       /* as leader: most workers are silent */
     bool outbound_cut_many; /* as leader: so many seem not to hear us that it is rather us */
-    /* as leader: deputies' records as last looked at */
+    /* as leader: delegates' records as last looked at */
     struct timespec delegates_read;
     char stale_delegate[BD_LABEL];
     struct bd_delegate_seen {
         char key[BD_LABEL]; /* the record's, without its prefix: the node, a slash and the part */
         uint64_t mark;
         struct timespec changed;
-        struct timespec dismissed; /* when one of his workers was heard here */
+        struct timespec dismissed; /* when one of its workers was heard here */
     } delegates[(BD_MAX_PEERS + 1) * BD_DELEGATE_PARTS];
     int ndelegates;
 
@@ -364,9 +365,9 @@
     char leader_name[BD_LABEL];
     uint64_t base_term, term, grant;
     char nonce[BD_LABEL];
-    uint64_t counter;            /* attempts */
-    uint64_t fenced_attempt;     /* up to here all direct launches carried a lower seal than ours */
-    uint32_t withheld;           /* forgets that wait for a higher seal, since it last rose */
+    uint64_t counter;        /* attempts */
+    uint64_t fenced_attempt; /* up to here all direct launches carried a lower token than ours */
+    uint32_t withheld;       /* forgets that wait for a higher token, since it last rose */
     struct timespec withheld_at; /* the first of them */
     struct timespec valid_until, renewed;
     struct timespec others_lapse; /* sessions renewed by earlier terms are over by then */
@@ -437,7 +438,7 @@
     json_t *receipts;        /* arrays of pairs */
     json_t *intents;
 };
-/* dismissed: the leader's key says that he hears the workers that we answer for him */
+/* dismissed: the leader's key says that it hears the workers that we answer for it */
 void bd_core_leader_is(struct bd_core *core, const char *name, uint64_t mark, struct timespec sent,
                        bool dismissed);
 void bd_core_gained(struct bd_core *core, const struct bd_gain *g);
@@ -461,7 +462,7 @@
  * news stops the job's tasks and starts none. No rule rests on it. */
 void bd_core_cancelled_elsewhere(struct bd_core *core, const char *id);
 void bd_core_progress(struct bd_core *core, const char *job, uint32_t done, uint32_t running);
-/* a leader's look at the deputies' records; a follower's own record was written */
+/* a leader's look at the delegates' records; a follower's own record was written */
 void bd_core_delegates(struct bd_core *core, json_t *pairs, struct timespec sent);
 void bd_core_delegate_committed(struct bd_core *core, long status, uint64_t ring,
                                 struct timespec sent, bool mark_known);
--- a/include/brambledoor/store.h
+++ b/include/brambledoor/state_client.h
@@ -1,6 +1,6 @@
 /* Calls to the state service, shared by the threads that make them. */
-#ifndef BD_STORE_H
-#define BD_STORE_H
+#ifndef BD_STATE_CLIENT_H
+#define BD_STATE_CLIENT_H
 #include "brambledoor/http.h"
 #include "brambledoor/node.h"
 
--- a/src/accept.c
+++ b/src/admission.c
@@ -1,9 +1,9 @@
 /* Submissions: judged, then accepted by a transaction that is conditional on the job's record being
  * absent. One that names other jobs is judged by their records: each must have been accepted, which
- * stays true for ever once it is, so that the replica proves it, or a read barrier, or a look at
+ * stays true for ever once it is, so that the replica proves it, or a read barrier, or a refresh at
  * the record where it has left memory; only then 422. */
 #include "brambledoor/frame.h"
-#include "core_in.h"
+#include "core_internal.h"
 #include <stdio.h>
 
 /* named defaults */
@@ -120,7 +120,7 @@
 }
 
 /* The parts' keys hold a hash of the names: a retry by another node writes the same parts, and a
- * submission that differs does not touch them. */
+ * submission that differs does not liveness record them. */
 static void name_parts(struct bd_admission *admission)
 {
     uint64_t h = 1469598103934665603u;
--- a/src/fleet.c
+++ b/src/autoscaler.c
@@ -1,5 +1,5 @@
 /* The machines: what the cloud lists, what is rented and what goes back. */
-#include "core_in.h"
+#include "core_internal.h"
 #include <gsl/gsl_cdf.h>
 #include <math.h>
 #include <stdio.h>
@@ -107,7 +107,7 @@
     core->listed_once = true;
 }
 
-/* ---- rentals ---- */
+/* ---- provisioning requests ---- */
 
 static struct bd_pool *pool(struct bd_core *core, int type, int zone, bool spot)
 {
@@ -147,8 +147,9 @@
         machine->age_at_known = bd_between(r.sent, core->now);
         machine->age_known = core->now;
     }
-    bd_say(core->log, BD_INFO, "rental of %d %s in %s%s: status %ld, %d machines", r.count,
-           core->types[r.type].label, core->zones[r.zone], r.spot ? " (spot)" : "", status, n);
+    bd_say(core->log, BD_INFO, "provisioning request of %d %s in %s%s: status %ld, %d machines",
+           r.count, core->types[r.type].label, core->zones[r.zone], r.spot ? " (spot)" : "", status,
+           n);
 }
 
 void bd_core_returned(struct bd_core *core, char (*names)[BD_LABEL], int n, bool ok)
@@ -503,8 +504,8 @@
            bd_between(job->last_begun, core->now) > SETTLED_S;
 }
 
-/* A look at where services could gather: the machines with room for some, and what moves that are
- * decided in this look take of it. */
+/* A refresh at where services could gather: the machines with room for some, and what moves that
+ * are decided in this look take of it. */
 struct gathering {
     struct bd_core *core;
     struct source {
--- a/src/cloud.c
+++ b/src/cloud.c
@@ -1,4 +1,5 @@
-/* The cloud: machine types and the list for the leader, rentals and returns in order. */
+/* The cloud: machine types and the list for the leader, provisioning requests and returns in order.
+ */
 #include "brambledoor/http.h"
 #include "brambledoor/node.h"
 #include "brambledoor/timeutil.h"
--- a/src/core.c
+++ b/src/core.c
@@ -1,6 +1,6 @@
 /* Users' requests, the replica of job records, and names. */
 #include "brambledoor/frame.h"
-#include "core_in.h"
+#include "core_internal.h"
 #include <math.h>
 #include <stdio.h>
 
@@ -532,7 +532,7 @@
     {
         if (count <= most)
             return;
-        /* by its end: what was withdrawn now may still run, and be asked about, however old it is
+        /* by its end: what was cancelled now may still run, and be asked about, however old it is
          */
         if (job->pinned || core->wall - fmax(job->at, job->end) < FINALS_FRESH_S)
             continue;
--- a/src/core_in.h
+++ b/src/core_internal.h
@@ -1,6 +1,6 @@
 /* Shared by the core's own files only. */
-#ifndef BD_CORE_IN_H
-#define BD_CORE_IN_H
+#ifndef BD_CORE_INTERNAL_H
+#define BD_CORE_INTERNAL_H
 #include "brambledoor/core.h"
 #include "brambledoor/log.h"
 #include "brambledoor/timeutil.h"
@@ -29,7 +29,7 @@
 };
 
 #define BD_ROUND_PARTS 6   /* intent records in one transaction, at most */
-#define BD_VALUE_SHARE 0.9 /* of a value, as reckoned */
+#define BD_VALUE_SHARE 0.9 /* of a value, as counted */
 
 /* bytes of a job's tasks on one machine in an intent record, without the tasks' numbers */
 static inline size_t bd_group_bytes(const struct bd_job *job, const struct bd_machine *machine)
@@ -178,9 +178,10 @@
 struct timespec bd_standby_until(const struct bd_core *core, const struct bd_machine *machine,
                                  const struct timespec *until);
 
-/* deputies */
-#define LEADER_SILENT_S 1.3  /* not heard on the mesh for so long: he may be cut off */
-#define DELEGATE_FRESH_S 1.5 /* a deputy answers so long after its record was last confirmed */
+/* delegates */
+#define LEADER_SILENT_S 1.3  /* not heard by the other controllers for so long: it may be cut off  \
+                              */
+#define DELEGATE_FRESH_S 1.5 /* a delegate answers so long after its record was last confirmed */
 int bd_leader_index(const struct bd_core *core); /* among the peers, or -1 */
 struct bd_report *bd_report_copy(const struct bd_report *report);
 void bd_report_free(struct bd_report *report);
--- a/src/deputy.c
+++ b/src/delegate.c
@@ -1,34 +1,35 @@
-/* Deputies: a follower whose workers cannot reach the leader (their zone is cut off from it)
+/* Delegates: a follower whose workers cannot reach the leader (their zone is cut off from it)
  * answers their reports in its stead, so that their leases go on and their work survives.
  *
- * What makes it safe: a deputy writes the machines it answers into its own record, conditional on
+ * What makes it safe: a delegate writes the machines it answers into its own record, conditional on
  * the leader's term, before it answers them, confirms the record every BEAT_S and stops
  * DEPUTY_FRESH_S after the last confirmation was sent. A machine stays in the record for keep_s
  * after its last answer. The leader looks at all records; it never counts a lease as over while
- * a look shows the machine, nor before a look begun after the lease's end. It drops the record of
- * a deputy that no longer confirms. A deputy gives no command but halts of withdrawn jobs.
+ * a refresh shows the machine, nor before a refresh begun after the lease's end. It drops the
+ * record of a delegate that no longer confirms. A delegate gives no command but halts of cancelled
+ * jobs.
  *
  * While nobody leads, the record is conditional on the leader's key being absent, and answers go on
  * with the last term's token: a new leader counts with answers until DEPUTY_FRESH_S after its gain,
  * and no such record is written once it has its key. */
 #include "brambledoor/frame.h"
-#include "core_in.h"
+#include "core_internal.h"
 #include <stdio.h>
 
 /* named defaults */
 #define CONFIRM_S 0.5
 #define KEEP_LEAST_S 3.0
-#define AWAY_S 30.0 /* a dismissed deputy is named so long in the leader's key */
+#define AWAY_S 30.0 /* a dismissed delegate is named so long in the leader's key */
 #define STALE_S 5.0
-#define GAP_S 2.5          /* between looks: shorter than keep_s, so that none can slip through */
-#define RECORD_SHARE 0.9   /* of the largest value that the state service takes */
-#define RECORD_HEAD 64u    /* bytes of the record beside the machines' names */
-#define ASK_S 2.4          /* a worker waits so long for the record; it gives up after 4 s */
-#define AGAIN_S 0.15       /* after a refused write: the leader's key is looked at about as often */
-#define PROBE_S 6.0        /* before a canary is sent, and after one came back */
-#define SOON_S 1.5         /* ... when no other controller is heard at all */
-#define GATHER_S 2.5       /* in which the workers of one batch are sent */
-#define PATIENT_S 40.0     /* then one with tasks may be sent too */
+#define GAP_S 2.5        /* between refreshes: shorter than keep_s, so that none can slip through */
+#define RECORD_SHARE 0.9 /* of the largest value that the state service takes */
+#define RECORD_HEAD 64u  /* bytes of the record beside the machines' names */
+#define ASK_S 2.4        /* a worker waits so long for the record; it gives up after 4 s */
+#define AGAIN_S 0.15     /* after a refused write: the leader's key is looked at about as often */
+#define PROBE_S 6.0      /* before a probe is sent, and after one came back */
+#define SOON_S 1.5       /* ... when no other controller is heard at all */
+#define GATHER_S 2.5     /* in which the workers of one batch are sent */
+#define PATIENT_S 40.0   /* then one with tasks may be sent too */
 #define WORKER_WAITS_S 4.0 /* the platform's: a worker waits so long for an answer, */
 #define WORKER_PAUSE_S 1.0 /* and goes to the next node after this */
 
@@ -64,7 +65,7 @@
     return !*core->leader_name && !core->leader_term && core->last_term;
 }
 
-/* By a fresh view somebody else leads, and we do not hear of him; or nobody does. Workers sent
+/* By a fresh view somebody else leads, and we do not hear of it; or nobody does. Workers sent
  * round then would find nobody either, and in a cut zone half of the nodes would let them hang. */
 static bool called_for(const struct bd_core *core)
 {
@@ -99,7 +100,7 @@
     uint32_t most = part_holds(core) * most_parts(core);
     if (core->delegate.nserved < most && strlen(id) + RECORD_HEAD < core->limits.value_bytes)
         return true;
-    bd_say(core->log, BD_ERROR, "a deputy's record is full with %u machines",
+    bd_say(core->log, BD_ERROR, "a delegate's record is full with %u machines",
            core->delegate.nserved);
     return false;
 }
@@ -183,7 +184,7 @@
     return bd_before(core->now, core->delegate.confirmed_until) && bd_may_renew(core);
 }
 
-/* Halts of what users have withdrawn: nobody's leave is needed for these. */
+/* Halts of what users have cancelled: nobody's leave is needed for these. */
 static char *orders(struct bd_core *core, const struct bd_report *report, uint64_t term)
 {
     struct bd_order *o = calloc(report->n + 1, sizeof *o);
@@ -250,9 +251,9 @@
         return;
     }
     if (status == 400)
-        (void)bd_limits_refused(core, "the deputy's record");
+        (void)bd_limits_refused(core, "the delegate's record");
     if (status != 200)
-        bd_say(core->log, BD_INFO, "the deputy's record was not written: status %ld", status);
+        bd_say(core->log, BD_INFO, "the delegate's record was not written: status %ld", status);
     /* a leader's key that was only rewritten is no reason to send the workers round */
     answer_asking(core, status != 200 && status != 409);
     if (delegate->asking)
@@ -335,7 +336,7 @@
 }
 
 /* We may be the one who is cut off from the leader, and the workers not: then they would be kept
- * from him for nothing. So one with nothing to lose is sent to him; if it does not come back, two
+ * from it for nothing. So one with nothing to lose is sent to it; if it does not come back, two
  * more, and so on. A worker may stay away for another reason (its machine went back), which is why
  * not all are sent at once. True: this one goes. */
 static bool try_leader(struct bd_core *core, const struct bd_report *report)
@@ -371,7 +372,7 @@
 }
 
 /* Whether another controller of our zone does not hear the leader either: then the zone is cut off
- * from him, not we alone. */
+ * from it, not we alone. */
 static bool zone_cut(const struct bd_core *core)
 {
     for (int i = 0; i < core->settings->npeers; i++)
@@ -472,9 +473,9 @@
     }
 }
 
-/* A worker out of a deputy's record reports to the leader himself: the two controllers do not hear
- * each other, but the workers are not cut off. The deputy is told so by the leader's key, which he
- * looks at; his workers then come. */
+/* A worker out of a delegate's record reports to the leader itself: the two controllers do not hear
+ * each other, but the workers are not cut off. The delegate is told so by the leader's key, which
+ * it looks at; its workers then come. */
 void bd_delegate_needless(struct bd_core *core, const struct bd_machine *machine)
 {
     if (machine->delegate >= core->ndelegates)
--- a/src/leader.c
+++ b/src/election.c
@@ -1,7 +1,7 @@
 /* Election by one versioned lease: the key `leader` on a grant of the state service. The mark of
  * the key at acquisition is the term. */
 #include "brambledoor/node.h"
-#include "brambledoor/store.h"
+#include "brambledoor/state_client.h"
 #include "brambledoor/timeutil.h"
 #include "metrics.h"
 #include <gsl/gsl_rng.h>
@@ -50,7 +50,7 @@
 
 enum view { VIEW_UNKNOWN, VIEW_FREE, VIEW_OURS, VIEW_BEFORE_US, VIEW_OTHER };
 
-/* Whether the leader's key names us among the deputies that he needs no more. */
+/* Whether the leader's key names us among the delegates that it needs no more. */
 static bool sent_away(const struct election *s, json_t *value)
 {
     json_t *v;
--- a/src/owner.c
+++ b/src/event_loop.c
@@ -39,7 +39,7 @@
 void bd_tell(struct bd_node *node, struct bd_cmd *command)
 {
     command->queued = bd_now();
-    /* the adapters' own words are few; the front checks for room before it admits a request */
+    /* the adapters' own words are few; the API server checks for room before it admits a request */
     while (!bd_queue_put(&node->commands, command))
         bd_pause(0.01);
 }
--- a/src/forward.c
+++ b/src/forwarding.c
@@ -1,15 +1,15 @@
 /* Workers report to a controller of their own zone, which passes their reports to the leader and
  * the answers back: if the zone is cut off, its workers are already where they are answered on
- * (see deputy.c), instead of trying nodes that they cannot reach while their leases run out. */
+ * (see delegate.c), instead of trying nodes that they cannot reach while their leases run out. */
 #include "brambledoor/frame.h"
-#include "core_in.h"
+#include "core_internal.h"
 #include <stdio.h>
 
 /* named defaults */
-#define ANSWER_S 1.2       /* then the deputy's way is tried, or the worker sent to the leader */
+#define ANSWER_S 1.2       /* then the delegate's way is tried, or the worker sent to the leader */
 #define REDIRECT_S 8.0     /* a worker is not sent to its zone's controller more often */
 #define BACK_S 12.0        /* it hung at the leader, and perhaps at another node */
-#define BACK_HOLDS_S 40.0  /* then he is tried again */
+#define BACK_HOLDS_S 40.0  /* then it is tried again */
 #define FORWARDS_LEAST 512 /* more where there are more sockets, of which each holds one */
 #define INBOUND_CUT_S 60.0
 #define INBOUND_CUT_SHARE 0.6 /* of the machines heard before */
@@ -23,15 +23,15 @@
     return -1;
 }
 
-/* The leader's number among the peers if he is heard, or -1. */
+/* The leader's number among the peers if it is heard, or -1. */
 static int leader_peer(const struct bd_core *core)
 {
     int i = bd_leader_index(core);
     return i >= 0 && bd_peer_heard(core, i, LEADER_SILENT_S) ? i : -1;
 }
 
-/* A worker that comes back soon after it was sent to the leader cannot reach him. It would go round
- * between him and us until its lease ran out. */
+/* A worker that comes back soon after it was sent to the leader cannot reach it. It would go round
+ * between it and us until its lease ran out. */
 static bool came_back(struct bd_core *core, const char *id)
 {
     struct bd_away *a = NULL;
@@ -109,7 +109,7 @@
 }
 
 /* Whether the worker's report is better passed on than the worker sent to the leader: it is of our
- * zone, or he cannot be reached by it, or he says that he does not hear his workers. */
+ * zone, or it cannot be reached by it, or it says that it does not hear its workers. */
 static bool passed_on(struct bd_core *core, const struct bd_report *report, int peer)
 {
     if (came_back(core, report->machine))
@@ -205,8 +205,8 @@
     return send_on(core, request, report, body, len, peer);
 }
 
-/* A report that another controller, which does not hear the leader, passes on to him through us.
- * Only to him, so that none goes round. */
+/* A report that another controller, which does not hear the leader, passes on to it through us.
+ * Only to it, so that none goes round. */
 bool bd_forward_relay(struct bd_core *core, struct bd_remote *q, const struct bd_report *report,
                       const char *body, size_t len)
 {
--- a/src/grace.c
+++ b/src/grace.c
@@ -1,16 +1,16 @@
 /* How long check-ins may be answered, and so workers' leases renewed, on what is known of
- * withdrawals. Whoever answers (a valid leader, one in its grace, a deputy, a controller standing
- * by; directly, forwarded or relayed) keeps to one bound:
+ * cancellations. Whoever answers (a valid leader, one in its grace, a delegate, a controller
+ * standing by; directly, forwarded or relayed) keeps to one bound:
  *
- *   A withdrawal that our view does not show was confirmed after the newest look at the records
- * that was answered was *sent*: at t > seen. An answer is given until seen + grace at the latest.
- * The lease that it renews counts from the report's own sending, which came before, and is over
- *   lease_s and the clocks' drift later: before seen + cancel_s - margin < t + cancel_s.
+ *   A cancellation that our view does not show was confirmed after the newest refresh of the
+ * records that was answered was *sent*: at t > seen. An answer is given until seen + grace at the
+ * latest. The lease that it renews counts from the report's own sending, which came before, and is
+ * over lease_s and the clocks' drift later: before seen + cancel_s - margin < t + cancel_s.
  *
  * A write that succeeded, a renewal of the grant, a frame of another controller: none of these
- * proves what was withdrawn. A leader whose renewals are served while its looks are not falls
+ * proves what was cancelled. A leader whose renewals are served while its refreshes are not falls
  * silent as one that is cut off does. */
-#include "core_in.h"
+#include "core_internal.h"
 
 /* named defaults */
 #define MARGIN_S 2.0     /* for what is on its way; */
@@ -18,7 +18,7 @@
 #define KNOWN_S 2.0      /* nothing is started on a view that is older */
 #define TIMER_S 0.1
 
-/* How long after the sending of the last answered look answers may be given. A new leader reckons
+/* How long after the sending of the last answered refresh answers may be given. A new leader counts
  * with it too: all controllers must come to the same figure. */
 double bd_grace_s(const struct bd_settings *settings)
 {
@@ -33,13 +33,13 @@
     return !bd_is_zero(seen) && bd_before(core->now, bd_add(seen, bd_secs(s)));
 }
 
-/* Whether a withdrawal that we do not know of still ends in time if we answer now. */
+/* Whether a cancellation that we do not know of still ends in time if we answer now. */
 bool bd_may_renew(const struct bd_core *core)
 {
     return bd_in_grace(core, core->refreshed_at);
 }
 
-/* A launch is repeated until its task is seen; not while the job may be withdrawn for long. */
+/* A launch is repeated until its task is seen; not while the job may be cancelled for long. */
 bool bd_may_launch(const struct bd_core *core)
 {
     return bd_core_valid(core) && bd_between(core->refreshed_at, core->now) < KNOWN_S;
--- a/src/limits.c
+++ b/src/limits.c
@@ -1,10 +1,10 @@
 /* The state service's limits as we know them: the settings' at first, then what its answers teach.
  * A transaction that it calls malformed (400) was not applied; the likely cause is a limit that was
  * lowered without notice, so the next ones are smaller. One beyond the rate (429) comes later. */
-#include "core_in.h"
+#include "core_internal.h"
 
 /* named defaults */
-#define OPS_LEAST 2u     /* the witness and one change */
+#define OPS_LEAST 2u     /* the commit sequence and one change */
 #define VALUE_LEAST 512u /* a done record and an intent of a few tasks fit */
 #define RATE_LEAST 4.0
 #define BUSY_SHARE 0.8     /* of the rate is left after a 429, */
--- a/src/peer_transport.c
+++ b/src/peer_transport.c
@@ -27,7 +27,7 @@
 #define STALLED_S 0.5     /* a connection that takes no bytes for so long is closed */
 #define CONNECTION_S 4.0  /* the life of a connection: see connect_run */
 #define SILENT_S 20.0     /* an incoming connection that says nothing is closed */
-#define IDLE_POLL_MS 2000 /* between looks for silent connections */
+#define IDLE_POLL_MS 2000 /* between refreshes for silent connections */
 #define OUTBOX_LEAST 4096u
 #define OUTBOX_MOST (512u * 1024u)      /* more is dropped; whoever waits has a deadline */
 #define INCOMING (2 * BD_MAX_PEERS + 8) /* a new connection overlaps the old one */
--- a/src/place.c
+++ b/src/place.c
@@ -1,5 +1,5 @@
 /* Placement: which waiting tasks go where. Like tasks of a job are decided as a class. */
-#include "core_in.h"
+#include "core_internal.h"
 #include <math.h>
 
 /* named defaults: the weights of a choice, in seconds of later start */
@@ -446,7 +446,7 @@
 }
 
 /* Makes room for one task where that costs least, and keeps it for the task. False: nowhere. The
- * costs are reckoned once for all tasks of the job, and again only for the machine that is picked.
+ * costs are counted once for all tasks of the job, and again only for the machine that is picked.
  */
 static bool vacate(struct round *r, struct bd_job *job, uint32_t *zones, bool only_cheap)
 {
--- a/src/reports.c
+++ b/src/reports.c
@@ -1,5 +1,5 @@
 /* Workers' reports as evidence, and the orders that go back to them. */
-#include "core_in.h"
+#include "core_internal.h"
 #include <stdio.h>
 
 /* named defaults */
@@ -50,7 +50,7 @@
 }
 
 /* Halts and launches that the machine owes us, from the states of the tasks on it. An attempt that
- * an earlier seal's direct launch may have carried is launched in answers only: see forget. */
+ * an earlier token's direct launch may have carried is launched in answers only: see forget. */
 static bool owed(struct bd_core *core, struct bd_machine *machine, struct orders *l, bool direct)
 {
     bool launch = false;
@@ -190,8 +190,8 @@
 }
 
 /* Even a direct launch that was answered may come once more, as a late copy. The worker ignores it
- * while it knows the attempt, or once it has seen a higher seal: what a seal's direct launches may
- * have carried is not forgotten before. */
+ * while it knows the attempt, or once it has seen a higher token: what a token's direct launches
+ * may have carried is not forgotten before. */
 static void forget(struct bd_core *core, const struct bd_report *report,
                    const struct bd_seen_task *s, struct orders *l)
 {
@@ -297,7 +297,7 @@
     }
 }
 
-/* A session change or a higher seal excludes every direct launch that had no answer. */
+/* A session change or a higher token excludes every direct launch that had no answer. */
 static void exclude_late(struct bd_machine *machine)
 {
     machine->late_token = 0;
--- a/src/rounds.c
+++ b/src/rounds.c
@@ -1,6 +1,6 @@
 /* The leader's rounds: intents, receipts and done records go into one fenced transaction at a
  * time; recovery reads them back. */
-#include "core_in.h"
+#include "core_internal.h"
 #include "metrics.h"
 #include <stdio.h>
 
@@ -17,7 +17,7 @@
 #define INTENT_BYTES 42000u /* of them for intent records */
 #define TOKEN_RAISE_AFTER_S 1.5
 #define TOKEN_RAISE_EVERY_S 5.0
-#define FORGET_RAISE_S 25.0 /* so long results stay on the machines before the seal rises */
+#define FORGET_RAISE_S 25.0 /* so long results stay on the machines before the token rises */
 #define WITHHELD_MOST 4000u /* ... or until reports show so many */
 
 static const char hex[] = "0123456789abcdef";
@@ -485,7 +485,7 @@
         const char *key = json_string_value(v);
         struct bd_job *job = key && strncmp(key, "j/", 2) == 0 ? bd_job_find(core, key + 2) : NULL;
         if (job)
-            job->stale = true; /* the change itself comes with the next look */
+            job->stale = true; /* the change itself comes with the next refresh */
     }
     for (uint32_t n = 0; n < commit->nplan; n++) {
         struct bd_intent *e = &commit->plan[n];
@@ -640,7 +640,7 @@
     core->base_term = core->term = g->term;
     core->grant = g->grant;
     core->counter = 0;
-    core->fenced_attempt = g->term << 20; /* earlier terms' launches carried lower seals */
+    core->fenced_attempt = g->term << 20; /* earlier terms' launches carried lower tokens */
     core->withheld = 0;
     core->round_n = 0;
     core->request_n = 0;
@@ -651,14 +651,14 @@
     bd_core_leader_is(core, core->settings->node, g->term, g->renewed, false);
     bd_delegate_end(core);
     core->delegates_read = core->now;
-    /* an earlier leader in its grace, or a deputy of one, may have answered until then */
+    /* an earlier leader in its grace, or a delegate of one, may have answered until then */
     double rest = bd_grace_s(core->settings) - bd_to_secs(core->settings->leader_ttl);
     rest = rest > DELEGATE_FRESH_S ? rest : DELEGATE_FRESH_S;
     core->others_lapse = bd_lease_end(core, bd_add(core->now, bd_secs(rest)));
     HASH_ITER(hh, core->jobs, job, jt)
     {
         job->receipt_chunks = 0;
-        /* withdrawn jobs too: what still runs of them counts and must be stopped */
+        /* cancelled jobs too: what still runs of them counts and must be stopped */
         if (job->state != BD_DONE && !bd_job_lead(core, job))
             bd_say(core->log, BD_ERROR, "%s: no memory for its tasks", job->id);
     }
@@ -689,7 +689,8 @@
             machine->lapse_at = bd_max(machine->lapse_at, bd_lease_end(core, answered));
         if (bd_before(core->now, machine->lapse_at))
             continue;
-        /* a deputy may have answered it: a look begun after the lease's end must not show it */
+        /* a delegate may have answered it: a refresh begun after the lease's end must not show it
+         */
         if (machine->delegated || bd_before(core->delegates_read, machine->lapse_at))
             continue;
         bd_say(core->log, BD_INFO, "%s: lease over, %u tasks lost", machine->id, machine->nrefs);
--- a/src/settings.c
+++ b/src/settings.c
@@ -12,7 +12,7 @@
 #define CPU_LEAST 0.002
 #define RAM_MB_LEAST 8.0
 #define SOCKETS_LEAST 128.0
-#define CANCEL_ROOM_S 1.0 /* between a worker's lease and the end of what was withdrawn */
+#define CANCEL_ROOM_S 1.0 /* between a worker's lease and the end of what was cancelled */
 
 /* One reading of one file; the first fault found is kept. */
 struct reader {
@@ -120,7 +120,7 @@
     return BD_AIM_OTHER;
 }
 
-/* Aims only steer; one that cannot be read is passed over, never a fault. */
+/* Aims only redirect; one that cannot be read is passed over, never a fault. */
 static void aims(struct reader *r, json_t *facts, struct bd_settings *settings)
 {
     json_t *a = json_object_get(facts, "objectives"), *o;
@@ -184,7 +184,7 @@
     settings->gang_wait = span(r, w, "gang_wait_s", 0);
     settings->gang_peer = span(r, w, "gang_peer_s", 0);
     settings->cancel = span(r, w, "cancel_s", 0.1);
-    /* a lease renewed just before the withdrawal is known would outlive it */
+    /* a lease renewed just before the cancellation is known would outlive it */
     if (bd_to_secs(settings->cancel) < bd_to_secs(settings->lease) + CANCEL_ROOM_S)
         fault(r, "cancel_s", "must be at least a second longer than lease_s");
     json_t *st = object(r, f, "state");
--- a/src/standby.c
+++ b/src/standby.c
@@ -1,18 +1,18 @@
 /* Standing by: a follower whose whole zone is cut off from everything, the state service too, goes
- * on answering the workers of its zone, as a leader in his grace does. Without that all work there
+ * on answering the workers of its zone, as a leader in its grace does. Without that all work there
  * would end one lease after the cut, though nothing is wrong inside.
  *
  * What makes it safe: while it is in touch, each follower writes the time of day into its own
  * record, conditional on the leader's key. It stands by from STANDBY_AFTER_S after the sending of
  * the last write that may have been carried out (its answer may be lost), for at most the grace
- * after the last that surely was: a withdrawal that it cannot see still ends in time. The leader
- * reads these records with the deputies'. A controller whose newest one is old may be standing by:
+ * after the last that surely was: a cancellation that it cannot see still ends in time. The leader
+ * reads these records with the delegates'. A controller whose newest one is old may be standing by:
  * while two of a zone may (or its only one), no lease there counts as over before the last moment
  * at which they can have answered, and a whole lease. A record that is applied late carries its own
  * time. A follower stands by only if another of its zone says, by a frame of this moment, that it
  * is cut off too: so one that crashes, or is cut off alone, delays nothing. */
 #include "brambledoor/frame.h"
-#include "core_in.h"
+#include "core_internal.h"
 
 /* named defaults */
 #define STICKY_S 3.0      /* a controller may be heard as cut off so long after it is back */
@@ -36,7 +36,7 @@
 
 bool bd_core_cut(const struct bd_core *core)
 {
-    /* a record that was written while its answer was lost shows the leader that we are in touch: he
+    /* a record that was written while its answer was lost shows the leader that we are in touch: it
      * would count with no answers of ours */
     return core->role == BD_FOLLOWER &&
            bd_between(bd_max(core->confirmed, core->liveness_sent), core->now) > STANDBY_AFTER_S;
--- a/src/store.c
+++ b/src/state_client.c
@@ -1,6 +1,6 @@
 /* The state service: one thread that looks for changes, one that commits the leader's
  * transactions in order, and a few for the users' own. */
-#include "brambledoor/store.h"
+#include "brambledoor/state_client.h"
 #include "brambledoor/http.h"
 #include "brambledoor/node.h"
 #include "brambledoor/timeutil.h"
@@ -10,13 +10,13 @@
 #include <string.h>
 
 /* named defaults */
-#define REFRESH_S 0.2        /* between looks when nobody waits */
-#define REFRESH_LEAST_S 0.04 /* between looks when polls wait */
+#define REFRESH_S 0.2        /* between refreshes when nobody waits */
+#define REFRESH_LEAST_S 0.04 /* between refreshes when polls wait */
 #define ANSWER_S 1.5
 #define USER_ANSWER_S 2.5
 #define USER_THREADS 2
 #define PAUSE_S 0.25
-#define DELEGATES_S 0.7 /* a leader's looks at the deputies' records */
+#define DELEGATES_S 0.7 /* a leader's refreshes at the delegates' records */
 #define BUSY_TRIES 3    /* 429s in a row: then the transaction is decided anew */
 
 long bd_state_call(struct bd_node *node, struct bd_http *http, const char *method, const char *path,
@@ -107,7 +107,7 @@
     }
 }
 
-/* One look; true if the list must be read anew. */
+/* One refresh; true if the list must be read anew. */
 static bool refresh(struct bd_node *node, struct bd_http *http, uint64_t *after, bool barrier)
 {
     char path[96];
@@ -149,7 +149,7 @@
         bd_cmd_free(command);
 }
 
-/* Until the next look is due, or polls wait for one; one wake-up where that is enough. */
+/* Until the next refresh is due, or polls wait for one; one wake-up where that is enough. */
 static void wait_to_read(struct bd_node *node)
 {
     void *woken;
@@ -189,7 +189,7 @@
 
 /* ---- the leader's transactions ---- */
 
-/* Whether the witness shows the transaction: 1 yes, 0 no, -1 not known. */
+/* Whether the commit sequence shows the transaction: 1 yes, 0 no, -1 not known. */
 static int sequence_shows(struct bd_node *node, struct bd_http *http,
                           const struct bd_effect *effect, uint64_t *ring)
 {
@@ -226,7 +226,7 @@
 }
 
 /* Repeats one and the same transaction until its fate is known: it can apply once only, since it
- * is conditional on the witness and changes it. */
+ * is conditional on the commit sequence and changes it. */
 static void settle(struct bd_node *node, struct bd_http *http, struct bd_effect *effect,
                    struct bd_cmd *command)
 {
--- a/tests/verdict.sh
+++ b/tests/ci_result.sh
@@ -1,15 +1,15 @@
 #!/usr/bin/env bash
-# The verdict on a run of the tests: only listed tests are passed over, and never more than three.
+# The result on a run of the tests: only listed tests are passed over, and never more than three.
 set -u
-verdict=$1
+result=$1
 dir=$(mktemp -d)
 trap 'rm -rf "$dir"' EXIT
 faults=0
-# expect 0|1 STATUS FAILED KNOWN TEXT: the verdict, and what it must print
+# expect 0|1 STATUS FAILED KNOWN TEXT: the result, and what it must print
 expect() {
   printf '%b' "$3" >"$dir/failed"
   printf '%b' "$4" >"$dir/known"
-  out=$("$verdict" "$2" "$dir/failed" "$dir/known")
+  out=$("$result" "$2" "$dir/failed" "$dir/known")
   got=$?
   if [ "$got" -ne "$1" ] || ! grep -qF -- "$5" <<<"$out"; then
     echo "FAIL: status $2, failed '$3', known '$4': $got, $out"
--- a/tests/standin.c
+++ b/tests/fake_server.c
@@ -1,4 +1,4 @@
-#include "standin.h"
+#include "fake_server.h"
 #include "brambledoor/http.h"
 #include "brambledoor/timeutil.h"
 #include "brambledoor/wire.h"
--- a/tests/standin.h
+++ b/tests/fake_server.h
@@ -1,7 +1,7 @@
 /* Stand-ins for the state service, the cloud and the workers, on loopback, written from the
  * published protocol. They keep to it only as far as the loopback test needs. */
-#ifndef STANDIN_H
-#define STANDIN_H
+#ifndef FAKE_SERVER_H
+#define FAKE_SERVER_H
 #include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -1,8 +1,8 @@
 /* Random graphs of jobs that need others, against a plain model: two controllers' cores over a
- * model of the state service and one machine, with submissions, withdrawals, polls, lost answers
+ * model of the state service and one machine, with submissions, cancellations, polls, lost answers
  * and crashes of either controller. Fixed seeds. Asserted: no task starts before all that its job
  * needs are done by the records; a job is called cancelled exactly when it or one before it was
- * withdrawn, on each node, and never called pending after that; every job that is not cancelled
+ * cancelled, on each node, and never called pending after that; every job that is not cancelled
  * ends; every record of a cancelled one says so in the end.
  *
  *   graphs SEEDS */
@@ -327,7 +327,7 @@
 
 /* ---- steps ---- */
 
-/* What changed since the node's last look; sometimes the look fails. */
+/* What changed since the node's last refresh; sometimes the look fails. */
 static void refresh(struct world *w, int n, bool ok)
 {
     uint64_t after = w->seen[n];
@@ -628,7 +628,7 @@
 }
 
 /* A long chain, read from its end, with a wide crowd behind its first: ranks flow back along all of
- * it, and one withdrawal cancels it all, without a recursion and without work in the square. */
+ * it, and one cancellation cancels it all, without a recursion and without work in the square. */
 static int large(void)
 {
     struct bd_settings s = {0};
--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -1,9 +1,9 @@
-/* The real program, three times, over loopback against the stand-ins: quiet work, bad requests,
+/* The real program, three times, over loopback against the fake servers: quiet work, bad requests,
  * killed nodes, an outage of the state service and answers that are cut off. */
 #include "brambledoor/http.h"
 #include "brambledoor/node.h"
 #include "brambledoor/timeutil.h"
-#include "standin.h"
+#include "fake_server.h"
 #include <arpa/inet.h>
 #include <jansson.h>
 #include <poll.h>
@@ -273,7 +273,7 @@
 }
 
 /* A worker's check-in; its number rises each time, the thousands name the worker. Returns the
- * status, *seal from the answer. */
+ * status, *token from the answer. */
 static long check_in(struct test *t, int node, int *tally, long long *token, char *out, size_t cap)
 {
     char body[320];
@@ -306,7 +306,7 @@
 }
 
 /* The first node leads; the last does not hear it. Reports go through the one between them; without
- * that one the last answers itself, until the leader's key says that he hears its workers. */
+ * that one the last answers itself, until the leader's key says that it hears its workers. */
 static void apart(struct test *t)
 {
     int tally = 1001;
@@ -318,8 +318,8 @@
     bd_pause(4); /* whoever led has led */
     start(t, 0);
     check(t, check_in_until(t, 0, &tally, &token, 200, 20), "the first node leads");
-    /* the stand-in's own workers are to be there, and the relay, before the last node starts: one
-     * that met it first would end it as a deputy for half a minute */
+    /* the fake server's own workers are to be there, and the relay, before the last node starts:
+     * one that met it first would end it as a delegate for half a minute */
     bd_pause(5);
     start(t, 1);
     check(t, check_in_until(t, 1, &tally, &token, 200, 20),
@@ -471,7 +471,7 @@
     check(t, world_too_early(t->w) == 0, "none began too early");
 }
 
-/* The state service refuses the leader alone, another node confirms a withdrawal, then it is out
+/* The state service refuses the leader alone, another node confirms a cancellation, then it is out
  * for all, while the workers go on reporting to the leader. */
 static void gap(struct test *t)
 {
@@ -685,7 +685,7 @@
 }
 
 /* A few hundred connections ask the leader without a pause, then while the state service refuses
- * him: renewals, check-ins and work go on, and who is refused is told when to come back. */
+ * it: renewals, check-ins and work go on, and who is refused is told when to come back. */
 static void overload(struct test *t)
 {
     struct crowd *c = calloc(1, sizeof *c);
@@ -874,7 +874,7 @@
     bd_http_free(t->h);
 }
 
-/* loopback PROGRAM; loopback PROGRAM OLD; loopback PROGRAM meetings|overload|memory; loopback
+/* loopback PROGRAM; loopback PROGRAM OLD; loopback PROGRAM faults|overload|memory; loopback
  * PROGRAM capture DIR
  */
 int main(int argc, char **argv)
@@ -883,10 +883,10 @@
     if (argc < 2 || argc > 4)
         return 2;
     t.program = argv[1];
-    bool meetings = argc == 3 && strcmp(argv[2], "meetings") == 0;
+    bool faults = argc == 3 && strcmp(argv[2], "faults") == 0;
     bool crowded = argc == 3 && strcmp(argv[2], "overload") == 0;
     bool heavy = argc == 3 && strcmp(argv[2], "memory") == 0;
-    bool others = meetings || crowded || heavy;
+    bool others = faults || crowded || heavy;
     if (argc == 3 && !others && access(argv[2], X_OK) != 0) {
         printf("skipped: the version in production is not there: %s\n", argv[2]);
         return 77;
@@ -914,7 +914,7 @@
     }
     for (int i = 0; i < NODES; i++)
         again(&t, i, t.old);
-    if (meetings) {
+    if (faults) {
         gap(&t);
         blind_leader(&t);
         close_looks(&t);
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -2,23 +2,23 @@
  *
  *   set lease=10 cancel=35 report=2 ttl=3 team=a:0:0:8:16 aim=k:150:0.9      settings, before
  * anything else type small cpus=8 gpus=0 mem=32 boot=10 zones=a,b at 12.5 the time, in seconds job
- * job-1 mark=5 tasks=2 cpus=2 ... [mood=cancelled] [needs=job-2,job-3] [parts=HASH:N]   a record
+ * job-1 mark=5 tasks=2 cpus=2 ... [state=cancelled] [needs=job-2,job-3] [parts=HASH:N]   a record
  * change seen by the replica gain 1 [receipt=job-1/0:03] [intent=job-1:@1.1:vm-1:0,1] renew | lose
  * | looked [fail] | tick set zone=a peer=node-1:b; peer node-1 term=0 state=1 deaf=0 hears=1 age=0
  * a status frame of another controller leader node-1 7 (or - 0) [away=1] who holds the lease, by a
- * fresh look deputies [p/node-1:mark:vm-1,vm-2]                 the leader's look at the deputies'
- * records watch 28                                           as `at`, with such a look every 2 s
- * deputycommitted STATUS [unknown]                   the fate of our own deputy's record listed
- * vm-1:small:a[:running|booting|failed] ...   a list of the cloud report vm-1 small a session=1
- * seq=1 seal=1 [notice=5] [job-1/0:@1.1:running ...] forwarded node-1 5 vm-1 small a session=1 ...
- * a report that another controller passes on answered 1 200 {text} the answer to a report that we
- * passed on did vm-1 seal=1 status=200 ...                     answer to a direct command, as
- * report committed ok|lost|large|failed KEY... submit {json} | get job-1 | withdraw job-1 |
- * usercommitted STATUS seed N | up 0|1                                    where numbers begin;
- * whether /up says yes rented N vm-1 vm-2 (status 200), rented refused, returned vm-1 expect KIND
- * TEXT...   an effect of the kind that holds all the texts; it is taken off none KIND [TEXT...] no
- * such effect is waiting clear                 forget the effects that wait task job-1/0 STATE
- * [vm-1]     wait plan launch live unknown done team a cpus=2 gpus=0
+ * fresh refresh delegates [p/node-1:mark:vm-1,vm-2]                 the leader's look at the
+ * delegates' records watch 28                                           as `at`, with such a
+ * refresh every 2 s deputycommitted STATUS [unknown]                   the fate of our own
+ * delegate's record listed vm-1:small:a[:running|booting|failed] ...   a list of the cloud report
+ * vm-1 small a session=1 seq=1 token=1 [notice=5] [job-1/0:@1.1:running ...] forwarded node-1 5
+ * vm-1 small a session=1 ... a report that another controller passes on answered 1 200 {text} the
+ * answer to a report that we passed on did vm-1 token=1 status=200 ...                     answer
+ * to a direct command, as report committed ok|lost|large|failed KEY... submit {json} | get job-1 |
+ * cancel job-1 | usercommitted STATUS seed N | up 0|1                                    where
+ * numbers begin; whether /up says yes rented N vm-1 vm-2 (status 200), rented refused, returned
+ * vm-1 expect KIND TEXT...   an effect of the kind that holds all the texts; it is taken off none
+ * KIND [TEXT...] no such effect is waiting clear                 forget the effects that wait task
+ * job-1/0 STATE [vm-1]     wait plan launch live unknown done team a cpus=2 gpus=0
  *
  *   heard job-1           another controller says that the job's cancellation was confirmed
  *   limits BYTES CHANGES  the largest value and transaction are these now
@@ -232,7 +232,7 @@
     json_decref(v);
 }
 
-/* mood job-1 live|done|cancelled [rank=N] [ready=0|1]: what the core holds of a job */
+/* state job-1 live|done|cancelled [rank=N] [ready=0|1]: what the core holds of a job */
 static void cmd_state(struct play *p)
 {
     static const char *const state_names[] = {"live", "done", "cancelled"};
@@ -525,7 +525,7 @@
     json_decref(pairs);
 }
 
-/* time passes with a look every two seconds that shows no deputy */
+/* time passes with a refresh every two seconds that shows no delegate */
 static void cmd_watch(struct play *p)
 {
     double to = strtod(p->w[1], NULL), at = bd_to_secs(p->c->now) - 100;
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -1,6 +1,6 @@
-/* The adapters of the simulated controllers: what leader.c, store.c, cloud.c, dispatch.c, mesh.c
- * and owner.c do around the core, as events. */
-#include "sim.h"
+/* The adapters of the simulated controllers: what election.c, state_client.c, cloud.c,
+ * worker_client.c, peer_transport.c and event_loop.c do around the core, as events. */
+#include "simulation.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/tests/sim_state.c
+++ b/tests/sim_state.c
@@ -1,5 +1,5 @@
 /* The state service of the simulated day. */
-#include "sim.h"
+#include "simulation.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -100,7 +100,7 @@
     return 409;
 }
 
-/* What the rules want of what is written, whoever writes it: no intent for a job that is withdrawn
+/* What the rules want of what is written, whoever writes it: no intent for a job that is cancelled
  * or done, and of the leaders' transactions each once, in order, by the one whose key stands. */
 static void check_intents(struct sim *s, json_t *value)
 {
--- a/tests/sim_work.c
+++ b/tests/sim_work.c
@@ -1,6 +1,6 @@
-/* Workers, as the protocol has them: sessions, numbers, seals, leases, gangs that start and end
+/* Workers, as the protocol has them: sessions, numbers, tokens, leases, gangs that start and end
  * together. What starts or stays here is held against the rules. */
-#include "sim.h"
+#include "simulation.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/tests/meetings.c
+++ b/tests/simulation.c
@@ -1,21 +1,21 @@
-/* Days on which troubles meet, in simulated time, against the protocol's rules (see sim.h).
+/* Days on which faults meet, in simulated time, against the protocol's rules (see sim.h).
  *
- * - meetings FILE [SEEDS]: a day from a file, with so many seeds
- * - meetings random FROM N: days drawn from N seeds
- * - meetings seed FILE|random N [debug]: one of them, told step by step
+ * - simulation FILE [SEEDS]: a day from a file, with so many seeds
+ * - simulation random FROM N: days drawn from N seeds
+ * - simulation seed FILE|random N [debug]: one of them, told step by step
  *
- * A file has lines `at SECONDS TROUBLE ...`. The day ends long enough after the last trouble for
+ * A file has lines `at SECONDS TROUBLE ...`. The day ends long enough after the last fault for
  * all work to be served. `jobs N`: how many come; `cancelled SHARE`; `small 1`: jobs of one short
  * task. Troubles, with FOR in seconds and WHO a controller's number, `leader` or `any`:
  *
- * - state service: outage FOR, slow FOR, refuse WHO FOR, blind WHO FOR (its looks at the records
- *   fail), late SHARE FOR, lost SHARE FOR
+ * - state service: outage FOR, slow FOR, refuse WHO FOR, blind WHO FOR (its refreshes of the
+ * records fail), late SHARE FOR, lost SHARE FOR
  * - network: peers WHO FOR, alone WHO FOR (from peers and state service), zones FOR, held FOR
  * - late reports: copies SHARE FOR, next SHARE FOR (to all as the next leader begins)
  * - machines: hang N FOR, deaf N FOR, mute N FOR, cut N FOR, hold N FOR, die N
  * - controllers: crash WHO BACK, all BACK, stall WHO FOR (the process stands still)
  * - users: cancel N, burst N */
-#include "sim.h"
+#include "simulation.h"
 #include "small.h"
 #include <math.h>
 #include <stdarg.h>
@@ -24,7 +24,7 @@
 #include <string.h>
 
 #define STEP_S 0.02
-#define QUIET_S 130.0 /* after the last trouble all work is to be served */
+#define QUIET_S 130.0 /* after the last fault all work is to be served */
 #define WAIT_S 90.0   /* and a lease that may have to lapse first */
 #define MOST_S 400.0  /* ... and then the day is over */
 #define LOST_S 75.0   /* without an answer a job counts as forgotten */
@@ -266,7 +266,7 @@
     sim_post(s, at, SIM_USER_WAKE)->who = n;
 }
 
-/* ---- troubles ---- */
+/* ---- faults ---- */
 
 static int who_is(struct sim *s, const char *who)
 {
@@ -519,7 +519,7 @@
     s->events++;
 }
 
-/* Once the troubles are over none waits while a machine that fits has room and its team may. */
+/* Once the faults are over none waits while a machine that fits has room and its team may. */
 static void waits(struct sim *s, struct sim_job *j)
 {
     uint32_t left = 0, missing = 0;
--- a/tests/sim.h
+++ b/tests/simulation.h
@@ -1,5 +1,5 @@
 /* A day of several controllers' cores in simulated time: a model of the adapters, of the state
- * service, the cloud, the workers and the users, with troubles at set times. What is real is the
+ * service, the cloud, the workers and the users, with faults at set times. What is real is the
  * pure core; the protocol's rules are the oracle. One seed, one day, always the same. */
 #ifndef BD_TESTS_SIM_H
 #define BD_TESTS_SIM_H
