--- a/include/brambledoor/core.h
+++ b/include/brambledoor/core.h
@@ -54,9 +54,9 @@
 struct bd_job {
     UT_hash_handle hh;
     char id[BD_ID];
-    uint64_t mark;
+    uint64_t revision;
     enum bd_job_state state;
-    bool stale; /* a transaction saw another mark; wait for the change itself */
+    bool stale; /* a transaction saw another revision; wait for the change itself */
     bool dirty; /* has receipts to commit */
     uint32_t ntasks, ndone, nwait, nlive, nrun, shown_done, shown_run;
     uint64_t receipt_chunks; /* bits of chunks committed */
@@ -282,7 +282,7 @@
     bool types_known;
 
     /* replica */
-    uint64_t ring;
+    uint64_t store_revision;
     bool replica_ready;
     bool evicted; /* some old final records are not in memory any more */
     struct timespec next_evict;
@@ -312,9 +312,9 @@
 
     /* a follower that answers for a leader its workers cannot reach */
     struct bd_delegate {
-        uint64_t term, mark; /* the token of the answers; our record's mark */
-        uint64_t leader;     /* the mark of the leader's key that the record is conditional on */
-        bool mark_known, busy, dismissed;
+        uint64_t term, revision; /* the token of the answers; our record's revision */
+        uint64_t leader; /* the revision of the leader's key that the record is conditional on */
+        bool revision_known, busy, dismissed;
         struct timespec confirmed_until, next_confirm;
         struct bd_served {
             char id[BD_LABEL];
@@ -354,7 +354,7 @@
     char stale_delegate[BD_LABEL];
     struct bd_delegate_seen {
         char key[BD_LABEL]; /* the record's, without its prefix: the node, a slash and the part */
-        uint64_t mark;
+        uint64_t revision;
         struct timespec changed;
         struct timespec dismissed; /* when one of its workers was heard here */
     } delegates[(BD_MAX_PEERS + 1) * BD_DELEGATE_PARTS];
@@ -372,7 +372,7 @@
     struct timespec valid_until, renewed;
     struct timespec others_lapse; /* sessions renewed by earlier terms are over by then */
     bool listed_once;
-    uint64_t sequence_mark, sequence, round_n, request_n;
+    uint64_t sequence_revision, sequence, round_n, request_n;
     struct bd_commit *commit;
     struct bd_round *rounds;
     uint32_t nrounds, cap_rounds;
@@ -415,23 +415,23 @@
 void bd_core_submit(struct bd_core *core, void *request, const char *body, size_t len);
 void bd_core_get(struct bd_core *core, void *request, const char *id);
 void bd_core_cancel(struct bd_core *core, void *request, const char *id);
-/* status 200 with ring, 409, or 0 and others: not known */
+/* status 200 with the revision, 409, or 0 and others: not known */
 /* how: as the effect's status said */
 void bd_core_user_committed(struct bd_core *core, void *request, const char *id, const char *body,
-                            int how, long status, uint64_t ring);
+                            int how, long status, uint64_t store_revision);
 /* replica */
 void bd_core_change(struct bd_core *core, const struct bd_change *ch);
-void bd_core_followed(struct bd_core *core, uint64_t after, uint64_t ring, struct timespec sent,
-                      bool barrier, bool ok);
+void bd_core_followed(struct bd_core *core, uint64_t after, uint64_t store_revision,
+                      struct timespec sent, bool barrier, bool ok);
 /* keeps only the newer of the final records when there are many */
 void bd_core_evict(struct bd_core *core);
 /* status 200 with the record, 404, or others: not known */
 void bd_core_looked_up(struct bd_core *core, void *request, const char *id, int how, long status,
                        const struct bd_change *ch);
-void bd_core_relisted(struct bd_core *core, uint64_t ring, struct timespec sent);
+void bd_core_relisted(struct bd_core *core, uint64_t store_revision, struct timespec sent);
 /* leadership */
 struct bd_gain {
-    uint64_t term, grant, sequence_mark, sequence;
+    uint64_t term, grant, sequence_revision, sequence;
     const char *nonce;
     struct timespec renewed; /* when the request that made the grant was sent */
     bool clean;              /* taken over without waiting for the old grant's end */
@@ -439,8 +439,8 @@
     json_t *intents;
 };
 /* dismissed: the leader's key says that it hears the workers that we answer for it */
-void bd_core_leader_is(struct bd_core *core, const char *name, uint64_t mark, struct timespec sent,
-                       bool dismissed);
+void bd_core_leader_is(struct bd_core *core, const char *name, uint64_t revision,
+                       struct timespec sent, bool dismissed);
 void bd_core_gained(struct bd_core *core, const struct bd_gain *g);
 void bd_core_renewed(struct bd_core *core, uint64_t grant, struct timespec sent);
 void bd_core_lost(struct bd_core *core);
@@ -448,7 +448,7 @@
 void bd_core_busy(struct bd_core *core);
 /* outcome: 1 committed, 0 refused (failed lists the keys), -1 leadership is gone, 2 called
  * malformed: not applied, and to be decided anew in smaller pieces */
-void bd_core_committed(struct bd_core *core, int outcome, uint64_t ring, json_t *failed);
+void bd_core_committed(struct bd_core *core, int outcome, uint64_t store_revision, json_t *failed);
 /* the other controllers */
 /* heard: when its frame arrived, which may be some time before the frame is handled */
 void bd_core_peer(struct bd_core *core, const char *name, uint64_t term, uint8_t flags,
@@ -464,8 +464,8 @@
 void bd_core_progress(struct bd_core *core, const char *job, uint32_t done, uint32_t running);
 /* a leader's look at the delegates' records; a follower's own record was written */
 void bd_core_delegates(struct bd_core *core, json_t *pairs, struct timespec sent);
-void bd_core_delegate_committed(struct bd_core *core, long status, uint64_t ring,
-                                struct timespec sent, bool mark_known);
+void bd_core_delegate_committed(struct bd_core *core, long status, uint64_t store_revision,
+                                struct timespec sent, bool revision_known);
 bool bd_core_up(const struct bd_core *core);
 bool bd_core_hears_leader(const struct bd_core *core);
 /* workers */
--- a/include/brambledoor/node.h
+++ b/include/brambledoor/node.h
@@ -50,7 +50,7 @@
     char name[BD_LABEL];
     long status;
     int outcome;
-    uint64_t ring, after, number, term;
+    uint64_t store_revision, after, number, term;
     struct timespec sent;
     struct timespec queued; /* when it was handed to the owner; zero: quietly, it may wait */
     bool flag;
@@ -71,7 +71,7 @@
     atomic_bool leading, want_barrier, types_known, step_down, up, page_out;
     atomic_bool give_up;       /* with step_down: the grant is to be ended */
     atomic_bool reads_refused; /* the newest refresh of the records was not served */
-    atomic_ullong ring;
+    atomic_ullong store_revision;
     struct bd_queue reader_wake;
     struct bd_peer_link *links[BD_MAX_PEERS];
     struct bd_metrics *metrics;
--- a/include/brambledoor/queue.h
+++ b/include/brambledoor/queue.h
@@ -9,7 +9,7 @@
 struct bd_queue {
     pthread_mutex_t lock;
     pthread_cond_t more;
-    void **ring;
+    void **items;
     size_t cap, head, n;
 };
 
--- a/include/brambledoor/wire.h
+++ b/include/brambledoor/wire.h
@@ -7,6 +7,22 @@
 #include <stddef.h>
 #include <stdint.h>
 
+/* where requests go: users and workers to us, */
+#define BD_PATH_HEALTH "/up"
+#define BD_PATH_CHECKIN "/checkin"
+#define BD_PATH_JOBS "/submissions"
+#define BD_PATH_CANCEL "/withdraw" /* after a job's path */
+/* ... we to workers, the cloud and the state service */
+#define BD_PATH_COMMANDS "/do"
+#define BD_PATH_MACHINES "/machines"
+#define BD_PATH_RETURN "/machines/return"
+#define BD_PATH_COMMIT "/commit"
+#define BD_PATH_GRANTS "/grants"
+#define BD_PATH_RENEW "/renew" /* after a grant's path */
+#define BD_PATH_KEYS "/kv"
+#define BD_PATH_LIST "/kv?starts="
+#define BD_PATH_REFRESH "/follow?starts="
+
 #define BD_ID 32
 #define BD_LABEL 64
 #define BD_HASH 20
@@ -138,6 +154,8 @@
                         int count);
 char *bd_wire_return(char (*names)[BD_LABEL], int n);
 int bd_wire_machine_names(json_t *o, char (*names)[BD_LABEL], int max);
+/* whether a 503 of the cloud means that it is out of order, rather than out of machines */
+bool bd_wire_cloud_outage(json_t *o);
 char *bd_wire_redirect(const char *node);
 
 /* state service */
@@ -145,7 +163,7 @@
     json_t *conds, *ops;
 };
 bool bd_txn_start(struct bd_txn *txn);
-void bd_txn_if(struct bd_txn *txn, const char *key, uint64_t mark);
+void bd_txn_if(struct bd_txn *txn, const char *key, uint64_t revision);
 void bd_txn_set(struct bd_txn *txn, const char *key, json_t *value, uint64_t grant);
 void bd_txn_drop(struct bd_txn *txn, const char *key);
 char *bd_txn_end(struct bd_txn *txn);
@@ -153,9 +171,11 @@
 struct bd_change {
     const char *key;
     json_t *value; /* NULL: gone */
-    uint64_t mark;
+    uint64_t revision;
 };
-uint64_t bd_wire_ring(json_t *o);
+uint64_t bd_wire_store_revision(json_t *o);
+/* names the revision in a change of a transaction, as an entry of a refresh does */
+void bd_wire_set_revision(json_t *change, uint64_t revision);
 json_t *bd_wire_failed(json_t *o);
 /* whether a refusal says that the grant of a key is over */
 bool bd_wire_no_grant(json_t *o);
--- a/src/admission.c
+++ b/src/admission.c
@@ -60,15 +60,15 @@
     return zones != 0 && !(at_once && s->scatter && one_zone);
 }
 
-/* Sets the job's record if its mark is this one; 0: if there is none. */
-static char *transaction(const char *id, uint64_t mark, json_t *value)
+/* Sets the job's record if its revision is this one; 0: if there is none. */
+static char *transaction(const char *id, uint64_t revision, json_t *value)
 {
     struct bd_txn t;
     char key[BD_LABEL];
     snprintf(key, sizeof key, "j/%s", id);
     if (!bd_txn_start(&t))
         abort();
-    bd_txn_if(&t, key, mark);
+    bd_txn_if(&t, key, revision);
     bd_txn_set(&t, key, value, 0);
     return bd_txn_end(&t);
 }
@@ -83,10 +83,10 @@
     effect->body = body;
 }
 
-void bd_user_commit(struct bd_core *core, void *request, const char *id, uint64_t mark,
+void bd_user_commit(struct bd_core *core, void *request, const char *id, uint64_t revision,
                     json_t *record, enum bd_wait_how how)
 {
-    send_commit(core, request, id, transaction(id, mark, record), how);
+    send_commit(core, request, id, transaction(id, revision, record), how);
 }
 
 struct bd_wait *bd_wait_barrier(struct bd_core *core, void *request, const char *id,
@@ -397,7 +397,7 @@
 /* ---- outcome ---- */
 
 /* What was committed shows here at once: the record, and the parts before it. */
-static void take_writes(struct bd_core *core, const char *body, uint64_t ring)
+static void take_writes(struct bd_core *core, const char *body, uint64_t store_revision)
 {
     const char *line = body;
     while (line && *line) {
@@ -407,7 +407,7 @@
         size_t i;
         json_array_foreach(json_object_get(o, "apply"), i, op)
         {
-            json_object_set_new(op, "mark", json_integer((json_int_t)ring));
+            bd_wire_set_revision(op, store_revision);
             if (bd_wire_change(op, &ch))
                 bd_core_change(core, &ch);
         }
@@ -430,10 +430,10 @@
 }
 
 void bd_core_user_committed(struct bd_core *core, void *request, const char *id, const char *body,
-                            int how, long status, uint64_t ring)
+                            int how, long status, uint64_t store_revision)
 {
     if (status == 200) {
-        take_writes(core, body, ring);
+        take_writes(core, body, store_revision);
         if (how == BD_WAIT_CANCEL) {
             struct bd_effect *effect = bd_emit(core, BD_E_CANCELLED);
             snprintf(effect->key, sizeof effect->key, "%s", id);
--- a/src/api_server.c
+++ b/src/api_server.c
@@ -115,10 +115,10 @@
     return true;
 }
 
-/* "/submissions/job-1/withdraw": the id into name; true if the tail matches */
+/* The id between the jobs' path and the tail into name; true if both match. */
 static bool job_path(const char *url, const char *tail, char *name, size_t cap)
 {
-    const char *prefix = "/submissions/";
+    const char *prefix = BD_PATH_JOBS "/";
     size_t p = strlen(prefix), t = strlen(tail), u = strlen(url);
     if (strncmp(url, prefix, p) != 0 || u <= p + t || strcmp(url + u - t, tail) != 0 ||
         u - p - t >= cap)
@@ -131,11 +131,11 @@
 static int route(const char *method, const char *url, char *name, size_t cap)
 {
     bool get = strcmp(method, "GET") == 0, post = strcmp(method, "POST") == 0;
-    if (strcmp(url, "/checkin") == 0)
+    if (strcmp(url, BD_PATH_CHECKIN) == 0)
         return post ? BD_C_CHECKIN : -405;
-    if (strcmp(url, "/submissions") == 0)
+    if (strcmp(url, BD_PATH_JOBS) == 0)
         return post ? BD_C_SUBMIT : -405;
-    if (job_path(url, "/withdraw", name, cap))
+    if (job_path(url, BD_PATH_CANCEL, name, cap))
         return post ? BD_C_CANCEL : -405;
     if (job_path(url, "", name, cap))
         return get ? BD_C_GET : -405;
@@ -173,7 +173,7 @@
                               const char *url)
 {
     char name[BD_LABEL] = "";
-    if (strcmp(url, "/up") == 0) {
+    if (strcmp(url, BD_PATH_HEALTH) == 0) {
         r->health = true;
         if (strcmp(method, "GET") != 0)
             return say(r->conn, 405, "wrong method", 0);
--- a/src/cloud.c
+++ b/src/cloud.c
@@ -91,8 +91,8 @@
     command->sent = bd_now();
     while (more) {
         json_t *o = NULL;
-        snprintf(path, sizeof path, "/machines?%s%s%slimit=%d", *after ? "after=" : "", after,
-                 *after ? "&" : "", PAGE);
+        snprintf(path, sizeof path, BD_PATH_MACHINES "?%s%s%slimit=%d", *after ? "after=" : "",
+                 after, *after ? "&" : "", PAGE);
         long status = call(d, "GET", path, NULL, &o);
         struct bd_cloud_machine *grown = realloc(all, (command->n + PAGE) * sizeof *all);
         if (!grown)
@@ -124,9 +124,8 @@
     snprintf(command->name, sizeof command->name, "%s", effect->key);
     for (int i = 0; i < PROVISION_TRIES; i++) {
         json_t *o = NULL;
-        command->status = call(d, "POST", "/machines", effect->body, &o);
-        const char *why = json_string_value(json_object_get(o, "error"));
-        bool trouble = command->status == 503 && why && strcmp(why, "trouble") == 0;
+        command->status = call(d, "POST", BD_PATH_MACHINES, effect->body, &o);
+        bool outage = command->status == 503 && bd_wire_cloud_outage(o);
         if (command->status == 200) {
             char(*names)[BD_LABEL] = calloc(64, sizeof *names);
             int n = names ? bd_wire_machine_names(o, names, 64) : -1;
@@ -134,8 +133,7 @@
             command->n = n > 0 ? (size_t)n : 0;
         }
         json_decref(o);
-        if (command->status == 200 || command->status == 400 ||
-            (command->status == 503 && !trouble))
+        if (command->status == 200 || command->status == 400 || (command->status == 503 && !outage))
             break;
         if (!atomic_load(&d->n->leading))
             break;
@@ -148,7 +146,7 @@
 {
     struct bd_cmd *command = bd_cmd_new(BD_C_RETURNED);
     json_t *o = NULL;
-    command->status = call(d, "POST", "/machines/return", effect->body, &o);
+    command->status = call(d, "POST", BD_PATH_RETURN, effect->body, &o);
     json_decref(o);
     json_t *sent = json_loads(effect->body, 0, NULL);
     char(*names)[BD_LABEL] = calloc(128, sizeof *names);
--- a/src/core.c
+++ b/src/core.c
@@ -323,7 +323,7 @@
     } else if (!bd_reachable(core)) {
         bd_refuse(core, request, 503, "state service not reached", OUTAGE_RETRY_S);
     } else if (job) {
-        bd_user_commit(core, request, id, job->mark, bd_cancelled_record(job), BD_WAIT_CANCEL);
+        bd_user_commit(core, request, id, job->revision, bd_cancelled_record(job), BD_WAIT_CANCEL);
     } else { /* perhaps accepted by another node a moment ago */
         bd_wait_barrier(core, request, id, BD_WAIT_CANCEL);
     }
@@ -396,12 +396,12 @@
         return;
     }
     struct bd_job *job = bd_job_find(core, id);
-    if (job && ch->mark <= job->mark)
+    if (job && ch->revision <= job->revision)
         return;
     bool first = !job;
     if (first)
         job = new_job(core, id, &r);
-    job->mark = ch->mark;
+    job->revision = ch->revision;
     job->stale = false;
     job->at = r.at;
     if (r.has_spec && !job->has_spec) {
@@ -464,7 +464,8 @@
     }
     bd_admission_drop(w->accept);
     if (job && w->how == BD_WAIT_CANCEL && job->state == BD_LIVE)
-        bd_user_commit(core, w->request, id, job->mark, bd_cancelled_record(job), BD_WAIT_CANCEL);
+        bd_user_commit(core, w->request, id, job->revision, bd_cancelled_record(job),
+                       BD_WAIT_CANCEL);
     else if (job)
         bd_answer_state(core, w->request, job);
     else if (core->evicted)
@@ -544,11 +545,11 @@
     }
 }
 
-void bd_core_followed(struct bd_core *core, uint64_t after, uint64_t ring, struct timespec sent,
-                      bool barrier, bool ok)
+void bd_core_followed(struct bd_core *core, uint64_t after, uint64_t store_revision,
+                      struct timespec sent, bool barrier, bool ok)
 {
-    if (ok && after <= core->ring && ring > core->ring)
-        core->ring = ring;
+    if (ok && after <= core->store_revision && store_revision > core->store_revision)
+        core->store_revision = store_revision;
     if (ok)
         core->refreshed_at = bd_max(core->refreshed_at, sent);
     if (!barrier)
@@ -569,9 +570,9 @@
     }
 }
 
-void bd_core_relisted(struct bd_core *core, uint64_t ring, struct timespec sent)
+void bd_core_relisted(struct bd_core *core, uint64_t store_revision, struct timespec sent)
 {
-    core->ring = ring;
+    core->store_revision = store_revision;
     core->replica_ready = true;
     core->refreshed_at = bd_max(core->refreshed_at, sent);
 }
@@ -596,13 +597,13 @@
     return newer_leader(core) < 0 && !cut_alone(core) && bd_in_grace(core, core->renewed);
 }
 
-void bd_core_leader_is(struct bd_core *core, const char *name, uint64_t mark, struct timespec sent,
-                       bool dismissed)
+void bd_core_leader_is(struct bd_core *core, const char *name, uint64_t revision,
+                       struct timespec sent, bool dismissed)
 {
     core->delegate.dismissed = dismissed;
     snprintf(core->leader_name, sizeof core->leader_name, "%s", name);
-    core->leader_term = mark;
-    core->last_term = mark ? mark : core->last_term;
+    core->leader_term = revision;
+    core->last_term = revision ? revision : core->last_term;
     core->leader_seen = sent;
 }
 
--- a/src/core_internal.h
+++ b/src/core_internal.h
@@ -94,7 +94,7 @@
 bool bd_reachable(const struct bd_core *core);
 struct bd_wait *bd_wait_barrier(struct bd_core *core, void *request, const char *id,
                                 enum bd_wait_how how);
-void bd_user_commit(struct bd_core *core, void *request, const char *id, uint64_t mark,
+void bd_user_commit(struct bd_core *core, void *request, const char *id, uint64_t revision,
                     json_t *record, enum bd_wait_how how);
 void bd_admission_proven(struct bd_core *core, struct bd_admission *admission);
 void bd_admission_looked_up(struct bd_core *core, void *request, long status);
@@ -179,7 +179,8 @@
                                  const struct timespec *until);
 
 /* delegates */
-#define LEADER_SILENT_S 1.3  /* not heard by the other controllers for so long: it may be cut off  \
+#define LEADER_SILENT_S                                                                            \
+    1.3                      /* not heard by the other controllers for so long: it may be cut off  \
                               */
 #define DELEGATE_FRESH_S 1.5 /* a delegate answers so long after its record was last confirmed */
 int bd_leader_index(const struct bd_core *core); /* among the peers, or -1 */
--- a/src/delegate.c
+++ b/src/delegate.c
@@ -156,14 +156,14 @@
     snprintf(effect->key, sizeof effect->key, "%s", key);
     delegate->busy = true;
     delegate->next_confirm = bd_add(core->now, bd_secs(CONFIRM_S));
-    if (!delegate->mark_known)
-        return; /* an earlier process's record may stand: its mark first */
+    if (!delegate->revision_known)
+        return; /* an earlier process's record may stand: its revision first */
     delegate->term = core->leader_term ? core->leader_term : core->last_term;
     delegate->leader = core->leader_term;
     if (!bd_txn_start(&t))
         abort();
     bd_txn_if(&t, "leader", delegate->leader);
-    bd_txn_if(&t, key, delegate->mark);
+    bd_txn_if(&t, key, delegate->revision);
     uint32_t each = part_holds(core), parts = (delegate->nserved + each - 1) / each;
     if (parts >
         most_parts(core)) { /* the limits were lowered: who is not in the record is sent on */
@@ -233,20 +233,20 @@
     }
 }
 
-void bd_core_delegate_committed(struct bd_core *core, long status, uint64_t ring,
-                                struct timespec sent, bool mark_known)
+void bd_core_delegate_committed(struct bd_core *core, long status, uint64_t store_revision,
+                                struct timespec sent, bool revision_known)
 {
     struct bd_delegate *delegate = &core->delegate;
     delegate->busy = false;
-    delegate->mark_known = mark_known;
-    if (mark_known)
-        delegate->mark = ring;
+    delegate->revision_known = revision_known;
+    if (revision_known)
+        delegate->revision = store_revision;
     if (status == 200) {
         delegate->confirmed_until = bd_add(sent, bd_secs(DELEGATE_FRESH_S * (1 - DRIFT)));
         for (uint32_t i = 0; i < delegate->nserved; i++)
             delegate->served[i].confirmed |= delegate->served[i].sent;
     }
-    if (status == 0 && mark_known) { /* now the record itself */
+    if (status == 0 && revision_known) { /* now the record itself */
         delegate->next_confirm = core->now;
         return;
     }
@@ -454,8 +454,8 @@
         return;
     }
     struct bd_delegate_seen *s = seen_of(core, ch->key + 2);
-    if (s && ch->mark != s->mark) {
-        s->mark = ch->mark;
+    if (s && ch->revision != s->revision) {
+        s->revision = ch->revision;
         s->changed = core->now;
     }
     if (s && bd_between(s->changed, core->now) > STALE_S)
--- a/src/election.c
+++ b/src/election.c
@@ -1,5 +1,5 @@
-/* Election by one versioned lease: the key `leader` on a grant of the state service. The mark of
- * the key at acquisition is the term. */
+/* Election by one versioned lease: the key `leader` on a grant of the state service. The revision
+ * of the key at acquisition is the term. */
 #include "brambledoor/node.h"
 #include "brambledoor/state_client.h"
 #include "brambledoor/timeutil.h"
@@ -16,10 +16,10 @@
 #define SAME_MOMENT_S 0.05
 #define LIVENESS_S 0.8 /* between a follower's records of being in touch: see standby.c */
 
-struct election {
+struct candidate {
     /* the leader as the owner was last told */
     char told_name[BD_LABEL];
-    uint64_t told_mark;
+    uint64_t told_revision;
     bool told_away;
     struct bd_node *n;
     struct bd_http *h;
@@ -31,169 +31,173 @@
     double ttl;
 };
 
-static double call_s(const struct election *s)
+static double call_s(const struct candidate *self)
 {
-    return s->ttl / 3;
+    return self->ttl / 3;
 }
 
-static bool get_grant(struct election *s)
+static bool get_grant(struct candidate *self)
 {
     json_t *o = NULL;
-    char *body = bd_wire_ttl(s->ttl);
-    s->granted = bd_now();
-    long status = bd_state_call(s->n, s->h, "POST", "/grants", body, call_s(s), &o);
+    char *body = bd_wire_ttl(self->ttl);
+    self->granted = bd_now();
+    long status = bd_state_call(self->n, self->h, "POST", BD_PATH_GRANTS, body, call_s(self), &o);
     free(body);
-    s->grant = status == 200 ? bd_wire_grant(o) : 0;
+    self->grant = status == 200 ? bd_wire_grant(o) : 0;
     json_decref(o);
-    return s->grant != 0;
+    return self->grant != 0;
 }
 
 enum view { VIEW_UNKNOWN, VIEW_FREE, VIEW_OURS, VIEW_BEFORE_US, VIEW_OTHER };
 
 /* Whether the leader's key names us among the delegates that it needs no more. */
-static bool sent_away(const struct election *s, json_t *value)
+static bool sent_away(const struct candidate *self, json_t *value)
 {
     json_t *v;
     size_t i;
     json_array_foreach(json_object_get(value, "away"), i, v)
     {
         const char *name = json_string_value(v);
-        if (name && strcmp(name, s->n->settings.node) == 0)
+        if (name && strcmp(name, self->n->settings.node) == 0)
             return true;
     }
     return false;
 }
 
-static void tell_leader(struct election *s, const char *name, uint64_t mark, struct timespec sent,
-                        bool away)
+static void tell_leader(struct candidate *self, const char *name, uint64_t revision,
+                        struct timespec sent, bool away)
 {
     struct bd_cmd *command = bd_cmd_new(BD_C_LEADER_IS);
     snprintf(command->name, sizeof command->name, "%s", name);
-    command->number = mark;
+    command->number = revision;
     command->sent = sent;
     command->flag = away;
-    bool news = mark != s->told_mark || away != s->told_away || strcmp(name, s->told_name) != 0;
-    snprintf(s->told_name, sizeof s->told_name, "%s", name);
-    s->told_mark = mark;
-    s->told_away = away;
+    bool news = revision != self->told_revision || away != self->told_away ||
+                strcmp(name, self->told_name) != 0;
+    snprintf(self->told_name, sizeof self->told_name, "%s", name);
+    self->told_revision = revision;
+    self->told_away = away;
     if (news)
-        bd_tell(s->n, command);
+        bd_tell(self->n, command);
     else
-        bd_tell_quietly(s->n, command);
+        bd_tell_quietly(self->n, command);
 }
 
-/* Who holds the lease now; the mark of the key into *mark. */
-static enum view see(struct election *s, uint64_t *mark)
+/* Who holds the lease now; the revision of the key into *revision. */
+static enum view see(struct candidate *self, uint64_t *revision)
 {
     json_t *o = NULL;
     struct bd_change ch;
     uint64_t grant;
     enum view v = VIEW_UNKNOWN;
     struct timespec sent = bd_now();
-    long status = bd_state_call(s->n, s->h, "GET", "/kv/leader", NULL, call_s(s), &o);
+    long status =
+        bd_state_call(self->n, self->h, "GET", BD_PATH_KEYS "/leader", NULL, call_s(self), &o);
     if (status == 404)
         v = VIEW_FREE;
     if (status == 200 && bd_wire_pair(o, &ch, &grant)) {
         const char *node = json_string_value(json_object_get(ch.value, "node"));
         const char *nonce = json_string_value(json_object_get(ch.value, "nonce"));
-        *mark = ch.mark;
+        *revision = ch.revision;
         v = VIEW_OTHER;
-        if (node && strcmp(node, s->n->settings.node) == 0)
-            v = nonce && strcmp(nonce, s->nonce) == 0 ? VIEW_OURS : VIEW_BEFORE_US;
+        if (node && strcmp(node, self->n->settings.node) == 0)
+            v = nonce && strcmp(nonce, self->nonce) == 0 ? VIEW_OURS : VIEW_BEFORE_US;
         if (node)
-            tell_leader(s, node, ch.mark, sent, sent_away(s, ch.value));
+            tell_leader(self, node, ch.revision, sent, sent_away(self, ch.value));
     }
     if (v == VIEW_FREE)
-        tell_leader(s, "", 0, sent, false);
+        tell_leader(self, "", 0, sent, false);
     json_decref(o);
     return v;
 }
 
-static void fresh_nonce(struct election *s)
+static void fresh_nonce(struct candidate *self)
 {
     unsigned char raw[8] = {0};
     if (getrandom(raw, sizeof raw, GRND_NONBLOCK) != (ssize_t)sizeof raw) {
         for (size_t i = 0; i < sizeof raw; i++)
-            raw[i] = (unsigned char)gsl_rng_uniform_int(s->rng, 256);
+            raw[i] = (unsigned char)gsl_rng_uniform_int(self->rng, 256);
     }
     struct timespec t = bd_now();
-    int len = snprintf(s->nonce, sizeof s->nonce, "%lld-", (long long)t.tv_nsec);
+    int len = snprintf(self->nonce, sizeof self->nonce, "%lld-", (long long)t.tv_nsec);
     for (size_t i = 0; i < sizeof raw; i++)
-        len += snprintf(s->nonce + len, sizeof s->nonce - (size_t)len, "%02x", raw[i]);
+        len += snprintf(self->nonce + len, sizeof self->nonce - (size_t)len, "%02x", raw[i]);
 }
 
-/* Takes the lease if it is free (mark 0) or was our own former process's. The term, or 0. */
-static uint64_t acquire(struct election *s, uint64_t mark)
+/* Takes the lease if it is free (revision 0) or was our own former process's. The term, or 0. */
+static uint64_t acquire(struct candidate *self, uint64_t revision)
 {
     struct bd_txn t;
     json_t *o = NULL;
     uint64_t term = 0;
-    fresh_nonce(s);
-    if (!get_grant(s) || !bd_txn_start(&t))
+    fresh_nonce(self);
+    if (!get_grant(self) || !bd_txn_start(&t))
         return 0;
-    bd_txn_if(&t, "leader", mark);
-    bd_txn_set(&t, "leader", json_pack("{s:s,s:s}", "node", s->n->settings.node, "nonce", s->nonce),
-               s->grant);
+    bd_txn_if(&t, "leader", revision);
+    bd_txn_set(&t, "leader",
+               json_pack("{s:s,s:s}", "node", self->n->settings.node, "nonce", self->nonce),
+               self->grant);
     char *body = bd_txn_end(&t);
-    long status = bd_state_call(s->n, s->h, "POST", "/commit", body, call_s(s), &o);
+    long status = bd_state_call(self->n, self->h, "POST", BD_PATH_COMMIT, body, call_s(self), &o);
     free(body);
     if (status == 200)
-        term = bd_wire_ring(o);
+        term = bd_wire_store_revision(o);
     json_decref(o);
     if (status != 200 && status != 409 && status != 400) {
         uint64_t now = 0;
-        if (see(s, &now) == VIEW_OURS)
+        if (see(self, &now) == VIEW_OURS)
             term = now;
     }
     return term;
 }
 
 /* True if the grant still lives, 0 if it is over, -1 if not known. */
-static int renew(struct election *s)
+static int renew(struct candidate *self)
 {
     char path[64];
     json_t *o = NULL;
     struct timespec sent = bd_now();
-    snprintf(path, sizeof path, "/grants/%llu/renew", (unsigned long long)s->grant);
-    long status = bd_state_call(s->n, s->h, "POST", path, "{}", call_s(s), &o);
+    snprintf(path, sizeof path, BD_PATH_GRANTS "/%llu" BD_PATH_RENEW,
+             (unsigned long long)self->grant);
+    long status = bd_state_call(self->n, self->h, "POST", path, "{}", call_s(self), &o);
     json_decref(o);
     if (status == 404)
         return 0;
     if (status != 200)
         return -1;
-    s->granted = sent;
+    self->granted = sent;
     struct bd_cmd *command = bd_cmd_new(BD_C_RENEWED);
-    command->number = s->grant;
+    command->number = self->grant;
     command->sent = sent;
-    bd_tell(s->n, command);
+    bd_tell(self->n, command);
     return 1;
 }
 
-static bool read_sequence(struct election *s, struct bd_gain *g)
+static bool read_sequence(struct candidate *self, struct bd_gain *g)
 {
     json_t *o = NULL;
     struct bd_change ch;
     uint64_t grant;
-    long status = bd_state_call(s->n, s->h, "GET", "/kv/w", NULL, call_s(s), &o);
+    long status = bd_state_call(self->n, self->h, "GET", BD_PATH_KEYS "/w", NULL, call_s(self), &o);
     if (status == 200 && bd_wire_pair(o, &ch, &grant))
-        g->sequence_mark = ch.mark;
+        g->sequence_revision = ch.revision;
     json_decref(o);
     return status == 200 || status == 404;
 }
 
 /* Reads what earlier terms left. The grant is renewed between the steps. */
-static bool load(struct election *s, struct bd_gain *g)
+static bool load(struct candidate *self, struct bd_gain *g)
 {
     for (int step = 0; step < 3;) {
         bool ok = false;
         if (step == 0)
-            ok = read_sequence(s, g);
+            ok = read_sequence(self, g);
         else if (step == 1)
-            ok = (g->receipts = bd_state_list(s->n, s->h, "r/")) != NULL;
+            ok = (g->receipts = bd_state_list(self->n, self->h, "r/")) != NULL;
         else
-            ok = (g->intents = bd_state_list(s->n, s->h, "i/")) != NULL;
+            ok = (g->intents = bd_state_list(self->n, self->h, "i/")) != NULL;
         step += ok;
-        if (renew(s) == 0)
+        if (renew(self) == 0)
             return false;
         if (!ok)
             bd_pause(0.1);
@@ -201,127 +205,128 @@
     return true;
 }
 
-static void lost(struct election *s)
+static void lost(struct candidate *self)
 {
-    s->leading = false;
-    bd_tell(s->n, bd_cmd_new(BD_C_LOST));
+    self->leading = false;
+    bd_tell(self->n, bd_cmd_new(BD_C_LOST));
 }
 
-static void take_lead(struct election *s, uint64_t mark)
+static void take_lead(struct candidate *self, uint64_t revision)
 {
-    uint64_t term = acquire(s, mark);
+    uint64_t term = acquire(self, revision);
     if (term == 0)
         return;
-    bd_say(&s->n->log, BD_INFO, "holds the lease, term %llu", (unsigned long long)term);
+    bd_say(&self->n->log, BD_INFO, "holds the lease, term %llu", (unsigned long long)term);
     struct bd_cmd *command = bd_cmd_new(BD_C_GAINED);
-    command->sent = s->granted;
+    command->sent = self->granted;
     command->gain.term = term;
-    command->gain.grant = s->grant;
-    snprintf(command->name, sizeof command->name, "%s", s->nonce);
-    if (!load(s, &command->gain)) {
+    command->gain.grant = self->grant;
+    snprintf(command->name, sizeof command->name, "%s", self->nonce);
+    if (!load(self, &command->gain)) {
         bd_cmd_free(command);
         return;
     }
-    command->gain.renewed = s->granted;
-    atomic_store(&s->n->step_down, false);
-    s->leading = true;
-    bd_tell(s->n, command);
-    (void)bd_queue_put(&s->n->reader_wake, s);
+    command->gain.renewed = self->granted;
+    atomic_store(&self->n->step_down, false);
+    self->leading = true;
+    bd_tell(self->n, command);
+    (void)bd_queue_put(&self->n->reader_wake, self);
 }
 
-static void tell_liveness(struct election *s, enum bd_cmd_kind kind, struct timespec sent)
+static void tell_liveness(struct candidate *self, enum bd_cmd_kind kind, struct timespec sent)
 {
     struct bd_cmd *command = bd_cmd_new(kind);
     command->sent = sent;
-    bd_tell_quietly(s->n, command); /* it holds its own time */
+    bd_tell_quietly(self->n, command); /* it holds its own time */
 }
 
 /* Says in the state service that we are in touch with it, under the leader whose key we saw. */
-static void write_liveness(struct election *s, uint64_t mark)
+static void write_liveness(struct candidate *self, uint64_t revision)
 {
     struct bd_txn t;
     char key[BD_LABEL + 8];
     json_t *o = NULL;
     struct timespec wall = {0, 0}, sent = bd_now();
-    if (bd_between(s->liveness_at, sent) < LIVENESS_S || clock_gettime(CLOCK_REALTIME, &wall) != 0)
+    if (bd_between(self->liveness_at, sent) < LIVENESS_S ||
+        clock_gettime(CLOCK_REALTIME, &wall) != 0)
         return;
     /* both clocks must name the same moment: a process may stand still in between */
     if (bd_between(sent, bd_now()) > SAME_MOMENT_S || !bd_txn_start(&t))
         return;
-    s->liveness_at = sent;
-    snprintf(key, sizeof key, "p/%.60s/at", s->n->settings.node);
-    bd_txn_if(&t, "leader", mark);
+    self->liveness_at = sent;
+    snprintf(key, sizeof key, "p/%.60s/at", self->n->settings.node);
+    bd_txn_if(&t, "leader", revision);
     bd_txn_set(&t, key, json_pack("{s:f}", "at", bd_to_secs(wall)), 0);
     char *body = bd_txn_end(&t);
-    tell_liveness(s, BD_C_LIVENESS_SENT, sent);
-    long status = bd_state_call(s->n, s->h, "POST", "/commit", body, call_s(s), &o);
+    tell_liveness(self, BD_C_LIVENESS_SENT, sent);
+    long status = bd_state_call(self->n, self->h, "POST", BD_PATH_COMMIT, body, call_s(self), &o);
     free(body);
     json_decref(o);
     if (status == 200)
-        tell_liveness(s, BD_C_LIVENESS_WRITTEN, sent);
+        tell_liveness(self, BD_C_LIVENESS_WRITTEN, sent);
 }
 
 /* Ends a grant that would otherwise keep others from leading until it runs out. Nothing rests on
  * the answer: it is not renewed any more. */
-static void end_grant(struct election *s)
+static void end_grant(struct candidate *self)
 {
     char path[64];
     json_t *o = NULL;
-    snprintf(path, sizeof path, "/grants/%llu", (unsigned long long)s->grant);
-    (void)bd_state_call(s->n, s->h, "DELETE", path, NULL, call_s(s), &o);
+    snprintf(path, sizeof path, BD_PATH_GRANTS "/%llu", (unsigned long long)self->grant);
+    (void)bd_state_call(self->n, self->h, "DELETE", path, NULL, call_s(self), &o);
     json_decref(o);
-    s->grant = 0;
+    self->grant = 0;
 }
 
 /* One that cannot read the records could not start anything: it leaves the lease to others. */
-static void follow_once(struct election *s)
+static void follow_once(struct candidate *self)
 {
-    uint64_t mark = 0;
-    enum view v = see(s, &mark);
-    bool can_lead = !atomic_load(&s->n->reads_refused);
+    uint64_t revision = 0;
+    enum view v = see(self, &revision);
+    bool can_lead = !atomic_load(&self->n->reads_refused);
     if (v == VIEW_OTHER)
-        write_liveness(s, mark);
+        write_liveness(self, revision);
     if (v == VIEW_FREE && can_lead)
-        take_lead(s, 0);
+        take_lead(self, 0);
     else if ((v == VIEW_BEFORE_US || v == VIEW_OURS) && can_lead)
-        take_lead(s, mark);
-    if (!s->leading) /* uneven, so that nodes do not collide for ever */
-        bd_pause(REFRESH_S * (0.7 + 0.6 * gsl_rng_uniform(s->rng)));
+        take_lead(self, revision);
+    if (!self->leading) /* uneven, so that nodes do not collide for ever */
+        bd_pause(REFRESH_S * (0.7 + 0.6 * gsl_rng_uniform(self->rng)));
 }
 
-static void lead_once(struct election *s)
+static void lead_once(struct candidate *self)
 {
-    uint64_t mark = 0;
-    if (atomic_exchange(&s->n->step_down, false)) {
-        s->leading = false;
-        if (atomic_exchange(&s->n->give_up, false))
-            end_grant(s);
+    uint64_t revision = 0;
+    if (atomic_exchange(&self->n->step_down, false)) {
+        self->leading = false;
+        if (atomic_exchange(&self->n->give_up, false))
+            end_grant(self);
         return;
     }
-    if (renew(s) == 0) {
-        enum view v = see(s, &mark);
-        bd_say(&s->n->log, BD_INFO, "grant is over, view %d", (int)v);
-        lost(s);
+    if (renew(self) == 0) {
+        enum view v = see(self, &revision);
+        bd_say(&self->n->log, BD_INFO, "grant is over, view %d", (int)v);
+        lost(self);
         return;
     }
-    bd_pause(s->ttl / RENEWS);
+    bd_pause(self->ttl / RENEWS);
 }
 
 static void *run(void *arg)
 {
-    struct election *s = arg;
+    struct candidate *self = arg;
     for (;;) {
-        if (s->leading)
-            lead_once(s);
+        if (self->leading)
+            lead_once(self);
         else
-            follow_once(s);
+            follow_once(self);
     }
     return NULL;
 }
 
 int bd_election_start(struct bd_node *node)
 {
-    struct election *s = calloc(1, sizeof *s);
+    struct candidate *s = calloc(1, sizeof *s);
     if (!s)
         return -1;
     s->n = node;
--- a/src/event_loop.c
+++ b/src/event_loop.c
@@ -97,8 +97,8 @@
 {
     if (command->outcome)
         changes(node->core, bd_wire_log(command->json));
-    bd_core_followed(node->core, command->after, command->ring, command->sent, command->flag,
-                     command->outcome);
+    bd_core_followed(node->core, command->after, command->store_revision, command->sent,
+                     command->flag, command->outcome);
 }
 
 static void relisted(struct bd_node *node, struct bd_cmd *command)
@@ -106,7 +106,7 @@
     changes(node->core, command->json);
     bd_core_evict(node->core);
     if (command->flag) /* the last page */
-        bd_core_relisted(node->core, command->ring, command->sent);
+        bd_core_relisted(node->core, command->store_revision, command->sent);
     atomic_store(&node->page_out, false);
 }
 
@@ -174,7 +174,7 @@
         bd_core_delegates(core, command->json, command->sent);
         break;
     case BD_C_DELEGATE_COMMITTED:
-        bd_core_delegate_committed(core, command->status, command->ring, command->sent,
+        bd_core_delegate_committed(core, command->status, command->store_revision, command->sent,
                                    command->flag);
         break;
     case BD_C_LOOKED_UP:
@@ -203,7 +203,7 @@
         break;
     case BD_C_USER_COMMITTED:
         bd_core_user_committed(core, command->request, command->name, command->text,
-                               command->outcome, command->status, command->ring);
+                               command->outcome, command->status, command->store_revision);
         break;
     case BD_C_FOLLOWED:
         followed(node, command);
@@ -234,7 +234,8 @@
         /* an answer to an earlier term's transaction says nothing about ours */
         bd_metrics_time(node->metrics, BD_TIMING_COMMIT, bd_between(node->commit_sent, core->now));
         if (command->term == core->base_term && command->number == core->sequence)
-            bd_core_committed(core, command->outcome, command->ring, bd_wire_failed(command->json));
+            bd_core_committed(core, command->outcome, command->store_revision,
+                              bd_wire_failed(command->json));
         break;
     default:
         worker_cmd(node, command);
@@ -342,7 +343,7 @@
     if (sends)
         bd_transport_flush(node);
     atomic_store(&node->leading, node->core->role == BD_LEADER);
-    atomic_store(&node->ring, node->core->ring);
+    atomic_store(&node->store_revision, node->core->store_revision);
     atomic_store(&node->up, bd_core_up(node->core));
     atomic_store(&node->types_known, node->core->types_known);
 }
@@ -402,7 +403,7 @@
 static void gain(struct bd_node *node)
 {
     struct bd_cmd *g = node->pending_gain;
-    if (!g || !node->core->replica_ready || node->core->ring < g->gain.term)
+    if (!g || !node->core->replica_ready || node->core->store_revision < g->gain.term)
         return;
     node->pending_gain = NULL;
     g->gain.nonce = g->name;
--- a/src/limits.c
+++ b/src/limits.c
@@ -110,5 +110,5 @@
  * that the one at fault does not take the others with it for ever. */
 void bd_limits_back_off(struct bd_core *core, struct bd_job *job)
 {
-    job->backoff_until = bd_add(core->now, bd_secs(BACKOFF_S + (double)(job->mark % 8)));
+    job->backoff_until = bd_add(core->now, bd_secs(BACKOFF_S + (double)(job->revision % 8)));
 }
--- a/src/queue.c
+++ b/src/queue.c
@@ -7,8 +7,8 @@
     pthread_condattr_t attr;
     memset(q, 0, sizeof *q);
     q->cap = cap;
-    q->ring = calloc(cap, sizeof *q->ring);
-    if (!q->ring || pthread_mutex_init(&q->lock, NULL) != 0 || pthread_condattr_init(&attr) != 0)
+    q->items = calloc(cap, sizeof *q->items);
+    if (!q->items || pthread_mutex_init(&q->lock, NULL) != 0 || pthread_condattr_init(&attr) != 0)
         return -1;
     if (pthread_condattr_setclock(&attr, CLOCK_MONOTONIC) != 0)
         return -1;
@@ -19,7 +19,7 @@
 
 void bd_queue_end(struct bd_queue *queue)
 {
-    free(queue->ring);
+    free(queue->items);
     (void)pthread_cond_destroy(&queue->more);
     (void)pthread_mutex_destroy(&queue->lock);
 }
@@ -29,7 +29,7 @@
     (void)pthread_mutex_lock(&queue->lock);
     bool ok = queue->n < queue->cap;
     if (ok) {
-        queue->ring[(queue->head + queue->n) % queue->cap] = item;
+        queue->items[(queue->head + queue->n) % queue->cap] = item;
         queue->n++;
     }
     (void)pthread_mutex_unlock(&queue->lock);
@@ -52,7 +52,7 @@
         if (pthread_cond_timedwait(&queue->more, &queue->lock, &until) != 0)
             break;
     while (got < max && queue->n > 0) {
-        out[got++] = queue->ring[queue->head];
+        out[got++] = queue->items[queue->head];
         queue->head = (queue->head + 1) % queue->cap;
         queue->n--;
     }
--- a/src/rounds.c
+++ b/src/rounds.c
@@ -46,7 +46,7 @@
 {
     char key[BD_LABEL];
     snprintf(key, sizeof key, "j/%s", job->id);
-    bd_txn_if(&builder->t, key, job->mark);
+    bd_txn_if(&builder->t, key, job->revision);
     spend(builder, 0, 1, 80);
 }
 
@@ -320,7 +320,7 @@
     if (!bd_txn_start(&b.t))
         abort();
     bd_txn_if(&b.t, "leader", core->term);
-    bd_txn_if(&b.t, "w", core->sequence_mark);
+    bd_txn_if(&b.t, "w", core->sequence_revision);
     add_token_raise(core, &b);
     add_intents(core, &b);
     unplan_rest(core);
@@ -435,7 +435,7 @@
     }
 }
 
-static void done_kept(struct bd_core *core, struct bd_job *job, uint64_t ring)
+static void done_kept(struct bd_core *core, struct bd_job *job, uint64_t store_revision)
 {
     double age = core->wall - job->at;
     bd_say(
@@ -445,7 +445,7 @@
         job->id, job->ntasks, (int)job->spec.rank, job->spec.estimate,
         age - bd_between(job->last_placed, core->now), age - bd_between(job->last_begun, core->now),
         age, job->restarts);
-    job->mark = ring;
+    job->revision = store_revision;
     job->state = BD_DONE;
     job->end = core->wall;
     bd_job_unlead(job);
@@ -454,11 +454,11 @@
     bd_deps_settled(core, job); /* now, and not before, what waits for it may start */
 }
 
-static void kept(struct bd_core *core, struct bd_commit *commit, uint64_t ring)
+static void kept(struct bd_core *core, struct bd_commit *commit, uint64_t store_revision)
 {
-    core->sequence_mark = ring;
+    core->sequence_revision = store_revision;
     if (commit->raises_token) {
-        core->term = ring;
+        core->term = store_revision;
         core->last_token_raise = core->now;
         core->fenced_attempt = (core->base_term << 20) + core->counter;
         core->withheld = 0;
@@ -469,9 +469,9 @@
     if (commit->nplan)
         launch_planned(core, commit);
     for (uint32_t i = 0; i < commit->ndone; i++)
-        done_kept(core, commit->done[i], ring);
+        done_kept(core, commit->done[i], store_revision);
     for (uint32_t i = 0; i < commit->ncancelled; i++) {
-        commit->cancelled[i]->mark = ring;
+        commit->cancelled[i]->revision = store_revision;
         bd_deps_written(core, commit->cancelled[i]);
     }
 }
@@ -512,7 +512,7 @@
         bd_limits_back_off(core, commit->cancelled[i]);
 }
 
-void bd_core_committed(struct bd_core *core, int outcome, uint64_t ring, json_t *failed)
+void bd_core_committed(struct bd_core *core, int outcome, uint64_t store_revision, json_t *failed)
 {
     struct bd_commit *commit = core->commit;
     if (!commit || core->role != BD_LEADER)
@@ -525,7 +525,7 @@
     if (outcome == 2)
         too_large(core, commit);
     if (outcome == 1)
-        kept(core, commit, ring);
+        kept(core, commit, store_revision);
     else
         refused(core, commit, failed);
     bd_commit_free(commit);
@@ -644,7 +644,7 @@
     core->withheld = 0;
     core->round_n = 0;
     core->request_n = 0;
-    core->sequence_mark = g->sequence_mark;
+    core->sequence_revision = g->sequence_revision;
     core->sequence = g->sequence;
     core->listed_once = false;
     snprintf(core->nonce, sizeof core->nonce, "%s", g->nonce);
--- a/src/state_client.c
+++ b/src/state_client.c
@@ -42,9 +42,9 @@
     json_t *page = NULL;
     struct bd_change ch;
     if (*after)
-        snprintf(path, sizeof path, "/kv?starts=%s&after=%s&limit=1000", prefix, after);
+        snprintf(path, sizeof path, BD_PATH_LIST "%s&after=%s&limit=1000", prefix, after);
     else
-        snprintf(path, sizeof path, "/kv?starts=%s&limit=1000", prefix);
+        snprintf(path, sizeof path, BD_PATH_LIST "%s&limit=1000", prefix);
     if (bd_state_call(node, http, "GET", path, NULL, ANSWER_S, &page) != 200) {
         json_decref(page);
         return NULL;
@@ -81,7 +81,7 @@
 /* Job records are many: page by page, the owner taking in each before the next is read. */
 static void relist(struct bd_node *node, struct bd_http *http)
 {
-    uint64_t ring = 0;
+    uint64_t store_revision = 0;
     struct timespec sent = bd_now();
     char after[256] = "";
     bool more = true;
@@ -92,12 +92,12 @@
             bd_pause(PAUSE_S);
             return;
         }
-        if (ring == 0)
-            ring = bd_wire_ring(page);
+        if (store_revision == 0)
+            store_revision = bd_wire_store_revision(page);
         struct bd_cmd *command = bd_cmd_new(BD_C_RELISTED);
         command->json = json_incref(bd_wire_pairs(page, &ignored));
         json_decref(page);
-        command->ring = ring;
+        command->store_revision = store_revision;
         command->sent = sent;
         command->flag = !more;
         atomic_store(&node->page_out, true);
@@ -112,7 +112,7 @@
 {
     char path[96];
     json_t *o = NULL;
-    snprintf(path, sizeof path, "/follow?starts=j/&after=%llu&waitMs=0",
+    snprintf(path, sizeof path, BD_PATH_REFRESH "j/&after=%llu&waitMs=0",
              (unsigned long long)*after);
     struct bd_cmd *command = bd_cmd_new(BD_C_FOLLOWED);
     command->sent = bd_now();
@@ -124,10 +124,10 @@
     bool news = barrier || status != 200;
     atomic_store(&node->reads_refused, status != 200 && status != 410);
     if (status == 200) {
-        command->ring = bd_wire_ring(o);
+        command->store_revision = bd_wire_store_revision(o);
         news = news || json_array_size(bd_wire_log(o)) > 0;
-        if (command->ring > *after)
-            *after = command->ring;
+        if (command->store_revision > *after)
+            *after = command->store_revision;
     }
     if (news)
         bd_tell(node, command);
@@ -172,7 +172,7 @@
         if (again) {
             relist(node, http);
             bd_pause(0.02); /* until the owner has said how new it is */
-            after = atomic_load(&node->ring);
+            after = atomic_load(&node->store_revision);
             again = after == 0;
             continue;
         }
@@ -191,13 +191,13 @@
 
 /* Whether the commit sequence shows the transaction: 1 yes, 0 no, -1 not known. */
 static int sequence_shows(struct bd_node *node, struct bd_http *http,
-                          const struct bd_effect *effect, uint64_t *ring)
+                          const struct bd_effect *effect, uint64_t *store_revision)
 {
     json_t *o = NULL;
     struct bd_change ch;
     uint64_t grant;
     int found = -1;
-    long status = bd_state_call(node, http, "GET", "/kv/w", NULL, ANSWER_S, &o);
+    long status = bd_state_call(node, http, "GET", BD_PATH_KEYS "/w", NULL, ANSWER_S, &o);
     if (status == 404)
         found = 0;
     if (status == 200 && bd_wire_pair(o, &ch, &grant)) {
@@ -206,7 +206,7 @@
                  (long long)json_integer_value(json_object_get(ch.value, "t")));
         found = strcmp(term, effect->key) == 0 &&
                 (uint64_t)json_integer_value(json_object_get(ch.value, "n")) == effect->token;
-        *ring = ch.mark;
+        *store_revision = ch.revision;
     }
     json_decref(o);
     return found;
@@ -236,13 +236,15 @@
     command->outcome = open;
     while (command->outcome == open) {
         json_t *o = NULL;
-        long status = bd_state_call(node, http, "POST", "/commit", effect->body, ANSWER_S, &o);
+        long status = bd_state_call(node, http, "POST", BD_PATH_COMMIT, effect->body, ANSWER_S, &o);
         if (status == 200) {
             command->outcome = 1;
-            command->ring = bd_wire_ring(o);
+            command->store_revision = bd_wire_store_revision(o);
         } else if (status == 409) {
             json_t *failed = bd_wire_failed(o);
-            int w = names(failed, "w") ? sequence_shows(node, http, effect, &command->ring) : 0;
+            int w = names(failed, "w")
+                        ? sequence_shows(node, http, effect, &command->store_revision)
+                        : 0;
             if (w == 1)
                 command->outcome = 1;
             else if (w == 0)
@@ -255,7 +257,7 @@
         } else if (status == 400) {
             /* not applied now, perhaps beyond a limit that was lowered; but an earlier copy may be
              */
-            int w = unsure ? sequence_shows(node, http, effect, &command->ring) : 0;
+            int w = unsure ? sequence_shows(node, http, effect, &command->store_revision) : 0;
             command->outcome = w == 1 ? 1 : w == 0 ? 2 : open;
         } else if (!atomic_load(&node->leading)) {
             command->outcome = -1;
@@ -267,7 +269,7 @@
             bd_pause(PAUSE_S);
             /* one larger than a second's changes would be refused for ever */
             if (busy >= BUSY_TRIES &&
-                (!unsure || sequence_shows(node, http, effect, &command->ring) == 0))
+                (!unsure || sequence_shows(node, http, effect, &command->store_revision) == 0))
                 command->outcome = 0;
         }
         json_decref(o);
@@ -304,14 +306,15 @@
     char path[128];
     command->sent = bd_now();
     if (effect->body) {
-        command->status = bd_state_call(node, http, "POST", "/commit", effect->body, ANSWER_S, &o);
-        command->ring = bd_wire_ring(o);
+        command->status =
+            bd_state_call(node, http, "POST", BD_PATH_COMMIT, effect->body, ANSWER_S, &o);
+        command->store_revision = bd_wire_store_revision(o);
         command->flag = command->status == 200;
-    } else { /* only the record's mark is asked for */
-        snprintf(path, sizeof path, "/kv/%s", effect->key);
+    } else { /* only the record's revision is asked for */
+        snprintf(path, sizeof path, BD_PATH_KEYS "/%s", effect->key);
         long status = bd_state_call(node, http, "GET", path, NULL, ANSWER_S, &o);
         command->flag = status == 404 || (status == 200 && bd_wire_pair(o, &ch, &grant));
-        command->ring = status == 200 && command->flag ? ch.mark : 0;
+        command->store_revision = status == 200 && command->flag ? ch.revision : 0;
     }
     json_decref(o);
     bd_tell(node, command);
@@ -327,8 +330,9 @@
     for (char *line = copy ? strtok_r(copy, "\n", &rest) : NULL; line && command->status == 200;
          line = strtok_r(NULL, "\n", &rest)) {
         json_decref(o);
-        command->status = bd_state_call(node, http, "POST", "/commit", line, USER_ANSWER_S, &o);
-        command->ring = bd_wire_ring(o);
+        command->status =
+            bd_state_call(node, http, "POST", BD_PATH_COMMIT, line, USER_ANSWER_S, &o);
+        command->store_revision = bd_wire_store_revision(o);
     }
     free(copy);
     command->request = effect->request;
@@ -344,7 +348,7 @@
 {
     struct bd_cmd *command = bd_cmd_new(BD_C_LOOKED_UP);
     char path[128];
-    snprintf(path, sizeof path, "/kv/j/%s", effect->key);
+    snprintf(path, sizeof path, BD_PATH_KEYS "/j/%s", effect->key);
     command->status = bd_state_call(node, http, "GET", path, NULL, ANSWER_S, &command->json);
     command->request = effect->request;
     command->outcome = effect->status;
--- a/src/wire.c
+++ b/src/wire.c
@@ -530,6 +530,12 @@
     return n;
 }
 
+bool bd_wire_cloud_outage(json_t *o)
+{
+    const char *why = json_string_value(json_object_get(o, "error"));
+    return why && strcmp(why, "trouble") == 0;
+}
+
 char *bd_wire_redirect(const char *node)
 {
     char buf[128];
@@ -546,9 +552,10 @@
     return txn->conds && txn->ops;
 }
 
-void bd_txn_if(struct bd_txn *txn, const char *key, uint64_t mark)
+void bd_txn_if(struct bd_txn *txn, const char *key, uint64_t revision)
 {
-    json_array_append_new(txn->conds, json_pack("{s:s,s:I}", "k", key, "mark", (json_int_t)mark));
+    json_array_append_new(txn->conds,
+                          json_pack("{s:s,s:I}", "k", key, "mark", (json_int_t)revision));
 }
 
 void bd_txn_set(struct bd_txn *txn, const char *key, json_t *value, uint64_t grant)
@@ -573,7 +580,12 @@
     return s;
 }
 
-uint64_t bd_wire_ring(json_t *o)
+void bd_wire_set_revision(json_t *change, uint64_t revision)
+{
+    json_object_set_new(change, "mark", json_integer((json_int_t)revision));
+}
+
+uint64_t bd_wire_store_revision(json_t *o)
 {
     uint64_t n = 0;
     return whole(o, "ring", &n) ? n : 0;
@@ -611,7 +623,7 @@
         c->key = json_string_value(json_object_get(o, "drop"));
         c->value = NULL;
     }
-    return c->key && whole(o, "mark", &c->mark);
+    return c->key && whole(o, "mark", &c->revision);
 }
 
 bool bd_wire_pair(json_t *o, struct bd_change *c, uint64_t *grant)
--- a/src/worker_client.c
+++ b/src/worker_client.c
@@ -63,7 +63,7 @@
     char url[128];
     struct bd_reply r;
     struct bd_cmd *command = bd_cmd_new(BD_C_DID);
-    snprintf(url, sizeof url, "http://%s/do", effect->addr);
+    snprintf(url, sizeof url, "http://%s" BD_PATH_COMMANDS, effect->addr);
     bd_http_call(http, "POST", url, effect->body, ANSWER_S, &r);
     command->status = r.status;
     command->text = r.body;
--- a/tests/fake_server.c
+++ b/tests/fake_server.c
@@ -20,13 +20,13 @@
 struct key {
     char name[96];
     json_t *value;
-    uint64_t mark, grant;
+    uint64_t revision, grant;
 };
 
 struct change {
     char name[96];
     json_t *value;
-    uint64_t mark;
+    uint64_t revision;
 };
 
 struct task {
@@ -82,7 +82,7 @@
     size_t value_bytes, ops;
     int write_rps, writes, refused, busy;
     struct timespec second;
-    uint64_t ring, grants;
+    uint64_t store_revision, grants;
     struct {
         uint64_t id;
         struct timespec ends;
@@ -191,7 +191,7 @@
     struct change *c = &w->log[w->nlog++];
     snprintf(c->name, sizeof c->name, "%s", name);
     c->value = json_incref(value);
-    c->mark = w->ring;
+    c->revision = w->store_revision;
 }
 
 static void drop_key(struct world *w, const char *name)
@@ -216,7 +216,7 @@
     }
     json_decref(k->value);
     k->value = json_incref(value);
-    k->mark = w->ring;
+    k->revision = w->store_revision;
     k->grant = grant;
     note(w, name, value);
 }
@@ -234,7 +234,7 @@
                 k++;
                 continue;
             }
-            w->ring++;
+            w->store_revision++;
             drop_key(w, w->keys[k].name);
         }
         w->grant[i] = w->grant[--w->ngrants];
@@ -300,7 +300,7 @@
         const char *name = json_string_value(json_object_get(v, "k"));
         struct key *k = find_key(w, name);
         uint64_t want = (uint64_t)json_integer_value(json_object_get(v, "mark"));
-        if ((k ? k->mark : 0) != want)
+        if ((k ? k->revision : 0) != want)
             json_array_append_new(failed, json_string(name));
     }
     json_array_foreach(json_object_get(in, "apply"), i, v)
@@ -313,11 +313,11 @@
         }
     }
     if (json_array_size(failed) > 0) {
-        *out = json_pack("{s:o,s:I}", "failed", failed, "ring", (json_int_t)w->ring);
+        *out = json_pack("{s:o,s:I}", "failed", failed, "ring", (json_int_t)w->store_revision);
         return 409;
     }
     json_decref(failed);
-    w->ring++;
+    w->store_revision++;
     json_array_foreach(json_object_get(in, "apply"), i, v)
     {
         const char *settings = json_string_value(json_object_get(v, "set"));
@@ -327,7 +327,7 @@
         else
             drop_key(w, json_string_value(json_object_get(v, "drop")));
     }
-    *out = json_pack("{s:I}", "ring", (json_int_t)w->ring);
+    *out = json_pack("{s:I}", "ring", (json_int_t)w->store_revision);
     return 200;
 }
 
@@ -382,9 +382,10 @@
             break;
         }
         json_array_append_new(pairs, json_pack("{s:s,s:O,s:I}", "k", k->name, "value", k->value,
-                                               "mark", (json_int_t)k->mark));
+                                               "mark", (json_int_t)k->revision));
     }
-    *out = json_pack("{s:o,s:b,s:I}", "pairs", pairs, "more", more, "ring", (json_int_t)w->ring);
+    *out = json_pack("{s:o,s:b,s:I}", "pairs", pairs, "more", more, "ring",
+                     (json_int_t)w->store_revision);
     return 200;
 }
 
@@ -396,14 +397,14 @@
     json_t *log = json_array();
     for (int i = 0; i < w->nlog; i++) {
         struct change *c = &w->log[i];
-        if (c->mark <= from || strncmp(c->name, starts, strlen(starts)) != 0)
+        if (c->revision <= from || strncmp(c->name, starts, strlen(starts)) != 0)
             continue;
-        json_array_append_new(
-            log, c->value ? json_pack("{s:s,s:O,s:I}", "set", c->name, "value", c->value, "mark",
-                                      (json_int_t)c->mark)
-                          : json_pack("{s:s,s:I}", "drop", c->name, "mark", (json_int_t)c->mark));
+        json_array_append_new(log, c->value ? json_pack("{s:s,s:O,s:I}", "set", c->name, "value",
+                                                        c->value, "mark", (json_int_t)c->revision)
+                                            : json_pack("{s:s,s:I}", "drop", c->name, "mark",
+                                                        (json_int_t)c->revision));
     }
-    *out = json_pack("{s:I,s:o}", "ring", (json_int_t)w->ring, "log", log);
+    *out = json_pack("{s:I,s:o}", "ring", (json_int_t)w->store_revision, "log", log);
     return 200;
 }
 
@@ -411,11 +412,11 @@
 {
     struct key *k = find_key(w, name);
     if (!k) {
-        *out = json_pack("{s:I}", "ring", (json_int_t)w->ring);
+        *out = json_pack("{s:I}", "ring", (json_int_t)w->store_revision);
         return 404;
     }
     *out = json_pack("{s:s,s:O,s:I,s:I}", "k", k->name, "value", k->value, "mark",
-                     (json_int_t)k->mark, "charter", (json_int_t)k->grant);
+                     (json_int_t)k->revision, "charter", (json_int_t)k->grant);
     return 200;
 }
 
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -33,7 +33,7 @@
 struct key {
     char name[96];
     json_t *value;
-    uint64_t mark;
+    uint64_t revision;
 };
 
 struct job {
@@ -55,7 +55,7 @@
     gsl_rng *rng;
     struct key keys[4 * JOBS + 4000];
     int nkeys, leader, faults, ends, cancels;
-    uint64_t ring, seen[NODES], seq, token;
+    uint64_t store_revision, seen[NODES], seq, token;
     double now;
     struct job jobs[JOBS];
     struct task tasks[TASKS];
@@ -96,7 +96,7 @@
     json_incref(value);
     json_decref(k->value);
     k->value = value;
-    k->mark = w->ring;
+    k->revision = w->store_revision;
 }
 
 static void drop(struct world *w, const char *name)
@@ -118,11 +118,11 @@
     {
         const char *name = json_string_value(json_object_get(v, "k"));
         struct key *k = find(w, name);
-        if ((k ? k->mark : 0) != (uint64_t)json_integer_value(json_object_get(v, "mark")))
+        if ((k ? k->revision : 0) != (uint64_t)json_integer_value(json_object_get(v, "mark")))
             json_array_append_new(*failed, json_string(name));
     }
     bool ok = json_array_size(*failed) == 0;
-    w->ring += ok;
+    w->store_revision += ok;
     json_array_foreach(ok ? json_object_get(o, "apply") : NULL, i, v)
     {
         const char *name = json_string_value(json_object_get(v, "set"));
@@ -298,7 +298,8 @@
             status = 0;
     }
     json_decref(failed);
-    bd_core_user_committed(w->c[n], e->request, e->key, e->body, e->status, status, w->ring);
+    bd_core_user_committed(w->c[n], e->request, e->key, e->body, e->status, status,
+                           w->store_revision);
 }
 
 static void perform(struct world *w, int n)
@@ -332,13 +333,13 @@
 {
     uint64_t after = w->seen[n];
     for (int i = 0; ok && i < w->nkeys; i++) {
-        struct bd_change ch = {w->keys[i].name, w->keys[i].value, w->keys[i].mark};
-        if (ch.mark > after && strncmp(ch.key, "j/", 2) == 0)
+        struct bd_change ch = {w->keys[i].name, w->keys[i].value, w->keys[i].revision};
+        if (ch.revision > after && strncmp(ch.key, "j/", 2) == 0)
             bd_core_change(w->c[n], &ch);
     }
     if (ok)
-        w->seen[n] = w->ring;
-    bd_core_followed(w->c[n], after, w->ring, w->c[n]->now, w->c[n]->barrier_out, ok);
+        w->seen[n] = w->store_revision;
+    bd_core_followed(w->c[n], after, w->store_revision, w->c[n]->now, w->c[n]->barrier_out, ok);
 }
 
 static void times(struct world *w)
@@ -357,7 +358,7 @@
         return;
     w->commit[n] = NULL;
     long status = apply(w, e->body, &failed);
-    bd_core_committed(w->c[n], status == 200, w->ring, failed);
+    bd_core_committed(w->c[n], status == 200, w->store_revision, failed);
     json_decref(failed);
     bd_effect_free(e);
 }
@@ -378,12 +379,12 @@
     unsigned from = w->nkeys ? dice(w, (unsigned)w->nkeys) : 0;
     for (int i = 0; i < w->nkeys; i++) {
         struct key *k = &w->keys[((unsigned)i + from) % (unsigned)w->nkeys];
-        struct bd_change ch = {k->name, k->value, k->mark};
+        struct bd_change ch = {k->name, k->value, k->revision};
         if (strncmp(ch.key, "j/", 2) == 0)
             bd_core_change(w->c[n], &ch);
     }
-    w->seen[n] = w->ring;
-    bd_core_relisted(w->c[n], w->ring, w->c[n]->now);
+    w->seen[n] = w->store_revision;
+    bd_core_relisted(w->c[n], w->store_revision, w->c[n]->now);
 }
 
 static json_t *listed(struct world *w, const char *prefix)
@@ -391,9 +392,9 @@
     json_t *a = json_array();
     for (int i = 0; i < w->nkeys; i++)
         if (strncmp(w->keys[i].name, prefix, strlen(prefix)) == 0)
-            json_array_append_new(a,
-                                  json_pack("{s:s,s:O,s:I}", "k", w->keys[i].name, "value",
-                                            w->keys[i].value, "mark", (json_int_t)w->keys[i].mark));
+            json_array_append_new(a, json_pack("{s:s,s:O,s:I}", "k", w->keys[i].name, "value",
+                                               w->keys[i].value, "mark",
+                                               (json_int_t)w->keys[i].revision));
     return a;
 }
 
@@ -402,11 +403,12 @@
     json_t *value = json_pack("{s:i}", "node", n);
     struct key *wit = find(w, "w");
     w->leader = n;
-    w->ring++;
+    w->store_revision++;
     set_key(w, "leader", value);
     json_decref(value);
-    struct bd_gain g = {.term = w->ring, .grant = 7, .nonce = "n", .renewed = w->c[n]->now};
-    g.sequence_mark = wit ? wit->mark : 0;
+    struct bd_gain g = {
+        .term = w->store_revision, .grant = 7, .nonce = "n", .renewed = w->c[n]->now};
+    g.sequence_revision = wit ? wit->revision : 0;
     g.receipts = listed(w, "r/");
     g.intents = listed(w, "i/");
     refresh(w, n, true); /* the replica is at least as new as the term */
@@ -571,7 +573,7 @@
     gsl_rng_set(w->rng, seed);
     for (int n = 0; n < NODES; n++)
         settings(&w->settings[n], n);
-    w->ring = 1;
+    w->store_revision = 1;
     for (int n = 0; n < NODES; n++)
         boot(w, n);
     lead(w, 0);
@@ -594,7 +596,8 @@
 
 #define MANY 30000
 
-static void record(struct bd_core *c, int n, const char *state, int prerequisites, uint64_t mark)
+static void record(struct bd_core *c, int n, const char *state, int prerequisites,
+                   uint64_t revision)
 {
     char key[64], name[32];
     struct bd_record r = {.state = BD_LIVE, .tasks = 1, .at = 1000, .has_spec = true};
@@ -612,7 +615,7 @@
     r.prerequisites.names = names;
     r.state = strcmp(state, "cancelled") == 0 ? BD_CANCELLED : BD_LIVE;
     json_t *v = bd_wire_record(&r);
-    struct bd_change ch = {key, v, mark};
+    struct bd_change ch = {key, v, revision};
     bd_core_change(c, &ch);
     json_decref(v);
     json_decref(names);
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -31,7 +31,7 @@
     struct bd_log log;
     struct bd_core *c;
     struct bd_report_cache *reports;
-    uint64_t mark, seq;
+    uint64_t revision, seq;
     double now;
     uint32_t machines;
     /* counted */
@@ -145,7 +145,7 @@
     r.spec.scatter = shape == BD_SERVICE;
     r.spec.spot = shape == BD_ARRAY;
     json_t *v = bd_wire_record(&r);
-    struct bd_change ch = {key, v, ++w->mark};
+    struct bd_change ch = {key, v, ++w->revision};
     bd_core_change(w->c, &ch);
     json_decref(v);
 }
@@ -181,7 +181,7 @@
     bd_core_renewed(w->c, 7, w->c->now);
     bd_core_tick(w->c);
     if (w->c->commit)
-        bd_core_committed(w->c, 1, ++w->mark, NULL);
+        bd_core_committed(w->c, 1, ++w->revision, NULL);
     drop_effects(w);
 }
 
@@ -202,7 +202,7 @@
     json_decref(g.receipts);
     json_decref(g.intents);
     bd_core_machines(w->c, NULL, 0, w->c->now);
-    w->mark = 10;
+    w->revision = 10;
     for (uint32_t i = 0; i < w->machines; i++)
         report(w, i);
     for (int i = 0; i < 120; i++)
@@ -345,7 +345,7 @@
     CALLGRIND_TOGGLE_COLLECT;
     bd_core_get(w->c, NULL, id);
     bd_core_tick(w->c);
-    bd_core_followed(w->c, w->c->ring, w->c->ring, w->c->now, true, true);
+    bd_core_followed(w->c, w->c->store_revision, w->c->store_revision, w->c->now, true, true);
     CALLGRIND_TOGGLE_COLLECT;
     drop_effects(w);
 }
@@ -365,7 +365,7 @@
     struct bd_effect *e = bd_core_effects(w->c);
     if (!e || e->kind != BD_E_USER_COMMIT)
         abort();
-    bd_core_user_committed(w->c, NULL, e->key, e->body, e->status, 200, ++w->mark);
+    bd_core_user_committed(w->c, NULL, e->key, e->body, e->status, 200, ++w->revision);
     bd_effect_free(e);
     CALLGRIND_TOGGLE_COLLECT;
     drop_effects(w);
@@ -376,11 +376,11 @@
     (void)n;
     at(w, w->now + 1.1);
     bd_core_renewed(w->c, 7, w->c->now);
-    bd_core_followed(w->c, w->c->ring, w->c->ring, w->c->now, false, true);
+    bd_core_followed(w->c, w->c->store_revision, w->c->store_revision, w->c->now, false, true);
     CALLGRIND_TOGGLE_COLLECT;
     bd_core_tick(w->c);
     if (w->c->commit)
-        bd_core_committed(w->c, 1, ++w->mark, NULL);
+        bd_core_committed(w->c, 1, ++w->revision, NULL);
     CALLGRIND_TOGGLE_COLLECT;
     drop_effects(w);
 }
@@ -388,11 +388,12 @@
 static void refresh(struct world *w, uint32_t n)
 {
     char text[128];
-    snprintf(text, sizeof text, "{\"ring\":%llu,\"log\":[]}", (unsigned long long)w->c->ring);
+    snprintf(text, sizeof text, "{\"ring\":%llu,\"log\":[]}",
+             (unsigned long long)w->c->store_revision);
     (void)n;
     CALLGRIND_TOGGLE_COLLECT;
     json_t *o = json_loads(text, 0, NULL);
-    bd_core_followed(w->c, w->c->ring, bd_wire_ring(o), w->c->now, false, true);
+    bd_core_followed(w->c, w->c->store_revision, bd_wire_store_revision(o), w->c->now, false, true);
     json_decref(o);
     CALLGRIND_TOGGLE_COLLECT;
 }
@@ -445,7 +446,7 @@
 static void takeover(struct world *w, uint32_t n)
 {
     json_t *list = intents(w);
-    struct bd_gain g = {.term = w->mark + 1, .grant = 7, .nonce = "n", .renewed = w->c->now};
+    struct bd_gain g = {.term = w->revision + 1, .grant = 7, .nonce = "n", .renewed = w->c->now};
     (void)n;
     bd_core_lost(w->c);
     drop_effects(w);
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -43,7 +43,7 @@
     char *w[WORDS];
     int n, line, faults;
     const char *path, *raw;
-    uint64_t ring;
+    uint64_t store_revision;
     uint64_t token_out;
     struct bd_effect *user; /* the user's transaction in flight */
 };
@@ -87,9 +87,9 @@
         return;
     }
     size_t n = strspn(at + 1, "0123456789.");
-    char mark[40];
-    snprintf(mark, sizeof mark, "%.*s", (int)(n + 1), at);
-    snprintf(out, cap, "%.*s%llu%s", (int)(at - s), s, (unsigned long long)attempt(mark),
+    char revision[40];
+    snprintf(revision, sizeof revision, "%.*s", (int)(n + 1), at);
+    snprintf(out, cap, "%.*s%llu%s", (int)(at - s), s, (unsigned long long)attempt(revision),
              at + 1 + n);
 }
 
@@ -453,14 +453,14 @@
     json_t *pairs = json_array();
     for (int i = 1; i < p->n; i++) {
         char key[64], names[256];
-        unsigned mark = 0;
-        if (sscanf(p->w[i], "%63[^:]:%u:%255s", key, &mark, names) != 3)
+        unsigned revision = 0;
+        if (sscanf(p->w[i], "%63[^:]:%u:%255s", key, &revision, names) != 3)
             fail(p, "deputies");
         json_t *m = json_array();
         for (char *s = NULL, *v = strtok_r(names, ",", &s); v; v = strtok_r(NULL, ",", &s))
             json_array_append_new(m, json_string(v));
         json_array_append_new(pairs, json_pack("{s:s,s:{s:i,s:o},s:i}", "k", key, "value", "t", 1,
-                                               "m", m, "mark", (int)mark));
+                                               "m", m, "mark", (int)revision));
     }
     bd_core_delegates(p->c, pairs, p->c->now);
     json_decref(pairs);
@@ -542,8 +542,8 @@
 static void cmd_delegatecommitted(struct play *p)
 {
     bool known = p->n < 3;
-    p->ring = p->ring < 1000 ? 1000 : p->ring + 1;
-    bd_core_delegate_committed(p->c, atol(p->w[1]), p->ring, p->c->now, known);
+    p->store_revision = p->store_revision < 1000 ? 1000 : p->store_revision + 1;
+    bd_core_delegate_committed(p->c, atol(p->w[1]), p->store_revision, p->c->now, known);
 }
 
 static void cmd_committed(struct play *p)
@@ -557,8 +557,8 @@
                                                   : 0;
     if (!p->c->commit)
         fail(p, "nothing is being committed");
-    p->ring = p->ring < 1000 ? 1000 : p->ring + 1;
-    bd_core_committed(p->c, outcome, p->ring, failed);
+    p->store_revision = p->store_revision < 1000 ? 1000 : p->store_revision + 1;
+    bd_core_committed(p->c, outcome, p->store_revision, failed);
     json_decref(failed);
 }
 
@@ -573,8 +573,9 @@
         return;
     }
     *at = e->next;
-    p->ring = p->ring < 1000 ? 1000 : p->ring + 1;
-    bd_core_user_committed(p->c, NULL, e->key, e->body, e->status, atol(p->w[1]), p->ring);
+    p->store_revision = p->store_revision < 1000 ? 1000 : p->store_revision + 1;
+    bd_core_user_committed(p->c, NULL, e->key, e->body, e->status, atol(p->w[1]),
+                           p->store_revision);
     bd_effect_free(e);
 }
 
@@ -698,7 +699,7 @@
 {
     bool ok = p->n < 2 || strcmp(p->w[1], "fail") != 0;
     bool barrier = p->c->barrier_out;
-    bd_core_followed(p->c, p->c->ring, p->c->ring + 1, p->c->now, barrier, ok);
+    bd_core_followed(p->c, p->c->store_revision, p->c->store_revision + 1, p->c->now, barrier, ok);
 }
 
 static void cmd_at(struct play *p)
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -197,7 +197,7 @@
 
 static void take_gain(struct sim *s, struct sim_node *n)
 {
-    if (!n->gained || !n->core->replica_ready || n->core->ring < n->gain.term)
+    if (!n->gained || !n->core->replica_ready || n->core->store_revision < n->gain.term)
         return;
     n->gained = false;
     n->gain.nonce = n->nonce;
@@ -285,16 +285,17 @@
     n->refresh_out = false;
     if (c->then == THEN_LIST && status == 200) {
         changes(n, bd_wire_pairs(o, &ignored));
-        bd_core_relisted(n->core, bd_wire_ring(o), c->sent);
-        n->after = n->core->ring;
+        bd_core_relisted(n->core, bd_wire_store_revision(o), c->sent);
+        n->after = n->core->store_revision;
         n->list_again = false;
     } else if (c->then == THEN_REFRESH) {
         n->reads_refused = status != 200;
         if (status == 200)
             changes(n, bd_wire_log(o));
-        bd_core_followed(n->core, c->number, bd_wire_ring(o), c->sent, c->flag, status == 200);
-        if (status == 200 && bd_wire_ring(o) > n->after)
-            n->after = bd_wire_ring(o);
+        bd_core_followed(n->core, c->number, bd_wire_store_revision(o), c->sent, c->flag,
+                         status == 200);
+        if (status == 200 && bd_wire_store_revision(o) > n->after)
+            n->after = bd_wire_store_revision(o);
     } else if (c->then == THEN_DELEGATES && status == 200) {
         if (s->loud && getenv("SIM_DEPUTIES")) {
             char *text = json_dumps(bd_wire_pairs(o, &ignored), JSON_COMPACT);
@@ -330,16 +331,16 @@
     (void)call(s, n, SIM_GET, THEN_SEE, "leader", NULL, TTL_S / 3);
 }
 
-static void get_grant(struct sim *s, struct sim_node *n, uint64_t mark)
+static void get_grant(struct sim *s, struct sim_node *n, uint64_t revision)
 {
     snprintf(n->nonce, sizeof n->nonce, "%d-%llu-%llu", (int)(n - s->nodes),
              (unsigned long long)n->epoch, (unsigned long long)s->order);
     n->granted = steady(s, n);
     struct sim_call *c = call(s, n, SIM_GRANT, THEN_GRANT, NULL, NULL, TTL_S / 3);
-    c->number = mark;
+    c->number = revision;
 }
 
-static void write_liveness(struct sim *s, struct sim_node *n, uint64_t mark)
+static void write_liveness(struct sim *s, struct sim_node *n, uint64_t revision)
 {
     struct bd_txn t;
     char key[BD_LABEL + 8];
@@ -347,7 +348,7 @@
         return;
     n->liveness_at = steady(s, n);
     snprintf(key, sizeof key, "p/%.50s/at", n->settings.node);
-    bd_txn_if(&t, "leader", mark);
+    bd_txn_if(&t, "leader", revision);
     bd_txn_set(&t, key, json_pack("{s:f}", "at", wall_of(s, n)), 0);
     bd_core_liveness_sent(n->core, n->liveness_at);
     (void)call(s, n, SIM_COMMIT, THEN_LIVENESS, NULL, bd_txn_end(&t), TTL_S / 3);
@@ -377,12 +378,12 @@
             away = away || strcmp(json_string_value(v), n->settings.node) == 0;
         }
         if (told)
-            bd_core_leader_is(n->core, node, ch.mark, c->sent, away);
+            bd_core_leader_is(n->core, node, ch.revision, c->sent, away);
         if (strcmp(node, n->settings.node) == 0 && !n->reads_refused) {
-            get_grant(s, n, ch.mark);
+            get_grant(s, n, ch.revision);
             return;
         }
-        write_liveness(s, n, ch.mark);
+        write_liveness(s, n, ch.revision);
     }
     election_again(s, n, sim_between(s, 0.2, 0.4));
 }
@@ -424,7 +425,7 @@
         return;
     case THEN_ACQUIRE:
         if (status == 200)
-            acquired(s, n, bd_wire_ring(o));
+            acquired(s, n, bd_wire_store_revision(o));
         else if (status == 409 || status == 400)
             election_again(s, n, 0.3);
         else
@@ -433,13 +434,13 @@
     case THEN_OURS:
         if (status == 200 && bd_wire_pair(o, &ch, &grant) &&
             strcmp(json_string_value(json_object_get(ch.value, "nonce")), n->nonce) == 0)
-            acquired(s, n, ch.mark);
+            acquired(s, n, ch.revision);
         else
             election_again(s, n, 0.3);
         return;
     case THEN_SEQUENCE:
         if (status == 200 && bd_wire_pair(o, &ch, &grant))
-            n->gain.sequence_mark = ch.mark;
+            n->gain.sequence_revision = ch.revision;
         break;
     case THEN_RECEIPTS:
         n->gain.receipts = status == 200 ? json_incref(bd_wire_pairs(o, &ignored)) : NULL;
@@ -499,13 +500,14 @@
     return false;
 }
 
-static void committed(struct sim *s, struct sim_node *n, int outcome, uint64_t ring, json_t *o)
+static void committed(struct sim *s, struct sim_node *n, int outcome, uint64_t store_revision,
+                      json_t *o)
 {
     struct bd_effect *e = n->commit;
     struct bd_core *c = n->core;
     n->commit = NULL;
     if (strtoull(e->key, NULL, 10) == c->base_term && e->token == c->sequence)
-        bd_core_committed(c, outcome, ring, bd_wire_failed(o));
+        bd_core_committed(c, outcome, store_revision, bd_wire_failed(o));
     bd_effect_free(e);
     (void)s;
 }
@@ -525,13 +527,13 @@
                 strtoull(n->commit->key, NULL, 10) &&
             (uint64_t)json_integer_value(json_object_get(ch.value, "n")) == n->commit->token;
         if (ours)
-            committed(s, n, 1, ch.mark, NULL);
+            committed(s, n, 1, ch.revision, NULL);
         else if (status == 200 || status == 404)
             committed(s, n, -1, 0, NULL);
         else
             (void)call(s, n, SIM_GET, THEN_SEQUENCE_SHOWS, "w", NULL, 1.5);
     } else if (status == 200) {
-        committed(s, n, 1, bd_wire_ring(o), NULL);
+        committed(s, n, 1, bd_wire_store_revision(o), NULL);
     } else if (status == 409 && names(failed, "w")) {
         (void)call(s, n, SIM_GET, THEN_SEQUENCE_SHOWS, "w", NULL, 1.5);
     } else if (status == 409) {
@@ -573,14 +575,16 @@
         break;
     case THEN_USER:
         bd_core_user_committed(n->core, e->request, e->key, e->body, e->status, status,
-                               bd_wire_ring(o));
+                               bd_wire_store_revision(o));
         break;
     case THEN_DELEGATE:
-        bd_core_delegate_committed(n->core, status, bd_wire_ring(o), c->sent, status == 200);
+        bd_core_delegate_committed(n->core, status, bd_wire_store_revision(o), c->sent,
+                                   status == 200);
         break;
     case THEN_DELEGATE_MARK: {
         bool pair = status == 200 && bd_wire_pair(o, &ch, &grant);
-        bd_core_delegate_committed(n->core, 0, pair ? ch.mark : 0, c->sent, status == 404 || pair);
+        bd_core_delegate_committed(n->core, 0, pair ? ch.revision : 0, c->sent,
+                                   status == 404 || pair);
         break;
     }
     case THEN_LOOKUP:
--- a/tests/sim_state.c
+++ b/tests/sim_state.c
@@ -23,7 +23,7 @@
     struct sim_change *c = &s->log[s->nlog++];
     snprintf(c->name, sizeof c->name, "%s", name);
     c->value = json_incref(value);
-    c->mark = s->ring;
+    c->revision = s->store_revision;
 }
 
 static void set_key(struct sim *s, const char *name, json_t *value, uint64_t grant)
@@ -39,7 +39,7 @@
     json_decref(k->value);
     snprintf(k->name, sizeof k->name, "%s", name);
     k->value = value;
-    k->mark = s->ring;
+    k->revision = s->store_revision;
     k->grant = grant;
     note_change(s, name, value);
 }
@@ -64,7 +64,7 @@
         for (int k = 0; k < s->nkeys; k++) {
             if (!s->keys[k].value || s->keys[k].grant != s->grant[i].id)
                 continue;
-            s->ring++;
+            s->store_revision++;
             char name[96];
             snprintf(name, sizeof name, "%s", s->keys[k].name);
             drop_key(s, name);
@@ -89,14 +89,14 @@
     {
         const char *name = json_string_value(json_object_get(v, "k"));
         struct sim_key *k = find(s, name);
-        if ((k ? k->mark : 0) != (uint64_t)json_integer_value(json_object_get(v, "mark")))
+        if ((k ? k->revision : 0) != (uint64_t)json_integer_value(json_object_get(v, "mark")))
             json_array_append_new(failed, json_string(name));
     }
     if (json_array_size(failed) == 0) {
         json_decref(failed);
         return 0;
     }
-    *out = json_pack("{s:o,s:I}", "failed", failed, "ring", (json_int_t)s->ring);
+    *out = json_pack("{s:o,s:I}", "failed", failed, "ring", (json_int_t)s->store_revision);
     return 409;
 }
 
@@ -151,7 +151,7 @@
     if (status == 200 && failed_conditions(s, in, out) != 0)
         status = 409;
     if (status == 200 && json_array_size(json_object_get(in, "apply")) > 0) {
-        s->ring++;
+        s->store_revision++;
         json_array_foreach(json_object_get(in, "apply"), i, v)
         {
             const char *settings = json_string_value(json_object_get(v, "set"));
@@ -167,7 +167,7 @@
         }
     }
     if (status == 200)
-        *out = json_pack("{s:I}", "ring", (json_int_t)s->ring);
+        *out = json_pack("{s:I}", "ring", (json_int_t)s->store_revision);
     json_decref(in);
     return status;
 }
@@ -175,25 +175,25 @@
 static json_t *pair(const struct sim_key *k)
 {
     return json_pack("{s:s,s:O,s:I,s:I}", "k", k->name, "value", k->value, "mark",
-                     (json_int_t)k->mark, "charter", (json_int_t)k->grant);
+                     (json_int_t)k->revision, "charter", (json_int_t)k->grant);
 }
 
 static long refresh(struct sim *s, const struct sim_call *c, json_t **out)
 {
     json_t *log = json_array();
     size_t from = s->nlog;
-    while (from > 0 && s->log[from - 1].mark > c->number)
+    while (from > 0 && s->log[from - 1].revision > c->number)
         from--;
     for (size_t i = from; i < s->nlog; i++) {
         struct sim_change *h = &s->log[i];
         if (strncmp(h->name, "j/", 2) != 0)
             continue;
-        json_array_append_new(
-            log, h->value ? json_pack("{s:s,s:O,s:I}", "set", h->name, "value", h->value, "mark",
-                                      (json_int_t)h->mark)
-                          : json_pack("{s:s,s:I}", "drop", h->name, "mark", (json_int_t)h->mark));
+        json_array_append_new(log, h->value ? json_pack("{s:s,s:O,s:I}", "set", h->name, "value",
+                                                        h->value, "mark", (json_int_t)h->revision)
+                                            : json_pack("{s:s,s:I}", "drop", h->name, "mark",
+                                                        (json_int_t)h->revision));
     }
-    *out = json_pack("{s:I,s:o}", "ring", (json_int_t)s->ring, "log", log);
+    *out = json_pack("{s:I,s:o}", "ring", (json_int_t)s->store_revision, "log", log);
     return 200;
 }
 
@@ -205,14 +205,15 @@
     switch (c->op) {
     case SIM_GET:
         k = find(s, c->key);
-        *out = k ? pair(k) : json_pack("{s:I}", "ring", (json_int_t)s->ring);
+        *out = k ? pair(k) : json_pack("{s:I}", "ring", (json_int_t)s->store_revision);
         return k ? 200 : 404;
     case SIM_LIST:
         pairs = json_array();
         for (int i = 0; i < s->nkeys; i++)
             if (s->keys[i].value && strncmp(s->keys[i].name, c->key, strlen(c->key)) == 0)
                 json_array_append_new(pairs, pair(&s->keys[i]));
-        *out = json_pack("{s:o,s:b,s:I}", "pairs", pairs, "more", 0, "ring", (json_int_t)s->ring);
+        *out = json_pack("{s:o,s:b,s:I}", "pairs", pairs, "more", 0, "ring",
+                         (json_int_t)s->store_revision);
         return 200;
     case SIM_REFRESH:
         return refresh(s, c, out);
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -58,13 +58,13 @@
 struct sim_key {
     char name[96];
     json_t *value; /* NULL: free */
-    uint64_t mark, grant;
+    uint64_t revision, grant;
 };
 
 struct sim_change {
     char name[96];
     json_t *value;
-    uint64_t mark;
+    uint64_t revision;
 };
 
 struct sim_grant {
@@ -158,7 +158,7 @@
     int nkeys;
     struct sim_change *log;
     size_t nlog, cap_log;
-    uint64_t ring, grants;
+    uint64_t store_revision, grants;
     struct sim_grant grant[64];
     int ngrants;
     double outage, refuses[SIM_NODES], blind[SIM_NODES], slow, lost_share,
