--- a/include/brambledoor/node.h
+++ b/include/brambledoor/node.h
@@ -97,6 +97,8 @@
 /* what brings nothing new does not wake the owner: it is handled before the next command that does
  */
 void bd_tell_quietly(struct bd_node *node, struct bd_cmd *command);
+/* hands what the core wants done to the adapters; owner thread only */
+void bd_effects_perform(struct bd_node *node);
 int bd_thread(void *(*run)(void *), void *arg, size_t stack);
 
 int bd_api_start(struct bd_node *node);
--- a/src/autoscaler.c
+++ b/src/autoscaler.c
@@ -1,16 +1,12 @@
 /* The machines: what the cloud lists, what is rented and what goes back. */
+#include "autoscaler_internal.h"
 #include "core_internal.h"
 #include <gsl/gsl_cdf.h>
 #include <math.h>
 #include <stdio.h>
-
-/* named defaults */
-#define BACKOFF_FIRST_S 10.0
-#define BACKOFF_MOST_S 60.0
 #define BOOT_PATIENCE 2.5 /* times the usual boot time before a machine is given up */
 #define BOOT_EXTRA_S 12.0
 #define BOOT_HOPE 1.6 /* ... before it is no longer counted on */
-#define PROVISION_MOST 50
 #define RETURN_MOST 100
 #define PROVISIONS_OPEN 3 /* requests under way at once */
 #define DEAD_EXTRA_S 15.0
@@ -20,177 +16,6 @@
 #define WINDOW_LEAST_S 12.0
 #define SETTLE_S 4.0
 #define SUMMARY_S 20.0
-#define SETTLED_S 40.0   /* a service younger than this stays where it is */
-#define GATHER_SHARE 0.8 /* of a machine: with more services than this it is left as it is */
-#define AWAY_LEAST_S 2.0 /* seconds that moves keep replicas away, a second, */
-#define AWAY_SHARE 0.003 /* of the services' running tasks */
-#define AWAY_KEPT_S 40.0 /* so long is kept of what was not used */
-#define MOVE_S 2.0       /* one move keeps a replica away so long, and for the fetch of its image */
-#define EMPTY_MOST 64    /* tasks of a machine that is emptied */
-#define MOVE_FETCH_S 4.0 /* a longer fetch is not worth a move, */
-#define CHEAP_FETCH_S 15.0 /* ... nor this to a cheap machine */
-
-void bd_core_types(struct bd_core *core, const struct bd_type_text *t, int n)
-{
-    for (int i = 0; i < n; i++) {
-        int k = bd_type_index(core, t[i].label);
-        if (k < 0) {
-            bd_say(core->log, BD_ERROR, "machine type %s is one too many", t[i].label);
-            continue;
-        }
-        struct bd_type *d = &core->types[k];
-        d->known = true;
-        d->cpus = t[i].cpus;
-        d->gpus = t[i].gpus;
-        d->mem = t[i].mem;
-        d->cache_gb = t[i].cache_gb;
-        d->fetch = t[i].fetch;
-        d->price = t[i].price;
-        d->spot_price = t[i].spot_price;
-        d->boot = t[i].boot;
-        d->zones = 0;
-        for (int z = 0; z < t[i].nzones; z++) {
-            int zi = bd_zone_index(core, t[i].zones[z]);
-            if (zi >= 0)
-                d->zones |= 1u << zi;
-        }
-    }
-    if (n > 0)
-        core->types_known = true;
-}
-
-/* ---- the list ---- */
-
-static void take_listed(struct bd_core *core, const struct bd_cloud_machine *l)
-{
-    struct bd_machine *machine = bd_machine_get(core, l->id);
-    if (machine->gone)
-        return;
-    machine->listed_now = true;
-    machine->type = bd_type_index(core, l->type);
-    machine->zone = bd_zone_index(core, l->zone);
-    machine->spot = l->spot;
-    machine->age_at_known = l->age;
-    machine->age_known = core->now;
-    if (!*machine->addr)
-        snprintf(machine->addr, sizeof machine->addr, "%s", l->addr);
-    if (l->state == BD_FAILED && !machine->failed) {
-        machine->failed = true;
-        bd_say(core->log, BD_INFO, "%s failed", machine->id);
-        bd_machine_lapse(core, machine);
-    }
-}
-
-/* A machine that existed at some moment and is missing from a list of a later moment is gone. */
-static void take_missing(struct bd_core *core, struct bd_machine *machine, struct timespec asked)
-{
-    double lag = 2 * bd_to_secs(core->settings->list_lag) + 1.0;
-    struct timespec existed = bd_max(machine->heard, machine->known_at);
-    if (machine->gone || machine->listed_now || bd_between(existed, asked) < lag)
-        return;
-    bd_say(core->log, BD_INFO, "%s is gone from the list, %u tasks lost", machine->id,
-           machine->nrefs);
-    bd_machine_gone(core, machine);
-}
-
-void bd_core_machines(struct bd_core *core, const struct bd_cloud_machine *l, size_t n,
-                      struct timespec asked)
-{
-    if (core->role != BD_LEADER)
-        return;
-    for (uint32_t i = 0; i < core->nmachines; i++)
-        core->by_index[i]->listed_now = false;
-    for (size_t i = 0; i < n; i++)
-        take_listed(core, &l[i]);
-    for (uint32_t i = 0; i < core->nmachines; i++)
-        take_missing(core, core->by_index[i], asked);
-    core->listed_once = true;
-}
-
-/* ---- provisioning requests ---- */
-
-static struct bd_pool *pool(struct bd_core *core, int type, int zone, bool spot)
-{
-    return &core->pools[type][zone][spot ? 1 : 0];
-}
-
-static void backoff(struct bd_core *core, struct bd_pool *k)
-{
-    k->backoff = k->backoff <= 0 ? BACKOFF_FIRST_S : fmin(k->backoff * 2, BACKOFF_MOST_S);
-    k->refuse_until = bd_add(core->now, bd_secs(k->backoff));
-}
-
-void bd_core_provisioned(struct bd_core *core, const char *request, long status,
-                         char (*names)[BD_LABEL], int n)
-{
-    int k = 0;
-    while (k < core->nprovisions && strcmp(core->provisions[k].request, request) != 0)
-        k++;
-    if (core->role != BD_LEADER || k == core->nprovisions)
-        return;
-    struct bd_provision r = core->provisions[k];
-    core->provisions[k] = core->provisions[--core->nprovisions];
-    struct bd_pool *mk = pool(core, r.type, r.zone, r.spot);
-    mk->asked = false;
-    core->next_fleet = core->now; /* what was not filled is sought elsewhere at once */
-    if (status != 200 || n < r.count)
-        backoff(core, mk);
-    else
-        mk->backoff = 0;
-    for (int i = 0; status == 200 && i < n; i++) {
-        struct bd_machine *machine = bd_machine_get(core, names[i]);
-        if (machine->gone)
-            continue;
-        machine->type = r.type;
-        machine->zone = r.zone;
-        machine->spot = r.spot;
-        machine->age_at_known = bd_between(r.sent, core->now);
-        machine->age_known = core->now;
-    }
-    bd_say(core->log, BD_INFO, "provisioning request of %d %s in %s%s: status %ld, %d machines",
-           r.count, core->types[r.type].label, core->zones[r.zone], r.spot ? " (spot)" : "", status,
-           n);
-}
-
-void bd_core_returned(struct bd_core *core, char (*names)[BD_LABEL], int n, bool ok)
-{
-    if (core->role != BD_LEADER)
-        return;
-    for (int i = 0; i < n; i++) {
-        struct bd_machine *machine = NULL;
-        HASH_FIND_STR(core->machines, names[i], machine);
-        if (!machine)
-            continue;
-        if (ok) {
-            if (machine->type >= 0 && machine->zone >= 0)
-                pool(core, machine->type, machine->zone, machine->spot)->refuse_until = core->now;
-            bd_machine_gone(core, machine);
-        } else { /* it may be gone all the same: it is not used again, and asked for again */
-            machine->return_after = bd_add(core->now, bd_secs(3.0));
-        }
-    }
-}
-
-static void provision_request(struct bd_core *core, int type, int zone, bool spot, int count)
-{
-    if (core->nprovisions == (int)(sizeof core->provisions / sizeof *core->provisions))
-        return;
-    struct bd_provision *r = &core->provisions[core->nprovisions++];
-    memset(r, 0, sizeof *r);
-    /* never used again: the term is ours alone, and so is the number within it */
-    snprintf(r->request, sizeof r->request, "r-%llu-%llu", (unsigned long long)core->base_term,
-             (unsigned long long)++core->request_n);
-    pool(core, type, zone, spot)->asked = true;
-    r->type = type;
-    r->zone = zone;
-    r->spot = spot;
-    r->count = count < PROVISION_MOST ? count : PROVISION_MOST;
-    r->sent = core->now;
-    struct bd_effect *effect = bd_emit(core, BD_E_PROVISION);
-    snprintf(effect->key, sizeof effect->key, "%s", r->request);
-    effect->body =
-        bd_wire_provision(r->request, core->types[type].label, core->zones[zone], spot, r->count);
-}
 
 /* ---- demand ---- */
 
@@ -225,13 +50,13 @@
     return &d->bins[d->n++];
 }
 
-static bool booting(const struct bd_core *core, const struct bd_machine *machine)
+bool bd_booting(const struct bd_core *core, const struct bd_machine *machine)
 {
     return !machine->gone && !machine->returning && !machine->failed && !machine->session &&
            machine->type >= 0 && machine->zone >= 0 && core->types[machine->type].known;
 }
 
-static double age(const struct bd_core *core, const struct bd_machine *machine)
+double bd_machine_age(const struct bd_core *core, const struct bd_machine *machine)
 {
     return machine->age_at_known + bd_between(machine->age_known, core->now);
 }
@@ -241,8 +66,9 @@
     struct bd_core *core = d->core;
     for (uint32_t i = 0; i < core->nmachines; i++) {
         struct bd_machine *machine = core->by_index[i];
-        if (booting(core, machine) &&
-            age(core, machine) < BOOT_HOPE * core->types[machine->type].boot + BOOT_EXTRA_S)
+        if (bd_booting(core, machine) &&
+            bd_machine_age(core, machine) <
+                BOOT_HOPE * core->types[machine->type].boot + BOOT_EXTRA_S)
             (void)add_bin(d, machine->type, machine->zone, machine->spot, false);
     }
     for (int k = 0; k < core->nprovisions; k++)
@@ -478,241 +304,6 @@
                 want_job(d, &k[i].spec, spare_slots(d, &k[i], window), BD_REACH_ANY);
 }
 
-/* ---- gathering: services that keep dear machines busy move together ---- */
-
-/* Whether services alone keep a dear machine from GPU work, and how much of it they use. */
-static bool only_services(const struct bd_core *core, const struct bd_machine *machine,
-                          double *services)
-{
-    *services = 0;
-    if (machine->gpus > 0)
-        return false;
-    for (uint32_t k = 0; k < machine->nrefs; k++) {
-        const struct bd_job *job = machine->refs[k].job;
-        if (job->spec.shape == BD_SERVICE &&
-            bd_dear(core, &job->spec, machine->type, machine->spot))
-            *services += job->spec.cpus;
-    }
-    return *services > 0;
-}
-
-static bool settled(const struct bd_core *core, const struct bd_job *job,
-                    const struct bd_task *task)
-{
-    return job->spec.shape == BD_SERVICE && job->nwait == 0 && task->state == BD_T_LIVE &&
-           task->sub == BD_RUNNING && !(task->flags & BD_F_STOP) &&
-           bd_between(job->last_begun, core->now) > SETTLED_S;
-}
-
-/* A refresh at where services could gather: the machines with room for some, and what moves that
- * are decided in this look take of it. */
-struct gathering {
-    struct bd_core *core;
-    struct source {
-        struct bd_machine *m;
-        double services;
-    } * sources;
-    uint32_t nsources;
-    struct target {
-        struct bd_machine *m;
-        double cpus, gpus, mem, services;
-        bool taken;
-        int fetches; /* the image that a move of this look brings there, or -1 */
-    } * targets;
-    uint32_t ntargets;
-};
-
-/* How long the replica's image takes there; none where another move of this look brings it. */
-static double move_fetch_s(const struct bd_core *core, const struct target *t,
-                           const struct bd_spec *spec)
-{
-    return t->fetches == spec->image ? 0 : bd_fetch_s(core, t->m, spec);
-}
-
-static bool target_fits(const struct bd_core *core, const struct bd_job *job,
-                        const struct target *t, const struct bd_machine *from, double services)
-{
-    const struct bd_machine *machine = t->m;
-    if (machine == from || machine->drain || machine->zone != from->zone ||
-        t->cpus < job->spec.cpus || t->gpus < job->spec.gpus || t->mem < job->spec.mem ||
-        !bd_allowed(&job->spec, machine->type, machine->zone, machine->spot))
-        return false;
-    bool cheap = !bd_dear(core, &job->spec, machine->type, machine->spot);
-    if (move_fetch_s(core, t, &job->spec) >= (cheap ? CHEAP_FETCH_S : MOVE_FETCH_S))
-        return false;
-    return cheap || machine->gpus > 0 || t->services > services;
-}
-
-/* A place for the task where no GPU work is harmed: on a cheap machine, on the one that holds most
- * services already, or beside GPU work, which will end and leave the service alone there. */
-static struct target *place_elsewhere(struct gathering *g, const struct bd_job *job,
-                                      const struct bd_machine *from, double services)
-{
-    struct target *found = NULL;
-    double high = -1;
-    for (uint32_t i = 0; i < g->ntargets; i++) {
-        struct target *t = &g->targets[i];
-        if (!target_fits(g->core, job, t, from, services))
-            continue;
-        double v = t->m->gpus > 0 ? 0 : 1 + t->services;
-        if (!bd_dear(g->core, &job->spec, t->m->type, t->m->spot)) /* the sooner there the better */
-            v += 1e6 * (1 + CHEAP_FETCH_S - move_fetch_s(g->core, t, &job->spec));
-        if (v > high) {
-            high = v;
-            found = t;
-        }
-    }
-    return found;
-}
-
-static void target_take(struct target *t, const struct bd_spec *spec, double sign)
-{
-    t->cpus -= sign * spec->cpus;
-    t->gpus -= sign * spec->gpus;
-    t->mem -= sign * spec->mem;
-}
-
-static int fewer_services(const void *x, const void *y)
-{
-    const struct source *a = x, *b = y;
-    if (a->services != b->services)
-        return a->services < b->services ? -1 : 1;
-    return a->m->index < b->m->index ? -1 : 1;
-}
-
-static void look_round(struct gathering *g)
-{
-    struct bd_core *core = g->core;
-    g->sources = calloc(core->nmachines + 1, sizeof *g->sources);
-    g->targets = calloc(core->nmachines + 1, sizeof *g->targets);
-    if (!g->sources || !g->targets)
-        abort();
-    for (uint32_t i = 0; i < core->nmachines; i++) {
-        struct bd_machine *machine = core->by_index[i];
-        double held = 0;
-        machine->drain = machine->drain && machine->nrefs > 0 && !machine->gone;
-        if (machine->gone || !bd_machine_usable(core, machine))
-            continue;
-        if (only_services(core, machine, &held))
-            g->sources[g->nsources++] = (struct source){machine, held};
-        const struct bd_type *type = &core->types[machine->type];
-        if (type->cpus - machine->cpus > 0)
-            g->targets[g->ntargets++] = (struct target){machine,
-                                                        type->cpus - machine->cpus,
-                                                        type->gpus - machine->gpus,
-                                                        type->mem - machine->mem,
-                                                        held,
-                                                        false,
-                                                        -1};
-    }
-    qsort(g->sources, g->nsources, sizeof *g->sources, fewer_services);
-}
-
-static bool is_target(const struct gathering *g, const struct bd_machine *machine)
-{
-    for (uint32_t i = 0; i < g->ntargets; i++)
-        if (g->targets[i].m == machine)
-            return g->targets[i].taken;
-    return false;
-}
-
-/* Whether all that the machine holds could move now: to empty it in part frees nothing. Moves with
- * a long fetch wait until what replicas may be away covers them. */
-static bool can_empty(struct gathering *g, const struct source *s, double than)
-{
-    struct target *took[EMPTY_MOST];
-    int fetched[EMPTY_MOST];
-    const struct bd_spec *what[EMPTY_MOST];
-    uint32_t n = 0;
-    bool all = s->m->nrefs <= EMPTY_MOST, slow = false;
-    double away = 0;
-    for (uint32_t k = 0; all && k < s->m->nrefs; k++) {
-        struct bd_ref r = s->m->refs[k];
-        if (r.job->tasks[r.task].flags & BD_F_STOP)
-            continue;
-        struct target *t = settled(g->core, r.job, &r.job->tasks[r.task])
-                               ? place_elsewhere(g, r.job, s->m, than)
-                               : NULL;
-        all = t != NULL;
-        if (!t)
-            break;
-        target_take(t, &r.job->spec, 1);
-        double fetch = move_fetch_s(g->core, t, &r.job->spec);
-        slow = slow || fetch >= MOVE_FETCH_S;
-        away += MOVE_S + fetch;
-        fetched[n] = t->fetches;
-        if (bd_fetch_s(g->core, t->m, &r.job->spec) > 0)
-            t->fetches = r.job->spec.image;
-        took[n] = t;
-        what[n++] = &r.job->spec;
-    }
-    while (n > 0) {
-        n--;
-        target_take(took[n], what[n], -1);
-        took[n]->fetches = fetched[n];
-    }
-    return all && (!slow || away <= g->core->moves_s);
-}
-
-/* All tasks leave the machine at once: a job that was moved is not settled for a while. Returns for
- * how long replicas are away, in sum. */
-static double empty(struct gathering *g, const struct source *s, double than)
-{
-    double away = 0;
-    for (uint32_t k = s->m->nrefs; k > 0; k--) {
-        if (k > s->m->nrefs)
-            continue;
-        struct bd_ref r = s->m->refs[k - 1];
-        if (!settled(g->core, r.job, &r.job->tasks[r.task]))
-            continue;
-        struct target *t = place_elsewhere(g, r.job, s->m, than);
-        if (!t)
-            continue;
-        target_take(t, &r.job->spec, 1);
-        away += MOVE_S + move_fetch_s(g->core, t, &r.job->spec);
-        if (bd_fetch_s(g->core, t->m, &r.job->spec) > 0)
-            t->fetches = r.job->spec.image;
-        t->taken = true;
-        s->m->drain = true;
-        bd_say(g->core->log, BD_INFO, "%s/%u moves off %s", r.job->id, r.task, s->m->id);
-        bd_task_stop(g->core, r.job, r.task, false);
-    }
-    return away;
-}
-
-/* What moves may keep replicas away comes as time goes on, and is spent a machine at a time. */
-static void allow_moves(struct bd_core *core)
-{
-    double running = 0, passed = fmin(bd_between(core->moves_at, core->now), AWAY_KEPT_S);
-    for (const struct bd_job *job = core->jobs; job; job = job->hh.next)
-        running +=
-            job->state == BD_LIVE && job->has_spec && job->spec.shape == BD_SERVICE ? job->nrun : 0;
-    double rate = fmax(AWAY_LEAST_S, AWAY_SHARE * running);
-    core->moves_s = fmin(core->moves_s + rate * passed, rate * AWAY_KEPT_S);
-    core->moves_at = core->now;
-}
-
-/* Dear machines are emptied, those with the fewest services first; one that cannot be emptied now
- * does not hold up the others. */
-static void gather(struct bd_core *core)
-{
-    struct gathering g = {.core = core};
-    look_round(&g);
-    allow_moves(core);
-    for (uint32_t i = 0; i < g.nsources && core->moves_s > 0; i++) {
-        struct source *s = &g.sources[i];
-        /* a machine full of services is worth emptying into cheap room only */
-        double than =
-            s->services > GATHER_SHARE * core->types[s->m->type].cpus ? INFINITY : s->services;
-        s->m->drain = false; /* new services may come if it is not to be emptied after all */
-        if (is_target(&g, s->m) || !can_empty(&g, s, than))
-            continue;
-        core->moves_s -= empty(&g, s, than);
-    }
-    free(g.sources);
-    free(g.targets);
-}
-
 /* Cheap room for the services on dear machines: nothing waits for it, so that no demand shows. */
 static void want_cheap_room(struct demand *d)
 {
@@ -721,7 +312,7 @@
         struct bd_machine *machine = core->by_index[i];
         double held;
         if (machine->gone || !bd_machine_usable(core, machine) ||
-            !only_services(core, machine, &held))
+            !bd_only_services(core, machine, &held))
             continue;
         for (uint32_t k = 0; k < machine->nrefs; k++)
             if (machine->refs[k].job->spec.shape == BD_SERVICE &&
@@ -736,7 +327,7 @@
     for (int i = 0; i < d->n && core->nprovisions < PROVISIONS_OPEN; i++) {
         struct bin *w = &d->bins[i];
         /* what a market has that was asked already is about to be known */
-        if (!w->wanted || pool(core, w->type, w->zone, w->spot)->asked)
+        if (!w->wanted || bd_pool_of(core, w->type, w->zone, w->spot)->asked)
             continue;
         int count = 0;
         struct bin b = d->bins[i];
@@ -747,7 +338,7 @@
                 count++;
             }
         }
-        provision_request(core, b.type, b.zone, b.spot, count);
+        bd_provision_request(core, b.type, b.zone, b.spot, count);
     }
 }
 
@@ -781,8 +372,9 @@
 
 static bool boot_given_up(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return booting(core, machine) && machine->nrefs == 0 &&
-           age(core, machine) > BOOT_PATIENCE * core->types[machine->type].boot + BOOT_EXTRA_S;
+    return bd_booting(core, machine) && machine->nrefs == 0 &&
+           bd_machine_age(core, machine) >
+               BOOT_PATIENCE * core->types[machine->type].boot + BOOT_EXTRA_S;
 }
 
 static bool dead(const struct bd_core *core, const struct bd_machine *machine)
@@ -829,7 +421,7 @@
 }
 
 /* Tasks that can save leave a machine that the cloud takes back or that fails its tasks. */
-static void drain(struct bd_core *core)
+void bd_drain(struct bd_core *core)
 {
     for (uint32_t i = 0; i < core->nmachines; i++) {
         struct bd_machine *machine = core->by_index[i];
@@ -902,10 +494,10 @@
 void bd_autoscaler_tick(struct bd_core *core)
 {
     say_fleet(core);
-    drain(core);
+    bd_drain(core);
     if (!core->listed_once)
         return;
     provision_for_demand(core);
-    gather(core);
+    bd_gather(core);
     return_machines(core);
-}
+}
--- /dev/null
+++ b/src/commit.c
@@ -0,0 +1,337 @@
+/* Builds the leader's transaction of a round: intents, receipts, done and cancelled records. Part
+ * of the pure core. */
+#include "core_internal.h"
+#include "metrics.h"
+#include <stdio.h>
+
+#define GC_S 2.0
+#define GC_AGAIN_S 0.3 /* when there was more than one transaction takes */
+#define TXN_BYTES 56000u
+#define INTENT_BYTES 42000u /* of them for intent records */
+
+/* ---- building ---- */
+
+struct build {
+    struct bd_txn t;
+    size_t ops, most_ops, bytes, conds, most_conds;
+};
+
+static bool room_for(const struct build *builder, size_t ops, size_t conds, size_t bytes)
+{
+    return builder->ops + ops <= builder->most_ops &&
+           builder->conds + conds <= builder->most_conds && builder->bytes + bytes <= TXN_BYTES;
+}
+
+static void spend(struct build *builder, size_t ops, size_t conds, size_t bytes)
+{
+    builder->ops += ops;
+    builder->conds += conds;
+    builder->bytes += bytes;
+}
+
+static void if_job(struct build *builder, const struct bd_job *job)
+{
+    char key[BD_LABEL];
+    snprintf(key, sizeof key, "j/%s", job->id);
+    bd_txn_if(&builder->t, key, job->revision);
+    spend(builder, 0, 1, 80);
+}
+
+/* How many intent records a transaction may hold beside receipts. */
+uint32_t bd_round_parts(const struct bd_core *core)
+{
+    size_t n = INTENT_BYTES / core->limits.value_bytes, ops = bd_limits_ops(core) / 4;
+    n = n < ops ? n : ops;
+    return n < 1 ? 1 : n > BD_ROUND_PARTS ? BD_ROUND_PARTS : (uint32_t)n;
+}
+
+static bool same_group(const struct bd_intent *a, const struct bd_intent *b)
+{
+    return a->job == b->job && a->machine == b->machine && a->attempt == b->attempt;
+}
+
+/* The value of one record, from the entries that fit it; *n says how many they were. */
+static json_t *intent_value(struct bd_core *core, const struct bd_intent *e, uint32_t *n)
+{
+    json_t *list = json_array();
+    double room = BD_VALUE_SHARE * (double)core->limits.value_bytes;
+    uint32_t i = 0;
+    while (i < *n) {
+        struct bd_machine *machine = bd_machine_of(core, e[i].machine);
+        size_t head = machine ? bd_group_bytes(e[i].job, machine) : BD_LABEL;
+        uint32_t k = i;
+        json_t *tasks = json_array();
+        room -= (double)head;
+        for (; k < *n && same_group(&e[k], &e[i]) && room >= BD_TASK_BYTES; k++) {
+            json_array_append_new(tasks, json_integer(e[k].task));
+            room -= BD_TASK_BYTES;
+        }
+        if (k == i) {
+            json_decref(tasks);
+            break;
+        }
+        json_array_append_new(list, json_pack("[s,I,s,o]", e[i].job->id, (json_int_t)e[i].attempt,
+                                              machine ? machine->id : "?", tasks));
+        i = k;
+    }
+    *n = i;
+    return json_pack("{s:o}", "e", list);
+}
+
+static void add_intents(struct bd_core *core, struct build *builder)
+{
+    struct bd_commit *commit = core->commit;
+    struct bd_job *prev = NULL;
+    for (uint32_t i = 0; i < commit->nplan; i++) {
+        if (commit->plan[i].job != prev)
+            if_job(builder, commit->plan[i].job);
+        prev = commit->plan[i].job;
+    }
+    for (uint32_t i = 0; i < commit->nplan && commit->nparts < bd_round_parts(core);) {
+        struct bd_part *p = &commit->parts[commit->nparts++];
+        p->from = i;
+        p->n = commit->nplan - i;
+        snprintf(p->key, sizeof p->key, "i/%020llu-%08llu", (unsigned long long)core->base_term,
+                 (unsigned long long)++core->round_n);
+        bd_txn_set(&builder->t, p->key, intent_value(core, commit->plan + i, &p->n), 0);
+        spend(builder, 1, 0, core->limits.value_bytes);
+        i += p->n;
+    }
+}
+
+/* What no record had room for is not started: its time comes in the next round. */
+static void unplan_rest(struct bd_core *core)
+{
+    struct bd_commit *commit = core->commit;
+    uint32_t named = commit->nparts ? commit->parts[commit->nparts - 1].from +
+                                          commit->parts[commit->nparts - 1].n
+                                    : 0;
+    for (uint32_t i = named; i < commit->nplan; i++)
+        bd_task_free(core, commit->plan[i].job, commit->plan[i].task);
+    if (named < commit->nplan)
+        bd_say(core->log, BD_ERROR, "%u starts did not fit the intent records",
+               commit->nplan - named);
+    commit->nplan = named;
+}
+
+/* The job's record, on condition that it is the one that we know; `bytes` of it, at most. */
+static void add_record(struct build *builder, const struct bd_job *job, json_t *record,
+                       size_t bytes)
+{
+    char key[BD_LABEL];
+    snprintf(key, sizeof key, "j/%s", job->id);
+    if_job(builder, job);
+    bd_txn_set(&builder->t, key, record, 0);
+    spend(builder, 1, 0, bytes);
+}
+
+static bool add_done(struct bd_core *core, struct build *builder, struct bd_job *job)
+{
+    struct bd_commit *commit = core->commit;
+    if (commit->ndone == sizeof commit->done / sizeof *commit->done ||
+        !room_for(builder, 1, 1, 300))
+        return false;
+    struct bd_record r = {.state = BD_DONE, .tasks = job->ntasks, .at = job->at, .end = core->wall};
+    snprintf(r.spec.job_class, sizeof r.spec.job_class, "%s", bd_class_name(core, job->job_class));
+    add_record(builder, job, bd_wire_record(&r), 200);
+    commit->done[commit->ndone++] = job;
+    return true;
+}
+
+/* The leader makes durable, as the rate allows, what follows from other jobs' cancellations. */
+static void add_cancelled(struct bd_core *core, struct build *builder)
+{
+    struct bd_commit *commit = core->commit;
+    struct bd_job *job, *jt;
+    const size_t most = 1000; /* of a cancelled record */
+    if (core->nderived == 0)
+        return;
+    HASH_ITER(hh, core->jobs, job, jt)
+    {
+        if (!job->derived || job->stale || bd_before(core->now, job->backoff_until))
+            continue;
+        if (commit->ncancelled == sizeof commit->cancelled / sizeof *commit->cancelled ||
+            !room_for(builder, 1, 1, most))
+            return;
+        add_record(builder, job, bd_cancelled_record(job), most);
+        commit->cancelled[commit->ncancelled++] = job;
+    }
+}
+
+static void receipt_bits(const struct bd_job *job, struct bd_receipt *r)
+{
+    uint32_t from = r->chunk * CHUNK;
+    memset(r->bits, 0, sizeof r->bits);
+    for (uint32_t i = 0; i < CHUNK && from + i < job->ntasks; i++)
+        if (job->tasks[from + i].state == BD_T_DONE)
+            r->bits[i / 8] |= (unsigned char)(1u << (i % 8));
+}
+
+static json_t *receipt_value(const struct bd_job *job, const struct bd_receipt *r)
+{
+    char text[CHUNK / 4 + 1];
+    uint32_t left = job->ntasks - r->chunk * CHUNK;
+    uint32_t n = ((left < CHUNK ? left : CHUNK) + 7) / 8;
+    for (uint32_t i = 0; i < n; i++) {
+        text[2 * i] = BD_HEX_DIGITS[r->bits[i] >> 4];
+        text[2 * i + 1] = BD_HEX_DIGITS[r->bits[i] & 15];
+    }
+    text[2 * n] = '\0';
+    return json_pack("{s:s}", "b", text);
+}
+
+static bool add_receipt(struct bd_core *core, struct build *builder, struct bd_job *job,
+                        uint32_t chunk)
+{
+    struct bd_commit *commit = core->commit;
+    uint32_t left = job->ntasks - chunk * CHUNK;
+    size_t bytes = (left < CHUNK ? left : CHUNK) / 4 + 16;
+    if (!room_for(builder, 1, 1, bytes + 200))
+        return false;
+    if (bytes > core->limits.value_bytes) /* fits no value any more: its done record says it */
+        return true;
+    struct bd_receipt *grown = realloc(commit->receipts, (commit->nreceipts + 1) * sizeof *grown);
+    if (!grown)
+        return false;
+    commit->receipts = grown;
+    struct bd_receipt *r = &commit->receipts[commit->nreceipts++];
+    r->job = job;
+    r->chunk = chunk;
+    receipt_bits(job, r);
+    char key[BD_LABEL];
+    snprintf(key, sizeof key, "r/%s/%u", job->id, chunk);
+    bd_txn_set(&builder->t, key, receipt_value(job, r), 0);
+    spend(builder, 1, 0, bytes + 100);
+    return true;
+}
+
+static void add_receipts(struct bd_core *core, struct build *builder)
+{
+    struct bd_job *job, *jt;
+    HASH_ITER(hh, core->jobs, job, jt)
+    {
+        if (!job->dirty || !job->tasks || job->state != BD_LIVE || job->stale ||
+            bd_before(core->now, job->backoff_until))
+            continue;
+        if (job->ndone == job->ntasks) {
+            if (!add_done(core, builder, job))
+                return;
+            continue;
+        }
+        bool any = false;
+        for (uint32_t ch = 0; ch * CHUNK < job->ntasks; ch++) {
+            if (!(job->dirty_chunks >> ch & 1))
+                continue;
+            if (!any)
+                if_job(builder, job);
+            any = true;
+            if (!add_receipt(core, builder, job, ch))
+                return;
+        }
+    }
+}
+
+static bool round_live(const struct bd_round *r)
+{
+    for (uint32_t i = 0; i < r->n; i++) {
+        const struct bd_intent *e = &r->e[i];
+        if (!e->job->tasks)
+            continue;
+        const struct bd_task *task = &e->job->tasks[e->task];
+        if (task->attempt == e->attempt && task->machine == e->machine)
+            return true;
+    }
+    return false;
+}
+
+static void drop_key(struct bd_core *core, struct build *builder, const char *key)
+{
+    struct bd_commit *commit = core->commit;
+    bd_txn_drop(&builder->t, key);
+    spend(builder, 1, 0, 80);
+    snprintf(commit->dropped[commit->ndropped++], BD_LABEL, "%s", key);
+}
+
+static bool can_drop(const struct bd_core *core, const struct build *builder)
+{
+    return core->commit->ndropped < sizeof core->commit->dropped / BD_LABEL &&
+           room_for(builder, 1, 0, 80);
+}
+
+/* Records that nothing needs any more. */
+static void add_drops(struct bd_core *core, struct build *builder)
+{
+    struct bd_job *job, *jt;
+    char key[BD_LABEL];
+    if (*core->stale_delegate && can_drop(core, builder))
+        drop_key(core, builder, core->stale_delegate);
+    core->stale_delegate[0] = '\0';
+    for (uint32_t i = 0; i < core->nrounds && can_drop(core, builder); i++)
+        if (!round_live(&core->rounds[i]))
+            drop_key(core, builder, core->rounds[i].key);
+    HASH_ITER(hh, core->jobs, job, jt)
+    {
+        if (job->state == BD_CANCELLED && job->tasks && job->nlive == 0)
+            bd_job_unlead(job); /* nothing of it is anywhere any more */
+        if (job->state == BD_LIVE || !job->receipt_chunks)
+            continue;
+        for (uint32_t ch = 0; ch < 64 && can_drop(core, builder); ch++) {
+            if (job->receipt_chunks >> ch & 1) {
+                snprintf(key, sizeof key, "r/%s/%u", job->id, ch);
+                drop_key(core, builder, key);
+                job->receipt_chunks &= ~(1ull << ch);
+            }
+        }
+    }
+}
+
+static void add_token_raise(struct bd_core *core, struct build *builder)
+{
+    if (!core->want_token_raise)
+        return;
+    core->want_token_raise = false;
+    core->commit->raises_token = true;
+    json_t *away = bd_dismissed(core);
+    bd_txn_set(&builder->t, "leader",
+               json_pack("{s:s,s:s,s:o}", "node", core->settings->node, "nonce", core->nonce,
+                         "away", away),
+               core->grant);
+    spend(builder, 1, 0, 200);
+}
+
+void bd_round_commit(struct bd_core *core)
+{
+    struct bd_commit *commit = core->commit;
+    struct build b = {.most_ops = bd_limits_ops(core) - 1,
+                      .most_conds = 4 * core->limits.txn_ops - 2};
+    if (!bd_txn_start(&b.t))
+        abort();
+    bd_txn_if(&b.t, "leader", core->term);
+    bd_txn_if(&b.t, "w", core->sequence_revision);
+    add_token_raise(core, &b);
+    add_intents(core, &b);
+    unplan_rest(core);
+    add_receipts(core, &b);
+    add_cancelled(core, &b);
+    if (bd_before(core->next_gc, core->now)) {
+        add_drops(core, &b);
+        /* thousands of old intents would slow the next takeover */
+        core->next_gc = bd_add(core->now, bd_secs(can_drop(core, &b) ? GC_S : GC_AGAIN_S));
+    }
+    if (b.ops == 0) {
+        free(bd_txn_end(&b.t));
+        bd_commit_free(commit);
+        core->commit = NULL;
+        return;
+    }
+    core->sequence++;
+    bd_txn_set(
+        &b.t, "w",
+        json_pack("{s:I,s:I}", "t", (json_int_t)core->base_term, "n", (json_int_t)core->sequence),
+        0);
+    core->write_tokens -= (double)(b.ops + 1);
+    struct bd_effect *effect = bd_emit(core, BD_E_COMMIT);
+    effect->body = bd_txn_end(&b.t);
+    effect->token = core->sequence;
+    snprintf(effect->key, sizeof effect->key, "%llu", (unsigned long long)core->base_term);
+}
--- /dev/null
+++ b/src/commit_outcome.c
@@ -0,0 +1,185 @@
+/* What follows from the fate of the leader's transaction. Part of the pure core. */
+#include "core_internal.h"
+#include "metrics.h"
+#include <stdio.h>
+
+void bd_round_keep(struct bd_core *core, const char *key, struct bd_intent *e, uint32_t n)
+{
+    if (core->nrounds == core->cap_rounds) {
+        uint32_t cap = core->cap_rounds ? core->cap_rounds * 2 : 64;
+        struct bd_round *r = realloc(core->rounds, cap * sizeof *r);
+        if (!r)
+            abort();
+        core->rounds = r;
+        core->cap_rounds = cap;
+    }
+    struct bd_round *r = &core->rounds[core->nrounds++];
+    memset(r, 0, sizeof *r);
+    snprintf(r->key, sizeof r->key, "%s", key);
+    r->e = e;
+    r->n = n;
+}
+
+static void launch_planned(struct bd_core *core, struct bd_commit *commit)
+{
+    for (uint32_t i = 0; i < commit->nplan; i++) {
+        struct bd_intent *e = &commit->plan[i];
+        struct bd_task *task = e->job->tasks ? &e->job->tasks[e->task] : NULL;
+        if (!task || task->state != BD_T_PLAN || task->attempt != e->attempt)
+            continue;
+        struct bd_machine *machine = bd_machine_of(core, task->machine);
+        if (e->job->state != BD_LIVE || bd_cancel_heard(core, e->job) || !machine ||
+            machine->gone || machine->returning) {
+            bd_task_free(core, e->job, e->task);
+            continue;
+        }
+        bd_task_set(core, e->job, e->task, BD_T_LAUNCH);
+        if (!e->job->started)
+            bd_metrics_time(core->metrics, BD_TIMING_START, core->wall - e->job->ready);
+        e->job->started = true;
+        bd_remember_image(core, machine, &e->job->spec, false);
+    }
+    for (uint32_t i = 0; i < commit->nplan; i++) {
+        struct bd_machine *machine = bd_machine_of(core, commit->plan[i].machine);
+        if (machine)
+            bd_orders_send(core, machine);
+    }
+    for (uint32_t i = 0; i < commit->nparts; i++) {
+        const struct bd_part *p = &commit->parts[i];
+        struct bd_intent *e = malloc((p->n + 1) * sizeof *e);
+        if (!e)
+            abort();
+        memcpy(e, commit->plan + p->from, p->n * sizeof *e);
+        bd_round_keep(core, p->key, e, p->n);
+    }
+}
+
+static void receipt_kept(struct bd_receipt *r)
+{
+    struct bd_job *job = r->job;
+    if (!job->tasks)
+        return;
+    job->receipt_chunks |= 1ull << r->chunk;
+    uint32_t from = r->chunk * CHUNK;
+    bool all = true;
+    for (uint32_t i = 0; i < CHUNK && from + i < job->ntasks; i++) {
+        struct bd_task *task = &job->tasks[from + i];
+        if (r->bits[i / 8] >> (i % 8) & 1)
+            task->flags |= BD_F_RECEIPT;
+        else if (task->state == BD_T_DONE)
+            all = false;
+    }
+    if (all)
+        job->dirty_chunks &= ~(1u << r->chunk);
+    job->dirty = job->dirty_chunks != 0;
+}
+
+static void forget_rounds(struct bd_core *core, const struct bd_commit *commit)
+{
+    for (uint32_t d = 0; d < commit->ndropped; d++) {
+        for (uint32_t i = 0; i < core->nrounds; i++) {
+            if (strcmp(core->rounds[i].key, commit->dropped[d]) == 0) {
+                free(core->rounds[i].e);
+                core->rounds[i] = core->rounds[--core->nrounds];
+                break;
+            }
+        }
+    }
+}
+
+static void done_kept(struct bd_core *core, struct bd_job *job, uint64_t store_revision)
+{
+    double age = core->wall - job->at;
+    bd_say(
+        core->log, BD_INFO,
+        "%s is done: %u tasks, rank %d, guess %.0f s; last placed after %.1f s, last begun after "
+        "%.1f s, done after %.1f s, %u places lost",
+        job->id, job->ntasks, (int)job->spec.rank, job->spec.estimate,
+        age - bd_between(job->last_placed, core->now), age - bd_between(job->last_begun, core->now),
+        age, job->restarts);
+    job->revision = store_revision;
+    job->state = BD_DONE;
+    job->end = core->wall;
+    bd_job_unlead(job);
+    json_decref(job->record_spec);
+    job->record_spec = NULL;
+    bd_deps_settled(core, job); /* now, and not before, what waits for it may start */
+}
+
+static void kept(struct bd_core *core, struct bd_commit *commit, uint64_t store_revision)
+{
+    core->sequence_revision = store_revision;
+    if (commit->raises_token) {
+        core->term = store_revision;
+        core->last_token_raise = core->now;
+        core->fenced_attempt = (core->base_term << 20) + core->counter;
+        core->withheld = 0;
+    }
+    for (uint32_t i = 0; i < commit->nreceipts; i++)
+        receipt_kept(&commit->receipts[i]);
+    forget_rounds(core, commit);
+    if (commit->nplan)
+        launch_planned(core, commit);
+    for (uint32_t i = 0; i < commit->ndone; i++)
+        done_kept(core, commit->done[i], store_revision);
+    for (uint32_t i = 0; i < commit->ncancelled; i++) {
+        commit->cancelled[i]->revision = store_revision;
+        bd_deps_written(core, commit->cancelled[i]);
+    }
+}
+
+static void refused(struct bd_core *core, struct bd_commit *commit, json_t *failed)
+{
+    json_t *v;
+    size_t i;
+    json_array_foreach(failed, i, v)
+    {
+        const char *key = json_string_value(v);
+        struct bd_job *job = key && strncmp(key, "j/", 2) == 0 ? bd_job_find(core, key + 2) : NULL;
+        if (job)
+            job->stale = true; /* the change itself comes with the next refresh */
+    }
+    for (uint32_t n = 0; n < commit->nplan; n++) {
+        struct bd_intent *e = &commit->plan[n];
+        if (e->job->tasks && e->job->tasks[e->task].state == BD_T_PLAN &&
+            e->job->tasks[e->task].attempt == e->attempt)
+            bd_task_free(core, e->job, e->task);
+    }
+    core->want_token_raise = core->want_token_raise || commit->raises_token;
+    /* the same number is never used for another content */
+}
+
+/* Called malformed: nothing was applied. All of it is decided anew, in smaller pieces. */
+static void too_large(struct bd_core *core, struct bd_commit *commit)
+{
+    if (bd_limits_refused(core, "a round's transaction"))
+        return;
+    for (uint32_t i = 0; i < commit->nplan; i++)
+        bd_limits_back_off(core, commit->plan[i].job);
+    for (uint32_t i = 0; i < commit->nreceipts; i++)
+        bd_limits_back_off(core, commit->receipts[i].job);
+    for (uint32_t i = 0; i < commit->ndone; i++)
+        bd_limits_back_off(core, commit->done[i]);
+    for (uint32_t i = 0; i < commit->ncancelled; i++)
+        bd_limits_back_off(core, commit->cancelled[i]);
+}
+
+void bd_core_committed(struct bd_core *core, int outcome, uint64_t store_revision, json_t *failed)
+{
+    struct bd_commit *commit = core->commit;
+    if (!commit || core->role != BD_LEADER)
+        return;
+    if (outcome < 0) {
+        bd_core_lost(core);
+        return;
+    }
+    core->commit = NULL;
+    if (outcome == 2)
+        too_large(core, commit);
+    if (outcome == 1)
+        kept(core, commit, store_revision);
+    else
+        refused(core, commit, failed);
+    bd_commit_free(commit);
+    core->round_wanted = true;
+}
--- a/src/core_internal.h
+++ b/src/core_internal.h
@@ -210,4 +210,11 @@
 uint32_t bd_jobs_in_order(struct bd_core *core, struct bd_job ***out);
 bool bd_allowed(const struct bd_spec *spec, int type, int zone, bool spot);
 void bd_autoscaler_tick(struct bd_core *core);
+
+/* shared by the parts of the core */
+void bd_rounds_free(struct bd_core *core);
+
+/* intent records */
+#define BD_HEX_DIGITS "0123456789abcdef"
+void bd_round_keep(struct bd_core *core, const char *key, struct bd_intent *e, uint32_t n);
 #endif
--- /dev/null
+++ b/src/delegate_view.c
@@ -0,0 +1,109 @@
+/* The leader's view of the delegates' records. Part of the pure core. */
+#include "brambledoor/frame.h"
+#include "core_internal.h"
+#include <stdio.h>
+
+#define AWAY_S 30.0 /* a dismissed delegate is named so long in the leader's key */
+#define STALE_S 5.0
+#define GAP_S 2.5 /* between refreshes: shorter than keep_s, so that none can slip through */
+
+/* ---- the leader's view ---- */
+
+static struct bd_delegate_seen *seen_of(struct bd_core *core, const char *key)
+{
+    for (int i = 0; i < core->ndelegates; i++)
+        if (strcmp(core->delegates[i].key, key) == 0)
+            return &core->delegates[i];
+    if (core->ndelegates == (int)(sizeof core->delegates / sizeof *core->delegates))
+        return NULL;
+    struct bd_delegate_seen *s = &core->delegates[core->ndelegates++];
+    memset(s, 0, sizeof *s);
+    snprintf(s->key, sizeof s->key, "%s", key);
+    return s;
+}
+
+static void read_record(struct bd_core *core, const struct bd_change *ch)
+{
+    json_t *v;
+    size_t i;
+    const char *tail = strchr(ch->key + 2, '/');
+    if (tail && strcmp(tail, "/at") == 0) {
+        char node[BD_LABEL];
+        snprintf(node, sizeof node, "%.*s", (int)(tail - ch->key - 2), ch->key + 2);
+        bd_standby_record(core, node, json_number_value(json_object_get(ch->value, "at")));
+        return;
+    }
+    struct bd_delegate_seen *s = seen_of(core, ch->key + 2);
+    if (s && ch->revision != s->revision) {
+        s->revision = ch->revision;
+        s->changed = core->now;
+    }
+    if (s && bd_between(s->changed, core->now) > STALE_S)
+        snprintf(core->stale_delegate, sizeof core->stale_delegate, "%s", ch->key);
+    json_array_foreach(json_object_get(ch->value, "m"), i, v)
+    {
+        struct bd_machine *machine = NULL;
+        const char *id = json_string_value(v);
+        if (id)
+            HASH_FIND_STR(core->machines, id, machine);
+        if (machine)
+            machine->delegated = true;
+        if (machine && s)
+            machine->delegate = (int)(s - core->delegates);
+    }
+}
+
+/* A worker out of a delegate's record reports to the leader itself: the two controllers do not hear
+ * each other, but the workers are not cut off. The delegate is told so by the leader's key, which
+ * it looks at; its workers then come. */
+void bd_delegate_needless(struct bd_core *core, const struct bd_machine *machine)
+{
+    if (machine->delegate >= core->ndelegates)
+        return;
+    struct bd_delegate_seen *s = &core->delegates[machine->delegate];
+    if (bd_is_zero(s->dismissed) || bd_between(s->dismissed, core->now) > AWAY_S) {
+        bd_say(core->log, BD_INFO, "%s answers for us needlessly: %s came here", s->key,
+               machine->id);
+        core->want_token_raise = true;
+    }
+    s->dismissed = core->now;
+}
+
+/* For the leader's key; the caller owns the list. */
+json_t *bd_dismissed(const struct bd_core *core)
+{
+    json_t *list = json_array();
+    for (int i = 0; i < core->ndelegates; i++)
+        if (!bd_is_zero(core->delegates[i].dismissed) &&
+            bd_between(core->delegates[i].dismissed, core->now) < AWAY_S)
+            (void)json_array_append_new(
+                list, json_stringn(core->delegates[i].key, strcspn(core->delegates[i].key, "/")));
+    return list;
+}
+
+void bd_core_delegates(struct bd_core *core, json_t *pairs, struct timespec sent)
+{
+    struct bd_change ch;
+    json_t *v;
+    size_t i;
+    if (core->role != BD_LEADER)
+        return;
+    bool gap = bd_between(core->delegates_read, sent) > GAP_S;
+    struct timespec end = bd_lease_end(core, bd_add(core->now, bd_secs(DELEGATE_FRESH_S)));
+    for (uint32_t k = 0; k < core->nmachines; k++) {
+        struct bd_machine *machine = core->by_index[k];
+        if (machine->delegated ||
+            gap) /* it may have been answered until now, and a little longer */
+            machine->lapse_at = bd_max(machine->lapse_at, end);
+        machine->delegated = false;
+    }
+    json_array_foreach(pairs, i, v)
+    {
+        if (bd_wire_change(v, &ch) && strncmp(ch.key, "p/", 2) == 0)
+            read_record(core, &ch);
+    }
+    for (uint32_t k = 0; k < core->nmachines; k++)
+        if (core->by_index[k]->delegated)
+            core->by_index[k]->lapse_at = bd_max(core->by_index[k]->lapse_at, end);
+    core->delegates_read = sent;
+}
--- a/src/event_loop.c
+++ b/src/event_loop.c
@@ -242,112 +242,6 @@
     }
 }
 
-static void give(struct bd_node *node, struct bd_queue *queue, struct bd_effect *effect)
-{
-    while (!bd_queue_put(queue, effect)) {
-        bd_say(&node->log, BD_ERROR, "an adapter's queue is full");
-        bd_pause(0.05);
-    }
-}
-
-/* Towards another controller: a report to the leader, or the answer to one. */
-static void pass_on(struct bd_node *node, const struct bd_effect *effect)
-{
-    struct bd_frame f;
-    f.type = effect->kind == BD_E_FORWARD ? BD_FRAME_REPORT : BD_FRAME_ANSWER;
-    snprintf(f.name, sizeof f.name, "%s", node->settings.node);
-    f.id = effect->token;
-    f.status = (uint16_t)effect->status;
-    f.text = effect->body;
-    f.len = effect->body ? (uint32_t)strlen(effect->body) : 0;
-    f.count = 0;
-    if (!bd_transport_send(node, (int)effect->machine, &f))
-        bd_say(&node->log, BD_DEBUG, "a frame to another controller was dropped");
-}
-
-/* To all controllers that understand it; the others learn of it from the records, as we would. */
-static void tell_cancelled(struct bd_node *node, const char *id)
-{
-    struct bd_frame f;
-    f.type = BD_FRAME_CANCELLED;
-    f.text = id;
-    f.len = (uint32_t)strlen(id);
-    f.count = 0;
-    for (int i = 0; i < node->settings.npeers; i++)
-        if (node->core->peers[i].flags & BD_PEER_NEWS)
-            (void)bd_transport_send(node, i, &f);
-}
-
-static void perform(struct bd_node *node, struct bd_effect *effect)
-{
-    switch (effect->kind) {
-    case BD_E_REPLY:
-        bd_api_reply(node, effect->request, effect->status, effect->body, effect->retry_after);
-        effect->body = NULL;
-        break;
-    case BD_E_BARRIER:
-        atomic_store(&node->want_barrier, true);
-        (void)bd_queue_put(&node->reader_wake, node);
-        break;
-    case BD_E_CANCELLED:
-        tell_cancelled(node, effect->key);
-        break;
-    case BD_E_LOST:
-        atomic_store(&node->give_up, effect->status == BD_LOST_GIVEN_UP);
-        atomic_store(&node->step_down, true);
-        break;
-    case BD_E_FORWARD:
-    case BD_E_ANSWER:
-        pass_on(node, effect);
-        break;
-    case BD_E_DELEGATE:
-        give(node, &node->to_users, effect);
-        return;
-    case BD_E_LOOKUP:
-        if (bd_queue_put(&node->to_users, effect))
-            return;
-        bd_core_looked_up(node->core, effect->request, effect->key, effect->status, 0, NULL);
-        break;
-    case BD_E_USER_COMMIT:
-        if (bd_queue_put(&node->to_users, effect))
-            return;
-        bd_api_reply(node, effect->request, 503, strdup("{\"error\":\"busy\"}"), 1);
-        break;
-    case BD_E_COMMIT:
-        node->commit_sent = node->core->now;
-        give(node, &node->to_commit, effect);
-        return;
-    case BD_E_DO:
-        bd_worker_client_send(node, effect);
-        return;
-    case BD_E_PROVISION:
-    case BD_E_RETURN:
-        give(node, &node->to_cloud, effect);
-        return;
-    }
-    bd_effect_free(effect);
-}
-
-static void effects(struct bd_node *node)
-{
-    bool sends = false; /* to other controllers */
-    struct bd_effect *effect = bd_core_effects(node->core);
-    while (effect) {
-        struct bd_effect *next = effect->next;
-        sends = sends || effect->kind == BD_E_FORWARD || effect->kind == BD_E_ANSWER ||
-                effect->kind == BD_E_CANCELLED;
-        perform(node, effect);
-        effect =
-            next ? next : bd_core_effects(node->core); /* one that failed may have others follow */
-    }
-    if (sends)
-        bd_transport_flush(node);
-    atomic_store(&node->leading, node->core->role == BD_LEADER);
-    atomic_store(&node->store_revision, node->core->store_revision);
-    atomic_store(&node->up, bd_core_up(node->core));
-    atomic_store(&node->types_known, node->core->types_known);
-}
-
 static void add_progress(struct bd_node *node, const struct bd_job *job)
 {
     if (node->nprogress == node->cap_progress) {
@@ -470,7 +364,7 @@
         }
         gain(node);
         tick(node);
-        effects(node);
+        bd_effects_perform(node);
         status(node);
         report(node);
     }
@@ -503,4 +397,4 @@
         return -1;
     }
     return 0;
-}
+}
--- /dev/null
+++ b/src/leadership.c
@@ -0,0 +1,169 @@
+/* Who leads, what the other controllers say of it, and when a leader ends its term. Part of the
+ * pure core. */
+#include "brambledoor/frame.h"
+#include "core_internal.h"
+#include <math.h>
+#include <stdio.h>
+
+#define HEARD_S 2.0 /* another controller's word counts so long */
+#define BLIND_S 4.0 /* two answers of the state service in a row may be lost before */
+#define ALONE_S 3.0 /* without a word from anywhere users are better sent elsewhere */
+
+/* ---- leadership ---- */
+
+static int newer_leader(const struct bd_core *core);
+static bool cut_alone(const struct bd_core *core);
+
+bool bd_core_valid(const struct bd_core *core)
+{
+    return core->role == BD_LEADER && bd_before(core->now, core->valid_until);
+}
+
+bool bd_core_may_answer(const struct bd_core *core)
+{
+    if (core->role != BD_LEADER || !bd_may_renew(core))
+        return false;
+    if (bd_core_valid(core))
+        return true;
+    /* a new leader counts with our answers from our last renewal on */
+    return newer_leader(core) < 0 && !cut_alone(core) && bd_in_grace(core, core->renewed);
+}
+
+void bd_core_leader_is(struct bd_core *core, const char *name, uint64_t revision,
+                       struct timespec sent, bool dismissed)
+{
+    core->delegate.dismissed = dismissed;
+    snprintf(core->leader_name, sizeof core->leader_name, "%s", name);
+    core->leader_term = revision;
+    core->last_term = revision ? revision : core->last_term;
+    core->leader_seen = sent;
+}
+
+/* ---- the other controllers ---- */
+
+void bd_core_peer(struct bd_core *core, const char *name, uint64_t term, uint8_t flags,
+                  double state_age, double said_at, struct timespec heard)
+{
+    for (int i = 0; i < core->settings->npeers; i++) {
+        if (strcmp(core->settings->peers[i].name, name) != 0)
+            continue;
+        core->peers[i].heard = heard;
+        core->peers[i].term = term;
+        core->peers[i].flags = flags;
+        core->peers[i].said_at = said_at;
+        core->peers[i].state_seen = bd_sub(heard, bd_secs(state_age));
+    }
+}
+
+void bd_core_progress(struct bd_core *core, const char *id, uint32_t done, uint32_t running)
+{
+    struct bd_job *job = bd_job_find(core, id);
+    if (!job || core->role == BD_LEADER)
+        return;
+    job->shown_done = done;
+    job->shown_run = running;
+}
+
+/* Whether another controller is served by the state service while we are not. */
+static bool cut_alone(const struct bd_core *core)
+{
+    const double behind = 1.5;
+    for (int i = 0; i < core->settings->npeers; i++)
+        if (bd_peer_heard(core, i, HEARD_S) && core->peers[i].flags & BD_PEER_STATE &&
+            bd_between(core->refreshed_at, core->peers[i].state_seen) > behind)
+            return true;
+    return false;
+}
+
+/* The controller that says it holds a newer term than ours, or -1. */
+static int newer_leader(const struct bd_core *core)
+{
+    for (int i = 0; i < core->settings->npeers; i++)
+        if (core->peers[i].term > core->term && bd_peer_heard(core, i, HEARD_S))
+            return i;
+    return -1;
+}
+
+/* Without the state service we are told here, not there, that somebody else leads. */
+void bd_core_yield(struct bd_core *core)
+{
+    int i = core->role == BD_LEADER && !bd_core_valid(core) ? newer_leader(core) : -1;
+    if (i < 0)
+        return;
+    bd_core_lost(core);
+    snprintf(core->leader_name, sizeof core->leader_name, "%s", core->settings->peers[i].name);
+}
+
+/* Neither the state service nor any other controller is heard: it is likely we who are cut off. */
+static bool quite_alone(const struct bd_core *core)
+{
+    if (core->settings->npeers == 0 || bd_between(core->refreshed_at, core->now) < ALONE_S)
+        return false;
+    for (int i = 0; i < core->settings->npeers; i++)
+        if (bd_peer_heard(core, i, ALONE_S))
+            return false;
+    return true;
+}
+
+bool bd_core_up(const struct bd_core *core)
+{
+    return core->replica_ready && core->types_known && !cut_alone(core) && !quite_alone(core);
+}
+
+/* The lease is renewed, but our refreshes of the records are refused while another controller's are
+ * served: nothing could start until ours are served again. Another may start work at once. */
+void bd_core_give_up_if_blind(struct bd_core *core)
+{
+    if (!bd_core_valid(core) || bd_between(core->refreshed_at, core->now) < BLIND_S ||
+        !cut_alone(core))
+        return;
+    bd_say(core->log, BD_INFO,
+           "the records cannot be read here, but elsewhere: gives up the lease");
+    bd_core_lost(core);
+    core->last->status = BD_LOST_GIVEN_UP;
+}
+
+void bd_core_lost(struct bd_core *core)
+{
+    if (core->role != BD_LEADER)
+        return;
+    bd_say(core->log, BD_INFO, "term %llu is over", (unsigned long long)core->term);
+    core->role = BD_FOLLOWER;
+    if (strcmp(core->leader_name, core->settings->node) == 0)
+        core->leader_name[0] = '\0';
+    struct bd_job *job, *jt;
+    HASH_ITER(hh, core->jobs, job, jt)
+    {
+        bd_job_unlead(job);
+    }
+    struct bd_machine *machine, *mt;
+    HASH_ITER(hh, core->machines, machine, mt)
+    {
+        HASH_DEL(core->machines, machine);
+        free(machine->refs);
+        free(machine);
+    }
+    free(core->by_index);
+    core->by_index = NULL;
+    core->nmachines = core->cap_machines = 0;
+    bd_rounds_free(core);
+    bd_commit_free(core->commit);
+    core->commit = NULL;
+    core->nprovisions = 0;
+    memset(core->team_cpus, 0, sizeof core->team_cpus);
+    memset(core->team_gpus, 0, sizeof core->team_gpus);
+    memset(core->pools, 0, sizeof core->pools);
+    memset(core->direct, 0, sizeof core->direct);
+    core->ndelegates = 0;
+    (void)bd_emit(core, BD_E_LOST);
+}
+
+void bd_core_renewed(struct bd_core *core, uint64_t grant, struct timespec sent)
+{
+    if (core->role != BD_LEADER || grant != core->grant)
+        return;
+    struct timespec ttl = core->settings->leader_ttl;
+    double valid = bd_to_secs(ttl) * (1 - DRIFT) - 0.1;
+    core->valid_until = bd_max(core->valid_until, bd_add(sent, bd_secs(valid)));
+    core->renewed = bd_max(core->renewed, sent);
+}
--- /dev/null
+++ b/src/orders.c
@@ -0,0 +1,93 @@
+/* Commands that a machine is owed, in answers and directly. Part of the pure core. */
+#include "orders.h"
+#include "core_internal.h"
+#include <stdio.h>
+
+#define ZONE_FAILS 4u /* direct commands without an answer, in a row, of one zone */
+#define ZONE_PROBE_S 4.0
+
+void bd_orders_add(struct orders *l, enum bd_verb verb, const char *job, uint32_t task,
+                   uint64_t attempt, double grace)
+{
+    if (l->n == l->cap) {
+        size_t cap = l->cap ? l->cap * 2 : 8;
+        struct bd_order *o = realloc(l->o, cap * sizeof *o);
+        if (!o)
+            abort();
+        l->o = o;
+        l->cap = cap;
+    }
+    struct bd_order *o = &l->o[l->n++];
+    o->verb = verb;
+    snprintf(o->job, sizeof o->job, "%s", job);
+    o->task = task;
+    o->attempt = attempt;
+    o->grace = grace;
+}
+
+static double grace_of(const struct bd_job *job, const struct bd_task *task)
+{
+    if (task->flags & BD_F_FORCE || job->spec.checkpoint <= 0)
+        return 0;
+    return job->spec.save + 1.0;
+}
+
+/* Halts and launches that the machine owes us, from the states of the tasks on it. An attempt that
+ * an earlier token's direct launch may have carried is launched in answers only: see forget. */
+bool bd_orders_owed(struct bd_core *core, struct bd_machine *machine, struct orders *l, bool direct)
+{
+    bool launch = false;
+    for (uint32_t k = 0; k < machine->nrefs; k++) {
+        struct bd_job *job = machine->refs[k].job;
+        uint32_t i = machine->refs[k].task;
+        struct bd_task *task = &job->tasks[i];
+        if (task->flags & BD_F_EXITED)
+            continue;
+        if (task->flags & BD_F_STOP) {
+            bool force = task->flags & BD_F_FORCE;
+            if (task->state == BD_T_LIVE && (task->sub != BD_SAVING || force))
+                bd_orders_add(l, BD_HALT, job->id, i, task->attempt, grace_of(job, task));
+        } else if (task->state == BD_T_LAUNCH && bd_may_launch(core) && job->state == BD_LIVE &&
+                   !bd_cancel_heard(core, job) &&
+                   (!direct || task->attempt > core->fenced_attempt)) {
+            bd_orders_add(l, BD_LAUNCH, job->id, i, task->attempt, 0);
+            task->flags |= direct ? BD_F_SENT | BD_F_DO : BD_F_SENT | BD_F_TOLD;
+            launch = true;
+        }
+    }
+    return launch;
+}
+
+/* Whether the zone's machines do not answer directly, as when it is cut off from us: each try would
+ * hang a sender. One is let through now and then. */
+static bool zone_closed(struct bd_core *core, const struct bd_machine *machine)
+{
+    if (machine->zone < 0 || core->direct[machine->zone].fails < ZONE_FAILS)
+        return false;
+    if (bd_before(core->now, core->direct[machine->zone].until))
+        return true;
+    core->direct[machine->zone].until = bd_add(core->now, bd_secs(ZONE_PROBE_S));
+    return false;
+}
+
+/* Sends what is owed directly, where the machine can be expected to answer. */
+void bd_orders_send(struct bd_core *core, struct bd_machine *machine)
+{
+    struct orders l = {0};
+    if (machine->do_busy || bd_before(core->now, machine->do_after) || !machine->fenced ||
+        machine->gone || !*machine->addr || !bd_core_valid(core) || bd_overdue(core, machine) ||
+        zone_closed(core, machine))
+        return;
+    bool launch = bd_orders_owed(core, machine, &l, true);
+    if (l.n == 0)
+        return;
+    struct bd_effect *effect = bd_emit(core, BD_E_DO);
+    effect->machine = machine->index;
+    effect->token = core->term;
+    effect->launch = launch;
+    snprintf(effect->addr, sizeof effect->addr, "%s", machine->addr);
+    effect->body = bd_wire_orders(core->term, machine->session, l.o, l.n);
+    machine->do_busy = true;
+    machine->do_since = core->now;
+    free(l.o);
+}
--- a/src/place.c
+++ b/src/place.c
@@ -1,5 +1,6 @@
 /* Placement: which waiting tasks go where. Like tasks of a job are decided as a class. */
 #include "core_internal.h"
+#include "placement_internal.h"
 #include <math.h>
 
 /* named defaults: the weights of a choice, in seconds of later start */
@@ -11,47 +12,10 @@
 #define COST_SPOT_LOST 8.0   /* what a due time may lose by a spot machine that is taken */
 #define DUE_HURRY_S 8.0      /* less than this until the start that a due time needs */
 #define HURRY_S 30.0         /* less than this to spare */
-#define COST_STOPPING 10.0   /* the whole room of a task made by stopping others */
 #define WORTH_MOVING_S 12.0  /* a fetch longer than this is worth stopping borrowed work */
-#define PREEMPT_MOST 32u     /* places made for one job in one round */
 #define QUICK_S 0.5          /* a fetch that nobody minds */
 #define FORCE_AGAIN_S 0.5    /* a job that nothing can be stopped for asks again after this */
 #define HOLD_AFTER_S 10.0    /* a gang waits so long before room is held and made for it */
-#define EPS 1e-6
-
-struct room {
-    double cpus, gpus, mem;
-};
-
-/* What could be stopped on a machine, in sum: most machines have nothing of the kind, and to look
- * at every task of every machine for every job that waits takes most of a round at a thousand
- * machines. */
-struct stops {
-    uint32_t stamp; /* of the round's count of stops when this was summed up */
-    enum bd_rank least;
-    bool any, stopping, borrowed;
-};
-
-struct round {
-    struct bd_core *core;
-    struct bd_commit *k;
-    struct bd_job **jobs;
-    uint32_t njobs;
-    size_t bytes, most_bytes;
-    uint32_t conds, most_conds;
-    struct stops *stops;        /* by machine */
-    double *fetch;              /* by machine: seconds of fetching that this round's plans add */
-    double *cost;               /* by machine: of making room for the job that is being placed */
-    uint32_t nstops;            /* tasks stopped in this round, and one more */
-    struct room *claimed;       /* by machine: room that waits for tasks being stopped */
-    int only_zone;              /* -1: any */
-    bool quick;                 /* only where no long fetch comes first */
-    bool *open;                 /* by machine: new work may come to it */
-    bool dear[BD_MAX_TYPES][2]; /* for the job that is being placed */
-    bool urgent;                /* its aims leave it no time for a fetch */
-    double spot_lost;           /* what a spot one costs it that an ordinary one would not */
-    double not_spot;            /* what an ordinary machine costs it that a spot one would not */
-};
 
 static struct room free_room(const struct bd_core *core, const struct bd_machine *machine)
 {
@@ -61,25 +25,25 @@
 }
 
 /* Free room that is not kept for a task whose place is being vacated. */
-static struct room unclaimed_room(const struct round *r, const struct bd_machine *machine)
+struct room bd_unclaimed_room(const struct round *r, const struct bd_machine *machine)
 {
     struct room room = free_room(r->core, machine), held = r->claimed[machine->index];
     return (struct room){room.cpus - held.cpus, room.gpus - held.gpus, room.mem - held.mem};
 }
 
-static uint32_t fit_one(double have, double prerequisite, uint32_t most)
+uint32_t bd_fit_one(double have, double need, uint32_t most)
 {
-    if (prerequisite <= 0)
+    if (need <= 0)
         return most;
-    double n = floor((have + EPS) / prerequisite);
+    double n = floor((have + EPS) / need);
     return n <= 0 ? 0 : n < most ? (uint32_t)n : most;
 }
 
-static uint32_t fit(struct room r, const struct bd_spec *spec, uint32_t most)
+uint32_t bd_fit(struct room r, const struct bd_spec *spec, uint32_t most)
 {
-    most = fit_one(r.cpus, spec->cpus, most);
-    most = fit_one(r.gpus, spec->gpus, most);
-    return fit_one(r.mem, spec->mem, most);
+    most = bd_fit_one(r.cpus, spec->cpus, most);
+    most = bd_fit_one(r.gpus, spec->gpus, most);
+    return bd_fit_one(r.mem, spec->mem, most);
 }
 
 bool bd_allowed(const struct bd_spec *spec, int type, int zone, bool spot)
@@ -92,14 +56,14 @@
 {
     const struct bd_team_limits *t = &core->settings->teams[spec->team];
     if (t->cpus_max > 0)
-        most = fit_one(t->cpus_max - core->team_cpus[spec->team], spec->cpus, most);
+        most = bd_fit_one(t->cpus_max - core->team_cpus[spec->team], spec->cpus, most);
     if (t->gpus_max > 0)
-        most = fit_one(t->gpus_max - core->team_gpus[spec->team], spec->gpus, most);
+        most = bd_fit_one(t->gpus_max - core->team_gpus[spec->team], spec->gpus, most);
     return most;
 }
 
 /* Tasks of the job per zone, counting all that hold a place, unknown and stopping ones too. */
-static void zone_counts(struct bd_core *core, const struct bd_job *job, uint32_t *n)
+void bd_zone_counts(struct bd_core *core, const struct bd_job *job, uint32_t *n)
 {
     memset(n, 0, BD_MAX_ZONES * sizeof *n);
     if (!job->spec.together && !job->spec.scatter)
@@ -114,8 +78,8 @@
     }
 }
 
-static uint32_t zone_left(const struct bd_core *core, const struct bd_job *job, const uint32_t *n,
-                          int z, uint32_t most)
+uint32_t bd_zone_left(const struct bd_core *core, const struct bd_job *job, const uint32_t *n,
+                      int z, uint32_t most)
 {
     if (job->spec.together)
         for (int k = 0; k < core->nzones; k++)
@@ -141,12 +105,12 @@
         return most;
     struct room r = {type->cpus - machine->pinned_cpus, type->gpus - machine->pinned_gpus,
                      type->mem - machine->pinned_mem};
-    uint32_t gpu_tasks = fit(r, g, 64);
+    uint32_t gpu_tasks = bd_fit(r, g, 64);
     if (gpu_tasks == 0) /* services alone keep GPU work away: they are to move together here */
         return machine->gpus > 0 || spec->shape == BD_SERVICE ? most : 0;
     struct room left = {type->cpus - machine->cpus - gpu_tasks * g->cpus, 0,
                         type->mem - machine->mem - gpu_tasks * g->mem};
-    return left.cpus < 0 || left.mem < 0 ? 0 : fit(left, spec, most);
+    return left.cpus < 0 || left.mem < 0 ? 0 : bd_fit(left, spec, most);
 }
 
 /* Whether it is known what GPU work could do here: before any has come, nothing is harmless. */
@@ -164,8 +128,8 @@
     return v > 0 && !bd_has_image(machine, spec->image) ? v + r->fetch[machine->index] : v;
 }
 
-static double cost(const struct round *d, const struct bd_spec *spec,
-                   const struct bd_machine *machine, struct room r, bool harm)
+double bd_place_cost(const struct round *d, const struct bd_spec *spec,
+                     const struct bd_machine *machine, struct room r, bool harm)
 {
     const struct bd_core *core = d->core;
     const struct bd_type *type = &core->types[machine->type];
@@ -183,14 +147,14 @@
     return v;
 }
 
-static bool zone_open(const struct round *r, const struct bd_machine *machine)
+bool bd_zone_open(const struct round *r, const struct bd_machine *machine)
 {
     return r->only_zone < 0 || r->only_zone == machine->zone;
 }
 
 /* Whether the task could begin there at once, as far as its image goes. */
-static bool quick_there(const struct bd_core *core, const struct bd_spec *spec,
-                        const struct bd_machine *machine)
+bool bd_quick_there(const struct bd_core *core, const struct bd_spec *spec,
+                    const struct bd_machine *machine)
 {
     return bd_fetch_s(core, machine, spec) < QUICK_S;
 }
@@ -213,13 +177,13 @@
     double low = INFINITY;
     for (uint32_t i = 0; i < core->nmachines; i++) {
         struct bd_machine *machine = core->by_index[i];
-        if (!r->open[i] || !zone_open(r, machine) ||
+        if (!r->open[i] || !bd_zone_open(r, machine) ||
             !bd_allowed(&job->spec, machine->type, machine->zone, machine->spot))
             continue;
-        if (r->quick && !quick_there(core, &job->spec, machine))
+        if (r->quick && !bd_quick_there(core, &job->spec, machine))
             continue;
-        struct room room = unclaimed_room(r, machine);
-        if (!fit(room, &job->spec, 1) || !zone_left(core, job, zones, machine->zone, 1))
+        struct room room = bd_unclaimed_room(r, machine);
+        if (!bd_fit(room, &job->spec, 1) || !bd_zone_left(core, job, zones, machine->zone, 1))
             continue;
         bool harm = harmless(core, &job->spec, machine, 1) == 0;
         if (harm && !may_harm)
@@ -231,7 +195,8 @@
         bool keeps = keeps_dear(r, &job->spec, machine);
         if (keeps && !any_price)
             continue;
-        double v = cost(r, &job->spec, machine, room, harm) + (keeps ? COST_KEEPS_DEAR : 0);
+        double v =
+            bd_place_cost(r, &job->spec, machine, room, harm) + (keeps ? COST_KEEPS_DEAR : 0);
         if (v < low) {
             low = v;
             found = machine;
@@ -275,17 +240,17 @@
     uint32_t zones[BD_MAX_ZONES], placed = 0, next = 0;
     /* only what is rented waits for spot: a machine that is there costs the same idle */
     bool any_price = bd_reach_of(r->core, job) == BD_REACH_ANY;
-    zone_counts(r->core, job, zones);
+    bd_zone_counts(r->core, job, zones);
     while (placed < most) {
         struct bd_machine *machine = best(r, job, zones, any_price, may_harm);
         if (!machine)
             break;
-        struct room room = unclaimed_room(r, machine);
-        uint32_t n = fit(room, &job->spec, most - placed),
+        struct room room = bd_unclaimed_room(r, machine);
+        uint32_t n = bd_fit(room, &job->spec, most - placed),
                  kind = harmless(r->core, &job->spec, machine, n);
         if (kind > 0) /* the next ones may do better elsewhere */
             n = kind;
-        n = record_room(r, job, machine, zone_left(r->core, job, zones, machine->zone, n));
+        n = record_room(r, job, machine, bd_zone_left(r->core, job, zones, machine->zone, n));
         if (n == 0)
             break;
         if (!bd_has_image(machine, job->spec.image))
@@ -310,191 +275,6 @@
     r->k->nplan = from;
 }
 
-static bool stoppable(const struct bd_job *job, const struct bd_task *task)
-{
-    return !(task->flags & BD_F_STOP) && (task->state == BD_T_LIVE || task->state == BD_T_LAUNCH) &&
-           job->spec.shape != BD_SERVICE;
-}
-
-static bool may_stop(const struct bd_job *want, const struct bd_job *job,
-                     const struct bd_task *task)
-{
-    /* a team's guarantee may take what another team runs beyond its own, but for a few short tasks
-     * that others wait for by a due time: there is enough beside them */
-    bool hurries = isfinite(job->due_by) && job->rank > want->rank;
-    bool owed = want->in_guarantee && !job->in_guarantee && want->spec.team != job->spec.team &&
-                !hurries && task->state == BD_T_LIVE && task->sub == BD_RUNNING;
-    return (job->rank < want->rank || owed) && stoppable(job, task);
-}
-
-static void add(struct room *r, const struct bd_spec *spec, double sign)
-{
-    r->cpus += sign * spec->cpus;
-    r->gpus += sign * spec->gpus;
-    r->mem += sign * spec->mem;
-}
-
-static const struct stops *sum_up(struct round *r, const struct bd_machine *machine)
-{
-    struct stops *s = &r->stops[machine->index];
-    if (s->stamp == r->nstops)
-        return s;
-    *s = (struct stops){.stamp = r->nstops, .least = BD_PRODUCTION};
-    for (uint32_t k = 0; k < machine->nrefs; k++) {
-        const struct bd_job *job = machine->refs[k].job;
-        const struct bd_task *task = &job->tasks[machine->refs[k].task];
-        s->stopping |= (task->flags & BD_F_STOP) != 0;
-        if (!stoppable(job, task))
-            continue;
-        s->any = true;
-        s->least = job->rank < s->least ? job->rank : s->least;
-        s->borrowed |= !job->in_guarantee;
-    }
-    return s;
-}
-
-/* Room on the machine once what is stopping has gone, and what else could be stopped. */
-static void later_room(struct round *r, const struct bd_job *want, struct bd_machine *machine,
-                       struct room *soon, struct room *most)
-{
-    const struct stops *s = sum_up(r, machine);
-    *soon = unclaimed_room(r, machine);
-    *most = *soon;
-    bool lower = s->any && s->least < want->rank;
-    if (!s->stopping && !lower && !(want->in_guarantee && s->borrowed))
-        return;
-    for (uint32_t k = 0; k < machine->nrefs; k++) {
-        struct bd_job *job = machine->refs[k].job;
-        struct bd_task *task = &job->tasks[machine->refs[k].task];
-        if (task->flags & BD_F_STOP) {
-            add(soon, &job->spec, 1);
-            add(most, &job->spec, 1);
-        } else if (may_stop(want, job, task)) {
-            add(most, &job->spec, 1);
-        }
-    }
-}
-
-/* Whether x is less worth keeping than y: the lower rank, then the younger job, which has more time
- * to make up for it, then the newer start. */
-static bool less_valuable(const struct bd_ref *x, const struct bd_ref *y)
-{
-    const struct bd_job *a = x->job, *b = y->job;
-    if (a->rank != b->rank)
-        return a->rank < b->rank;
-    if (a != b && a->ready != b->ready)
-        return a->ready > b->ready;
-    return a->tasks[x->task].attempt > b->tasks[y->task].attempt;
-}
-
-/* Picks the least valuable of what may be stopped. */
-static struct bd_ref least_valuable(const struct bd_job *want, const struct bd_machine *machine)
-{
-    struct bd_ref pick = {0};
-    for (uint32_t k = 0; k < machine->nrefs; k++) {
-        struct bd_job *job = machine->refs[k].job;
-        if (may_stop(want, job, &job->tasks[machine->refs[k].task]) &&
-            (!pick.job || less_valuable(&machine->refs[k], &pick)))
-            pick = machine->refs[k];
-    }
-    return pick;
-}
-
-static void stop_for(struct round *r, const struct bd_job *want, struct bd_machine *machine,
-                     struct room soon)
-{
-    while (!fit(soon, &want->spec, 1)) {
-        struct bd_ref pick = least_valuable(want, machine);
-        if (!pick.job)
-            return;
-        add(&soon, &pick.job->spec, 1);
-        r->nstops++;
-        bd_task_stop(r->core, pick.job, pick.task, false);
-    }
-}
-
-/* What making room on the machine would cost; infinite where it cannot be made. */
-static double stop_cost(struct round *r, const struct bd_job *job, struct bd_machine *machine,
-                        const uint32_t *zones, bool only_cheap)
-{
-    struct bd_core *core = r->core;
-    struct room soon, most;
-    if (!r->open[machine->index] || !zone_open(r, machine) ||
-        !bd_allowed(&job->spec, machine->type, machine->zone, machine->spot) ||
-        (only_cheap && r->dear[machine->type][machine->spot]) ||
-        !zone_left(core, job, zones, machine->zone, 1))
-        return INFINITY;
-    later_room(r, job, machine, &soon, &most);
-    if (!fit(most, &job->spec, 1))
-        return INFINITY;
-    double v = bd_fetch_s(core, machine, &job->spec);
-    double lacking = fmax(0, fmax(job->spec.cpus - soon.cpus, 0) / fmax(job->spec.cpus, 1) +
-                                 fmax(job->spec.gpus - soon.gpus, 0) / fmax(job->spec.gpus, 1));
-    return v + lacking * COST_STOPPING;
-}
-
-/* What room for one task would cost on each machine. */
-static void cost_all(struct round *r, const struct bd_job *job, const uint32_t *zones,
-                     bool only_cheap, bool with_image)
-{
-    for (uint32_t i = 0; i < r->core->nmachines; i++) {
-        struct bd_machine *machine = r->core->by_index[i];
-        bool out = (with_image && !bd_has_image(machine, job->spec.image)) ||
-                   (r->quick && !quick_there(r->core, &job->spec, machine));
-        r->cost[i] = out ? INFINITY : stop_cost(r, job, machine, zones, only_cheap);
-    }
-}
-
-/* Makes room for one task where that costs least, and keeps it for the task. False: nowhere. The
- * costs are counted once for all tasks of the job, and again only for the machine that is picked.
- */
-static bool vacate(struct round *r, struct bd_job *job, uint32_t *zones, bool only_cheap)
-{
-    for (;;) {
-        struct room soon, most;
-        uint32_t pick = 0;
-        for (uint32_t i = 1; i < r->core->nmachines; i++)
-            if (r->cost[i] < r->cost[pick])
-                pick = i;
-        if (r->core->nmachines == 0 || !(r->cost[pick] < INFINITY))
-            return false;
-        struct bd_machine *machine = r->core->by_index[pick];
-        double v = stop_cost(r, job, machine, zones, only_cheap);
-        if (v > r->cost[pick]) { /* what was taken before has changed it */
-            r->cost[pick] = v;
-            continue;
-        }
-        later_room(r, job, machine, &soon, &most);
-        stop_for(r, job, machine, soon);
-        add(&r->claimed[pick], &job->spec, 1);
-        zones[machine->zone]++;
-        r->cost[pick] = stop_cost(r, job, machine, zones, only_cheap);
-        return true;
-    }
-}
-
-/* Makes room for up to n tasks; returns for how many room is made or on its way. */
-static uint32_t preempt(struct round *r, struct bd_job *job, uint32_t n, bool only_cheap)
-{
-    uint32_t zones[BD_MAX_ZONES], made = 0;
-    zone_counts(r->core, job, zones);
-    cost_all(r, job, zones, only_cheap, false);
-    n = n < PREEMPT_MOST ? n : PREEMPT_MOST;
-    while (made < n && vacate(r, job, zones, only_cheap))
-        made++;
-    return made;
-}
-
-/* Stops nothing unless all that the gang lacks can be had; false: it cannot. */
-static bool preempt_gang(struct round *r, struct bd_job *job, uint32_t lacking)
-{
-    uint32_t zones[BD_MAX_ZONES], can = 0;
-    zone_counts(r->core, job, zones);
-    for (uint32_t i = 0; i < r->core->nmachines && can < lacking; i++)
-        can += stop_cost(r, job, r->core->by_index[i], zones, false) < INFINITY;
-    return can >= lacking && preempt(r, job, lacking, false) > 0;
-}
-
 /* A job within its guarantee need not wait for a long fetch while its image lies on a machine that
  * another team uses beyond its own guarantee: true if such a machine is being vacated for it. */
 static bool waits_for_image(struct round *r, struct bd_job *job)
@@ -503,12 +283,12 @@
     uint32_t zones[BD_MAX_ZONES];
     if (!job->in_guarantee || job->ntasks != 1)
         return false;
-    zone_counts(core, job, zones);
+    bd_zone_counts(core, job, zones);
     struct bd_machine *now = best(r, job, zones, true, true);
     if (!now || bd_fetch_s(core, now, &job->spec) < WORTH_MOVING_S)
         return false;
-    cost_all(r, job, zones, false, true);
-    return vacate(r, job, zones, false);
+    bd_stop_costs(r, job, zones, false, true);
+    return bd_vacate(r, job, zones, false);
 }
 
 /* Keeps what a gang that waits could have already, so that smaller work that comes later does not
@@ -516,7 +296,7 @@
 static void hold(struct round *r, const struct bd_job *job, uint32_t from)
 {
     for (uint32_t i = from; i < r->k->nplan; i++)
-        add(&r->claimed[r->k->plan[i].machine], &job->spec, 1);
+        bd_room_add(&r->claimed[r->k->plan[i].machine], &job->spec, 1);
 }
 
 /* All of the gang, or nothing; *got says how many could be placed where most could. */
@@ -555,7 +335,7 @@
     if (!placed && zones && waits)
         (void)whole_gang(r, job, attempt, true, &got);
     if (!placed && (waits || job->ntasks == 1) && job->rank > BD_IDLE &&
-        !bd_before(r->core->now, job->next_force) && !preempt_gang(r, job, job->ntasks - got))
+        !bd_before(r->core->now, job->next_force) && !bd_preempt_gang(r, job, job->ntasks - got))
         job->next_force = bd_add(r->core->now, bd_secs(FORCE_AGAIN_S));
     r->only_zone = -1;
     return placed;
@@ -569,7 +349,7 @@
     r->quick = true;
     uint32_t got = fill(r, job, *want, attempt, false);
     if (got < *want)
-        *want -= preempt(r, job, *want - got, true);
+        *want -= bd_preempt(r, job, *want - got, true);
     r->quick = false;
     return got;
 }
@@ -619,7 +399,7 @@
         got += got < want ? fill(r, job, want - got, attempt, false) : 0;
         /* a short task that is stopped costs less than a GPU machine taken for a long service */
         if (got < want && job->spec.shape == BD_SERVICE && above)
-            want -= preempt(r, job, want - got, true);
+            want -= bd_preempt(r, job, want - got, true);
         got += got < want ? fill(r, job, want - got, attempt, true) : 0;
     }
     r->core->counter += got > 0;
@@ -627,77 +407,10 @@
     if (got >= want || !above || bd_before(r->core->now, job->next_force))
         return;
     /* looking at every task of every machine is dear, and seldom finds what was not there before */
-    if (preempt(r, job, want - got, false) == 0)
+    if (bd_preempt(r, job, want - got, false) == 0)
         job->next_force = bd_add(r->core->now, bd_secs(FORCE_AGAIN_S));
 }
 
-static int order_jobs(const void *x, const void *y)
-{
-    const struct bd_job *a = *(struct bd_job *const *)x, *b = *(struct bd_job *const *)y;
-    if (a->rank != b->rank)
-        return a->rank > b->rank ? -1 : 1;
-    if (a->in_guarantee != b->in_guarantee)
-        return a->in_guarantee ? -1 : 1;
-    if (a->due_by != b->due_by) /* most have none */
-        return a->due_by < b->due_by ? -1 : 1;
-    if (a->ready != b->ready)
-        return a->ready < b->ready ? -1 : 1;
-    return strcmp(a->id, b->id);
-}
-
-static int order_age(const void *x, const void *y)
-{
-    const struct bd_job *a = *(struct bd_job *const *)x, *b = *(struct bd_job *const *)y;
-    if (a->ready != b->ready)
-        return a->ready < b->ready ? -1 : 1;
-    return strcmp(a->id, b->id);
-}
-
-/* A job is within its team's guarantee if it fits with the team's earlier unfinished jobs. */
-static void mark_guarantees(struct bd_core *core, struct bd_job **jobs, uint32_t n)
-{
-    double cpus[BD_MAX_TEAMS] = {0}, gpus[BD_MAX_TEAMS] = {0};
-    qsort(jobs, n, sizeof(struct bd_job *), order_age);
-    for (uint32_t i = 0; i < n; i++) {
-        struct bd_job *job = jobs[i];
-        const struct bd_team_limits *t = &core->settings->teams[job->spec.team];
-        double left = job->ntasks - job->ndone;
-        cpus[job->spec.team] += left * job->spec.cpus;
-        gpus[job->spec.team] += left * job->spec.gpus;
-        /* work that uses nothing of what is guaranteed is not owed anything */
-        job->in_guarantee =
-            ((t->cpus > 0 && job->spec.cpus > 0) || (t->gpus > 0 && job->spec.gpus > 0)) &&
-            (t->cpus <= 0 || cpus[job->spec.team] <= t->cpus + EPS) &&
-            (t->gpus <= 0 || gpus[job->spec.team] <= t->gpus + EPS);
-    }
-}
-
-static uint32_t live_jobs(struct bd_core *core, struct bd_job ***out)
-{
-    struct bd_job *job, *jt, **list = calloc(HASH_COUNT(core->jobs) + 1, sizeof *list);
-    uint32_t n = 0;
-    if (!list)
-        abort();
-    HASH_ITER(hh, core->jobs, job, jt)
-    {
-        if (job->state == BD_LIVE && job->tasks && job->has_spec && job->spec.team >= 0 &&
-            job->ndone < job->ntasks && !bd_job_waits(job) && !bd_cancel_heard(core, job))
-            list[n++] = job;
-    }
-    *out = list;
-    return n;
-}
-
-/* The live jobs in the order in which they are served. The caller frees the list. */
-uint32_t bd_jobs_in_order(struct bd_core *core, struct bd_job ***out)
-{
-    bd_core_weigh(core);
-    uint32_t n = live_jobs(core, out);
-    mark_guarantees(core, *out, n);
-    qsort(*out, n, sizeof(struct bd_job *), order_jobs);
-    return n;
-}
-
 /* For each kind of machine the largest GPU task that some live job could put there. */
 static void gpu_demand(struct bd_core *core, struct bd_job **jobs, uint32_t n)
 {
@@ -746,4 +459,4 @@
     free(r.cost);
     free(r.fetch);
     free(r.open);
-}
+}
--- /dev/null
+++ b/src/provisioning.c
@@ -0,0 +1,98 @@
+/* Requests to the cloud: one at a time for each pool, with backoff where there is no capacity. Part
+ * of the pure core. */
+#include "autoscaler_internal.h"
+#include "core_internal.h"
+#include <gsl/gsl_cdf.h>
+#include <math.h>
+#include <stdio.h>
+
+/* named defaults */
+#define BACKOFF_FIRST_S 10.0
+#define BACKOFF_MOST_S 60.0
+#define PROVISION_MOST 50
+
+/* ---- provisioning requests ---- */
+
+struct bd_pool *bd_pool_of(struct bd_core *core, int type, int zone, bool spot)
+{
+    return &core->pools[type][zone][spot ? 1 : 0];
+}
+
+void bd_pool_back_off(struct bd_core *core, struct bd_pool *k)
+{
+    k->backoff = k->backoff <= 0 ? BACKOFF_FIRST_S : fmin(k->backoff * 2, BACKOFF_MOST_S);
+    k->refuse_until = bd_add(core->now, bd_secs(k->backoff));
+}
+
+void bd_core_provisioned(struct bd_core *core, const char *request, long status,
+                         char (*names)[BD_LABEL], int n)
+{
+    int k = 0;
+    while (k < core->nprovisions && strcmp(core->provisions[k].request, request) != 0)
+        k++;
+    if (core->role != BD_LEADER || k == core->nprovisions)
+        return;
+    struct bd_provision r = core->provisions[k];
+    core->provisions[k] = core->provisions[--core->nprovisions];
+    struct bd_pool *mk = bd_pool_of(core, r.type, r.zone, r.spot);
+    mk->asked = false;
+    core->next_fleet = core->now; /* what was not filled is sought elsewhere at once */
+    if (status != 200 || n < r.count)
+        bd_pool_back_off(core, mk);
+    else
+        mk->backoff = 0;
+    for (int i = 0; status == 200 && i < n; i++) {
+        struct bd_machine *machine = bd_machine_get(core, names[i]);
+        if (machine->gone)
+            continue;
+        machine->type = r.type;
+        machine->zone = r.zone;
+        machine->spot = r.spot;
+        machine->age_at_known = bd_between(r.sent, core->now);
+        machine->age_known = core->now;
+    }
+    bd_say(core->log, BD_INFO, "provisioning request of %d %s in %s%s: status %ld, %d machines",
+           r.count, core->types[r.type].label, core->zones[r.zone], r.spot ? " (spot)" : "", status,
+           n);
+}
+
+void bd_core_returned(struct bd_core *core, char (*names)[BD_LABEL], int n, bool ok)
+{
+    if (core->role != BD_LEADER)
+        return;
+    for (int i = 0; i < n; i++) {
+        struct bd_machine *machine = NULL;
+        HASH_FIND_STR(core->machines, names[i], machine);
+        if (!machine)
+            continue;
+        if (ok) {
+            if (machine->type >= 0 && machine->zone >= 0)
+                bd_pool_of(core, machine->type, machine->zone, machine->spot)->refuse_until =
+                    core->now;
+            bd_machine_gone(core, machine);
+        } else { /* it may be gone all the same: it is not used again, and asked for again */
+            machine->return_after = bd_add(core->now, bd_secs(3.0));
+        }
+    }
+}
+
+void bd_provision_request(struct bd_core *core, int type, int zone, bool spot, int count)
+{
+    if (core->nprovisions == (int)(sizeof core->provisions / sizeof *core->provisions))
+        return;
+    struct bd_provision *r = &core->provisions[core->nprovisions++];
+    memset(r, 0, sizeof *r);
+    /* never used again: the term is ours alone, and so is the number within it */
+    snprintf(r->request, sizeof r->request, "r-%llu-%llu", (unsigned long long)core->base_term,
+             (unsigned long long)++core->request_n);
+    bd_pool_of(core, type, zone, spot)->asked = true;
+    r->type = type;
+    r->zone = zone;
+    r->spot = spot;
+    r->count = count < PROVISION_MOST ? count : PROVISION_MOST;
+    r->sent = core->now;
+    struct bd_effect *effect = bd_emit(core, BD_E_PROVISION);
+    snprintf(effect->key, sizeof effect->key, "%s", r->request);
+    effect->body =
+        bd_wire_provision(r->request, core->types[type].label, core->zones[zone], spot, r->count);
+}
--- /dev/null
+++ b/src/recovery.c
@@ -0,0 +1,147 @@
+/* A new leader: earlier terms' receipts and intents, and what they say of each task. Part of the
+ * pure core. */
+#include "core_internal.h"
+#include "metrics.h"
+#include <stdio.h>
+
+static const char hex[] = BD_HEX_DIGITS;
+
+static void load_receipt(struct bd_core *core, const char *key, json_t *value)
+{
+    char id[BD_ID];
+    uint32_t chunk = 0;
+    if (strncmp(key, "r/", 2) != 0 || !bd_wire_task_name(key + 2, id, &chunk))
+        return;
+    struct bd_job *job = bd_job_find(core, id);
+    const char *text = json_string_value(json_object_get(value, "b"));
+    if (!job || !text || chunk >= 64)
+        return;
+    job->receipt_chunks |= 1ull << chunk;
+    if (!job->tasks)
+        return;
+    for (uint32_t i = 0; text[i]; i++) {
+        const char *p = strchr(hex, text[i]);
+        for (uint32_t bit = 0; p && bit < 4; bit++) {
+            uint32_t task = chunk * CHUNK + (i / 2) * 8 + (i % 2 ? bit : bit + 4);
+            if (!((p - hex) >> bit & 1) || task >= job->ntasks)
+                continue;
+            if (job->tasks[task].state != BD_T_DONE)
+                bd_task_set(core, job, task, BD_T_DONE);
+            job->tasks[task].flags |= BD_F_RECEIPT;
+        }
+    }
+    if (job->ndone == job->ntasks)
+        job->dirty = true;
+}
+
+static void load_group(struct bd_core *core, json_t *g, struct bd_intent **e, uint32_t *n)
+{
+    struct bd_job *job = bd_job_find(core, json_string_value(json_array_get(g, 0))
+                                               ? json_string_value(json_array_get(g, 0))
+                                               : "");
+    uint64_t attempt = (uint64_t)json_integer_value(json_array_get(g, 1));
+    const char *machine = json_string_value(json_array_get(g, 2));
+    json_t *tasks = json_array_get(g, 3), *v;
+    size_t i;
+    if (!job || !job->tasks || !machine)
+        return;
+    struct bd_intent *grown = realloc(*e, (*n + json_array_size(tasks) + 1) * sizeof *grown);
+    if (!grown)
+        abort();
+    *e = grown;
+    struct bd_machine *m = bd_machine_get(core, machine);
+    json_array_foreach(tasks, i, v)
+    {
+        uint32_t task = (uint32_t)json_integer_value(v);
+        if (task >= job->ntasks)
+            continue;
+        (*e)[(*n)++] = (struct bd_intent){job, task, m->index, attempt};
+        if (attempt > job->tasks[task].attempt)
+            job->tasks[task].attempt = attempt;
+    }
+}
+
+static void load_intents(struct bd_core *core, json_t *pairs)
+{
+    struct bd_change ch;
+    json_t *v, *g;
+    size_t i, k;
+    json_array_foreach(pairs, i, v)
+    {
+        struct bd_intent *e = NULL;
+        uint32_t n = 0;
+        if (!bd_wire_change(v, &ch))
+            continue;
+        json_array_foreach(json_object_get(ch.value, "e"), k, g)
+        {
+            load_group(core, g, &e, &n);
+        }
+        bd_round_keep(core, ch.key, e, n);
+    }
+}
+
+/* Only the newest intent of a task counts: it was written after all earlier ones were excluded. */
+static void classify(struct bd_core *core)
+{
+    uint32_t unknown = 0;
+    for (uint32_t r = 0; r < core->nrounds; r++) {
+        for (uint32_t k = 0; k < core->rounds[r].n; k++) {
+            struct bd_intent *e = &core->rounds[r].e[k];
+            struct bd_task *task = &e->job->tasks[e->task];
+            struct bd_machine *machine = bd_machine_of(core, e->machine);
+            if (task->state != BD_T_WAIT || task->attempt != e->attempt || !machine)
+                continue;
+            bd_task_assign(core, e->job, e->task, machine, e->attempt, BD_T_UNKNOWN);
+            task->flags |= BD_F_SENT;
+            if (e->job->state != BD_LIVE)
+                task->flags |= BD_F_STOP | BD_F_FORCE;
+            unknown++;
+        }
+    }
+    bd_say(core->log, BD_INFO, "term %llu: %u intent records, %u tasks to be accounted for",
+           (unsigned long long)core->base_term, core->nrounds, unknown);
+}
+
+void bd_core_gained(struct bd_core *core, const struct bd_gain *g)
+{
+    struct bd_job *job, *jt;
+    struct bd_change ch;
+    json_t *v;
+    size_t i;
+    core->role = BD_LEADER;
+    core->base_term = core->term = g->term;
+    core->grant = g->grant;
+    core->counter = 0;
+    core->fenced_attempt = g->term << 20; /* earlier terms' launches carried lower tokens */
+    core->withheld = 0;
+    core->round_n = 0;
+    core->request_n = 0;
+    core->sequence_revision = g->sequence_revision;
+    core->sequence = g->sequence;
+    core->listed_once = false;
+    snprintf(core->nonce, sizeof core->nonce, "%s", g->nonce);
+    bd_core_leader_is(core, core->settings->node, g->term, g->renewed, false);
+    bd_delegate_end(core);
+    core->delegates_read = core->now;
+    /* an earlier leader in its grace, or a delegate of one, may have answered until then */
+    double rest = bd_grace_s(core->settings) - bd_to_secs(core->settings->leader_ttl);
+    rest = rest > DELEGATE_FRESH_S ? rest : DELEGATE_FRESH_S;
+    core->others_lapse = bd_lease_end(core, bd_add(core->now, bd_secs(rest)));
+    HASH_ITER(hh, core->jobs, job, jt)
+    {
+        job->receipt_chunks = 0;
+        /* cancelled jobs too: what still runs of them counts and must be stopped */
+        if (job->state != BD_DONE && !bd_job_lead(core, job))
+            bd_say(core->log, BD_ERROR, "%s: no memory for its tasks", job->id);
+    }
+    json_array_foreach(g->receipts, i, v)
+    {
+        if (bd_wire_change(v, &ch))
+            load_receipt(core, ch.key, ch.value);
+    }
+    load_intents(core, g->intents);
+    classify(core);
+    core->valid_until = core->renewed = g->renewed;
+    bd_core_renewed(core, g->grant, g->renewed);
+    core->round_wanted = true;
+}
--- /dev/null
+++ b/src/replica.c
@@ -0,0 +1,252 @@
+/* The replica of the jobs' records: changes, read barriers, look-ups, and which final records stay
+ * in memory. Part of the pure core. */
+#include "brambledoor/frame.h"
+#include "core_internal.h"
+#include <math.h>
+#include <stdio.h>
+
+static void stop_tasks(struct bd_core *core, struct bd_job *job)
+{
+    for (uint32_t i = 0; job->tasks && i < job->ntasks; i++) {
+        enum bd_task_state st = (enum bd_task_state)job->tasks[i].state;
+        if (st == BD_T_LAUNCH || st == BD_T_LIVE || st == BD_T_UNKNOWN)
+            bd_task_stop(core, job, i, true);
+    }
+}
+
+void bd_job_set_state(struct bd_core *core, struct bd_job *job, enum bd_job_state state)
+{
+    job->state = state;
+    if (state == BD_CANCELLED)
+        stop_tasks(core, job);
+    if (state == BD_DONE) {
+        json_decref(job->record_spec);
+        job->record_spec = NULL;
+    }
+}
+
+static struct bd_job *new_job(struct bd_core *core, const char *id, const struct bd_record *record)
+{
+    struct bd_job *j = calloc(1, sizeof *j);
+    if (!j)
+        abort();
+    snprintf(j->id, sizeof j->id, "%s", id);
+    j->ntasks = record->tasks;
+    j->job_class = *record->spec.job_class ? bd_intern(&core->classes, record->spec.job_class) : -1;
+    j->at = j->ready = record->at;
+    j->rank = record->spec.rank;
+    j->due_by = INFINITY;
+    HASH_ADD_STR(core->jobs, id, j);
+    bd_deps_seen(core, j);
+    return j;
+}
+
+/* What the record says now. A job that was cancelled with another's record stays so until its own
+ * says it too. */
+static void take_state(struct bd_core *core, struct bd_job *job, const struct bd_record *record)
+{
+    if (record->state == BD_LIVE)
+        return;
+    bd_deps_written(core, job);
+    if (job->state == record->state)
+        return;
+    job->end = record->end > 0 ? record->end : core->replica_ready ? core->wall : record->at;
+    bd_job_set_state(core, job, record->state);
+    bd_deps_settled(core, job);
+}
+
+void bd_core_change(struct bd_core *core, const struct bd_change *ch)
+{
+    struct bd_record r;
+    if (strncmp(ch->key, "j/", 2) != 0 || !ch->value)
+        return;
+    const char *id = ch->key + 2;
+    if (strchr(id, '/')) {
+        bd_deps_part(core, id, ch->value);
+        return;
+    }
+    if (strlen(id) >= BD_ID || !bd_wire_read_record(ch->value, &r)) {
+        bd_say(core->log, BD_ERROR, "record %s cannot be read", ch->key);
+        return;
+    }
+    struct bd_job *job = bd_job_find(core, id);
+    if (job && ch->revision <= job->revision)
+        return;
+    bool first = !job;
+    if (first)
+        job = new_job(core, id, &r);
+    job->revision = ch->revision;
+    job->stale = false;
+    job->at = r.at;
+    if (r.has_spec && !job->has_spec) {
+        bd_spec_resolve(core, &r.spec, &job->spec);
+        job->has_spec = true;
+        if (r.state != BD_DONE)
+            job->record_spec = json_deep_copy(json_object_get(ch->value, "job"));
+    }
+    if (core->role == BD_LEADER && !job->tasks && r.state == BD_LIVE && !bd_job_lead(core, job))
+        bd_say(core->log, BD_ERROR, "%s: no memory for its tasks yet", job->id);
+    take_state(core, job, &r);
+    if (first && r.state == BD_LIVE)
+        bd_deps_take(core, job, &r.prerequisites);
+    core->round_wanted = true;
+}
+
+#define NEWS_S 5.0 /* a cancellation that is only heard of counts so long */
+
+bool bd_cancel_heard(const struct bd_core *core, const struct bd_job *job)
+{
+    return !bd_is_zero(job->cancel_heard) && bd_between(job->cancel_heard, core->now) < NEWS_S;
+}
+
+/* The record comes with the next refresh, up to seconds later; starts and halts need not wait for
+ * it. If it does not come the news is forgotten, and the job is served as before. */
+void bd_core_cancelled_elsewhere(struct bd_core *core, const char *id)
+{
+    struct bd_job *job = bd_job_find(core, id);
+    if (!job || job->state != BD_LIVE || bd_cancel_heard(core, job))
+        return;
+    job->cancel_heard = core->now;
+    stop_tasks(core, job);
+}
+
+static void answer_none(struct bd_core *core, void *request, enum bd_wait_how how)
+{
+    if (how == BD_WAIT_BAD)
+        bd_refuse(core, request, 400, "malformed", 0);
+    else if (how == BD_WAIT_NEVER)
+        bd_refuse(core, request, 422, "can never run", 0);
+    else
+        bd_refuse(core, request, 404, "no such job", 0);
+}
+
+static void look_up(struct bd_core *core, const struct bd_wait *w)
+{
+    struct bd_effect *effect = bd_emit(core, BD_E_LOOKUP);
+    effect->request = w->request;
+    effect->status = (int)w->how;
+    snprintf(effect->key, sizeof effect->key, "%s", w->id);
+}
+
+static void answer_wait(struct bd_core *core, const struct bd_wait *w)
+{
+    const char *id = w->id;
+    struct bd_job *job = bd_job_find(core, id);
+    if (w->accept && !job) {
+        bd_admission_proven(core, w->accept);
+        return;
+    }
+    bd_admission_drop(w->accept);
+    if (job && w->how == BD_WAIT_CANCEL && job->state == BD_LIVE)
+        bd_user_commit(core, w->request, id, job->revision, bd_cancelled_record(job),
+                       BD_WAIT_CANCEL);
+    else if (job)
+        bd_answer_state(core, w->request, job);
+    else if (core->evicted)
+        look_up(core, w);
+    else
+        answer_none(core, w->request, w->how);
+}
+
+void bd_core_looked_up(struct bd_core *core, void *request, const char *id, int how, long status,
+                       const struct bd_change *ch)
+{
+    struct bd_wait w = {.request = request, .how = (enum bd_wait_how)how};
+    snprintf(w.id, sizeof w.id, "%s", id);
+    if (status == 200)
+        bd_core_change(core, ch);
+    if (w.how == BD_WAIT_PREREQUISITE)
+        return;
+    if (w.how == BD_WAIT_ACCEPT)
+        bd_admission_looked_up(core, request, status == 200 && !bd_job_find(core, id) ? 0 : status);
+    else if (status == 200 && bd_job_find(core, id))
+        answer_wait(core, &w);
+    else if (status == 404)
+        answer_none(core, request, w.how);
+    else
+        bd_refuse(core, request, 503, "state service not reached", OUTAGE_RETRY_S);
+}
+
+/* ---- final records in memory ---- */
+
+#define FINALS_SHARE 0.12    /* of the memory */
+#define FINALS_FRESH_S 600.0 /* younger ones are asked about */
+
+static uint32_t finals_most(const struct bd_core *core)
+{
+    double n = core->settings->ram_mb * 1048576.0 * FINALS_SHARE / sizeof(struct bd_job);
+    return n < 100 ? 100 : (uint32_t)n;
+}
+
+/* Jobs that something else still points to stay. */
+static void pin(struct bd_core *core)
+{
+    for (struct bd_job *job = core->jobs; job; job = job->hh.next)
+        job->pinned = job->state == BD_LIVE || job->tasks || job->receipt_chunks || job->derived;
+    for (uint32_t r = 0; r < core->nrounds; r++)
+        for (uint32_t k = 0; k < core->rounds[r].n; k++)
+            core->rounds[r].e[k].job->pinned = true;
+    for (uint32_t k = 0; core->commit && k < core->commit->nplan; k++)
+        core->commit->plan[k].job->pinned = true;
+    for (uint32_t k = 0; core->commit && k < core->commit->nreceipts; k++)
+        core->commit->receipts[k].job->pinned = true;
+    for (uint32_t k = 0; core->commit && k < core->commit->ndone; k++)
+        core->commit->done[k]->pinned = true;
+    for (uint32_t k = 0; core->commit && k < core->commit->ncancelled; k++)
+        core->commit->cancelled[k]->pinned = true;
+}
+
+void bd_core_evict(struct bd_core *core)
+{
+    struct bd_job *job, *jt;
+    uint32_t count = HASH_COUNT(core->jobs), most = finals_most(core);
+    if (count <= most)
+        return;
+    pin(core);
+    HASH_ITER(hh, core->jobs, job, jt)
+    {
+        if (count <= most)
+            return;
+        /* by its end: what was cancelled now may still run, and be asked about, however old it is
+         */
+        if (job->pinned || core->wall - fmax(job->at, job->end) < FINALS_FRESH_S)
+            continue;
+        HASH_DEL(core->jobs, job);
+        json_decref(job->record_spec);
+        free(job);
+        count--;
+        core->evicted = true;
+    }
+}
+
+void bd_core_followed(struct bd_core *core, uint64_t after, uint64_t store_revision,
+                      struct timespec sent, bool barrier, bool ok)
+{
+    if (ok && after <= core->store_revision && store_revision > core->store_revision)
+        core->store_revision = store_revision;
+    if (ok)
+        core->refreshed_at = bd_max(core->refreshed_at, sent);
+    if (!barrier)
+        return;
+    core->barrier_out = false;
+    struct bd_wait *w = core->asked;
+    core->asked = NULL;
+    while (w) {
+        struct bd_wait *next = w->next;
+        if (ok)
+            answer_wait(core, w);
+        else
+            bd_admission_drop(w->accept);
+        if (!ok)
+            bd_refuse(core, w->request, 503, "state service not reached", OUTAGE_RETRY_S);
+        free(w);
+        w = next;
+    }
+}
+
+void bd_core_relisted(struct bd_core *core, uint64_t store_revision, struct timespec sent)
+{
+    core->store_revision = store_revision;
+    core->replica_ready = true;
+    core->refreshed_at = bd_max(core->refreshed_at, sent);
+}
--- a/src/reports.c
+++ b/src/reports.c
@@ -1,5 +1,6 @@
 /* Workers' reports as evidence, and the orders that go back to them. */
 #include "core_internal.h"
+#include "orders.h"
 #include <stdio.h>
 
 /* named defaults */
@@ -11,104 +12,11 @@
 #define SLOW_STEADY 3.0 /* report intervals heard without a gap before a machine is judged */
 #define SLOW_FACTOR 1.6 /* this many times as long as the longest run */
 #define SLOW_EXTRA_TENTHS 50u
-#define SLOW_RUNS 4u        /* of at least so many */
-#define DIRECT_DOUBLINGS 4u /* longest pause: 16 report intervals */
-#define ZONE_FAILS 4u       /* direct commands without an answer, in a row, of one zone */
-#define ZONE_PROBE_S 4.0
+#define SLOW_RUNS 4u            /* of at least so many */
+#define DIRECT_DOUBLINGS 4u     /* longest pause: 16 report intervals */
 #define MISROUTED_MOST 2u       /* then a machine is taken not to hear */
 #define OUTBOUND_CUT_SHARE 0.34 /* of the machines: more than that do not go deaf together */
 
-struct orders {
-    struct bd_order *o;
-    size_t n, cap;
-};
-
-static void order(struct orders *l, enum bd_verb verb, const char *job, uint32_t task,
-                  uint64_t attempt, double grace)
-{
-    if (l->n == l->cap) {
-        size_t cap = l->cap ? l->cap * 2 : 8;
-        struct bd_order *o = realloc(l->o, cap * sizeof *o);
-        if (!o)
-            abort();
-        l->o = o;
-        l->cap = cap;
-    }
-    struct bd_order *o = &l->o[l->n++];
-    o->verb = verb;
-    snprintf(o->job, sizeof o->job, "%s", job);
-    o->task = task;
-    o->attempt = attempt;
-    o->grace = grace;
-}
-
-static double grace_of(const struct bd_job *job, const struct bd_task *task)
-{
-    if (task->flags & BD_F_FORCE || job->spec.checkpoint <= 0)
-        return 0;
-    return job->spec.save + 1.0;
-}
-
-/* Halts and launches that the machine owes us, from the states of the tasks on it. An attempt that
- * an earlier token's direct launch may have carried is launched in answers only: see forget. */
-static bool owed(struct bd_core *core, struct bd_machine *machine, struct orders *l, bool direct)
-{
-    bool launch = false;
-    for (uint32_t k = 0; k < machine->nrefs; k++) {
-        struct bd_job *job = machine->refs[k].job;
-        uint32_t i = machine->refs[k].task;
-        struct bd_task *task = &job->tasks[i];
-        if (task->flags & BD_F_EXITED)
-            continue;
-        if (task->flags & BD_F_STOP) {
-            bool force = task->flags & BD_F_FORCE;
-            if (task->state == BD_T_LIVE && (task->sub != BD_SAVING || force))
-                order(l, BD_HALT, job->id, i, task->attempt, grace_of(job, task));
-        } else if (task->state == BD_T_LAUNCH && bd_may_launch(core) && job->state == BD_LIVE &&
-                   !bd_cancel_heard(core, job) &&
-                   (!direct || task->attempt > core->fenced_attempt)) {
-            order(l, BD_LAUNCH, job->id, i, task->attempt, 0);
-            task->flags |= direct ? BD_F_SENT | BD_F_DO : BD_F_SENT | BD_F_TOLD;
-            launch = true;
-        }
-    }
-    return launch;
-}
-
-/* Whether the zone's machines do not answer directly, as when it is cut off from us: each try would
- * hang a sender. One is let through now and then. */
-static bool zone_closed(struct bd_core *core, const struct bd_machine *machine)
-{
-    if (machine->zone < 0 || core->direct[machine->zone].fails < ZONE_FAILS)
-        return false;
-    if (bd_before(core->now, core->direct[machine->zone].until))
-        return true;
-    core->direct[machine->zone].until = bd_add(core->now, bd_secs(ZONE_PROBE_S));
-    return false;
-}
-
-/* Sends what is owed directly, where the machine can be expected to answer. */
-void bd_orders_send(struct bd_core *core, struct bd_machine *machine)
-{
-    struct orders l = {0};
-    if (machine->do_busy || bd_before(core->now, machine->do_after) || !machine->fenced ||
-        machine->gone || !*machine->addr || !bd_core_valid(core) || bd_overdue(core, machine) ||
-        zone_closed(core, machine))
-        return;
-    bool launch = owed(core, machine, &l, true);
-    if (l.n == 0)
-        return;
-    struct bd_effect *effect = bd_emit(core, BD_E_DO);
-    effect->machine = machine->index;
-    effect->token = core->term;
-    effect->launch = launch;
-    snprintf(effect->addr, sizeof effect->addr, "%s", machine->addr);
-    effect->body = bd_wire_orders(core->term, machine->session, l.o, l.n);
-    machine->do_busy = true;
-    machine->do_since = core->now;
-    free(l.o);
-}
-
 static void machine_failed_task(struct bd_core *core, struct bd_machine *machine,
                                 struct bd_job *job)
 {
@@ -196,7 +104,7 @@
                    const struct bd_seen_task *s, struct orders *l)
 {
     if (s->attempt <= core->fenced_attempt && report->token >= core->term)
-        order(l, BD_FORGET, s->job, s->task, s->attempt, 0);
+        bd_orders_add(l, BD_FORGET, s->job, s->task, s->attempt, 0);
     else if (core->withheld++ == 0)
         core->withheld_at = core->now;
 }
@@ -240,7 +148,7 @@
     struct bd_task *task = &job->tasks[s->task];
     if (!is_current(machine, task, s->attempt)) {
         if (task->state != BD_T_WAIT) { /* the task is elsewhere or done: this one must not be */
-            order(l, BD_HALT, s->job, s->task, s->attempt, 0);
+            bd_orders_add(l, BD_HALT, s->job, s->task, s->attempt, 0);
             return;
         }
         /* no intent names it, yet it runs: holding it here is what keeps it from running twice */
@@ -327,7 +235,7 @@
             if (s->sub == BD_EXITED && job && job->state == BD_DONE)
                 forget(core, report, s, l);
             else if (s->sub != BD_EXITED)
-                order(l, BD_HALT, s->job, s->task, s->attempt, 0);
+                bd_orders_add(l, BD_HALT, s->job, s->task, s->attempt, 0);
             continue;
         }
         if (s->sub == BD_EXITED)
@@ -389,7 +297,7 @@
 {
     /* no launch here while a direct one is on its way: one message at a time says it */
     if (machine->fenced && !machine->do_busy)
-        (void)owed(core, machine, l, false);
+        (void)bd_orders_owed(core, machine, l, false);
     machine->lapse_at = bd_lease_end(core, core->now);
     if (!machine->fenced) /* if this answer is lost, an earlier term may still renew it */
         machine->lapse_at = bd_max(machine->lapse_at, core->others_lapse);
@@ -559,4 +467,4 @@
     free(l.o); /* said again with the next report */
     if (m->nrefs)
         bd_orders_send(core, m);
-}
+}
--- /dev/null
+++ b/src/users.c
@@ -0,0 +1,73 @@
+/* Users' requests: polls and cancellations. Part of the pure core. */
+#include "brambledoor/frame.h"
+#include "core_internal.h"
+#include <math.h>
+#include <stdio.h>
+
+void bd_answer_state(struct bd_core *core, void *request, const struct bd_job *job)
+{
+    const char *state = "pending";
+    uint32_t done = job->ndone, run = job->nrun;
+    if (core->role != BD_LEADER) {
+        done = job->shown_done;
+        run = job->shown_run;
+    }
+    if (job->state == BD_CANCELLED)
+        state = "cancelled";
+    else if (job->state == BD_DONE)
+        state = "done";
+    else if (run > 0)
+        state = "running";
+    if (job->state != BD_LIVE)
+        run = 0;
+    if (job->state == BD_DONE)
+        done = job->ntasks;
+    bd_reply(core, request, 200, bd_wire_state(job->id, state, done, run), 0);
+}
+
+/* Whether the state service answered lately: without it nothing can be accepted, and the user is
+ * told so at once. */
+bool bd_reachable(const struct bd_core *core)
+{
+    return core->replica_ready && bd_between(core->refreshed_at, core->now) < 2.0;
+}
+
+void bd_core_get(struct bd_core *core, void *request, const char *id)
+{
+    struct bd_job *job = bd_job_find(core, id);
+    if (job && job->state != BD_LIVE)
+        bd_answer_state(core, request, job);
+    else if (!bd_wire_job_id(id) || strlen(id) >= BD_ID - 1)
+        bd_refuse(core, request, 404, "no such job", 0);
+    else if (!bd_reachable(core))
+        bd_refuse(core, request, 503, "state service not reached", OUTAGE_RETRY_S);
+    else
+        bd_wait_barrier(core, request, id, BD_WAIT_STATE);
+}
+
+/* Without what only placing needs: it is no larger than what was accepted, and fits limits that are
+ * lower now. */
+json_t *bd_cancelled_record(const struct bd_job *job)
+{
+    struct bd_record r = {.state = BD_CANCELLED, .tasks = job->ntasks, .at = job->at};
+    json_t *o = bd_wire_record(&r);
+    if (o && job->record_spec)
+        json_object_set_new(o, "job", bd_wire_ended_spec(job->record_spec));
+    return o;
+}
+
+void bd_core_cancel(struct bd_core *core, void *request, const char *id)
+{
+    struct bd_job *job = bd_job_find(core, id);
+    if (job && job->state != BD_LIVE) {
+        bd_answer_state(core, request, job);
+    } else if (!bd_wire_job_id(id) || strlen(id) >= BD_ID - 1) {
+        bd_refuse(core, request, 404, "no such job", 0);
+    } else if (!bd_reachable(core)) {
+        bd_refuse(core, request, 503, "state service not reached", OUTAGE_RETRY_S);
+    } else if (job) {
+        bd_user_commit(core, request, id, job->revision, bd_cancelled_record(job), BD_WAIT_CANCEL);
+    } else { /* perhaps accepted by another node a moment ago */
+        bd_wait_barrier(core, request, id, BD_WAIT_CANCEL);
+    }
+}
