--- a/cli/main.c
+++ b/cli/main.c
@@ -1,13 +1,9 @@
-#include "brambledoor/node.h"
-#include "brambledoor/timeutil.h"
+#include "brambledoor/controller.h"
 #include <argp.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#define TTL_LEAST_S 2.0 /* several slow answers of the state service fit in */
-#define TTL_MOST_S 2.5
-
 const char *argp_program_version = "brambledoor " BD_VERSION;
 
 struct arguments {
@@ -43,17 +39,6 @@
     }
 }
 
-/* The leader's grant is a part of the workers' lease, so that a takeover fits into one. */
-static void derive(struct bd_settings *settings)
-{
-    if (!bd_is_zero(settings->leader_ttl))
-        return;
-    double ttl = bd_to_secs(settings->lease) / 5;
-    settings->leader_ttl = bd_secs(ttl < TTL_LEAST_S  ? TTL_LEAST_S
-                                   : ttl > TTL_MOST_S ? TTL_MOST_S
-                                                      : ttl);
-}
-
 int main(int argc, char **argv)
 {
     static const struct argp argp = {options, parse, 0, "A cluster scheduler's controller.",
@@ -63,27 +48,22 @@
     argp_err_exit_status = 2;
     if (argp_parse(&argp, argc, argv, 0, 0, &a) != 0)
         return 2;
-    struct bd_node *n = calloc(1, sizeof *n);
-    if (!n)
+    struct bd_settings *settings = calloc(1, sizeof *settings);
+    if (!settings)
         return 1;
-    if (bd_settings_load(&n->settings, a.config, err, sizeof err) != 0 ||
-        (a.operators && bd_settings_operator(&n->settings, a.operators, err, sizeof err) != 0)) {
+    if (bd_settings_load(settings, a.config, err, sizeof err) != 0 ||
+        (a.operators && bd_settings_operator(settings, a.operators, err, sizeof err) != 0)) {
         fprintf(stderr, "brambledoor: %s\n", err);
-        free(n);
+        free(settings);
         return 2;
     }
-    derive(&n->settings);
-    if (a.check) {
-        free(n);
+    struct bd_node *node =
+        a.check ? NULL : bd_controller_new(settings, bd_level_of(getenv("LOG_LEVEL")));
+    free(settings);
+    if (a.check)
         return 0;
-    }
-    n->log.level = bd_level_of(getenv("LOG_LEVEL"));
-    n->log.node = n->settings.node;
-    if (bd_node_start(n) != 0) {
-        bd_say(&n->log, BD_ERROR, "cannot start");
+    if (!node || bd_controller_start(node) != 0)
         return 1;
-    }
-    bd_say(&n->log, BD_INFO, "started, version %s", BD_VERSION);
-    bd_event_loop_run(n);
+    bd_controller_run(node);
     return 0;
 }
--- a/src/cloud.c
+++ b/src/cloud.c
@@ -1,9 +1,9 @@
 /* The cloud: machine types and the list for the leader, provisioning requests and returns in order.
  */
-#include "brambledoor/http.h"
-#include "brambledoor/node.h"
-#include "brambledoor/timeutil.h"
+#include "http.h"
 #include "metrics.h"
+#include "node.h"
+#include "timeutil.h"
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/core.c
+++ b/src/core.c
@@ -1,6 +1,6 @@
 /* Users' requests, the replica of job records, and names. */
-#include "brambledoor/frame.h"
 #include "core_internal.h"
+#include "frame.h"
 #include <math.h>
 #include <stdio.h>
 
--- a/include/brambledoor/core.h
+++ b/src/core.h
@@ -3,7 +3,7 @@
 #ifndef BD_CORE_H
 #define BD_CORE_H
 #include "brambledoor/settings.h"
-#include "brambledoor/wire.h"
+#include "wire.h"
 #include <stdint.h>
 #include <time.h>
 #include <uthash.h>
--- a/src/core_internal.h
+++ b/src/core_internal.h
@@ -1,9 +1,9 @@
 /* Shared by the core's own files only. */
 #ifndef BD_CORE_INTERNAL_H
 #define BD_CORE_INTERNAL_H
-#include "brambledoor/core.h"
 #include "brambledoor/log.h"
-#include "brambledoor/timeutil.h"
+#include "core.h"
+#include "timeutil.h"
 #include <stdlib.h>
 #include <string.h>
 
--- a/src/delegate.c
+++ b/src/delegate.c
@@ -12,8 +12,8 @@
  * While nobody leads, the record is conditional on the leader's key being absent, and answers go on
  * with the last term's token: a new leader counts with answers until DEPUTY_FRESH_S after its gain,
  * and no such record is written once it has its key. */
-#include "brambledoor/frame.h"
 #include "core_internal.h"
+#include "frame.h"
 #include <stdio.h>
 
 /* named defaults */
--- a/src/effects.c
+++ b/src/effects.c
@@ -1,9 +1,9 @@
 /* Hands the core's effects to the adapters. Owner thread only. */
-#include "brambledoor/http.h"
-#include "brambledoor/node.h"
-#include "brambledoor/timeutil.h"
+#include "http.h"
 #include "metrics.h"
+#include "node.h"
 #include "report_cache.h"
+#include "timeutil.h"
 #include <limits.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/election.c
+++ b/src/election.c
@@ -1,9 +1,9 @@
 /* Election by one versioned lease: the key `leader` on a grant of the state service. The revision
  * of the key at acquisition is the term. */
-#include "brambledoor/node.h"
-#include "brambledoor/state_client.h"
-#include "brambledoor/timeutil.h"
 #include "metrics.h"
+#include "node.h"
+#include "state_client.h"
+#include "timeutil.h"
 #include <gsl/gsl_rng.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/event_loop.c
+++ b/src/event_loop.c
@@ -1,10 +1,11 @@
 /* The thread that alone owns the core. It drains the commands in batches and hands the effects
  * to the adapters. */
-#include "brambledoor/http.h"
-#include "brambledoor/node.h"
-#include "brambledoor/timeutil.h"
+#include "brambledoor/controller.h"
+#include "http.h"
 #include "metrics.h"
+#include "node.h"
 #include "report_cache.h"
+#include "timeutil.h"
 #include <limits.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -14,6 +15,9 @@
 #define BATCH 128
 #define QUEUE_CAP 4096
 #define STATUS_S 0.3
+#define TTL_SHARE 0.2      /* of the workers' lease, */
+#define TTL_LEAST_S 2.0    /* ... so that several slow answers of the state service fit in, */
+#define TTL_MOST_S 2.5     /* ... and a takeover does not take long */
 #define REPORTS_SHARE 0.08 /* of the memory, for the machines' newest reports */
 #define REPORT_S 20.0      /* between the log's lines of traffic and times */
 
@@ -339,7 +343,7 @@
     node->next_report = bd_add(now, bd_secs(REPORT_S));
 }
 
-void bd_event_loop_run(struct bd_node *node)
+void bd_controller_run(struct bd_node *node)
 {
     void *batch[BATCH];
     for (;;) {
@@ -370,7 +374,28 @@
     }
 }
 
-int bd_node_start(struct bd_node *node)
+/* The leader's grant is a part of the workers' lease, so that a takeover fits into one. */
+static void derive_ttl(struct bd_settings *settings)
+{
+    if (!bd_is_zero(settings->leader_ttl))
+        return;
+    double ttl = bd_to_secs(settings->lease) * TTL_SHARE;
+    ttl = ttl < TTL_LEAST_S ? TTL_LEAST_S : ttl > TTL_MOST_S ? TTL_MOST_S : ttl;
+    settings->leader_ttl = bd_secs(ttl);
+}
+
+struct bd_node *bd_controller_new(const struct bd_settings *settings, enum bd_level level)
+{
+    struct bd_node *node = calloc(1, sizeof *node);
+    if (!node)
+        return NULL;
+    node->settings = *settings;
+    derive_ttl(&node->settings);
+    node->log = (struct bd_log){level, node->settings.node};
+    return node;
+}
+
+static int start_parts(struct bd_node *node)
 {
     if (bd_http_start() != 0 || bd_queue_init(&node->commands, QUEUE_CAP) != 0 ||
         bd_queue_init(&node->to_commit, 16) != 0 || bd_queue_init(&node->to_users, 64) != 0 ||
@@ -397,4 +422,14 @@
         return -1;
     }
     return 0;
-}
+}
+
+int bd_controller_start(struct bd_node *node)
+{
+    if (start_parts(node) != 0) {
+        bd_say(&node->log, BD_ERROR, "cannot start");
+        return -1;
+    }
+    bd_say(&node->log, BD_INFO, "started, version %s", BD_VERSION);
+    return 0;
+}
--- a/src/frame.c
+++ b/src/frame.c
@@ -1,4 +1,4 @@
-#include "brambledoor/frame.h"
+#include "frame.h"
 #include <string.h>
 
 #define MAGIC 0x42444d31u
--- a/src/http.c
+++ b/src/http.c
@@ -1,4 +1,4 @@
-#include "brambledoor/http.h"
+#include "http.h"
 #include "metrics.h"
 #include <curl/curl.h>
 #include <stdlib.h>
--- a/src/leadership.c
+++ b/src/leadership.c
@@ -1,7 +1,7 @@
 /* Who leads, what the other controllers say of it, and when a leader ends its term. Part of the
  * pure core. */
-#include "brambledoor/frame.h"
 #include "core_internal.h"
+#include "frame.h"
 #include <math.h>
 #include <stdio.h>
 
--- a/include/brambledoor/node.h
+++ b/src/node.h
@@ -1,11 +1,11 @@
 /* One running controller: the owner thread and the adapters around it. */
 #ifndef BD_NODE_H
 #define BD_NODE_H
-#include "brambledoor/core.h"
-#include "brambledoor/frame.h"
 #include "brambledoor/log.h"
-#include "brambledoor/queue.h"
 #include "brambledoor/settings.h"
+#include "core.h"
+#include "frame.h"
+#include "queue.h"
 #include <stdatomic.h>
 
 struct bd_api_server;
@@ -87,10 +87,6 @@
     struct timespec next_status;
 };
 
-/* 0, or -1 with a logged reason */
-int bd_node_start(struct bd_node *node);
-void bd_event_loop_run(struct bd_node *node); /* does not return */
-
 struct bd_cmd *bd_cmd_new(enum bd_cmd_kind kind);
 void bd_cmd_free(struct bd_cmd *command);
 void bd_tell(struct bd_node *node, struct bd_cmd *command);
--- a/src/peer_listener.c
+++ b/src/peer_listener.c
@@ -2,11 +2,11 @@
  * thread.
  *
  * One thread, which alone owns the connections that came in. */
-#include "brambledoor/frame.h"
-#include "brambledoor/node.h"
-#include "brambledoor/timeutil.h"
+#include "frame.h"
 #include "metrics.h"
+#include "node.h"
 #include "peer_transport.h"
+#include "timeutil.h"
 #include <arpa/inet.h>
 #include <errno.h>
 #include <poll.h>
--- a/src/peer_transport.c
+++ b/src/peer_transport.c
@@ -7,10 +7,10 @@
  * that belong together share a packet and no other thread need wake up. No rule rests on what
  * passes here; it only makes failures shorter. */
 #include "peer_transport.h"
-#include "brambledoor/frame.h"
-#include "brambledoor/node.h"
-#include "brambledoor/timeutil.h"
+#include "frame.h"
 #include "metrics.h"
+#include "node.h"
+#include "timeutil.h"
 #include <arpa/inet.h>
 #include <errno.h>
 #include <poll.h>
--- a/src/peer_transport.h
+++ b/src/peer_transport.h
@@ -1,9 +1,9 @@
 /* Shared by the two halves of the connections between controllers. */
 #ifndef BD_PEER_TRANSPORT_H
 #define BD_PEER_TRANSPORT_H
-#include "brambledoor/frame.h"
-#include "brambledoor/node.h"
+#include "frame.h"
 #include "metrics.h"
+#include "node.h"
 
 #define STACK_BYTES 131072
 
--- a/src/queue.c
+++ b/src/queue.c
@@ -1,4 +1,4 @@
-#include "brambledoor/queue.h"
+#include "queue.h"
 #include <stdlib.h>
 #include <string.h>
 
--- a/src/replica.c
+++ b/src/replica.c
@@ -1,7 +1,7 @@
 /* The replica of the jobs' records: changes, read barriers, look-ups, and which final records stay
  * in memory. Part of the pure core. */
-#include "brambledoor/frame.h"
 #include "core_internal.h"
+#include "frame.h"
 #include <math.h>
 #include <stdio.h>
 
--- a/src/settings.c
+++ b/src/settings.c
@@ -1,5 +1,5 @@
 #include "brambledoor/settings.h"
-#include "brambledoor/timeutil.h"
+#include "timeutil.h"
 #include <jansson.h>
 #include <math.h>
 #include <sexp.h>
--- a/src/state_client.c
+++ b/src/state_client.c
@@ -1,10 +1,10 @@
 /* The state service: one thread that looks for changes, one that commits the leader's
  * transactions in order, and a few for the users' own. */
-#include "brambledoor/state_client.h"
-#include "brambledoor/http.h"
-#include "brambledoor/node.h"
-#include "brambledoor/timeutil.h"
+#include "state_client.h"
+#include "http.h"
 #include "metrics.h"
+#include "node.h"
+#include "timeutil.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/src/timeutil.c
+++ b/src/timeutil.c
@@ -1,4 +1,4 @@
-#include "brambledoor/timeutil.h"
+#include "timeutil.h"
 #include <math.h>
 
 #define NANO 1000000000L
--- a/src/users.c
+++ b/src/users.c
@@ -1,6 +1,6 @@
 /* Users' requests: polls and cancellations. Part of the pure core. */
-#include "brambledoor/frame.h"
 #include "core_internal.h"
+#include "frame.h"
 #include <math.h>
 #include <stdio.h>
 
--- a/src/wire.c
+++ b/src/wire.c
@@ -1,4 +1,4 @@
-#include "brambledoor/wire.h"
+#include "wire.h"
 #include "wire_internal.h"
 #include <math.h>
 #include <stdio.h>
--- a/src/wire_cloud.c
+++ b/src/wire_cloud.c
@@ -1,5 +1,5 @@
 /* The cloud on the wire: machine types, machines, and requests for them. */
-#include "brambledoor/wire.h"
+#include "wire.h"
 #include "wire_internal.h"
 #include <math.h>
 #include <stdio.h>
--- a/src/wire_jobs.c
+++ b/src/wire_jobs.c
@@ -1,5 +1,5 @@
 /* Jobs on the wire: submissions, records in the state service, and what users are told. */
-#include "brambledoor/wire.h"
+#include "wire.h"
 #include "wire_internal.h"
 #include <math.h>
 #include <stdio.h>
--- a/src/wire_workers.c
+++ b/src/wire_workers.c
@@ -1,5 +1,5 @@
 /* Workers on the wire: reports, and the commands they are given. */
-#include "brambledoor/wire.h"
+#include "wire.h"
 #include "wire_internal.h"
 #include <math.h>
 #include <stdio.h>
--- a/tests/fake_server.c
+++ b/tests/fake_server.c
@@ -1,7 +1,7 @@
 #include "fake_server.h"
-#include "brambledoor/http.h"
-#include "brambledoor/timeutil.h"
-#include "brambledoor/wire.h"
+#include "http.h"
+#include "timeutil.h"
+#include "wire.h"
 #include <arpa/inet.h>
 #include <microhttpd.h>
 #include <pthread.h>
--- a/tests/inputs.c
+++ b/tests/inputs.c
@@ -1,9 +1,9 @@
 /* Malformed input: settings files, operators' files, and everything the wire brings. */
-#include "../src/report_cache.h"
-#include "brambledoor/frame.h"
 #include "brambledoor/settings.h"
-#include "brambledoor/timeutil.h"
-#include "brambledoor/wire.h"
+#include "frame.h"
+#include "report_cache.h"
+#include "timeutil.h"
+#include "wire.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -1,9 +1,9 @@
 /* The real program, three times, over loopback against the fake servers: quiet work, bad requests,
  * killed nodes, an outage of the state service and answers that are cut off. */
-#include "brambledoor/http.h"
-#include "brambledoor/node.h"
-#include "brambledoor/timeutil.h"
 #include "fake_server.h"
+#include "http.h"
+#include "node.h"
+#include "timeutil.h"
 #include <arpa/inet.h>
 #include <jansson.h>
 #include <poll.h>
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -3,12 +3,12 @@
  * service's limits. `profile costs MACHINES` does each kind of work a number of times, for
  * callgrind: a line a kind with the times, and callgrind's dump of that name; tests/costs.sh holds
  * the instructions against upper counts. */
-#include "../src/report_cache.h"
-#include "brambledoor/core.h"
-#include "brambledoor/frame.h"
 #include "brambledoor/log.h"
-#include "brambledoor/timeutil.h"
+#include "core.h"
+#include "frame.h"
+#include "report_cache.h"
 #include "small.h"
+#include "timeutil.h"
 #if __has_include(<valgrind/callgrind.h>)
 #include <valgrind/callgrind.h>
 #else
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -24,11 +24,11 @@
  *   limits BYTES CHANGES  the largest value and transaction are these now
  *
  * @T.N is the N-th attempt of term T. */
-#include "brambledoor/core.h"
-#include "brambledoor/frame.h"
 #include "brambledoor/log.h"
-#include "brambledoor/timeutil.h"
+#include "core.h"
+#include "frame.h"
 #include "small.h"
+#include "timeutil.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -3,10 +3,10 @@
  * pure core; the protocol's rules are the oracle. One seed, one day, always the same. */
 #ifndef BD_TESTS_SIM_H
 #define BD_TESTS_SIM_H
-#include "brambledoor/core.h"
-#include "brambledoor/frame.h"
 #include "brambledoor/log.h"
-#include "brambledoor/timeutil.h"
+#include "core.h"
+#include "frame.h"
+#include "timeutil.h"
 #include <gsl/gsl_rng.h>
 #include <jansson.h>
 
--- a/tests/small.h
+++ b/tests/small.h
@@ -2,7 +2,7 @@
 #ifndef BD_TESTS_SMALL_H
 #define BD_TESTS_SMALL_H
 #include "brambledoor/settings.h"
-#include "brambledoor/timeutil.h"
+#include "timeutil.h"
 #include <stdio.h>
 
 static inline void small_settings(struct bd_settings *s)
