--- a/src/autoscaler.c
+++ b/src/autoscaler.c
@@ -154,7 +154,7 @@
                             enum bd_reach reach)
 {
     int type = 0, zone = 0;
-    bool spot = false, in[BD_MAX_TYPES][2];
+    bool spot = false, in[BD_MAX_TYPES][2] = {{false}};
     for (int t = 0; t < d->core->ntypes; t++)
         for (int sp = 0; sp < 2; sp++)
             in[t][sp] = bd_in_reach(d->core, spec, reach, t, sp);
--- a/src/cloud.c
+++ b/src/cloud.c
@@ -189,5 +189,9 @@
     double lag = bd_to_secs(node->settings.list_lag);
     double least = 2.0 / node->settings.cloud_rps;
     d->list_s = lag / 3 > least ? lag / 3 : least;
-    return d->h ? bd_thread(run, d, 131072) : -1;
+    if (!d->h) {
+        free(d);
+        return -1;
+    }
+    return bd_thread(run, d, 131072);
 }
--- a/src/commit.c
+++ b/src/commit.c
@@ -128,8 +128,7 @@
 static bool add_done(struct bd_core *core, struct build *builder, struct bd_job *job)
 {
     struct bd_commit *commit = core->commit;
-    if (commit->ndone == sizeof commit->done / sizeof *commit->done ||
-        !room_for(builder, 1, 1, 300))
+    if (commit->ndone == BD_COMMIT_JOBS || !room_for(builder, 1, 1, 300))
         return false;
     struct bd_record r = {.state = BD_DONE, .tasks = job->ntasks, .at = job->at, .end = core->wall};
     snprintf(r.spec.job_class, sizeof r.spec.job_class, "%s", bd_class_name(core, job->job_class));
@@ -150,8 +149,7 @@
     {
         if (!job->derived || job->stale || bd_before(core->now, job->backoff_until))
             continue;
-        if (commit->ncancelled == sizeof commit->cancelled / sizeof *commit->cancelled ||
-            !room_for(builder, 1, 1, most))
+        if (commit->ncancelled == BD_COMMIT_JOBS || !room_for(builder, 1, 1, most))
             return;
         add_record(builder, job, bd_cancelled_record(job), most);
         commit->cancelled[commit->ncancelled++] = job;
@@ -173,10 +171,10 @@
     uint32_t left = job->ntasks - r->chunk * CHUNK;
     uint32_t n = ((left < CHUNK ? left : CHUNK) + 7) / 8;
     for (uint32_t i = 0; i < n; i++) {
-        text[2 * i] = BD_HEX_DIGITS[r->bits[i] >> 4];
-        text[2 * i + 1] = BD_HEX_DIGITS[r->bits[i] & 15];
+        text[(size_t)2 * i] = BD_HEX_DIGITS[r->bits[i] >> 4];
+        text[(size_t)2 * i + 1] = BD_HEX_DIGITS[r->bits[i] & 15];
     }
-    text[2 * n] = '\0';
+    text[(size_t)2 * n] = '\0';
     return json_pack("{s:s}", "b", text);
 }
 
@@ -332,6 +330,6 @@
     core->write_tokens -= (double)(b.ops + 1);
     struct bd_effect *effect = bd_emit(core, BD_E_COMMIT);
     effect->body = bd_txn_end(&b.t);
-    effect->token = core->sequence;
+    effect->sequence = core->sequence;
     snprintf(effect->key, sizeof effect->key, "%llu", (unsigned long long)core->base_term);
 }
--- a/src/commit_outcome.c
+++ b/src/commit_outcome.c
@@ -164,19 +164,20 @@
         bd_limits_back_off(core, commit->cancelled[i]);
 }
 
-void bd_core_committed(struct bd_core *core, int outcome, uint64_t store_revision, json_t *failed)
+void bd_core_committed(struct bd_core *core, enum bd_outcome outcome, uint64_t store_revision,
+                       json_t *failed)
 {
     struct bd_commit *commit = core->commit;
     if (!commit || core->role != BD_LEADER)
         return;
-    if (outcome < 0) {
+    if (outcome == BD_COMMIT_DEPOSED) {
         bd_core_lost(core);
         return;
     }
     core->commit = NULL;
-    if (outcome == 2)
+    if (outcome == BD_COMMIT_MALFORMED)
         too_large(core, commit);
-    if (outcome == 1)
+    if (outcome == BD_COMMIT_APPLIED)
         kept(core, commit, store_revision);
     else
         refused(core, commit, failed);
--- a/src/core.c
+++ b/src/core.c
@@ -131,8 +131,8 @@
     struct bd_effect *effect = bd_emit(core, remote ? BD_E_ANSWER : BD_E_REPLY);
     effect->request = remote ? NULL : request;
     if (remote) {
-        effect->machine = (uint32_t)q->peer;
-        effect->token = q->id;
+        effect->peer = q->peer;
+        effect->forward_id = q->id;
         free(q);
     }
     effect->status = status;
--- a/src/core.h
+++ b/src/core.h
@@ -9,7 +9,8 @@
 #include <uthash.h>
 
 #define BD_NO_MACHINE UINT32_MAX
-#define BD_IMAGES 40
+#define BD_PROVISIONS 64 /* requests to the cloud that are not settled; no more are made */
+#define BD_IMAGES 40     /* that a machine is known to have; older ones are fetched again */
 #define BD_PROBES 64
 #define BD_SENT_AWAY 8192
 #define BD_DELEGATE_PARTS 6 /* of a delegate's record, a value each */
@@ -222,7 +223,7 @@
     BD_E_LOST, /* the term is over; status: BD_LOST_... */
     BD_E_DELEGATE,
     BD_E_LOOKUP,   /* one job's record: request, key is the id, status is how it was asked */
-    BD_E_FORWARD,  /* a report to the leader: token is the id, machine the peer */
+    BD_E_FORWARD,  /* a report to the leader */
     BD_E_ANSWER,   /* the answer to a forwarded one */
     BD_E_CANCELLED /* a cancellation was confirmed: key is the job's id */
 };
@@ -237,9 +238,12 @@
     char key[BD_LABEL];
     char *body;
     char addr[BD_LABEL]; /* DO */
-    uint64_t token;
-    uint32_t machine;
-    bool launch;
+    uint64_t token;      /* DO */
+    uint32_t machine;    /* DO */
+    bool launch;         /* DO: launches are among the commands */
+    uint64_t sequence;   /* COMMIT; key is the term */
+    uint64_t forward_id; /* FORWARD, ANSWER */
+    int peer;            /* FORWARD, ANSWER: to whom */
     struct bd_effect *next;
 };
 
@@ -389,7 +393,7 @@
     /* cloud */
     double moves_s; /* that replicas may be away for moves, */
     struct timespec moves_at;
-    struct bd_provision provisions[64];
+    struct bd_provision provisions[BD_PROVISIONS];
     int nprovisions;
     bool gpu_waiting;                           /* some live job's GPU tasks have no place */
     struct bd_spec gpu_wanted[BD_MAX_TYPES][2]; /* by type and spot: a live job's GPU task */
@@ -446,9 +450,16 @@
 void bd_core_lost(struct bd_core *core);
 /* a commit was answered that the rate is used up */
 void bd_core_busy(struct bd_core *core);
-/* outcome: 1 committed, 0 refused (failed lists the keys), -1 leadership is gone, 2 called
- * malformed: not applied, and to be decided anew in smaller pieces */
-void bd_core_committed(struct bd_core *core, int outcome, uint64_t store_revision, json_t *failed);
+enum bd_outcome {
+    BD_COMMIT_APPLIED,
+    BD_COMMIT_REFUSED,   /* a condition failed: `failed` lists the keys */
+    BD_COMMIT_MALFORMED, /* not applied, and to be decided anew in smaller pieces */
+    BD_COMMIT_DEPOSED,   /* leadership is gone */
+    BD_COMMIT_UNKNOWN    /* to be sent again */
+};
+/* the fate of the leader's transaction, which is known */
+void bd_core_committed(struct bd_core *core, enum bd_outcome outcome, uint64_t store_revision,
+                       json_t *failed);
 /* the other controllers */
 /* heard: when its frame arrived, which may be some time before the frame is handled */
 void bd_core_peer(struct bd_core *core, const char *name, uint64_t term, uint8_t flags,
@@ -461,7 +472,7 @@
 /* Another controller says that the job's cancellation was confirmed: until the record shows it, the
  * news stops the job's tasks and starts none. No rule rests on it. */
 void bd_core_cancelled_elsewhere(struct bd_core *core, const char *id);
-void bd_core_progress(struct bd_core *core, const char *job, uint32_t done, uint32_t running);
+void bd_core_progress(struct bd_core *core, const char *id, uint32_t done, uint32_t running);
 /* a leader's look at the delegates' records; a follower's own record was written */
 void bd_core_delegates(struct bd_core *core, json_t *pairs, struct timespec sent);
 void bd_core_delegate_committed(struct bd_core *core, long status, uint64_t store_revision,
@@ -480,7 +491,7 @@
                  const struct bd_report *report);
 /* cloud */
 void bd_core_types(struct bd_core *core, const struct bd_type_text *t, int n);
-void bd_core_machines(struct bd_core *core, const struct bd_cloud_machine *m, size_t n,
+void bd_core_machines(struct bd_core *core, const struct bd_cloud_machine *l, size_t n,
                       struct timespec asked);
 void bd_core_provisioned(struct bd_core *core, const char *request, long status,
                          char (*names)[BD_LABEL], int n);
--- a/src/core_internal.h
+++ b/src/core_internal.h
@@ -38,6 +38,8 @@
 }
 #define BD_TASK_BYTES 7u /* of a task's number in it */
 
+#define BD_COMMIT_JOBS 64 /* of each kind in one transaction; the rest comes with the next */
+
 struct bd_commit { /* the one leader transaction in flight */
     struct bd_intent *plan;
     uint32_t nplan, cap;
@@ -47,16 +49,16 @@
         unsigned char bits[CHUNK / 8];
     } * receipts;
     uint32_t nreceipts;
-    struct bd_job *done[64];
+    struct bd_job *done[BD_COMMIT_JOBS];
     uint32_t ndone;
-    struct bd_job *cancelled[64]; /* by derivation: now their records say so too */
+    struct bd_job *cancelled[BD_COMMIT_JOBS]; /* by derivation: now their records say so too */
     uint32_t ncancelled;
     struct bd_part { /* an intent record: a value takes only so many */
         char key[BD_LABEL];
         uint32_t from, n;
     } parts[BD_ROUND_PARTS];
     uint32_t nparts;
-    char dropped[64][BD_LABEL];
+    char dropped[BD_COMMIT_JOBS][BD_LABEL];
     uint32_t ndropped;
     bool raises_token;
 };
--- a/src/effects.c
+++ b/src/effects.c
@@ -24,12 +24,12 @@
     struct bd_frame f;
     f.type = effect->kind == BD_E_FORWARD ? BD_FRAME_REPORT : BD_FRAME_ANSWER;
     snprintf(f.name, sizeof f.name, "%s", node->settings.node);
-    f.id = effect->token;
+    f.id = effect->forward_id;
     f.status = (uint16_t)effect->status;
     f.text = effect->body;
     f.len = effect->body ? (uint32_t)strlen(effect->body) : 0;
     f.count = 0;
-    if (!bd_transport_send(node, (int)effect->machine, &f))
+    if (!bd_transport_send(node, effect->peer, &f))
         bd_say(&node->log, BD_DEBUG, "a frame to another controller was dropped");
 }
 
--- a/src/election.c
+++ b/src/election.c
@@ -332,8 +332,12 @@
     s->n = node;
     s->h = bd_http_new(1, bd_metrics_counter(node->metrics, BD_TRAFFIC_ELECTION));
     s->rng = gsl_rng_alloc(gsl_rng_taus2);
-    if (!s->h || !s->rng)
+    if (!s->h || !s->rng) {
+        bd_http_free(s->h);
+        gsl_rng_free(s->rng);
+        free(s);
         return -1;
+    }
     unsigned long seed = (unsigned long)bd_now().tv_nsec;
     for (const char *p = node->settings.node; *p; p++)
         seed = seed * 31 + (unsigned char)*p;
--- a/src/event_loop.c
+++ b/src/event_loop.c
@@ -99,10 +99,10 @@
 
 static void followed(struct bd_node *node, struct bd_cmd *command)
 {
-    if (command->outcome)
+    if (command->ok)
         changes(node->core, bd_wire_log(command->json));
     bd_core_followed(node->core, command->after, command->store_revision, command->sent,
-                     command->flag, command->outcome);
+                     command->flag, command->ok);
 }
 
 static void relisted(struct bd_node *node, struct bd_cmd *command)
@@ -148,7 +148,7 @@
     long status = command->status;
     if (status == 200 && !bd_wire_pair(command->json, &ch, &grant))
         status = 0;
-    bd_core_looked_up(node->core, command->request, command->name, command->outcome, status,
+    bd_core_looked_up(node->core, command->request, command->name, command->how, status,
                       status == 200 ? &ch : NULL);
 }
 
@@ -206,8 +206,8 @@
         bd_core_cancel(core, command->request, command->name);
         break;
     case BD_C_USER_COMMITTED:
-        bd_core_user_committed(core, command->request, command->name, command->text,
-                               command->outcome, command->status, command->store_revision);
+        bd_core_user_committed(core, command->request, command->name, command->text, command->how,
+                               command->status, command->store_revision);
         break;
     case BD_C_FOLLOWED:
         followed(node, command);
--- a/src/forwarding.c
+++ b/src/forwarding.c
@@ -186,8 +186,8 @@
     f->next = core->forwards;
     core->forwards = f;
     struct bd_effect *effect = bd_emit(core, BD_E_FORWARD);
-    effect->machine = (uint32_t)peer;
-    effect->token = f->id;
+    effect->peer = peer;
+    effect->forward_id = f->id;
     effect->body = strndup(body, len);
     return true;
 }
--- a/src/frame.h
+++ b/src/frame.h
@@ -57,7 +57,7 @@
 /* no fewer bytes than the frame takes */
 size_t bd_frame_bytes(const struct bd_frame *frame);
 /* bytes written, 0 if it does not fit */
-size_t bd_frame_write(const struct bd_frame *frame, unsigned char *out, size_t cap);
+size_t bd_frame_write(const struct bd_frame *frame, unsigned char *buf, size_t cap);
 /* bytes taken; 0: more is needed; -1: not a frame, the connection must end */
-long bd_frame_read(const unsigned char *in, size_t len, struct bd_frame *frame);
+long bd_frame_read(const unsigned char *buf, size_t len, struct bd_frame *frame);
 #endif
--- a/src/metrics.c
+++ b/src/metrics.c
@@ -11,7 +11,7 @@
 #define LEAST_S 1e-4
 #define BINS_A_DOUBLING 3
 #define DOUBLINGS 20
-#define BINS (BINS_A_DOUBLING * DOUBLINGS)
+#define BINS ((size_t)BINS_A_DOUBLING * DOUBLINGS)
 
 struct bd_metrics {
     struct bd_counter counters[BD_TRAFFIC_KINDS];
--- a/src/node.h
+++ b/src/node.h
@@ -49,7 +49,9 @@
     size_t len;
     char name[BD_LABEL];
     long status;
-    int outcome;
+    enum bd_outcome outcome; /* COMMITTED */
+    int how;                 /* as the effect's status said how it was asked */
+    bool ok;                 /* FOLLOWED: it was answered */
     uint64_t store_revision, after, number, term;
     struct timespec sent;
     struct timespec queued; /* when it was handed to the owner; zero: quietly, it may wait */
--- a/src/peer_transport.c
+++ b/src/peer_transport.c
@@ -28,7 +28,7 @@
 #define STALLED_S 0.5    /* a connection that takes no bytes for so long is closed */
 #define CONNECTION_S 4.0 /* the life of a connection: see connect_run */
 #define OUTBOX_LEAST 4096u
-#define OUTBOX_MOST (512u * 1024u) /* more is dropped; whoever waits has a deadline */
+#define OUTBOX_MOST 524288u /* more is dropped; whoever waits has a deadline */
 
 /* ---- connections to the others ---- */
 
--- a/src/place.c
+++ b/src/place.c
@@ -255,7 +255,7 @@
             break;
         if (!bd_has_image(machine, job->spec.image))
             r->fetch[machine->index] += job->spec.image_gb / r->core->types[machine->type].fetch;
-        r->bytes += bd_group_bytes(job, machine) + n * BD_TASK_BYTES;
+        r->bytes += bd_group_bytes(job, machine) + (size_t)n * BD_TASK_BYTES;
         for (; n > 0 && next < job->ntasks; next++) {
             if (job->tasks[next].state != BD_T_WAIT)
                 continue;
@@ -441,7 +441,7 @@
     /* each record but the last may end a group's worth early */
     uint32_t parts = bd_round_parts(core);
     r.most_bytes = (size_t)(BD_VALUE_SHARE * (double)core->limits.value_bytes * parts) -
-                   (parts - 1) * 2 * BD_LABEL;
+                   (size_t)(parts - 1) * 2 * BD_LABEL;
     r.most_conds = (uint32_t)(3 * core->limits.txn_ops);
     if (!r.claimed || !r.open || !r.stops || !r.cost || !r.fetch)
         abort();
--- a/src/state_client.c
+++ b/src/state_client.c
@@ -118,7 +118,7 @@
     command->sent = bd_now();
     long status = bd_state_call(node, http, "GET", path, NULL, ANSWER_S, &o);
     command->flag = barrier;
-    command->outcome = status == 200;
+    command->ok = status == 200;
     command->after = *after;
     command->json = o;
     bool news = barrier || status != 200;
@@ -205,7 +205,7 @@
         snprintf(term, sizeof term, "%lld",
                  (long long)json_integer_value(json_object_get(ch.value, "t")));
         found = strcmp(term, effect->key) == 0 &&
-                (uint64_t)json_integer_value(json_object_get(ch.value, "n")) == effect->token;
+                (uint64_t)json_integer_value(json_object_get(ch.value, "n")) == effect->sequence;
         *store_revision = ch.revision;
     }
     json_decref(o);
@@ -225,55 +225,80 @@
     return false;
 }
 
-/* Repeats one and the same transaction until its fate is known: it can apply once only, since it
- * is conditional on the commit sequence and changes it. */
-static void settle(struct bd_node *node, struct bd_http *http, struct bd_effect *effect,
-                   struct bd_cmd *command)
+/* One transaction of the leader on its way. */
+struct attempt {
+    struct bd_node *node;
+    struct bd_http *http;
+    struct bd_effect *effect;
+    struct bd_cmd *command; /* gets the revision, and the keys whose conditions failed */
+    bool unsure;            /* a copy without an answer may have been applied */
+    int busy;               /* answers in a row that the rate is used up */
+};
+
+static int shown(struct attempt *a)
 {
-    const int open = 3;
-    bool unsure = false; /* a copy without an answer may have been applied */
-    int busy = 0;
-    command->outcome = open;
-    while (command->outcome == open) {
-        json_t *o = NULL;
-        long status = bd_state_call(node, http, "POST", BD_PATH_COMMIT, effect->body, ANSWER_S, &o);
-        if (status == 200) {
-            command->outcome = 1;
-            command->store_revision = bd_wire_store_revision(o);
-        } else if (status == 409) {
-            json_t *failed = bd_wire_failed(o);
-            int w = names(failed, "w")
-                        ? sequence_shows(node, http, effect, &command->store_revision)
-                        : 0;
-            if (w == 1)
-                command->outcome = 1;
-            else if (w == 0)
-                command->outcome = names(failed, "w") || names(failed, "leader") ? -1 : 0;
-            json_decref(command->json);
-            command->json = json_incref(o);
-        } else if (status == 400 && bd_wire_no_grant(o)) {
-            bd_say(&node->log, BD_ERROR, "transaction without grant");
-            command->outcome = -1;
-        } else if (status == 400) {
-            /* not applied now, perhaps beyond a limit that was lowered; but an earlier copy may be
-             */
-            int w = unsure ? sequence_shows(node, http, effect, &command->store_revision) : 0;
-            command->outcome = w == 1 ? 1 : w == 0 ? 2 : open;
-        } else if (!atomic_load(&node->leading)) {
-            command->outcome = -1;
-        } else {
-            unsure = unsure || (status != 429 && status != 503);
-            busy = status == 429 ? busy + 1 : 0;
-            if (status == 429)
-                bd_tell(node, bd_cmd_new(BD_C_BUSY));
-            bd_pause(PAUSE_S);
-            /* one larger than a second's changes would be refused for ever */
-            if (busy >= BUSY_TRIES &&
-                (!unsure || sequence_shows(node, http, effect, &command->store_revision) == 0))
-                command->outcome = 0;
-        }
-        json_decref(o);
+    return sequence_shows(a->node, a->http, a->effect, &a->command->store_revision);
+}
+
+static enum bd_outcome after_conflict(struct attempt *a, json_t *answer)
+{
+    json_t *failed = bd_wire_failed(answer);
+    bool sequence = names(failed, "w");
+    int w = sequence ? shown(a) : 0;
+    json_decref(a->command->json);
+    a->command->json = json_incref(answer);
+    if (w != 0)
+        return w == 1 ? BD_COMMIT_APPLIED : BD_COMMIT_UNKNOWN;
+    return sequence || names(failed, "leader") ? BD_COMMIT_DEPOSED : BD_COMMIT_REFUSED;
+}
+
+/* Not applied now, perhaps beyond a limit that was lowered; but an earlier copy may be. */
+static enum bd_outcome after_malformed(struct attempt *a, json_t *answer)
+{
+    if (bd_wire_no_grant(answer)) {
+        bd_say(&a->node->log, BD_ERROR, "transaction without grant");
+        return BD_COMMIT_DEPOSED;
     }
+    int w = a->unsure ? shown(a) : 0;
+    if (w != 0)
+        return w == 1 ? BD_COMMIT_APPLIED : BD_COMMIT_UNKNOWN;
+    return BD_COMMIT_MALFORMED;
+}
+
+static enum bd_outcome after_no_answer(struct attempt *a, long status)
+{
+    if (!atomic_load(&a->node->leading))
+        return BD_COMMIT_DEPOSED;
+    a->unsure = a->unsure || (status != 429 && status != 503);
+    a->busy = status == 429 ? a->busy + 1 : 0;
+    if (status == 429)
+        bd_tell(a->node, bd_cmd_new(BD_C_BUSY));
+    bd_pause(PAUSE_S);
+    /* one larger than a second's changes would be refused for ever */
+    bool decide_anew = a->busy >= BUSY_TRIES && (!a->unsure || shown(a) == 0);
+    return decide_anew ? BD_COMMIT_REFUSED : BD_COMMIT_UNKNOWN;
+}
+
+/* Sends one and the same transaction once: it can apply once only, since it is conditional on the
+ * commit sequence and changes it. */
+static enum bd_outcome try_once(struct attempt *a)
+{
+    json_t *o = NULL;
+    enum bd_outcome outcome;
+    long status =
+        bd_state_call(a->node, a->http, "POST", BD_PATH_COMMIT, a->effect->body, ANSWER_S, &o);
+    if (status == 200) {
+        a->command->store_revision = bd_wire_store_revision(o);
+        outcome = BD_COMMIT_APPLIED;
+    } else if (status == 409) {
+        outcome = after_conflict(a, o);
+    } else if (status == 400) {
+        outcome = after_malformed(a, o);
+    } else {
+        outcome = after_no_answer(a, status);
+    }
+    json_decref(o);
+    return outcome;
 }
 
 static void *committer(void *arg)
@@ -286,9 +311,12 @@
             continue;
         struct bd_effect *effect = item;
         struct bd_cmd *command = bd_cmd_new(BD_C_COMMITTED);
-        command->number = effect->token;
+        command->number = effect->sequence;
         command->term = strtoull(effect->key, NULL, 10);
-        settle(node, http, effect, command);
+        struct attempt a = {.node = node, .http = http, .effect = effect, .command = command};
+        do
+            command->outcome = try_once(&a);
+        while (command->outcome == BD_COMMIT_UNKNOWN);
         bd_tell(node, command);
         bd_effect_free(effect);
     }
@@ -336,7 +364,7 @@
     }
     free(copy);
     command->request = effect->request;
-    command->outcome = effect->status;
+    command->how = effect->status;
     command->text = effect->body;
     effect->body = NULL;
     snprintf(command->name, sizeof command->name, "%s", effect->key);
@@ -351,7 +379,7 @@
     snprintf(path, sizeof path, BD_PATH_KEYS "/j/%s", effect->key);
     command->status = bd_state_call(node, http, "GET", path, NULL, ANSWER_S, &command->json);
     command->request = effect->request;
-    command->outcome = effect->status;
+    command->how = effect->status;
     snprintf(command->name, sizeof command->name, "%s", effect->key);
     bd_tell(node, command);
 }
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -358,7 +358,8 @@
         return;
     w->commit[n] = NULL;
     long status = apply(w, e->body, &failed);
-    bd_core_committed(w->c[n], status == 200, w->store_revision, failed);
+    bd_core_committed(w->c[n], status == 200 ? BD_COMMIT_APPLIED : BD_COMMIT_REFUSED,
+                      w->store_revision, failed);
     json_decref(failed);
     bd_effect_free(e);
 }
@@ -609,8 +610,10 @@
     snprintf(r.spec.job_class, BD_LABEL, "k");
     snprintf(r.spec.team, BD_LABEL, "a");
     snprintf(r.spec.image, BD_LABEL, "i");
-    r.spec.ntypes = r.spec.due = -1;
-    r.spec.cpus = r.spec.tasks = 1;
+    r.spec.ntypes = -1;
+    r.spec.due = -1;
+    r.spec.cpus = 1;
+    r.spec.tasks = 1;
     r.spec.rank = n == MANY - 1 ? BD_HIGH : BD_IDLE;
     r.prerequisites.names = names;
     r.state = strcmp(state, "cancelled") == 0 ? BD_CANCELLED : BD_LIVE;
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -181,7 +181,7 @@
     bd_core_renewed(w->c, 7, w->c->now);
     bd_core_tick(w->c);
     if (w->c->commit)
-        bd_core_committed(w->c, 1, ++w->revision, NULL);
+        bd_core_committed(w->c, BD_COMMIT_APPLIED, ++w->revision, NULL);
     drop_effects(w);
 }
 
@@ -324,7 +324,8 @@
     static unsigned char buf[BD_FRAME_MOST];
     struct bd_report r;
     char *text = report_text(w, n % w->machines, ++w->seq);
-    f = (struct bd_frame){.type = BD_FRAME_REPORT, .id = n, .text = text, .len = strlen(text)};
+    f = (struct bd_frame){
+        .type = BD_FRAME_REPORT, .id = n, .text = text, .len = (uint32_t)strlen(text)};
     snprintf(f.name, sizeof f.name, PEER);
     size_t len = bd_frame_write(&f, buf, sizeof buf);
     CALLGRIND_TOGGLE_COLLECT;
@@ -380,7 +381,7 @@
     CALLGRIND_TOGGLE_COLLECT;
     bd_core_tick(w->c);
     if (w->c->commit)
-        bd_core_committed(w->c, 1, ++w->revision, NULL);
+        bd_core_committed(w->c, BD_COMMIT_APPLIED, ++w->revision, NULL);
     CALLGRIND_TOGGLE_COLLECT;
     drop_effects(w);
 }
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -254,7 +254,7 @@
 static void cmd_job(struct play *p)
 {
     struct bd_record r = {.state = BD_LIVE, .at = num(p, "mark", 1), .has_spec = true};
-    const char *state = arg(p, "mood");
+    const char *state = arg(p, "state");
     char key[BD_LABEL];
     spec(p, &r.spec);
     r.tasks = r.spec.tasks;
@@ -330,7 +330,7 @@
     snprintf(r->addr, sizeof r->addr, "addr-%s", p->w[1]);
     r->session = (uint64_t)num(p, "session", 1);
     r->seq = (uint64_t)num(p, "seq", 1);
-    r->token = (uint64_t)num(p, "seal", 0);
+    r->token = (uint64_t)num(p, "token", 0);
     r->notice = num(p, "notice", -1);
     r->spot = yes(p, "spot");
     r->tasks = tasks;
@@ -397,7 +397,7 @@
     snprintf(r.type, sizeof r.type, "%s", m->type < 0 ? "?" : p->c->types[m->type].label);
     snprintf(r.zone, sizeof r.zone, "%s", m->zone < 0 ? "?" : p->c->zones[m->zone]);
     long status = (long)num(p, "status", 200);
-    bd_core_did(p->c, m->index, (uint64_t)num(p, "seal", 0), num(p, "launch", 1) != 0, status,
+    bd_core_did(p->c, m->index, (uint64_t)num(p, "token", 0), num(p, "launch", 1) != 0, status,
                 status ? &r : NULL);
 }
 
@@ -551,10 +551,10 @@
     json_t *failed = json_array();
     for (int i = 2; i < p->n; i++)
         json_array_append_new(failed, json_string(p->w[i]));
-    int outcome = strcmp(p->w[1], "ok") == 0      ? 1
-                  : strcmp(p->w[1], "lost") == 0  ? -1
-                  : strcmp(p->w[1], "large") == 0 ? 2
-                                                  : 0;
+    enum bd_outcome outcome = strcmp(p->w[1], "ok") == 0      ? BD_COMMIT_APPLIED
+                              : strcmp(p->w[1], "lost") == 0  ? BD_COMMIT_DEPOSED
+                              : strcmp(p->w[1], "large") == 0 ? BD_COMMIT_MALFORMED
+                                                              : BD_COMMIT_REFUSED;
     if (!p->c->commit)
         fail(p, "nothing is being committed");
     p->store_revision = p->store_revision < 1000 ? 1000 : p->store_revision + 1;
@@ -741,7 +741,7 @@
         bd_core_lost(p->c);
     else if (strcmp(v, "get") == 0)
         bd_core_get(p->c, NULL, p->w[1]);
-    else if (strcmp(v, "withdraw") == 0)
+    else if (strcmp(v, "cancel") == 0)
         bd_core_cancel(p->c, NULL, p->w[1]);
     else if (strcmp(v, "seed") == 0)
         bd_core_seed(p->c, p->n > 1 ? strtoull(p->w[1], NULL, 10) : 0);
@@ -764,7 +764,7 @@
                  {"job", 2, cmd_job},
                  {"part", 2, cmd_part},
                  {"record", 4, cmd_record},
-                 {"mood", 3, cmd_state},
+                 {"state", 3, cmd_state},
                  {"gain", 2, cmd_gain},
                  {"report", 4, cmd_report},
                  {"forwarded", 6, cmd_forwarded},
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -100,7 +100,7 @@
     f->type = type;
     snprintf(f->name, sizeof f->name, "%s", n->settings.node);
     if (e) {
-        f->id = e->token;
+        f->id = e->forward_id;
         f->status = (uint16_t)e->status;
         m->text = e->body;
         e->body = NULL;
@@ -159,8 +159,8 @@
         break;
     case BD_E_FORWARD:
     case BD_E_ANSWER:
-        (void)to_peer(s, n, (int)e->machine,
-                      e->kind == BD_E_FORWARD ? BD_FRAME_REPORT : BD_FRAME_ANSWER, e);
+        (void)to_peer(s, n, e->peer, e->kind == BD_E_FORWARD ? BD_FRAME_REPORT : BD_FRAME_ANSWER,
+                      e);
         break;
     case BD_E_DELEGATE:
         c = e->body ? call(s, n, SIM_COMMIT, THEN_DELEGATE, NULL, strdup(e->body), 1.5)
@@ -500,13 +500,13 @@
     return false;
 }
 
-static void committed(struct sim *s, struct sim_node *n, int outcome, uint64_t store_revision,
-                      json_t *o)
+static void committed(struct sim *s, struct sim_node *n, enum bd_outcome outcome,
+                      uint64_t store_revision, json_t *o)
 {
     struct bd_effect *e = n->commit;
     struct bd_core *c = n->core;
     n->commit = NULL;
-    if (strtoull(e->key, NULL, 10) == c->base_term && e->token == c->sequence)
+    if (strtoull(e->key, NULL, 10) == c->base_term && e->sequence == c->sequence)
         bd_core_committed(c, outcome, store_revision, bd_wire_failed(o));
     bd_effect_free(e);
     (void)s;
@@ -525,21 +525,21 @@
             status == 200 && bd_wire_pair(o, &ch, &grant) &&
             (uint64_t)json_integer_value(json_object_get(ch.value, "t")) ==
                 strtoull(n->commit->key, NULL, 10) &&
-            (uint64_t)json_integer_value(json_object_get(ch.value, "n")) == n->commit->token;
+            (uint64_t)json_integer_value(json_object_get(ch.value, "n")) == n->commit->sequence;
         if (ours)
-            committed(s, n, 1, ch.revision, NULL);
+            committed(s, n, BD_COMMIT_APPLIED, ch.revision, NULL);
         else if (status == 200 || status == 404)
-            committed(s, n, -1, 0, NULL);
+            committed(s, n, BD_COMMIT_DEPOSED, 0, NULL);
         else
             (void)call(s, n, SIM_GET, THEN_SEQUENCE_SHOWS, "w", NULL, 1.5);
     } else if (status == 200) {
-        committed(s, n, 1, bd_wire_store_revision(o), NULL);
+        committed(s, n, BD_COMMIT_APPLIED, bd_wire_store_revision(o), NULL);
     } else if (status == 409 && names(failed, "w")) {
         (void)call(s, n, SIM_GET, THEN_SEQUENCE_SHOWS, "w", NULL, 1.5);
     } else if (status == 409) {
-        committed(s, n, names(failed, "leader") ? -1 : 0, 0, o);
+        committed(s, n, names(failed, "leader") ? BD_COMMIT_DEPOSED : BD_COMMIT_REFUSED, 0, o);
     } else if (status == 400 || !n->leading) {
-        committed(s, n, -1, 0, NULL);
+        committed(s, n, BD_COMMIT_DEPOSED, 0, NULL);
     } else {
         wake(s, n, 0.25, SIM_ELECTION)->flag = true; /* the same once more */
     }
