--- a/src/admission.c
+++ b/src/admission.c
@@ -98,8 +98,8 @@
     w->request = request;
     w->how = how;
     snprintf(w->id, sizeof w->id, "%s", id);
-    w->next = core->waiting;
-    core->waiting = w;
+    w->next = core->replica.waiting;
+    core->replica.waiting = w;
     return w;
 }
 
@@ -244,9 +244,9 @@
 /* All that wait for a record that left memory. */
 void bd_admission_end(struct bd_core *core)
 {
-    while (core->accepting) {
-        struct bd_admission *admission = core->accepting;
-        core->accepting = admission->next;
+    while (core->graph.accepting) {
+        struct bd_admission *admission = core->graph.accepting;
+        core->graph.accepting = admission->next;
         bd_admission_drop(admission);
     }
 }
@@ -286,8 +286,8 @@
     effect->status = BD_WAIT_ACCEPT;
     snprintf(effect->key, sizeof effect->key, "%s", name);
     admission->lookups++;
-    admission->next = core->accepting;
-    core->accepting = admission;
+    admission->next = core->graph.accepting;
+    core->graph.accepting = admission;
 }
 
 /* proven: a read barrier stands behind what the replica lacks. Takes over `a`. */
@@ -301,7 +301,7 @@
             admission;
         return;
     }
-    bool refresh = missing && core->evicted;
+    bool refresh = missing && core->replica.evicted;
     if (refresh && admission->lookups < json_array_size(admission->prerequisites) + LOOKUPS_EXTRA) {
         look_for(core, admission, missing);
         return;
@@ -330,7 +330,7 @@
 /* A record that a submission names was looked up; if it exists, the core has it by now. */
 void bd_admission_looked_up(struct bd_core *core, void *request, long status)
 {
-    struct bd_admission **at = &core->accepting;
+    struct bd_admission **at = &core->graph.accepting;
     while (*at && (*at)->request != request)
         at = &(*at)->next;
     struct bd_admission *admission = *at;
--- a/src/autoscaler.c
+++ b/src/autoscaler.c
@@ -71,10 +71,10 @@
                 BOOT_HOPE * core->types[machine->type].boot + BOOT_EXTRA_S)
             (void)add_bin(d, machine->type, machine->zone, machine->spot, false);
     }
-    for (int k = 0; k < core->nprovisions; k++)
-        for (int i = 0; i < core->provisions[k].count; i++)
-            (void)add_bin(d, core->provisions[k].type, core->provisions[k].zone,
-                          core->provisions[k].spot, false);
+    for (int k = 0; k < core->cloud.nprovisions; k++)
+        for (int i = 0; i < core->cloud.provisions[k].count; i++)
+            (void)add_bin(d, core->cloud.provisions[k].type, core->cloud.provisions[k].zone,
+                          core->cloud.provisions[k].spot, false);
 }
 
 static bool bin_fits(const struct bin *b, const struct bd_spec *spec)
@@ -116,7 +116,7 @@
             for (int sp = 0; sp < 2; sp++) {
                 if (!(core->types[t].zones >> z & 1) || !bd_allowed(spec, t, z, sp) ||
                     !bd_in_reach(core, spec, reach, t, sp) ||
-                    bd_before(core->now, core->pools[t][z][sp].refuse_until))
+                    bd_before(core->now, core->cloud.pools[t][z][sp].refuse_until))
                     continue;
                 double v = (sp ? core->types[t].spot_price : core->types[t].price) / n;
                 if (spec->spot && !sp)
@@ -244,10 +244,10 @@
         struct job_class *f = class_of(k, &n, job->job_class);
         if (f)
             count_job(f, job, from);
-        else if (!core->classes_said)
+        else if (!core->lead.classes_said)
             bd_say(core->log, BD_ERROR, "more than %d classes: the rest gets no spare room",
                    CLASSES);
-        core->classes_said |= !f;
+        core->lead.classes_said |= !f;
     }
     return n;
 }
@@ -324,7 +324,7 @@
 static void provision_wanted(struct demand *d)
 {
     struct bd_core *core = d->core;
-    for (int i = 0; i < d->n && core->nprovisions < PROVISIONS_OPEN; i++) {
+    for (int i = 0; i < d->n && core->cloud.nprovisions < PROVISIONS_OPEN; i++) {
         struct bin *w = &d->bins[i];
         /* what a market has that was asked already is about to be known */
         if (!w->wanted || bd_pool_of(core, w->type, w->zone, w->spot)->asked)
@@ -482,9 +482,9 @@
 /* A line a type and kind, for whoever asks what the money is spent on. */
 static void say_fleet(struct bd_core *core)
 {
-    if (bd_before(core->now, core->next_summary))
+    if (bd_before(core->now, core->lead.next_summary))
         return;
-    core->next_summary = bd_add(core->now, bd_secs(SUMMARY_S));
+    core->lead.next_summary = bd_add(core->now, bd_secs(SUMMARY_S));
     for (int t = 0; t < core->ntypes; t++) {
         say_kind(core, t, false);
         say_kind(core, t, true);
@@ -495,7 +495,7 @@
 {
     say_fleet(core);
     bd_drain(core);
-    if (!core->listed_once)
+    if (!core->lead.listed_once)
         return;
     provision_for_demand(core);
     bd_gather(core);
--- a/src/commit.c
+++ b/src/commit.c
@@ -80,7 +80,7 @@
 
 static void add_intents(struct bd_core *core, struct build *builder)
 {
-    struct bd_commit *commit = core->commit;
+    struct bd_commit *commit = core->lead.commit;
     struct bd_job *prev = NULL;
     for (uint32_t i = 0; i < commit->nplan; i++) {
         if (commit->plan[i].job != prev)
@@ -91,8 +91,9 @@
         struct bd_part *p = &commit->parts[commit->nparts++];
         p->from = i;
         p->n = commit->nplan - i;
-        snprintf(p->key, sizeof p->key, "i/%020llu-%08llu", (unsigned long long)core->base_term,
-                 (unsigned long long)++core->round_n);
+        snprintf(p->key, sizeof p->key, "i/%020llu-%08llu",
+                 (unsigned long long)core->lead.base_term,
+                 (unsigned long long)++core->lead.round_n);
         bd_txn_set(&builder->t, p->key, intent_value(core, commit->plan + i, &p->n), 0);
         spend(builder, 1, 0, core->limits.value_bytes);
         i += p->n;
@@ -102,7 +103,7 @@
 /* What no record had room for is not started: its time comes in the next round. */
 static void unplan_rest(struct bd_core *core)
 {
-    struct bd_commit *commit = core->commit;
+    struct bd_commit *commit = core->lead.commit;
     uint32_t named = commit->nparts ? commit->parts[commit->nparts - 1].from +
                                           commit->parts[commit->nparts - 1].n
                                     : 0;
@@ -127,7 +128,7 @@
 
 static bool add_done(struct bd_core *core, struct build *builder, struct bd_job *job)
 {
-    struct bd_commit *commit = core->commit;
+    struct bd_commit *commit = core->lead.commit;
     if (commit->ndone == BD_COMMIT_JOBS || !room_for(builder, 1, 1, 300))
         return false;
     struct bd_record r = {.state = BD_DONE, .tasks = job->ntasks, .at = job->at, .end = core->wall};
@@ -140,10 +141,10 @@
 /* The leader makes durable, as the rate allows, what follows from other jobs' cancellations. */
 static void add_cancelled(struct bd_core *core, struct build *builder)
 {
-    struct bd_commit *commit = core->commit;
+    struct bd_commit *commit = core->lead.commit;
     struct bd_job *job, *jt;
     const size_t most = 1000; /* of a cancelled record */
-    if (core->nderived == 0)
+    if (core->graph.nderived == 0)
         return;
     HASH_ITER(hh, core->jobs, job, jt)
     {
@@ -181,7 +182,7 @@
 static bool add_receipt(struct bd_core *core, struct build *builder, struct bd_job *job,
                         uint32_t chunk)
 {
-    struct bd_commit *commit = core->commit;
+    struct bd_commit *commit = core->lead.commit;
     uint32_t left = job->ntasks - chunk * CHUNK;
     size_t bytes = (left < CHUNK ? left : CHUNK) / 4 + 16;
     if (!room_for(builder, 1, 1, bytes + 200))
@@ -244,7 +245,7 @@
 
 static void drop_key(struct bd_core *core, struct build *builder, const char *key)
 {
-    struct bd_commit *commit = core->commit;
+    struct bd_commit *commit = core->lead.commit;
     bd_txn_drop(&builder->t, key);
     spend(builder, 1, 0, 80);
     snprintf(commit->dropped[commit->ndropped++], BD_LABEL, "%s", key);
@@ -252,7 +253,7 @@
 
 static bool can_drop(const struct bd_core *core, const struct build *builder)
 {
-    return core->commit->ndropped < sizeof core->commit->dropped / BD_LABEL &&
+    return core->lead.commit->ndropped < sizeof core->lead.commit->dropped / BD_LABEL &&
            room_for(builder, 1, 0, 80);
 }
 
@@ -261,12 +262,12 @@
 {
     struct bd_job *job, *jt;
     char key[BD_LABEL];
-    if (*core->stale_delegate && can_drop(core, builder))
-        drop_key(core, builder, core->stale_delegate);
-    core->stale_delegate[0] = '\0';
-    for (uint32_t i = 0; i < core->nrounds && can_drop(core, builder); i++)
-        if (!round_live(&core->rounds[i]))
-            drop_key(core, builder, core->rounds[i].key);
+    if (*core->delegates.stale && can_drop(core, builder))
+        drop_key(core, builder, core->delegates.stale);
+    core->delegates.stale[0] = '\0';
+    for (uint32_t i = 0; i < core->lead.nrounds && can_drop(core, builder); i++)
+        if (!round_live(&core->lead.rounds[i]))
+            drop_key(core, builder, core->lead.rounds[i].key);
     HASH_ITER(hh, core->jobs, job, jt)
     {
         if (job->state == BD_CANCELLED && job->tasks && job->nlive == 0)
@@ -285,51 +286,51 @@
 
 static void add_token_raise(struct bd_core *core, struct build *builder)
 {
-    if (!core->want_token_raise)
+    if (!core->lead.want_token_raise)
         return;
-    core->want_token_raise = false;
-    core->commit->raises_token = true;
+    core->lead.want_token_raise = false;
+    core->lead.commit->raises_token = true;
     json_t *away = bd_dismissed(core);
     bd_txn_set(&builder->t, "leader",
-               json_pack("{s:s,s:s,s:o}", "node", core->settings->node, "nonce", core->nonce,
+               json_pack("{s:s,s:s,s:o}", "node", core->settings->node, "nonce", core->lead.nonce,
                          "away", away),
-               core->grant);
+               core->lead.grant);
     spend(builder, 1, 0, 200);
 }
 
 void bd_round_commit(struct bd_core *core)
 {
-    struct bd_commit *commit = core->commit;
+    struct bd_commit *commit = core->lead.commit;
     struct build b = {.most_ops = bd_limits_ops(core) - 1,
                       .most_conds = 4 * core->limits.txn_ops - 2};
     if (!bd_txn_start(&b.t))
         abort();
-    bd_txn_if(&b.t, "leader", core->term);
-    bd_txn_if(&b.t, "w", core->sequence_revision);
+    bd_txn_if(&b.t, "leader", core->lead.term);
+    bd_txn_if(&b.t, "w", core->lead.sequence_revision);
     add_token_raise(core, &b);
     add_intents(core, &b);
     unplan_rest(core);
     add_receipts(core, &b);
     add_cancelled(core, &b);
-    if (bd_before(core->next_gc, core->now)) {
+    if (bd_before(core->lead.next_gc, core->now)) {
         add_drops(core, &b);
         /* thousands of old intents would slow the next takeover */
-        core->next_gc = bd_add(core->now, bd_secs(can_drop(core, &b) ? GC_S : GC_AGAIN_S));
+        core->lead.next_gc = bd_add(core->now, bd_secs(can_drop(core, &b) ? GC_S : GC_AGAIN_S));
     }
     if (b.ops == 0) {
         free(bd_txn_end(&b.t));
         bd_commit_free(commit);
-        core->commit = NULL;
+        core->lead.commit = NULL;
         return;
     }
-    core->sequence++;
-    bd_txn_set(
-        &b.t, "w",
-        json_pack("{s:I,s:I}", "t", (json_int_t)core->base_term, "n", (json_int_t)core->sequence),
-        0);
-    core->write_tokens -= (double)(b.ops + 1);
+    core->lead.sequence++;
+    bd_txn_set(&b.t, "w",
+               json_pack("{s:I,s:I}", "t", (json_int_t)core->lead.base_term, "n",
+                         (json_int_t)core->lead.sequence),
+               0);
+    core->lead.write_tokens -= (double)(b.ops + 1);
     struct bd_effect *effect = bd_emit(core, BD_E_COMMIT);
     effect->body = bd_txn_end(&b.t);
-    effect->sequence = core->sequence;
-    snprintf(effect->key, sizeof effect->key, "%llu", (unsigned long long)core->base_term);
+    effect->sequence = core->lead.sequence;
+    snprintf(effect->key, sizeof effect->key, "%llu", (unsigned long long)core->lead.base_term);
 }
--- a/src/commit_outcome.c
+++ b/src/commit_outcome.c
@@ -5,15 +5,15 @@
 
 void bd_round_keep(struct bd_core *core, const char *key, struct bd_intent *e, uint32_t n)
 {
-    if (core->nrounds == core->cap_rounds) {
-        uint32_t cap = core->cap_rounds ? core->cap_rounds * 2 : 64;
-        struct bd_round *r = realloc(core->rounds, cap * sizeof *r);
+    if (core->lead.nrounds == core->lead.cap_rounds) {
+        uint32_t cap = core->lead.cap_rounds ? core->lead.cap_rounds * 2 : 64;
+        struct bd_round *r = realloc(core->lead.rounds, cap * sizeof *r);
         if (!r)
             abort();
-        core->rounds = r;
-        core->cap_rounds = cap;
+        core->lead.rounds = r;
+        core->lead.cap_rounds = cap;
     }
-    struct bd_round *r = &core->rounds[core->nrounds++];
+    struct bd_round *r = &core->lead.rounds[core->lead.nrounds++];
     memset(r, 0, sizeof *r);
     snprintf(r->key, sizeof r->key, "%s", key);
     r->e = e;
@@ -77,10 +77,10 @@
 static void forget_rounds(struct bd_core *core, const struct bd_commit *commit)
 {
     for (uint32_t d = 0; d < commit->ndropped; d++) {
-        for (uint32_t i = 0; i < core->nrounds; i++) {
-            if (strcmp(core->rounds[i].key, commit->dropped[d]) == 0) {
-                free(core->rounds[i].e);
-                core->rounds[i] = core->rounds[--core->nrounds];
+        for (uint32_t i = 0; i < core->lead.nrounds; i++) {
+            if (strcmp(core->lead.rounds[i].key, commit->dropped[d]) == 0) {
+                free(core->lead.rounds[i].e);
+                core->lead.rounds[i] = core->lead.rounds[--core->lead.nrounds];
                 break;
             }
         }
@@ -108,12 +108,12 @@
 
 static void kept(struct bd_core *core, struct bd_commit *commit, uint64_t store_revision)
 {
-    core->sequence_revision = store_revision;
+    core->lead.sequence_revision = store_revision;
     if (commit->raises_token) {
-        core->term = store_revision;
-        core->last_token_raise = core->now;
-        core->fenced_attempt = (core->base_term << 20) + core->counter;
-        core->withheld = 0;
+        core->lead.term = store_revision;
+        core->lead.last_token_raise = core->now;
+        core->lead.fenced_attempt = (core->lead.base_term << 20) + core->lead.counter;
+        core->lead.withheld = 0;
     }
     for (uint32_t i = 0; i < commit->nreceipts; i++)
         receipt_kept(&commit->receipts[i]);
@@ -145,7 +145,7 @@
             e->job->tasks[e->task].attempt == e->attempt)
             bd_task_free(core, e->job, e->task);
     }
-    core->want_token_raise = core->want_token_raise || commit->raises_token;
+    core->lead.want_token_raise = core->lead.want_token_raise || commit->raises_token;
     /* the same number is never used for another content */
 }
 
@@ -167,14 +167,14 @@
 void bd_core_committed(struct bd_core *core, enum bd_outcome outcome, uint64_t store_revision,
                        json_t *failed)
 {
-    struct bd_commit *commit = core->commit;
+    struct bd_commit *commit = core->lead.commit;
     if (!commit || core->role != BD_LEADER)
         return;
     if (outcome == BD_COMMIT_DEPOSED) {
         bd_core_lost(core);
         return;
     }
-    core->commit = NULL;
+    core->lead.commit = NULL;
     if (outcome == BD_COMMIT_MALFORMED)
         too_large(core, commit);
     if (outcome == BD_COMMIT_APPLIED)
@@ -182,5 +182,5 @@
     else
         refused(core, commit, failed);
     bd_commit_free(commit);
-    core->round_wanted = true;
+    core->lead.round_wanted = true;
 }
--- a/src/core.c
+++ b/src/core.c
@@ -19,7 +19,7 @@
 
 void bd_core_seed(struct bd_core *core, uint64_t seed)
 {
-    core->forward_n = seed;
+    core->forwarding.last_id = seed;
 }
 
 static void free_names(struct bd_names **t)
@@ -44,11 +44,11 @@
 
 void bd_rounds_free(struct bd_core *core)
 {
-    for (uint32_t i = 0; i < core->nrounds; i++)
-        free(core->rounds[i].e);
-    free(core->rounds);
-    core->rounds = NULL;
-    core->nrounds = core->cap_rounds = 0;
+    for (uint32_t i = 0; i < core->lead.nrounds; i++)
+        free(core->lead.rounds[i].e);
+    free(core->lead.rounds);
+    core->lead.rounds = NULL;
+    core->lead.nrounds = core->lead.cap_rounds = 0;
 }
 
 void bd_commit_free(struct bd_commit *commit)
@@ -83,17 +83,17 @@
     free(core->by_index);
     free_names(&core->images);
     free_names(&core->classes);
-    free_waits(&core->waiting);
-    free_waits(&core->asked);
+    free_waits(&core->replica.waiting);
+    free_waits(&core->replica.asked);
     bd_admission_end(core);
     bd_deps_free(core);
     bd_rounds_free(core);
-    bd_commit_free(core->commit);
+    bd_commit_free(core->lead.commit);
     core->last_term = 0; /* nobody waits for a better answer any more */
     bd_delegate_end(core);
-    while (core->forwards) {
-        struct bd_forward *forward = core->forwards;
-        core->forwards = forward->next;
+    while (core->forwarding.waiting) {
+        struct bd_forward *forward = core->forwarding.waiting;
+        core->forwarding.waiting = forward->next;
         bd_report_free(forward->report);
         if (forward->request && ((struct bd_remote *)forward->request)->remote)
             free(forward->request); /* the core's own: see bd_core_forwarded */
--- /dev/null
+++ b/src/delegate.h
@@ -0,0 +1,50 @@
+/* Delegates: a follower's own record of the machines that it answers, and the leader's view of all
+ * such records. */
+#ifndef BD_DELEGATE_H
+#define BD_DELEGATE_H
+#include "brambledoor/settings.h"
+#include "wire.h"
+#include <time.h>
+
+#define BD_PROBES 64
+
+#define BD_DELEGATE_PARTS 6 /* of a delegate's record, a value each */
+
+struct bd_wait_checkin;
+
+/* a machine that we answer for the leader */
+struct bd_served {
+    char id[BD_LABEL];
+    struct timespec heard;
+    bool confirmed, sent;
+};
+
+struct bd_delegate {
+    uint64_t term, revision; /* the token of the answers; our record's revision */
+    uint64_t leader; /* the revision of the leader's key that the record is conditional on */
+    bool revision_known, busy, dismissed;
+    struct timespec confirmed_until, next_confirm;
+    struct bd_served *served;
+    uint32_t nserved, cap_served, parts; /* parts of the record that were ever written */
+    struct bd_wait_checkin *asking;
+    /* workers sent to the leader, to see whether it can be reached */
+    char probes[BD_PROBES][BD_LABEL];
+    uint32_t nprobes, batch;
+    struct timespec probes_at, since;
+};
+
+struct bd_delegate_seen {
+    char key[BD_LABEL]; /* the record's, without its prefix: the node, a slash and the part */
+    uint64_t revision;
+    struct timespec changed;
+    struct timespec dismissed; /* when one of its workers was heard here */
+};
+
+/* As leader: the delegates' records as last read. Owned by delegate_view.c. */
+struct bd_delegate_view {
+    struct timespec read_at;
+    char stale[BD_LABEL]; /* the key of a record that nobody confirms any more */
+    struct bd_delegate_seen seen[(BD_MAX_PEERS + 1) * BD_DELEGATE_PARTS];
+    int count;
+};
+#endif
--- a/src/delegate_view.c
+++ b/src/delegate_view.c
@@ -11,12 +11,12 @@
 
 static struct bd_delegate_seen *seen_of(struct bd_core *core, const char *key)
 {
-    for (int i = 0; i < core->ndelegates; i++)
-        if (strcmp(core->delegates[i].key, key) == 0)
-            return &core->delegates[i];
-    if (core->ndelegates == (int)(sizeof core->delegates / sizeof *core->delegates))
+    for (int i = 0; i < core->delegates.count; i++)
+        if (strcmp(core->delegates.seen[i].key, key) == 0)
+            return &core->delegates.seen[i];
+    if (core->delegates.count == (int)(sizeof core->delegates.seen / sizeof *core->delegates.seen))
         return NULL;
-    struct bd_delegate_seen *s = &core->delegates[core->ndelegates++];
+    struct bd_delegate_seen *s = &core->delegates.seen[core->delegates.count++];
     memset(s, 0, sizeof *s);
     snprintf(s->key, sizeof s->key, "%s", key);
     return s;
@@ -39,7 +39,7 @@
         s->changed = core->now;
     }
     if (s && bd_between(s->changed, core->now) > STALE_S)
-        snprintf(core->stale_delegate, sizeof core->stale_delegate, "%s", ch->key);
+        snprintf(core->delegates.stale, sizeof core->delegates.stale, "%s", ch->key);
     json_array_foreach(json_object_get(ch->value, "m"), i, v)
     {
         struct bd_machine *machine = NULL;
@@ -49,7 +49,7 @@
         if (machine)
             machine->delegated = true;
         if (machine && s)
-            machine->delegate = (int)(s - core->delegates);
+            machine->delegate = (int)(s - core->delegates.seen);
     }
 }
 
@@ -58,13 +58,13 @@
  * it looks at; its workers then come. */
 void bd_delegate_needless(struct bd_core *core, const struct bd_machine *machine)
 {
-    if (machine->delegate >= core->ndelegates)
+    if (machine->delegate >= core->delegates.count)
         return;
-    struct bd_delegate_seen *s = &core->delegates[machine->delegate];
+    struct bd_delegate_seen *s = &core->delegates.seen[machine->delegate];
     if (bd_is_zero(s->dismissed) || bd_between(s->dismissed, core->now) > AWAY_S) {
         bd_say(core->log, BD_INFO, "%s answers for us needlessly: %s came here", s->key,
                machine->id);
-        core->want_token_raise = true;
+        core->lead.want_token_raise = true;
     }
     s->dismissed = core->now;
 }
@@ -73,11 +73,12 @@
 json_t *bd_dismissed(const struct bd_core *core)
 {
     json_t *list = json_array();
-    for (int i = 0; i < core->ndelegates; i++)
-        if (!bd_is_zero(core->delegates[i].dismissed) &&
-            bd_between(core->delegates[i].dismissed, core->now) < AWAY_S)
-            (void)json_array_append_new(
-                list, json_stringn(core->delegates[i].key, strcspn(core->delegates[i].key, "/")));
+    for (int i = 0; i < core->delegates.count; i++)
+        if (!bd_is_zero(core->delegates.seen[i].dismissed) &&
+            bd_between(core->delegates.seen[i].dismissed, core->now) < AWAY_S)
+            (void)json_array_append_new(list,
+                                        json_stringn(core->delegates.seen[i].key,
+                                                     strcspn(core->delegates.seen[i].key, "/")));
     return list;
 }
 
@@ -88,7 +89,7 @@
     size_t i;
     if (core->role != BD_LEADER)
         return;
-    bool gap = bd_between(core->delegates_read, sent) > GAP_S;
+    bool gap = bd_between(core->delegates.read_at, sent) > GAP_S;
     struct timespec end = bd_lease_end(core, bd_add(core->now, bd_secs(DELEGATE_FRESH_S)));
     for (uint32_t k = 0; k < core->nmachines; k++) {
         struct bd_machine *machine = core->by_index[k];
@@ -105,5 +106,5 @@
     for (uint32_t k = 0; k < core->nmachines; k++)
         if (core->by_index[k]->delegated)
             core->by_index[k]->lapse_at = bd_max(core->by_index[k]->lapse_at, end);
-    core->delegates_read = sent;
+    core->delegates.read_at = sent;
 }
--- a/src/dependencies.c
+++ b/src/dependencies.c
@@ -26,7 +26,7 @@
 static struct bd_prerequisite *prerequisite_of(struct bd_core *core, const char *id)
 {
     struct bd_prerequisite *n = NULL;
-    HASH_FIND_STR(core->prerequisites, id, n);
+    HASH_FIND_STR(core->graph.prerequisites, id, n);
     if (n)
         return n;
     n = calloc(1, sizeof *n);
@@ -37,8 +37,8 @@
     if (n->job)
         n->job->prerequisite = n;
     else
-        core->nunseen++;
-    HASH_ADD_STR(core->prerequisites, id, n);
+        core->graph.nunseen++;
+    HASH_ADD_STR(core->graph.prerequisites, id, n);
     return n;
 }
 
@@ -47,8 +47,8 @@
     if (prerequisite->job)
         prerequisite->job->prerequisite = NULL;
     else
-        core->nunseen--;
-    HASH_DEL(core->prerequisites, prerequisite);
+        core->graph.nunseen--;
+    HASH_DEL(core->graph.prerequisites, prerequisite);
     free(prerequisite);
 }
 
@@ -66,7 +66,7 @@
     free(job->dependencies);
     job->dependencies = NULL;
     job->ndependencies = job->open = job->parts = 0;
-    core->weigh = true;
+    core->graph.weigh = true;
 }
 
 static void one_less(struct bd_core *core, struct bd_job *job, double end)
@@ -77,7 +77,7 @@
     release(core, job);
     bd_say(core->log, BD_INFO, "%s is ready, %.1f s after its submission", job->id,
            core->wall - job->at);
-    core->round_wanted = true;
+    core->lead.round_wanted = true;
 }
 
 static void derive_cancelled(struct bd_core *core, struct bd_job *job)
@@ -85,7 +85,7 @@
     release(core, job);
     bd_job_set_state(core, job, BD_CANCELLED);
     job->derived = true;
-    core->nderived++;
+    core->graph.nderived++;
 }
 
 /* The job is done or cancelled: those that wait for it go on or are cancelled too, and with them
@@ -117,19 +117,19 @@
         if (prerequisite)
             drop_prerequisite(core, prerequisite);
     }
-    core->weigh = true;
+    core->graph.weigh = true;
 }
 
 /* A job's record is there now. */
 void bd_deps_seen(struct bd_core *core, struct bd_job *job)
 {
     struct bd_prerequisite *prerequisite = NULL;
-    HASH_FIND_STR(core->prerequisites, job->id, prerequisite);
+    HASH_FIND_STR(core->graph.prerequisites, job->id, prerequisite);
     if (!prerequisite || prerequisite->job)
         return;
     prerequisite->job = job;
     job->prerequisite = prerequisite;
-    core->nunseen--;
+    core->graph.nunseen--;
 }
 
 /* One more that the job waits for. True: that one is cancelled. */
@@ -171,7 +171,7 @@
         else /* what cannot be read is never known to be done */
             job->open++;
     }
-    core->weigh = true;
+    core->graph.weigh = true;
     if (!cancelled) {
         one_less(core, job, job->ready);
         return;
@@ -191,13 +191,13 @@
     struct bd_prerequisites_part *p = NULL;
     char key[BD_LABEL + BD_HASH];
     part_key(key, sizeof key, job->id, job->parts_of, n);
-    HASH_FIND_STR(core->parts, key, p);
+    HASH_FIND_STR(core->graph.parts, key, p);
     return p;
 }
 
 static void drop_part(struct bd_core *core, struct bd_prerequisites_part *p)
 {
-    HASH_DEL(core->parts, p);
+    HASH_DEL(core->graph.parts, p);
     json_decref(p->names);
     free(p);
 }
@@ -234,14 +234,14 @@
     struct bd_job *job = bd_job_find(core, id);
     if (job && !job->parts)
         return; /* complete, or final */
-    HASH_FIND_STR(core->parts, key, p);
+    HASH_FIND_STR(core->graph.parts, key, p);
     if (!p) {
         p = calloc(1, sizeof *p);
         if (!p)
             abort();
         snprintf(p->key, sizeof p->key, "%s", key);
         p->names = json_deep_copy(names);
-        HASH_ADD_STR(core->parts, key, p);
+        HASH_ADD_STR(core->graph.parts, key, p);
     }
     if (job)
         put_together(core, job);
@@ -267,7 +267,7 @@
 
 void bd_deps_written(struct bd_core *core, struct bd_job *job)
 {
-    core->nderived -= job->derived;
+    core->graph.nderived -= job->derived;
     job->derived = false;
 }
 
@@ -287,7 +287,7 @@
 
 static void start_weighing(struct bd_core *core, struct bd_job **work)
 {
-    for (struct bd_prerequisite *prerequisite = core->prerequisites; prerequisite;
+    for (struct bd_prerequisite *prerequisite = core->graph.prerequisites; prerequisite;
          prerequisite = prerequisite->hh.next)
         prerequisite->left = prerequisite->nafter;
     for (struct bd_job *job = core->jobs; job; job = job->hh.next) {
@@ -308,9 +308,9 @@
 void bd_core_weigh(struct bd_core *core)
 {
     struct bd_job *work = NULL;
-    if (!core->weigh)
+    if (!core->graph.weigh)
         return;
-    core->weigh = false;
+    core->graph.weigh = false;
     start_weighing(core, &work);
     while (work) {
         struct bd_job *job = work;
@@ -337,10 +337,11 @@
 void bd_deps_tick(struct bd_core *core)
 {
     uint32_t asked = 0;
-    if (core->nunseen == 0 || !core->replica_ready || bd_before(core->now, core->next_unseen))
+    if (core->graph.nunseen == 0 || !core->replica.ready ||
+        bd_before(core->now, core->graph.next_unseen))
         return;
-    core->next_unseen = bd_add(core->now, bd_secs(UNSEEN_S));
-    for (struct bd_prerequisite *prerequisite = core->prerequisites;
+    core->graph.next_unseen = bd_add(core->now, bd_secs(UNSEEN_S));
+    for (struct bd_prerequisite *prerequisite = core->graph.prerequisites;
          prerequisite && asked < UNSEEN_MOST; prerequisite = prerequisite->hh.next) {
         if (prerequisite->job ||
             (!bd_is_zero(prerequisite->asked_at) &&
@@ -353,19 +354,19 @@
         asked++;
     }
     if (asked == UNSEEN_MOST)
-        core->next_unseen = core->now;
+        core->graph.next_unseen = core->now;
 }
 
 void bd_deps_free(struct bd_core *core)
 {
     struct bd_prerequisite *prerequisite, *nt;
     struct bd_prerequisites_part *p, *pt;
-    HASH_ITER(hh, core->prerequisites, prerequisite, nt)
+    HASH_ITER(hh, core->graph.prerequisites, prerequisite, nt)
     {
-        HASH_DEL(core->prerequisites, prerequisite);
+        HASH_DEL(core->graph.prerequisites, prerequisite);
         free(prerequisite);
     }
-    HASH_ITER(hh, core->parts, p, pt)
+    HASH_ITER(hh, core->graph.parts, p, pt)
     {
         drop_part(core, p);
     }
--- /dev/null
+++ b/src/effect.h
@@ -0,0 +1,48 @@
+/* What the core wants done, for the adapters. */
+#ifndef BD_EFFECT_H
+#define BD_EFFECT_H
+#include "wire.h"
+
+/* What a request is to the core: the API server's own, or one that another controller passed on.
+ * Both begin alike, so that a reply finds its way. */
+struct bd_remote {
+    bool remote;
+    int peer;
+    uint64_t id;
+};
+
+enum bd_effect_kind {
+    BD_E_REPLY,
+    BD_E_USER_COMMIT,
+    BD_E_COMMIT,
+    BD_E_DO,
+    BD_E_PROVISION,
+    BD_E_RETURN,
+    BD_E_BARRIER,
+    BD_E_LOST, /* the term is over; status: BD_LOST_... */
+    BD_E_DELEGATE,
+    BD_E_LOOKUP,   /* one job's record: request, key is the id, status is how it was asked */
+    BD_E_FORWARD,  /* a report to the leader */
+    BD_E_ANSWER,   /* the answer to a forwarded one */
+    BD_E_CANCELLED /* a cancellation was confirmed: key is the job's id */
+};
+
+enum { BD_LOST_TAKEN, BD_LOST_GIVEN_UP }; /* given up: the grant still lives and is to be ended */
+
+struct bd_effect {
+    enum bd_effect_kind kind;
+    void *request;   /* REPLY, USER_COMMIT */
+    int status;      /* REPLY; USER_COMMIT, LOOKUP: how it was asked */
+    int retry_after; /* REPLY: 0 none */
+    char key[BD_LABEL];
+    char *body;
+    char addr[BD_LABEL]; /* DO */
+    uint64_t token;      /* DO */
+    uint32_t machine;    /* DO */
+    bool launch;         /* DO: launches are among the commands */
+    uint64_t sequence;   /* COMMIT; key is the term */
+    uint64_t forward_id; /* FORWARD, ANSWER */
+    int peer;            /* FORWARD, ANSWER: to whom */
+    struct bd_effect *next;
+};
+#endif
--- a/src/effects.c
+++ b/src/effects.c
@@ -111,7 +111,7 @@
     if (sends)
         bd_transport_flush(node);
     atomic_store(&node->leading, node->core->role == BD_LEADER);
-    atomic_store(&node->store_revision, node->core->store_revision);
+    atomic_store(&node->store_revision, node->core->replica.store_revision);
     atomic_store(&node->up, bd_core_up(node->core));
     atomic_store(&node->types_known, node->core->types_known);
 }
--- a/src/event_loop.c
+++ b/src/event_loop.c
@@ -237,7 +237,7 @@
     case BD_C_COMMITTED:
         /* an answer to an earlier term's transaction says nothing about ours */
         bd_metrics_time(node->metrics, BD_TIMING_COMMIT, bd_between(node->commit_sent, core->now));
-        if (command->term == core->base_term && command->number == core->sequence)
+        if (command->term == core->lead.base_term && command->number == core->lead.sequence)
             bd_core_committed(core, command->outcome, command->store_revision,
                               bd_wire_failed(command->json));
         break;
@@ -271,16 +271,16 @@
     if (bd_before(core->now, node->next_status))
         return;
     node->next_status = bd_add(core->now, bd_secs(STATUS_S));
-    double age = bd_between(core->refreshed_at, core->now);
+    double age = bd_between(core->replica.refreshed_at, core->now);
     (void)pthread_mutex_lock(&node->status_lock);
-    node->status.term = core->role == BD_LEADER ? core->term : 0;
+    node->status.term = core->role == BD_LEADER ? core->lead.term : 0;
     node->status.flags = core->role == BD_LEADER ? BD_PEER_LEADS : 0;
     node->status.flags |= BD_PEER_DEPS | BD_PEER_NEWS;
     if (bd_core_hears_leader(core))
         node->status.flags |= BD_PEER_HEARS;
-    if (core->role == BD_LEADER && core->inbound_cut)
+    if (core->role == BD_LEADER && core->lead.inbound_cut)
         node->status.flags |= BD_PEER_INBOUND_CUT;
-    if (age < 1.0 && core->replica_ready)
+    if (age < 1.0 && core->replica.ready)
         node->status.flags |= BD_PEER_STATE;
     if (bd_core_cut(core))
         node->status.flags |= BD_PEER_CUT;
@@ -301,7 +301,7 @@
 static void gain(struct bd_node *node)
 {
     struct bd_cmd *g = node->pending_gain;
-    if (!g || !node->core->replica_ready || node->core->store_revision < g->gain.term)
+    if (!g || !node->core->replica.ready || node->core->replica.store_revision < g->gain.term)
         return;
     node->pending_gain = NULL;
     g->gain.nonce = g->name;
@@ -314,9 +314,9 @@
 static void tick(struct bd_node *node)
 {
     struct timespec began = bd_now();
-    bool under_way = node->core->commit != NULL;
+    bool under_way = node->core->lead.commit != NULL;
     bd_core_tick(node->core);
-    if (!under_way && node->core->commit)
+    if (!under_way && node->core->lead.commit)
         bd_metrics_time(node->metrics, BD_TIMING_ROUND, bd_between(began, bd_now()));
 }
 
--- a/src/forwarding.c
+++ b/src/forwarding.c
@@ -35,12 +35,12 @@
 static bool came_back(struct bd_core *core, const char *id)
 {
     struct bd_away *a = NULL;
-    HASH_FIND_STR(core->sent_away, id, a);
+    HASH_FIND_STR(core->forwarding.sent_away, id, a);
     if (!a)
         return false;
     double ago = bd_between(a->at, core->now);
     if (ago > (a->back ? BACK_HOLDS_S : BACK_S)) {
-        HASH_DEL(core->sent_away, a);
+        HASH_DEL(core->forwarding.sent_away, a);
         free(a);
         return false;
     }
@@ -53,12 +53,12 @@
 static void remember_away(struct bd_core *core, const char *id)
 {
     struct bd_away *a = NULL;
-    HASH_FIND_STR(core->sent_away, id, a);
+    HASH_FIND_STR(core->forwarding.sent_away, id, a);
     if (a)
-        HASH_DEL(core->sent_away, a); /* the newest are at the end */
-    else if (HASH_COUNT(core->sent_away) >= BD_SENT_AWAY) {
-        a = core->sent_away;
-        HASH_DEL(core->sent_away, a);
+        HASH_DEL(core->forwarding.sent_away, a); /* the newest are at the end */
+    else if (HASH_COUNT(core->forwarding.sent_away) >= BD_SENT_AWAY) {
+        a = core->forwarding.sent_away;
+        HASH_DEL(core->forwarding.sent_away, a);
     } else {
         a = calloc(1, sizeof *a);
     }
@@ -67,15 +67,15 @@
     memset(a, 0, sizeof *a);
     snprintf(a->id, sizeof a->id, "%s", id);
     a->at = core->now;
-    HASH_ADD_STR(core->sent_away, id, a);
+    HASH_ADD_STR(core->forwarding.sent_away, id, a);
 }
 
 void bd_forward_end(struct bd_core *core)
 {
     struct bd_away *a, *next;
-    HASH_ITER(hh, core->sent_away, a, next)
+    HASH_ITER(hh, core->forwarding.sent_away, a, next)
     {
-        HASH_DEL(core->sent_away, a);
+        HASH_DEL(core->forwarding.sent_away, a);
         free(a);
     }
 }
@@ -115,8 +115,8 @@
     if (came_back(core, report->machine))
         return true;
     if (core->peers[peer].flags & BD_PEER_INBOUND_CUT)
-        core->inbound_cut_until = bd_add(core->now, bd_secs(INBOUND_CUT_S));
-    if (bd_before(core->now, core->inbound_cut_until))
+        core->forwarding.inbound_cut_until = bd_add(core->now, bd_secs(INBOUND_CUT_S));
+    if (bd_before(core->now, core->forwarding.inbound_cut_until))
         return true;
     return strcmp(report->zone, core->settings->zone) == 0 &&
            (!bd_peer_near(core, peer) || zone_silent(core));
@@ -143,7 +143,8 @@
 static uint32_t waiting(const struct bd_core *core)
 {
     uint32_t n = 0;
-    for (const struct bd_forward *forward = core->forwards; forward; forward = forward->next)
+    for (const struct bd_forward *forward = core->forwarding.waiting; forward;
+         forward = forward->next)
         n++;
     return n;
 }
@@ -179,12 +180,12 @@
     struct bd_forward *f = calloc(1, sizeof *f);
     if (!f)
         return false;
-    f->id = ++core->forward_n;
+    f->id = ++core->forwarding.last_id;
     f->request = request;
     f->report = bd_report_copy(report);
     f->until = bd_add(core->now, bd_secs(ANSWER_S));
-    f->next = core->forwards;
-    core->forwards = f;
+    f->next = core->forwarding.waiting;
+    core->forwarding.waiting = f;
     struct bd_effect *effect = bd_emit(core, BD_E_FORWARD);
     effect->peer = peer;
     effect->forward_id = f->id;
@@ -240,7 +241,7 @@
 
 void bd_core_answered(struct bd_core *core, uint64_t id, int status, const char *body, size_t len)
 {
-    struct bd_forward **at = &core->forwards;
+    struct bd_forward **at = &core->forwarding.waiting;
     while (*at && (*at)->id != id)
         at = &(*at)->next;
     struct bd_forward *forward = *at;
@@ -256,7 +257,7 @@
 
 void bd_forward_tick(struct bd_core *core)
 {
-    struct bd_forward **at = &core->forwards;
+    struct bd_forward **at = &core->forwarding.waiting;
     while (*at) {
         struct bd_forward *forward = *at;
         if (bd_before(core->now, forward->until)) {
@@ -307,5 +308,5 @@
         known++;
         silent += ago > late;
     }
-    core->inbound_cut = known >= INBOUND_CUT_LEAST && silent >= INBOUND_CUT_SHARE * known;
+    core->lead.inbound_cut = known >= INBOUND_CUT_LEAST && silent >= INBOUND_CUT_SHARE * known;
 }
--- a/src/gathering.c
+++ b/src/gathering.c
@@ -189,7 +189,7 @@
         target_take(took[n], what[n], -1);
         took[n]->fetches = fetched[n];
     }
-    return all && (!slow || away <= g->core->moves_s);
+    return all && (!slow || away <= g->core->cloud.moves_s);
 }
 
 /* All tasks leave the machine at once: a job that was moved is not settled for a while. Returns for
@@ -221,13 +221,13 @@
 /* What moves may keep replicas away comes as time goes on, and is spent a machine at a time. */
 static void allow_moves(struct bd_core *core)
 {
-    double running = 0, passed = fmin(bd_between(core->moves_at, core->now), AWAY_KEPT_S);
+    double running = 0, passed = fmin(bd_between(core->cloud.moves_at, core->now), AWAY_KEPT_S);
     for (const struct bd_job *job = core->jobs; job; job = job->hh.next)
         running +=
             job->state == BD_LIVE && job->has_spec && job->spec.shape == BD_SERVICE ? job->nrun : 0;
     double rate = fmax(AWAY_LEAST_S, AWAY_SHARE * running);
-    core->moves_s = fmin(core->moves_s + rate * passed, rate * AWAY_KEPT_S);
-    core->moves_at = core->now;
+    core->cloud.moves_s = fmin(core->cloud.moves_s + rate * passed, rate * AWAY_KEPT_S);
+    core->cloud.moves_at = core->now;
 }
 
 /* Dear machines are emptied, those with the fewest services first; one that cannot be emptied now
@@ -237,7 +237,7 @@
     struct gathering g = {.core = core};
     look_round(&g);
     allow_moves(core);
-    for (uint32_t i = 0; i < g.nsources && core->moves_s > 0; i++) {
+    for (uint32_t i = 0; i < g.nsources && core->cloud.moves_s > 0; i++) {
         struct source *s = &g.sources[i];
         /* a machine full of services is worth emptying into cheap room only */
         double than =
@@ -245,7 +245,7 @@
         s->m->drain = false; /* new services may come if it is not to be emptied after all */
         if (is_target(&g, s->m) || !can_empty(&g, s, than))
             continue;
-        core->moves_s -= empty(&g, s, than);
+        core->cloud.moves_s -= empty(&g, s, than);
     }
     free(g.sources);
     free(g.targets);
--- a/src/grace.c
+++ b/src/grace.c
@@ -36,11 +36,11 @@
 /* Whether a cancellation that we do not know of still ends in time if we answer now. */
 bool bd_may_renew(const struct bd_core *core)
 {
-    return bd_in_grace(core, core->refreshed_at);
+    return bd_in_grace(core, core->replica.refreshed_at);
 }
 
 /* A launch is repeated until its task is seen; not while the job may be cancelled for long. */
 bool bd_may_launch(const struct bd_core *core)
 {
-    return bd_core_valid(core) && bd_between(core->refreshed_at, core->now) < KNOWN_S;
+    return bd_core_valid(core) && bd_between(core->replica.refreshed_at, core->now) < KNOWN_S;
 }
--- a/src/leadership.c
+++ b/src/leadership.c
@@ -16,7 +16,7 @@
 
 bool bd_core_valid(const struct bd_core *core)
 {
-    return core->role == BD_LEADER && bd_before(core->now, core->valid_until);
+    return core->role == BD_LEADER && bd_before(core->now, core->lead.valid_until);
 }
 
 bool bd_core_may_answer(const struct bd_core *core)
@@ -26,7 +26,7 @@
     if (bd_core_valid(core))
         return true;
     /* a new leader counts with our answers from our last renewal on */
-    return newer_leader(core) < 0 && !cut_alone(core) && bd_in_grace(core, core->renewed);
+    return newer_leader(core) < 0 && !cut_alone(core) && bd_in_grace(core, core->lead.renewed);
 }
 
 void bd_core_leader_is(struct bd_core *core, const char *name, uint64_t revision,
@@ -70,7 +70,7 @@
     const double behind = 1.5;
     for (int i = 0; i < core->settings->npeers; i++)
         if (bd_peer_heard(core, i, HEARD_S) && core->peers[i].flags & BD_PEER_STATE &&
-            bd_between(core->refreshed_at, core->peers[i].state_seen) > behind)
+            bd_between(core->replica.refreshed_at, core->peers[i].state_seen) > behind)
             return true;
     return false;
 }
@@ -79,7 +79,7 @@
 static int newer_leader(const struct bd_core *core)
 {
     for (int i = 0; i < core->settings->npeers; i++)
-        if (core->peers[i].term > core->term && bd_peer_heard(core, i, HEARD_S))
+        if (core->peers[i].term > core->lead.term && bd_peer_heard(core, i, HEARD_S))
             return i;
     return -1;
 }
@@ -97,7 +97,7 @@
 /* Neither the state service nor any other controller is heard: it is likely we who are cut off. */
 static bool quite_alone(const struct bd_core *core)
 {
-    if (core->settings->npeers == 0 || bd_between(core->refreshed_at, core->now) < ALONE_S)
+    if (core->settings->npeers == 0 || bd_between(core->replica.refreshed_at, core->now) < ALONE_S)
         return false;
     for (int i = 0; i < core->settings->npeers; i++)
         if (bd_peer_heard(core, i, ALONE_S))
@@ -107,14 +107,14 @@
 
 bool bd_core_up(const struct bd_core *core)
 {
-    return core->replica_ready && core->types_known && !cut_alone(core) && !quite_alone(core);
+    return core->replica.ready && core->types_known && !cut_alone(core) && !quite_alone(core);
 }
 
 /* The lease is renewed, but our refreshes of the records are refused while another controller's are
  * served: nothing could start until ours are served again. Another may start work at once. */
 void bd_core_give_up_if_blind(struct bd_core *core)
 {
-    if (!bd_core_valid(core) || bd_between(core->refreshed_at, core->now) < BLIND_S ||
+    if (!bd_core_valid(core) || bd_between(core->replica.refreshed_at, core->now) < BLIND_S ||
         !cut_alone(core))
         return;
     bd_say(core->log, BD_INFO,
@@ -127,7 +127,7 @@
 {
     if (core->role != BD_LEADER)
         return;
-    bd_say(core->log, BD_INFO, "term %llu is over", (unsigned long long)core->term);
+    bd_say(core->log, BD_INFO, "term %llu is over", (unsigned long long)core->lead.term);
     core->role = BD_FOLLOWER;
     if (strcmp(core->leader_name, core->settings->node) == 0)
         core->leader_name[0] = '\0';
@@ -147,23 +147,23 @@
     core->by_index = NULL;
     core->nmachines = core->cap_machines = 0;
     bd_rounds_free(core);
-    bd_commit_free(core->commit);
-    core->commit = NULL;
-    core->nprovisions = 0;
+    bd_commit_free(core->lead.commit);
+    core->lead.commit = NULL;
+    core->cloud.nprovisions = 0;
     memset(core->team_cpus, 0, sizeof core->team_cpus);
     memset(core->team_gpus, 0, sizeof core->team_gpus);
-    memset(core->pools, 0, sizeof core->pools);
-    memset(core->direct, 0, sizeof core->direct);
-    core->ndelegates = 0;
+    memset(core->cloud.pools, 0, sizeof core->cloud.pools);
+    memset(core->cloud.direct, 0, sizeof core->cloud.direct);
+    core->delegates.count = 0;
     (void)bd_emit(core, BD_E_LOST);
 }
 
 void bd_core_renewed(struct bd_core *core, uint64_t grant, struct timespec sent)
 {
-    if (core->role != BD_LEADER || grant != core->grant)
+    if (core->role != BD_LEADER || grant != core->lead.grant)
         return;
     struct timespec ttl = core->settings->leader_ttl;
     double valid = bd_to_secs(ttl) * (1 - DRIFT) - 0.1;
-    core->valid_until = bd_max(core->valid_until, bd_add(sent, bd_secs(valid)));
-    core->renewed = bd_max(core->renewed, sent);
+    core->lead.valid_until = bd_max(core->lead.valid_until, bd_add(sent, bd_secs(valid)));
+    core->lead.renewed = bd_max(core->lead.renewed, sent);
 }
--- /dev/null
+++ b/src/leadership.h
@@ -0,0 +1,63 @@
+/* The leader's term, its rounds and its transaction. */
+#ifndef BD_LEADERSHIP_H
+#define BD_LEADERSHIP_H
+#include "job.h"
+
+enum bd_role { BD_FOLLOWER, BD_LEADER };
+
+struct bd_intent {
+    struct bd_job *job;
+    uint32_t task, machine;
+    uint64_t attempt;
+};
+
+struct bd_round { /* one intent record in the state service */
+    char key[BD_LABEL];
+    struct bd_intent *e;
+    uint32_t n;
+};
+
+enum bd_outcome {
+    BD_COMMIT_APPLIED,
+    BD_COMMIT_REFUSED,   /* a condition failed: `failed` lists the keys */
+    BD_COMMIT_MALFORMED, /* not applied, and to be decided anew in smaller pieces */
+    BD_COMMIT_DEPOSED,   /* leadership is gone */
+    BD_COMMIT_UNKNOWN    /* to be sent again */
+};
+
+/* leadership */
+struct bd_gain {
+    uint64_t term, grant, sequence_revision, sequence;
+    const char *nonce;
+    struct timespec renewed; /* when the request that made the grant was sent */
+    bool clean;              /* taken over without waiting for the old grant's end */
+    json_t *receipts;        /* arrays of pairs */
+    json_t *intents;
+};
+
+struct bd_commit;
+
+/* As leader. Owned by leadership.c, rounds.c, commit.c and recovery.c. */
+struct bd_leadership {
+    uint64_t base_term, term, grant; /* at acquisition; as raised since; of the leader's key */
+    char nonce[BD_LABEL];
+    uint64_t counter;        /* attempts */
+    uint64_t fenced_attempt; /* up to here all direct launches carried a lower token than ours */
+    uint32_t withheld;       /* forgets that wait for a higher token, since it last rose */
+    struct timespec withheld_at; /* the first of them */
+    struct timespec valid_until, renewed;
+    struct timespec others_lapse; /* sessions renewed by earlier terms are over by then */
+    bool listed_once;             /* the cloud's list was read in this term */
+    uint64_t sequence_revision, sequence, round_n, request_n;
+    struct bd_commit *commit; /* the one transaction under way */
+    struct bd_round *rounds;
+    uint32_t nrounds, cap_rounds;
+    struct timespec next_round, next_fleet, next_gc, next_tick, last_token_raise, next_summary;
+    bool want_token_raise, round_wanted;
+    double write_tokens;
+    struct timespec token_at;
+    bool classes_said;      /* that there are more than spare room is kept for */
+    bool inbound_cut;       /* most workers are silent */
+    bool outbound_cut_many; /* so many seem not to hear us that it is rather us */
+};
+#endif
--- a/src/limits.c
+++ b/src/limits.c
@@ -65,8 +65,8 @@
     core->limits.write_rps = core->limits.write_rps * BUSY_SHARE;
     if (core->limits.write_rps < RATE_LEAST)
         core->limits.write_rps = RATE_LEAST;
-    if (core->write_tokens > 0)
-        core->write_tokens = 0;
+    if (core->lead.write_tokens > 0)
+        core->lead.write_tokens = 0;
     bd_say(core->log, BD_INFO, "the state service is asked too much: %.1f changes a second",
            core->limits.write_rps);
 }
--- a/src/machine_list.c
+++ b/src/machine_list.c
@@ -79,5 +79,5 @@
         take_listed(core, &l[i]);
     for (uint32_t i = 0; i < core->nmachines; i++)
         take_missing(core, core->by_index[i], asked);
-    core->listed_once = true;
+    core->lead.listed_once = true;
 }
--- a/src/orders.c
+++ b/src/orders.c
@@ -49,7 +49,7 @@
                 bd_orders_add(l, BD_HALT, job->id, i, task->attempt, grace_of(job, task));
         } else if (task->state == BD_T_LAUNCH && bd_may_launch(core) && job->state == BD_LIVE &&
                    !bd_cancel_heard(core, job) &&
-                   (!direct || task->attempt > core->fenced_attempt)) {
+                   (!direct || task->attempt > core->lead.fenced_attempt)) {
             bd_orders_add(l, BD_LAUNCH, job->id, i, task->attempt, 0);
             task->flags |= direct ? BD_F_SENT | BD_F_DO : BD_F_SENT | BD_F_TOLD;
             launch = true;
@@ -62,11 +62,11 @@
  * hang a sender. One is let through now and then. */
 static bool zone_closed(struct bd_core *core, const struct bd_machine *machine)
 {
-    if (machine->zone < 0 || core->direct[machine->zone].fails < ZONE_FAILS)
+    if (machine->zone < 0 || core->cloud.direct[machine->zone].fails < ZONE_FAILS)
         return false;
-    if (bd_before(core->now, core->direct[machine->zone].until))
+    if (bd_before(core->now, core->cloud.direct[machine->zone].until))
         return true;
-    core->direct[machine->zone].until = bd_add(core->now, bd_secs(ZONE_PROBE_S));
+    core->cloud.direct[machine->zone].until = bd_add(core->now, bd_secs(ZONE_PROBE_S));
     return false;
 }
 
@@ -83,10 +83,10 @@
         return;
     struct bd_effect *effect = bd_emit(core, BD_E_DO);
     effect->machine = machine->index;
-    effect->token = core->term;
+    effect->token = core->lead.term;
     effect->launch = launch;
     snprintf(effect->addr, sizeof effect->addr, "%s", machine->addr);
-    effect->body = bd_wire_orders(core->term, machine->session, l.o, l.n);
+    effect->body = bd_wire_orders(core->lead.term, machine->session, l.o, l.n);
     machine->do_busy = true;
     machine->do_since = core->now;
     free(l.o);
--- a/src/place.c
+++ b/src/place.c
@@ -99,7 +99,7 @@
 static uint32_t harmless(const struct bd_core *core, const struct bd_spec *spec,
                          const struct bd_machine *machine, uint32_t most)
 {
-    const struct bd_spec *g = &core->gpu_wanted[machine->type][machine->spot];
+    const struct bd_spec *g = &core->cloud.gpu_wanted[machine->type][machine->spot];
     const struct bd_type *type = &core->types[machine->type];
     if (spec->gpus > 0 || g->gpus <= 0)
         return most;
@@ -117,7 +117,8 @@
 static bool known_use(const struct bd_core *core, const struct bd_machine *machine)
 {
     return core->types[machine->type].gpus <= 0 ||
-           core->gpu_wanted[machine->type][machine->spot].gpus > 0 || machine->pinned_cpus > 0;
+           core->cloud.gpu_wanted[machine->type][machine->spot].gpus > 0 ||
+           machine->pinned_cpus > 0;
 }
 
 /* As bd_fetch_s, with what the round has planned there already. */
@@ -386,7 +387,7 @@
     bool gang = job->spec.shape == BD_GANG, above = job->rank > BD_IDLE;
     if (r->conds >= r->most_conds || want == 0 || (gang && want < job->ntasks))
         return;
-    uint64_t attempt = (r->core->base_term << 20) + r->core->counter + 1;
+    uint64_t attempt = (r->core->lead.base_term << 20) + r->core->lead.counter + 1;
     know_prices(r, job);
     if (gang && waits_for_image(r, job))
         return;
@@ -402,7 +403,7 @@
             want -= bd_preempt(r, job, want - got, true);
         got += got < want ? fill(r, job, want - got, attempt, true) : 0;
     }
-    r->core->counter += got > 0;
+    r->core->lead.counter += got > 0;
     r->conds += got > 0;
     if (got >= want || !above || bd_before(r->core->now, job->next_force))
         return;
@@ -414,23 +415,24 @@
 /* For each kind of machine the largest GPU task that some live job could put there. */
 static void gpu_demand(struct bd_core *core, struct bd_job **jobs, uint32_t n)
 {
-    memset(core->gpu_wanted, 0, sizeof core->gpu_wanted);
-    core->gpu_waiting = false;
+    memset(core->cloud.gpu_wanted, 0, sizeof core->cloud.gpu_wanted);
+    core->cloud.gpu_waiting = false;
     for (uint32_t i = 0; i < n; i++) {
         const struct bd_spec *spec = &jobs[i]->spec;
-        core->gpu_waiting |= spec->gpus > 0 && jobs[i]->nwait > 0 && quota_left(core, spec, 1) > 0;
+        core->cloud.gpu_waiting |=
+            spec->gpus > 0 && jobs[i]->nwait > 0 && quota_left(core, spec, 1) > 0;
         for (int t = 0; spec->gpus > 0 && t < core->ntypes; t++)
             for (int spot = 0; spot < 2; spot++)
                 if (bd_type_allowed(spec, t) && (spec->spot || !spot) &&
                     spec->gpus <= core->types[t].gpus &&
-                    spec->gpus >= core->gpu_wanted[t][spot].gpus)
-                    core->gpu_wanted[t][spot] = *spec;
+                    spec->gpus >= core->cloud.gpu_wanted[t][spot].gpus)
+                    core->cloud.gpu_wanted[t][spot] = *spec;
     }
 }
 
 void bd_round_place(struct bd_core *core)
 {
-    struct round r = {.core = core, .k = core->commit, .only_zone = -1, .nstops = 1};
+    struct round r = {.core = core, .k = core->lead.commit, .only_zone = -1, .nstops = 1};
     r.njobs = bd_jobs_in_order(core, &r.jobs);
     gpu_demand(core, r.jobs, r.njobs);
     r.claimed = calloc(core->nmachines + 1, sizeof *r.claimed);
--- a/src/price.c
+++ b/src/price.c
@@ -93,7 +93,7 @@
     double can = patience(core, &job->spec), waited = core->wall - job->ready;
     if (isfinite(job->due_by)) /* what waits for it leaves it no more than that */
         can = fmin(can, fmax(0, bd_due_slack(core, job) - HOPE_S + waited));
-    bool yields = core->gpu_waiting && job->spec.gpus <= 0 && job->spec.shape == BD_ARRAY &&
+    bool yields = core->cloud.gpu_waiting && job->spec.gpus <= 0 && job->spec.shape == BD_ARRAY &&
                   job->rank <= BD_STANDARD;
     if (waited >= (yields ? fmax(can, YIELD_LEAST_S) : can))
         return BD_REACH_ANY;
--- a/src/provisioning.c
+++ b/src/provisioning.c
@@ -15,7 +15,7 @@
 
 struct bd_pool *bd_pool_of(struct bd_core *core, int type, int zone, bool spot)
 {
-    return &core->pools[type][zone][spot ? 1 : 0];
+    return &core->cloud.pools[type][zone][spot ? 1 : 0];
 }
 
 void bd_pool_back_off(struct bd_core *core, struct bd_pool *k)
@@ -28,15 +28,15 @@
                          char (*names)[BD_LABEL], int n)
 {
     int k = 0;
-    while (k < core->nprovisions && strcmp(core->provisions[k].request, request) != 0)
+    while (k < core->cloud.nprovisions && strcmp(core->cloud.provisions[k].request, request) != 0)
         k++;
-    if (core->role != BD_LEADER || k == core->nprovisions)
+    if (core->role != BD_LEADER || k == core->cloud.nprovisions)
         return;
-    struct bd_provision r = core->provisions[k];
-    core->provisions[k] = core->provisions[--core->nprovisions];
+    struct bd_provision r = core->cloud.provisions[k];
+    core->cloud.provisions[k] = core->cloud.provisions[--core->cloud.nprovisions];
     struct bd_pool *mk = bd_pool_of(core, r.type, r.zone, r.spot);
     mk->asked = false;
-    core->next_fleet = core->now; /* what was not filled is sought elsewhere at once */
+    core->lead.next_fleet = core->now; /* what was not filled is sought elsewhere at once */
     if (status != 200 || n < r.count)
         bd_pool_back_off(core, mk);
     else
@@ -78,13 +78,14 @@
 
 void bd_provision_request(struct bd_core *core, int type, int zone, bool spot, int count)
 {
-    if (core->nprovisions == (int)(sizeof core->provisions / sizeof *core->provisions))
+    if (core->cloud.nprovisions ==
+        (int)(sizeof core->cloud.provisions / sizeof *core->cloud.provisions))
         return;
-    struct bd_provision *r = &core->provisions[core->nprovisions++];
+    struct bd_provision *r = &core->cloud.provisions[core->cloud.nprovisions++];
     memset(r, 0, sizeof *r);
     /* never used again: the term is ours alone, and so is the number within it */
-    snprintf(r->request, sizeof r->request, "r-%llu-%llu", (unsigned long long)core->base_term,
-             (unsigned long long)++core->request_n);
+    snprintf(r->request, sizeof r->request, "r-%llu-%llu", (unsigned long long)core->lead.base_term,
+             (unsigned long long)++core->lead.request_n);
     bd_pool_of(core, type, zone, spot)->asked = true;
     r->type = type;
     r->zone = zone;
--- a/src/recovery.c
+++ b/src/recovery.c
@@ -84,9 +84,9 @@
 static void classify(struct bd_core *core)
 {
     uint32_t unknown = 0;
-    for (uint32_t r = 0; r < core->nrounds; r++) {
-        for (uint32_t k = 0; k < core->rounds[r].n; k++) {
-            struct bd_intent *e = &core->rounds[r].e[k];
+    for (uint32_t r = 0; r < core->lead.nrounds; r++) {
+        for (uint32_t k = 0; k < core->lead.rounds[r].n; k++) {
+            struct bd_intent *e = &core->lead.rounds[r].e[k];
             struct bd_task *task = &e->job->tasks[e->task];
             struct bd_machine *machine = bd_machine_of(core, e->machine);
             if (task->state != BD_T_WAIT || task->attempt != e->attempt || !machine)
@@ -99,7 +99,7 @@
         }
     }
     bd_say(core->log, BD_INFO, "term %llu: %u intent records, %u tasks to be accounted for",
-           (unsigned long long)core->base_term, core->nrounds, unknown);
+           (unsigned long long)core->lead.base_term, core->lead.nrounds, unknown);
 }
 
 void bd_core_gained(struct bd_core *core, const struct bd_gain *g)
@@ -109,24 +109,24 @@
     json_t *v;
     size_t i;
     core->role = BD_LEADER;
-    core->base_term = core->term = g->term;
-    core->grant = g->grant;
-    core->counter = 0;
-    core->fenced_attempt = g->term << 20; /* earlier terms' launches carried lower tokens */
-    core->withheld = 0;
-    core->round_n = 0;
-    core->request_n = 0;
-    core->sequence_revision = g->sequence_revision;
-    core->sequence = g->sequence;
-    core->listed_once = false;
-    snprintf(core->nonce, sizeof core->nonce, "%s", g->nonce);
+    core->lead.base_term = core->lead.term = g->term;
+    core->lead.grant = g->grant;
+    core->lead.counter = 0;
+    core->lead.fenced_attempt = g->term << 20; /* earlier terms' launches carried lower tokens */
+    core->lead.withheld = 0;
+    core->lead.round_n = 0;
+    core->lead.request_n = 0;
+    core->lead.sequence_revision = g->sequence_revision;
+    core->lead.sequence = g->sequence;
+    core->lead.listed_once = false;
+    snprintf(core->lead.nonce, sizeof core->lead.nonce, "%s", g->nonce);
     bd_core_leader_is(core, core->settings->node, g->term, g->renewed, false);
     bd_delegate_end(core);
-    core->delegates_read = core->now;
+    core->delegates.read_at = core->now;
     /* an earlier leader in its grace, or a delegate of one, may have answered until then */
     double rest = bd_grace_s(core->settings) - bd_to_secs(core->settings->leader_ttl);
     rest = rest > DELEGATE_FRESH_S ? rest : DELEGATE_FRESH_S;
-    core->others_lapse = bd_lease_end(core, bd_add(core->now, bd_secs(rest)));
+    core->lead.others_lapse = bd_lease_end(core, bd_add(core->now, bd_secs(rest)));
     HASH_ITER(hh, core->jobs, job, jt)
     {
         job->receipt_chunks = 0;
@@ -141,7 +141,7 @@
     }
     load_intents(core, g->intents);
     classify(core);
-    core->valid_until = core->renewed = g->renewed;
+    core->lead.valid_until = core->lead.renewed = g->renewed;
     bd_core_renewed(core, g->grant, g->renewed);
-    core->round_wanted = true;
+    core->lead.round_wanted = true;
 }
--- a/src/replica.c
+++ b/src/replica.c
@@ -50,7 +50,7 @@
     bd_deps_written(core, job);
     if (job->state == record->state)
         return;
-    job->end = record->end > 0 ? record->end : core->replica_ready ? core->wall : record->at;
+    job->end = record->end > 0 ? record->end : core->replica.ready ? core->wall : record->at;
     bd_job_set_state(core, job, record->state);
     bd_deps_settled(core, job);
 }
@@ -89,7 +89,7 @@
     take_state(core, job, &r);
     if (first && r.state == BD_LIVE)
         bd_deps_take(core, job, &r.prerequisites);
-    core->round_wanted = true;
+    core->lead.round_wanted = true;
 }
 
 #define NEWS_S 5.0 /* a cancellation that is only heard of counts so long */
@@ -142,7 +142,7 @@
                        BD_WAIT_CANCEL);
     else if (job)
         bd_answer_state(core, w->request, job);
-    else if (core->evicted)
+    else if (core->replica.evicted)
         look_up(core, w);
     else
         answer_none(core, w->request, w->how);
@@ -183,17 +183,17 @@
 {
     for (struct bd_job *job = core->jobs; job; job = job->hh.next)
         job->pinned = job->state == BD_LIVE || job->tasks || job->receipt_chunks || job->derived;
-    for (uint32_t r = 0; r < core->nrounds; r++)
-        for (uint32_t k = 0; k < core->rounds[r].n; k++)
-            core->rounds[r].e[k].job->pinned = true;
-    for (uint32_t k = 0; core->commit && k < core->commit->nplan; k++)
-        core->commit->plan[k].job->pinned = true;
-    for (uint32_t k = 0; core->commit && k < core->commit->nreceipts; k++)
-        core->commit->receipts[k].job->pinned = true;
-    for (uint32_t k = 0; core->commit && k < core->commit->ndone; k++)
-        core->commit->done[k]->pinned = true;
-    for (uint32_t k = 0; core->commit && k < core->commit->ncancelled; k++)
-        core->commit->cancelled[k]->pinned = true;
+    for (uint32_t r = 0; r < core->lead.nrounds; r++)
+        for (uint32_t k = 0; k < core->lead.rounds[r].n; k++)
+            core->lead.rounds[r].e[k].job->pinned = true;
+    for (uint32_t k = 0; core->lead.commit && k < core->lead.commit->nplan; k++)
+        core->lead.commit->plan[k].job->pinned = true;
+    for (uint32_t k = 0; core->lead.commit && k < core->lead.commit->nreceipts; k++)
+        core->lead.commit->receipts[k].job->pinned = true;
+    for (uint32_t k = 0; core->lead.commit && k < core->lead.commit->ndone; k++)
+        core->lead.commit->done[k]->pinned = true;
+    for (uint32_t k = 0; core->lead.commit && k < core->lead.commit->ncancelled; k++)
+        core->lead.commit->cancelled[k]->pinned = true;
 }
 
 void bd_core_evict(struct bd_core *core)
@@ -215,22 +215,23 @@
         json_decref(job->record_spec);
         free(job);
         count--;
-        core->evicted = true;
+        core->replica.evicted = true;
     }
 }
 
 void bd_core_followed(struct bd_core *core, uint64_t after, uint64_t store_revision,
                       struct timespec sent, bool barrier, bool ok)
 {
-    if (ok && after <= core->store_revision && store_revision > core->store_revision)
-        core->store_revision = store_revision;
+    if (ok && after <= core->replica.store_revision &&
+        store_revision > core->replica.store_revision)
+        core->replica.store_revision = store_revision;
     if (ok)
-        core->refreshed_at = bd_max(core->refreshed_at, sent);
+        core->replica.refreshed_at = bd_max(core->replica.refreshed_at, sent);
     if (!barrier)
         return;
-    core->barrier_out = false;
-    struct bd_wait *w = core->asked;
-    core->asked = NULL;
+    core->replica.barrier_out = false;
+    struct bd_wait *w = core->replica.asked;
+    core->replica.asked = NULL;
     while (w) {
         struct bd_wait *next = w->next;
         if (ok)
@@ -246,7 +247,7 @@
 
 void bd_core_relisted(struct bd_core *core, uint64_t store_revision, struct timespec sent)
 {
-    core->store_revision = store_revision;
-    core->replica_ready = true;
-    core->refreshed_at = bd_max(core->refreshed_at, sent);
+    core->replica.store_revision = store_revision;
+    core->replica.ready = true;
+    core->replica.refreshed_at = bd_max(core->replica.refreshed_at, sent);
 }
--- a/src/reports.c
+++ b/src/reports.c
@@ -103,10 +103,10 @@
 static void forget(struct bd_core *core, const struct bd_report *report,
                    const struct bd_seen_task *s, struct orders *l)
 {
-    if (s->attempt <= core->fenced_attempt && report->token >= core->term)
+    if (s->attempt <= core->lead.fenced_attempt && report->token >= core->lead.term)
         bd_orders_add(l, BD_FORGET, s->job, s->task, s->attempt, 0);
-    else if (core->withheld++ == 0)
-        core->withheld_at = core->now;
+    else if (core->lead.withheld++ == 0)
+        core->lead.withheld_at = core->now;
 }
 
 static void exited(struct bd_core *core, struct bd_machine *machine, struct bd_job *job,
@@ -279,10 +279,10 @@
     if (bd_between(machine->heard, core->now) > 2 * bd_to_secs(core->settings->report))
         machine->steady = core->now;
     machine->heard = core->now;
-    if (report->token < core->base_term)
+    if (report->token < core->lead.base_term)
         return true; /* an earlier term may still command it: no evidence yet */
     if (!machine->fenced)
-        core->round_wanted = true;
+        core->lead.round_wanted = true;
     machine->fenced = true;
     if (machine->late_token && report->token > machine->late_token && !machine->do_busy)
         exclude_late(machine);
@@ -300,8 +300,8 @@
         (void)bd_orders_owed(core, machine, l, false);
     machine->lapse_at = bd_lease_end(core, core->now);
     if (!machine->fenced) /* if this answer is lost, an earlier term may still renew it */
-        machine->lapse_at = bd_max(machine->lapse_at, core->others_lapse);
-    bd_reply(core, request, 200, bd_wire_orders(core->term, 0, l->o, l->n), 0);
+        machine->lapse_at = bd_max(machine->lapse_at, core->lead.others_lapse);
+    bd_reply(core, request, 200, bd_wire_orders(core->lead.term, 0, l->o, l->n), 0);
 }
 
 /* A worker has one check-in under way and numbers them upwards; one that is not newer than the
@@ -344,7 +344,7 @@
     struct bd_machine *machine = NULL;
     bool direct = via < 0;
     if (report->token >
-        core->term) { /* it would drop our answer and stay here until its lease is over */
+        core->lead.term) { /* it would drop our answer and stay here until its lease is over */
         if (!bd_core_valid(core))
             bd_core_lost(core);
         bd_reply(core, request, 421, bd_wire_redirect(""), 0);
@@ -417,7 +417,7 @@
         pause *= 2;
     machine->do_fails++;
     if (machine->zone >= 0)
-        core->direct[machine->zone].fails++;
+        core->cloud.direct[machine->zone].fails++;
     machine->outbound_cut = true; /* nothing new for it until it shows that it hears */
     machine->do_after = bd_add(core->now, bd_secs(pause));
 }
@@ -433,14 +433,14 @@
         known++;
         outbound_cut += machine->outbound_cut;
     }
-    core->outbound_cut_many = outbound_cut > OUTBOUND_CUT_SHARE * known;
+    core->lead.outbound_cut_many = outbound_cut > OUTBOUND_CUT_SHARE * known;
 }
 
 void bd_core_did(struct bd_core *core, uint32_t machine, uint64_t token, bool launch, long status,
                  const struct bd_report *report)
 {
     struct bd_machine *m = bd_machine_of(core, machine);
-    if (core->role != BD_LEADER || !m || token < core->base_term)
+    if (core->role != BD_LEADER || !m || token < core->lead.base_term)
         return;
     m->do_busy = false;
     bool answered = report && (status == 200 || status == 409);
@@ -453,7 +453,7 @@
     m->do_fails = 0;
     m->outbound_cut = false;
     if (m->zone >= 0)
-        core->direct[m->zone].fails = 0;
+        core->cloud.direct[m->zone].fails = 0;
     if (strcmp(report->machine, m->id) != 0) {
         direct_failed(core, m); /* the address serves another machine now */
         return;
--- a/src/rounds.c
+++ b/src/rounds.c
@@ -33,7 +33,7 @@
             continue;
         /* a delegate may have answered it: a refresh begun after the lease's end must not show it
          */
-        if (machine->delegated || bd_before(core->delegates_read, machine->lapse_at))
+        if (machine->delegated || bd_before(core->delegates.read_at, machine->lapse_at))
             continue;
         bd_say(core->log, BD_INFO, "%s: lease over, %u tasks lost", machine->id, machine->nrefs);
         machine->lapsed_session = machine->session;
@@ -45,35 +45,36 @@
 
 static void late_launches(struct bd_core *core)
 {
-    for (uint32_t i = 0; i < core->nmachines && !core->want_token_raise; i++) {
+    for (uint32_t i = 0; i < core->nmachines && !core->lead.want_token_raise; i++) {
         struct bd_machine *machine = core->by_index[i];
-        if (!machine->late_token || machine->late_token < core->term || machine->gone ||
+        if (!machine->late_token || machine->late_token < core->lead.term || machine->gone ||
             bd_between(machine->do_since, core->now) < TOKEN_RAISE_AFTER_S ||
             bd_between(machine->heard, core->now) > 2 * bd_to_secs(core->settings->report))
             continue;
         for (uint32_t k = 0; k < machine->nrefs; k++)
             if (machine->refs[k].job->tasks[machine->refs[k].task].flags & BD_F_DO)
-                core->want_token_raise =
-                    bd_between(core->last_token_raise, core->now) > TOKEN_RAISE_EVERY_S;
+                core->lead.want_token_raise =
+                    bd_between(core->lead.last_token_raise, core->now) > TOKEN_RAISE_EVERY_S;
     }
 }
 
 static void forgets_due(struct bd_core *core)
 {
-    if (core->withheld && (bd_between(core->withheld_at, core->now) > FORGET_RAISE_S ||
-                           (core->withheld > WITHHELD_MOST &&
-                            bd_between(core->last_token_raise, core->now) > TOKEN_RAISE_EVERY_S)))
-        core->want_token_raise = true;
+    if (core->lead.withheld &&
+        (bd_between(core->lead.withheld_at, core->now) > FORGET_RAISE_S ||
+         (core->lead.withheld > WITHHELD_MOST &&
+          bd_between(core->lead.last_token_raise, core->now) > TOKEN_RAISE_EVERY_S)))
+        core->lead.want_token_raise = true;
 }
 
 static void tokens(struct bd_core *core)
 {
     double rate = core->limits.write_rps * WRITE_SHARE;
     bd_limits_tick(core);
-    core->write_tokens += rate * bd_between(core->token_at, core->now);
-    if (core->write_tokens > rate)
-        core->write_tokens = rate;
-    core->token_at = core->now;
+    core->lead.write_tokens += rate * bd_between(core->lead.token_at, core->now);
+    if (core->lead.write_tokens > rate)
+        core->lead.write_tokens = rate;
+    core->lead.token_at = core->now;
 }
 
 /* A round looks at each machine for each waiting job: with many of both, rounds are rarer, so that
@@ -91,31 +92,32 @@
 
 static void round_now(struct bd_core *core)
 {
-    if (core->commit || bd_before(core->now, core->next_round) || core->write_tokens < 2)
+    if (core->lead.commit || bd_before(core->now, core->lead.next_round) ||
+        core->lead.write_tokens < 2)
         return;
-    if (!core->round_wanted && !core->want_token_raise && core->nderived == 0 &&
-        bd_before(core->now, core->next_gc))
+    if (!core->lead.round_wanted && !core->lead.want_token_raise && core->graph.nderived == 0 &&
+        bd_before(core->now, core->lead.next_gc))
         return;
-    core->round_wanted = false;
-    core->next_round = bd_add(core->now, bd_secs(round_s(core)));
-    core->commit = calloc(1, sizeof *core->commit);
-    if (!core->commit)
+    core->lead.round_wanted = false;
+    core->lead.next_round = bd_add(core->now, bd_secs(round_s(core)));
+    core->lead.commit = calloc(1, sizeof *core->lead.commit);
+    if (!core->lead.commit)
         abort();
-    if (!core->want_token_raise)
+    if (!core->lead.want_token_raise)
         bd_round_place(core);
     bd_round_commit(core);
 }
 
 void bd_core_tick(struct bd_core *core)
 {
-    if (bd_before(core->next_evict, core->now)) {
-        core->next_evict = bd_add(core->now, bd_secs(EVICT_S));
+    if (bd_before(core->replica.next_evict, core->now)) {
+        core->replica.next_evict = bd_add(core->now, bd_secs(EVICT_S));
         bd_core_evict(core);
     }
-    if (!core->barrier_out && core->waiting) {
-        core->asked = core->waiting;
-        core->waiting = NULL;
-        core->barrier_out = true;
+    if (!core->replica.barrier_out && core->replica.waiting) {
+        core->replica.asked = core->replica.waiting;
+        core->replica.waiting = NULL;
+        core->replica.barrier_out = true;
         (void)bd_emit(core, BD_E_BARRIER);
     }
     bd_core_yield(core);
@@ -125,8 +127,8 @@
         bd_delegate_tick(core);
         return;
     }
-    if (bd_before(core->next_tick, core->now)) {
-        core->next_tick = bd_add(core->now, bd_secs(0.25));
+    if (bd_before(core->lead.next_tick, core->now)) {
+        core->lead.next_tick = bd_add(core->now, bd_secs(0.25));
         bd_forward_listen(core);
         lapses(core);
         late_launches(core);
@@ -137,18 +139,19 @@
     if (!bd_core_valid(core))
         return;
     tokens(core);
-    if (core->types_known && bd_before(core->next_fleet, core->now)) {
-        core->next_fleet = bd_add(core->now, bd_secs(1.0));
+    if (core->types_known && bd_before(core->lead.next_fleet, core->now)) {
+        core->lead.next_fleet = bd_add(core->now, bd_secs(1.0));
         bd_autoscaler_tick(core);
-        core->round_wanted = true; /* pauses run out without an event */
+        core->lead.round_wanted = true; /* pauses run out without an event */
     }
     round_now(core);
 }
 
 struct timespec bd_core_next(const struct bd_core *core)
 {
-    double s = core->forwards || core->delegate.nserved || core->delegate.asking ? 0.2 : 1.0;
+    double s =
+        core->forwarding.waiting || core->delegate.nserved || core->delegate.asking ? 0.2 : 1.0;
     if (core->role == BD_LEADER)
-        s = core->round_wanted && !core->commit ? ROUND_S : 0.25;
+        s = core->lead.round_wanted && !core->lead.commit ? ROUND_S : 0.25;
     return bd_add(core->now, bd_secs(s));
 }
--- a/src/standby.c
+++ b/src/standby.c
@@ -72,7 +72,7 @@
 
 bool bd_standby_answers(const struct bd_core *core, const struct bd_report *report)
 {
-    return core->last_term && core->replica_ready && bd_core_cut(core) &&
+    return core->last_term && core->replica.ready && bd_core_cut(core) &&
            !bd_core_hears_leader(core) && in_time(core) && zone_of_ours(core, report) &&
            zone_agrees(core);
 }
--- a/src/tasks.c
+++ b/src/tasks.c
@@ -250,7 +250,7 @@
     task->flags = 0;
     task->sub = BD_FETCHING;
     bd_task_set(core, job, i, BD_T_WAIT);
-    core->round_wanted = true;
+    core->lead.round_wanted = true;
     if (job->spec.shape == BD_GANG && job->ntasks > 1 && was_sent && job->nlive > 0)
         gang_member_gone(core, job);
 }
@@ -264,7 +264,7 @@
     bd_task_set(core, job, i, BD_T_DONE);
     job->dirty = true;
     job->dirty_chunks |= 1u << (i / CHUNK);
-    core->round_wanted = true;
+    core->lead.round_wanted = true;
 }
 
 void bd_task_done(struct bd_core *core, struct bd_job *job, uint32_t i)
@@ -330,7 +330,7 @@
     m->notice_left = -1;
     m->known_at = m->idle_since = core->now;
     /* it may have been renewed by an earlier term that we cannot see */
-    m->lapse_at = core->others_lapse;
+    m->lapse_at = core->lead.others_lapse;
     core->by_index[core->nmachines++] = m;
     HASH_ADD_STR(core->machines, id, m);
     return m;
@@ -385,7 +385,8 @@
     return machine->type >= 0 && machine->zone >= 0 && core->types[machine->type].known &&
            machine->fenced && !machine->gone && !machine->returning && !machine->failed &&
            !machine->bad && machine->notice_left < 0 &&
-           (!machine->outbound_cut || core->outbound_cut_many) && !late(core, machine->heard) &&
+           (!machine->outbound_cut || core->lead.outbound_cut_many) &&
+           !late(core, machine->heard) &&
            /* one that answers directly while its check-ins reach nobody loses all with its lease */
            !late(core, machine->asked) && bd_before(machine->refuse_until, core->now);
 }
--- a/src/users.c
+++ b/src/users.c
@@ -29,7 +29,7 @@
  * told so at once. */
 bool bd_reachable(const struct bd_core *core)
 {
-    return core->replica_ready && bd_between(core->refreshed_at, core->now) < 2.0;
+    return core->replica.ready && bd_between(core->replica.refreshed_at, core->now) < 2.0;
 }
 
 void bd_core_get(struct bd_core *core, void *request, const char *id)
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -339,7 +339,8 @@
     }
     if (ok)
         w->seen[n] = w->store_revision;
-    bd_core_followed(w->c[n], after, w->store_revision, w->c[n]->now, w->c[n]->barrier_out, ok);
+    bd_core_followed(w->c[n], after, w->store_revision, w->c[n]->now, w->c[n]->replica.barrier_out,
+                     ok);
 }
 
 static void times(struct world *w)
@@ -652,7 +653,7 @@
     record(c, 0, "cancelled", -1, 2);
     for (int n = 0; n < 2 * MANY; n++)
         faults += n != MANY && job_of(c, n)->state != BD_CANCELLED;
-    faults += c->prerequisites != NULL || c->nderived != 2 * MANY - 2;
+    faults += c->graph.prerequisites != NULL || c->graph.nderived != 2 * MANY - 2;
     bd_core_free(c);
     if (faults)
         fprintf(stderr, "a large graph: %d faults\n", faults);
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -153,7 +153,7 @@
 /* One machine reports; the tasks that it holds are all running. */
 static void report(struct world *w, uint32_t i)
 {
-    struct bd_report r = {.session = 1, .seq = ++w->seq, .token = w->c->term, .notice = -1};
+    struct bd_report r = {.session = 1, .seq = ++w->seq, .token = w->c->lead.term, .notice = -1};
     struct bd_seen_task tasks[128];
     struct bd_machine *m = NULL;
     snprintf(r.machine, sizeof r.machine, "vm-%06u", i);
@@ -180,7 +180,7 @@
     at(w, w->now + 1.1);
     bd_core_renewed(w->c, 7, w->c->now);
     bd_core_tick(w->c);
-    if (w->c->commit)
+    if (w->c->lead.commit)
         bd_core_committed(w->c, BD_COMMIT_APPLIED, ++w->revision, NULL);
     drop_effects(w);
 }
@@ -274,7 +274,7 @@
         json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:n,s:o}", "hearth", machine, "endpoint", addr,
                   "breed", i % 5 ? "gpu" : "small", "glade", i % 2 ? "a" : "b", "windfall", 0,
                   "tenancy", (json_int_t)1, "tally", (json_int_t)seq, "seal",
-                  (json_int_t)w->c->term, "warningS", "chores", tasks);
+                  (json_int_t)w->c->lead.term, "warningS", "chores", tasks);
     char *text = json_dumps(o, JSON_COMPACT);
     json_decref(o);
     if (!text)
@@ -346,7 +346,8 @@
     CALLGRIND_TOGGLE_COLLECT;
     bd_core_get(w->c, NULL, id);
     bd_core_tick(w->c);
-    bd_core_followed(w->c, w->c->store_revision, w->c->store_revision, w->c->now, true, true);
+    bd_core_followed(w->c, w->c->replica.store_revision, w->c->replica.store_revision, w->c->now,
+                     true, true);
     CALLGRIND_TOGGLE_COLLECT;
     drop_effects(w);
 }
@@ -377,10 +378,11 @@
     (void)n;
     at(w, w->now + 1.1);
     bd_core_renewed(w->c, 7, w->c->now);
-    bd_core_followed(w->c, w->c->store_revision, w->c->store_revision, w->c->now, false, true);
+    bd_core_followed(w->c, w->c->replica.store_revision, w->c->replica.store_revision, w->c->now,
+                     false, true);
     CALLGRIND_TOGGLE_COLLECT;
     bd_core_tick(w->c);
-    if (w->c->commit)
+    if (w->c->lead.commit)
         bd_core_committed(w->c, BD_COMMIT_APPLIED, ++w->revision, NULL);
     CALLGRIND_TOGGLE_COLLECT;
     drop_effects(w);
@@ -390,11 +392,12 @@
 {
     char text[128];
     snprintf(text, sizeof text, "{\"ring\":%llu,\"log\":[]}",
-             (unsigned long long)w->c->store_revision);
+             (unsigned long long)w->c->replica.store_revision);
     (void)n;
     CALLGRIND_TOGGLE_COLLECT;
     json_t *o = json_loads(text, 0, NULL);
-    bd_core_followed(w->c, w->c->store_revision, bd_wire_store_revision(o), w->c->now, false, true);
+    bd_core_followed(w->c, w->c->replica.store_revision, bd_wire_store_revision(o), w->c->now,
+                     false, true);
     json_decref(o);
     CALLGRIND_TOGGLE_COLLECT;
 }
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -555,7 +555,7 @@
                               : strcmp(p->w[1], "lost") == 0  ? BD_COMMIT_DEPOSED
                               : strcmp(p->w[1], "large") == 0 ? BD_COMMIT_MALFORMED
                                                               : BD_COMMIT_REFUSED;
-    if (!p->c->commit)
+    if (!p->c->lead.commit)
         fail(p, "nothing is being committed");
     p->store_revision = p->store_revision < 1000 ? 1000 : p->store_revision + 1;
     bd_core_committed(p->c, outcome, p->store_revision, failed);
@@ -583,12 +583,12 @@
 {
     char names[WORDS][BD_LABEL];
     int n = 0;
-    if (p->c->nprovisions == 0) {
+    if (p->c->cloud.nprovisions == 0) {
         fail(p, "no rental is open");
         return;
     }
     char request[BD_LABEL];
-    snprintf(request, sizeof request, "%s", p->c->provisions[0].request);
+    snprintf(request, sizeof request, "%s", p->c->cloud.provisions[0].request);
     bool refused = strcmp(p->w[1], "refused") == 0;
     for (int i = 2; i < p->n; i++)
         snprintf(names[n++], BD_LABEL, "%s", p->w[i]);
@@ -698,8 +698,9 @@
 static void cmd_looked(struct play *p)
 {
     bool ok = p->n < 2 || strcmp(p->w[1], "fail") != 0;
-    bool barrier = p->c->barrier_out;
-    bd_core_followed(p->c, p->c->store_revision, p->c->store_revision + 1, p->c->now, barrier, ok);
+    bool barrier = p->c->replica.barrier_out;
+    bd_core_followed(p->c, p->c->replica.store_revision, p->c->replica.store_revision + 1,
+                     p->c->now, barrier, ok);
 }
 
 static void cmd_at(struct play *p)
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -197,7 +197,7 @@
 
 static void take_gain(struct sim *s, struct sim_node *n)
 {
-    if (!n->gained || !n->core->replica_ready || n->core->store_revision < n->gain.term)
+    if (!n->gained || !n->core->replica.ready || n->core->replica.store_revision < n->gain.term)
         return;
     n->gained = false;
     n->gain.nonce = n->nonce;
@@ -207,7 +207,7 @@
     n->gain.receipts = n->gain.intents = NULL;
     s->terms++;
     sim_copies_now(s);
-    sim_note(s, "%s leads, term %llu", n->settings.node, (unsigned long long)n->core->term);
+    sim_note(s, "%s leads, term %llu", n->settings.node, (unsigned long long)n->core->lead.term);
 }
 
 static void say_status(struct sim *s, struct sim_node *n)
@@ -216,16 +216,16 @@
     if (s->now < n->next_status)
         return;
     n->next_status = s->now + 0.3;
-    double age = bd_between(c->refreshed_at, c->now);
+    double age = bd_between(c->replica.refreshed_at, c->now);
     uint8_t flags = BD_PEER_DEPS;
     flags |= c->role == BD_LEADER ? BD_PEER_LEADS : 0;
     flags |= bd_core_hears_leader(c) ? BD_PEER_HEARS : 0;
-    flags |= c->role == BD_LEADER && c->inbound_cut ? BD_PEER_INBOUND_CUT : 0;
-    flags |= age < 1.0 && c->replica_ready ? BD_PEER_STATE : 0;
+    flags |= c->role == BD_LEADER && c->lead.inbound_cut ? BD_PEER_INBOUND_CUT : 0;
+    flags |= age < 1.0 && c->replica.ready ? BD_PEER_STATE : 0;
     flags |= bd_core_cut(c) ? BD_PEER_CUT : 0;
     for (int i = 0; i < n->settings.npeers; i++) {
         struct bd_frame *f = to_peer(s, n, i, BD_FRAME_STATUS, NULL)->data;
-        f->term = c->role == BD_LEADER ? c->term : 0;
+        f->term = c->role == BD_LEADER ? c->lead.term : 0;
         f->flags = flags;
         f->age_ms = age > 1e6 ? 1000000000u : (uint32_t)(age * 1000);
         f->at_ms = (uint64_t)(c->wall * 1000);
@@ -286,7 +286,7 @@
     if (c->then == THEN_LIST && status == 200) {
         changes(n, bd_wire_pairs(o, &ignored));
         bd_core_relisted(n->core, bd_wire_store_revision(o), c->sent);
-        n->after = n->core->store_revision;
+        n->after = n->core->replica.store_revision;
         n->list_again = false;
     } else if (c->then == THEN_REFRESH) {
         n->reads_refused = status != 200;
@@ -506,7 +506,7 @@
     struct bd_effect *e = n->commit;
     struct bd_core *c = n->core;
     n->commit = NULL;
-    if (strtoull(e->key, NULL, 10) == c->base_term && e->sequence == c->sequence)
+    if (strtoull(e->key, NULL, 10) == c->lead.base_term && e->sequence == c->lead.sequence)
         bd_core_committed(c, outcome, store_revision, bd_wire_failed(o));
     bd_effect_free(e);
     (void)s;
