--- a/src/api_server.c
+++ b/src/api_server.c
@@ -13,7 +13,6 @@
 #define BODY_MAX 65536u
 #define POOL_BYTES 6144u /* memory a connection keeps */
 #define IDLE_S 120u
-#define SOCKETS_KEPT 64   /* for our own connections, beside those for direct commands */
 #define BODY_SHARE 0.15   /* of the memory: bodies that are being received or decided */
 #define PENDING_LEAST 512 /* requests that wait for the owner, or half as many as sockets; */
 #define PENDING_USERS 0.6 /* ... beyond this share workers' reports only */
@@ -288,7 +287,7 @@
     if (!node->api_server)
         return -1;
     node->api_server->most_held = (size_t)(node->settings.ram_mb * BODY_SHARE * 1048576.0);
-    int own = SOCKETS_KEPT + bd_worker_client_sockets(&node->settings);
+    int own = BD_SOCKETS_OWN + bd_worker_client_sockets(&node->settings);
     int most = node->settings.max_sockets - own;
     node->api_server->daemon = MHD_start_daemon(
         MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, handle, node,
--- a/src/node.h
+++ b/src/node.h
@@ -104,6 +104,9 @@
 int bd_state_client_start(struct bd_node *node);
 int bd_election_start(struct bd_node *node);
 int bd_cloud_start(struct bd_node *node);
+/* sockets for our own connections, beside those to workers: other controllers, state service, cloud
+ */
+#define BD_SOCKETS_OWN 64
 int bd_worker_client_start(struct bd_node *node);
 /* A direct command; takes the effect over. The answer comes as BD_C_DID. */
 void bd_worker_client_send(struct bd_node *node, struct bd_effect *effect);
--- a/src/worker_client.c
+++ b/src/worker_client.c
@@ -17,7 +17,7 @@
 #define SENDERS_LEAST 6
 #define SENDERS_MOST 64
 #define SOCKETS_A_SENDER 80 /* of all: a hundred machines that hang at once hold up few others */
-#define KEEP_SHARE 0.3      /* of all sockets, for connections to workers */
+#define OWN_SHARE 0.35      /* of all sockets, for those that we open: to workers and all others */
 #define KEEP_LEAST 4
 #define QUEUE_CAP 1024
 #define IDLE_WAIT_S 5.0
@@ -48,7 +48,7 @@
 
 static int kept_connections(const struct bd_settings *settings)
 {
-    int n = (int)(KEEP_SHARE * settings->max_sockets) / sender_count(settings);
+    int n = ((int)(OWN_SHARE * settings->max_sockets) - BD_SOCKETS_OWN) / sender_count(settings);
     return n < KEEP_LEAST ? KEEP_LEAST : n;
 }
 
--- a/tests/fake_server.c
+++ b/tests/fake_server.c
@@ -1,5 +1,6 @@
 #include "fake_server.h"
 #include "http.h"
+#include "key_table.h"
 #include "timeutil.h"
 #include "wire.h"
 #include <arpa/inet.h>
@@ -9,7 +10,6 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define KEYS 4096
 #define WORKERS 12
 #define DOORS 3
 #define TASKS 64
@@ -17,18 +17,6 @@
 #define NO_ANSWER 0
 #define LEASE_S 6.0 /* as in the loopback test's settings */
 
-struct key {
-    char name[96];
-    json_t *value;
-    uint64_t revision, grant;
-};
-
-struct change {
-    char name[96];
-    json_t *value;
-    uint64_t revision;
-};
-
 struct task {
     char name[64];
     uint64_t attempt;
@@ -74,15 +62,14 @@
     double lost_share, late_share;
     unsigned dice;
     int nserved;
-    struct key keys[KEYS];
-    struct change log[32768];
+    struct key_table table;
     json_t *old[8]; /* transactions that applied, to come again as late copies */
     int nold, applied_again, copies;
-    int nkeys, nlog, ran_twice, starts, garbles, too_early, lapses;
+    int ran_twice, starts, garbles, too_early, lapses;
     size_t value_bytes, ops;
     int write_rps, writes, refused, busy;
     struct timespec second;
-    uint64_t store_revision, grants;
+    uint64_t grants;
     struct {
         uint64_t id;
         struct timespec ends;
@@ -176,51 +163,6 @@
 
 /* ---- state service ---- */
 
-static struct key *find_key(struct world *w, const char *name)
-{
-    for (int i = 0; i < w->nkeys; i++)
-        if (strcmp(w->keys[i].name, name) == 0)
-            return &w->keys[i];
-    return NULL;
-}
-
-static void note(struct world *w, const char *name, json_t *value)
-{
-    if (w->nlog == (int)(sizeof w->log / sizeof *w->log))
-        abort();
-    struct change *c = &w->log[w->nlog++];
-    snprintf(c->name, sizeof c->name, "%s", name);
-    c->value = json_incref(value);
-    c->revision = w->store_revision;
-}
-
-static void drop_key(struct world *w, const char *name)
-{
-    struct key *k = find_key(w, name);
-    if (!k)
-        return;
-    note(w, name, NULL);
-    json_decref(k->value);
-    *k = w->keys[--w->nkeys];
-}
-
-static void set_key(struct world *w, const char *name, json_t *value, uint64_t grant)
-{
-    struct key *k = find_key(w, name);
-    if (!k) {
-        if (w->nkeys == KEYS)
-            abort();
-        k = &w->keys[w->nkeys++];
-        memset(k, 0, sizeof *k);
-        snprintf(k->name, sizeof k->name, "%s", name);
-    }
-    json_decref(k->value);
-    k->value = json_incref(value);
-    k->revision = w->store_revision;
-    k->grant = grant;
-    note(w, name, value);
-}
-
 static void end_grants(struct world *w)
 {
     struct timespec now = bd_now();
@@ -229,20 +171,14 @@
             i++;
             continue;
         }
-        for (int k = 0; k < w->nkeys;) {
-            if (w->keys[k].grant != w->grant[i].id) {
-                k++;
-                continue;
-            }
-            w->store_revision++;
-            drop_key(w, w->keys[k].name);
-        }
+        table_end_grant(&w->table, w->grant[i].id);
         w->grant[i] = w->grant[--w->ngrants];
     }
 }
 
-static bool grant_lives(struct world *w, uint64_t id)
+static bool grant_lives(void *owner, uint64_t id)
 {
+    const struct world *w = owner;
     for (int i = 0; i < w->ngrants; i++)
         if (w->grant[i].id == id)
             return true;
@@ -291,46 +227,6 @@
     return 0;
 }
 
-static int commit(struct world *w, json_t *in, json_t **out)
-{
-    json_t *failed = json_array(), *v;
-    size_t i;
-    json_array_foreach(json_object_get(in, "if"), i, v)
-    {
-        const char *name = json_string_value(json_object_get(v, "k"));
-        struct key *k = find_key(w, name);
-        uint64_t want = (uint64_t)json_integer_value(json_object_get(v, "mark"));
-        if ((k ? k->revision : 0) != want)
-            json_array_append_new(failed, json_string(name));
-    }
-    json_array_foreach(json_object_get(in, "apply"), i, v)
-    {
-        json_t *g = json_object_get(v, "charter");
-        if (g && !grant_lives(w, (uint64_t)json_integer_value(g))) {
-            json_decref(failed);
-            *out = json_pack("{s:s}", "error", "no such lease");
-            return 400;
-        }
-    }
-    if (json_array_size(failed) > 0) {
-        *out = json_pack("{s:o,s:I}", "failed", failed, "ring", (json_int_t)w->store_revision);
-        return 409;
-    }
-    json_decref(failed);
-    w->store_revision++;
-    json_array_foreach(json_object_get(in, "apply"), i, v)
-    {
-        const char *settings = json_string_value(json_object_get(v, "set"));
-        if (settings)
-            set_key(w, settings, json_object_get(v, "value"),
-                    (uint64_t)json_integer_value(json_object_get(v, "charter")));
-        else
-            drop_key(w, json_string_value(json_object_get(v, "drop")));
-    }
-    *out = json_pack("{s:I}", "ring", (json_int_t)w->store_revision);
-    return 200;
-}
-
 static bool of_leader(json_t *in)
 {
     json_t *v;
@@ -347,13 +243,13 @@
 static int commit_and_copy(struct world *w, json_t *in, json_t **out)
 {
     json_t *ignored = NULL;
-    int beyond = beyond_limits(w, in), status = beyond ? beyond : commit(w, in, out);
+    int beyond = beyond_limits(w, in), status = beyond ? beyond : table_commit(&w->table, in, out);
     if (status != 200 || !of_leader(in))
         return status;
     int at = w->nold++ % 8;
     if (w->old[at]) {
         w->copies++;
-        w->applied_again += commit(w, w->old[at], &ignored) == 200;
+        w->applied_again += table_commit(&w->table, w->old[at], &ignored) == 200;
         json_decref(ignored);
         json_decref(w->old[at]);
     }
@@ -363,7 +259,7 @@
 
 static int by_name(const void *a, const void *b)
 {
-    return strcmp(((const struct key *)a)->name, ((const struct key *)b)->name);
+    return strcmp(((const struct table_key *)a)->name, ((const struct table_key *)b)->name);
 }
 
 static int list(struct world *w, struct MHD_Connection *conn, json_t **out)
@@ -372,20 +268,20 @@
     const char *after = MHD_lookup_connection_value(conn, MHD_GET_ARGUMENT_KIND, "after");
     json_t *pairs = json_array();
     bool more = false;
-    qsort(w->keys, (size_t)w->nkeys, sizeof *w->keys, by_name);
-    for (int i = 0; i < w->nkeys; i++) {
-        struct key *k = &w->keys[i];
-        if (strncmp(k->name, starts, strlen(starts)) != 0 || (after && strcmp(k->name, after) <= 0))
+    qsort(w->table.keys, w->table.nkeys, sizeof *w->table.keys, by_name);
+    for (size_t i = 0; i < w->table.nkeys; i++) {
+        struct table_key *k = &w->table.keys[i];
+        if (!k->value || strncmp(k->name, starts, strlen(starts)) != 0 ||
+            (after && strcmp(k->name, after) <= 0))
             continue;
         if (json_array_size(pairs) == 5) { /* small pages, so that paging is played */
             more = true;
             break;
         }
-        json_array_append_new(pairs, json_pack("{s:s,s:O,s:I}", "k", k->name, "value", k->value,
-                                               "mark", (json_int_t)k->revision));
+        json_array_append_new(pairs, table_pair(k));
     }
     *out = json_pack("{s:o,s:b,s:I}", "pairs", pairs, "more", more, "ring",
-                     (json_int_t)w->store_revision);
+                     (json_int_t)w->table.revision);
     return 200;
 }
 
@@ -393,30 +289,7 @@
 {
     const char *starts = MHD_lookup_connection_value(conn, MHD_GET_ARGUMENT_KIND, "starts");
     const char *after = MHD_lookup_connection_value(conn, MHD_GET_ARGUMENT_KIND, "after");
-    uint64_t from = strtoull(after, NULL, 10);
-    json_t *log = json_array();
-    for (int i = 0; i < w->nlog; i++) {
-        struct change *c = &w->log[i];
-        if (c->revision <= from || strncmp(c->name, starts, strlen(starts)) != 0)
-            continue;
-        json_array_append_new(log, c->value ? json_pack("{s:s,s:O,s:I}", "set", c->name, "value",
-                                                        c->value, "mark", (json_int_t)c->revision)
-                                            : json_pack("{s:s,s:I}", "drop", c->name, "mark",
-                                                        (json_int_t)c->revision));
-    }
-    *out = json_pack("{s:I,s:o}", "ring", (json_int_t)w->store_revision, "log", log);
-    return 200;
-}
-
-static int one_key(struct world *w, const char *name, json_t **out)
-{
-    struct key *k = find_key(w, name);
-    if (!k) {
-        *out = json_pack("{s:I}", "ring", (json_int_t)w->store_revision);
-        return 404;
-    }
-    *out = json_pack("{s:s,s:O,s:I,s:I}", "k", k->name, "value", k->value, "mark",
-                     (json_int_t)k->revision, "charter", (json_int_t)k->grant);
+    *out = table_changes(&w->table, starts, strtoull(after, NULL, 10));
     return 200;
 }
 
@@ -451,7 +324,7 @@
             i++;
             continue;
         }
-        w->late_applied += commit(w, w->late[i].txn, &ignored) == 200;
+        w->late_applied += table_commit(&w->table, w->late[i].txn, &ignored) == 200;
         json_decref(ignored);
         json_decref(w->late[i].txn);
         w->late[i] = w->late[--w->nlate];
@@ -499,7 +372,7 @@
     if (strcmp(url, "/kv") == 0)
         return list(w, conn, out);
     if (strncmp(url, "/kv/", 4) == 0)
-        return one_key(w, url + 4, out);
+        return table_get(&w->table, url + 4, out);
     if (strcmp(url, "/follow") == 0)
         return follow(w, conn, out);
     if (strncmp(url, "/grants", 7) == 0)
@@ -531,7 +404,7 @@
 {
     char key[96];
     snprintf(key, sizeof key, "j/%s", id);
-    struct key *r = find_key(w, key);
+    struct table_key *r = table_find(&w->table, key);
     const char *s = r ? json_string_value(json_object_get(r->value, "s")) : NULL;
     return s && strcmp(s, "done") == 0;
 }
@@ -543,7 +416,7 @@
     json_t *v;
     size_t i;
     snprintf(key, sizeof key, "j/%.*s", (int)strcspn(task, "/"), task);
-    struct key *r = find_key(w, key);
+    struct table_key *r = table_find(&w->table, key);
     json_array_foreach(r ? json_object_get(r->value, "awaits") : NULL, i, v)
     {
         if (!job_is_done(w, json_string_value(v)))
@@ -786,6 +659,8 @@
     struct world *w = calloc(1, sizeof *w);
     if (!w || pthread_mutex_init(&w->lock, NULL) != 0)
         return NULL;
+    w->table.owner = w;
+    w->table.grant_lives = grant_lives;
     w->worker_port = worker_port;
     w->nodes = nodes;
     w->nnodes = nnodes;
@@ -872,8 +747,9 @@
 {
     json_t *all = json_object();
     pthread_mutex_lock(&w->lock);
-    for (int i = 0; i < w->nkeys; i++)
-        json_object_set(all, w->keys[i].name, w->keys[i].value);
+    for (size_t i = 0; i < w->table.nkeys; i++)
+        if (w->table.keys[i].value)
+            json_object_set(all, w->table.keys[i].name, w->table.keys[i].value);
     pthread_mutex_unlock(&w->lock);
     bool ok = json_dump_file(all, path, JSON_INDENT(1) | JSON_SORT_KEYS) == 0;
     json_decref(all);
@@ -954,7 +830,7 @@
 int world_leader(struct world *w)
 {
     pthread_mutex_lock(&w->lock);
-    struct key *k = find_key(w, "leader");
+    struct table_key *k = table_find(&w->table, "leader");
     const char *name = k ? json_string_value(json_object_get(k->value, "node")) : NULL;
     int node = node_named(w, name);
     pthread_mutex_unlock(&w->lock);
@@ -983,10 +859,7 @@
     for (int i = 0; i < w->nlate; i++)
         json_decref(w->late[i].txn);
     MHD_stop_daemon(w->cloud);
-    for (int i = 0; i < w->nkeys; i++)
-        json_decref(w->keys[i].value);
-    for (int i = 0; i < w->nlog; i++)
-        json_decref(w->log[i].value);
+    table_free(&w->table);
     for (int i = 0; i < 8; i++)
         json_decref(w->old[i]);
     (void)pthread_mutex_destroy(&w->lock);
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -154,7 +154,7 @@
             sim_end_grant(s, n->grant);
         break;
     case BD_E_CANCELLED: /* in half of the days nobody tells: the rules hold without the news */
-        for (int i = 0; s->seed % 2 && i < n->settings.npeers; i++)
+        for (int i = 0; s->seed / 2 % 2 && i < n->settings.npeers; i++)
             to_peer(s, n, i, BD_FRAME_CANCELLED, NULL)->text = strdup(e->key);
         break;
     case BD_E_FORWARD:
--- a/tests/sim_state.c
+++ b/tests/sim_state.c
@@ -4,56 +4,6 @@
 #include <stdlib.h>
 #include <string.h>
 
-static struct sim_key *find(struct sim *s, const char *name)
-{
-    for (int i = 0; i < s->nkeys; i++)
-        if (s->keys[i].value && strcmp(s->keys[i].name, name) == 0)
-            return &s->keys[i];
-    return NULL;
-}
-
-static void note_change(struct sim *s, const char *name, json_t *value)
-{
-    if (s->nlog == s->cap_log) {
-        s->cap_log = s->cap_log ? 2 * s->cap_log : 1024;
-        s->log = realloc(s->log, s->cap_log * sizeof *s->log);
-        if (!s->log)
-            abort();
-    }
-    struct sim_change *c = &s->log[s->nlog++];
-    snprintf(c->name, sizeof c->name, "%s", name);
-    c->value = json_incref(value);
-    c->revision = s->store_revision;
-}
-
-static void set_key(struct sim *s, const char *name, json_t *value, uint64_t grant)
-{
-    struct sim_key *k = find(s, name);
-    for (int i = 0; !k && i < s->nkeys; i++)
-        if (!s->keys[i].value)
-            k = &s->keys[i];
-    if (!k && s->nkeys == (int)(sizeof s->keys / sizeof *s->keys))
-        abort();
-    k = k ? k : &s->keys[s->nkeys++];
-    json_incref(value);
-    json_decref(k->value);
-    snprintf(k->name, sizeof k->name, "%s", name);
-    k->value = value;
-    k->revision = s->store_revision;
-    k->grant = grant;
-    note_change(s, name, value);
-}
-
-static void drop_key(struct sim *s, const char *name)
-{
-    struct sim_key *k = find(s, name);
-    if (!k)
-        return;
-    note_change(s, name, NULL);
-    json_decref(k->value);
-    k->value = NULL;
-}
-
 void sim_state_tick(struct sim *s)
 {
     for (int i = 0; s->now >= s->outage && i < s->ngrants;) {
@@ -61,14 +11,7 @@
             i++;
             continue;
         }
-        for (int k = 0; k < s->nkeys; k++) {
-            if (!s->keys[k].value || s->keys[k].grant != s->grant[i].id)
-                continue;
-            s->store_revision++;
-            char name[96];
-            snprintf(name, sizeof name, "%s", s->keys[k].name);
-            drop_key(s, name);
-        }
+        table_end_grant(&s->table, s->grant[i].id);
         s->grant[i] = s->grant[--s->ngrants];
     }
 }
@@ -81,23 +24,9 @@
     return NULL;
 }
 
-static long failed_conditions(struct sim *s, json_t *in, json_t **out)
+static bool grant_lives(void *owner, uint64_t id)
 {
-    json_t *failed = json_array(), *v;
-    size_t i;
-    json_array_foreach(json_object_get(in, "if"), i, v)
-    {
-        const char *name = json_string_value(json_object_get(v, "k"));
-        struct sim_key *k = find(s, name);
-        if ((k ? k->revision : 0) != (uint64_t)json_integer_value(json_object_get(v, "mark")))
-            json_array_append_new(failed, json_string(name));
-    }
-    if (json_array_size(failed) == 0) {
-        json_decref(failed);
-        return 0;
-    }
-    *out = json_pack("{s:o,s:I}", "failed", failed, "ring", (json_int_t)s->store_revision);
-    return 409;
+    return grant_of(owner, id) != NULL;
 }
 
 /* What the rules want of what is written, whoever writes it: no intent for a job that is cancelled
@@ -111,18 +40,18 @@
     {
         const char *id = json_string_value(json_array_get(v, 0));
         snprintf(key, sizeof key, "j/%s", id ? id : "");
-        struct sim_key *k = find(s, key);
+        struct table_key *k = table_find(&s->table, key);
         const char *state = k ? json_string_value(json_object_get(k->value, "s")) : NULL;
         if (!state || strcmp(state, "live") != 0)
             sim_broken(s, "intent: %s is %s", key, state ? state : "not there");
     }
 }
 
-static void check_witness(struct sim *s, int node, json_t *value)
+static void check_sequence(struct sim *s, json_t *value)
 {
     json_int_t t = json_integer_value(json_object_get(value, "t"));
     json_int_t n = json_integer_value(json_object_get(value, "n"));
-    struct sim_key *w = find(s, "w"), *leader = find(s, "leader");
+    struct table_key *w = table_find(&s->table, "w"), *leader = table_find(&s->table, "leader");
     json_int_t t0 = w ? json_integer_value(json_object_get(w->value, "t")) : 0;
     json_int_t n0 = w ? json_integer_value(json_object_get(w->value, "n")) : 0;
     if (t < t0 || (t == t0 && n <= n0))
@@ -130,93 +59,54 @@
                    (long long)t, (long long)n0, (long long)t0);
     const char *name =
         leader ? json_string_value(json_object_get(leader->value, "node")) : "nobody";
-    if (strcmp(name, s->nodes[node].settings.node) != 0)
-        sim_broken(s, "deposed: %s writes while %s leads", s->nodes[node].settings.node, name);
+    if (strcmp(name, s->nodes[s->writer].settings.node) != 0)
+        sim_broken(s, "deposed: %s writes while %s leads", s->nodes[s->writer].settings.node, name);
 }
 
-static long commit(struct sim *s, int node, const char *body, json_t **out)
+static void before_set(void *owner, const char *name, json_t *value)
 {
-    json_t *in = json_loads(body, 0, NULL), *v;
-    size_t i;
-    long status = in ? 200 : 400;
-    json_array_foreach(json_object_get(in, "apply"), i, v)
-    {
-        json_t *g = json_object_get(v, "charter");
-        if (g && !grant_of(s, (uint64_t)json_integer_value(g))) {
-            *out = json_pack("{s:s}", "error", "no such lease");
-            status = 400;
-            break;
-        }
-    }
-    if (status == 200 && failed_conditions(s, in, out) != 0)
-        status = 409;
-    if (status == 200 && json_array_size(json_object_get(in, "apply")) > 0) {
-        s->store_revision++;
-        json_array_foreach(json_object_get(in, "apply"), i, v)
-        {
-            const char *settings = json_string_value(json_object_get(v, "set"));
-            if (settings && strncmp(settings, "i/", 2) == 0)
-                check_intents(s, json_object_get(v, "value"));
-            if (settings && strcmp(settings, "w") == 0)
-                check_witness(s, node, json_object_get(v, "value"));
-            if (settings)
-                set_key(s, settings, json_object_get(v, "value"),
-                        (uint64_t)json_integer_value(json_object_get(v, "charter")));
-            else
-                drop_key(s, json_string_value(json_object_get(v, "drop")));
-        }
-    }
-    if (status == 200)
-        *out = json_pack("{s:I}", "ring", (json_int_t)s->store_revision);
-    json_decref(in);
-    return status;
+    if (strncmp(name, "i/", 2) == 0)
+        check_intents(owner, value);
+    if (strcmp(name, "w") == 0)
+        check_sequence(owner, value);
 }
 
-static json_t *pair(const struct sim_key *k)
+void sim_state_start(struct sim *s)
 {
-    return json_pack("{s:s,s:O,s:I,s:I}", "k", k->name, "value", k->value, "mark",
-                     (json_int_t)k->revision, "charter", (json_int_t)k->grant);
+    s->table.owner = s;
+    s->table.grant_lives = grant_lives;
+    s->table.before_set = before_set;
 }
 
-static long refresh(struct sim *s, const struct sim_call *c, json_t **out)
+static long commit(struct sim *s, int node, const char *body, json_t **out)
 {
-    json_t *log = json_array();
-    size_t from = s->nlog;
-    while (from > 0 && s->log[from - 1].revision > c->number)
-        from--;
-    for (size_t i = from; i < s->nlog; i++) {
-        struct sim_change *h = &s->log[i];
-        if (strncmp(h->name, "j/", 2) != 0)
-            continue;
-        json_array_append_new(log, h->value ? json_pack("{s:s,s:O,s:I}", "set", h->name, "value",
-                                                        h->value, "mark", (json_int_t)h->revision)
-                                            : json_pack("{s:s,s:I}", "drop", h->name, "mark",
-                                                        (json_int_t)h->revision));
-    }
-    *out = json_pack("{s:I,s:o}", "ring", (json_int_t)s->store_revision, "log", log);
-    return 200;
+    json_t *in = json_loads(body, 0, NULL);
+    s->writer = node;
+    long status = in ? table_commit(&s->table, in, out) : 400;
+    json_decref(in);
+    return status;
 }
 
 static long execute(struct sim *s, struct sim_call *c, json_t **out)
 {
-    struct sim_key *k;
     struct sim_grant *g;
     json_t *pairs;
     switch (c->op) {
     case SIM_GET:
-        k = find(s, c->key);
-        *out = k ? pair(k) : json_pack("{s:I}", "ring", (json_int_t)s->store_revision);
-        return k ? 200 : 404;
+        return table_get(&s->table, c->key, out);
     case SIM_LIST:
         pairs = json_array();
-        for (int i = 0; i < s->nkeys; i++)
-            if (s->keys[i].value && strncmp(s->keys[i].name, c->key, strlen(c->key)) == 0)
-                json_array_append_new(pairs, pair(&s->keys[i]));
+        for (size_t i = 0; i < s->table.nkeys; i++) {
+            const struct table_key *k = &s->table.keys[i];
+            if (k->value && strncmp(k->name, c->key, strlen(c->key)) == 0)
+                json_array_append_new(pairs, table_pair(k));
+        }
         *out = json_pack("{s:o,s:b,s:I}", "pairs", pairs, "more", 0, "ring",
-                         (json_int_t)s->store_revision);
+                         (json_int_t)s->table.revision);
         return 200;
     case SIM_REFRESH:
-        return refresh(s, c, out);
+        *out = table_changes(&s->table, "j/", c->number);
+        return 200;
     case SIM_COMMIT:
         return commit(s, c->node, c->body, out);
     case SIM_GRANT:
@@ -310,9 +200,5 @@
 
 void sim_state_free(struct sim *s)
 {
-    for (int i = 0; i < s->nkeys; i++)
-        json_decref(s->keys[i].value);
-    for (size_t i = 0; i < s->nlog; i++)
-        json_decref(s->log[i].value);
-    free(s->log);
+    table_free(&s->table);
 }
--- a/tests/simulation.c
+++ b/tests/simulation.c
@@ -433,6 +433,7 @@
     s->report_s = seed % 2 ? 2 : 3;
     s->team_max[0] = 20;
     s->team_max[1] = 16;
+    sim_state_start(s);
     for (int i = 0; i < SIM_NODES; i++) {
         settings(s, i);
         sim_node_start(s, i);
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -6,6 +6,7 @@
 #include "brambledoor/log.h"
 #include "core.h"
 #include "frame.h"
+#include "key_table.h"
 #include "timeutil.h"
 #include <gsl/gsl_rng.h>
 #include <jansson.h>
@@ -55,18 +56,6 @@
     struct sim_event *next;
 };
 
-struct sim_key {
-    char name[96];
-    json_t *value; /* NULL: free */
-    uint64_t revision, grant;
-};
-
-struct sim_change {
-    char name[96];
-    json_t *value;
-    uint64_t revision;
-};
-
 struct sim_grant {
     uint64_t id;
     double ends, ttl;
@@ -154,11 +143,9 @@
     struct sim_event *queue;
     struct sim_request *requests;
     /* state service */
-    struct sim_key keys[2048];
-    int nkeys;
-    struct sim_change *log;
-    size_t nlog, cap_log;
-    uint64_t store_revision, grants;
+    struct key_table table;
+    int writer; /* whose transaction is carried out */
+    uint64_t grants;
     struct sim_grant grant[64];
     int ngrants;
     double outage, refuses[SIM_NODES], blind[SIM_NODES], slow, lost_share,
@@ -192,6 +179,7 @@
 /* state service, sim_state.c */
 void sim_state_call(struct sim *s, struct sim_call *c, double timeout);
 void sim_state_event(struct sim *s, struct sim_event *e);
+void sim_state_start(struct sim *s);
 void sim_state_tick(struct sim *s);
 void sim_end_grant(struct sim *s, uint64_t id); /* once the request for it has arrived */
 void sim_call_drop(struct sim_call *c);
