--- a/src/core_internal.h
+++ b/src/core_internal.h
@@ -201,6 +201,8 @@
 bool bd_delegate_checkin(struct bd_core *core, void *request, const struct bd_report *report);
 void bd_delegate_tick(struct bd_core *core);
 void bd_delegate_needless(struct bd_core *core, const struct bd_machine *machine);
+void bd_delegate_dismissed(struct bd_core *core, bool dismissed, uint64_t revision,
+                           struct timespec sent);
 json_t *bd_dismissed(const struct bd_core *core);
 void bd_delegate_end(struct bd_core *core);
 
--- a/src/delegate.c
+++ b/src/delegate.c
@@ -62,12 +62,34 @@
     return !*core->leader_name && !core->leader_term && core->last_term;
 }
 
+void bd_delegate_dismissed(struct bd_core *core, bool dismissed, uint64_t revision,
+                           struct timespec sent)
+{
+    struct bd_delegate *delegate = &core->delegate;
+    if (dismissed && (!delegate->dismissed || revision != delegate->dismissed_at)) {
+        delegate->dismissed_at = revision;
+        delegate->dismissed_since = sent;
+    }
+    delegate->dismissed = dismissed;
+}
+
+/* What the leader says of us holds until we have heard it once more: a silence after that is
+ * another one. Just after a change of leaders the record of a delegate that needed to be one still
+ * stands, and the new leader takes it for needless; a cut half a minute later would find no
+ * delegate, and all leases of the zone would end. */
+static bool needless(const struct bd_core *core)
+{
+    int i = bd_leader_index(core);
+    bool heard = i >= 0 && bd_before(core->delegate.dismissed_since, core->peers[i].heard);
+    return core->delegate.dismissed && !heard;
+}
+
 /* By a fresh view somebody else leads, and we do not hear of it; or nobody does. Workers sent
  * round then would find nobody either, and in a cut zone half of the nodes would let them hang. */
 static bool called_for(const struct bd_core *core)
 {
     bool other = *core->leader_name && core->leader_term && leader_silent(core);
-    return core->role == BD_FOLLOWER && !core->delegate.dismissed && (other || leaderless(core)) &&
+    return core->role == BD_FOLLOWER && !needless(core) && (other || leaderless(core)) &&
            bd_between(core->leader_seen, core->now) < DELEGATE_FRESH_S;
 }
 
--- a/src/delegate.h
+++ b/src/delegate.h
@@ -22,7 +22,12 @@
 struct bd_delegate {
     uint64_t term, revision; /* the token of the answers; our record's revision */
     uint64_t leader; /* the revision of the leader's key that the record is conditional on */
-    bool revision_known, busy, dismissed;
+    bool revision_known, busy;
+    /* the leader's key names us among the delegates that it needs no more: the key's revision, and
+     * when we first saw it */
+    bool dismissed;
+    uint64_t dismissed_at;
+    struct timespec dismissed_since;
     struct timespec confirmed_until, next_confirm;
     struct bd_served *served;
     uint32_t nserved, cap_served, parts; /* parts of the record that were ever written */
@@ -38,6 +43,7 @@
     uint64_t revision;
     struct timespec changed;
     struct timespec dismissed; /* when one of its workers was heard here */
+    struct timespec named;     /* when the leader's key was last to be rewritten for it */
 };
 
 /* As leader: the delegates' records as last read. Owned by delegate_view.c. */
--- a/src/delegate_view.c
+++ b/src/delegate_view.c
@@ -4,6 +4,7 @@
 #include <stdio.h>
 
 #define AWAY_S 30.0 /* a dismissed delegate is named so long in the leader's key */
+#define AGAIN_S 8.0 /* then the key is rewritten, if its workers still come here */
 #define STALE_S 5.0
 #define GAP_S 2.5 /* between refreshes: shorter than keep_s, so that none can slip through */
 
@@ -61,7 +62,10 @@
     if (machine->delegate >= core->delegates.count)
         return;
     struct bd_delegate_seen *s = &core->delegates.seen[machine->delegate];
-    if (bd_is_zero(s->dismissed) || bd_between(s->dismissed, core->now) > AWAY_S) {
+    bool first = bd_is_zero(s->dismissed) || bd_between(s->dismissed, core->now) > AWAY_S;
+    /* it may have heard us meanwhile, and what the key says of it be over */
+    if (first || bd_between(s->named, core->now) > AGAIN_S) {
+        s->named = core->now;
         bd_say(core->log, BD_INFO, "%s answers for us needlessly: %s came here", s->key,
                machine->id);
         core->lead.want_token_raise = true;
--- a/src/leadership.c
+++ b/src/leadership.c
@@ -32,7 +32,7 @@
 void bd_core_leader_is(struct bd_core *core, const char *name, uint64_t revision,
                        struct timespec sent, bool dismissed)
 {
-    core->delegate.dismissed = dismissed;
+    bd_delegate_dismissed(core, dismissed, revision, sent);
     snprintf(core->leader_name, sizeof core->leader_name, "%s", name);
     core->leader_term = revision;
     core->last_term = revision ? revision : core->last_term;
--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -331,10 +331,10 @@
     end(t, 1);
     bd_pause(2);
     tally = 2001; /* one that the leader does not know yet */
-    check(t, check_in_until(t, 2, &tally, &token, 200, 25), "without a relay a deputy answers");
+    check(t, check_in_until(t, 2, &tally, &token, 200, 25), "without a relay a delegate answers");
     check(t, check_in_until(t, 0, &tally, &token, 200, 10), "its worker comes to the leader");
     check(t, check_in_until(t, 2, &tally, &token, 421, 10),
-          "the leader's key sends the deputy away");
+          "the leader's key sends the delegate away");
     start(t, 1);
 }
 
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -8,7 +8,7 @@
  * a status frame of another controller leader node-1 7 (or - 0) [away=1] who holds the lease, by a
  * fresh refresh delegates [p/node-1:mark:vm-1,vm-2]                 the leader's look at the
  * delegates' records watch 28                                           as `at`, with such a
- * refresh every 2 s deputycommitted STATUS [unknown]                   the fate of our own
+ * refresh every 2 s delegatecommitted STATUS [unknown]                   the fate of our own
  * delegate's record listed vm-1:small:a[:running|booting|failed] ...   a list of the cloud report
  * vm-1 small a session=1 seq=1 token=1 [notice=5] [job-1/0:@1.1:running ...] forwarded node-1 5
  * vm-1 small a session=1 ... a report that another controller passes on answered 1 200 {text} the
@@ -455,7 +455,7 @@
         char key[64], names[256];
         unsigned revision = 0;
         if (sscanf(p->w[i], "%63[^:]:%u:%255s", key, &revision, names) != 3)
-            fail(p, "deputies");
+            fail(p, "delegates");
         json_t *m = json_array();
         for (char *s = NULL, *v = strtok_r(names, ",", &s); v; v = strtok_r(NULL, ",", &s))
             json_array_append_new(m, json_string(v));
@@ -595,8 +595,8 @@
     bd_core_provisioned(p->c, request, refused ? 503 : 200, names, n);
 }
 
-static const char *const kinds[] = {"reply",   "user",    "commit",   "do",     "rent",
-                                    "return",  "barrier", "lost",     "deputy", "lookup",
+static const char *const kinds[] = {"reply",   "user",    "commit",   "do",       "rent",
+                                    "return",  "barrier", "lost",     "delegate", "lookup",
                                     "forward", "answer",  "cancelled"};
 
 static bool holds_all(struct play *p, const struct bd_effect *e)
@@ -787,9 +787,9 @@
                  {"leader", 3, cmd_leader},
                  {"heard", 2, cmd_heard},
                  {"limits", 3, cmd_limits},
-                 {"deputies", 1, cmd_delegates},
+                 {"delegates", 1, cmd_delegates},
                  {"touched", 2, cmd_liveness},
-                 {"deputycommitted", 2, cmd_delegatecommitted},
+                 {"delegatecommitted", 2, cmd_delegatecommitted},
                  {"finals", 2, cmd_finals},
                  {"lookedup", 4, cmd_lookedup},
                  {"watch", 2, cmd_watch},
