--- a/tests/fake_server.c
+++ b/tests/fake_server.c
@@ -268,7 +268,8 @@
     const char *after = MHD_lookup_connection_value(conn, MHD_GET_ARGUMENT_KIND, "after");
     json_t *pairs = json_array();
     bool more = false;
-    qsort(w->table.keys, w->table.nkeys, sizeof *w->table.keys, by_name);
+    if (w->table.nkeys > 0)
+        qsort(w->table.keys, w->table.nkeys, sizeof *w->table.keys, by_name);
     for (size_t i = 0; i < w->table.nkeys; i++) {
         struct table_key *k = &w->table.keys[i];
         if (!k->value || strncmp(k->name, starts, strlen(starts)) != 0 ||
