--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -863,6 +863,29 @@
     return ok ? 0 : 1;
 }
 
+#define PORTS_FIRST 20000 /* below what outgoing connections take */
+#define PORTS_EACH 100
+#define PORT_RANGES 120
+
+/* The first of a range of ports that no other run of this test holds: its last port is kept bound
+ * as long as the process lives. Two runs on one range would speak to each other's controllers. -1:
+ * none is free. */
+static int reserve_ports(void)
+{
+    for (int i = 0; i < PORT_RANGES; i++) {
+        int base = PORTS_FIRST + (int)((getpid() + i) % PORT_RANGES) * PORTS_EACH;
+        char text[32];
+        struct sockaddr_in at;
+        snprintf(text, sizeof text, "127.0.0.1:%d", base + PORTS_EACH - 1);
+        int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+        if (fd >= 0 && bd_parse_addr(text, &at) && bind(fd, (struct sockaddr *)&at, sizeof at) == 0)
+            return base;
+        if (fd >= 0)
+            (void)close(fd);
+    }
+    return -1;
+}
+
 static void finish(struct test *t)
 {
     for (int i = 0; i < NODES; i++) {
@@ -893,7 +916,9 @@
     }
     if (argc == 3 && !others)
         t.old = argv[2];
-    t.base = 20000 + (int)(getpid() % 120) * 100; /* below what outgoing connections take */
+    t.base = reserve_ports();
+    if (t.base < 0)
+        return 2;
     (void)signal(SIGPIPE, SIG_IGN);
     snprintf(t.dir, sizeof t.dir, "/tmp/bd-loopback-XXXXXX");
     if (!mkdtemp(t.dir) || bd_http_start() != 0)
