--- a/tests/fake_server.c
+++ b/tests/fake_server.c
@@ -10,7 +10,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define WORKERS 12
+#define WORKERS 40 /* machines that the cloud ever has: what went back does not come again */
 #define DOORS 3
 #define TASKS 64
 #define RUN_S 0.6
