--- /dev/null
+++ b/tests/behaviour_digest.c
@@ -0,0 +1,116 @@
+#include "behaviour_digest.h"
+#include <stdarg.h>
+#include <stdlib.h>
+#include <string.h>
+
+#define FNV_OFFSET 14695981039346656037u
+#define FNV_PRIME 1099511628211u
+
+void behaviour_digest_start(struct behaviour_digest *digest, FILE *trace)
+{
+    *digest = (struct behaviour_digest){.hash = FNV_OFFSET, .trace = trace};
+}
+
+static void add_bytes(struct behaviour_digest *digest, const char *bytes, size_t len)
+{
+    for (size_t i = 0; i < len; i++) {
+        digest->hash ^= (unsigned char)bytes[i];
+        digest->hash *= FNV_PRIME;
+    }
+    if (digest->trace)
+        (void)fwrite(bytes, 1, len, digest->trace);
+}
+
+static void add_text(struct behaviour_digest *digest, const char *fmt, ...)
+    __attribute__((format(printf, 2, 3)));
+
+static void add_text(struct behaviour_digest *digest, const char *fmt, ...)
+{
+    char text[256];
+    va_list args;
+    va_start(args, fmt);
+    int len = vsnprintf(text, sizeof text, fmt, args);
+    va_end(args);
+    if (len < 0 || (size_t)len >= sizeof text)
+        abort();
+    add_bytes(digest, text, (size_t)len);
+}
+
+static void end_step(struct behaviour_digest *digest)
+{
+    add_bytes(digest, "\n", 1);
+    digest->steps++;
+}
+
+static void begin_step(struct behaviour_digest *digest, double at, int controller, const char *kind)
+{
+    add_text(digest, "%.6f %d %s", at, controller, kind);
+}
+
+static const char *kind_name(enum bd_effect_kind kind)
+{
+    switch (kind) {
+    case BD_E_REPLY:
+        return "reply";
+    case BD_E_USER_COMMIT:
+        return "user-commit";
+    case BD_E_COMMIT:
+        return "leader-commit";
+    case BD_E_DO:
+        return "command";
+    case BD_E_PROVISION:
+        return "provision";
+    case BD_E_RETURN:
+        return "return";
+    case BD_E_BARRIER:
+        return "barrier";
+    case BD_E_LOST:
+        return "step-down";
+    case BD_E_DELEGATE:
+        return "delegate-commit";
+    case BD_E_LOOKUP:
+        return "lookup";
+    case BD_E_FORWARD:
+        return "forward";
+    case BD_E_ANSWER:
+        return "forward-reply";
+    case BD_E_CANCELLED:
+        return "cancelled";
+    }
+    abort();
+}
+
+/* How a request was asked is internal to the core, so it is not a part of the step. */
+static bool status_is_visible(enum bd_effect_kind kind)
+{
+    return kind != BD_E_USER_COMMIT && kind != BD_E_LOOKUP;
+}
+
+void behaviour_digest_effect(struct behaviour_digest *digest, double at, int controller,
+                             const struct bd_effect *effect, uint64_t requester)
+{
+    begin_step(digest, at, controller, kind_name(effect->kind));
+    if (requester)
+        add_text(digest, " to=%llx", (unsigned long long)requester);
+    if (status_is_visible(effect->kind))
+        add_text(digest, " status=%d", effect->status);
+    add_text(digest, " retry=%d key=%s addr=%s", effect->retry_after, effect->key, effect->addr);
+    add_text(digest, " token=%llu machine=%u launch=%d", (unsigned long long)effect->token,
+             effect->machine, effect->launch);
+    add_text(digest, " until=%lld.%09ld", (long long)effect->until.tv_sec, effect->until.tv_nsec);
+    add_text(digest, " sequence=%llu forward=%llu peer=%d ", (unsigned long long)effect->sequence,
+             (unsigned long long)effect->forward_id, effect->peer);
+    if (effect->body)
+        add_bytes(digest, effect->body, strlen(effect->body));
+    end_step(digest);
+}
+
+void behaviour_digest_status(struct behaviour_digest *digest, double at, int controller, int peer,
+                             const struct bd_frame *frame)
+{
+    begin_step(digest, at, controller, "status");
+    add_text(digest, " peer=%d term=%llu flags=%u age=%u at=%llu", peer,
+             (unsigned long long)frame->term, frame->flags, frame->age_ms,
+             (unsigned long long)frame->at_ms);
+    end_step(digest);
+}
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -108,6 +108,8 @@
     while (*tail)
         tail = &(*tail)->next;
     *tail = bd_core_effects(p->c);
+    for (const struct bd_effect *e = *tail; p->digest && e; e = e->next)
+        behaviour_digest_effect(p->digest, bd_to_secs(p->c->now), 0, e, 0);
 }
 
 static void cmd_set(struct play *p)
@@ -822,8 +824,12 @@
 {
     struct play p = {.log = {BD_ERROR, "scenario"}};
     char line[4096], copy[4096];
-    if (argc != 2)
+    struct behaviour_digest digest;
+    bool traced = argc == 3 && strcmp(argv[2], "steps") == 0;
+    if (argc != 2 && !traced && (argc != 3 || strcmp(argv[2], "digest") != 0))
         return 2;
+    behaviour_digest_start(&digest, traced ? stdout : NULL);
+    p.digest = argc == 3 ? &digest : NULL;
     p.path = argv[1];
     FILE *f = fopen(argv[1], "r");
     if (!f) {
@@ -849,6 +855,9 @@
         steps++;
     }
     (void)fclose(f);
+    if (p.digest)
+        printf("digest %016llx of %llu steps\n", (unsigned long long)digest.hash,
+               (unsigned long long)digest.steps);
     cmd_clear(&p);
     bd_core_free(p.c);
     free(p.settings.draining);
--- a/tests/scenario_play.h
+++ b/tests/scenario_play.h
@@ -1,6 +1,7 @@
 /* A scenario that is being played: shared by the files that know its steps. */
 #ifndef SCENARIO_PLAY_H
 #define SCENARIO_PLAY_H
+#include "behaviour_digest.h"
 #include "brambledoor/log.h"
 #include "core.h"
 
@@ -19,6 +20,7 @@
     struct bd_effect *user; /* the user's transaction in flight */
     json_t *drains, *sets;  /* their records */
     uint64_t report_seq;
+    struct behaviour_digest *digest; /* NULL: none is taken */
 };
 
 /* One kind of line: its first word, the words that it needs, and what it does. */
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -138,9 +138,19 @@
     (void)call(s, n, SIM_COMMIT, THEN_COMMIT, NULL, strdup(n->commit->body), 1.5);
 }
 
+static uint64_t requester_of(const struct bd_effect *e)
+{
+    const struct sim_request *q = e->request;
+    if (e->kind != BD_E_REPLY || !q)
+        return 0;
+    return (q->number << 20 | (uint64_t)q->who << 2 | (uint64_t)q->user << 1 | 1);
+}
+
 static void perform(struct sim *s, struct sim_node *n, struct bd_effect *e)
 {
     struct sim_call *c;
+    if (s->digest)
+        behaviour_digest_effect(s->digest, s->now, (int)(n - s->nodes), e, requester_of(e));
     switch (e->kind) {
     case BD_E_REPLY:
         reply(s, n, e);
@@ -230,6 +240,8 @@
         f->flags = flags;
         f->age_ms = age > 1e6 ? 1000000000u : (uint32_t)(age * 1000);
         f->at_ms = (uint64_t)(c->wall * 1000);
+        if (s->digest)
+            behaviour_digest_status(s->digest, s->now, (int)(n - s->nodes), i, f);
     }
 }
 
--- a/tests/simulation.c
+++ b/tests/simulation.c
@@ -634,7 +634,8 @@
     gsl_rng_free(s->rng);
 }
 
-static int play(const struct sim_plan *p, unsigned long seed, bool loud, bool debug)
+static int play_with(const struct sim_plan *p, unsigned long seed, bool loud, bool debug,
+                     struct behaviour_digest *digest)
 {
     struct sim *s = malloc(sizeof *s);
     bool out = false;
@@ -642,6 +643,7 @@
         abort();
     begin(s, p, seed);
     s->loud = loud;
+    s->digest = digest;
     for (int i = 0; debug && i < SIM_NODES; i++)
         s->nodes[i].log.level = BD_DEBUG;
     while (s->broken <= 5 && (s->now < s->ends || (s->now < s->ends + MOST_S && !all_served(s)))) {
@@ -678,6 +680,11 @@
     return broken;
 }
 
+static int play(const struct sim_plan *p, unsigned long seed, bool loud, bool debug)
+{
+    return play_with(p, seed, loud, debug, NULL);
+}
+
 static const struct kind {
     const char *name;
     void (*draw)(struct sim_plan *, unsigned long seed);
@@ -691,9 +698,39 @@
     return NULL;
 }
 
+/* The plan of a drawn kind of day or of a file. False: there is no such. */
+static bool plan_named(struct sim_plan *p, const char *name, unsigned long seed)
+{
+    const struct kind *kind = kind_named(name);
+    if (kind)
+        kind->draw(p, seed);
+    return kind || sim_plan_read(p, name);
+}
+
+/* digest KIND|FILE FROM N: a line a day with the digest of its steps.
+ * steps KIND|FILE SEED: the steps of one day. */
+static int play_digests(int argc, char **argv, struct sim_plan *p)
+{
+    bool traced = strcmp(argv[1], "steps") == 0;
+    unsigned long from = strtoul(argv[3], NULL, 10);
+    unsigned long n = !traced && argc > 4 ? strtoul(argv[4], NULL, 10) : 1;
+    for (unsigned long seed = from; seed < from + n; seed++) {
+        struct behaviour_digest digest;
+        if (!plan_named(p, argv[2], seed))
+            return 2;
+        behaviour_digest_start(&digest, traced ? stdout : NULL);
+        (void)play_with(p, seed, false, false, &digest);
+        printf("digest %016llx of %llu steps, seed %lu\n", (unsigned long long)digest.hash,
+               (unsigned long long)digest.steps, seed);
+    }
+    return 0;
+}
+
 int main(int argc, char **argv)
 {
     static struct sim_plan p;
+    if (argc >= 4 && (strcmp(argv[1], "digest") == 0 || strcmp(argv[1], "steps") == 0))
+        return play_digests(argc, argv, &p);
     int failed = 0;
     (void)setvbuf(stdout, NULL, _IONBF, 0); /* in step with the log */
     const struct kind *kind = argc >= 4 ? kind_named(argv[1]) : NULL;
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -3,6 +3,7 @@
  * pure core; the protocol's rules are the oracle. One seed, one day, always the same. */
 #ifndef BD_TESTS_SIM_H
 #define BD_TESTS_SIM_H
+#include "behaviour_digest.h"
 #include "brambledoor/log.h"
 #include "core.h"
 #include "drain/drain.h"
@@ -172,6 +173,7 @@
     int machines_most, ndrains; /* up at once; drains that were asked for */
     struct drain_check check;
     bool loud;
+    struct behaviour_digest *digest; /* NULL: none is taken */
 };
 
 double sim_rnd(struct sim *s);
