--- a/cli/drain_command.c
+++ b/cli/drain_command.c
@@ -1,6 +1,6 @@
 #include "drain_command.h"
-#include "http.h"
-#include "timeutil.h"
+#include "base/http.h"
+#include "base/timeutil.h"
 #include <argp.h>
 #include <jansson.h>
 #include <stdbool.h>
--- a/src/drain/admin_server.c
+++ b/src/adapters/admin_server.c
@@ -1,9 +1,9 @@
 /* The administration resources, HTTP and JSON on an address of their own. Requests are few and may
  * take seconds (the cloud's list is long), so each connection has a thread that blocks; beyond a
  * few at once the answer is 503. */
-#include "drain/admin_store.h"
-#include "node.h"
-#include "timeutil.h"
+#include "adapters/admin_store.h"
+#include "adapters/node.h"
+#include "base/timeutil.h"
 #include <microhttpd.h>
 #include <netinet/in.h>
 #include <stdio.h>
--- a/src/drain/admin_store.c
+++ b/src/adapters/admin_store.c
@@ -1,11 +1,11 @@
 /* Drains as administrators ask for and see them. Any controller takes a request, as for jobs: it
  * looks at the cloud's list for what is meant, writes the machines' records, and then the drain's
  * own on condition that there is none. A crash in between leaves records that nobody refers to. */
-#include "drain/admin_store.h"
-#include "cloud_list.h"
-#include "node.h"
-#include "state_client.h"
-#include "timeutil.h"
+#include "adapters/admin_store.h"
+#include "adapters/cloud_client.h"
+#include "adapters/kv_client.h"
+#include "adapters/node.h"
+#include "base/timeutil.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/src/drain/admin_store.h
+++ b/src/adapters/admin_store.h
@@ -2,8 +2,8 @@
  * any controller. Blocking; every call has a deadline. */
 #ifndef BD_ADMIN_STORE_H
 #define BD_ADMIN_STORE_H
+#include "base/http.h"
 #include "drain/drain.h"
-#include "http.h"
 
 struct bd_admin_answer {
     int status, retry_after;
--- a/src/api_server.c
+++ b/src/adapters/api_server.c
@@ -1,9 +1,9 @@
 /* HTTP for users, workers and health checks, on libmicrohttpd: one polling thread, and a
  * connection is suspended while the owner decides. A thread for each connection would not fit
  * the machine's memory. */
-#include "metrics.h"
-#include "node.h"
-#include "timeutil.h"
+#include "adapters/node.h"
+#include "base/metrics.h"
+#include "base/timeutil.h"
 #include <arpa/inet.h>
 #include <microhttpd.h>
 #include <stdio.h>
--- a/src/cloud.c
+++ b/src/adapters/cloud_client.c
@@ -1,10 +1,10 @@
 /* The cloud: machine types and the list for the leader, provisioning requests and returns in order.
  */
-#include "cloud_list.h"
-#include "http.h"
-#include "metrics.h"
-#include "node.h"
-#include "timeutil.h"
+#include "adapters/cloud_client.h"
+#include "adapters/node.h"
+#include "base/http.h"
+#include "base/metrics.h"
+#include "base/timeutil.h"
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/cloud_list.h
+++ b/src/adapters/cloud_client.h
@@ -1,8 +1,8 @@
 /* The cloud's list of machines, page by page. Blocking. */
 #ifndef BD_CLOUD_LIST_H
 #define BD_CLOUD_LIST_H
-#include "http.h"
-#include "wire.h"
+#include "base/http.h"
+#include "wire/wire.h"
 
 struct bd_node;
 
--- a/src/election.c
+++ b/src/adapters/election.c
@@ -1,9 +1,9 @@
 /* Election by one versioned lease: the key `leader` on a grant of the state service. The revision
  * of the key at acquisition is the term. */
-#include "metrics.h"
-#include "node.h"
-#include "state_client.h"
-#include "timeutil.h"
+#include "adapters/kv_client.h"
+#include "adapters/node.h"
+#include "base/metrics.h"
+#include "base/timeutil.h"
 #include <gsl/gsl_rng.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -14,7 +14,7 @@
 #define REFRESH_S 0.3
 #define RENEWS 6.0 /* renewals in a grant's life */
 #define SAME_MOMENT_S 0.05
-#define LIVENESS_S 0.8 /* between a follower's records of being in touch: see standby.c */
+#define LIVENESS_S 0.8 /* between a follower's records of being in touch: see autonomous_zone.c */
 
 struct candidate {
     /* the leader as the owner was last told */
--- a/src/state_client.c
+++ b/src/adapters/kv_client.c
@@ -1,11 +1,11 @@
 /* The state service: one thread that looks for changes, one that commits the leader's
  * transactions in order, and a few for the users' own. */
-#include "state_client.h"
+#include "adapters/kv_client.h"
+#include "adapters/node.h"
+#include "base/http.h"
+#include "base/metrics.h"
+#include "base/timeutil.h"
 #include "drain/drain.h"
-#include "http.h"
-#include "metrics.h"
-#include "node.h"
-#include "timeutil.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/src/state_client.h
+++ b/src/adapters/kv_client.h
@@ -1,8 +1,8 @@
 /* Calls to the state service, shared by the threads that make them. */
 #ifndef BD_STATE_CLIENT_H
 #define BD_STATE_CLIENT_H
-#include "http.h"
-#include "node.h"
+#include "adapters/node.h"
+#include "base/http.h"
 
 long bd_state_call(struct bd_node *node, struct bd_http *http, const char *method, const char *path,
                    const char *body, double timeout_s, json_t **out);
--- a/src/node.h
+++ b/src/adapters/node.h
@@ -1,11 +1,11 @@
 /* One running controller: the owner thread and the adapters around it. */
 #ifndef BD_NODE_H
 #define BD_NODE_H
+#include "base/queue.h"
 #include "brambledoor/log.h"
 #include "brambledoor/settings.h"
-#include "core.h"
-#include "frame.h"
-#include "queue.h"
+#include "core/core.h"
+#include "wire/frame.h"
 #include <stdatomic.h>
 
 struct bd_api_server;
--- a/src/peer_listener.c
+++ b/src/adapters/peer_listener.c
@@ -2,11 +2,11 @@
  * thread.
  *
  * One thread, which alone owns the connections that came in. */
-#include "frame.h"
-#include "metrics.h"
-#include "node.h"
-#include "peer_transport.h"
-#include "timeutil.h"
+#include "adapters/node.h"
+#include "adapters/peer_transport.h"
+#include "base/metrics.h"
+#include "base/timeutil.h"
+#include "wire/frame.h"
 #include <arpa/inet.h>
 #include <errno.h>
 #include <poll.h>
--- a/src/peer_transport.c
+++ b/src/adapters/peer_transport.c
@@ -6,11 +6,11 @@
  * owner thread writes all outboxes once after a batch of commands, without blocking, so that frames
  * that belong together share a packet and no other thread need wake up. No rule rests on what
  * passes here; it only makes failures shorter. */
-#include "peer_transport.h"
-#include "frame.h"
-#include "metrics.h"
-#include "node.h"
-#include "timeutil.h"
+#include "adapters/peer_transport.h"
+#include "adapters/node.h"
+#include "base/metrics.h"
+#include "base/timeutil.h"
+#include "wire/frame.h"
 #include <arpa/inet.h>
 #include <errno.h>
 #include <poll.h>
--- a/src/peer_transport.h
+++ b/src/adapters/peer_transport.h
@@ -1,9 +1,9 @@
 /* Shared by the two halves of the connections between controllers. */
 #ifndef BD_PEER_TRANSPORT_H
 #define BD_PEER_TRANSPORT_H
-#include "frame.h"
-#include "metrics.h"
-#include "node.h"
+#include "adapters/node.h"
+#include "base/metrics.h"
+#include "wire/frame.h"
 
 #define STACK_BYTES 131072
 
--- a/src/worker_client.c
+++ b/src/adapters/worker_client.c
@@ -4,10 +4,10 @@
  * connection is used again: at a burst of short tasks opening connections cost the leader more than
  * all the rest. Nothing waits behind a worker that does not answer while another thread is idle.
  * Threads: bd_worker_client_send is called by the owner alone. */
-#include "http.h"
-#include "metrics.h"
-#include "node.h"
-#include "timeutil.h"
+#include "adapters/node.h"
+#include "base/http.h"
+#include "base/metrics.h"
+#include "base/timeutil.h"
 #include <stdio.h>
 #include <stdlib.h>
 
--- a/src/autoscaler.c
+++ b/src/autoscaling/autoscaler.c
@@ -1,6 +1,6 @@
 /* The machines: what the cloud lists, what is rented and what goes back. */
-#include "autoscaler_internal.h"
-#include "core_internal.h"
+#include "autoscaling/autoscaler_internal.h"
+#include "core/core_internal.h"
 #include "drain/drain.h"
 #include <gsl/gsl_cdf.h>
 #include <math.h>
--- a/src/autoscaler.h
+++ b/src/autoscaling/autoscaler.h
@@ -2,7 +2,7 @@
 #ifndef BD_AUTOSCALER_H
 #define BD_AUTOSCALER_H
 #include "brambledoor/settings.h"
-#include "job.h"
+#include "model/job.h"
 
 #define BD_PROVISIONS 64 /* requests to the cloud that are not settled; no more are made */
 
@@ -20,7 +20,7 @@
     bool asked; /* a request is under way */
 };
 
-/* Owned by the autoscaler's parts; `direct` by orders.c and reports.c. */
+/* Owned by the autoscaler's parts; `direct` by commands.c and heartbeats.c. */
 struct bd_cloud_view {
     double moves_s; /* that replicas may be away for moves, */
     struct timespec moves_at;
--- a/src/gathering.c
+++ b/src/autoscaling/consolidation.c
@@ -1,7 +1,7 @@
 /* Moves services from expensive machines to cheap ones, so that the expensive ones become free.
  * Part of the pure core. */
-#include "autoscaler_internal.h"
-#include "core_internal.h"
+#include "autoscaling/autoscaler_internal.h"
+#include "core/core_internal.h"
 #include "drain/drain.h"
 #include <gsl/gsl_cdf.h>
 #include <math.h>
--- a/src/machine_list.c
+++ b/src/autoscaling/inventory.c
@@ -1,6 +1,6 @@
 /* The cloud's machine types and its list of machines. Part of the pure core. */
-#include "autoscaler_internal.h"
-#include "core_internal.h"
+#include "autoscaling/autoscaler_internal.h"
+#include "core/core_internal.h"
 #include <gsl/gsl_cdf.h>
 #include <math.h>
 #include <stdio.h>
--- a/src/provisioning.c
+++ b/src/autoscaling/provisioning.c
@@ -1,7 +1,7 @@
 /* Requests to the cloud: one at a time for each pool, with backoff where there is no capacity. Part
  * of the pure core. */
-#include "autoscaler_internal.h"
-#include "core_internal.h"
+#include "autoscaling/autoscaler_internal.h"
+#include "core/core_internal.h"
 #include "drain/drain.h"
 #include <gsl/gsl_cdf.h>
 #include <math.h>
--- a/src/http.c
+++ b/src/base/http.c
@@ -1,5 +1,5 @@
-#include "http.h"
-#include "metrics.h"
+#include "base/http.h"
+#include "base/metrics.h"
 #include <curl/curl.h>
 #include <stdlib.h>
 #include <string.h>
--- a/src/log.c
+++ b/src/base/log.c
@@ -1,5 +1,5 @@
 #include "brambledoor/log.h"
-#include "timeutil.h"
+#include "base/timeutil.h"
 #include <stdarg.h>
 #include <stdio.h>
 #include <string.h>
--- a/src/metrics.c
+++ b/src/base/metrics.c
@@ -1,4 +1,4 @@
-#include "metrics.h"
+#include "base/metrics.h"
 #include <gsl/gsl_histogram.h>
 #include <malloc.h>
 #include <math.h>
--- a/src/queue.c
+++ b/src/base/queue.c
@@ -1,4 +1,4 @@
-#include "queue.h"
+#include "base/queue.h"
 #include <stdlib.h>
 #include <string.h>
 
--- a/src/timeutil.c
+++ b/src/base/timeutil.c
@@ -1,4 +1,4 @@
-#include "timeutil.h"
+#include "base/timeutil.h"
 #include <math.h>
 
 #define NANO 1000000000L
--- a/src/core.c
+++ b/src/core/core.c
@@ -1,7 +1,7 @@
 /* Users' requests, the replica of job records, and names. */
-#include "core_internal.h"
+#include "core/core_internal.h"
 #include "drain/drain.h"
-#include "frame.h"
+#include "wire/frame.h"
 #include <math.h>
 #include <stdio.h>
 
--- a/src/core.h
+++ b/src/core/core.h
@@ -2,18 +2,18 @@
  * clock and no threads live here, so that scenarios can play any order of events. */
 #ifndef BD_CORE_H
 #define BD_CORE_H
-#include "audit.h"
-#include "autoscaler.h"
+#include "autoscaling/autoscaler.h"
 #include "brambledoor/log.h"
 #include "brambledoor/settings.h"
-#include "delegate.h"
-#include "dependency.h"
-#include "effect.h"
-#include "forwarding.h"
-#include "leadership.h"
-#include "machine.h"
-#include "state_limits.h"
-#include "wire.h"
+#include "jobs/dependency_graph.h"
+#include "leadership/kv_limits.h"
+#include "leadership/leadership.h"
+#include "model/decision_log.h"
+#include "model/effect.h"
+#include "model/machine.h"
+#include "wire/wire.h"
+#include "workers/delegate.h"
+#include "workers/forwarding.h"
 
 struct bd_metrics;
 struct bd_wait;
--- a/src/core_internal.h
+++ b/src/core/core_internal.h
@@ -1,9 +1,9 @@
 /* Shared by the core's own files only. */
 #ifndef BD_CORE_INTERNAL_H
 #define BD_CORE_INTERNAL_H
+#include "base/timeutil.h"
 #include "brambledoor/log.h"
-#include "core.h"
-#include "timeutil.h"
+#include "core/core.h"
 #include <stdlib.h>
 #include <string.h>
 
@@ -168,7 +168,7 @@
 /* whether another controller has just said that the job is cancelled */
 bool bd_cancel_heard(const struct bd_core *core, const struct bd_job *job);
 
-/* answering in time: grace.c */
+/* answering in time: lease_renewal.c */
 double bd_grace_s(const struct bd_settings *settings);
 bool bd_in_grace(const struct bd_core *core, struct timespec seen);
 bool bd_may_renew(const struct bd_core *core);
--- a/src/drain/candidate.c
+++ b/src/drain/candidate.c
@@ -1,6 +1,6 @@
 /* What emptying a machine would take: its tasks by budget, and the room that they need elsewhere.
  * Part of the pure core. */
-#include "drain_internal.h"
+#include "drain/drain_internal.h"
 
 /* ---- needs ---- */
 
--- a/src/drain/drain.c
+++ b/src/drain/drain.c
@@ -1,6 +1,6 @@
 /* The life of a drain as its leader sees it: how far each machine is, and what the autoscaler may
  * do with it. Part of the pure core. */
-#include "drain_internal.h"
+#include "drain/drain_internal.h"
 #include <stdio.h>
 
 #define TICK_S 0.5
--- a/src/drain/drain.h
+++ b/src/drain/drain.h
@@ -18,7 +18,7 @@
 #ifndef BD_DRAIN_H
 #define BD_DRAIN_H
 #include "brambledoor/settings.h"
-#include "wire.h"
+#include "wire/wire.h"
 #include <jansson.h>
 #include <stdbool.h>
 #include <stdint.h>
--- a/src/drain/drain_internal.h
+++ b/src/drain/drain_internal.h
@@ -1,9 +1,9 @@
 /* Shared by the files of the drain package only. */
 #ifndef BD_DRAIN_INTERNAL_H
 #define BD_DRAIN_INTERNAL_H
-#include "../core_internal.h"
-#include "../room.h"
+#include "core/core_internal.h"
 #include "drain/drain.h"
+#include "model/resources.h"
 #include <roaring/roaring.h>
 #include <uthash.h>
 
--- a/src/drain/durable.c
+++ b/src/drain/durable.c
@@ -2,7 +2,7 @@
  * (paused, called off) are written by any controller on condition of the record's revision; the
  * machines' by the leader alone, with its term and commit sequence as conditions. Part of the pure
  * core. */
-#include "drain_internal.h"
+#include "drain/drain_internal.h"
 #include <stdio.h>
 
 #define REFUSED_S 1.0 /* after a transaction that was not applied: others go on without ours */
--- a/src/drain/ledger.c
+++ b/src/drain/ledger.c
@@ -5,7 +5,7 @@
  *
  * What a new leader cannot know counts as down: an earlier leader's command may still be on its
  * way until the machine's report shows that it has seen our term. */
-#include "drain_internal.h"
+#include "drain/drain_internal.h"
 #include <math.h>
 
 static const struct bd_budget_rule *rule_of(const struct bd_drain_rules *rules, const char *team)
--- a/src/drain/plan.c
+++ b/src/drain/plan.c
@@ -1,8 +1,8 @@
 /* Steps: chosen, written into the drain's record by a transaction that is conditional on the term,
  * and only then told to the machines, if the budgets still allow it. A leader that was frozen past
  * its lease cannot write the record, and so tells nobody. Part of the pure core. */
-#include "drain_internal.h"
-#include "frame.h"
+#include "drain/drain_internal.h"
+#include "wire/frame.h"
 #include <stdio.h>
 
 #define CANDIDATES_MOST 96u
--- a/src/drain/replacement.c
+++ b/src/drain/replacement.c
@@ -1,7 +1,7 @@
 /* New machines for those that are replaced: one of the same type, where the old one is, or
  * elsewhere if none comes. Part of the pure core. */
-#include "../autoscaler_internal.h"
-#include "drain_internal.h"
+#include "autoscaling/autoscaler_internal.h"
+#include "drain/drain_internal.h"
 #include <stdio.h>
 
 #define GROUPS_MOST 16u /* pools that are asked in one look */
--- a/src/drain/solver.c
+++ b/src/drain/solver.c
@@ -2,7 +2,7 @@
  * many those that stop the fewest tasks, under the budgets, the room, the number of machines in a
  * step and the zones' rule. Bounded in size and in the solver's own steps, not in time, so that
  * the same question always has the same answer. Part of the pure core. */
-#include "drain_internal.h"
+#include "drain/drain_internal.h"
 #include <lpsolve/lp_lib.h>
 
 #define CANDIDATES_MOST 96u /* more, and the plain choice is taken */
--- a/src/admission.c
+++ b/src/jobs/admission.c
@@ -2,8 +2,8 @@
  * absent. One that names other jobs is judged by their records: each must have been accepted, which
  * stays true for ever once it is, so that the replica proves it, or a read barrier, or a refresh at
  * the record where it has left memory; only then 422. */
-#include "core_internal.h"
-#include "frame.h"
+#include "core/core_internal.h"
+#include "wire/frame.h"
 #include <stdio.h>
 
 /* named defaults */
--- a/src/dependencies.c
+++ b/src/jobs/dependency_graph.c
@@ -12,7 +12,7 @@
  *
  * Names are written with the acceptance: in the job's record, or where a value does not hold them
  * in parts (j/JOB/HASH/N) that are committed before the record that names their hash and number. */
-#include "core_internal.h"
+#include "core/core_internal.h"
 #include <math.h>
 #include <stdio.h>
 #include <utlist.h>
--- a/src/dependency.h
+++ b/src/jobs/dependency_graph.h
@@ -1,7 +1,7 @@
 /* Which job waits for which. */
 #ifndef BD_DEPENDENCY_H
 #define BD_DEPENDENCY_H
-#include "job.h"
+#include "model/job.h"
 
 /* A job that others wait for; it is live, or its record has not been seen. */
 struct bd_prerequisite {
@@ -35,7 +35,7 @@
     struct bd_admission *next;
 };
 
-/* The graph of jobs that wait and those that they wait for. Owned by dependencies.c and
+/* The graph of jobs that wait and those that they wait for. Owned by dependency_graph.c and
  * admission.c. */
 struct bd_graph {
     struct bd_admission *accepting; /* submissions while a record that left memory is looked up */
--- a/src/replica.c
+++ b/src/jobs/replica.c
@@ -1,8 +1,8 @@
 /* The replica of the jobs' records: changes, read barriers, look-ups, and which final records stay
  * in memory. Part of the pure core. */
-#include "core_internal.h"
+#include "core/core_internal.h"
 #include "drain/drain.h"
-#include "frame.h"
+#include "wire/frame.h"
 #include <math.h>
 #include <stdio.h>
 
--- a/src/users.c
+++ b/src/jobs/user_requests.c
@@ -1,6 +1,6 @@
 /* Users' requests: polls and cancellations. Part of the pure core. */
-#include "core_internal.h"
-#include "frame.h"
+#include "core/core_internal.h"
+#include "wire/frame.h"
 #include <math.h>
 #include <stdio.h>
 
--- a/src/commit.c
+++ b/src/leadership/commit.c
@@ -1,8 +1,8 @@
 /* Builds the leader's transaction of a round: intents, receipts, done and cancelled records. Part
  * of the pure core. */
-#include "core_internal.h"
+#include "base/metrics.h"
+#include "core/core_internal.h"
 #include "drain/drain.h"
-#include "metrics.h"
 #include <stdio.h>
 
 #define GC_S 2.0
--- a/src/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -1,7 +1,7 @@
 /* What follows from the fate of the leader's transaction. Part of the pure core. */
-#include "core_internal.h"
+#include "base/metrics.h"
+#include "core/core_internal.h"
 #include "drain/drain.h"
-#include "metrics.h"
 #include <stdio.h>
 
 void bd_round_keep(struct bd_core *core, const char *key, struct bd_intent *e, uint32_t n)
--- a/src/state_limits.c
+++ b/src/leadership/kv_limits.c
@@ -1,7 +1,7 @@
 /* The state service's limits as we know them: the settings' at first, then what its answers teach.
  * A transaction that it calls malformed (400) was not applied; the likely cause is a limit that was
  * lowered without notice, so the next ones are smaller. One beyond the rate (429) comes later. */
-#include "core_internal.h"
+#include "core/core_internal.h"
 
 /* named defaults */
 #define OPS_LEAST 2u     /* the commit sequence and one change */
--- a/src/leadership.c
+++ b/src/leadership/leadership.c
@@ -1,8 +1,8 @@
 /* Who leads, what the other controllers say of it, and when a leader ends its term. Part of the
  * pure core. */
-#include "core_internal.h"
+#include "core/core_internal.h"
 #include "drain/drain.h"
-#include "frame.h"
+#include "wire/frame.h"
 #include <math.h>
 #include <stdio.h>
 
--- a/src/leadership.h
+++ b/src/leadership/leadership.h
@@ -1,7 +1,7 @@
 /* The leader's term, its rounds and its transaction. */
 #ifndef BD_LEADERSHIP_H
 #define BD_LEADERSHIP_H
-#include "job.h"
+#include "model/job.h"
 
 enum bd_role { BD_FOLLOWER, BD_LEADER };
 
@@ -36,7 +36,7 @@
 
 struct bd_commit;
 
-/* As leader. Owned by leadership.c, rounds.c, commit.c and recovery.c. */
+/* As leader. Owned by leadership.c, cycle.c, commit.c and reconciliation.c. */
 struct bd_leadership {
     uint64_t base_term, term, grant; /* at acquisition; as raised since; of the leader's key */
     char nonce[BD_LABEL];
--- a/src/recovery.c
+++ b/src/leadership/reconciliation.c
@@ -1,8 +1,8 @@
 /* A new leader: earlier terms' receipts and intents, and what they say of each task. Part of the
  * pure core. */
-#include "core_internal.h"
+#include "base/metrics.h"
+#include "core/core_internal.h"
 #include "drain/drain.h"
-#include "metrics.h"
 #include <stdio.h>
 
 static const char hex[] = BD_HEX_DIGITS;
--- a/src/audit.c
+++ b/src/model/decision_log.c
@@ -1,5 +1,5 @@
-#include "audit.h"
-#include "core_internal.h"
+#include "model/decision_log.h"
+#include "core/core_internal.h"
 #include <stdarg.h>
 #include <stdio.h>
 
--- a/src/audit.h
+++ b/src/model/decision_log.h
@@ -8,8 +8,8 @@
  * Owner thread only. Nothing is formatted while the log's level is below info. */
 #ifndef BD_AUDIT_H
 #define BD_AUDIT_H
-#include "job.h"
-#include "machine.h"
+#include "model/job.h"
+#include "model/machine.h"
 #include <stdbool.h>
 
 struct bd_core;
--- a/src/effect.h
+++ b/src/model/effect.h
@@ -1,7 +1,7 @@
 /* What the core wants done, for the adapters. */
 #ifndef BD_EFFECT_H
 #define BD_EFFECT_H
-#include "wire.h"
+#include "wire/wire.h"
 
 /* What a request is to the core: the API server's own, or one that another controller passed on.
  * Both begin alike, so that a reply finds its way. */
--- a/src/job.h
+++ b/src/model/job.h
@@ -1,8 +1,8 @@
 /* Jobs, as every controller knows them and as the leader serves them. */
 #ifndef BD_JOB_H
 #define BD_JOB_H
-#include "task.h"
-#include "wire.h"
+#include "model/task.h"
+#include "wire/wire.h"
 #include <time.h>
 #include <uthash.h>
 
@@ -31,7 +31,7 @@
     uint32_t dirty_chunks;
     double at;
     struct timespec next_force;    /* when something may be stopped for it again */
-    struct timespec backoff_until; /* nothing is written of it before: see state_limits.c */
+    struct timespec backoff_until; /* nothing is written of it before: see kv_limits.c */
     struct timespec hold_until, last_placed, last_begun;
     uint32_t restarts;            /* tasks that lost a place they had */
     struct timespec cancel_heard; /* when another controller said that it is cancelled */
@@ -40,7 +40,7 @@
     uint32_t runs, longest_run; /* finished tasks seen from begin to end, and tenths of a second */
     struct bd_spec spec;
     bool has_spec, in_guarantee, pinned;
-    /* what it waits for, see dependencies.c */
+    /* what it waits for, see dependency_graph.c */
     struct bd_dependency *dependencies;
     uint32_t ndependencies, open;         /* it is ready when none is open */
     struct bd_prerequisite *prerequisite; /* who waits for it */
--- a/src/machine.h
+++ b/src/model/machine.h
@@ -1,7 +1,7 @@
 /* Machine types, and machines as the leader knows them. */
 #ifndef BD_MACHINE_H
 #define BD_MACHINE_H
-#include "job.h"
+#include "model/job.h"
 
 #define BD_IMAGES 40 /* that a machine is known to have; older ones are fetched again */
 
--- a/src/room.h
+++ b/src/model/resources.h
@@ -1,8 +1,8 @@
 /* Amounts of a machine's resources: what is left, and how many tasks fit into it. */
 #ifndef BD_ROOM_H
 #define BD_ROOM_H
-#include "job.h"
-#include "machine.h"
+#include "model/job.h"
+#include "model/machine.h"
 
 struct bd_core;
 
--- a/src/tasks.c
+++ b/src/model/task_state.c
@@ -1,5 +1,5 @@
 /* How a task's state changes, with the sums over jobs, machines and teams that go with it. */
-#include "core_internal.h"
+#include "core/core_internal.h"
 #include "drain/drain.h"
 #include <math.h>
 #include <stdio.h>
--- a/src/effects.c
+++ b/src/runtime/effect_dispatch.c
@@ -1,10 +1,10 @@
 /* Hands the core's effects to the adapters. Owner thread only. */
+#include "adapters/node.h"
+#include "base/http.h"
+#include "base/metrics.h"
+#include "base/timeutil.h"
 #include "drain/drain.h"
-#include "http.h"
-#include "metrics.h"
-#include "node.h"
-#include "report_cache.h"
-#include "timeutil.h"
+#include "wire/heartbeat_cache.h"
 #include <limits.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -1,12 +1,12 @@
 /* The thread that alone owns the core. It drains the commands in batches and hands the effects
  * to the adapters. */
+#include "adapters/node.h"
+#include "base/http.h"
+#include "base/metrics.h"
+#include "base/timeutil.h"
 #include "brambledoor/controller.h"
 #include "drain/drain.h"
-#include "http.h"
-#include "metrics.h"
-#include "node.h"
-#include "report_cache.h"
-#include "timeutil.h"
+#include "wire/heartbeat_cache.h"
 #include <limits.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/settings.c
+++ b/src/runtime/settings.c
@@ -1,6 +1,6 @@
 #include "brambledoor/settings.h"
+#include "base/timeutil.h"
 #include "drain/drain.h"
-#include "timeutil.h"
 #include <jansson.h>
 #include <math.h>
 #include <sexp.h>
--- a/src/price.c
+++ b/src/scheduling/cost_model.c
@@ -1,5 +1,5 @@
 /* What a place costs, and how long a job may look for a cheap one before its aims are in danger. */
-#include "core_internal.h"
+#include "core/core_internal.h"
 #include <math.h>
 
 /* named defaults */
--- a/src/rounds.c
+++ b/src/scheduling/cycle.c
@@ -1,8 +1,8 @@
 /* The leader's rounds: intents, receipts and done records go into one fenced transaction at a
  * time; recovery reads them back. */
-#include "core_internal.h"
+#include "base/metrics.h"
+#include "core/core_internal.h"
 #include "drain/drain.h"
-#include "metrics.h"
 #include <stdio.h>
 
 /* named defaults */
--- a/src/job_order.c
+++ b/src/scheduling/job_order.c
@@ -1,6 +1,6 @@
 /* The order in which jobs are served. Part of the pure core. */
-#include "core_internal.h"
-#include "placement_internal.h"
+#include "core/core_internal.h"
+#include "scheduling/placement_internal.h"
 #include <math.h>
 
 static int order_jobs(const void *x, const void *y)
--- a/src/place.c
+++ b/src/scheduling/placement.c
@@ -1,6 +1,6 @@
 /* Placement: which waiting tasks go where. Like tasks of a job are decided as a class. */
-#include "core_internal.h"
-#include "placement_internal.h"
+#include "core/core_internal.h"
+#include "scheduling/placement_internal.h"
 #include <math.h>
 
 /* named defaults: the weights of a choice, in seconds of later start */
--- a/src/placement_internal.h
+++ b/src/scheduling/placement_internal.h
@@ -1,8 +1,8 @@
 /* Shared by the parts of placement: one round of it. */
 #ifndef BD_PLACEMENT_INTERNAL_H
 #define BD_PLACEMENT_INTERNAL_H
-#include "core_internal.h"
-#include "room.h"
+#include "core/core_internal.h"
+#include "model/resources.h"
 
 #define EPS 1e-6
 
--- a/src/preemption.c
+++ b/src/scheduling/preemption.c
@@ -1,6 +1,6 @@
 /* Which tasks may be stopped to make room, and which are. Part of the pure core. */
-#include "core_internal.h"
-#include "placement_internal.h"
+#include "core/core_internal.h"
+#include "scheduling/placement_internal.h"
 #include <math.h>
 
 #define COST_STOPPING 10.0 /* the whole room of a task made by stopping others */
--- a/src/frame.c
+++ b/src/wire/frame.c
@@ -1,4 +1,4 @@
-#include "frame.h"
+#include "wire/frame.h"
 #include <string.h>
 
 #define MAGIC 0x42444d31u
--- a/src/frame.h
+++ b/src/wire/frame.h
@@ -9,7 +9,7 @@
  *   cancelled (5): a job's id (u32 length, bytes); only to peers whose status has BD_PEER_NEWS */
 #ifndef BD_FRAME_H
 #define BD_FRAME_H
-#include "wire.h"
+#include "wire/wire.h"
 #include <stddef.h>
 #include <stdint.h>
 
--- a/src/report_cache.c
+++ b/src/wire/heartbeat_cache.c
@@ -1,4 +1,4 @@
-#include "report_cache.h"
+#include "wire/heartbeat_cache.h"
 #include <stdlib.h>
 #include <string.h>
 #include <uthash.h>
--- a/src/report_cache.h
+++ b/src/wire/heartbeat_cache.h
@@ -6,7 +6,7 @@
  */
 #ifndef BD_REPORT_CACHE_H
 #define BD_REPORT_CACHE_H
-#include "wire.h"
+#include "wire/wire.h"
 #include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
--- a/src/wire.c
+++ b/src/wire/wire.c
@@ -1,5 +1,5 @@
-#include "wire.h"
-#include "wire_internal.h"
+#include "wire/wire.h"
+#include "wire/wire_internal.h"
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/wire_cloud.c
+++ b/src/wire/wire_cloud.c
@@ -1,6 +1,6 @@
 /* The cloud on the wire: machine types, machines, and requests for them. */
-#include "wire.h"
-#include "wire_internal.h"
+#include "wire/wire.h"
+#include "wire/wire_internal.h"
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/wire_internal.h
+++ b/src/wire/wire_internal.h
@@ -1,7 +1,7 @@
 /* Shared by the parts of the wire module: reading single fields. */
 #ifndef BD_WIRE_INTERNAL_H
 #define BD_WIRE_INTERNAL_H
-#include "wire.h"
+#include "wire/wire.h"
 #include <jansson.h>
 
 #define COUNT(a) ((int)(sizeof(a) / sizeof((a)[0])))
--- a/src/wire_jobs.c
+++ b/src/wire/wire_jobs.c
@@ -1,6 +1,6 @@
 /* Jobs on the wire: submissions, records in the state service, and what users are told. */
-#include "wire.h"
-#include "wire_internal.h"
+#include "wire/wire.h"
+#include "wire/wire_internal.h"
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/wire_workers.c
+++ b/src/wire/wire_workers.c
@@ -1,6 +1,6 @@
 /* Workers on the wire: reports, and the commands they are given. */
-#include "wire.h"
-#include "wire_internal.h"
+#include "wire/wire.h"
+#include "wire/wire_internal.h"
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/standby.c
+++ b/src/workers/autonomous_zone.c
@@ -11,8 +11,8 @@
  * at which they can have answered, and a whole lease. A record that is applied late carries its own
  * time. A follower stands by only if another of its zone says, by a frame of this moment, that it
  * is cut off too: so one that crashes, or is cut off alone, delays nothing. */
-#include "core_internal.h"
-#include "frame.h"
+#include "core/core_internal.h"
+#include "wire/frame.h"
 
 /* named defaults */
 #define STICKY_S 3.0      /* a controller may be heard as cut off so long after it is back */
--- a/src/orders.c
+++ b/src/workers/commands.c
@@ -1,6 +1,6 @@
 /* Commands that a machine is owed, in answers and directly. Part of the pure core. */
-#include "orders.h"
-#include "core_internal.h"
+#include "workers/commands.h"
+#include "core/core_internal.h"
 #include <stdio.h>
 
 #define ZONE_FAILS 4u /* direct commands without an answer, in a row, of one zone */
--- a/src/orders.h
+++ b/src/workers/commands.h
@@ -1,7 +1,7 @@
 /* Commands for one machine. */
 #ifndef BD_ORDERS_H
 #define BD_ORDERS_H
-#include "core_internal.h"
+#include "core/core_internal.h"
 
 struct bd_order_list {
     struct bd_order *items;
@@ -14,7 +14,7 @@
 /* Answers a check-in with 200, and so renews the machine's lease: the one way to do so, for
  * leaders, delegates and controllers standing by. Adds to the orders a halt of all that the report
  * shows of cancelled jobs. Whether this controller may answer at all is the caller's to know
- * (grace.c). */
+ * (lease_renewal.c). */
 void bd_orders_answer(struct bd_core *core, void *request, const struct bd_report *report,
                       struct bd_order_list *orders, uint64_t token);
 #endif
--- a/src/delegate.c
+++ b/src/workers/delegate.c
@@ -12,9 +12,9 @@
  * While nobody leads, the record is conditional on the leader's key being absent, and answers go on
  * with the last term's token: a new leader counts with answers until DEPUTY_FRESH_S after its gain,
  * and no such record is written once it has its key. */
-#include "core_internal.h"
-#include "frame.h"
-#include "orders.h"
+#include "core/core_internal.h"
+#include "wire/frame.h"
+#include "workers/commands.h"
 #include <stdio.h>
 
 /* named defaults */
--- a/src/delegate.h
+++ b/src/workers/delegate.h
@@ -3,7 +3,7 @@
 #ifndef BD_DELEGATE_H
 #define BD_DELEGATE_H
 #include "brambledoor/settings.h"
-#include "wire.h"
+#include "wire/wire.h"
 #include <time.h>
 #include <uthash.h>
 
--- a/src/delegate_view.c
+++ b/src/workers/delegate_view.c
@@ -1,6 +1,6 @@
 /* The leader's view of the delegates' records. Part of the pure core. */
-#include "core_internal.h"
-#include "frame.h"
+#include "core/core_internal.h"
+#include "wire/frame.h"
 #include <stdio.h>
 
 #define AWAY_S 30.0 /* a dismissed delegate is named so long in the leader's key */
--- a/src/forwarding.c
+++ b/src/workers/forwarding.c
@@ -1,8 +1,8 @@
 /* Workers report to a controller of their own zone, which passes their reports to the leader and
  * the answers back: if the zone is cut off, its workers are already where they are answered on
  * (see delegate.c), instead of trying nodes that they cannot reach while their leases run out. */
-#include "core_internal.h"
-#include "frame.h"
+#include "core/core_internal.h"
+#include "wire/frame.h"
 #include <stdio.h>
 
 /* named defaults */
--- a/src/forwarding.h
+++ b/src/workers/forwarding.h
@@ -1,7 +1,7 @@
 /* Workers' reports on their way to the leader through us. */
 #ifndef BD_FORWARDING_H
 #define BD_FORWARDING_H
-#include "wire.h"
+#include "wire/wire.h"
 #include <time.h>
 #include <uthash.h>
 
--- a/src/reports.c
+++ b/src/workers/heartbeats.c
@@ -1,8 +1,8 @@
 /* Workers' reports as evidence, and the orders that go back to them. */
-#include "core_internal.h"
+#include "base/metrics.h"
+#include "core/core_internal.h"
 #include "drain/drain.h"
-#include "metrics.h"
-#include "orders.h"
+#include "workers/commands.h"
 #include <stdio.h>
 
 /* named defaults */
--- a/src/grace.c
+++ b/src/workers/lease_renewal.c
@@ -10,7 +10,7 @@
  * A write that succeeded, a renewal of the grant, a frame of another controller: none of these
  * proves what was cancelled. A leader whose renewals are served while its refreshes are not falls
  * silent as one that is cut off does. */
-#include "core_internal.h"
+#include "core/core_internal.h"
 
 /* named defaults */
 #define MARGIN_S 2.0     /* for what is on its way; */
--- a/tests/audit.c
+++ b/tests/audit.c
@@ -1,7 +1,7 @@
 /* The evidence log: tasks that share all else share a line, lines beyond the rate are counted, and
  * nothing is written below the level. Standard error is read back through a pipe. */
-#include "audit.h"
-#include "core_internal.h"
+#include "core/core_internal.h"
+#include "model/decision_log.h"
 #include "small.h"
 #include <fcntl.h>
 #include <stdio.h>
--- a/tests/behaviour_digest.h
+++ b/tests/behaviour_digest.h
@@ -5,8 +5,8 @@
  * out, so that a step changes only if behaviour does. Used by tests/compare_behaviour.sh. */
 #ifndef BD_TESTS_BEHAVIOUR_DIGEST_H
 #define BD_TESTS_BEHAVIOUR_DIGEST_H
-#include "effect.h"
-#include "frame.h"
+#include "model/effect.h"
+#include "wire/frame.h"
 #include <stdint.h>
 #include <stdio.h>
 
--- a/tests/fake_server.c
+++ b/tests/fake_server.c
@@ -1,8 +1,8 @@
 #include "fake_server.h"
-#include "http.h"
+#include "base/http.h"
+#include "base/timeutil.h"
 #include "key_table.h"
-#include "timeutil.h"
-#include "wire.h"
+#include "wire/wire.h"
 #include <arpa/inet.h>
 #include <microhttpd.h>
 #include <pthread.h>
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -6,10 +6,10 @@
  * ends; every record of a cancelled one says so in the end.
  *
  *   graphs SEEDS */
+#include "base/timeutil.h"
 #include "brambledoor/log.h"
-#include "core.h"
+#include "core/core.h"
 #include "small.h"
-#include "timeutil.h"
 #include <gsl/gsl_rng.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/inputs.c
+++ b/tests/inputs.c
@@ -1,9 +1,9 @@
 /* Malformed input: settings files, operators' files, and everything the wire brings. */
+#include "base/timeutil.h"
 #include "brambledoor/settings.h"
-#include "frame.h"
-#include "report_cache.h"
-#include "timeutil.h"
-#include "wire.h"
+#include "wire/frame.h"
+#include "wire/heartbeat_cache.h"
+#include "wire/wire.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -1,8 +1,8 @@
 /* The real program, three times, over loopback against the fake servers: quiet work, bad requests,
  * killed nodes, an outage of the state service and answers that are cut off. */
+#include "adapters/node.h"
+#include "base/timeutil.h"
 #include "loopback_nodes.h"
-#include "node.h"
-#include "timeutil.h"
 #include <arpa/inet.h>
 #include <jansson.h>
 #include <poll.h>
--- a/tests/loopback_drain.c
+++ b/tests/loopback_drain.c
@@ -2,10 +2,10 @@
  * services are drained and replaced, one worker is killed in a step and the leader once. The
  * workers' own history is held against the budgets. With the version in production as a second
  * argument: no step begins while it is heard. */
+#include "base/timeutil.h"
 #include "drain_check.h"
 #include "loopback_nodes.h"
-#include "timeutil.h"
-#include "wire.h"
+#include "wire/wire.h"
 #include <pthread.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/loopback_nodes.h
+++ b/tests/loopback_nodes.h
@@ -2,8 +2,8 @@
  * ends, and what users ask of them. */
 #ifndef LOOPBACK_NODES_H
 #define LOOPBACK_NODES_H
+#include "base/http.h"
 #include "fake_server.h"
-#include "http.h"
 #include <jansson.h>
 #include <stdbool.h>
 #include <sys/types.h>
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -4,12 +4,12 @@
  * callgrind: a line a kind with the times, and callgrind's dump of that name; tests/costs.sh holds
  * the instructions against upper counts. `profile full MACHINES` is a test again: every machine is
  * full of small tasks, and a takeover, a cut zone and a delegate of all machines follow. */
+#include "base/timeutil.h"
 #include "brambledoor/log.h"
-#include "core.h"
-#include "frame.h"
-#include "report_cache.h"
+#include "core/core.h"
 #include "small.h"
-#include "timeutil.h"
+#include "wire/frame.h"
+#include "wire/heartbeat_cache.h"
 #if __has_include(<valgrind/callgrind.h>)
 #include <valgrind/callgrind.h>
 #else
--- a/tests/protocol_words.sh
+++ b/tests/protocol_words.sh
@@ -3,7 +3,7 @@
 set -euo pipefail
 cd "$1"
 words='seal|tally|tenancy|plea|mood|hearth|breed|glade|windfall|household|kin|bids|mercyS|steward|charter|withdraw|chores?|mark|ring|warningS|guessS|markS|stowS|dueS|memGb|vcpus'
-found=$(grep -nwE "$words" src/*.[ch] src/*/*.[ch] include/brambledoor/*.h cli/*.c | grep -vE '^(src/wire[a-z_]*\.[ch]|include/brambledoor/wire\.h):' || true)
+found=$(grep -nwE "$words" src/*/*.[ch] include/brambledoor/*.h cli/*.c | grep -vE '^(src/wire/wire[a-z_]*\.[ch]|include/brambledoor/wire\.h):' || true)
 if [ -n "$found" ]; then
   echo "protocol words outside the wire module:"
   echo "$found"
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -36,11 +36,11 @@
  *   limits BYTES CHANGES  the largest value and transaction are these now
  *
  * @T.N is the N-th attempt of term T. LOG_LEVEL shows the core's log. */
+#include "base/timeutil.h"
 #include "drain/drain.h"
-#include "frame.h"
 #include "scenario_play.h"
 #include "small.h"
-#include "timeutil.h"
+#include "wire/frame.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/tests/scenario_drain.c
+++ b/tests/scenario_drain.c
@@ -1,7 +1,7 @@
 /* The steps of scenarios that concern draining; the head of scenario.c explains them. */
+#include "base/timeutil.h"
 #include "drain/drain.h"
 #include "scenario_play.h"
-#include "timeutil.h"
 #include <sexp.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/scenario_play.h
+++ b/tests/scenario_play.h
@@ -3,7 +3,7 @@
 #define SCENARIO_PLAY_H
 #include "behaviour_digest.h"
 #include "brambledoor/log.h"
-#include "core.h"
+#include "core/core.h"
 
 #define WORDS 64
 
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -1,4 +1,4 @@
-/* The adapters of the simulated controllers: what election.c, state_client.c, cloud.c,
+/* The adapters of the simulated controllers: what election.c, kv_client.c, cloud_client.c,
  * worker_client.c, peer_transport.c and event_loop.c do around the core, as events. */
 #include "simulation.h"
 #include <stdio.h>
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -3,14 +3,14 @@
  * pure core; the protocol's rules are the oracle. One seed, one day, always the same. */
 #ifndef BD_TESTS_SIM_H
 #define BD_TESTS_SIM_H
+#include "base/timeutil.h"
 #include "behaviour_digest.h"
 #include "brambledoor/log.h"
-#include "core.h"
+#include "core/core.h"
 #include "drain/drain.h"
 #include "drain_check.h"
-#include "frame.h"
 #include "key_table.h"
-#include "timeutil.h"
+#include "wire/frame.h"
 #include <gsl/gsl_rng.h>
 #include <jansson.h>
 
--- a/tests/small.h
+++ b/tests/small.h
@@ -1,8 +1,8 @@
 /* The settings that the scenarios begin with, and the profile program too. */
 #ifndef BD_TESTS_SMALL_H
 #define BD_TESTS_SMALL_H
+#include "base/timeutil.h"
 #include "brambledoor/settings.h"
-#include "timeutil.h"
 #include <stdio.h>
 
 static inline void small_settings(struct bd_settings *s)
