--- a/include/brambledoor/settings.h
+++ b/include/brambledoor/settings.h
@@ -34,7 +34,7 @@
     char node[BD_NAME], zone[BD_NAME], api_addr[BD_NAME], peer_addr[BD_NAME];
     struct bd_peer peers[BD_MAX_PEERS];
     int npeers;
-    char cloud[BD_NAME], state[BD_NAME];
+    char cloud[BD_NAME], kv_addr[BD_NAME];
     char zones[BD_MAX_ZONES][BD_NAME];
     int nzones;
     struct bd_team_limits teams[BD_MAX_TEAMS];
@@ -43,8 +43,9 @@
     int naims;
     int nodes;
     struct timespec report, lease, gang_wait, gang_peer, cancel, list_lag, clock_error;
-    double state_rps, state_write_rps, cloud_rps; /* the state service's limits: the smaller of */
-    size_t value_bytes, txn_ops;                  /* what holds now and what is to come */
+    double kv_requests_per_s, kv_writes_per_s,
+        cloud_requests_per_s;                  /* the state service's limits: the smaller of */
+    size_t kv_value_bytes_max, kv_txn_ops_max; /* what holds now and what is to come */
     double cpu, ram_mb;
     int max_sockets;
     /* operators' own */
--- a/src/adapters/admin_store.c
+++ b/src/adapters/admin_store.c
@@ -70,7 +70,7 @@
     uint64_t grant;
     *page = NULL;
     snprintf(path, sizeof path, BD_PATH_KEYS "/" BD_DRAIN_KEY "%s", name);
-    long status = bd_state_call(store->node, store->http, "GET", path, NULL, ANSWER_S, page);
+    long status = bd_kv_call(store->node, store->http, "GET", path, NULL, ANSWER_S, page);
     if (status == OK && (!bd_wire_pair(*page, &ch, &grant) ||
                          !bd_drain_record_read(name, ch.value, ch.revision, out)))
         return 0;
@@ -79,7 +79,7 @@
 
 struct bd_admin_answer bd_admin_list(const struct bd_admin_store *store)
 {
-    json_t *pairs = bd_state_list(store->node, store->http, BD_DRAIN_KEY), *v;
+    json_t *pairs = bd_kv_list(store->node, store->http, BD_DRAIN_KEY), *v;
     json_t *drains = json_array();
     struct bd_drain_record record;
     struct bd_change ch;
@@ -107,7 +107,7 @@
     json_t *v;
     size_t i;
     snprintf(prefix, sizeof prefix, BD_DRAIN_SET "%s/", set);
-    json_t *pairs = bd_state_list(store->node, store->http, prefix);
+    json_t *pairs = bd_kv_list(store->node, store->http, prefix);
     bool ok = pairs != NULL;
     json_array_foreach(pairs, i, v)
     {
@@ -182,7 +182,7 @@
     json_t *answer = NULL;
     char *body = bd_txn_end(txn);
     long status =
-        bd_state_call(store->node, store->http, "POST", BD_PATH_COMMIT, body, ANSWER_S, &answer);
+        bd_kv_call(store->node, store->http, "POST", BD_PATH_COMMIT, body, ANSWER_S, &answer);
     json_decref(answer);
     free(body);
     return status;
@@ -217,13 +217,13 @@
         size_t ops = 0, bytes = 0;
         if (!bd_txn_start(&txn))
             abort();
-        while (done < record->machines && ops < settings->txn_ops &&
-               (ops == 0 || bytes + settings->value_bytes < TXN_BYTES)) {
+        while (done < record->machines && ops < settings->kv_txn_ops_max &&
+               (ops == 0 || bytes + settings->kv_value_bytes_max < TXN_BYTES)) {
             char key[BD_LABEL];
             uint32_t n = record->machines - done < each ? record->machines - done : each;
             json_t *value = bd_drain_part_value(entries + done, n);
             char *text = json_dumps(value, JSON_COMPACT);
-            bytes += text ? strlen(text) : settings->value_bytes;
+            bytes += text ? strlen(text) : settings->kv_value_bytes_max;
             free(text);
             bd_drain_part_key(key, sizeof key, record->set, record->parts++);
             bd_txn_set(&txn, key, value, 0);
@@ -274,7 +274,7 @@
     snprintf(record.name, sizeof record.name, "%s", request->name);
     struct bd_drain_machine *entries = entries_of(ids, &longest);
     record.at = entries[0].since;
-    uint32_t each = bd_drain_part_machines(settings, settings->value_bytes, longest);
+    uint32_t each = bd_drain_part_machines(settings, settings->kv_value_bytes_max, longest);
     bool written = each > 0 && fresh_set(record.set) && write_set(store, &record, entries, each);
     free(entries);
     if (each == 0)
--- a/src/adapters/cloud_client.c
+++ b/src/adapters/cloud_client.c
@@ -33,7 +33,7 @@
 /* Waits until the budget allows a call; two seconds' worth may be saved up. */
 static void spend(struct desk *d)
 {
-    double rate = d->n->settings.cloud_rps * BUDGET;
+    double rate = d->n->settings.cloud_requests_per_s * BUDGET;
     struct timespec now = bd_now();
     d->tokens = fmin(2 * rate, d->tokens + rate * bd_between(d->counted, now));
     d->counted = now;
@@ -217,7 +217,7 @@
     d->n = node;
     d->h = bd_http_new(1, bd_metrics_counter(node->metrics, BD_TRAFFIC_CLOUD));
     double lag = bd_to_secs(node->settings.list_lag);
-    double least = 2.0 / node->settings.cloud_rps;
+    double least = 2.0 / node->settings.cloud_requests_per_s;
     d->list_s = lag / 3 > least ? lag / 3 : least;
     if (!d->h) {
         free(d);
--- a/src/adapters/election.c
+++ b/src/adapters/election.c
@@ -41,7 +41,7 @@
     json_t *o = NULL;
     char *body = bd_wire_ttl(self->ttl);
     self->granted = bd_now();
-    long status = bd_state_call(self->n, self->h, "POST", BD_PATH_GRANTS, body, call_s(self), &o);
+    long status = bd_kv_call(self->n, self->h, "POST", BD_PATH_GRANTS, body, call_s(self), &o);
     free(body);
     self->grant = status == 200 ? bd_wire_grant(o) : 0;
     json_decref(o);
@@ -92,7 +92,7 @@
     enum view v = VIEW_UNKNOWN;
     struct timespec sent = bd_now();
     long status =
-        bd_state_call(self->n, self->h, "GET", BD_PATH_KEYS "/leader", NULL, call_s(self), &o);
+        bd_kv_call(self->n, self->h, "GET", BD_PATH_KEYS "/leader", NULL, call_s(self), &o);
     if (status == 404)
         v = VIEW_FREE;
     if (status == 200 && bd_wire_pair(o, &ch, &grant)) {
@@ -138,7 +138,7 @@
                json_pack("{s:s,s:s}", "node", self->n->settings.node, "nonce", self->nonce),
                self->grant);
     char *body = bd_txn_end(&t);
-    long status = bd_state_call(self->n, self->h, "POST", BD_PATH_COMMIT, body, call_s(self), &o);
+    long status = bd_kv_call(self->n, self->h, "POST", BD_PATH_COMMIT, body, call_s(self), &o);
     free(body);
     if (status == 200)
         term = bd_wire_store_revision(o);
@@ -159,7 +159,7 @@
     struct timespec sent = bd_now();
     snprintf(path, sizeof path, BD_PATH_GRANTS "/%llu" BD_PATH_RENEW,
              (unsigned long long)self->grant);
-    long status = bd_state_call(self->n, self->h, "POST", path, "{}", call_s(self), &o);
+    long status = bd_kv_call(self->n, self->h, "POST", path, "{}", call_s(self), &o);
     json_decref(o);
     if (status == 404)
         return 0;
@@ -178,7 +178,7 @@
     json_t *o = NULL;
     struct bd_change ch;
     uint64_t grant;
-    long status = bd_state_call(self->n, self->h, "GET", BD_PATH_KEYS "/w", NULL, call_s(self), &o);
+    long status = bd_kv_call(self->n, self->h, "GET", BD_PATH_KEYS "/w", NULL, call_s(self), &o);
     if (status == 200 && bd_wire_pair(o, &ch, &grant))
         g->sequence_revision = ch.revision;
     json_decref(o);
@@ -193,9 +193,9 @@
         if (step == 0)
             ok = read_sequence(self, g);
         else if (step == 1)
-            ok = (g->receipts = bd_state_list(self->n, self->h, "r/")) != NULL;
+            ok = (g->receipts = bd_kv_list(self->n, self->h, "r/")) != NULL;
         else
-            ok = (g->intents = bd_state_list(self->n, self->h, "i/")) != NULL;
+            ok = (g->intents = bd_kv_list(self->n, self->h, "i/")) != NULL;
         step += ok;
         if (renew(self) == 0)
             return false;
@@ -259,7 +259,7 @@
     bd_txn_set(&t, key, json_pack("{s:f}", "at", bd_to_secs(wall)), 0);
     char *body = bd_txn_end(&t);
     tell_liveness(self, BD_C_LIVENESS_SENT, sent);
-    long status = bd_state_call(self->n, self->h, "POST", BD_PATH_COMMIT, body, call_s(self), &o);
+    long status = bd_kv_call(self->n, self->h, "POST", BD_PATH_COMMIT, body, call_s(self), &o);
     free(body);
     json_decref(o);
     if (status == 200)
@@ -273,7 +273,7 @@
     char path[64];
     json_t *o = NULL;
     snprintf(path, sizeof path, BD_PATH_GRANTS "/%llu", (unsigned long long)self->grant);
-    (void)bd_state_call(self->n, self->h, "DELETE", path, NULL, call_s(self), &o);
+    (void)bd_kv_call(self->n, self->h, "DELETE", path, NULL, call_s(self), &o);
     json_decref(o);
     self->grant = 0;
 }
--- a/src/adapters/kv_client.c
+++ b/src/adapters/kv_client.c
@@ -21,12 +21,12 @@
 #define DRAINS_S 1.0    /* ... and at the drains' */
 #define BUSY_TRIES 3    /* 429s in a row: then the transaction is decided anew */
 
-long bd_state_call(struct bd_node *node, struct bd_http *http, const char *method, const char *path,
-                   const char *body, double timeout_s, json_t **out)
+long bd_kv_call(struct bd_node *node, struct bd_http *http, const char *method, const char *path,
+                const char *body, double timeout_s, json_t **out)
 {
     char url[640];
     struct bd_reply r;
-    snprintf(url, sizeof url, "http://%s%s", node->settings.state, path);
+    snprintf(url, sizeof url, "http://%s%s", node->settings.kv_addr, path);
     bd_http_call(http, method, url, body, timeout_s, &r);
     long status = r.status;
     *out = r.body ? json_loadb(r.body, r.len, 0, NULL) : NULL;
@@ -47,7 +47,7 @@
         snprintf(path, sizeof path, BD_PATH_LIST "%s&after=%s&limit=1000", prefix, after);
     else
         snprintf(path, sizeof path, BD_PATH_LIST "%s&limit=1000", prefix);
-    if (bd_state_call(node, http, "GET", path, NULL, ANSWER_S, &page) != 200) {
+    if (bd_kv_call(node, http, "GET", path, NULL, ANSWER_S, &page) != 200) {
         json_decref(page);
         return NULL;
     }
@@ -60,7 +60,7 @@
 }
 
 /* All pairs of a prefix, for lists that fit the memory. NULL: failed. */
-json_t *bd_state_list(struct bd_node *node, struct bd_http *http, const char *prefix)
+json_t *bd_kv_list(struct bd_node *node, struct bd_http *http, const char *prefix)
 {
     json_t *all = json_array();
     char after[256] = "";
@@ -118,7 +118,7 @@
              (unsigned long long)*after);
     struct bd_cmd *command = bd_cmd_new(BD_C_FOLLOWED);
     command->sent = bd_now();
-    long status = bd_state_call(node, http, "GET", path, NULL, ANSWER_S, &o);
+    long status = bd_kv_call(node, http, "GET", path, NULL, ANSWER_S, &o);
     command->flag = barrier;
     command->ok = status == 200;
     command->after = *after;
@@ -144,7 +144,7 @@
 {
     struct bd_cmd *command = bd_cmd_new(BD_C_DELEGATES);
     command->sent = bd_now();
-    command->json = bd_state_list(node, http, "p/");
+    command->json = bd_kv_list(node, http, "p/");
     if (command->json)
         bd_tell(node, command);
     else
@@ -156,9 +156,9 @@
 static void read_drains(struct bd_node *node, struct bd_http *http)
 {
     struct bd_cmd *command = bd_cmd_new(BD_C_DRAINS);
-    command->json = bd_state_list(node, http, BD_DRAIN_KEY);
+    command->json = bd_kv_list(node, http, BD_DRAIN_KEY);
     if (command->json && atomic_load(&node->want_drain_sets))
-        command->sets = bd_state_list(node, http, BD_DRAIN_SET);
+        command->sets = bd_kv_list(node, http, BD_DRAIN_SET);
     if (command->json)
         bd_tell(node, command);
     else
@@ -218,7 +218,7 @@
     struct bd_change ch;
     uint64_t grant;
     int found = -1;
-    long status = bd_state_call(node, http, "GET", BD_PATH_KEYS "/w", NULL, ANSWER_S, &o);
+    long status = bd_kv_call(node, http, "GET", BD_PATH_KEYS "/w", NULL, ANSWER_S, &o);
     if (status == 404)
         found = 0;
     if (status == 200 && bd_wire_pair(o, &ch, &grant)) {
@@ -296,7 +296,7 @@
     a->unsure = a->unsure || (status != 429 && status != 503);
     a->busy = status == 429 ? a->busy + 1 : 0;
     if (status == 429)
-        bd_tell(a->node, bd_cmd_new(BD_C_BUSY));
+        bd_tell(a->node, bd_cmd_new(BD_C_KV_RATE_EXCEEDED));
     bd_pause(PAUSE_S);
     /* one larger than a second's changes would be refused for ever */
     bool decide_anew = a->busy >= BUSY_TRIES && (!a->unsure || shown(a) == 0);
@@ -310,7 +310,7 @@
     json_t *o = NULL;
     enum bd_outcome outcome;
     long status =
-        bd_state_call(a->node, a->http, "POST", BD_PATH_COMMIT, a->effect->body, ANSWER_S, &o);
+        bd_kv_call(a->node, a->http, "POST", BD_PATH_COMMIT, a->effect->body, ANSWER_S, &o);
     if (status == 200) {
         a->command->store_revision = bd_wire_store_revision(o);
         outcome = BD_COMMIT_APPLIED;
@@ -359,12 +359,12 @@
     command->sent = bd_now();
     if (effect->body) {
         command->status =
-            bd_state_call(node, http, "POST", BD_PATH_COMMIT, effect->body, ANSWER_S, &o);
+            bd_kv_call(node, http, "POST", BD_PATH_COMMIT, effect->body, ANSWER_S, &o);
         command->store_revision = bd_wire_store_revision(o);
         command->flag = command->status == 200;
     } else { /* only the record's revision is asked for */
         snprintf(path, sizeof path, BD_PATH_KEYS "/%s", effect->key);
-        long status = bd_state_call(node, http, "GET", path, NULL, ANSWER_S, &o);
+        long status = bd_kv_call(node, http, "GET", path, NULL, ANSWER_S, &o);
         command->flag = status == 404 || (status == 200 && bd_wire_pair(o, &ch, &grant));
         command->store_revision = status == 200 && command->flag ? ch.revision : 0;
     }
@@ -382,8 +382,7 @@
     for (char *line = copy ? strtok_r(copy, "\n", &rest) : NULL; line && command->status == 200;
          line = strtok_r(NULL, "\n", &rest)) {
         json_decref(o);
-        command->status =
-            bd_state_call(node, http, "POST", BD_PATH_COMMIT, line, USER_ANSWER_S, &o);
+        command->status = bd_kv_call(node, http, "POST", BD_PATH_COMMIT, line, USER_ANSWER_S, &o);
         command->store_revision = bd_wire_store_revision(o);
     }
     free(copy);
@@ -401,7 +400,7 @@
     struct bd_cmd *command = bd_cmd_new(BD_C_LOOKED_UP);
     char path[128];
     snprintf(path, sizeof path, BD_PATH_KEYS "/j/%s", effect->key);
-    command->status = bd_state_call(node, http, "GET", path, NULL, ANSWER_S, &command->json);
+    command->status = bd_kv_call(node, http, "GET", path, NULL, ANSWER_S, &command->json);
     command->request = effect->request;
     command->how = effect->status;
     snprintf(command->name, sizeof command->name, "%s", effect->key);
@@ -428,7 +427,7 @@
     return NULL;
 }
 
-int bd_state_client_start(struct bd_node *node)
+int bd_kv_client_start(struct bd_node *node)
 {
     int rc = bd_thread(reader, node, 131072) | bd_thread(committer, node, 131072);
     for (int i = 0; i < USER_THREADS; i++)
--- a/src/adapters/node.h
+++ b/src/adapters/node.h
@@ -39,7 +39,7 @@
     BD_C_DELEGATE_COMMITTED,
     BD_C_LOOKED_UP,
     BD_C_DRAINS,
-    BD_C_BUSY
+    BD_C_KV_RATE_EXCEEDED
 };
 
 /* What the adapters tell the owner. Owned by the receiver. */
@@ -104,7 +104,7 @@
 
 int bd_api_start(struct bd_node *node);
 void bd_api_reply(struct bd_node *node, void *request, int status, char *body, int retry_after);
-int bd_state_client_start(struct bd_node *node);
+int bd_kv_client_start(struct bd_node *node);
 int bd_election_start(struct bd_node *node);
 int bd_cloud_start(struct bd_node *node);
 /* sockets for our own connections, beside those to workers: other controllers, state service, cloud
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -12,7 +12,7 @@
         return NULL;
     core->settings = settings;
     core->log = log;
-    bd_limits_init(core);
+    bd_kv_limits_init(core);
     for (int i = 0; i < settings->nzones; i++)
         (void)bd_zone_index(core, settings->zones[i]);
     if (settings->draining)
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -39,7 +39,7 @@
 
 /* Another controller. */
 struct bd_peer_view {
-    struct timespec heard, state_seen;
+    struct timespec heard, kv_seen_at;
     uint64_t term;
     uint8_t flags;
     double said_at;                /* when it said so, by its time of day */
@@ -68,7 +68,7 @@
 
     struct bd_replica replica;
     struct bd_graph graph;
-    struct bd_limits limits;
+    struct bd_kv_limits kv_limits;
     struct bd_peer_view peers[BD_MAX_PEERS]; /* in the settings' order */
     struct timespec confirmed; /* when our own last liveness record that was written was sent, */
     struct timespec liveness_sent; /* ... and the last one that may have been */
@@ -122,14 +122,14 @@
 void bd_core_renewed(struct bd_core *core, uint64_t grant, struct timespec sent);
 void bd_core_lost(struct bd_core *core);
 /* a commit was answered that the rate is used up */
-void bd_core_busy(struct bd_core *core);
+void bd_kv_rate_exceeded(struct bd_core *core);
 /* the fate of the leader's transaction, which is known */
 void bd_core_committed(struct bd_core *core, enum bd_outcome outcome, uint64_t store_revision,
                        json_t *failed);
 /* the other controllers */
 /* heard: when its frame arrived, which may be some time before the frame is handled */
 void bd_core_peer(struct bd_core *core, const char *name, uint64_t term, uint8_t flags,
-                  double state_age, double said_at, struct timespec heard);
+                  double kv_age_s, double said_at, struct timespec heard);
 /* our own record of being in touch is about to be sent; it was written */
 void bd_core_liveness_sent(struct bd_core *core, struct timespec sent);
 void bd_core_liveness_written(struct bd_core *core, struct timespec sent);
--- a/src/core/core_internal.h
+++ b/src/core/core_internal.h
@@ -157,11 +157,11 @@
 void bd_remember_image(struct bd_core *core, struct bd_machine *machine, const struct bd_spec *spec,
                        bool there);
 
-void bd_limits_init(struct bd_core *core);
-bool bd_limits_refused(struct bd_core *core, const char *what);
-size_t bd_limits_ops(const struct bd_core *core);
-void bd_limits_tick(struct bd_core *core);
-void bd_limits_back_off(struct bd_core *core, struct bd_job *job);
+void bd_kv_limits_init(struct bd_core *core);
+bool bd_kv_limits_rejected(struct bd_core *core, const char *what);
+size_t bd_kv_limits_txn_ops(const struct bd_core *core);
+void bd_kv_limits_tick(struct bd_core *core);
+void bd_kv_limits_back_off(struct bd_core *core, struct bd_job *job);
 
 void bd_core_yield(struct bd_core *core);
 void bd_core_give_up_if_blind(struct bd_core *core);
--- a/src/drain/drain.h
+++ b/src/drain/drain.h
@@ -174,7 +174,7 @@
 /* Appends the part's machines to *machines; false: damaged. */
 bool bd_drain_part_read(json_t *value, struct bd_drain_machine **machines, uint32_t *n);
 /* How many machines a part may name, so that it fits a value however far they come. */
-uint32_t bd_drain_part_machines(const struct bd_settings *settings, size_t value_bytes,
+uint32_t bd_drain_part_machines(const struct bd_settings *settings, size_t kv_value_bytes_max,
                                 size_t longest_id);
 void bd_drain_part_key(char *key, size_t cap, const char *set, uint32_t part);
 
--- a/src/drain/durable.c
+++ b/src/drain/durable.c
@@ -169,7 +169,7 @@
     out->value = bd_drain_part_value(machines, part->n);
     out->bytes = bd_wire_bytes(out->value);
     part->written = core->now;
-    if (out->bytes > core->limits.value_bytes) {
+    if (out->bytes > core->kv_limits.kv_value_bytes_max) {
         bd_say(core->log, BD_ERROR, "drain %s: a record of %zu bytes is larger than a value may be",
                drain->name, out->bytes);
         json_decref(out->value);
@@ -193,7 +193,7 @@
     snprintf(out->key, sizeof out->key, BD_DRAIN_KEY "%s", drain->name);
     out->value = bd_drain_record_value(&record);
     out->revision = drain->record.revision;
-    out->bytes = core->limits.value_bytes;
+    out->bytes = core->kv_limits.kv_value_bytes_max;
     drain->over_sent = true;
     return true;
 }
--- a/src/drain/record.c
+++ b/src/drain/record.c
@@ -150,7 +150,7 @@
     return true;
 }
 
-uint32_t bd_drain_part_machines(const struct bd_settings *settings, size_t value_bytes,
+uint32_t bd_drain_part_machines(const struct bd_settings *settings, size_t kv_value_bytes_max,
                                 size_t longest_id)
 {
     size_t team = 0;
@@ -160,7 +160,7 @@
     }
     /* a replacement's name may be a few digits longer than ours */
     size_t each = MACHINE_BYTES + 2 * longest_id + 8 + team;
-    double room = VALUE_SHARE * (double)value_bytes - HEAD_BYTES;
+    double room = VALUE_SHARE * (double)kv_value_bytes_max - HEAD_BYTES;
     return room < (double)each ? 0 : (uint32_t)(room / (double)each);
 }
 
--- a/src/jobs/admission.c
+++ b/src/jobs/admission.c
@@ -121,7 +121,7 @@
 /* Names from *i on, as many as a value holds. */
 static json_t *some_names(const struct bd_core *core, json_t *prerequisites, size_t *i)
 {
-    double room = BD_VALUE_SHARE * (double)core->limits.value_bytes - 32;
+    double room = BD_VALUE_SHARE * (double)core->kv_limits.kv_value_bytes_max - 32;
     json_t *some = json_array(), *v;
     while ((v = json_array_get(prerequisites, *i)) &&
            (room -= (double)json_string_length(v) + 3) > 0) {
@@ -158,8 +158,8 @@
         if (!bd_txn_start(&t))
             abort();
         bd_txn_if(&t, key, 0); /* one that was accepted meanwhile needs no more of them */
-        while (i < n && ops < core->limits.txn_ops &&
-               bytes + core->limits.value_bytes < TXN_BYTES) {
+        while (i < n && ops < core->kv_limits.kv_txn_ops_max &&
+               bytes + core->kv_limits.kv_value_bytes_max < TXN_BYTES) {
             size_t from = i;
             snprintf(key, sizeof key, "j/%s/%s/%u", admission->id,
                      admission->record.prerequisites.of, admission->record.prerequisites.parts++);
@@ -169,7 +169,7 @@
             if (i == from)
                 n = 0; /* a value holds no name: this cannot be written */
             ops++;
-            bytes += core->limits.value_bytes;
+            bytes += core->kv_limits.kv_value_bytes_max;
         }
         add_line(&text, &len, bd_txn_end(&t));
     }
@@ -182,7 +182,7 @@
 
 static bool fits_value(const struct bd_core *core, json_t *v)
 {
-    return (double)bd_wire_bytes(v) <= BD_VALUE_SHARE * (double)core->limits.value_bytes;
+    return (double)bd_wire_bytes(v) <= BD_VALUE_SHARE * (double)core->kv_limits.kv_value_bytes_max;
 }
 
 /* All that the acceptance writes, a transaction a line, the record that counts last. NULL: it
@@ -419,7 +419,7 @@
         (void)bd_wait_barrier(core, request, id, (enum bd_wait_how)how);
     } else {
         if (status == 400) /* the next try is in smaller pieces */
-            (void)bd_limits_refused(core, id);
+            (void)bd_kv_limits_rejected(core, id);
         bd_refuse(core, request, 503, "state service not reached", 1);
     }
 }
--- a/src/leadership/commit.c
+++ b/src/leadership/commit.c
@@ -41,7 +41,8 @@
 /* How many intent records a transaction may hold beside receipts. */
 uint32_t bd_round_parts(const struct bd_core *core)
 {
-    size_t n = INTENT_BYTES / core->limits.value_bytes, ops = bd_limits_ops(core) / 4;
+    size_t n = INTENT_BYTES / core->kv_limits.kv_value_bytes_max,
+           ops = bd_kv_limits_txn_ops(core) / 4;
     n = n < ops ? n : ops;
     return n < 1 ? 1 : n > BD_ROUND_PARTS ? BD_ROUND_PARTS : (uint32_t)n;
 }
@@ -55,7 +56,7 @@
 static json_t *intent_value(struct bd_core *core, const struct bd_intent *e, uint32_t *n)
 {
     json_t *list = json_array();
-    double room = BD_VALUE_SHARE * (double)core->limits.value_bytes;
+    double room = BD_VALUE_SHARE * (double)core->kv_limits.kv_value_bytes_max;
     uint32_t i = 0;
     while (i < *n) {
         struct bd_machine *machine = bd_machine_of(core, e[i].machine);
@@ -96,7 +97,7 @@
                  (unsigned long long)core->lead.base_term,
                  (unsigned long long)++core->lead.round_n);
         bd_txn_set(&builder->t, p->key, intent_value(core, commit->plan + i, &p->n), 0);
-        spend(builder, 1, 0, core->limits.value_bytes);
+        spend(builder, 1, 0, core->kv_limits.kv_value_bytes_max);
         i += p->n;
     }
 }
@@ -188,7 +189,8 @@
     size_t bytes = (left < CHUNK ? left : CHUNK) / 4 + 16;
     if (!room_for(builder, 1, 1, bytes + 200))
         return false;
-    if (bytes > core->limits.value_bytes) /* fits no value any more: its done record says it */
+    if (bytes >
+        core->kv_limits.kv_value_bytes_max) /* fits no value any more: its done record says it */
         return true;
     struct bd_receipt *grown = realloc(commit->receipts, (commit->nreceipts + 1) * sizeof *grown);
     if (!grown)
@@ -303,7 +305,8 @@
 static void add_drains(struct bd_core *core, struct build *builder)
 {
     struct bd_drain_write write;
-    while (room_for(builder, 1, 1, core->limits.value_bytes) && bd_drain_next_write(core, &write)) {
+    while (room_for(builder, 1, 1, core->kv_limits.kv_value_bytes_max) &&
+           bd_drain_next_write(core, &write)) {
         if (write.revision)
             bd_txn_if(&builder->t, write.key, write.revision);
         if (write.value)
@@ -317,8 +320,8 @@
 void bd_round_commit(struct bd_core *core)
 {
     struct bd_commit *commit = core->lead.commit;
-    struct build b = {.most_ops = bd_limits_ops(core) - 1,
-                      .most_conds = 4 * core->limits.txn_ops - 2};
+    struct build b = {.most_ops = bd_kv_limits_txn_ops(core) - 1,
+                      .most_conds = 4 * core->kv_limits.kv_txn_ops_max - 2};
     if (!bd_txn_start(&b.t))
         abort();
     bd_txn_if(&b.t, "leader", core->lead.term);
@@ -345,7 +348,7 @@
                json_pack("{s:I,s:I}", "t", (json_int_t)core->lead.base_term, "n",
                          (json_int_t)core->lead.sequence),
                0);
-    core->lead.write_tokens -= (double)(b.ops + 1);
+    core->lead.write_budget -= (double)(b.ops + 1);
     struct bd_effect *effect = bd_emit(core, BD_E_COMMIT);
     effect->body = bd_txn_end(&b.t);
     effect->sequence = core->lead.sequence;
--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -162,16 +162,16 @@
 /* Called malformed: nothing was applied. All of it is decided anew, in smaller pieces. */
 static void too_large(struct bd_core *core, struct bd_commit *commit)
 {
-    if (bd_limits_refused(core, "a round's transaction"))
+    if (bd_kv_limits_rejected(core, "a round's transaction"))
         return;
     for (uint32_t i = 0; i < commit->nplan; i++)
-        bd_limits_back_off(core, commit->plan[i].job);
+        bd_kv_limits_back_off(core, commit->plan[i].job);
     for (uint32_t i = 0; i < commit->nreceipts; i++)
-        bd_limits_back_off(core, commit->receipts[i].job);
+        bd_kv_limits_back_off(core, commit->receipts[i].job);
     for (uint32_t i = 0; i < commit->ndone; i++)
-        bd_limits_back_off(core, commit->done[i]);
+        bd_kv_limits_back_off(core, commit->done[i]);
     for (uint32_t i = 0; i < commit->ncancelled; i++)
-        bd_limits_back_off(core, commit->cancelled[i]);
+        bd_kv_limits_back_off(core, commit->cancelled[i]);
 }
 
 void bd_core_committed(struct bd_core *core, enum bd_outcome outcome, uint64_t store_revision,
--- a/src/leadership/kv_limits.c
+++ b/src/leadership/kv_limits.c
@@ -16,12 +16,12 @@
 #define GROW_EVERY_S 10.0  /* between two steps */
 #define BACKOFF_S 1.0      /* what may be malformed itself rests so long, and up to 8 s more */
 
-void bd_limits_init(struct bd_core *core)
+void bd_kv_limits_init(struct bd_core *core)
 {
-    core->limits.value_bytes = core->settings->value_bytes;
-    core->limits.txn_ops = core->settings->txn_ops;
-    core->limits.write_rps = core->settings->state_write_rps;
-    core->limits.grow_after = GROW_AFTER_S;
+    core->kv_limits.kv_value_bytes_max = core->settings->kv_value_bytes_max;
+    core->kv_limits.kv_txn_ops_max = core->settings->kv_txn_ops_max;
+    core->kv_limits.write_rps = core->settings->kv_writes_per_s;
+    core->kv_limits.grow_after = GROW_AFTER_S;
 }
 
 static size_t smaller(size_t now, size_t least)
@@ -31,44 +31,46 @@
 }
 
 /* False: they are as small as can be already, so that the size was not the reason. */
-bool bd_limits_refused(struct bd_core *core, const char *what)
+bool bd_kv_limits_rejected(struct bd_core *core, const char *what)
 {
-    struct bd_limits was = core->limits;
+    struct bd_kv_limits was = core->kv_limits;
     bool tried = !bd_is_zero(was.grown_at) && bd_between(was.grown_at, core->now) < GROW_AFTER_S;
     if (tried && was.grow_after < GROW_MOST_S)
-        core->limits.grow_after = 2 * was.grow_after;
-    core->limits.grown_at = (struct timespec){0, 0};
-    core->limits.refused_at = core->now;
-    core->limits.value_bytes = smaller(was.value_bytes, VALUE_LEAST);
-    core->limits.txn_ops = smaller(was.txn_ops, OPS_LEAST);
+        core->kv_limits.grow_after = 2 * was.grow_after;
+    core->kv_limits.grown_at = (struct timespec){0, 0};
+    core->kv_limits.refused_at = core->now;
+    core->kv_limits.kv_value_bytes_max = smaller(was.kv_value_bytes_max, VALUE_LEAST);
+    core->kv_limits.kv_txn_ops_max = smaller(was.kv_txn_ops_max, OPS_LEAST);
     bd_say(core->log, BD_ERROR,
            "the state service calls %s malformed: values of at most %zu bytes and %zu changes from "
            "now on",
-           what, core->limits.value_bytes, core->limits.txn_ops);
-    return core->limits.value_bytes < was.value_bytes || core->limits.txn_ops < was.txn_ops;
+           what, core->kv_limits.kv_value_bytes_max, core->kv_limits.kv_txn_ops_max);
+    return core->kv_limits.kv_value_bytes_max < was.kv_value_bytes_max ||
+           core->kv_limits.kv_txn_ops_max < was.kv_txn_ops_max;
 }
 
 /* Changes that one transaction may hold: no more than the rate takes in a second, or it never goes
  * through. */
-size_t bd_limits_ops(const struct bd_core *core)
+size_t bd_kv_limits_txn_ops(const struct bd_core *core)
 {
-    size_t rate = (size_t)core->limits.write_rps;
-    size_t n = core->limits.txn_ops < rate ? core->limits.txn_ops : rate;
+    size_t rate = (size_t)core->kv_limits.write_rps;
+    size_t n = core->kv_limits.kv_txn_ops_max < rate ? core->kv_limits.kv_txn_ops_max : rate;
     return n < OPS_LEAST ? OPS_LEAST : n;
 }
 
-void bd_core_busy(struct bd_core *core)
+void bd_kv_rate_exceeded(struct bd_core *core)
 {
-    if (bd_between(core->limits.busy_at, core->now) < BUSY_S && !bd_is_zero(core->limits.busy_at))
+    if (bd_between(core->kv_limits.busy_at, core->now) < BUSY_S &&
+        !bd_is_zero(core->kv_limits.busy_at))
         return;
-    core->limits.busy_at = core->limits.raised_at = core->now;
-    core->limits.write_rps = core->limits.write_rps * BUSY_SHARE;
-    if (core->limits.write_rps < RATE_LEAST)
-        core->limits.write_rps = RATE_LEAST;
-    if (core->lead.write_tokens > 0)
-        core->lead.write_tokens = 0;
+    core->kv_limits.busy_at = core->kv_limits.raised_at = core->now;
+    core->kv_limits.write_rps = core->kv_limits.write_rps * BUSY_SHARE;
+    if (core->kv_limits.write_rps < RATE_LEAST)
+        core->kv_limits.write_rps = RATE_LEAST;
+    if (core->lead.write_budget > 0)
+        core->lead.write_budget = 0;
     bd_say(core->log, BD_INFO, "the state service is asked too much: %.1f changes a second",
-           core->limits.write_rps);
+           core->kv_limits.write_rps);
 }
 
 static size_t larger(size_t now, size_t most)
@@ -81,34 +83,35 @@
  * another reason. A step too far costs one refused transaction, which is decided anew. */
 static void grow(struct bd_core *core)
 {
-    struct bd_limits *l = &core->limits;
-    if ((l->value_bytes >= core->settings->value_bytes && l->txn_ops >= core->settings->txn_ops) ||
+    struct bd_kv_limits *l = &core->kv_limits;
+    if ((l->kv_value_bytes_max >= core->settings->kv_value_bytes_max &&
+         l->kv_txn_ops_max >= core->settings->kv_txn_ops_max) ||
         bd_between(l->refused_at, core->now) < l->grow_after ||
         (!bd_is_zero(l->grown_at) && bd_between(l->grown_at, core->now) < GROW_EVERY_S))
         return;
     l->grown_at = core->now;
-    l->value_bytes = larger(l->value_bytes, core->settings->value_bytes);
-    l->txn_ops = larger(l->txn_ops, core->settings->txn_ops);
+    l->kv_value_bytes_max = larger(l->kv_value_bytes_max, core->settings->kv_value_bytes_max);
+    l->kv_txn_ops_max = larger(l->kv_txn_ops_max, core->settings->kv_txn_ops_max);
     bd_say(core->log, BD_INFO, "tries values of up to %zu bytes and %zu changes again",
-           l->value_bytes, l->txn_ops);
+           l->kv_value_bytes_max, l->kv_txn_ops_max);
 }
 
-void bd_limits_tick(struct bd_core *core)
+void bd_kv_limits_tick(struct bd_core *core)
 {
     grow(core);
-    if (core->limits.write_rps >= core->settings->state_write_rps ||
-        bd_between(core->limits.busy_at, core->now) < CALM_S ||
-        bd_between(core->limits.raised_at, core->now) < 1.0)
+    if (core->kv_limits.write_rps >= core->settings->kv_writes_per_s ||
+        bd_between(core->kv_limits.busy_at, core->now) < CALM_S ||
+        bd_between(core->kv_limits.raised_at, core->now) < 1.0)
         return;
-    core->limits.raised_at = core->now;
-    core->limits.write_rps *= RISE;
-    if (core->limits.write_rps > core->settings->state_write_rps)
-        core->limits.write_rps = core->settings->state_write_rps;
+    core->kv_limits.raised_at = core->now;
+    core->kv_limits.write_rps *= RISE;
+    if (core->kv_limits.write_rps > core->settings->kv_writes_per_s)
+        core->kv_limits.write_rps = core->settings->kv_writes_per_s;
 }
 
 /* What was in a transaction that no smaller one replaces: each job rests for a time of its own, so
  * that the one at fault does not take the others with it for ever. */
-void bd_limits_back_off(struct bd_core *core, struct bd_job *job)
+void bd_kv_limits_back_off(struct bd_core *core, struct bd_job *job)
 {
     job->backoff_until = bd_add(core->now, bd_secs(BACKOFF_S + (double)(job->revision % 8)));
 }
--- a/src/leadership/leadership.c
+++ b/src/leadership/leadership.c
@@ -43,7 +43,7 @@
 /* ---- the other controllers ---- */
 
 void bd_core_peer(struct bd_core *core, const char *name, uint64_t term, uint8_t flags,
-                  double state_age, double said_at, struct timespec heard)
+                  double kv_age_s, double said_at, struct timespec heard)
 {
     for (int i = 0; i < core->settings->npeers; i++) {
         if (strcmp(core->settings->peers[i].name, name) != 0)
@@ -52,7 +52,7 @@
         core->peers[i].term = term;
         core->peers[i].flags = flags;
         core->peers[i].said_at = said_at;
-        core->peers[i].state_seen = bd_sub(heard, bd_secs(state_age));
+        core->peers[i].kv_seen_at = bd_sub(heard, bd_secs(kv_age_s));
     }
 }
 
@@ -70,8 +70,8 @@
 {
     const double behind = 1.5;
     for (int i = 0; i < core->settings->npeers; i++)
-        if (bd_peer_heard(core, i, HEARD_S) && core->peers[i].flags & BD_PEER_STATE &&
-            bd_between(core->replica.refreshed_at, core->peers[i].state_seen) > behind)
+        if (bd_peer_heard(core, i, HEARD_S) && core->peers[i].flags & BD_PEER_KV_REACHABLE &&
+            bd_between(core->replica.refreshed_at, core->peers[i].kv_seen_at) > behind)
             return true;
     return false;
 }
--- a/src/leadership/leadership.h
+++ b/src/leadership/leadership.h
@@ -53,8 +53,8 @@
     uint32_t nrounds, cap_rounds;
     struct timespec next_round, next_fleet, next_gc, next_tick, last_token_raise, next_summary;
     bool want_token_raise, round_wanted;
-    double write_tokens;
-    struct timespec token_at;
+    double write_budget;
+    struct timespec write_budget_at;
     bool classes_said;      /* that there are more than spare room is kept for */
     bool inbound_cut;       /* most workers are silent */
     bool outbound_cut_many; /* so many seem not to hear us that it is rather us */
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -236,8 +236,8 @@
     case BD_C_LOST:
         bd_core_lost(core);
         break;
-    case BD_C_BUSY:
-        bd_core_busy(core);
+    case BD_C_KV_RATE_EXCEEDED:
+        bd_kv_rate_exceeded(core);
         break;
     case BD_C_COMMITTED:
         /* an answer to an earlier term's transaction says nothing about ours */
@@ -288,7 +288,7 @@
     if (core->role == BD_LEADER && core->lead.inbound_cut)
         node->status.flags |= BD_PEER_INBOUND_CUT;
     if (age < 1.0 && core->replica.ready)
-        node->status.flags |= BD_PEER_STATE;
+        node->status.flags |= BD_PEER_KV_REACHABLE;
     if (bd_core_cut(core))
         node->status.flags |= BD_PEER_CUT;
     node->status.at_ms = (uint64_t)(core->wall * 1000);
@@ -420,7 +420,7 @@
         seed = (uint64_t)bd_now().tv_nsec << 20;
     bd_core_seed(node->core, seed >> 1);
     (void)clock_core(node);
-    if (bd_state_client_start(node) != 0 || bd_cloud_start(node) != 0 ||
+    if (bd_kv_client_start(node) != 0 || bd_cloud_start(node) != 0 ||
         bd_worker_client_start(node) != 0 || bd_election_start(node) != 0 ||
         bd_transport_start(node) != 0)
         return -1;
--- a/src/runtime/settings.c
+++ b/src/runtime/settings.c
@@ -189,12 +189,12 @@
     if (bd_to_secs(settings->cancel) < bd_to_secs(settings->lease) + CANCEL_ROOM_S)
         fault(r, "cancel_s", "must be at least a second longer than lease_s");
     json_t *st = object(r, f, "state");
-    settings->state_rps = limit(r, st, "rps", 1);
-    settings->state_write_rps = limit(r, st, "write_rps", 1);
-    settings->value_bytes = (size_t)(limit(r, st, "value_kb", 1) * 1024);
-    settings->txn_ops = (size_t)limit(r, st, "txn_ops", 2);
+    settings->kv_requests_per_s = limit(r, st, "rps", 1);
+    settings->kv_writes_per_s = limit(r, st, "write_rps", 1);
+    settings->kv_value_bytes_max = (size_t)(limit(r, st, "value_kb", 1) * 1024);
+    settings->kv_txn_ops_max = (size_t)limit(r, st, "txn_ops", 2);
     json_t *c = object(r, f, "cloud");
-    settings->cloud_rps = number(r, c, "rps", 0.01);
+    settings->cloud_requests_per_s = number(r, c, "rps", 0.01);
     settings->list_lag = span(r, c, "list_lag_s", 0);
     json_t *l = object(r, f, "limits");
     settings->cpu = number(r, l, "cpu", CPU_LEAST);
@@ -224,7 +224,7 @@
     peers(&r, root, s);
     json_t *ext = object(&r, root, "external");
     text(&r, ext, "cloud", s->cloud);
-    text(&r, ext, "state", s->state);
+    text(&r, ext, "state", s->kv_addr);
     json_t *f = object(&r, root, "facts");
     if (!r.bad)
         facts_in(&r, f, s);
--- a/src/scheduling/cycle.c
+++ b/src/scheduling/cycle.c
@@ -72,12 +72,12 @@
 
 static void tokens(struct bd_core *core)
 {
-    double rate = core->limits.write_rps * WRITE_SHARE;
-    bd_limits_tick(core);
-    core->lead.write_tokens += rate * bd_between(core->lead.token_at, core->now);
-    if (core->lead.write_tokens > rate)
-        core->lead.write_tokens = rate;
-    core->lead.token_at = core->now;
+    double rate = core->kv_limits.write_rps * WRITE_SHARE;
+    bd_kv_limits_tick(core);
+    core->lead.write_budget += rate * bd_between(core->lead.write_budget_at, core->now);
+    if (core->lead.write_budget > rate)
+        core->lead.write_budget = rate;
+    core->lead.write_budget_at = core->now;
 }
 
 /* A round looks at each machine for each waiting job: with many of both, rounds are rarer, so that
@@ -96,7 +96,7 @@
 static void round_now(struct bd_core *core)
 {
     if (core->lead.commit || bd_before(core->now, core->lead.next_round) ||
-        core->lead.write_tokens < 2)
+        core->lead.write_budget < 2)
         return;
     if (!core->lead.round_wanted && !core->lead.want_token_raise && core->graph.nderived == 0 &&
         bd_before(core->now, core->lead.next_gc))
--- a/src/scheduling/placement.c
+++ b/src/scheduling/placement.c
@@ -427,9 +427,9 @@
     r.open = calloc(core->nmachines + 1, sizeof *r.open);
     /* each record but the last may end a group's worth early */
     uint32_t parts = bd_round_parts(core);
-    r.most_bytes = (size_t)(BD_VALUE_SHARE * (double)core->limits.value_bytes * parts) -
+    r.most_bytes = (size_t)(BD_VALUE_SHARE * (double)core->kv_limits.kv_value_bytes_max * parts) -
                    (size_t)(parts - 1) * 2 * BD_LABEL;
-    r.most_conds = (uint32_t)(3 * core->limits.txn_ops);
+    r.most_conds = (uint32_t)(3 * core->kv_limits.kv_txn_ops_max);
     if (!r.claimed || !r.open || !r.stops || !r.cost || !r.fetch)
         abort();
     for (uint32_t i = 0; i < core->nmachines; i++)
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -100,7 +100,7 @@
 /* Machines that one part of the record can name, by the longest name there is room for so far. */
 static uint32_t part_holds(const struct bd_core *core)
 {
-    double n = (RECORD_SHARE * (double)core->limits.value_bytes - RECORD_HEAD) /
+    double n = (RECORD_SHARE * (double)core->kv_limits.kv_value_bytes_max - RECORD_HEAD) /
                (double)(core->delegate.longest + NAME_BYTES);
     return n < 1 ? 1 : (uint32_t)n;
 }
@@ -108,8 +108,9 @@
 /* They are written together: no more than one transaction takes. */
 static uint32_t most_parts(const struct bd_core *core)
 {
-    return core->limits.txn_ops < BD_DELEGATE_PARTS ? (uint32_t)core->limits.txn_ops
-                                                    : BD_DELEGATE_PARTS;
+    return core->kv_limits.kv_txn_ops_max < BD_DELEGATE_PARTS
+               ? (uint32_t)core->kv_limits.kv_txn_ops_max
+               : BD_DELEGATE_PARTS;
 }
 
 /* Machines that the record can name: what its parts hold, and what one transaction takes in all. */
@@ -126,7 +127,8 @@
     struct bd_delegate *delegate = &core->delegate;
     size_t len = strlen(id);
     delegate->longest = len > delegate->longest ? len : delegate->longest;
-    if (delegate->nserved < most_machines(core) && len + RECORD_HEAD < core->limits.value_bytes)
+    if (delegate->nserved < most_machines(core) &&
+        len + RECORD_HEAD < core->kv_limits.kv_value_bytes_max)
         return true;
     bd_say(core->log, BD_ERROR, "a delegate's record is full with %u machines", delegate->nserved);
     return false;
@@ -310,7 +312,7 @@
         return;
     }
     if (status == 400)
-        (void)bd_limits_refused(core, "the delegate's record");
+        (void)bd_kv_limits_rejected(core, "the delegate's record");
     if (status != 200)
         bd_say(core->log, BD_INFO, "the delegate's record was not written: status %ld", status);
     /* a leader's key that was only rewritten is no reason to send the workers round */
@@ -436,8 +438,8 @@
 {
     for (int i = 0; i < core->settings->npeers; i++)
         if (bd_peer_near(core, i) && i != bd_leader_index(core) &&
-            core->peers[i].flags & BD_PEER_STATE && !(core->peers[i].flags & BD_PEER_HEARS) &&
-            bd_peer_heard(core, i, LEADER_SILENT_S))
+            core->peers[i].flags & BD_PEER_KV_REACHABLE &&
+            !(core->peers[i].flags & BD_PEER_HEARS) && bd_peer_heard(core, i, LEADER_SILENT_S))
             return true;
     return false;
 }
--- a/src/workers/forwarding.c
+++ b/src/workers/forwarding.c
@@ -153,7 +153,7 @@
 /* Whether the controller is in touch with the state service, the leader and us. */
 static bool can_pass_on(const struct bd_core *core, int i)
 {
-    return core->peers[i].flags & BD_PEER_STATE && core->peers[i].flags & BD_PEER_HEARS &&
+    return core->peers[i].flags & BD_PEER_KV_REACHABLE && core->peers[i].flags & BD_PEER_HEARS &&
            !(bd_between(core->peers[i].heard, core->now) > LEADER_SILENT_S);
 }
 
--- a/tests/drain_profile.c
+++ b/tests/drain_profile.c
@@ -212,7 +212,7 @@
                                      .asked = json_object()};
     struct bd_drain_machine *entries = calloc(drained, sizeof *entries);
     json_t *drains = json_array(), *sets = json_array();
-    uint32_t each = bd_drain_part_machines(&f->settings, f->settings.value_bytes, 9);
+    uint32_t each = bd_drain_part_machines(&f->settings, f->settings.kv_value_bytes_max, 9);
     char key[BD_LABEL];
     if (!entries)
         abort();
--- a/tests/fake_server.c
+++ b/tests/fake_server.c
@@ -69,7 +69,7 @@
     json_t *old[8]; /* transactions that applied, to come again as late copies */
     int nold, applied_again, copies;
     int ran_twice, starts, garbles, too_early, lapses;
-    size_t value_bytes, ops;
+    size_t kv_value_bytes_max, ops;
     int write_rps, writes, refused, busy;
     struct timespec second;
     uint64_t grants;
@@ -200,7 +200,7 @@
     json_array_foreach(ops, i, v)
     {
         char *text = json_dumps(json_object_get(v, "value"), JSON_COMPACT | JSON_ENCODE_ANY);
-        bool large = w->value_bytes && text && strlen(text) > w->value_bytes;
+        bool large = w->kv_value_bytes_max && text && strlen(text) > w->kv_value_bytes_max;
         free(text);
         if (large)
             return true;
@@ -759,10 +759,10 @@
     return sum(w, lapses);
 }
 
-void world_limits(struct world *w, size_t value_bytes, size_t ops, int write_rps)
+void world_limits(struct world *w, size_t kv_value_bytes_max, size_t ops, int write_rps)
 {
     pthread_mutex_lock(&w->lock);
-    w->value_bytes = value_bytes;
+    w->kv_value_bytes_max = kv_value_bytes_max;
     w->ops = ops;
     w->write_rps = write_rps;
     pthread_mutex_unlock(&w->lock);
--- a/tests/fake_server.h
+++ b/tests/fake_server.h
@@ -36,7 +36,7 @@
 int world_lapses(struct world *w);
 /* from now on larger values and transactions get 400 and changes beyond the rate 429; 0: no limit.
  * refused, busy: how many did */
-void world_limits(struct world *w, size_t value_bytes, size_t ops, int write_rps);
+void world_limits(struct world *w, size_t kv_value_bytes_max, size_t ops, int write_rps);
 void world_refused(struct world *w, int *refused, int *busy);
 /* all keys and values, to a file; false: it cannot be written */
 bool world_dump(struct world *w, const char *path);
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -555,8 +555,8 @@
 static void settings(struct bd_settings *s, int n)
 {
     small_settings(s);
-    s->value_bytes = 600; /* long lists go in parts */
-    s->txn_ops = 6;
+    s->kv_value_bytes_max = 600; /* long lists go in parts */
+    s->kv_txn_ops_max = 6;
     s->leader_ttl = bd_secs(3);
     snprintf(s->node, sizeof s->node, "node-%d", n);
     s->nteams = 1;
--- a/tests/inputs.c
+++ b/tests/inputs.c
@@ -76,8 +76,8 @@
     char *text = malloc(cap);
     snprintf(text, cap, "%.*s%s%s", (int)head, good, next, good + head);
     put(path, text);
-    check(bd_settings_load(s, path, err, sizeof err) == 0 && s->value_bytes == value &&
-              s->txn_ops == ops && s->state_write_rps == rate,
+    check(bd_settings_load(s, path, err, sizeof err) == 0 && s->kv_value_bytes_max == value &&
+              s->kv_txn_ops_max == ops && s->kv_writes_per_s == rate,
           *next ? next : "no limits to come");
     (void)unlink(path);
     free(text);
@@ -92,7 +92,7 @@
     snprintf(path, sizeof path, "%s/settings.json", dir);
     check(bd_settings_load(s, path, err, sizeof err) == 0, "good settings");
     check(s->npeers == 2 && s->nteams == 2 && s->naims == 2 && s->nzones == 2 &&
-              bd_to_secs(s->lease) == 10.0 && s->txn_ops == 24,
+              bd_to_secs(s->lease) == 10.0 && s->kv_txn_ops_max == 24,
           "good settings are read");
     bad_settings(good, "\"node_name\": \"node-0\"", "\"node_name\": 7", "node_name");
     bad_settings(good, "\"front\"", "\"fronts\"", "front");
@@ -348,7 +348,7 @@
     f->type = BD_FRAME_STATUS;
     snprintf(f->name, sizeof f->name, "node-7");
     f->term = 0x0102030405060708u;
-    f->flags = BD_PEER_STATE;
+    f->flags = BD_PEER_KV_REACHABLE;
     f->age_ms = 1500;
     size_t n = bd_frame_write(f, buf, sizeof buf);
     check(n > 0 && bd_frame_read(buf, n, g) == (long)n && strcmp(g->name, "node-7") == 0 &&
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -55,15 +55,15 @@
     w->commits++;
     if (strlen(body) > 65536)
         fault(w, "bytes of a transaction", strlen(body), 65536);
-    if (json_array_size(ops) > w->settings.txn_ops)
-        fault(w, "changes", json_array_size(ops), w->settings.txn_ops);
-    if (conds > 4 * w->settings.txn_ops)
-        fault(w, "conditions", conds, 4 * w->settings.txn_ops);
+    if (json_array_size(ops) > w->settings.kv_txn_ops_max)
+        fault(w, "changes", json_array_size(ops), w->settings.kv_txn_ops_max);
+    if (conds > 4 * w->settings.kv_txn_ops_max)
+        fault(w, "conditions", conds, 4 * w->settings.kv_txn_ops_max);
     json_array_foreach(ops, i, v)
     {
         char *text = json_dumps(json_object_get(v, "value"), JSON_COMPACT | JSON_ENCODE_ANY);
-        if (text && strlen(text) > w->settings.value_bytes)
-            fault(w, "bytes of a value", strlen(text), w->settings.value_bytes);
+        if (text && strlen(text) > w->settings.kv_value_bytes_max)
+            fault(w, "bytes of a value", strlen(text), w->settings.kv_value_bytes_max);
         free(text);
     }
     json_decref(o);
@@ -91,7 +91,7 @@
     snprintf(s->peers[0].zone, sizeof s->peers[0].zone, "b");
     s->list_lag = bd_secs(8);
     s->leader_ttl = bd_secs(2);
-    s->state_rps = 250;
+    s->kv_requests_per_s = 250;
     s->ram_mb = 72;
     s->spare_share = 1.6;
     s->idle_boots = 0.7;
@@ -411,7 +411,7 @@
 {
     static struct bd_frame f, in;
     static unsigned char buf[1024];
-    f = (struct bd_frame){.type = BD_FRAME_STATUS, .flags = BD_PEER_STATE, .at_ms = n};
+    f = (struct bd_frame){.type = BD_FRAME_STATUS, .flags = BD_PEER_KV_REACHABLE, .at_ms = n};
     snprintf(f.name, sizeof f.name, PEER);
     CALLGRIND_TOGGLE_COLLECT;
     size_t len = bd_frame_write(&f, buf, sizeof buf);
@@ -614,7 +614,7 @@
     uint32_t written = 0;
     bd_core_lost(w->c);
     drop_effects(w);
-    bd_core_peer(w->c, PEER, 9, BD_PEER_LEADS | BD_PEER_STATE, 0, w->c->wall, w->c->now);
+    bd_core_peer(w->c, PEER, 9, BD_PEER_LEADS | BD_PEER_KV_REACHABLE, 0, w->c->wall, w->c->now);
     at(w, w->now + 30);
     bd_core_leader_is(w->c, PEER, 9, w->c->now, false);
     for (uint32_t i = 0; i < w->machines; i++)
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -118,9 +118,10 @@
     p->settings.cancel = bd_secs(play_num(p, "cancel", bd_to_secs(p->settings.cancel)));
     p->settings.report = bd_secs(play_num(p, "report", bd_to_secs(p->settings.report)));
     p->settings.leader_ttl = bd_secs(play_num(p, "ttl", bd_to_secs(p->settings.leader_ttl)));
-    p->settings.txn_ops = (size_t)play_num(p, "ops", (double)p->settings.txn_ops);
-    p->settings.value_bytes = (size_t)play_num(p, "value", (double)p->settings.value_bytes);
-    p->settings.state_write_rps = play_num(p, "writes", p->settings.state_write_rps);
+    p->settings.kv_txn_ops_max = (size_t)play_num(p, "ops", (double)p->settings.kv_txn_ops_max);
+    p->settings.kv_value_bytes_max =
+        (size_t)play_num(p, "value", (double)p->settings.kv_value_bytes_max);
+    p->settings.kv_writes_per_s = play_num(p, "writes", p->settings.kv_writes_per_s);
     const char *t = play_arg(p, "team"), *peer = play_arg(p, "peer");
     if (peer) {
         struct bd_peer *b = &p->settings.peers[p->settings.npeers++];
@@ -422,7 +423,7 @@
 
 static void cmd_peer(struct play *p)
 {
-    uint8_t flags = play_num(p, "state", 1) != 0 ? BD_PEER_STATE : 0;
+    uint8_t flags = play_num(p, "state", 1) != 0 ? BD_PEER_KV_REACHABLE : 0;
     flags |= play_num(p, "hears", 1) != 0 ? BD_PEER_HEARS : 0;
     flags |= play_num(p, "deaf", 0) != 0 ? BD_PEER_INBOUND_CUT : 0;
     flags |= play_yes(p, "cut") ? BD_PEER_CUT : 0;
@@ -439,10 +440,10 @@
 
 static void cmd_limits(struct play *p)
 {
-    if (p->c->limits.value_bytes != strtoull(p->w[1], NULL, 10) ||
-        p->c->limits.txn_ops != strtoull(p->w[2], NULL, 10)) {
-        fprintf(stderr, "values of %zu bytes, %zu changes\n", p->c->limits.value_bytes,
-                p->c->limits.txn_ops);
+    if (p->c->kv_limits.kv_value_bytes_max != strtoull(p->w[1], NULL, 10) ||
+        p->c->kv_limits.kv_txn_ops_max != strtoull(p->w[2], NULL, 10)) {
+        fprintf(stderr, "values of %zu bytes, %zu changes\n", p->c->kv_limits.kv_value_bytes_max,
+                p->c->kv_limits.kv_txn_ops_max);
         play_fail(p, "limits");
     }
 }
@@ -737,7 +738,7 @@
     if (strcmp(v, "tick") == 0)
         bd_core_tick(p->c);
     else if (strcmp(v, "busy") == 0)
-        bd_core_busy(p->c);
+        bd_kv_rate_exceeded(p->c);
     else if (strcmp(v, "confirmed") == 0)
         bd_core_liveness_written(p->c, p->c->now);
     else if (strcmp(v, "offered") == 0)
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -232,7 +232,7 @@
     flags |= c->role == BD_LEADER ? BD_PEER_LEADS : 0;
     flags |= bd_core_hears_leader(c) ? BD_PEER_HEARS : 0;
     flags |= c->role == BD_LEADER && c->lead.inbound_cut ? BD_PEER_INBOUND_CUT : 0;
-    flags |= age < 1.0 && c->replica.ready ? BD_PEER_STATE : 0;
+    flags |= age < 1.0 && c->replica.ready ? BD_PEER_KV_REACHABLE : 0;
     flags |= bd_core_cut(c) ? BD_PEER_CUT : 0;
     for (int i = 0; i < n->settings.npeers; i++) {
         struct bd_frame *f = to_peer(s, n, i, BD_FRAME_STATUS, NULL)->data;
--- a/tests/small.h
+++ b/tests/small.h
@@ -14,11 +14,11 @@
     s->gang_wait = bd_secs(30);
     s->gang_peer = bd_secs(4);
     s->list_lag = bd_secs(5);
-    s->state_write_rps = 100;
-    s->state_rps = 200;
-    s->cloud_rps = 3;
-    s->value_bytes = 8192;
-    s->txn_ops = 24;
+    s->kv_writes_per_s = 100;
+    s->kv_requests_per_s = 200;
+    s->cloud_requests_per_s = 3;
+    s->kv_value_bytes_max = 8192;
+    s->kv_txn_ops_max = 24;
     s->ram_mb = 1;
     s->spare_share = 0;
     s->idle_boots = 1;
