--- a/src/adapters/admin_store.c
+++ b/src/adapters/admin_store.c
@@ -180,7 +180,7 @@
 static long commit(const struct bd_admin_store *store, struct bd_txn *txn)
 {
     json_t *answer = NULL;
-    char *body = bd_txn_end(txn);
+    char *body = bd_txn_finish(txn);
     long status =
         bd_kv_call(store->node, store->http, "POST", BD_PATH_COMMIT, body, ANSWER_S, &answer);
     json_decref(answer);
@@ -215,7 +215,7 @@
     while (done < record->machines) {
         struct bd_txn txn;
         size_t ops = 0, bytes = 0;
-        if (!bd_txn_start(&txn))
+        if (!bd_txn_begin(&txn))
             abort();
         while (done < record->machines && ops < settings->kv_txn_ops_max &&
                (ops == 0 || bytes + settings->kv_value_bytes_max < TXN_BYTES)) {
@@ -226,7 +226,7 @@
             bytes += text ? strlen(text) : settings->kv_value_bytes_max;
             free(text);
             bd_drain_part_key(key, sizeof key, record->set, record->parts++);
-            bd_txn_set(&txn, key, value, 0);
+            bd_txn_put(&txn, key, value, 0);
             done += n;
             ops++;
         }
@@ -241,10 +241,10 @@
     struct bd_txn txn;
     char key[BD_LABEL + 8];
     snprintf(key, sizeof key, BD_DRAIN_KEY "%s", record->name);
-    if (!bd_txn_start(&txn))
+    if (!bd_txn_begin(&txn))
         abort();
-    bd_txn_if(&txn, key, record->revision);
-    bd_txn_set(&txn, key, bd_drain_record_value(record), 0);
+    bd_txn_compare(&txn, key, record->revision);
+    bd_txn_put(&txn, key, bd_drain_record_value(record), 0);
     return commit(store, &txn);
 }
 
--- a/src/adapters/election.c
+++ b/src/adapters/election.c
@@ -131,13 +131,13 @@
     json_t *o = NULL;
     uint64_t term = 0;
     fresh_nonce(self);
-    if (!get_grant(self) || !bd_txn_start(&t))
+    if (!get_grant(self) || !bd_txn_begin(&t))
         return 0;
-    bd_txn_if(&t, "leader", revision);
-    bd_txn_set(&t, "leader",
+    bd_txn_compare(&t, "leader", revision);
+    bd_txn_put(&t, "leader",
                json_pack("{s:s,s:s}", "node", self->n->settings.node, "nonce", self->nonce),
                self->grant);
-    char *body = bd_txn_end(&t);
+    char *body = bd_txn_finish(&t);
     long status = bd_kv_call(self->n, self->h, "POST", BD_PATH_COMMIT, body, call_s(self), &o);
     free(body);
     if (status == 200)
@@ -251,13 +251,13 @@
         clock_gettime(CLOCK_REALTIME, &wall) != 0)
         return;
     /* both clocks must name the same moment: a process may stand still in between */
-    if (bd_between(sent, bd_now()) > SAME_MOMENT_S || !bd_txn_start(&t))
+    if (bd_between(sent, bd_now()) > SAME_MOMENT_S || !bd_txn_begin(&t))
         return;
     self->liveness_at = sent;
     snprintf(key, sizeof key, "p/%.60s/at", self->n->settings.node);
-    bd_txn_if(&t, "leader", revision);
-    bd_txn_set(&t, key, json_pack("{s:f}", "at", bd_to_secs(wall)), 0);
-    char *body = bd_txn_end(&t);
+    bd_txn_compare(&t, "leader", revision);
+    bd_txn_put(&t, key, json_pack("{s:f}", "at", bd_to_secs(wall)), 0);
+    char *body = bd_txn_finish(&t);
     tell_liveness(self, BD_C_LIVENESS_SENT, sent);
     long status = bd_kv_call(self->n, self->h, "POST", BD_PATH_COMMIT, body, call_s(self), &o);
     free(body);
--- a/src/jobs/admission.c
+++ b/src/jobs/admission.c
@@ -65,11 +65,11 @@
     struct bd_txn t;
     char key[BD_LABEL];
     snprintf(key, sizeof key, "j/%s", id);
-    if (!bd_txn_start(&t))
+    if (!bd_txn_begin(&t))
         abort();
-    bd_txn_if(&t, key, revision);
-    bd_txn_set(&t, key, value, 0);
-    return bd_txn_end(&t);
+    bd_txn_compare(&t, key, revision);
+    bd_txn_put(&t, key, value, 0);
+    return bd_txn_finish(&t);
 }
 
 static void send_commit(struct bd_core *core, void *request, const char *id, char *body,
@@ -155,15 +155,15 @@
         struct bd_txn t;
         size_t ops = 0, bytes = 0;
         snprintf(key, sizeof key, "j/%s", admission->id);
-        if (!bd_txn_start(&t))
+        if (!bd_txn_begin(&t))
             abort();
-        bd_txn_if(&t, key, 0); /* one that was accepted meanwhile needs no more of them */
+        bd_txn_compare(&t, key, 0); /* one that was accepted meanwhile needs no more of them */
         while (i < n && ops < core->kv_limits.kv_txn_ops_max &&
                bytes + core->kv_limits.kv_value_bytes_max < TXN_BYTES) {
             size_t from = i;
             snprintf(key, sizeof key, "j/%s/%s/%u", admission->id,
                      admission->record.prerequisites.of, admission->record.prerequisites.parts++);
-            bd_txn_set(&t, key,
+            bd_txn_put(&t, key,
                        bd_wire_prerequisites_part(some_names(core, admission->prerequisites, &i)),
                        0);
             if (i == from)
@@ -171,7 +171,7 @@
             ops++;
             bytes += core->kv_limits.kv_value_bytes_max;
         }
-        add_line(&text, &len, bd_txn_end(&t));
+        add_line(&text, &len, bd_txn_finish(&t));
     }
     if (n == 0 || admission->record.prerequisites.parts > BD_PREREQUISITE_PARTS) {
         free(text);
--- a/src/leadership/commit.c
+++ b/src/leadership/commit.c
@@ -14,19 +14,20 @@
 
 struct build {
     struct bd_txn t;
-    size_t ops, most_ops, bytes, conds, most_conds;
+    size_t ops, most_ops, bytes, compares, compares_max;
 };
 
-static bool room_for(const struct build *builder, size_t ops, size_t conds, size_t bytes)
+static bool room_for(const struct build *builder, size_t ops, size_t compares, size_t bytes)
 {
     return builder->ops + ops <= builder->most_ops &&
-           builder->conds + conds <= builder->most_conds && builder->bytes + bytes <= TXN_BYTES;
+           builder->compares + compares <= builder->compares_max &&
+           builder->bytes + bytes <= TXN_BYTES;
 }
 
-static void spend(struct build *builder, size_t ops, size_t conds, size_t bytes)
+static void spend(struct build *builder, size_t ops, size_t compares, size_t bytes)
 {
     builder->ops += ops;
-    builder->conds += conds;
+    builder->compares += compares;
     builder->bytes += bytes;
 }
 
@@ -34,7 +35,7 @@
 {
     char key[BD_LABEL];
     snprintf(key, sizeof key, "j/%s", job->id);
-    bd_txn_if(&builder->t, key, job->revision);
+    bd_txn_compare(&builder->t, key, job->revision);
     spend(builder, 0, 1, 80);
 }
 
@@ -96,7 +97,7 @@
         snprintf(p->key, sizeof p->key, "i/%020llu-%08llu",
                  (unsigned long long)core->lead.base_term,
                  (unsigned long long)++core->lead.round_n);
-        bd_txn_set(&builder->t, p->key, intent_value(core, commit->plan + i, &p->n), 0);
+        bd_txn_put(&builder->t, p->key, intent_value(core, commit->plan + i, &p->n), 0);
         spend(builder, 1, 0, core->kv_limits.kv_value_bytes_max);
         i += p->n;
     }
@@ -124,7 +125,7 @@
     char key[BD_LABEL];
     snprintf(key, sizeof key, "j/%s", job->id);
     if_job(builder, job);
-    bd_txn_set(&builder->t, key, record, 0);
+    bd_txn_put(&builder->t, key, record, 0);
     spend(builder, 1, 0, bytes);
 }
 
@@ -202,7 +203,7 @@
     receipt_bits(job, r);
     char key[BD_LABEL];
     snprintf(key, sizeof key, "r/%s/%u", job->id, chunk);
-    bd_txn_set(&builder->t, key, receipt_value(job, r), 0);
+    bd_txn_put(&builder->t, key, receipt_value(job, r), 0);
     spend(builder, 1, 0, bytes + 100);
     return true;
 }
@@ -249,7 +250,7 @@
 static void drop_key(struct bd_core *core, struct build *builder, const char *key)
 {
     struct bd_commit *commit = core->lead.commit;
-    bd_txn_drop(&builder->t, key);
+    bd_txn_delete(&builder->t, key);
     spend(builder, 1, 0, 80);
     snprintf(commit->dropped[commit->ndropped++], BD_LABEL, "%s", key);
 }
@@ -294,7 +295,7 @@
     core->lead.want_token_raise = false;
     core->lead.commit->raises_token = true;
     json_t *away = bd_dismissed(core);
-    bd_txn_set(&builder->t, "leader",
+    bd_txn_put(&builder->t, "leader",
                json_pack("{s:s,s:s,s:o}", "node", core->settings->node, "nonce", core->lead.nonce,
                          "away", away),
                core->lead.grant);
@@ -308,11 +309,11 @@
     while (room_for(builder, 1, 1, core->kv_limits.kv_value_bytes_max) &&
            bd_drain_next_write(core, &write)) {
         if (write.revision)
-            bd_txn_if(&builder->t, write.key, write.revision);
+            bd_txn_compare(&builder->t, write.key, write.revision);
         if (write.value)
-            bd_txn_set(&builder->t, write.key, write.value, 0);
+            bd_txn_put(&builder->t, write.key, write.value, 0);
         else
-            bd_txn_drop(&builder->t, write.key);
+            bd_txn_delete(&builder->t, write.key);
         spend(builder, 1, write.revision ? 1 : 0, write.bytes + 100);
     }
 }
@@ -321,11 +322,11 @@
 {
     struct bd_commit *commit = core->lead.commit;
     struct build b = {.most_ops = bd_kv_limits_txn_ops(core) - 1,
-                      .most_conds = 4 * core->kv_limits.kv_txn_ops_max - 2};
-    if (!bd_txn_start(&b.t))
+                      .compares_max = 4 * core->kv_limits.kv_txn_ops_max - 2};
+    if (!bd_txn_begin(&b.t))
         abort();
-    bd_txn_if(&b.t, "leader", core->lead.term);
-    bd_txn_if(&b.t, "w", core->lead.sequence_revision);
+    bd_txn_compare(&b.t, "leader", core->lead.term);
+    bd_txn_compare(&b.t, "w", core->lead.sequence_revision);
     add_token_raise(core, &b);
     add_intents(core, &b);
     unplan_rest(core);
@@ -338,19 +339,19 @@
         core->lead.next_gc = bd_add(core->now, bd_secs(can_drop(core, &b) ? GC_S : GC_AGAIN_S));
     }
     if (b.ops == 0) {
-        free(bd_txn_end(&b.t));
+        free(bd_txn_finish(&b.t));
         bd_commit_free(commit);
         core->lead.commit = NULL;
         return;
     }
     core->lead.sequence++;
-    bd_txn_set(&b.t, "w",
+    bd_txn_put(&b.t, "w",
                json_pack("{s:I,s:I}", "t", (json_int_t)core->lead.base_term, "n",
                          (json_int_t)core->lead.sequence),
                0);
     core->lead.write_budget -= (double)(b.ops + 1);
     struct bd_effect *effect = bd_emit(core, BD_E_COMMIT);
-    effect->body = bd_txn_end(&b.t);
+    effect->body = bd_txn_finish(&b.t);
     effect->sequence = core->lead.sequence;
     snprintf(effect->key, sizeof effect->key, "%llu", (unsigned long long)core->lead.base_term);
 }
--- a/src/scheduling/placement.c
+++ b/src/scheduling/placement.c
@@ -370,7 +370,7 @@
 {
     uint32_t want = quota_left(r->core, &job->spec, job->nwait), got = 0;
     bool gang = job->spec.shape == BD_GANG, above = job->rank > BD_IDLE;
-    if (r->conds >= r->most_conds || want == 0 || (gang && want < job->ntasks))
+    if (r->compares >= r->compares_max || want == 0 || (gang && want < job->ntasks))
         return;
     uint64_t attempt = (r->core->lead.base_term << 20) + r->core->lead.counter + 1;
     know_prices(r, job);
@@ -389,7 +389,7 @@
         got += got < want ? fill(r, job, want - got, attempt, true) : 0;
     }
     r->core->lead.counter += got > 0;
-    r->conds += got > 0;
+    r->compares += got > 0;
     if (got >= want || !above || bd_before(r->core->now, job->next_force))
         return;
     /* looking at every task of every machine is dear, and seldom finds what was not there before */
@@ -429,7 +429,7 @@
     uint32_t parts = bd_round_parts(core);
     r.most_bytes = (size_t)(BD_VALUE_SHARE * (double)core->kv_limits.kv_value_bytes_max * parts) -
                    (size_t)(parts - 1) * 2 * BD_LABEL;
-    r.most_conds = (uint32_t)(3 * core->kv_limits.kv_txn_ops_max);
+    r.compares_max = (uint32_t)(3 * core->kv_limits.kv_txn_ops_max);
     if (!r.claimed || !r.open || !r.stops || !r.cost || !r.fetch)
         abort();
     for (uint32_t i = 0; i < core->nmachines; i++)
--- a/src/scheduling/placement_internal.h
+++ b/src/scheduling/placement_internal.h
@@ -21,7 +21,7 @@
     struct bd_job **jobs;
     uint32_t njobs;
     size_t bytes, most_bytes;
-    uint32_t conds, most_conds;
+    uint32_t compares, compares_max;
     struct stops *stops;        /* by machine */
     double *fetch;              /* by machine: seconds of fetching that this round's plans add */
     double *cost;               /* by machine: of making room for the job that is being placed */
--- a/src/wire/wire.c
+++ b/src/wire/wire.c
@@ -102,20 +102,20 @@
     return strdup(buf);
 }
 
-bool bd_txn_start(struct bd_txn *txn)
+bool bd_txn_begin(struct bd_txn *txn)
 {
-    txn->conds = json_array();
+    txn->compares = json_array();
     txn->ops = json_array();
-    return txn->conds && txn->ops;
+    return txn->compares && txn->ops;
 }
 
-void bd_txn_if(struct bd_txn *txn, const char *key, uint64_t revision)
+void bd_txn_compare(struct bd_txn *txn, const char *key, uint64_t revision)
 {
-    json_array_append_new(txn->conds,
+    json_array_append_new(txn->compares,
                           json_pack("{s:s,s:I}", "k", key, "mark", (json_int_t)revision));
 }
 
-void bd_txn_set(struct bd_txn *txn, const char *key, json_t *value, uint64_t grant)
+void bd_txn_put(struct bd_txn *txn, const char *key, json_t *value, uint64_t grant)
 {
     json_t *o = json_pack("{s:s,s:o}", "set", key, "value", value);
     if (o && grant)
@@ -123,17 +123,17 @@
     json_array_append_new(txn->ops, o);
 }
 
-void bd_txn_drop(struct bd_txn *txn, const char *key)
+void bd_txn_delete(struct bd_txn *txn, const char *key)
 {
     json_array_append_new(txn->ops, json_pack("{s:s}", "drop", key));
 }
 
-char *bd_txn_end(struct bd_txn *txn)
+char *bd_txn_finish(struct bd_txn *txn)
 {
-    json_t *o = json_pack("{s:o,s:o}", "if", txn->conds, "apply", txn->ops);
+    json_t *o = json_pack("{s:o,s:o}", "if", txn->compares, "apply", txn->ops);
     char *s = json_dumps(o, JSON_COMPACT);
     json_decref(o);
-    txn->conds = txn->ops = NULL;
+    txn->compares = txn->ops = NULL;
     return s;
 }
 
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -164,13 +164,13 @@
 
 /* state service */
 struct bd_txn {
-    json_t *conds, *ops;
+    json_t *compares, *ops;
 };
-bool bd_txn_start(struct bd_txn *txn);
-void bd_txn_if(struct bd_txn *txn, const char *key, uint64_t revision);
-void bd_txn_set(struct bd_txn *txn, const char *key, json_t *value, uint64_t grant);
-void bd_txn_drop(struct bd_txn *txn, const char *key);
-char *bd_txn_end(struct bd_txn *txn);
+bool bd_txn_begin(struct bd_txn *txn);
+void bd_txn_compare(struct bd_txn *txn, const char *key, uint64_t revision);
+void bd_txn_put(struct bd_txn *txn, const char *key, json_t *value, uint64_t grant);
+void bd_txn_delete(struct bd_txn *txn, const char *key);
+char *bd_txn_finish(struct bd_txn *txn);
 
 struct bd_change {
     const char *key;
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -187,7 +187,7 @@
         (*next)->sent = true;
         *next = (*next)->hh.next;
     }
-    bd_txn_set(txn, key, json_pack("{s:I,s:o}", "t", (json_int_t)delegate->term, "m", names), 0);
+    bd_txn_put(txn, key, json_pack("{s:I,s:o}", "t", (json_int_t)delegate->term, "m", names), 0);
 }
 
 /* The limits were lowered: who is not in the record is sent on. */
@@ -216,10 +216,10 @@
         return; /* an earlier process's record may stand: its revision first */
     delegate->term = core->leader_term ? core->leader_term : core->last_term;
     delegate->leader = core->leader_term;
-    if (!bd_txn_start(&t))
+    if (!bd_txn_begin(&t))
         abort();
-    bd_txn_if(&t, "leader", delegate->leader);
-    bd_txn_if(&t, key, delegate->revision);
+    bd_txn_compare(&t, "leader", delegate->leader);
+    bd_txn_compare(&t, key, delegate->revision);
     keep_only(delegate, most_machines(core));
     uint32_t each = part_holds(core), parts = (delegate->nserved + each - 1) / each;
     delegate->parts = delegate->parts < most_parts(core) ? delegate->parts : most_parts(core);
@@ -228,7 +228,7 @@
     struct bd_served *next = delegate->served;
     for (uint32_t part = 0; part < delegate->parts; part++)
         set_part(core, &t, part, each, &next);
-    effect->body = bd_txn_end(&t);
+    effect->body = bd_txn_finish(&t);
 }
 
 /* The record is written by other means than the records of jobs are read: both must be new. */
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -51,14 +51,14 @@
 static void check_commit(struct world *w, const char *body)
 {
     json_t *o = json_loads(body, 0, NULL), *ops = json_object_get(o, "apply"), *v;
-    size_t i, conds = json_array_size(json_object_get(o, "if"));
+    size_t i, compares = json_array_size(json_object_get(o, "if"));
     w->commits++;
     if (strlen(body) > 65536)
         fault(w, "bytes of a transaction", strlen(body), 65536);
     if (json_array_size(ops) > w->settings.kv_txn_ops_max)
         fault(w, "changes", json_array_size(ops), w->settings.kv_txn_ops_max);
-    if (conds > 4 * w->settings.kv_txn_ops_max)
-        fault(w, "conditions", conds, 4 * w->settings.kv_txn_ops_max);
+    if (compares > 4 * w->settings.kv_txn_ops_max)
+        fault(w, "conditions", compares, 4 * w->settings.kv_txn_ops_max);
     json_array_foreach(ops, i, v)
     {
         char *text = json_dumps(json_object_get(v, "value"), JSON_COMPACT | JSON_ENCODE_ANY);
--- a/tests/sim_drain.c
+++ b/tests/sim_drain.c
@@ -32,7 +32,7 @@
 
 static void commit(struct sim *s, struct bd_txn *txn)
 {
-    char *body = bd_txn_end(txn);
+    char *body = bd_txn_finish(txn);
     json_t *in = json_loads(body, 0, NULL), *out = NULL;
     s->writer = -1;
     (void)table_commit(&s->table, in, &out);
@@ -50,10 +50,10 @@
 static void write_record(struct sim *s, const struct bd_drain_record *record, const char *key)
 {
     struct bd_txn txn;
-    if (!bd_txn_start(&txn))
+    if (!bd_txn_begin(&txn))
         abort();
-    bd_txn_if(&txn, key, revision_of(s, key));
-    bd_txn_set(&txn, key, bd_drain_record_value(record), 0);
+    bd_txn_compare(&txn, key, revision_of(s, key));
+    bd_txn_put(&txn, key, bd_drain_record_value(record), 0);
     commit(s, &txn);
 }
 
@@ -66,10 +66,10 @@
     for (uint32_t part = 0, from = 0; part < record->parts; part++, from += half) {
         char key[BD_LABEL];
         uint32_t n = part + 1 < record->parts ? half : record->machines - from;
-        if (!bd_txn_start(&txn))
+        if (!bd_txn_begin(&txn))
             abort();
         bd_drain_part_key(key, sizeof key, record->set, part);
-        bd_txn_set(&txn, key, bd_drain_part_value(machines + from, n), 0);
+        bd_txn_put(&txn, key, bd_drain_part_value(machines + from, n), 0);
         commit(s, &txn);
     }
 }
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -380,14 +380,14 @@
 {
     struct bd_txn t;
     char key[BD_LABEL + 8];
-    if (bd_between(n->liveness_at, steady(s, n)) < 0.8 || !bd_txn_start(&t))
+    if (bd_between(n->liveness_at, steady(s, n)) < 0.8 || !bd_txn_begin(&t))
         return;
     n->liveness_at = steady(s, n);
     snprintf(key, sizeof key, "p/%.50s/at", n->settings.node);
-    bd_txn_if(&t, "leader", revision);
-    bd_txn_set(&t, key, json_pack("{s:f}", "at", wall_of(s, n)), 0);
+    bd_txn_compare(&t, "leader", revision);
+    bd_txn_put(&t, key, json_pack("{s:f}", "at", wall_of(s, n)), 0);
     bd_core_liveness_sent(n->core, n->liveness_at);
-    (void)call(s, n, SIM_COMMIT, THEN_LIVENESS, NULL, bd_txn_end(&t), TTL_S / 3);
+    (void)call(s, n, SIM_COMMIT, THEN_LIVENESS, NULL, bd_txn_finish(&t), TTL_S / 3);
 }
 
 static void saw(struct sim *s, struct sim_node *n, struct sim_call *c, long status, json_t *o)
@@ -428,14 +428,14 @@
 {
     struct bd_txn t;
     n->grant = status == 200 ? bd_wire_grant(o) : 0;
-    if (!n->grant || !bd_txn_start(&t)) {
+    if (!n->grant || !bd_txn_begin(&t)) {
         election_again(s, n, 0.3);
         return;
     }
-    bd_txn_if(&t, "leader", c->number);
-    bd_txn_set(&t, "leader", json_pack("{s:s,s:s}", "node", n->settings.node, "nonce", n->nonce),
+    bd_txn_compare(&t, "leader", c->number);
+    bd_txn_put(&t, "leader", json_pack("{s:s,s:s}", "node", n->settings.node, "nonce", n->nonce),
                n->grant);
-    (void)call(s, n, SIM_COMMIT, THEN_ACQUIRE, NULL, bd_txn_end(&t), TTL_S / 3);
+    (void)call(s, n, SIM_COMMIT, THEN_ACQUIRE, NULL, bd_txn_finish(&t), TTL_S / 3);
 }
 
 static void acquired(struct sim *s, struct sim_node *n, uint64_t term)
