--- a/src/autoscaling/autoscaler.c
+++ b/src/autoscaling/autoscaler.c
@@ -53,7 +53,7 @@
 
 static bool booting(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return !machine->gone && !machine->returning && !machine->failed && !machine->session &&
+    return !machine->gone && !machine->returning && !machine->failed && !machine->incarnation &&
            machine->type >= 0 && machine->zone >= 0 && core->types[machine->type].known;
 }
 
@@ -380,7 +380,7 @@
 
 static bool dead(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return machine->session && machine->nrefs == 0 && !machine->fenced &&
+    return machine->incarnation && machine->nrefs == 0 && !machine->fenced &&
            bd_between(machine->heard, core->now) > bd_to_secs(core->settings->lease) + DEAD_EXTRA_S;
 }
 
@@ -450,7 +450,7 @@
 
 static enum use use_of(const struct bd_machine *machine)
 {
-    enum use u = machine->session ? USE_IDLE : USE_COMING;
+    enum use u = machine->incarnation ? USE_IDLE : USE_COMING;
     for (uint32_t k = 0; k < machine->nrefs; k++) {
         const struct bd_spec *spec = &machine->refs[k].job->spec;
         enum use v = spec->gpus > 0              ? USE_GPU
@@ -470,7 +470,7 @@
         if (machine->gone || machine->type != t || machine->spot != spot)
             continue;
         n[use_of(machine)]++;
-        up += machine->session != 0;
+        up += machine->incarnation != 0;
         cpus += machine->cpus;
         gpus += machine->gpus;
     }
--- a/src/model/decision_log.c
+++ b/src/model/decision_log.c
@@ -11,7 +11,7 @@
                                    [BD_END_NOT_SENT] = "not_sent",
                                    [BD_END_EXITED] = "exited",
                                    [BD_END_NOT_SHOWN] = "not_shown",
-                                   [BD_END_NEW_SESSION] = "new_session",
+                                   [BD_END_NEW_INCARNATION] = "new_session",
                                    [BD_END_LEASE_OVER] = "lease_over",
                                    [BD_END_MACHINE_GONE] = "machine_gone",
                                    [BD_END_MACHINE_FAILED] = "machine_failed",
@@ -96,7 +96,7 @@
     const char *space = why && *why ? " " : "";
     if (machine)
         snprintf(out, cap, "machine=%s %s%ssession=%llu seq=%llu seen=%llu term=%llu", machine->id,
-                 why ? why : "", space, (unsigned long long)machine->session,
+                 why ? why : "", space, (unsigned long long)machine->incarnation,
                  (unsigned long long)machine->seq, (unsigned long long)machine->token,
                  (unsigned long long)core->lead.term);
     else
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -18,7 +18,7 @@
     uint32_t index;
     int type, zone; /* -1: not known yet */
     bool spot, listed_now, failed, fenced, gone, returning;
-    uint64_t session, seq, lapsed_session;
+    uint64_t incarnation, seq, expired_incarnation;
     uint64_t token;     /* the highest that it has seen, by its newest report */
     bool answered;      /* in this term, */
     bool answered_seen; /* ... since it has seen it: for the evidence log */
--- a/src/model/task.h
+++ b/src/model/task.h
@@ -27,11 +27,11 @@
 
 /* Why a task's hold on a machine ended. */
 enum bd_hold_end {
-    BD_END_NOT_COMMITTED, /* its intent was not: nothing was sent */
-    BD_END_NOT_SENT,      /* its intent was, but nothing was ever sent */
-    BD_END_EXITED,        /* a report shows its attempt exited */
-    BD_END_NOT_SHOWN,     /* a report that has seen our term does not show it */
-    BD_END_NEW_SESSION,   /* ... is of a later session */
+    BD_END_NOT_COMMITTED,   /* its intent was not: nothing was sent */
+    BD_END_NOT_SENT,        /* its intent was, but nothing was ever sent */
+    BD_END_EXITED,          /* a report shows its attempt exited */
+    BD_END_NOT_SHOWN,       /* a report that has seen our term does not show it */
+    BD_END_NEW_INCARNATION, /* ... is of a later session */
     BD_END_LEASE_OVER,
     BD_END_MACHINE_GONE, /* returned, or missing from the cloud's list */
     BD_END_MACHINE_FAILED,
--- a/src/scheduling/cycle.c
+++ b/src/scheduling/cycle.c
@@ -37,7 +37,7 @@
         if (machine->delegated || bd_before(core->delegates.read_at, machine->lapse_at))
             continue;
         bd_say(core->log, BD_INFO, "%s: lease over, %u tasks lost", machine->id, machine->nrefs);
-        machine->lapsed_session = machine->session;
+        machine->expired_incarnation = machine->incarnation;
         machine->fenced = false;
         bd_machine_lapse(core, machine, BD_END_LEASE_OVER);
         machine->lapse_at = bd_add(core->now, bd_secs(1.0)); /* plans that stayed, if any */
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -145,7 +145,8 @@
     effect->launch = launch;
     effect->until = bd_command_until(core, launch);
     snprintf(effect->addr, sizeof effect->addr, "%s", machine->addr);
-    effect->body = bd_wire_orders(core->lead.term, machine->session, orders.items, orders.count);
+    effect->body =
+        bd_wire_orders(core->lead.term, machine->incarnation, orders.items, orders.count);
     machine->do_busy = true;
     machine->do_since = core->now;
     free(orders.items);
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -251,7 +251,7 @@
     bd_audit_note(core, "answer",
                   "machine=%s by=%s session=%llu seq=%llu seen=%llu term=%llu refreshed_s=%.2f",
                   report->machine, served ? "delegate" : "standby",
-                  (unsigned long long)report->session, (unsigned long long)report->seq,
+                  (unsigned long long)report->incarnation, (unsigned long long)report->seq,
                   (unsigned long long)report->token, (unsigned long long)token,
                   bd_between(core->replica.refreshed_at, core->now));
 }
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -253,8 +253,8 @@
 
 static bool newer(const struct bd_machine *machine, const struct bd_report *report)
 {
-    return report->session > machine->session ||
-           (report->session == machine->session && report->seq > machine->seq);
+    return report->incarnation > machine->incarnation ||
+           (report->incarnation == machine->incarnation && report->seq > machine->seq);
 }
 
 /* What we know to be of the old session is gone. But the old session may be known only from a copy
@@ -263,7 +263,7 @@
 static void session_rose(struct bd_core *core, struct bd_machine *machine)
 {
     if (machine->fenced)
-        bd_machine_lapse(core, machine, BD_END_NEW_SESSION);
+        bd_machine_lapse(core, machine, BD_END_NEW_INCARNATION);
     machine->asked_seq = 0;
     machine->outbound_cut =
         true; /* until it shows that it hears: its lease ran out, answered or not */
@@ -277,10 +277,10 @@
 {
     if (!newer(machine, report))
         return false;
-    if (machine->session && report->session > machine->session)
+    if (machine->incarnation && report->incarnation > machine->incarnation)
         session_rose(core, machine);
     identify(core, machine, report);
-    machine->session = report->session;
+    machine->incarnation = report->incarnation;
     machine->seq = report->seq;
     machine->token = report->token;
     if (bd_between(machine->heard, core->now) > 2 * bd_to_secs(core->settings->report))
@@ -327,16 +327,16 @@
 static bool is_copy(const struct bd_machine *machine, const struct bd_report *report)
 {
     return machine->gone ||
-           (machine->lapsed_session && report->session <= machine->lapsed_session) ||
-           report->session < machine->session ||
-           (report->session == machine->session && report->seq <= machine->asked_seq);
+           (machine->expired_incarnation && report->incarnation <= machine->expired_incarnation) ||
+           report->incarnation < machine->incarnation ||
+           (report->incarnation == machine->incarnation && report->seq <= machine->asked_seq);
 }
 
 /* A worker that gets its answer stays with the controller that gave it, one that gets none goes to
  * the next: two check-ins in a row tell which. Called before the report is taken in. */
 static void hears_us(struct bd_machine *machine, const struct bd_report *report, int via)
 {
-    bool next = report->session == machine->session && machine->asked_seq &&
+    bool next = report->incarnation == machine->incarnation && machine->asked_seq &&
                 report->seq == machine->asked_seq + 1;
     if (next && via == machine->via) {
         machine->outbound_cut = false;
--- a/tests/drain_profile.c
+++ b/tests/drain_profile.c
@@ -48,8 +48,11 @@
 {
     struct bd_machine *m = NULL;
     memset(tasks, 0, 128 * sizeof *tasks);
-    *r = (struct bd_report){
-        .session = 1, .seq = ++f->seq, .token = f->core->lead.term, .notice = -1, .tasks = tasks};
+    *r = (struct bd_report){.incarnation = 1,
+                            .seq = ++f->seq,
+                            .token = f->core->lead.term,
+                            .notice = -1,
+                            .tasks = tasks};
     snprintf(r->machine, sizeof r->machine, "vm-%06u", i);
     snprintf(r->addr, sizeof r->addr, "10.1.0.1:%u", i);
     snprintf(r->type, sizeof r->type, "small");
--- a/tests/fake_server.c
+++ b/tests/fake_server.c
@@ -36,7 +36,7 @@
     struct timespec hired, died;
     pthread_t thread;
     struct MHD_Daemon *daemon;
-    uint64_t tally, token, session;
+    uint64_t tally, token, incarnation;
     struct timespec answered; /* when the last report that got an answer was sent */
     struct task tasks[TASKS];
 };
@@ -510,7 +510,7 @@
     snprintf(addr, sizeof addr, "127.0.0.1:%d", k->port);
     return json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:n,s:o}", "hearth", k->id, "endpoint", addr,
                      "breed", "small", "glade", "a", "windfall", 0, "tenancy",
-                     (json_int_t)k->session, "tally", (json_int_t)++k->tally, "seal",
+                     (json_int_t)k->incarnation, "tally", (json_int_t)++k->tally, "seal",
                      (json_int_t)k->token, "warningS", "chores", tasks);
 }
 
@@ -536,10 +536,10 @@
     (void)method;
     (void)url;
     (void)conn;
-    json_t *session = json_object_get(in, "tenancy");
+    json_t *incarnation = json_object_get(in, "tenancy");
     if (k->dead)
         return NO_ANSWER;
-    bool ours = (uint64_t)json_integer_value(session) == k->session;
+    bool ours = (uint64_t)json_integer_value(incarnation) == k->incarnation;
     int status = ours && obey(k, in) ? 200 : 409;
     *out = report(k);
     return status;
@@ -558,7 +558,7 @@
     if (bd_between(k->answered, bd_now()) <= LEASE_S)
         return;
     k->w->lapses++;
-    k->session++;
+    k->incarnation++;
     k->answered = bd_now();
     lose_all(k);
 }
@@ -573,7 +573,7 @@
         bool stop = k->stop, dead = k->dead;
         expire(k);
         struct timespec sent = bd_now();
-        uint64_t session = k->session;
+        uint64_t incarnation = k->incarnation;
         json_t *o = report(k);
         pthread_mutex_unlock(&k->w->lock);
         char *text = json_dumps(o, JSON_COMPACT), url[96];
@@ -586,7 +586,7 @@
         json_t *in = r.body ? json_loadb(r.body, r.len, 0, NULL) : NULL;
         pthread_mutex_lock(&k->w->lock);
         int named = -1;
-        if (r.status == 200 && session == k->session && obey(k, in))
+        if (r.status == 200 && incarnation == k->incarnation && obey(k, in))
             k->answered = sent;
         else if (r.status == 421)
             named = node_named(k->w, json_string_value(json_object_get(in, "steward")));
@@ -617,7 +617,7 @@
     k->port = w->worker_port + w->nworkers;
     snprintf(k->id, sizeof k->id, "vm-%06d", ++w->nworkers);
     k->used = true;
-    k->session = 1;
+    k->incarnation = 1;
     k->answered = k->hired = bd_now();
     k->daemon = listen_on(w, k->port, worker_answer, k);
     if (!k->daemon || pthread_create(&k->thread, NULL, worker_run, k) != 0)
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -218,7 +218,7 @@
     snprintf(r->addr, sizeof r->addr, "addr");
     snprintf(r->type, sizeof r->type, "big");
     snprintf(r->zone, sizeof r->zone, "a");
-    r->session = 1;
+    r->incarnation = 1;
     r->seq = ++w->seq;
     r->token = w->token;
     r->notice = -1;
--- a/tests/scenario_drain.c
+++ b/tests/scenario_drain.c
@@ -172,7 +172,7 @@
     struct bd_machine *m = NULL;
     HASH_FIND_STR(p->c->machines, id, m);
     memset(tasks, 0, WORDS * sizeof *tasks);
-    *r = (struct bd_report){.session = (uint64_t)play_num(p, "session", 1),
+    *r = (struct bd_report){.incarnation = (uint64_t)play_num(p, "session", 1),
                             .notice = play_num(p, "notice", -1),
                             .token = p->c->lead.term,
                             .tasks = tasks};
--- a/tests/sim_work.c
+++ b/tests/sim_work.c
@@ -35,7 +35,7 @@
     w->provisioned_at = s->now;
     w->up_at = w->answered = s->now + boot;
     w->next_report = w->up_at + sim_between(s, 0, 0.5);
-    w->session = 1;
+    w->incarnation = 1;
     w->node = (int)(sim_rnd(s) * SIM_NODES);
     return s->nworkers++;
 }
@@ -237,7 +237,7 @@
     }
     json_t *o = json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:n,s:o}", "hearth", w->id, "endpoint",
                           addr, "breed", w->type, "glade", w->zone, "windfall", 0, "tenancy",
-                          (json_int_t)w->session, "tally", (json_int_t)++w->tally, "seal",
+                          (json_int_t)w->incarnation, "tally", (json_int_t)++w->tally, "seal",
                           (json_int_t)w->token, "warningS", "chores", list);
     char *text = json_dumps(o, JSON_COMPACT);
     json_decref(o);
@@ -369,8 +369,8 @@
         t->refs++;
     } else if (there && s->now >= w->up_at) {
         uint64_t token = (uint64_t)json_integer_value(json_object_get(o, "seal"));
-        uint64_t session = (uint64_t)json_integer_value(json_object_get(o, "tenancy"));
-        bool good = token >= w->token && session == w->session;
+        uint64_t incarnation = (uint64_t)json_integer_value(json_object_get(o, "tenancy"));
+        bool good = token >= w->token && incarnation == w->incarnation;
         if (good) {
             w->token = token;
             obey(s, w, o);
@@ -459,7 +459,7 @@
         if (s->now - w->answered > s->lease_s) {
             sim_note(s, "%s: its lease is over, %d tasks", w->id, w->nslots);
             kill_all(s, w);
-            w->session++;
+            w->incarnation++;
             w->answered = s->now;
             w->asked = 0; /* responses to an earlier session's reports are dropped */
             if (w->asking)
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -116,7 +116,7 @@
     char id[BD_LABEL], zone[BD_LABEL], type[BD_LABEL];
     bool gone;
     double provisioned_at, up_at, answered, next_report;
-    uint64_t session, tally, token, asked; /* asked: the number of the check-in under way */
+    uint64_t incarnation, tally, token, asked; /* asked: the number of the check-in under way */
     bool asking;
     double asked_at;
     int node;
