--- a/src/adapters/worker_client.c
+++ b/src/adapters/worker_client.c
@@ -75,7 +75,7 @@
         command->status = BD_DIRECT_NOT_SENT;
     }
     command->machine = effect->machine;
-    command->number = effect->token;
+    command->number = effect->fencing_token;
     command->flag = effect->launch;
     bd_effect_free(effect);
     bd_tell(s->n, command);
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -153,8 +153,8 @@
 void bd_core_forwarded(struct bd_core *core, const char *peer, uint64_t id,
                        const struct bd_report *report, const char *body, size_t len);
 void bd_core_answered(struct bd_core *core, uint64_t id, int status, const char *body, size_t len);
-void bd_core_did(struct bd_core *core, uint32_t machine, uint64_t token, bool launch, long status,
-                 const struct bd_report *report);
+void bd_core_did(struct bd_core *core, uint32_t machine, uint64_t fencing_token, bool launch,
+                 long status, const struct bd_report *report);
 /* cloud */
 void bd_core_types(struct bd_core *core, const struct bd_type_text *t, int n);
 void bd_core_machines(struct bd_core *core, const struct bd_cloud_machine *l, size_t n,
--- a/src/core/core_internal.h
+++ b/src/core/core_internal.h
@@ -60,7 +60,7 @@
     uint32_t nparts;
     char dropped[BD_COMMIT_JOBS][BD_LABEL];
     uint32_t ndropped;
-    bool raises_token;
+    bool raises_fencing_token;
 };
 
 static inline bool bd_peer_heard(const struct bd_core *core, int peer, double within_s)
--- a/src/leadership/commit.c
+++ b/src/leadership/commit.c
@@ -290,10 +290,10 @@
 
 static void add_token_raise(struct bd_core *core, struct build *builder)
 {
-    if (!core->lead.want_token_raise)
+    if (!core->lead.token_raise_wanted)
         return;
-    core->lead.want_token_raise = false;
-    core->lead.commit->raises_token = true;
+    core->lead.token_raise_wanted = false;
+    core->lead.commit->raises_fencing_token = true;
     json_t *away = bd_dismissed(core);
     bd_txn_put(&builder->t, "leader",
                json_pack("{s:s,s:s,s:o}", "node", core->settings->node, "nonce", core->lead.nonce,
--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -117,7 +117,7 @@
 static void kept(struct bd_core *core, struct bd_commit *commit, uint64_t store_revision)
 {
     core->lead.sequence_revision = store_revision;
-    if (commit->raises_token) {
+    if (commit->raises_fencing_token) {
         core->lead.term = store_revision;
         core->lead.last_token_raise = core->now;
         core->lead.fenced_attempt = (core->lead.base_term << 20) + core->lead.counter;
@@ -155,7 +155,7 @@
             e->job->tasks[e->task].attempt == e->attempt)
             bd_task_free(core, e->job, e->task, BD_END_NOT_COMMITTED);
     }
-    core->lead.want_token_raise = core->lead.want_token_raise || commit->raises_token;
+    core->lead.token_raise_wanted = core->lead.token_raise_wanted || commit->raises_fencing_token;
     /* the same number is never used for another content */
 }
 
--- a/src/leadership/leadership.h
+++ b/src/leadership/leadership.h
@@ -52,7 +52,7 @@
     struct bd_round *rounds;
     uint32_t nrounds, cap_rounds;
     struct timespec next_round, next_fleet, next_gc, next_tick, last_token_raise, next_summary;
-    bool want_token_raise, round_wanted;
+    bool token_raise_wanted, round_wanted;
     double write_budget;
     struct timespec write_budget_at;
     bool classes_said;      /* that there are more than spare room is kept for */
--- a/src/model/decision_log.c
+++ b/src/model/decision_log.c
@@ -97,7 +97,7 @@
     if (machine)
         snprintf(out, cap, "machine=%s %s%ssession=%llu seq=%llu seen=%llu term=%llu", machine->id,
                  why ? why : "", space, (unsigned long long)machine->incarnation,
-                 (unsigned long long)machine->seq, (unsigned long long)machine->token,
+                 (unsigned long long)machine->seq, (unsigned long long)machine->fencing_token,
                  (unsigned long long)core->lead.term);
     else
         snprintf(out, cap, "machine=- %s%sterm=%llu", why ? why : "", space,
--- a/src/model/effect.h
+++ b/src/model/effect.h
@@ -40,14 +40,14 @@
     int retry_after; /* REPLY: 0 none */
     char key[BD_LABEL];
     char *body;
-    char addr[BD_LABEL];   /* DO */
-    uint64_t token;        /* DO */
-    struct timespec until; /* DO: by our steady clock; later the right to it may be over */
-    uint32_t machine;      /* DO */
-    bool launch;           /* DO: launches are among the commands */
-    uint64_t sequence;     /* COMMIT; key is the term */
-    uint64_t forward_id;   /* FORWARD, ANSWER */
-    int peer;              /* FORWARD, ANSWER: to whom */
+    char addr[BD_LABEL];    /* DO */
+    uint64_t fencing_token; /* DO */
+    struct timespec until;  /* DO: by our steady clock; later the right to it may be over */
+    uint32_t machine;       /* DO */
+    bool launch;            /* DO: launches are among the commands */
+    uint64_t sequence;      /* COMMIT; key is the term */
+    uint64_t forward_id;    /* FORWARD, ANSWER */
+    int peer;               /* FORWARD, ANSWER: to whom */
     struct bd_effect *next;
 };
 #endif
--- a/src/model/task_state.c
+++ b/src/model/task_state.c
@@ -368,7 +368,7 @@
         bd_task_free(core, r.job, r.task, why);
         k = 0; /* freeing one may move the others */
     }
-    machine->late_token = 0;
+    machine->late_launch_token = 0;
 }
 
 void bd_machine_gone(struct bd_core *core, struct bd_machine *machine)
--- a/src/scheduling/cycle.c
+++ b/src/scheduling/cycle.c
@@ -49,14 +49,14 @@
  */
 static void late_launches(struct bd_core *core)
 {
-    for (uint32_t i = 0; i < core->nmachines && !core->lead.want_token_raise; i++) {
+    for (uint32_t i = 0; i < core->nmachines && !core->lead.token_raise_wanted; i++) {
         struct bd_machine *machine = core->by_index[i];
-        if (!machine->late_token || machine->late_token < core->lead.term || machine->gone ||
-            bd_between(machine->do_since, core->now) < TOKEN_RAISE_AFTER_S)
+        if (!machine->late_launch_token || machine->late_launch_token < core->lead.term ||
+            machine->gone || bd_between(machine->do_since, core->now) < TOKEN_RAISE_AFTER_S)
             continue;
         for (uint32_t k = 0; k < machine->nrefs; k++)
             if (machine->refs[k].job->tasks[machine->refs[k].task].flags & BD_F_DO)
-                core->lead.want_token_raise =
+                core->lead.token_raise_wanted =
                     bd_between(core->lead.last_token_raise, core->now) > TOKEN_RAISE_EVERY_S;
     }
 }
@@ -67,7 +67,7 @@
         (bd_between(core->lead.withheld_at, core->now) > FORGET_RAISE_S ||
          (core->lead.withheld > WITHHELD_MOST &&
           bd_between(core->lead.last_token_raise, core->now) > TOKEN_RAISE_EVERY_S)))
-        core->lead.want_token_raise = true;
+        core->lead.token_raise_wanted = true;
 }
 
 static void tokens(struct bd_core *core)
@@ -98,7 +98,7 @@
     if (core->lead.commit || bd_before(core->now, core->lead.next_round) ||
         core->lead.write_budget < 2)
         return;
-    if (!core->lead.round_wanted && !core->lead.want_token_raise && core->graph.nderived == 0 &&
+    if (!core->lead.round_wanted && !core->lead.token_raise_wanted && core->graph.nderived == 0 &&
         bd_before(core->now, core->lead.next_gc))
         return;
     core->lead.round_wanted = false;
@@ -106,7 +106,7 @@
     core->lead.commit = calloc(1, sizeof *core->lead.commit);
     if (!core->lead.commit)
         abort();
-    if (!core->lead.want_token_raise)
+    if (!core->lead.token_raise_wanted)
         bd_round_place(core);
     bd_round_commit(core);
 }
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -70,7 +70,7 @@
 struct bd_report {
     char machine[BD_LABEL], addr[BD_LABEL], type[BD_LABEL], zone[BD_LABEL];
     bool spot;
-    uint64_t incarnation, seq, token;
+    uint64_t incarnation, seq, fencing_token;
     double notice; /* < 0: none */
     size_t n;
     struct bd_seen_task *tasks;
@@ -151,7 +151,8 @@
 /* session 0: an answer to a report, else the body of a direct command */
 /* Bytes of the value as it is sent; SIZE_MAX: out of memory. */
 size_t bd_wire_bytes(const json_t *value);
-char *bd_wire_orders(uint64_t token, uint64_t incarnation, const struct bd_order *o, size_t n);
+char *bd_wire_orders(uint64_t fencing_token, uint64_t incarnation, const struct bd_order *o,
+                     size_t n);
 int bd_wire_types(json_t *o, struct bd_type_text *out, int max);
 int bd_wire_machines(json_t *o, struct bd_cloud_machine *out, int max, bool *more);
 char *bd_wire_provision(const char *request, const char *type, const char *zone, bool spot,
--- a/src/wire/wire_workers.c
+++ b/src/wire/wire_workers.c
@@ -33,7 +33,7 @@
         !bd_wire_label(o, "endpoint", out->addr) || !bd_wire_label(o, "breed", out->type) ||
         !bd_wire_label(o, "glade", out->zone) || !bd_wire_flag(o, "windfall", &out->spot) ||
         !bd_wire_whole(o, "tenancy", &out->incarnation) || !bd_wire_whole(o, "tally", &out->seq) ||
-        !bd_wire_whole(o, "seal", &out->token))
+        !bd_wire_whole(o, "seal", &out->fencing_token))
         return false;
     out->notice = -1;
     json_t *w = json_object_get(o, "warningS");
@@ -84,13 +84,14 @@
     report->n = 0;
 }
 
-char *bd_wire_orders(uint64_t token, uint64_t incarnation, const struct bd_order *o, size_t n)
+char *bd_wire_orders(uint64_t fencing_token, uint64_t incarnation, const struct bd_order *o,
+                     size_t n)
 {
     size_t cap = 96 + n * 128, len = 0;
     char *buf = malloc(cap);
     if (!buf)
         return NULL;
-    len += (size_t)snprintf(buf, cap, "{\"seal\":%llu,", (unsigned long long)token);
+    len += (size_t)snprintf(buf, cap, "{\"seal\":%llu,", (unsigned long long)fencing_token);
     if (incarnation)
         len += (size_t)snprintf(buf + len, cap - len, "\"tenancy\":%llu,",
                                 (unsigned long long)incarnation);
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -109,10 +109,10 @@
 }
 
 void bd_orders_answer(struct bd_core *core, void *request, const struct bd_report *report,
-                      struct bd_order_list *orders, uint64_t token)
+                      struct bd_order_list *orders, uint64_t fencing_token)
 {
     halt_cancelled(core, report, orders);
-    bd_reply(core, request, 200, bd_wire_orders(token, 0, orders->items, orders->count), 0);
+    bd_reply(core, request, 200, bd_wire_orders(fencing_token, 0, orders->items, orders->count), 0);
 }
 
 /* Whether the zone's machines do not answer directly, as when it is cut off from us: each try would
@@ -141,7 +141,7 @@
         return;
     struct bd_effect *effect = bd_emit(core, BD_E_DO);
     effect->machine = machine->index;
-    effect->token = core->lead.term;
+    effect->fencing_token = core->lead.term;
     effect->launch = launch;
     effect->until = bd_command_until(core, launch);
     snprintf(effect->addr, sizeof effect->addr, "%s", machine->addr);
--- a/src/workers/commands.h
+++ b/src/workers/commands.h
@@ -16,5 +16,5 @@
  * shows of cancelled jobs. Whether this controller may answer at all is the caller's to know
  * (lease_renewal.c). */
 void bd_orders_answer(struct bd_core *core, void *request, const struct bd_report *report,
-                      struct bd_order_list *orders, uint64_t token);
+                      struct bd_order_list *orders, uint64_t fencing_token);
 #endif
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -238,8 +238,8 @@
 }
 
 /* The first answer to each machine of our record; of those that we stand by for, one at a time. */
-static void audit_answer(struct bd_core *core, const struct bd_report *report, uint64_t token,
-                         struct bd_served *served)
+static void audit_answer(struct bd_core *core, const struct bd_report *report,
+                         uint64_t fencing_token, struct bd_served *served)
 {
     struct timespec *said = &core->audit.standby_said;
     if (served ? served->answered : bd_between(*said, core->now) < STANDBY_SAID_S)
@@ -252,17 +252,17 @@
                   "machine=%s by=%s session=%llu seq=%llu seen=%llu term=%llu refreshed_s=%.2f",
                   report->machine, served ? "delegate" : "standby",
                   (unsigned long long)report->incarnation, (unsigned long long)report->seq,
-                  (unsigned long long)report->token, (unsigned long long)token,
+                  (unsigned long long)report->fencing_token, (unsigned long long)fencing_token,
                   bd_between(core->replica.refreshed_at, core->now));
 }
 
 /* `served`: its entry in our record; NULL: we stand by. */
 static void answer(struct bd_core *core, void *request, const struct bd_report *report,
-                   uint64_t token, struct bd_served *served)
+                   uint64_t fencing_token, struct bd_served *served)
 {
     struct bd_order_list orders = {0};
-    audit_answer(core, report, token, served);
-    bd_orders_answer(core, request, report, &orders, token);
+    audit_answer(core, report, fencing_token, served);
+    bd_orders_answer(core, request, report, &orders, fencing_token);
     free(orders.items);
 }
 
--- a/src/workers/delegate_view.c
+++ b/src/workers/delegate_view.c
@@ -68,7 +68,7 @@
         s->named = core->now;
         bd_say(core->log, BD_INFO, "%s answers for us needlessly: %s came here", s->key,
                machine->id);
-        core->lead.want_token_raise = true;
+        core->lead.token_raise_wanted = true;
     }
     s->dismissed = core->now;
 }
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -105,7 +105,7 @@
 static void forget(struct bd_core *core, const struct bd_report *report,
                    const struct bd_seen_task *s, struct bd_order_list *orders)
 {
-    if (s->attempt <= core->lead.fenced_attempt && report->token >= core->lead.term)
+    if (s->attempt <= core->lead.fenced_attempt && report->fencing_token >= core->lead.term)
         bd_orders_add(orders, BD_FORGET, s->job, s->task, s->attempt, 0);
     else if (core->lead.withheld++ == 0)
         core->lead.withheld_at = core->now;
@@ -214,7 +214,7 @@
 /* A session change or a higher token excludes every direct launch that had no answer. */
 static void exclude_late(struct bd_machine *machine)
 {
-    machine->late_token = 0;
+    machine->late_launch_token = 0;
     for (uint32_t k = 0; k < machine->nrefs; k++)
         machine->refs[k].job->tasks[machine->refs[k].task].flags &=
             (uint8_t) ~(BD_F_DO | BD_F_EXITED);
@@ -282,16 +282,17 @@
     identify(core, machine, report);
     machine->incarnation = report->incarnation;
     machine->seq = report->seq;
-    machine->token = report->token;
+    machine->fencing_token = report->fencing_token;
     if (bd_between(machine->heard, core->now) > 2 * bd_to_secs(core->settings->report))
         machine->steady = core->now;
     machine->heard = core->now;
-    if (report->token < core->lead.base_term)
+    if (report->fencing_token < core->lead.base_term)
         return true; /* an earlier term may still command it: no evidence yet */
     if (!machine->fenced)
         core->lead.round_wanted = true;
     machine->fenced = true;
-    if (machine->late_token && report->token > machine->late_token && !machine->do_busy)
+    if (machine->late_launch_token && report->fencing_token > machine->late_launch_token &&
+        !machine->do_busy)
         exclude_late(machine);
     mark_shown(core, machine, report);
     missing(core, machine);
@@ -361,7 +362,7 @@
 {
     struct bd_machine *machine = NULL;
     bool direct = via < 0;
-    if (report->token >
+    if (report->fencing_token >
         core->lead.term) { /* it would drop our answer and stay here until its lease is over */
         if (!bd_core_valid(core))
             bd_core_lost(core);
@@ -459,16 +460,16 @@
 static void direct_not_sent(struct bd_core *core, struct bd_machine *machine, bool launch)
 {
     bd_audit_machine(core, "unsent", machine, launch ? "launch=1" : "launch=0");
-    if (launch && machine->late_token == 0)
+    if (launch && machine->late_launch_token == 0)
         exclude_late(machine);
     machine->do_after = bd_add(core->now, core->settings->report);
 }
 
-void bd_core_did(struct bd_core *core, uint32_t machine, uint64_t token, bool launch, long status,
-                 const struct bd_report *report)
+void bd_core_did(struct bd_core *core, uint32_t machine, uint64_t fencing_token, bool launch,
+                 long status, const struct bd_report *report)
 {
     struct bd_machine *m = bd_machine_of(core, machine);
-    if (core->role != BD_LEADER || !m || token < core->lead.base_term)
+    if (core->role != BD_LEADER || !m || fencing_token < core->lead.base_term)
         return;
     m->do_busy = false;
     bd_metrics_time(core->metrics, BD_TIMING_DIRECT, bd_between(m->do_since, core->now));
@@ -479,8 +480,8 @@
     bool answered = report && (status == 200 || status == 409);
     if (!answered) {
         direct_failed(core, m);
-        if (launch && token > m->late_token)
-            m->late_token = token;
+        if (launch && fencing_token > m->late_launch_token)
+            m->late_launch_token = fencing_token;
         return;
     }
     m->do_fails = 0;
@@ -492,7 +493,7 @@
         return;
     }
     struct bd_order_list orders = {0};
-    if (launch && m->late_token == 0)
+    if (launch && m->late_launch_token == 0)
         exclude_late(m); /* answered: nothing of it is on its way any more */
     if (m->gone)
         return;
--- a/tests/drain_profile.c
+++ b/tests/drain_profile.c
@@ -50,7 +50,7 @@
     memset(tasks, 0, 128 * sizeof *tasks);
     *r = (struct bd_report){.incarnation = 1,
                             .seq = ++f->seq,
-                            .token = f->core->lead.term,
+                            .fencing_token = f->core->lead.term,
                             .notice = -1,
                             .tasks = tasks};
     snprintf(r->machine, sizeof r->machine, "vm-%06u", i);
@@ -100,7 +100,7 @@
         struct bd_seen_task tasks[128];
         if (e->kind == BD_E_DO) {
             fill(f, (uint32_t)atoi(f->core->by_index[e->machine]->id + 3), &r, tasks);
-            bd_core_did(f->core, e->machine, e->token, e->launch, 200, &r);
+            bd_core_did(f->core, e->machine, e->fencing_token, e->launch, 200, &r);
         } else if (e->kind == BD_E_RETURN) {
             json_t *o = json_loads(e->body, 0, NULL);
             char names[128][BD_LABEL];
--- a/tests/fake_server.c
+++ b/tests/fake_server.c
@@ -36,7 +36,7 @@
     struct timespec hired, died;
     pthread_t thread;
     struct MHD_Daemon *daemon;
-    uint64_t tally, token, incarnation;
+    uint64_t tally, fencing_token, incarnation;
     struct timespec answered; /* when the last report that got an answer was sent */
     struct task tasks[TASKS];
 };
@@ -511,17 +511,17 @@
     return json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:n,s:o}", "hearth", k->id, "endpoint", addr,
                      "breed", "small", "glade", "a", "windfall", 0, "tenancy",
                      (json_int_t)k->incarnation, "tally", (json_int_t)++k->tally, "seal",
-                     (json_int_t)k->token, "warningS", "chores", tasks);
+                     (json_int_t)k->fencing_token, "warningS", "chores", tasks);
 }
 
 static bool obey(struct worker *k, json_t *in)
 {
     json_t *v;
     size_t i;
-    uint64_t token = (uint64_t)json_integer_value(json_object_get(in, "seal"));
-    if (token < k->token || !json_object_get(in, "seal"))
+    uint64_t fencing_token = (uint64_t)json_integer_value(json_object_get(in, "seal"));
+    if (fencing_token < k->fencing_token || !json_object_get(in, "seal"))
         return false;
-    k->token = token;
+    k->fencing_token = fencing_token;
     json_array_foreach(json_object_get(in, "bids"), i, v)
     {
         order(k, v);
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -55,7 +55,7 @@
     gsl_rng *rng;
     struct key keys[4 * JOBS + 4000];
     int nkeys, leader, faults, ends, cancels;
-    uint64_t store_revision, seen[NODES], seq, token;
+    uint64_t store_revision, seen[NODES], seq, fencing_token;
     double now;
     struct job jobs[JOBS];
     struct task tasks[TASKS];
@@ -200,9 +200,9 @@
 {
     json_t *o = json_loads(body, 0, NULL), *v;
     size_t i;
-    uint64_t token = (uint64_t)json_integer_value(json_object_get(o, "seal"));
-    if (token >= w->token) {
-        w->token = token;
+    uint64_t fencing_token = (uint64_t)json_integer_value(json_object_get(o, "seal"));
+    if (fencing_token >= w->fencing_token) {
+        w->fencing_token = fencing_token;
         json_array_foreach(json_object_get(o, "bids"), i, v)
         {
             order(w, v);
@@ -220,7 +220,7 @@
     snprintf(r->zone, sizeof r->zone, "a");
     r->incarnation = 1;
     r->seq = ++w->seq;
-    r->token = w->token;
+    r->fencing_token = w->fencing_token;
     r->notice = -1;
     r->tasks = seen;
     for (int i = 0; i < TASKS; i++) {
@@ -277,7 +277,7 @@
         orders(w, e->body);
     if (told)
         fill_report(w, &r, seen);
-    bd_core_did(w->c[n], e->machine, e->token, e->launch, told ? 200 : 0, told ? &r : NULL);
+    bd_core_did(w->c[n], e->machine, e->fencing_token, e->launch, told ? 200 : 0, told ? &r : NULL);
     free(seen);
 }
 
--- a/tests/inputs.c
+++ b/tests/inputs.c
@@ -468,7 +468,7 @@
     const struct bd_report *r = read_cached(c, "vm-1", "7", "running");
     check(r && r->seq == 7 && r->n == 1 && r->tasks[0].sub == BD_RUNNING, "a report is read");
     r = read_cached(c, "vm-1", "1008", "running");
-    check(r && r->seq == 1008 && r->incarnation == 1 && r->token == 4 && r->n == 1 &&
+    check(r && r->seq == 1008 && r->incarnation == 1 && r->fencing_token == 4 && r->n == 1 &&
               strcmp(r->machine, "vm-1") == 0 && r->tasks[0].sub == BD_RUNNING,
           "one that only has another number says the same");
     r = read_cached(c, "vm-1", "1009", "pulling");
--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -141,34 +141,35 @@
 
 /* A worker's check-in; its number rises each time, the thousands name the worker. Returns the
  * status, *token from the answer. */
-static long check_in(struct test *t, int node, int *tally, long long *token, char *out, size_t cap)
+static long check_in(struct test *t, int node, int *tally, long long *fencing_token, char *out,
+                     size_t cap)
 {
     char body[320];
     snprintf(body, sizeof body,
              "{\"hearth\":\"vm-9%05d\",\"endpoint\":\"127.0.0.1:1\",\"breed\":\"odd\",\"glade\":"
              "\"a\",\"windfall\":false,\"tenancy\":1,\"tally\":%d,\"seal\":%lld,\"warningS\":null,"
              "\"chores\":[]}",
-             *tally / 1000, *tally % 1000, *token);
+             *tally / 1000, *tally % 1000, *fencing_token);
     ++*tally;
     long status = nodes_ask(t, node, "POST", "/checkin", body, out, cap);
     const char *at = strstr(out, "\"seal\":");
     if (status == 200 && at)
-        *token = strtoll(at + 7, NULL, 10);
+        *fencing_token = strtoll(at + 7, NULL, 10);
     return status;
 }
 
 /* As check_in, until the status comes, for at most so long. */
-static int check_in_until(struct test *t, int node, int *tally, long long *token, long status,
-                          double seconds)
+static int check_in_until(struct test *t, int node, int *tally, long long *fencing_token,
+                          long status, double seconds)
 {
     char out[512] = "";
     struct timespec end = bd_add(bd_now(), bd_secs(seconds));
     while (bd_before(bd_now(), end)) {
-        if (check_in(t, node, tally, token, out, sizeof out) == status)
+        if (check_in(t, node, tally, fencing_token, out, sizeof out) == status)
             return 1;
         bd_pause(0.3);
     }
-    printf("     last answer to a check-in with seal %lld: %s\n", *token, out);
+    printf("     last answer to a check-in with seal %lld: %s\n", *fencing_token, out);
     return 0;
 }
 
@@ -177,31 +178,32 @@
 static void apart(struct test *t)
 {
     int tally = 1001;
-    long long token = 0;
+    long long fencing_token = 0;
     for (int i = 0; i < NODES; i++) {
         nodes_end(t, i);
         nodes_write_settings(t, i, 1);
     }
     bd_pause(4); /* whoever led has led */
     nodes_start(t, 0);
-    nodes_check(t, check_in_until(t, 0, &tally, &token, 200, 20), "the first node leads");
+    nodes_check(t, check_in_until(t, 0, &tally, &fencing_token, 200, 20), "the first node leads");
     /* the fake server's own workers are to be there, and the relay, before the last node starts:
      * one that met it first would end it as a delegate for half a minute */
     bd_pause(5);
     nodes_start(t, 1);
-    nodes_check(t, check_in_until(t, 1, &tally, &token, 200, 20),
+    nodes_check(t, check_in_until(t, 1, &tally, &fencing_token, 200, 20),
                 "the node between them passes reports on");
     nodes_start(t, 2);
-    long long before = token;
-    nodes_check(t, check_in_until(t, 2, &tally, &token, 200, 20) && token >= before,
+    long long before = fencing_token;
+    nodes_check(t, check_in_until(t, 2, &tally, &fencing_token, 200, 20) && fencing_token >= before,
                 "a report is relayed to a leader who is not heard");
     nodes_end(t, 1);
     bd_pause(2);
     tally = 2001; /* one that the leader does not know yet */
-    nodes_check(t, check_in_until(t, 2, &tally, &token, 200, 25),
+    nodes_check(t, check_in_until(t, 2, &tally, &fencing_token, 200, 25),
                 "without a relay a delegate answers");
-    nodes_check(t, check_in_until(t, 0, &tally, &token, 200, 10), "its worker comes to the leader");
-    nodes_check(t, check_in_until(t, 2, &tally, &token, 421, 10),
+    nodes_check(t, check_in_until(t, 0, &tally, &fencing_token, 200, 10),
+                "its worker comes to the leader");
+    nodes_check(t, check_in_until(t, 2, &tally, &fencing_token, 421, 10),
                 "the leader's key sends the delegate away");
     nodes_start(t, 1);
 }
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -157,7 +157,7 @@
 static void report(struct world *w, uint32_t i)
 {
     struct bd_report r = {
-        .incarnation = 1, .seq = ++w->seq, .token = w->c->lead.term, .notice = -1};
+        .incarnation = 1, .seq = ++w->seq, .fencing_token = w->c->lead.term, .notice = -1};
     struct bd_seen_task tasks[128];
     struct bd_machine *m = NULL;
     snprintf(r.machine, sizeof r.machine, "vm-%06u", i);
@@ -593,7 +593,7 @@
 
 static void delegate_report(struct world *w, uint32_t i)
 {
-    struct bd_report r = {.incarnation = 1, .seq = ++w->seq, .token = 1, .notice = -1};
+    struct bd_report r = {.incarnation = 1, .seq = ++w->seq, .fencing_token = 1, .notice = -1};
     snprintf(r.machine, sizeof r.machine, "vm-%06u", i);
     snprintf(r.type, sizeof r.type, "small");
     snprintf(r.zone, sizeof r.zone, "a");
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -335,7 +335,7 @@
     snprintf(r->addr, sizeof r->addr, "addr-%s", p->w[1]);
     r->incarnation = (uint64_t)play_num(p, "session", 1);
     r->seq = (uint64_t)play_num(p, "seq", 1);
-    r->token = (uint64_t)play_num(p, "token", 0);
+    r->fencing_token = (uint64_t)play_num(p, "token", 0);
     r->notice = play_num(p, "notice", -1);
     r->spot = play_yes(p, "spot");
     r->tasks = tasks;
--- a/tests/scenario_drain.c
+++ b/tests/scenario_drain.c
@@ -174,7 +174,7 @@
     memset(tasks, 0, WORDS * sizeof *tasks);
     *r = (struct bd_report){.incarnation = (uint64_t)play_num(p, "session", 1),
                             .notice = play_num(p, "notice", -1),
-                            .token = p->c->lead.term,
+                            .fencing_token = p->c->lead.term,
                             .tasks = tasks};
     snprintf(r->machine, sizeof r->machine, "%s", id);
     snprintf(r->addr, sizeof r->addr, "addr-%s", id);
@@ -235,7 +235,7 @@
             const char *id = p->c->by_index[e->machine]->id, *mute = play_arg(p, "mute");
             bool answers = !mute || strcmp(mute, id) != 0;
             fill_running(p, id, &r, tasks);
-            bd_core_did(p->c, e->machine, e->token, e->launch, answers ? 200 : 0, &r);
+            bd_core_did(p->c, e->machine, e->fencing_token, e->launch, answers ? 200 : 0, &r);
         } else if (e->kind == BD_E_RETURN) {
             json_t *o = json_loads(e->body, 0, NULL);
             char names[128][BD_LABEL];
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -116,7 +116,8 @@
     struct sim_try *t = calloc(1, sizeof *t);
     if (!t)
         abort();
-    *t = (struct sim_try){.refs = 1, .machine = e->machine, .token = e->token, .launch = e->launch};
+    *t = (struct sim_try){
+        .refs = 1, .machine = e->machine, .fencing_token = e->fencing_token, .launch = e->launch};
     t->worker = atoi(e->addr + 2); /* "w-N" */
     t->until = e->until;
     struct sim_event *d = wake(s, n, n->senders_stalled - s->now, SIM_DO_SEND);
@@ -728,7 +729,7 @@
     }
     if (!bd_before(steady(s, n), t->until)) {
         clock_core(s, n);
-        bd_core_did(n->core, t->machine, t->token, t->launch, BD_DIRECT_NOT_SENT, NULL);
+        bd_core_did(n->core, t->machine, t->fencing_token, t->launch, BD_DIRECT_NOT_SENT, NULL);
         settle(s, n);
         free(t);
         return;
@@ -752,7 +753,8 @@
     if (!t->over && n->core && n->epoch == e->epoch) {
         bool ok = e->kind == SIM_DO_BACK && read_report(e->text, &r);
         clock_core(s, n);
-        bd_core_did(n->core, t->machine, t->token, t->launch, ok ? e->status : 0, ok ? &r : NULL);
+        bd_core_did(n->core, t->machine, t->fencing_token, t->launch, ok ? e->status : 0,
+                    ok ? &r : NULL);
         if (ok)
             bd_wire_report_drop(&r);
         settle(s, n);
--- a/tests/sim_work.c
+++ b/tests/sim_work.c
@@ -238,7 +238,7 @@
     json_t *o = json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:n,s:o}", "hearth", w->id, "endpoint",
                           addr, "breed", w->type, "glade", w->zone, "windfall", 0, "tenancy",
                           (json_int_t)w->incarnation, "tally", (json_int_t)++w->tally, "seal",
-                          (json_int_t)w->token, "warningS", "chores", list);
+                          (json_int_t)w->fencing_token, "warningS", "chores", list);
     char *text = json_dumps(o, JSON_COMPACT);
     json_decref(o);
     return text;
@@ -336,16 +336,16 @@
     } else if (e->status != 200) {
         next_node(s, w, 1);
     } else {
-        uint64_t token = (uint64_t)json_integer_value(json_object_get(o, "seal"));
+        uint64_t fencing_token = (uint64_t)json_integer_value(json_object_get(o, "seal"));
         w->asking = false;
         w->next_report = w->asked_at + s->report_s * sim_between(s, 0.75, 1.25);
-        if (token >= w->token) {
-            if (token > w->token && w->next_report > s->now + 0.5)
+        if (fencing_token >= w->fencing_token) {
+            if (fencing_token > w->fencing_token && w->next_report > s->now + 0.5)
                 w->next_report = s->now + 0.5;
-            w->token = token;
+            w->fencing_token = fencing_token;
             w->answered = w->asked_at;
             sim_note(s, "%s is answered by node-%d, seal %llu", w->id, e->node,
-                     (unsigned long long)token);
+                     (unsigned long long)fencing_token);
             obey(s, w, o);
         }
     }
@@ -368,11 +368,11 @@
         (void)sim_post_again(s, e, until - s->now + 0.05);
         t->refs++;
     } else if (there && s->now >= w->up_at) {
-        uint64_t token = (uint64_t)json_integer_value(json_object_get(o, "seal"));
+        uint64_t fencing_token = (uint64_t)json_integer_value(json_object_get(o, "seal"));
         uint64_t incarnation = (uint64_t)json_integer_value(json_object_get(o, "tenancy"));
-        bool good = token >= w->token && incarnation == w->incarnation;
+        bool good = fencing_token >= w->fencing_token && incarnation == w->incarnation;
         if (good) {
-            w->token = token;
+            w->fencing_token = fencing_token;
             obey(s, w, o);
         }
         bool held = sim_held_up(s);
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -116,7 +116,8 @@
     char id[BD_LABEL], zone[BD_LABEL], type[BD_LABEL];
     bool gone;
     double provisioned_at, up_at, answered, next_report;
-    uint64_t incarnation, tally, token, asked; /* asked: the number of the check-in under way */
+    uint64_t incarnation, tally, fencing_token,
+        asked; /* asked: the number of the check-in under way */
     bool asking;
     double asked_at;
     int node;
@@ -209,7 +210,7 @@
     int refs, worker;
     struct timespec until;
     uint32_t machine;
-    uint64_t token;
+    uint64_t fencing_token;
 };
 enum sim_verb { SIM_SUBMIT, SIM_ASK, SIM_CANCEL };
 void sim_node_start(struct sim *s, int i);
