--- a/src/adapters/node.h
+++ b/src/adapters/node.h
@@ -34,7 +34,7 @@
     BD_C_MACHINES,
     BD_C_PROVISIONED,
     BD_C_RETURNED,
-    BD_C_PEER,
+    BD_C_PEER_FRAME,
     BD_C_DELEGATES,
     BD_C_DELEGATE_COMMITTED,
     BD_C_LOOKED_UP,
--- a/src/adapters/peer_listener.c
+++ b/src/adapters/peer_listener.c
@@ -69,7 +69,7 @@
 
 static void hand_over(struct bd_node *node, struct incoming *in, const struct bd_frame *frame)
 {
-    struct bd_cmd *command = bd_cmd_new(BD_C_PEER);
+    struct bd_cmd *command = bd_cmd_new(BD_C_PEER_FRAME);
     size_t size = offsetof(struct bd_frame, jobs) + frame->count * sizeof frame->jobs[0];
     command->data = malloc(size); /* without the room for jobs that it does not name */
     if (!command->data)
@@ -104,8 +104,9 @@
 
 enum bd_traffic bd_frame_traffic(const struct bd_frame *frame)
 {
-    return frame->type == BD_FRAME_STATUS || frame->type == BD_FRAME_PROGRESS ? BD_TRAFFIC_HEARTBEAT
-                                                                              : BD_TRAFFIC_FORWARD;
+    return frame->type == BD_FRAME_STATUS || frame->type == BD_FRAME_PROGRESS
+               ? BD_TRAFFIC_PEER_STATUS
+               : BD_TRAFFIC_FORWARD;
 }
 
 /* Hands over all whole frames in the buffer. False: what came is not a frame. */
--- a/src/adapters/peer_transport.c
+++ b/src/adapters/peer_transport.c
@@ -22,7 +22,7 @@
 #include <unistd.h>
 
 /* named defaults */
-#define HEARTBEAT_S 0.4
+#define PEER_STATUS_INTERVAL_S 0.4
 #define PROGRESS_S 1.2 /* between heartbeats that carry the jobs' counts, which are for display */
 #define CONNECT_S 0.5
 #define STALLED_S 0.5    /* a connection that takes no bytes for so long is closed */
@@ -163,7 +163,7 @@
         (void)append(link, frame);
         if (progress)
             append_progress(link, frame);
-        flush_link(link, BD_TRAFFIC_HEARTBEAT);
+        flush_link(link, BD_TRAFFIC_PEER_STATUS);
     }
     (void)pthread_mutex_unlock(&link->lock);
 }
@@ -180,7 +180,7 @@
             next_progress = bd_add(now, bd_secs(PROGRESS_S));
         for (int i = 0; i < node->settings.npeers; i++)
             send_heartbeat(node->links[i], f, progress);
-        bd_pause(HEARTBEAT_S);
+        bd_pause(PEER_STATUS_INTERVAL_S);
     }
     return NULL;
 }
@@ -221,7 +221,7 @@
     link->fd = fd;
     (void)pthread_mutex_unlock(&link->lock);
     if (fd >= 0)
-        bd_count_connections(bd_metrics_counter(link->n->metrics, BD_TRAFFIC_HEARTBEAT), 1);
+        bd_count_connections(bd_metrics_counter(link->n->metrics, BD_TRAFFIC_PEER_STATUS), 1);
     return first;
 }
 
@@ -237,12 +237,12 @@
         if (replace_connection(link, fd))
             send_heartbeat(link, f, false);
         struct timespec opened = bd_now();
-        double life = fd >= 0 ? CONNECTION_S : HEARTBEAT_S;
+        double life = fd >= 0 ? CONNECTION_S : PEER_STATUS_INTERVAL_S;
         (void)bd_queue_take(&link->connector, &broken, 1, bd_add(opened, bd_secs(life)));
         /* one that breaks at once is not opened without end */
         double open_s = bd_between(opened, bd_now());
-        if (open_s < HEARTBEAT_S)
-            bd_pause(HEARTBEAT_S - open_s);
+        if (open_s < PEER_STATUS_INTERVAL_S)
+            bd_pause(PEER_STATUS_INTERVAL_S - open_s);
     }
     return NULL;
 }
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -21,9 +21,9 @@
     BD_TRAFFIC_USER,     /* ... transactions and look-ups for users and delegates, */
     BD_TRAFFIC_ELECTION, /* ... lease, its renewals and liveness records */
     BD_TRAFFIC_CLOUD,
-    BD_TRAFFIC_DIRECT,    /* commands sent to workers */
-    BD_TRAFFIC_HEARTBEAT, /* frames between controllers: heartbeats with jobs' counts, */
-    BD_TRAFFIC_FORWARD,   /* ... and reports passed on, with their answers */
+    BD_TRAFFIC_DIRECT,      /* commands sent to workers */
+    BD_TRAFFIC_PEER_STATUS, /* frames between controllers: heartbeats with jobs' counts, */
+    BD_TRAFFIC_FORWARD,     /* ... and reports passed on, with their answers */
     BD_TRAFFIC_KINDS
 };
 
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -42,7 +42,7 @@
     struct timespec heard, kv_seen_at;
     uint64_t term;
     uint8_t flags;
-    double said_at;                /* when it said so, by its time of day */
+    double status_sent_wall_s;     /* when it said so, by its time of day */
     double contact;                /* as leader: its newest record, by its time of day */
     struct timespec suspect_until; /* as leader: it may be standing by */
 };
@@ -128,8 +128,8 @@
                        json_t *failed);
 /* the other controllers */
 /* heard: when its frame arrived, which may be some time before the frame is handled */
-void bd_core_peer(struct bd_core *core, const char *name, uint64_t term, uint8_t flags,
-                  double kv_age_s, double said_at, struct timespec heard);
+void bd_peer_status_received(struct bd_core *core, const char *name, uint64_t term, uint8_t flags,
+                             double kv_age_s, double status_sent_wall_s, struct timespec heard);
 /* our own record of being in touch is about to be sent; it was written */
 void bd_core_liveness_sent(struct bd_core *core, struct timespec sent);
 void bd_core_liveness_written(struct bd_core *core, struct timespec sent);
@@ -138,7 +138,8 @@
 /* Another controller says that the job's cancellation was confirmed: until the record shows it, the
  * news stops the job's tasks and starts none. No rule rests on it. */
 void bd_core_cancelled_elsewhere(struct bd_core *core, const char *id);
-void bd_core_progress(struct bd_core *core, const char *id, uint32_t done, uint32_t running);
+void bd_peer_progress_received(struct bd_core *core, const char *id, uint32_t done,
+                               uint32_t running);
 /* a leader's look at the delegates' records; a follower's own record was written */
 void bd_core_delegates(struct bd_core *core, json_t *pairs, struct timespec sent);
 void bd_core_delegate_committed(struct bd_core *core, long status, uint64_t store_revision,
--- a/src/leadership/leadership.c
+++ b/src/leadership/leadership.c
@@ -42,8 +42,8 @@
 
 /* ---- the other controllers ---- */
 
-void bd_core_peer(struct bd_core *core, const char *name, uint64_t term, uint8_t flags,
-                  double kv_age_s, double said_at, struct timespec heard)
+void bd_peer_status_received(struct bd_core *core, const char *name, uint64_t term, uint8_t flags,
+                             double kv_age_s, double status_sent_wall_s, struct timespec heard)
 {
     for (int i = 0; i < core->settings->npeers; i++) {
         if (strcmp(core->settings->peers[i].name, name) != 0)
@@ -51,12 +51,13 @@
         core->peers[i].heard = heard;
         core->peers[i].term = term;
         core->peers[i].flags = flags;
-        core->peers[i].said_at = said_at;
+        core->peers[i].status_sent_wall_s = status_sent_wall_s;
         core->peers[i].kv_seen_at = bd_sub(heard, bd_secs(kv_age_s));
     }
 }
 
-void bd_core_progress(struct bd_core *core, const char *id, uint32_t done, uint32_t running)
+void bd_peer_progress_received(struct bd_core *core, const char *id, uint32_t done,
+                               uint32_t running)
 {
     struct bd_job *job = bd_job_find(core, id);
     if (!job || core->role == BD_LEADER)
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -131,8 +131,9 @@
     const char *text = command->text;
     size_t len = command->len;
     if (frame->type == BD_FRAME_STATUS)
-        bd_core_peer(core, frame->name, frame->term, frame->flags, frame->age_ms / 1000.0,
-                     (double)frame->at_ms / 1000.0, command->sent);
+        bd_peer_status_received(core, frame->name, frame->term, frame->flags,
+                                frame->age_ms / 1000.0, (double)frame->at_ms / 1000.0,
+                                command->sent);
     if (frame->type == BD_FRAME_REPORT)
         forwarded(node, frame, text, len);
     if (frame->type == BD_FRAME_ANSWER)
@@ -140,7 +141,8 @@
     if (frame->type == BD_FRAME_CANCELLED && len < BD_ID)
         bd_core_cancelled_elsewhere(core, text);
     for (unsigned i = 0; i < frame->count; i++)
-        bd_core_progress(core, frame->jobs[i].id, frame->jobs[i].done, frame->jobs[i].running);
+        bd_peer_progress_received(core, frame->jobs[i].id, frame->jobs[i].done,
+                                  frame->jobs[i].running);
 }
 
 static void looked_up(struct bd_node *node, struct bd_cmd *command)
@@ -173,7 +175,7 @@
     case BD_C_PROVISIONED:
         bd_core_provisioned(core, command->name, command->status, command->data, (int)command->n);
         break;
-    case BD_C_PEER:
+    case BD_C_PEER_FRAME:
         peer(node, command);
         break;
     case BD_C_DELEGATES:
--- a/src/workers/autonomous_zone.c
+++ b/src/workers/autonomous_zone.c
@@ -53,7 +53,7 @@
             continue;
         alone = false;
         if (core->peers[i].flags & BD_PEER_CUT && bd_peer_heard(core, i, FRAME_FRESH_S) &&
-            core->wall - core->peers[i].said_at < late)
+            core->wall - core->peers[i].status_sent_wall_s < late)
             return true;
     }
     return alone;
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -418,7 +418,7 @@
     size_t len = bd_frame_write(&f, buf, sizeof buf);
     if (bd_frame_read(buf, len, &in) != (long)len)
         abort();
-    bd_core_peer(w->c, in.name, in.term, in.flags, 0, 0, w->c->now);
+    bd_peer_status_received(w->c, in.name, in.term, in.flags, 0, 0, w->c->now);
     CALLGRIND_TOGGLE_COLLECT;
 }
 
@@ -615,7 +615,8 @@
     uint32_t written = 0;
     bd_core_lost(w->c);
     drop_effects(w);
-    bd_core_peer(w->c, PEER, 9, BD_PEER_LEADS | BD_PEER_KV_REACHABLE, 0, w->c->wall, w->c->now);
+    bd_peer_status_received(w->c, PEER, 9, BD_PEER_LEADS | BD_PEER_KV_REACHABLE, 0, w->c->wall,
+                            w->c->now);
     at(w, w->now + 30);
     bd_core_leader_is(w->c, PEER, 9, w->c->now, false);
     for (uint32_t i = 0; i < w->machines; i++)
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -429,8 +429,8 @@
     flags |= play_yes(p, "cut") ? BD_PEER_CUT : 0;
     flags |= play_num(p, "deps", 1) != 0 ? BD_PEER_DEPS : 0;
     flags |= play_num(p, "drains", 1) != 0 ? BD_PEER_DRAINS : 0;
-    bd_core_peer(p->c, p->w[1], (uint64_t)play_num(p, "term", 0), flags, play_num(p, "age", 0),
-                 p->c->wall - play_num(p, "late", 0), p->c->now);
+    bd_peer_status_received(p->c, p->w[1], (uint64_t)play_num(p, "term", 0), flags,
+                            play_num(p, "age", 0), p->c->wall - play_num(p, "late", 0), p->c->now);
 }
 
 static void cmd_heard(struct play *p)
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -677,8 +677,8 @@
     if (n->core && n->epoch == e->epoch && !peers_apart(s, e->node, e->who)) {
         clock_core(s, n);
         if (f->type == BD_FRAME_STATUS)
-            bd_core_peer(n->core, f->name, f->term, f->flags, f->age_ms / 1000.0,
-                         (double)f->at_ms / 1000.0, n->core->now);
+            bd_peer_status_received(n->core, f->name, f->term, f->flags, f->age_ms / 1000.0,
+                                    (double)f->at_ms / 1000.0, n->core->now);
         if (f->type == BD_FRAME_REPORT && read_report(e->text, &r)) {
             bd_core_forwarded(n->core, f->name, f->id, &r, e->text, strlen(e->text));
             bd_wire_report_drop(&r);
