--- a/include/brambledoor/settings.h
+++ b/include/brambledoor/settings.h
@@ -42,7 +42,7 @@
     struct bd_aim aims[BD_MAX_AIMS];
     int naims;
     int nodes;
-    struct timespec report, lease, gang_wait, gang_peer, cancel, list_lag, clock_error;
+    struct timespec heartbeat_interval, lease, gang_wait, gang_peer, cancel, list_lag, clock_error;
     double kv_requests_per_s, kv_writes_per_s,
         cloud_requests_per_s;                  /* the state service's limits: the smaller of */
     size_t kv_value_bytes_max, kv_txn_ops_max; /* what holds now and what is to come */
--- a/src/adapters/api_server.c
+++ b/src/adapters/api_server.c
@@ -68,8 +68,8 @@
 
 static enum bd_timing timing_of(enum bd_cmd_kind kind)
 {
-    if (kind == BD_C_CHECKIN)
-        return BD_TIMING_CHECKIN;
+    if (kind == BD_C_HEARTBEAT)
+        return BD_TIMING_HEARTBEAT;
     if (kind == BD_C_SUBMIT)
         return BD_TIMING_SUBMISSION;
     return kind == BD_C_GET ? BD_TIMING_POLL : BD_TIMING_CANCELLATION;
@@ -130,8 +130,8 @@
 static int route(const char *method, const char *url, char *name, size_t cap)
 {
     bool get = strcmp(method, "GET") == 0, post = strcmp(method, "POST") == 0;
-    if (strcmp(url, BD_PATH_CHECKIN) == 0)
-        return post ? BD_C_CHECKIN : -405;
+    if (strcmp(url, BD_PATH_HEARTBEAT) == 0)
+        return post ? BD_C_HEARTBEAT : -405;
     if (strcmp(url, BD_PATH_JOBS) == 0)
         return post ? BD_C_SUBMIT : -405;
     if (job_path(url, BD_PATH_CANCEL, name, cap))
@@ -163,7 +163,7 @@
 {
     int most = node->settings.max_sockets / 2;
     most = most < PENDING_LEAST ? PENDING_LEAST : most;
-    if (kind != BD_C_CHECKIN)
+    if (kind != BD_C_HEARTBEAT)
         most = (int)(PENDING_USERS * most);
     return atomic_load(&node->api_server->pending) < most;
 }
@@ -226,7 +226,7 @@
     static const struct {
         enum bd_cmd_kind kind;
         enum bd_traffic traffic;
-    } known[] = {{BD_C_CHECKIN, BD_TRAFFIC_CHECKIN},
+    } known[] = {{BD_C_HEARTBEAT, BD_TRAFFIC_HEARTBEAT},
                  {BD_C_GET, BD_TRAFFIC_POLL},
                  {BD_C_SUBMIT, BD_TRAFFIC_SUBMISSION},
                  {BD_C_CANCEL, BD_TRAFFIC_CANCELLATION}};
@@ -244,7 +244,7 @@
     (void)conn;
     (void)ctx;
     if (code == MHD_CONNECTION_NOTIFY_STARTED)
-        bd_count_connections(bd_metrics_counter(node->metrics, BD_TRAFFIC_CHECKIN), 1);
+        bd_count_connections(bd_metrics_counter(node->metrics, BD_TRAFFIC_HEARTBEAT), 1);
 }
 
 static void completed(void *arg, struct MHD_Connection *conn, void **ctx,
--- a/src/adapters/node.h
+++ b/src/adapters/node.h
@@ -12,13 +12,13 @@
 struct bd_metrics;
 struct bd_peer_link;
 struct bd_worker_client;
-struct bd_report_cache;
+struct bd_heartbeat_cache;
 
 enum bd_cmd_kind {
     BD_C_SUBMIT,
     BD_C_GET,
     BD_C_CANCEL,
-    BD_C_CHECKIN,
+    BD_C_HEARTBEAT,
     BD_C_USER_COMMITTED,
     BD_C_FOLLOWED,
     BD_C_RELISTED,
@@ -81,8 +81,8 @@
     struct bd_peer_link *links[BD_MAX_PEERS];
     struct bd_metrics *metrics;
     struct bd_worker_client *worker_client;
-    struct bd_report_cache *reports;
-    struct timespec next_report, reported, commit_sent;
+    struct bd_heartbeat_cache *heartbeats;
+    struct timespec next_metrics, metrics_since, commit_sent;
     struct bd_cmd *pending_gain;
     /* what the other controllers are told of us */
     pthread_mutex_t status_lock;
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -99,9 +99,9 @@
     while (core->forwarding.waiting) {
         struct bd_forward *forward = core->forwarding.waiting;
         core->forwarding.waiting = forward->next;
-        bd_report_free(forward->report);
+        bd_heartbeat_free(forward->heartbeat);
         if (forward->request && ((struct bd_remote *)forward->request)->remote)
-            free(forward->request); /* the core's own: see bd_core_forwarded */
+            free(forward->request); /* the core's own: see bd_worker_heartbeat_forwarded */
         free(forward);
     }
     bd_delegate_forget(core);
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -148,14 +148,17 @@
 bool bd_core_hears_leader(const struct bd_core *core);
 /* workers */
 /* body: the report as it came, passed on if the leader is elsewhere */
-void bd_core_checkin(struct bd_core *core, void *request, const struct bd_report *report,
-                     const char *body, size_t len);
+void bd_worker_heartbeat_received(struct bd_core *core, void *request,
+                                  const struct bd_heartbeat *heartbeat, const char *body,
+                                  size_t len);
 /* a report that another controller passed on to us, and the answer to one that we passed on */
-void bd_core_forwarded(struct bd_core *core, const char *peer, uint64_t id,
-                       const struct bd_report *report, const char *body, size_t len);
-void bd_core_answered(struct bd_core *core, uint64_t id, int status, const char *body, size_t len);
+void bd_worker_heartbeat_forwarded(struct bd_core *core, const char *peer, uint64_t id,
+                                   const struct bd_heartbeat *heartbeat, const char *body,
+                                   size_t len);
+void bd_forward_reply_received(struct bd_core *core, uint64_t id, int status, const char *body,
+                               size_t len);
 void bd_core_did(struct bd_core *core, uint32_t machine, uint64_t fencing_token, bool launch,
-                 long status, const struct bd_report *report);
+                 long status, const struct bd_heartbeat *heartbeat);
 /* cloud */
 void bd_core_types(struct bd_core *core, const struct bd_type_text *t, int n);
 void bd_core_machines(struct bd_core *core, const struct bd_cloud_machine *l, size_t n,
--- a/src/core/core_internal.h
+++ b/src/core/core_internal.h
@@ -187,8 +187,8 @@
 
 /* standing by in a zone that is cut off */
 #define STANDBY_AFTER_S 3.0 /* without a word from the state service */
-bool bd_standby_answers(const struct bd_core *core, const struct bd_report *report);
-bool bd_standby_near(const struct bd_core *core, const struct bd_report *report);
+bool bd_standby_answers(const struct bd_core *core, const struct bd_heartbeat *heartbeat);
+bool bd_standby_near(const struct bd_core *core, const struct bd_heartbeat *heartbeat);
 void bd_standby_record(struct bd_core *core, const char *node, double at);
 void bd_standby_zones(struct bd_core *core, struct timespec *until);
 struct timespec bd_standby_until(const struct bd_core *core, const struct bd_machine *machine,
@@ -200,19 +200,20 @@
                               */
 #define DELEGATE_FRESH_S 1.5 /* a delegate answers so long after its record was last confirmed */
 int bd_leader_index(const struct bd_core *core); /* among the peers, or -1 */
-struct bd_report *bd_report_copy(const struct bd_report *report);
-void bd_report_free(struct bd_report *report);
-bool bd_forward_checkin(struct bd_core *core, void *request, const struct bd_report *report,
-                        const char *body, size_t len);
-bool bd_forward_relay(struct bd_core *core, struct bd_remote *q, const struct bd_report *report,
-                      const char *body, size_t len);
-void bd_forward_away(struct bd_core *core, void *request, const struct bd_report *report);
+struct bd_heartbeat *bd_heartbeat_copy(const struct bd_heartbeat *heartbeat);
+void bd_heartbeat_free(struct bd_heartbeat *heartbeat);
+bool bd_forward_heartbeat(struct bd_core *core, void *request, const struct bd_heartbeat *heartbeat,
+                          const char *body, size_t len);
+bool bd_forward_relay(struct bd_core *core, struct bd_remote *q,
+                      const struct bd_heartbeat *heartbeat, const char *body, size_t len);
+void bd_forward_away(struct bd_core *core, void *request, const struct bd_heartbeat *heartbeat);
 int bd_forward_redirect(struct bd_core *core, struct bd_machine *machine,
-                        const struct bd_report *report);
+                        const struct bd_heartbeat *heartbeat);
 void bd_forward_listen(struct bd_core *core);
 void bd_forward_tick(struct bd_core *core);
 void bd_forward_end(struct bd_core *core);
-bool bd_delegate_checkin(struct bd_core *core, void *request, const struct bd_report *report);
+bool bd_delegate_heartbeat(struct bd_core *core, void *request,
+                           const struct bd_heartbeat *heartbeat);
 void bd_delegate_tick(struct bd_core *core);
 void bd_delegate_needless(struct bd_core *core, const struct bd_machine *machine);
 void bd_delegate_dismissed(struct bd_core *core, bool dismissed, uint64_t revision,
--- a/src/drain/drain.h
+++ b/src/drain/drain.h
@@ -104,7 +104,7 @@
     BD_DRAIN_WAIT_NOTHING,
     BD_DRAIN_WAIT_OLDER,       /* a controller is heard that does not know drains */
     BD_DRAIN_WAIT_PAUSED,      /* for `resume` */
-    BD_DRAIN_WAIT_REPORT,      /* it is not heard */
+    BD_DRAIN_WAIT_HEARTBEAT,   /* it is not heard */
     BD_DRAIN_WAIT_REPLACEMENT, /* its replacement is not up */
     BD_DRAIN_WAIT_TASKS,       /* its tasks may end by themselves for a while */
     BD_DRAIN_WAIT_BUDGET,      /* of the team that is named */
--- a/src/drain/plan.c
+++ b/src/drain/plan.c
@@ -66,7 +66,7 @@
     bool silent = !machine || machine->gone || !machine->fenced || bd_overdue(core, machine);
     if (silent || drain->record.state == BD_DRAIN_PAUSED) {
         if (bd_is_zero(m->told))
-            wait_for(core, drain, m, silent ? BD_DRAIN_WAIT_REPORT : BD_DRAIN_WAIT_PAUSED, "");
+            wait_for(core, drain, m, silent ? BD_DRAIN_WAIT_HEARTBEAT : BD_DRAIN_WAIT_PAUSED, "");
         return;
     }
     uint32_t told = stop_tasks(core, machine, &team);
@@ -167,7 +167,7 @@
     if (drain->record.state == BD_DRAIN_PAUSED)
         return BD_DRAIN_WAIT_PAUSED;
     if (!machine || !machine->fenced || bd_overdue(core, machine))
-        return BD_DRAIN_WAIT_REPORT;
+        return BD_DRAIN_WAIT_HEARTBEAT;
     if (drain->record.mode == BD_DRAIN_REPLACE && !bd_replacement_up(core, m))
         return BD_DRAIN_WAIT_REPLACEMENT;
     if (may_end_by_itself(core, drain, machine))
--- a/src/runtime/effect_dispatch.c
+++ b/src/runtime/effect_dispatch.c
@@ -23,7 +23,7 @@
 static void pass_on(struct bd_node *node, const struct bd_effect *effect)
 {
     struct bd_frame f;
-    f.type = effect->kind == BD_E_FORWARD ? BD_FRAME_REPORT : BD_FRAME_ANSWER;
+    f.type = effect->kind == BD_E_FORWARD ? BD_FRAME_HEARTBEAT : BD_FRAME_ANSWER;
     snprintf(f.name, sizeof f.name, "%s", node->settings.node);
     f.id = effect->forward_id;
     f.status = (uint16_t)effect->status;
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -16,11 +16,11 @@
 #define BATCH 128
 #define QUEUE_CAP 4096
 #define STATUS_S 0.3
-#define TTL_SHARE 0.2      /* of the workers' lease, */
-#define TTL_LEAST_S 2.0    /* ... so that several slow answers of the state service fit in, */
-#define TTL_MOST_S 2.5     /* ... and a takeover does not take long */
-#define REPORTS_SHARE 0.08 /* of the memory, for the machines' newest reports */
-#define REPORT_S 20.0      /* between the log's lines of traffic and times */
+#define TTL_SHARE 0.2   /* of the workers' lease, */
+#define TTL_LEAST_S 2.0 /* ... so that several slow answers of the state service fit in, */
+#define TTL_MOST_S 2.5  /* ... and a takeover does not take long */
+#define HEARTBEAT_CACHE_SHARE 0.08 /* of the memory, for the machines' newest reports */
+#define METRICS_INTERVAL_S 20.0    /* between the log's lines of traffic and times */
 
 struct bd_cmd *bd_cmd_new(enum bd_cmd_kind kind)
 {
@@ -86,9 +86,10 @@
 
 static void checkin(struct bd_node *node, struct bd_cmd *command)
 {
-    const struct bd_report *r = bd_report_cache_read(node->reports, command->text, command->len);
+    const struct bd_heartbeat *r =
+        bd_heartbeat_cache_read(node->heartbeats, command->text, command->len);
     if (r)
-        bd_core_checkin(node->core, command->request, r, command->text, command->len);
+        bd_worker_heartbeat_received(node->core, command->request, r, command->text, command->len);
     else
         bd_api_reply(node, command->request, 400, strdup("{\"error\":\"malformed report\"}"), 0);
 }
@@ -96,7 +97,7 @@
 static void did(struct bd_node *node, const struct bd_cmd *command)
 {
     bd_core_did(node->core, command->machine, command->number, command->flag, command->status,
-                bd_report_cache_read(node->reports, command->text, command->len));
+                bd_heartbeat_cache_read(node->heartbeats, command->text, command->len));
 }
 
 static void followed(struct bd_node *node, struct bd_cmd *command)
@@ -119,9 +120,9 @@
 static void forwarded(struct bd_node *node, const struct bd_frame *frame, const char *text,
                       size_t len)
 {
-    const struct bd_report *r = bd_report_cache_read(node->reports, text, len);
+    const struct bd_heartbeat *r = bd_heartbeat_cache_read(node->heartbeats, text, len);
     if (r)
-        bd_core_forwarded(node->core, frame->name, frame->id, r, text, len);
+        bd_worker_heartbeat_forwarded(node->core, frame->name, frame->id, r, text, len);
 }
 
 static void peer(struct bd_node *node, const struct bd_cmd *command)
@@ -134,10 +135,10 @@
         bd_peer_status_received(core, frame->name, frame->term, frame->flags,
                                 frame->age_ms / 1000.0, (double)frame->at_ms / 1000.0,
                                 command->sent);
-    if (frame->type == BD_FRAME_REPORT)
+    if (frame->type == BD_FRAME_HEARTBEAT)
         forwarded(node, frame, text, len);
     if (frame->type == BD_FRAME_ANSWER)
-        bd_core_answered(core, frame->id, frame->status, text, len);
+        bd_forward_reply_received(core, frame->id, frame->status, text, len);
     if (frame->type == BD_FRAME_CANCELLED && len < BD_ID)
         bd_core_cancelled_elsewhere(core, text);
     for (unsigned i = 0; i < frame->count; i++)
@@ -160,7 +161,7 @@
 {
     struct bd_core *core = node->core;
     switch (command->kind) {
-    case BD_C_CHECKIN:
+    case BD_C_HEARTBEAT:
         checkin(node, command);
         break;
     case BD_C_DID:
@@ -337,19 +338,19 @@
     return now;
 }
 
-static void report(struct bd_node *node)
+static void log_metrics(struct bd_node *node)
 {
     struct timespec now = node->core->now;
-    if (bd_before(now, node->next_report))
+    if (bd_before(now, node->next_metrics))
         return;
     uint32_t all, repeated;
-    bd_report_cache_counts(node->reports, &all, &repeated);
+    bd_heartbeat_cache_counts(node->heartbeats, &all, &repeated);
     if (all > 0)
         bd_say(&node->log, BD_INFO, "reports: %u, %u of them as the machine's last", all, repeated);
-    if (!bd_is_zero(node->reported))
-        bd_metrics_report(node->metrics, &node->log, bd_between(node->reported, now));
-    node->reported = now;
-    node->next_report = bd_add(now, bd_secs(REPORT_S));
+    if (!bd_is_zero(node->metrics_since))
+        bd_metrics_report(node->metrics, &node->log, bd_between(node->metrics_since, now));
+    node->metrics_since = now;
+    node->next_metrics = bd_add(now, bd_secs(METRICS_INTERVAL_S));
 }
 
 void bd_controller_run(struct bd_node *node)
@@ -379,7 +380,7 @@
         tick(node);
         bd_effects_perform(node);
         status(node);
-        report(node);
+        log_metrics(node);
     }
 }
 
@@ -412,9 +413,9 @@
         return -1;
     node->metrics = bd_metrics_new();
     node->core = bd_core_new(&node->settings, &node->log);
-    node->reports =
-        bd_report_cache_new((size_t)(node->settings.ram_mb * REPORTS_SHARE * 1048576.0));
-    if (!node->core || !node->metrics || !node->reports)
+    node->heartbeats =
+        bd_heartbeat_cache_new((size_t)(node->settings.ram_mb * HEARTBEAT_CACHE_SHARE * 1048576.0));
+    if (!node->core || !node->metrics || !node->heartbeats)
         return -1;
     node->core->metrics = node->metrics;
     uint64_t seed = 0;
--- a/src/runtime/settings.c
+++ b/src/runtime/settings.c
@@ -180,7 +180,7 @@
     teams(r, f, settings);
     aims(r, f, settings);
     json_t *w = object(r, f, "workers");
-    settings->report = span(r, w, "report_s", 0.01);
+    settings->heartbeat_interval = span(r, w, "report_s", 0.01);
     settings->lease = span(r, w, "lease_s", 0.1);
     settings->gang_wait = span(r, w, "gang_wait_s", 0);
     settings->gang_peer = span(r, w, "gang_peer_s", 0);
--- a/src/wire/frame.c
+++ b/src/wire/frame.c
@@ -63,7 +63,7 @@
             put(o, frame->jobs[i].running, 4);
         }
         break;
-    case BD_FRAME_REPORT:
+    case BD_FRAME_HEARTBEAT:
         put(o, frame->id, 8);
         put_text(o, frame->name);
         put_bytes(o, frame->text, frame->len);
@@ -169,7 +169,7 @@
     case BD_FRAME_PROGRESS:
         read_progress(i, frame);
         break;
-    case BD_FRAME_REPORT:
+    case BD_FRAME_HEARTBEAT:
         frame->id = get(i, 8);
         get_text(i, frame->name, sizeof frame->name);
         get_bytes(i, frame);
--- a/src/wire/frame.h
+++ b/src/wire/frame.h
@@ -20,7 +20,7 @@
 enum bd_frame_type {
     BD_FRAME_STATUS = 1,
     BD_FRAME_PROGRESS = 2,
-    BD_FRAME_REPORT = 3,
+    BD_FRAME_HEARTBEAT = 3,
     BD_FRAME_ANSWER = 4,
     BD_FRAME_CANCELLED = 5
 };
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -9,7 +9,7 @@
 
 /* where requests go: users and workers to us, */
 #define BD_PATH_HEALTH "/up"
-#define BD_PATH_CHECKIN "/checkin"
+#define BD_PATH_HEARTBEAT "/checkin"
 #define BD_PATH_JOBS "/submissions"
 #define BD_PATH_CANCEL "/withdraw" /* after a job's path */
 /* ... we to workers, the cloud and the state service */
@@ -58,7 +58,7 @@
     BD_WHY_UNKNOWN
 };
 
-struct bd_seen_task {
+struct bd_reported_task {
     char job[BD_ID];
     uint32_t task;
     uint64_t attempt;
@@ -67,13 +67,13 @@
     bool kept;
 };
 
-struct bd_report {
+struct bd_heartbeat {
     char machine[BD_LABEL], addr[BD_LABEL], type[BD_LABEL], zone[BD_LABEL];
     bool spot;
     uint64_t incarnation, seq, fencing_token;
     double notice; /* < 0: none */
     size_t n;
-    struct bd_seen_task *tasks;
+    struct bd_reported_task *tasks;
 };
 
 enum bd_verb { BD_LAUNCH, BD_HALT, BD_FORGET };
@@ -139,15 +139,15 @@
 bool bd_wire_read_record(json_t *v, struct bd_record *out);
 char *bd_wire_accepted(const char *id);
 char *bd_wire_state(const char *id, const char *state, uint32_t done, uint32_t running);
-bool bd_wire_report(json_t *o, struct bd_report *out);
-void bd_wire_report_drop(struct bd_report *report);
+bool bd_wire_heartbeat(json_t *o, struct bd_heartbeat *out);
+void bd_wire_heartbeat_release(struct bd_heartbeat *heartbeat);
 /* Where the digits of the report's number stand in its text, and what they say. */
-struct bd_report_number {
+struct bd_heartbeat_number {
     size_t at, len;
     uint64_t value;
 };
 /* False: not to be told without reading the text as JSON. */
-bool bd_wire_report_number(const char *text, size_t len, struct bd_report_number *out);
+bool bd_wire_heartbeat_number(const char *text, size_t len, struct bd_heartbeat_number *out);
 /* session 0: an answer to a report, else the body of a direct command */
 /* Bytes of the value as it is sent; SIZE_MAX: out of memory. */
 size_t bd_wire_bytes(const json_t *value);
--- a/src/wire/wire_workers.c
+++ b/src/wire/wire_workers.c
@@ -11,7 +11,7 @@
                                    "error", "no_room", "busy",    "unknown"};
 static const char *const verbs[] = {"launch", "halt", "forget"};
 
-static bool seen_task(json_t *o, struct bd_seen_task *t)
+static bool seen_task(json_t *o, struct bd_reported_task *t)
 {
     memset(t, 0, sizeof *t);
     if (!bd_wire_task_name(json_string_value(json_object_get(o, "chore")), t->job, &t->task))
@@ -26,7 +26,7 @@
     return true;
 }
 
-bool bd_wire_report(json_t *o, struct bd_report *out)
+bool bd_wire_heartbeat(json_t *o, struct bd_heartbeat *out)
 {
     memset(out, 0, sizeof *out);
     if (!json_is_object(o) || !bd_wire_label(o, "hearth", out->machine) ||
@@ -47,7 +47,7 @@
     json_array_foreach(a, i, v)
     {
         if (!out->tasks || !seen_task(v, &out->tasks[out->n])) {
-            bd_wire_report_drop(out);
+            bd_wire_heartbeat_release(out);
             return false;
         }
         out->n++;
@@ -56,7 +56,7 @@
 }
 
 /* The name must stand there once only: as a key, since a quote inside a string is escaped. */
-bool bd_wire_report_number(const char *text, size_t len, struct bd_report_number *out)
+bool bd_wire_heartbeat_number(const char *text, size_t len, struct bd_heartbeat_number *out)
 {
     static const char key[] = "\"tally\":";
     const size_t key_len = sizeof key - 1, digits_most = 18;
@@ -77,11 +77,11 @@
     return out->len > 0 && out->len <= digits_most && (*p != '0' || out->len == 1) && whole;
 }
 
-void bd_wire_report_drop(struct bd_report *report)
+void bd_wire_heartbeat_release(struct bd_heartbeat *heartbeat)
 {
-    free(report->tasks);
-    report->tasks = NULL;
-    report->n = 0;
+    free(heartbeat->tasks);
+    heartbeat->tasks = NULL;
+    heartbeat->n = 0;
 }
 
 char *bd_wire_orders(uint64_t fencing_token, uint64_t incarnation, const struct bd_order *o,
--- a/src/workers/autonomous_zone.c
+++ b/src/workers/autonomous_zone.c
@@ -59,9 +59,9 @@
     return alone;
 }
 
-static bool zone_of_ours(const struct bd_core *core, const struct bd_report *report)
+static bool zone_of_ours(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
 {
-    return strcmp(report->zone, core->settings->zone) == 0;
+    return strcmp(heartbeat->zone, core->settings->zone) == 0;
 }
 
 /* The grace, from the last sign of the state service. */
@@ -70,18 +70,18 @@
     return bd_may_renew(core) && bd_in_grace(core, core->confirmed);
 }
 
-bool bd_standby_answers(const struct bd_core *core, const struct bd_report *report)
+bool bd_standby_answers(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
 {
     return core->last_term && core->replica.ready && bd_core_cut(core) &&
-           !bd_core_hears_leader(core) && in_time(core) && zone_of_ours(core, report) &&
+           !bd_core_hears_leader(core) && in_time(core) && zone_of_ours(core, heartbeat) &&
            zone_agrees(core);
 }
 
 /* Whether it is worth while to let a worker wait: the cut may just have begun. */
-bool bd_standby_near(const struct bd_core *core, const struct bd_report *report)
+bool bd_standby_near(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
 {
     return core->role == BD_FOLLOWER && core->last_term && in_time(core) &&
-           zone_of_ours(core, report) && !bd_core_hears_leader(core) &&
+           zone_of_ours(core, heartbeat) && !bd_core_hears_leader(core) &&
            bd_between(core->confirmed, core->now) < STANDBY_AFTER_S + FRAME_FRESH_S;
 }
 
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -78,7 +78,7 @@
     (void)add_launches(core, machine, orders, false);
 }
 
-static bool has_halt(const struct bd_order_list *orders, const struct bd_seen_task *s)
+static bool has_halt(const struct bd_order_list *orders, const struct bd_reported_task *s)
 {
     for (size_t i = 0; i < orders->count; i++)
         if (orders->items[i].verb == BD_HALT && orders->items[i].attempt == s->attempt &&
@@ -88,7 +88,7 @@
 }
 
 static void add_halt_of_cancelled(struct bd_core *core, const struct bd_job *job,
-                                  const struct bd_seen_task *s, struct bd_order_list *orders)
+                                  const struct bd_reported_task *s, struct bd_order_list *orders)
 {
     bd_orders_add(orders, BD_HALT, s->job, s->task, s->attempt, 0);
     bd_audit_task(core, "halt", job, s->task, s->attempt, NULL, "why=cancelled via=answer");
@@ -97,21 +97,21 @@
 /* Halts of what users have cancelled: nobody's leave is needed for these, and the machine need not
  * have seen our term. A direct command that was to say it may wait in our own queue, while each
  * answer renews the lease. */
-static void halt_cancelled(struct bd_core *core, const struct bd_report *report,
+static void halt_cancelled(struct bd_core *core, const struct bd_heartbeat *heartbeat,
                            struct bd_order_list *orders)
 {
-    for (size_t i = 0; i < report->n; i++) {
-        const struct bd_seen_task *s = &report->tasks[i];
+    for (size_t i = 0; i < heartbeat->n; i++) {
+        const struct bd_reported_task *s = &heartbeat->tasks[i];
         const struct bd_job *job = s->sub == BD_EXITED ? NULL : bd_job_find(core, s->job);
         if (job && job->state == BD_CANCELLED && !has_halt(orders, s))
             add_halt_of_cancelled(core, job, s, orders);
     }
 }
 
-void bd_orders_answer(struct bd_core *core, void *request, const struct bd_report *report,
+void bd_orders_answer(struct bd_core *core, void *request, const struct bd_heartbeat *heartbeat,
                       struct bd_order_list *orders, uint64_t fencing_token)
 {
-    halt_cancelled(core, report, orders);
+    halt_cancelled(core, heartbeat, orders);
     bd_reply(core, request, 200, bd_wire_orders(fencing_token, 0, orders->items, orders->count), 0);
 }
 
--- a/src/workers/commands.h
+++ b/src/workers/commands.h
@@ -15,6 +15,6 @@
  * leaders, delegates and controllers standing by. Adds to the orders a halt of all that the report
  * shows of cancelled jobs. Whether this controller may answer at all is the caller's to know
  * (lease_renewal.c). */
-void bd_orders_answer(struct bd_core *core, void *request, const struct bd_report *report,
+void bd_orders_answer(struct bd_core *core, void *request, const struct bd_heartbeat *heartbeat,
                       struct bd_order_list *orders, uint64_t fencing_token);
 #endif
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -34,18 +34,18 @@
 #define WORKER_WAITS_S 4.0 /* the platform's: a worker waits so long for an answer, */
 #define WORKER_PAUSE_S 1.0 /* and goes to the next node after this */
 
-struct bd_wait_checkin {
+struct bd_waiting_heartbeat {
     void *request;
-    struct bd_report *report;
+    struct bd_heartbeat *heartbeat;
     struct timespec asked;
-    struct bd_wait_checkin *next;
+    struct bd_waiting_heartbeat *next;
 };
 
 /* Longer than a worker's pause between two reports: one that left the record in between would be
  * new to it each time. */
 static double keep_s(const struct bd_core *core)
 {
-    double s = 1.25 * bd_to_secs(core->settings->report) + 2.0;
+    double s = 1.25 * bd_to_secs(core->settings->heartbeat_interval) + 2.0;
     return s > KEEP_LEAST_S ? s : KEEP_LEAST_S;
 }
 
@@ -238,7 +238,7 @@
 }
 
 /* The first answer to each machine of our record; of those that we stand by for, one at a time. */
-static void audit_answer(struct bd_core *core, const struct bd_report *report,
+static void audit_answer(struct bd_core *core, const struct bd_heartbeat *heartbeat,
                          uint64_t fencing_token, struct bd_served *served)
 {
     struct timespec *said = &core->audit.standby_said;
@@ -250,33 +250,33 @@
         *said = core->now;
     bd_audit_note(core, "answer",
                   "machine=%s by=%s session=%llu seq=%llu seen=%llu term=%llu refreshed_s=%.2f",
-                  report->machine, served ? "delegate" : "standby",
-                  (unsigned long long)report->incarnation, (unsigned long long)report->seq,
-                  (unsigned long long)report->fencing_token, (unsigned long long)fencing_token,
+                  heartbeat->machine, served ? "delegate" : "standby",
+                  (unsigned long long)heartbeat->incarnation, (unsigned long long)heartbeat->seq,
+                  (unsigned long long)heartbeat->fencing_token, (unsigned long long)fencing_token,
                   bd_between(core->replica.refreshed_at, core->now));
 }
 
 /* `served`: its entry in our record; NULL: we stand by. */
-static void answer(struct bd_core *core, void *request, const struct bd_report *report,
+static void answer(struct bd_core *core, void *request, const struct bd_heartbeat *heartbeat,
                    uint64_t fencing_token, struct bd_served *served)
 {
     struct bd_order_list orders = {0};
-    audit_answer(core, report, fencing_token, served);
-    bd_orders_answer(core, request, report, &orders, fencing_token);
+    audit_answer(core, heartbeat, fencing_token, served);
+    bd_orders_answer(core, request, heartbeat, &orders, fencing_token);
     free(orders.items);
 }
 
 /* Answers who asked; those who came while the record was being written wait for the next one. */
 static void answer_asking(struct bd_core *core, bool all)
 {
-    struct bd_wait_checkin *w = core->delegate.asking;
+    struct bd_waiting_heartbeat *w = core->delegate.asking;
     core->delegate.asking = NULL;
     while (w) {
-        struct bd_wait_checkin *next = w->next;
-        struct bd_served *k = served_of(core, w->report->machine, false);
+        struct bd_waiting_heartbeat *next = w->next;
+        struct bd_served *k = served_of(core, w->heartbeat->machine, false);
         bool ready = k && k->confirmed && may_answer(core);
-        bool stands_by = !ready && bd_standby_answers(core, w->report);
-        bool waits = (k && !all) || bd_standby_near(core, w->report);
+        bool stands_by = !ready && bd_standby_answers(core, w->heartbeat);
+        bool waits = (k && !all) || bd_standby_near(core, w->heartbeat);
         if (!ready && !stands_by && waits && bd_between(w->asked, core->now) < ASK_S) {
             w->next = core->delegate.asking;
             core->delegate.asking = w;
@@ -284,11 +284,11 @@
             continue;
         }
         if (ready || stands_by)
-            answer(core, w->request, w->report, ready ? core->delegate.term : core->last_term,
+            answer(core, w->request, w->heartbeat, ready ? core->delegate.term : core->last_term,
                    ready ? k : NULL);
         else
             bd_reply(core, w->request, 421, bd_wire_redirect(""), 0);
-        bd_report_free(w->report);
+        bd_heartbeat_free(w->heartbeat);
         free(w);
         w = next;
     }
@@ -371,27 +371,27 @@
     return mates;
 }
 
-static bool may_go(const struct bd_core *core, const struct bd_report *report)
+static bool may_go(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
 {
     const struct bd_delegate *delegate = &core->delegate;
-    return report->n == 0 || bd_to_secs(core->settings->lease) > way_back_s(core) ||
+    return heartbeat->n == 0 || bd_to_secs(core->settings->lease) > way_back_s(core) ||
            delegate->batch > 1 ||
            bd_between(delegate->since, core->now) > (nobody_heard(core) ? SOON_S : PATIENT_S);
 }
 
-static bool send_probe(struct bd_core *core, const struct bd_report *report)
+static bool send_probe(struct bd_core *core, const struct bd_heartbeat *heartbeat)
 {
     struct bd_delegate *delegate = &core->delegate;
-    if (!may_go(core, report) || delegate->nprobes == BD_PROBES)
+    if (!may_go(core, heartbeat) || delegate->nprobes == BD_PROBES)
         return false;
-    snprintf(delegate->probes[delegate->nprobes++], BD_LABEL, "%s", report->machine);
+    snprintf(delegate->probes[delegate->nprobes++], BD_LABEL, "%s", heartbeat->machine);
     return true;
 }
 
-static bool came_back(const struct bd_delegate *delegate, const struct bd_report *report)
+static bool came_back(const struct bd_delegate *delegate, const struct bd_heartbeat *heartbeat)
 {
     for (uint32_t i = 0; i < delegate->nprobes; i++)
-        if (strcmp(delegate->probes[i], report->machine) == 0)
+        if (strcmp(delegate->probes[i], heartbeat->machine) == 0)
             return true;
     return false;
 }
@@ -400,7 +400,7 @@
  * from it for nothing. So one with nothing to lose is sent to it; if it does not come back, two
  * more, and so on. A worker may stay away for another reason (its machine went back), which is why
  * not all are sent at once. True: this one goes. */
-static bool try_leader(struct bd_core *core, const struct bd_report *report)
+static bool try_leader(struct bd_core *core, const struct bd_heartbeat *heartbeat)
 {
     struct bd_delegate *delegate = &core->delegate;
     double ago = bd_between(delegate->probes_at, core->now);
@@ -410,14 +410,14 @@
         delegate->probes_at = delegate->since = core->now;
         return false;
     }
-    if (came_back(delegate, report)) {
+    if (came_back(delegate, heartbeat)) {
         delegate->nprobes = 0;
         delegate->batch = 1;
         delegate->probes_at = core->now;
         return false;
     }
     if (delegate->nprobes > 0 && ago <= way_back_s(core))
-        return delegate->nprobes < delegate->batch && ago < GATHER_S && send_probe(core, report);
+        return delegate->nprobes < delegate->batch && ago < GATHER_S && send_probe(core, heartbeat);
     if (delegate->nprobes > 0) {
         bd_say(core->log, BD_INFO, "%u workers did reach %s, whom we do not hear",
                delegate->nprobes, core->leader_name);
@@ -426,7 +426,7 @@
     } else if (ago < (nobody_heard(core) ? SOON_S : PROBE_S)) {
         return false;
     }
-    if (!send_probe(core, report))
+    if (!send_probe(core, heartbeat))
         return false;
     delegate->probes_at = core->now;
     return true;
@@ -444,46 +444,47 @@
     return false;
 }
 
-static void let_wait(struct bd_core *core, void *request, const struct bd_report *report)
+static void let_wait(struct bd_core *core, void *request, const struct bd_heartbeat *heartbeat)
 {
-    struct bd_wait_checkin *w = calloc(1, sizeof *w);
+    struct bd_waiting_heartbeat *w = calloc(1, sizeof *w);
     if (!w)
         abort();
     w->request = request;
-    w->report = bd_report_copy(report);
+    w->heartbeat = bd_heartbeat_copy(heartbeat);
     w->asked = core->now;
     w->next = core->delegate.asking;
     core->delegate.asking = w;
 }
 
 /* True if the report was answered, or will be once the record is confirmed or we stand by. */
-bool bd_delegate_checkin(struct bd_core *core, void *request, const struct bd_report *report)
+bool bd_delegate_heartbeat(struct bd_core *core, void *request,
+                           const struct bd_heartbeat *heartbeat)
 {
     struct bd_delegate *delegate = &core->delegate;
-    if (bd_standby_answers(core, report)) {
-        answer(core, request, report, core->last_term, NULL);
+    if (bd_standby_answers(core, heartbeat)) {
+        answer(core, request, heartbeat, core->last_term, NULL);
         return true;
     }
     if (!called_for(core)) {
-        bool near = bd_standby_near(core, report);
+        bool near = bd_standby_near(core, heartbeat);
         if (near)
-            let_wait(core, request, report);
+            let_wait(core, request, heartbeat);
         return near;
     }
-    if (!leaderless(core) && !zone_cut(core) && try_leader(core, report))
+    if (!leaderless(core) && !zone_cut(core) && try_leader(core, heartbeat))
         return false;
-    struct bd_served *k = served_of(core, report->machine, true);
+    struct bd_served *k = served_of(core, heartbeat->machine, true);
     if (!k)
         return false;
     k->heard = core->now;
     if (k->confirmed && delegate->leader == core->leader_term && may_answer(core)) {
-        answer(core, request, report, delegate->term, k);
+        answer(core, request, heartbeat, delegate->term, k);
         return true;
     }
-    let_wait(core, request, report);
+    let_wait(core, request, heartbeat);
     if (delegate->nserved == 1)
         bd_say(core->log, BD_INFO, "%s is not heard: answers its workers, first %s",
-               core->leader_name, report->machine);
+               core->leader_name, heartbeat->machine);
     delegate->next_confirm = core->now;
     return true;
 }
--- a/src/workers/delegate.h
+++ b/src/workers/delegate.h
@@ -13,7 +13,7 @@
  * limits: see most_machines in delegate.c. */
 #define BD_DELEGATE_PARTS 32
 
-struct bd_wait_checkin;
+struct bd_waiting_heartbeat;
 
 /* a machine that we answer for the leader */
 struct bd_served {
@@ -36,7 +36,7 @@
     struct bd_served *served; /* hash by id */
     uint32_t nserved, parts;  /* parts of the record that were ever written */
     size_t longest;           /* bytes of the longest of their names so far */
-    struct bd_wait_checkin *asking;
+    struct bd_waiting_heartbeat *asking;
     /* workers sent to the leader, to see whether it can be reached */
     char probes[BD_PROBES][BD_LABEL];
     uint32_t nprobes, batch;
--- a/src/workers/forwarding.c
+++ b/src/workers/forwarding.c
@@ -86,11 +86,11 @@
 }
 
 /* Not ours to answer: to the leader, where one is known. */
-void bd_forward_away(struct bd_core *core, void *request, const struct bd_report *report)
+void bd_forward_away(struct bd_core *core, void *request, const struct bd_heartbeat *heartbeat)
 {
     bool other = other_leads(core);
     if (other)
-        remember_away(core, report->machine);
+        remember_away(core, heartbeat->machine);
     bd_reply(core, request, 421, bd_wire_redirect(other ? core->leader_name : ""), 0);
 }
 
@@ -110,15 +110,15 @@
 
 /* Whether the worker's report is better passed on than the worker sent to the leader: it is of our
  * zone, or it cannot be reached by it, or it says that it does not hear its workers. */
-static bool passed_on(struct bd_core *core, const struct bd_report *report, int peer)
+static bool passed_on(struct bd_core *core, const struct bd_heartbeat *heartbeat, int peer)
 {
-    if (came_back(core, report->machine))
+    if (came_back(core, heartbeat->machine))
         return true;
     if (core->peers[peer].flags & BD_PEER_INBOUND_CUT)
         core->forwarding.inbound_cut_until = bd_add(core->now, bd_secs(INBOUND_CUT_S));
     if (bd_before(core->now, core->forwarding.inbound_cut_until))
         return true;
-    return strcmp(report->zone, core->settings->zone) == 0 &&
+    return strcmp(heartbeat->zone, core->settings->zone) == 0 &&
            (!bd_peer_near(core, peer) || zone_silent(core));
 }
 
@@ -127,17 +127,17 @@
     return leader_peer(core) >= 0;
 }
 
-struct bd_report *bd_report_copy(const struct bd_report *report)
+struct bd_heartbeat *bd_heartbeat_copy(const struct bd_heartbeat *heartbeat)
 {
-    struct bd_report *k = malloc(sizeof *k);
+    struct bd_heartbeat *k = malloc(sizeof *k);
     if (!k)
         abort();
-    *k = *report;
-    k->tasks = calloc(report->n + 1, sizeof *k->tasks);
+    *k = *heartbeat;
+    k->tasks = calloc(heartbeat->n + 1, sizeof *k->tasks);
     if (!k->tasks)
         abort();
-    if (report->n > 0)
-        memcpy(k->tasks, report->tasks, report->n * sizeof *k->tasks);
+    if (heartbeat->n > 0)
+        memcpy(k->tasks, heartbeat->tasks, heartbeat->n * sizeof *k->tasks);
     return k;
 }
 
@@ -171,7 +171,7 @@
     return found;
 }
 
-static bool send_on(struct bd_core *core, void *request, const struct bd_report *report,
+static bool send_on(struct bd_core *core, void *request, const struct bd_heartbeat *heartbeat,
                     const char *body, size_t len, int peer)
 {
     int most =
@@ -183,7 +183,7 @@
         return false;
     f->id = ++core->forwarding.last_id;
     f->request = request;
-    f->report = bd_report_copy(report);
+    f->heartbeat = bd_heartbeat_copy(heartbeat);
     f->until = bd_add(core->now, bd_secs(ANSWER_S));
     f->next = core->forwarding.waiting;
     core->forwarding.waiting = f;
@@ -196,35 +196,35 @@
 
 /* True if the report is on its way to the leader; it is answered, or its time runs out. Where two
  * zones are apart, a third one may still be in touch with both. */
-bool bd_forward_checkin(struct bd_core *core, void *request, const struct bd_report *report,
-                        const char *body, size_t len)
+bool bd_forward_heartbeat(struct bd_core *core, void *request, const struct bd_heartbeat *heartbeat,
+                          const char *body, size_t len)
 {
     int peer = leader_peer(core);
-    if (peer >= 0 && !passed_on(core, report, peer))
+    if (peer >= 0 && !passed_on(core, heartbeat, peer))
         return false;
     if (peer < 0 && other_leads(core))
         peer = relay(core);
-    return send_on(core, request, report, body, len, peer);
+    return send_on(core, request, heartbeat, body, len, peer);
 }
 
 /* A report that another controller, which does not hear the leader, passes on to it through us.
  * Only to it, so that none goes round. */
-bool bd_forward_relay(struct bd_core *core, struct bd_remote *q, const struct bd_report *report,
-                      const char *body, size_t len)
+bool bd_forward_relay(struct bd_core *core, struct bd_remote *q,
+                      const struct bd_heartbeat *heartbeat, const char *body, size_t len)
 {
     int peer = leader_peer(core);
-    return peer != q->peer && send_on(core, q, report, body, len, peer);
+    return peer != q->peer && send_on(core, q, heartbeat, body, len, peer);
 }
 
-void bd_report_free(struct bd_report *report)
+void bd_heartbeat_free(struct bd_heartbeat *heartbeat)
 {
-    bd_wire_report_drop(report);
-    free(report);
+    bd_wire_heartbeat_release(heartbeat);
+    free(heartbeat);
 }
 
 static void drop(struct bd_forward *forward)
 {
-    bd_report_free(forward->report);
+    bd_heartbeat_free(forward->heartbeat);
     free(forward);
 }
 
@@ -235,12 +235,14 @@
         bd_reply(core, forward->request, 421, bd_wire_redirect(""), 0);
         return;
     }
-    if (core->role == BD_FOLLOWER && bd_delegate_checkin(core, forward->request, forward->report))
+    if (core->role == BD_FOLLOWER &&
+        bd_delegate_heartbeat(core, forward->request, forward->heartbeat))
         return;
-    bd_forward_away(core, forward->request, forward->report);
+    bd_forward_away(core, forward->request, forward->heartbeat);
 }
 
-void bd_core_answered(struct bd_core *core, uint64_t id, int status, const char *body, size_t len)
+void bd_forward_reply_received(struct bd_core *core, uint64_t id, int status, const char *body,
+                               size_t len)
 {
     struct bd_forward **at = &core->forwarding.waiting;
     while (*at && (*at)->id != id)
@@ -275,16 +277,16 @@
  * zone the others are for while another zone is cut off: if we end then, workers that were with us
  * all try the next nodes in turn, where those beyond the cut let them hang. */
 int bd_forward_redirect(struct bd_core *core, struct bd_machine *machine,
-                        const struct bd_report *report)
+                        const struct bd_heartbeat *heartbeat)
 {
     int found = -1, n = 0;
-    if ((strcmp(report->zone, core->settings->zone) == 0 && !zone_silent(core)) ||
+    if ((strcmp(heartbeat->zone, core->settings->zone) == 0 && !zone_silent(core)) ||
         !bd_core_valid(core) ||
         (!bd_is_zero(machine->redirected) &&
          bd_between(machine->redirected, core->now) < REDIRECT_S))
         return -1;
     for (int i = 0; i < core->settings->npeers; i++) {
-        if (strcmp(core->settings->peers[i].zone, report->zone) != 0 || !can_pass_on(core, i))
+        if (strcmp(core->settings->peers[i].zone, heartbeat->zone) != 0 || !can_pass_on(core, i))
             continue;
         n++;
         if (found < 0 || machine->index % (uint32_t)n == 0)
@@ -300,7 +302,7 @@
 void bd_forward_listen(struct bd_core *core)
 {
     uint32_t known = 0, silent = 0;
-    double late = 1.5 * bd_to_secs(core->settings->report) + 0.5;
+    double late = 1.5 * bd_to_secs(core->settings->heartbeat_interval) + 0.5;
     for (uint32_t i = 0; i < core->nmachines; i++) {
         const struct bd_machine *machine = core->by_index[i];
         double ago = bd_between(machine->heard, core->now);
--- a/src/workers/forwarding.h
+++ b/src/workers/forwarding.h
@@ -11,7 +11,7 @@
 struct bd_forward {
     uint64_t id;
     void *request;
-    struct bd_report *report;
+    struct bd_heartbeat *heartbeat;
     struct timespec until;
     struct bd_forward *next;
 };
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -54,7 +54,7 @@
     /* what was held back shows tasks running that have ended long since */
     if (machine->gone || machine->bad || !machine->fenced ||
         bd_between(machine->steady, machine->heard) <
-            SLOW_STEADY * bd_to_secs(core->settings->report))
+            SLOW_STEADY * bd_to_secs(core->settings->heartbeat_interval))
         return;
     for (uint32_t k = 0; k < machine->nrefs; k++) {
         const struct bd_job *job = machine->refs[k].job;
@@ -86,7 +86,7 @@
 }
 
 static void ended(struct bd_core *core, struct bd_machine *machine, struct bd_job *job, uint32_t i,
-                  const struct bd_seen_task *s)
+                  const struct bd_reported_task *s)
 {
     if (s->why == BD_WHY_ERROR) {
         machine_failed_task(core, machine, job);
@@ -102,17 +102,17 @@
 /* Even a direct launch that was answered may come once more, as a late copy. The worker ignores it
  * while it knows the attempt, or once it has seen a higher token: what a token's direct launches
  * may have carried is not forgotten before. */
-static void forget(struct bd_core *core, const struct bd_report *report,
-                   const struct bd_seen_task *s, struct bd_order_list *orders)
+static void forget(struct bd_core *core, const struct bd_heartbeat *heartbeat,
+                   const struct bd_reported_task *s, struct bd_order_list *orders)
 {
-    if (s->attempt <= core->lead.fenced_attempt && report->fencing_token >= core->lead.term)
+    if (s->attempt <= core->lead.fenced_attempt && heartbeat->fencing_token >= core->lead.term)
         bd_orders_add(orders, BD_FORGET, s->job, s->task, s->attempt, 0);
     else if (core->lead.withheld++ == 0)
         core->lead.withheld_at = core->now;
 }
 
 static void exited(struct bd_core *core, struct bd_machine *machine, struct bd_job *job,
-                   const struct bd_report *report, const struct bd_seen_task *s,
+                   const struct bd_heartbeat *heartbeat, const struct bd_reported_task *s,
                    struct bd_order_list *orders)
 {
     struct bd_task *task = &job->tasks[s->task];
@@ -133,7 +133,7 @@
         }
         bd_task_done(core, job, s->task);
         if (task->flags & BD_F_RECEIPT)
-            forget(core, report, s, orders);
+            forget(core, heartbeat, s, orders);
         return;
     }
     if (late) {
@@ -142,11 +142,11 @@
     }
     if (current)
         ended(core, machine, job, s->task, s);
-    forget(core, report, s, orders);
+    forget(core, heartbeat, s, orders);
 }
 
 static void alive(struct bd_core *core, struct bd_machine *machine, struct bd_job *job,
-                  const struct bd_seen_task *s, struct bd_order_list *orders)
+                  const struct bd_reported_task *s, struct bd_order_list *orders)
 {
     struct bd_task *task = &job->tasks[s->task];
     if (!is_current(machine, task, s->attempt)) {
@@ -200,13 +200,13 @@
 }
 
 static void mark_shown(struct bd_core *core, struct bd_machine *machine,
-                       const struct bd_report *report)
+                       const struct bd_heartbeat *heartbeat)
 {
-    for (size_t k = 0; k < report->n; k++) {
-        struct bd_job *job = bd_job_find(core, report->tasks[k].job);
-        uint32_t i = report->tasks[k].task;
+    for (size_t k = 0; k < heartbeat->n; k++) {
+        struct bd_job *job = bd_job_find(core, heartbeat->tasks[k].job);
+        uint32_t i = heartbeat->tasks[k].task;
         if (job && job->tasks && i < job->ntasks &&
-            is_current(machine, &job->tasks[i], report->tasks[k].attempt))
+            is_current(machine, &job->tasks[i], heartbeat->tasks[k].attempt))
             job->tasks[i].flags |= BD_F_SHOWN;
     }
 }
@@ -221,40 +221,40 @@
 }
 
 static void identify(struct bd_core *core, struct bd_machine *machine,
-                     const struct bd_report *report)
+                     const struct bd_heartbeat *heartbeat)
 {
-    snprintf(machine->addr, sizeof machine->addr, "%s", report->addr);
-    machine->type = bd_type_index(core, report->type);
-    machine->zone = bd_zone_index(core, report->zone);
-    machine->spot = report->spot;
-    machine->notice_left = report->notice;
+    snprintf(machine->addr, sizeof machine->addr, "%s", heartbeat->addr);
+    machine->type = bd_type_index(core, heartbeat->type);
+    machine->zone = bd_zone_index(core, heartbeat->zone);
+    machine->spot = heartbeat->spot;
+    machine->notice_left = heartbeat->notice;
 }
 
 static void evidence(struct bd_core *core, struct bd_machine *machine,
-                     const struct bd_report *report, struct bd_order_list *orders)
+                     const struct bd_heartbeat *heartbeat, struct bd_order_list *orders)
 {
-    for (size_t k = 0; k < report->n; k++) {
-        const struct bd_seen_task *s = &report->tasks[k];
+    for (size_t k = 0; k < heartbeat->n; k++) {
+        const struct bd_reported_task *s = &heartbeat->tasks[k];
         struct bd_job *job = bd_job_find(core, s->job);
         if (!job || !job->tasks || s->task >= job->ntasks) {
             /* done jobs' results may be forgotten; of others nothing is known here */
             if (s->sub == BD_EXITED && job && job->state == BD_DONE)
-                forget(core, report, s, orders);
+                forget(core, heartbeat, s, orders);
             else if (s->sub != BD_EXITED)
                 bd_orders_add(orders, BD_HALT, s->job, s->task, s->attempt, 0);
             continue;
         }
         if (s->sub == BD_EXITED)
-            exited(core, machine, job, report, s, orders);
+            exited(core, machine, job, heartbeat, s, orders);
         else
             alive(core, machine, job, s, orders);
     }
 }
 
-static bool newer(const struct bd_machine *machine, const struct bd_report *report)
+static bool newer(const struct bd_machine *machine, const struct bd_heartbeat *heartbeat)
 {
-    return report->incarnation > machine->incarnation ||
-           (report->incarnation == machine->incarnation && report->seq > machine->seq);
+    return heartbeat->incarnation > machine->incarnation ||
+           (heartbeat->incarnation == machine->incarnation && heartbeat->seq > machine->seq);
 }
 
 /* What we know to be of the old session is gone. But the old session may be known only from a copy
@@ -273,30 +273,30 @@
 
 /* Takes a report in. False: stale, nothing changed. */
 static bool take_report(struct bd_core *core, struct bd_machine *machine,
-                        const struct bd_report *report, struct bd_order_list *orders)
+                        const struct bd_heartbeat *heartbeat, struct bd_order_list *orders)
 {
-    if (!newer(machine, report))
+    if (!newer(machine, heartbeat))
         return false;
-    if (machine->incarnation && report->incarnation > machine->incarnation)
+    if (machine->incarnation && heartbeat->incarnation > machine->incarnation)
         session_rose(core, machine);
-    identify(core, machine, report);
-    machine->incarnation = report->incarnation;
-    machine->seq = report->seq;
-    machine->fencing_token = report->fencing_token;
-    if (bd_between(machine->heard, core->now) > 2 * bd_to_secs(core->settings->report))
+    identify(core, machine, heartbeat);
+    machine->incarnation = heartbeat->incarnation;
+    machine->seq = heartbeat->seq;
+    machine->fencing_token = heartbeat->fencing_token;
+    if (bd_between(machine->heard, core->now) > 2 * bd_to_secs(core->settings->heartbeat_interval))
         machine->steady = core->now;
     machine->heard = core->now;
-    if (report->fencing_token < core->lead.base_term)
+    if (heartbeat->fencing_token < core->lead.base_term)
         return true; /* an earlier term may still command it: no evidence yet */
     if (!machine->fenced)
         core->lead.round_wanted = true;
     machine->fenced = true;
-    if (machine->late_launch_token && report->fencing_token > machine->late_launch_token &&
+    if (machine->late_launch_token && heartbeat->fencing_token > machine->late_launch_token &&
         !machine->do_busy)
         exclude_late(machine);
-    mark_shown(core, machine, report);
+    mark_shown(core, machine, heartbeat);
     missing(core, machine);
-    evidence(core, machine, report, orders);
+    evidence(core, machine, heartbeat, orders);
     return true;
 }
 
@@ -312,7 +312,7 @@
 }
 
 static void answer_checkin(struct bd_core *core, void *request, struct bd_machine *machine,
-                           const struct bd_report *report, struct bd_order_list *orders)
+                           const struct bd_heartbeat *heartbeat, struct bd_order_list *orders)
 {
     if (machine->fenced)
         bd_orders_owed(core, machine, orders);
@@ -320,25 +320,26 @@
     machine->lapse_at = bd_lease_end(core, core->now);
     if (!machine->fenced) /* if this answer is lost, an earlier term may still renew it */
         machine->lapse_at = bd_max(machine->lapse_at, core->lead.others_lapse);
-    bd_orders_answer(core, request, report, orders, core->lead.term);
+    bd_orders_answer(core, request, heartbeat, orders, core->lead.term);
 }
 
 /* A worker has one check-in under way and numbers them upwards; one that is not newer than the
  * newest is a copy. A returned machine's, or a session's that is over, is one as well. */
-static bool is_copy(const struct bd_machine *machine, const struct bd_report *report)
+static bool is_copy(const struct bd_machine *machine, const struct bd_heartbeat *heartbeat)
 {
     return machine->gone ||
-           (machine->expired_incarnation && report->incarnation <= machine->expired_incarnation) ||
-           report->incarnation < machine->incarnation ||
-           (report->incarnation == machine->incarnation && report->seq <= machine->asked_seq);
+           (machine->expired_incarnation &&
+            heartbeat->incarnation <= machine->expired_incarnation) ||
+           heartbeat->incarnation < machine->incarnation ||
+           (heartbeat->incarnation == machine->incarnation && heartbeat->seq <= machine->asked_seq);
 }
 
 /* A worker that gets its answer stays with the controller that gave it, one that gets none goes to
  * the next: two check-ins in a row tell which. Called before the report is taken in. */
-static void hears_us(struct bd_machine *machine, const struct bd_report *report, int via)
+static void hears_us(struct bd_machine *machine, const struct bd_heartbeat *heartbeat, int via)
 {
-    bool next = report->incarnation == machine->incarnation && machine->asked_seq &&
-                report->seq == machine->asked_seq + 1;
+    bool next = heartbeat->incarnation == machine->incarnation && machine->asked_seq &&
+                heartbeat->seq == machine->asked_seq + 1;
     if (next && via == machine->via) {
         machine->outbound_cut = false;
         machine->misrouted = 0;
@@ -357,25 +358,25 @@
 }
 
 /* As leader, or in its grace. */
-static void lead_checkin(struct bd_core *core, void *request, const struct bd_report *report,
-                         int via)
+static void leader_heartbeat(struct bd_core *core, void *request,
+                             const struct bd_heartbeat *heartbeat, int via)
 {
     struct bd_machine *machine = NULL;
     bool direct = via < 0;
-    if (report->fencing_token >
+    if (heartbeat->fencing_token >
         core->lead.term) { /* it would drop our answer and stay here until its lease is over */
         if (!bd_core_valid(core))
             bd_core_lost(core);
         bd_reply(core, request, 421, bd_wire_redirect(""), 0);
         return;
     }
-    machine = bd_machine_get(core, report->machine);
+    machine = bd_machine_get(core, heartbeat->machine);
     /* a copy is no sign of life: nothing is learnt from it, and no lease renewed */
-    if (is_copy(machine, report)) {
+    if (is_copy(machine, heartbeat)) {
         bd_reply(core, request, 503, bd_wire_redirect(""), 0);
         return;
     }
-    int peer = direct ? bd_forward_redirect(core, machine, report) : -1;
+    int peer = direct ? bd_forward_redirect(core, machine, heartbeat) : -1;
     if (peer >= 0) {
         bd_reply(core, request, 421, bd_wire_redirect(core->settings->peers[peer].name), 0);
         return;
@@ -383,34 +384,36 @@
     if (direct && machine->delegated)
         bd_delegate_needless(core, machine);
     struct bd_order_list orders = {0};
-    hears_us(machine, report, via);
+    hears_us(machine, heartbeat, via);
     answers_settled(machine);
-    if (take_report(core, machine, report, &orders))
+    if (take_report(core, machine, heartbeat, &orders))
         machine->direct = direct;
-    machine->asked_seq = report->seq;
+    machine->asked_seq = heartbeat->seq;
     machine->asked = core->now;
     if (!bd_core_valid(core))
         orders.count = 0;
-    answer_checkin(core, request, machine, report, &orders);
+    answer_checkin(core, request, machine, heartbeat, &orders);
     free(orders.items);
     bd_orders_send(core, machine);
 }
 
-void bd_core_checkin(struct bd_core *core, void *request, const struct bd_report *report,
-                     const char *body, size_t len)
+void bd_worker_heartbeat_received(struct bd_core *core, void *request,
+                                  const struct bd_heartbeat *heartbeat, const char *body,
+                                  size_t len)
 {
     if (bd_core_may_answer(core)) {
-        lead_checkin(core, request, report, -1);
+        leader_heartbeat(core, request, heartbeat, -1);
         return;
     }
-    if (core->role == BD_FOLLOWER && (bd_forward_checkin(core, request, report, body, len) ||
-                                      bd_delegate_checkin(core, request, report)))
+    if (core->role == BD_FOLLOWER && (bd_forward_heartbeat(core, request, heartbeat, body, len) ||
+                                      bd_delegate_heartbeat(core, request, heartbeat)))
         return;
-    bd_forward_away(core, request, report);
+    bd_forward_away(core, request, heartbeat);
 }
 
-void bd_core_forwarded(struct bd_core *core, const char *peer, uint64_t id,
-                       const struct bd_report *report, const char *body, size_t len)
+void bd_worker_heartbeat_forwarded(struct bd_core *core, const char *peer, uint64_t id,
+                                   const struct bd_heartbeat *heartbeat, const char *body,
+                                   size_t len)
 {
     for (int i = 0; i < core->settings->npeers; i++) {
         if (strcmp(core->settings->peers[i].name, peer) != 0)
@@ -422,8 +425,8 @@
         q->peer = i;
         q->id = id;
         if (bd_core_may_answer(core))
-            lead_checkin(core, q, report, i);
-        else if (!bd_forward_relay(core, q, report, body, len))
+            leader_heartbeat(core, q, heartbeat, i);
+        else if (!bd_forward_relay(core, q, heartbeat, body, len))
             bd_reply(core, q, 421, bd_wire_redirect(""), 0);
     }
 }
@@ -431,7 +434,7 @@
 /* A machine that does not answer directly is left to its reports for a while. */
 static void direct_failed(struct bd_core *core, struct bd_machine *machine)
 {
-    double pause = bd_to_secs(core->settings->report);
+    double pause = bd_to_secs(core->settings->heartbeat_interval);
     for (uint32_t k = 0; k < machine->do_fails && k < DIRECT_DOUBLINGS; k++)
         pause *= 2;
     machine->do_fails++;
@@ -462,11 +465,11 @@
     bd_audit_machine(core, "unsent", machine, launch ? "launch=1" : "launch=0");
     if (launch && machine->late_launch_token == 0)
         exclude_late(machine);
-    machine->do_after = bd_add(core->now, core->settings->report);
+    machine->do_after = bd_add(core->now, core->settings->heartbeat_interval);
 }
 
 void bd_core_did(struct bd_core *core, uint32_t machine, uint64_t fencing_token, bool launch,
-                 long status, const struct bd_report *report)
+                 long status, const struct bd_heartbeat *heartbeat)
 {
     struct bd_machine *m = bd_machine_of(core, machine);
     if (core->role != BD_LEADER || !m || fencing_token < core->lead.base_term)
@@ -477,7 +480,7 @@
         direct_not_sent(core, m, launch);
         return;
     }
-    bool answered = report && (status == 200 || status == 409);
+    bool answered = heartbeat && (status == 200 || status == 409);
     if (!answered) {
         direct_failed(core, m);
         if (launch && fencing_token > m->late_launch_token)
@@ -488,7 +491,7 @@
     m->outbound_cut = false;
     if (m->zone >= 0)
         core->cloud.direct[m->zone].fails = 0;
-    if (strcmp(report->machine, m->id) != 0) {
+    if (strcmp(heartbeat->machine, m->id) != 0) {
         direct_failed(core, m); /* the address serves another machine now */
         return;
     }
@@ -497,7 +500,7 @@
         exclude_late(m); /* answered: nothing of it is on its way any more */
     if (m->gone)
         return;
-    (void)take_report(core, m, report, &orders);
+    (void)take_report(core, m, heartbeat, &orders);
     free(orders.items); /* said again with the next report */
     if (m->nrefs)
         bd_orders_send(core, m);
--- a/tests/drain_profile.c
+++ b/tests/drain_profile.c
@@ -44,15 +44,16 @@
     bd_core_time(f->core, bd_secs(100 + now), 1000 + now);
 }
 
-static void fill(struct fleet *f, uint32_t i, struct bd_report *r, struct bd_seen_task *tasks)
+static void fill(struct fleet *f, uint32_t i, struct bd_heartbeat *r,
+                 struct bd_reported_task *tasks)
 {
     struct bd_machine *m = NULL;
     memset(tasks, 0, 128 * sizeof *tasks);
-    *r = (struct bd_report){.incarnation = 1,
-                            .seq = ++f->seq,
-                            .fencing_token = f->core->lead.term,
-                            .notice = -1,
-                            .tasks = tasks};
+    *r = (struct bd_heartbeat){.incarnation = 1,
+                               .seq = ++f->seq,
+                               .fencing_token = f->core->lead.term,
+                               .notice = -1,
+                               .tasks = tasks};
     snprintf(r->machine, sizeof r->machine, "vm-%06u", i);
     snprintf(r->addr, sizeof r->addr, "10.1.0.1:%u", i);
     snprintf(r->type, sizeof r->type, "small");
@@ -63,7 +64,7 @@
         const struct bd_task *task = &job->tasks[m->refs[k].task];
         if (task->state == BD_T_PLAN)
             continue;
-        struct bd_seen_task *seen = &tasks[r->n++];
+        struct bd_reported_task *seen = &tasks[r->n++];
         bool stops = task->flags & BD_F_STOP;
         bool begins = bd_between(job->last_placed, f->core->now) < START_S;
         snprintf(seen->job, sizeof seen->job, "%s", job->id);
@@ -76,10 +77,10 @@
     }
 }
 
-static void report(struct fleet *f, uint32_t i)
+static void heartbeat(struct fleet *f, uint32_t i)
 {
-    struct bd_report r;
-    struct bd_seen_task tasks[128];
+    struct bd_heartbeat r;
+    struct bd_reported_task tasks[128];
     struct bd_machine *m = NULL;
     char id[BD_LABEL];
     snprintf(id, sizeof id, "vm-%06u", i);
@@ -87,7 +88,7 @@
     if (m && m->gone)
         return;
     fill(f, i, &r, tasks);
-    bd_core_checkin(f->core, NULL, &r, "{}", 2);
+    bd_worker_heartbeat_received(f->core, NULL, &r, "{}", 2);
 }
 
 /* Direct commands are carried out at once, and returned machines are gone. */
@@ -96,8 +97,8 @@
     struct bd_effect *e = bd_core_effects(f->core);
     while (e) {
         struct bd_effect *next = e->next;
-        struct bd_report r;
-        struct bd_seen_task tasks[128];
+        struct bd_heartbeat r;
+        struct bd_reported_task tasks[128];
         if (e->kind == BD_E_DO) {
             fill(f, (uint32_t)atoi(f->core->by_index[e->machine]->id + 3), &r, tasks);
             bd_core_did(f->core, e->machine, e->fencing_token, e->launch, 200, &r);
@@ -121,7 +122,7 @@
     bd_core_followed(f->core, f->core->replica.store_revision, f->core->replica.store_revision,
                      f->core->now, f->core->replica.barrier_out, true);
     for (uint32_t i = (uint32_t)half % 4; i < f->machines; i += 4)
-        report(f, i);
+        heartbeat(f, i);
     bd_core_tick(f->core);
     if (f->core->lead.commit)
         bd_core_committed(f->core, BD_COMMIT_APPLIED, ++f->revision, NULL);
@@ -196,7 +197,7 @@
     bd_core_machines(f->core, NULL, 0, f->core->now);
     f->revision = 10;
     for (uint32_t i = 0; i < machines; i++)
-        report(f, i);
+        heartbeat(f, i);
     for (uint32_t n = 0; n < machines * REPLICAS / JOB_TASKS; n++)
         service(f, n);
     for (int half = 0; half < 120; half++)
@@ -394,7 +395,7 @@
         bd_core_followed(f.core, f.core->replica.store_revision, f.core->replica.store_revision,
                          f.core->now, false, true);
         for (uint32_t i = 0; i < f.machines; i++)
-            report(&f, i);
+            heartbeat(&f, i);
         f.core->lead.next_fleet = bd_add(f.core->now, bd_secs(1000));
         CALLGRIND_TOGGLE_COLLECT;
         bd_core_tick(f.core);
--- a/tests/fake_server.c
+++ b/tests/fake_server.c
@@ -488,7 +488,7 @@
     }
 }
 
-static json_t *report(struct worker *k)
+static json_t *heartbeat(struct worker *k)
 {
     json_t *tasks = json_array();
     struct timespec now = bd_now();
@@ -541,7 +541,7 @@
         return NO_ANSWER;
     bool ours = (uint64_t)json_integer_value(incarnation) == k->incarnation;
     int status = ours && obey(k, in) ? 200 : 409;
-    *out = report(k);
+    *out = heartbeat(k);
     return status;
 }
 
@@ -574,7 +574,7 @@
         expire(k);
         struct timespec sent = bd_now();
         uint64_t incarnation = k->incarnation;
-        json_t *o = report(k);
+        json_t *o = heartbeat(k);
         pthread_mutex_unlock(&k->w->lock);
         char *text = json_dumps(o, JSON_COMPACT), url[96];
         json_decref(o);
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -211,7 +211,7 @@
     json_decref(o);
 }
 
-static void fill_report(struct world *w, struct bd_report *r, struct bd_seen_task *seen)
+static void fill_report(struct world *w, struct bd_heartbeat *r, struct bd_reported_task *seen)
 {
     memset(r, 0, sizeof *r);
     snprintf(r->machine, sizeof r->machine, "vm-1");
@@ -227,7 +227,7 @@
         struct task *t = &w->tasks[i];
         if (!t->used)
             continue;
-        struct bd_seen_task *s = &seen[r->n++];
+        struct bd_reported_task *s = &seen[r->n++];
         (void)bd_wire_task_name(t->name, s->job, &s->task);
         s->attempt = t->attempt;
         s->sub = t->ended ? BD_EXITED : BD_RUNNING;
@@ -270,8 +270,8 @@
 
 static void direct(struct world *w, int n, struct bd_effect *e)
 {
-    struct bd_report r;
-    struct bd_seen_task *seen = calloc(TASKS, sizeof *seen);
+    struct bd_heartbeat r;
+    struct bd_reported_task *seen = calloc(TASKS, sizeof *seen);
     bool heard = dice(w, 12) != 0, told = heard && dice(w, 12) != 0;
     if (heard)
         orders(w, e->body);
@@ -504,11 +504,11 @@
 
 static void machine_step(struct world *w)
 {
-    struct bd_report r;
-    struct bd_seen_task *seen = calloc(TASKS, sizeof *seen);
+    struct bd_heartbeat r;
+    struct bd_reported_task *seen = calloc(TASKS, sizeof *seen);
     some_end(w, 4);
     fill_report(w, &r, seen);
-    bd_core_checkin(w->c[w->leader], NULL, &r, "{}", 2);
+    bd_worker_heartbeat_received(w->c[w->leader], NULL, &r, "{}", 2);
     free(seen);
 }
 
--- a/tests/inputs.c
+++ b/tests/inputs.c
@@ -252,16 +252,16 @@
 
 static bool report_ok(const char *text, size_t len)
 {
-    struct bd_report r;
+    struct bd_heartbeat r;
     json_t *o = json_loadb(text, len, 0, NULL);
-    bool ok = o && bd_wire_report(o, &r);
+    bool ok = o && bd_wire_heartbeat(o, &r);
     if (ok)
-        bd_wire_report_drop(&r);
+        bd_wire_heartbeat_release(&r);
     json_decref(o);
     return ok;
 }
 
-static void reports(const char *dir)
+static void heartbeats(const char *dir)
 {
     char *good = text_of(dir, "report.json");
     size_t len = strlen(good);
@@ -446,8 +446,8 @@
 }
 
 /* A report as a worker writes it; each part may be another one. */
-static const struct bd_report *read_cached(struct bd_report_cache *c, const char *machine,
-                                           const char *number, const char *state)
+static const struct bd_heartbeat *read_cached(struct bd_heartbeat_cache *c, const char *machine,
+                                              const char *number, const char *state)
 {
     char text[512];
     snprintf(text, sizeof text,
@@ -455,17 +455,17 @@
              "\"windfall\":false,\"tenancy\":1,\"tally\":%s,\"seal\":4,\"warningS\":null,"
              "\"chores\":[{\"chore\":\"job-1/3\",\"try\":2,\"mood\":\"%s\"}]}",
              machine, number, state);
-    return bd_report_cache_read(c, text, strlen(text));
+    return bd_heartbeat_cache_read(c, text, strlen(text));
 }
 
 /* What is not read anew says the same as what is; nothing else is taken for a repetition. */
 static void cached_reports(void)
 {
     uint32_t all, repeated;
-    struct bd_report_cache *c = bd_report_cache_new(4096);
+    struct bd_heartbeat_cache *c = bd_heartbeat_cache_new(4096);
     if (!c)
         exit(2);
-    const struct bd_report *r = read_cached(c, "vm-1", "7", "running");
+    const struct bd_heartbeat *r = read_cached(c, "vm-1", "7", "running");
     check(r && r->seq == 7 && r->n == 1 && r->tasks[0].sub == BD_RUNNING, "a report is read");
     r = read_cached(c, "vm-1", "1008", "running");
     check(r && r->seq == 1008 && r->incarnation == 1 && r->fencing_token == 4 && r->n == 1 &&
@@ -475,15 +475,15 @@
     check(r && r->seq == 1009 && r->tasks[0].sub == BD_FETCHING, "another state is seen");
     r = read_cached(c, "vm-2", "1010", "pulling");
     check(r && r->seq == 1010 && strcmp(r->machine, "vm-2") == 0, "another machine is seen");
-    bd_report_cache_counts(c, &all, &repeated);
+    bd_heartbeat_cache_counts(c, &all, &repeated);
     check(all == 4 && repeated == 1, "only the one was a repetition");
     static const char *const odd[] = {
         "-7", "7.5", "07", "7e3", "\"7\"", "", "99999999999999999999", "7,\"tally\":8"};
     for (size_t i = 0; i < sizeof odd / sizeof odd[0]; i++) {
         (void)read_cached(c, "vm-1", "1009", "pulling");
-        bd_report_cache_counts(c, &all, &repeated);
+        bd_heartbeat_cache_counts(c, &all, &repeated);
         (void)read_cached(c, "vm-1", odd[i], "pulling");
-        bd_report_cache_counts(c, &all, &repeated);
+        bd_heartbeat_cache_counts(c, &all, &repeated);
         check(all == 1 && repeated == 0, "an odd number is left to the JSON parser");
     }
     check(!read_cached(c, "vm-1", "7.5", "pulling") && !read_cached(c, "vm-1", "", "pulling"),
@@ -493,12 +493,12 @@
         snprintf(name, sizeof name, "vm-%d", i);
         (void)read_cached(c, name, "1", "running");
     }
-    bd_report_cache_counts(c, &all, &repeated);
+    bd_heartbeat_cache_counts(c, &all, &repeated);
     (void)read_cached(c, "vm-199", "2", "running");
     (void)read_cached(c, "vm-0", "2", "running");
-    bd_report_cache_counts(c, &all, &repeated);
+    bd_heartbeat_cache_counts(c, &all, &repeated);
     check(repeated == 1, "the oldest reports leave when there is no room");
-    bd_report_cache_free(c);
+    bd_heartbeat_cache_free(c);
 }
 
 int main(int argc, char **argv)
@@ -509,7 +509,7 @@
     operator_files();
     submissions(argv[1]);
     prerequisites();
-    reports(argv[1]);
+    heartbeats(argv[1]);
     cached_reports();
     records();
     cloud();
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -32,7 +32,7 @@
     struct bd_settings settings;
     struct bd_log log;
     struct bd_core *c;
-    struct bd_report_cache *reports;
+    struct bd_heartbeat_cache *heartbeats;
     uint64_t revision, seq;
     double now;
     uint32_t machines;
@@ -154,11 +154,11 @@
 }
 
 /* One machine reports; the tasks that it holds are all running. */
-static void report(struct world *w, uint32_t i)
+static void heartbeat(struct world *w, uint32_t i)
 {
-    struct bd_report r = {
+    struct bd_heartbeat r = {
         .incarnation = 1, .seq = ++w->seq, .fencing_token = w->c->lead.term, .notice = -1};
-    struct bd_seen_task tasks[128];
+    struct bd_reported_task tasks[128];
     struct bd_machine *m = NULL;
     snprintf(r.machine, sizeof r.machine, "vm-%06u", i);
     snprintf(r.addr, sizeof r.addr, "10.1.0.1:%u", i);
@@ -169,13 +169,13 @@
     HASH_FIND_STR(w->c->machines, r.machine, m);
     for (uint32_t k = 0; m && k < m->nrefs && r.n < 128; k++) {
         const struct bd_job *j = m->refs[k].job;
-        struct bd_seen_task *t = &tasks[r.n++];
+        struct bd_reported_task *t = &tasks[r.n++];
         snprintf(t->job, sizeof t->job, "%s", j->id);
         t->task = m->refs[k].task;
         t->attempt = j->tasks[t->task].attempt;
         t->sub = BD_RUNNING;
     }
-    bd_core_checkin(w->c, NULL, &r, "{}", 2);
+    bd_worker_heartbeat_received(w->c, NULL, &r, "{}", 2);
     drop_effects(w);
 }
 
@@ -208,7 +208,7 @@
     bd_core_machines(w->c, NULL, 0, w->c->now);
     w->revision = 10;
     for (uint32_t i = 0; i < w->machines; i++)
-        report(w, i);
+        heartbeat(w, i);
     if (w->plain)
         return;
     for (int i = 0; i < 120; i++)
@@ -220,7 +220,7 @@
     for (int k = 0; k < ROUNDS; k++) {
         round_once(w);
         for (uint32_t i = 0; i < w->machines; i++)
-            report(w, i);
+            heartbeat(w, i);
     }
 }
 
@@ -288,22 +288,22 @@
     return text;
 }
 
-static void read_report(const char *text, struct bd_report *r)
+static void read_heartbeat(const char *text, struct bd_heartbeat *r)
 {
     json_t *o = json_loads(text, 0, NULL);
-    if (!bd_wire_report(o, r))
+    if (!bd_wire_heartbeat(o, r))
         abort();
     json_decref(o);
 }
 
 static void checkin(struct world *w, uint32_t n)
 {
-    struct bd_report r;
+    struct bd_heartbeat r;
     char *text = report_text(w, n % w->machines, ++w->seq);
     CALLGRIND_TOGGLE_COLLECT;
-    read_report(text, &r);
-    bd_core_checkin(w->c, NULL, &r, text, strlen(text));
-    bd_wire_report_drop(&r);
+    read_heartbeat(text, &r);
+    bd_worker_heartbeat_received(w->c, NULL, &r, text, strlen(text));
+    bd_wire_heartbeat_release(&r);
     bd_effect_free(bd_core_effects(w->c));
     CALLGRIND_TOGGLE_COLLECT;
     free(text);
@@ -313,12 +313,12 @@
 static void repeated(struct world *w, uint32_t n)
 {
     char *text = report_text(w, n % w->machines, ++w->seq);
-    (void)bd_report_cache_read(w->reports, text, strlen(text));
+    (void)bd_heartbeat_cache_read(w->heartbeats, text, strlen(text));
     free(text);
     text = report_text(w, n % w->machines, ++w->seq);
     CALLGRIND_TOGGLE_COLLECT;
-    const struct bd_report *r = bd_report_cache_read(w->reports, text, strlen(text));
-    bd_core_checkin(w->c, NULL, r, text, strlen(text));
+    const struct bd_heartbeat *r = bd_heartbeat_cache_read(w->heartbeats, text, strlen(text));
+    bd_worker_heartbeat_received(w->c, NULL, r, text, strlen(text));
     bd_effect_free(bd_core_effects(w->c));
     CALLGRIND_TOGGLE_COLLECT;
     free(text);
@@ -328,18 +328,18 @@
 {
     static struct bd_frame f, in;
     static unsigned char buf[BD_FRAME_MOST];
-    struct bd_report r;
+    struct bd_heartbeat r;
     char *text = report_text(w, n % w->machines, ++w->seq);
     f = (struct bd_frame){
-        .type = BD_FRAME_REPORT, .id = n, .text = text, .len = (uint32_t)strlen(text)};
+        .type = BD_FRAME_HEARTBEAT, .id = n, .text = text, .len = (uint32_t)strlen(text)};
     snprintf(f.name, sizeof f.name, PEER);
     size_t len = bd_frame_write(&f, buf, sizeof buf);
     CALLGRIND_TOGGLE_COLLECT;
     if (bd_frame_read(buf, len, &in) != (long)len)
         abort();
-    read_report(text, &r);
-    bd_core_forwarded(w->c, in.name, in.id, &r, text, in.len);
-    bd_wire_report_drop(&r);
+    read_heartbeat(text, &r);
+    bd_worker_heartbeat_forwarded(w->c, in.name, in.id, &r, text, in.len);
+    bd_wire_heartbeat_release(&r);
     bd_effect_free(bd_core_effects(w->c));
     CALLGRIND_TOGGLE_COLLECT;
     free(text);
@@ -408,7 +408,7 @@
     CALLGRIND_TOGGLE_COLLECT;
 }
 
-static void heartbeat(struct world *w, uint32_t n)
+static void peer_status(struct world *w, uint32_t n)
 {
     static struct bd_frame f, in;
     static unsigned char buf[1024];
@@ -484,11 +484,11 @@
         const char *name;
         uint32_t times;
         void (*work)(struct world *w, uint32_t n);
-    } kinds[] = {{"check-in", 200, checkin},      {"repeated", 200, repeated},
-                 {"forwarded", 200, forwarded},   {"poll", 200, poll},
-                 {"round", 5, placed_round},      {"refresh", 100, refresh},
-                 {"heartbeat", 100, heartbeat},   {"idle-tick", 100, idle_tick},
-                 {"submission", 100, submission}, {"takeover", 1, takeover}};
+    } kinds[] = {{"check-in", 200, checkin},        {"repeated", 200, repeated},
+                 {"forwarded", 200, forwarded},     {"poll", 200, poll},
+                 {"round", 5, placed_round},        {"refresh", 100, refresh},
+                 {"peer-status", 100, peer_status}, {"idle-tick", 100, idle_tick},
+                 {"submission", 100, submission},   {"takeover", 1, takeover}};
     CALLGRIND_START_INSTRUMENTATION; /* building the world is not counted, and quicker so */
     for (size_t k = 0; k < sizeof kinds / sizeof kinds[0]; k++) {
         CALLGRIND_ZERO_STATS;
@@ -524,7 +524,7 @@
 static void report_all(struct world *w)
 {
     for (uint32_t i = 0; i < w->machines; i++)
-        report(w, i);
+        heartbeat(w, i);
 }
 
 /* Every machine gets as many small tasks as it is asked to hold. */
@@ -584,7 +584,7 @@
         bd_core_delegates(w->c, pairs, w->c->now);
         json_decref(pairs);
         for (uint32_t i = 1; i < w->machines; i += 2)
-            report(w, i);
+            heartbeat(w, i);
         round_once(w);
     }
     if (held_in_all(w) < before)
@@ -593,11 +593,11 @@
 
 static void delegate_report(struct world *w, uint32_t i)
 {
-    struct bd_report r = {.incarnation = 1, .seq = ++w->seq, .fencing_token = 1, .notice = -1};
+    struct bd_heartbeat r = {.incarnation = 1, .seq = ++w->seq, .fencing_token = 1, .notice = -1};
     snprintf(r.machine, sizeof r.machine, "vm-%06u", i);
     snprintf(r.type, sizeof r.type, "small");
     snprintf(r.zone, sizeof r.zone, "a");
-    bd_core_checkin(w->c, NULL, &r, "{}", 2);
+    bd_worker_heartbeat_received(w->c, NULL, &r, "{}", 2);
 }
 
 /* The delegate's write is applied; returns how many machines its record names by now. */
@@ -661,13 +661,13 @@
     if (!run)
         return 2;
     w.machines = (uint32_t)strtoul(argv[2], NULL, 10);
-    w.reports = bd_report_cache_new(1 << 24);
-    if (!w.reports)
+    w.heartbeats = bd_heartbeat_cache_new(1 << 24);
+    if (!w.heartbeats)
         return 1;
     w.plain = run == full_fleet;
     build(&w);
     int rc = run(&w);
     bd_core_free(w.c);
-    bd_report_cache_free(w.reports);
+    bd_heartbeat_cache_free(w.heartbeats);
     return rc;
 }
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -116,7 +116,8 @@
 {
     p->settings.lease = bd_secs(play_num(p, "lease", bd_to_secs(p->settings.lease)));
     p->settings.cancel = bd_secs(play_num(p, "cancel", bd_to_secs(p->settings.cancel)));
-    p->settings.report = bd_secs(play_num(p, "report", bd_to_secs(p->settings.report)));
+    p->settings.heartbeat_interval =
+        bd_secs(play_num(p, "report", bd_to_secs(p->settings.heartbeat_interval)));
     p->settings.leader_ttl = bd_secs(play_num(p, "ttl", bd_to_secs(p->settings.leader_ttl)));
     p->settings.kv_txn_ops_max = (size_t)play_num(p, "ops", (double)p->settings.kv_txn_ops_max);
     p->settings.kv_value_bytes_max =
@@ -328,7 +329,7 @@
     return BD_EXITED;
 }
 
-static void fill_report(struct play *p, struct bd_report *r, struct bd_seen_task *tasks)
+static void fill_report(struct play *p, struct bd_heartbeat *r, struct bd_reported_task *tasks)
 {
     memset(r, 0, sizeof *r);
     snprintf(r->machine, sizeof r->machine, "%s", p->w[1]);
@@ -343,7 +344,7 @@
         char name[64], tryn[64], state[64];
         if (sscanf(p->w[i], "%63[^:]:%63[^:]:%63s", name, tryn, state) != 3)
             continue;
-        struct bd_seen_task *t = &tasks[r->n];
+        struct bd_reported_task *t = &tasks[r->n];
         if (!bd_wire_task_name(name, t->job, &t->task)) {
             play_fail(p, "task name");
             return;
@@ -356,19 +357,19 @@
 
 static void cmd_report(struct play *p)
 {
-    struct bd_report r;
-    struct bd_seen_task tasks[WORDS];
+    struct bd_heartbeat r;
+    struct bd_reported_task tasks[WORDS];
     memset(tasks, 0, sizeof tasks);
     fill_report(p, &r, tasks);
     snprintf(r.type, sizeof r.type, "%s", p->w[2]);
     snprintf(r.zone, sizeof r.zone, "%s", p->w[3]);
-    bd_core_checkin(p->c, NULL, &r, "{}", 2);
+    bd_worker_heartbeat_received(p->c, NULL, &r, "{}", 2);
 }
 
 static void cmd_forwarded(struct play *p)
 {
-    struct bd_report r;
-    struct bd_seen_task tasks[WORDS];
+    struct bd_heartbeat r;
+    struct bd_reported_task tasks[WORDS];
     char *peer = p->w[1];
     uint64_t id = strtoull(p->w[2], NULL, 10);
     memset(tasks, 0, sizeof tasks);
@@ -378,19 +379,19 @@
     fill_report(p, &r, tasks);
     snprintf(r.type, sizeof r.type, "%s", p->w[2]);
     snprintf(r.zone, sizeof r.zone, "%s", p->w[3]);
-    bd_core_forwarded(p->c, peer, id, &r, "{}", 2);
+    bd_worker_heartbeat_forwarded(p->c, peer, id, &r, "{}", 2);
 }
 
 static void cmd_answered(struct play *p)
 {
-    bd_core_answered(p->c, strtoull(p->w[1], NULL, 10), atoi(p->w[2]), p->n > 3 ? p->w[3] : "",
-                     p->n > 3 ? strlen(p->w[3]) : 0);
+    bd_forward_reply_received(p->c, strtoull(p->w[1], NULL, 10), atoi(p->w[2]),
+                              p->n > 3 ? p->w[3] : "", p->n > 3 ? strlen(p->w[3]) : 0);
 }
 
 static void cmd_did(struct play *p)
 {
-    struct bd_report r;
-    struct bd_seen_task tasks[WORDS];
+    struct bd_heartbeat r;
+    struct bd_reported_task tasks[WORDS];
     struct bd_machine *m = NULL;
     memset(tasks, 0, sizeof tasks);
     HASH_FIND_STR(p->c->machines, p->w[1], m);
--- a/tests/scenario_drain.c
+++ b/tests/scenario_drain.c
@@ -166,16 +166,16 @@
 }
 
 /* The machine's report: all that it holds runs, what was told to stop has stopped. */
-static void fill_running(struct play *p, const char *id, struct bd_report *r,
-                         struct bd_seen_task *tasks)
+static void fill_running(struct play *p, const char *id, struct bd_heartbeat *r,
+                         struct bd_reported_task *tasks)
 {
     struct bd_machine *m = NULL;
     HASH_FIND_STR(p->c->machines, id, m);
     memset(tasks, 0, WORDS * sizeof *tasks);
-    *r = (struct bd_report){.incarnation = (uint64_t)play_num(p, "session", 1),
-                            .notice = play_num(p, "notice", -1),
-                            .fencing_token = p->c->lead.term,
-                            .tasks = tasks};
+    *r = (struct bd_heartbeat){.incarnation = (uint64_t)play_num(p, "session", 1),
+                               .notice = play_num(p, "notice", -1),
+                               .fencing_token = p->c->lead.term,
+                               .tasks = tasks};
     snprintf(r->machine, sizeof r->machine, "%s", id);
     snprintf(r->addr, sizeof r->addr, "addr-%s", id);
     bool typed = m && m->type >= 0 && m->zone >= 0;
@@ -191,7 +191,7 @@
         const struct bd_task *t = &j->tasks[m->refs[k].task];
         if (t->state == BD_T_PLAN)
             continue;
-        struct bd_seen_task *seen = &tasks[r->n++];
+        struct bd_reported_task *seen = &tasks[r->n++];
         snprintf(seen->job, sizeof seen->job, "%s", j->id);
         seen->task = m->refs[k].task;
         seen->attempt = t->attempt;
@@ -205,14 +205,14 @@
 
 static void report_running(struct play *p, const char *id)
 {
-    struct bd_report r;
-    struct bd_seen_task tasks[WORDS];
+    struct bd_heartbeat r;
+    struct bd_reported_task tasks[WORDS];
     struct bd_machine *m = NULL;
     HASH_FIND_STR(p->c->machines, id, m);
     if (m && m->gone)
         return;
     fill_running(p, id, &r, tasks);
-    bd_core_checkin(p->c, NULL, &r, "{}", 2);
+    bd_worker_heartbeat_received(p->c, NULL, &r, "{}", 2);
 }
 
 static void cmd_running(struct play *p)
@@ -229,8 +229,8 @@
         at = &(*at)->next;
     *at = bd_core_effects(p->c);
     for (const struct bd_effect *e = *at; e; e = e->next) {
-        struct bd_report r;
-        struct bd_seen_task tasks[WORDS];
+        struct bd_heartbeat r;
+        struct bd_reported_task tasks[WORDS];
         if (e->kind == BD_E_DO) {
             const char *id = p->c->by_index[e->machine]->id, *mute = play_arg(p, "mute");
             bool answers = !mute || strcmp(mute, id) != 0;
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -171,7 +171,7 @@
         break;
     case BD_E_FORWARD:
     case BD_E_ANSWER:
-        (void)to_peer(s, n, e->peer, e->kind == BD_E_FORWARD ? BD_FRAME_REPORT : BD_FRAME_ANSWER,
+        (void)to_peer(s, n, e->peer, e->kind == BD_E_FORWARD ? BD_FRAME_HEARTBEAT : BD_FRAME_ANSWER,
                       e);
         break;
     case BD_E_DELEGATE:
@@ -647,10 +647,10 @@
             strcmp(s->nodes[a].settings.zone, s->nodes[b].settings.zone) != 0);
 }
 
-static bool read_report(const char *text, struct bd_report *r)
+static bool read_heartbeat(const char *text, struct bd_heartbeat *r)
 {
     json_t *o = text ? json_loads(text, 0, NULL) : NULL;
-    bool ok = o && bd_wire_report(o, r);
+    bool ok = o && bd_wire_heartbeat(o, r);
     json_decref(o);
     return ok;
 }
@@ -673,20 +673,21 @@
         return;
     struct sim_node *n = &s->nodes[e->who];
     struct bd_frame *f = e->data;
-    struct bd_report r;
+    struct bd_heartbeat r;
     if (n->core && n->epoch == e->epoch && !peers_apart(s, e->node, e->who)) {
         clock_core(s, n);
         if (f->type == BD_FRAME_STATUS)
             bd_peer_status_received(n->core, f->name, f->term, f->flags, f->age_ms / 1000.0,
                                     (double)f->at_ms / 1000.0, n->core->now);
-        if (f->type == BD_FRAME_REPORT && read_report(e->text, &r)) {
-            bd_core_forwarded(n->core, f->name, f->id, &r, e->text, strlen(e->text));
-            bd_wire_report_drop(&r);
+        if (f->type == BD_FRAME_HEARTBEAT && read_heartbeat(e->text, &r)) {
+            bd_worker_heartbeat_forwarded(n->core, f->name, f->id, &r, e->text, strlen(e->text));
+            bd_wire_heartbeat_release(&r);
         }
         if (f->type == BD_FRAME_CANCELLED)
             bd_core_cancelled_elsewhere(n->core, e->text);
         if (f->type == BD_FRAME_ANSWER)
-            bd_core_answered(n->core, f->id, f->status, e->text, e->text ? strlen(e->text) : 0);
+            bd_forward_reply_received(n->core, f->id, f->status, e->text,
+                                      e->text ? strlen(e->text) : 0);
         settle(s, n);
     }
     free(f);
@@ -708,13 +709,13 @@
 static void report_in(struct sim *s, struct sim_event *e)
 {
     struct sim_node *n = &s->nodes[e->node];
-    struct bd_report r;
-    if (!n->core || !read_report(e->text, &r))
+    struct bd_heartbeat r;
+    if (!n->core || !read_heartbeat(e->text, &r))
         return;
     struct sim_request *q = new_request(s, e);
     clock_core(s, n);
-    bd_core_checkin(n->core, q, &r, e->text, strlen(e->text));
-    bd_wire_report_drop(&r);
+    bd_worker_heartbeat_received(n->core, q, &r, e->text, strlen(e->text));
+    bd_wire_heartbeat_release(&r);
     settle(s, n);
 }
 
@@ -749,14 +750,14 @@
 {
     struct sim_node *n = &s->nodes[e->node];
     struct sim_try *t = e->data;
-    struct bd_report r;
+    struct bd_heartbeat r;
     if (!t->over && n->core && n->epoch == e->epoch) {
-        bool ok = e->kind == SIM_DO_BACK && read_report(e->text, &r);
+        bool ok = e->kind == SIM_DO_BACK && read_heartbeat(e->text, &r);
         clock_core(s, n);
         bd_core_did(n->core, t->machine, t->fencing_token, t->launch, ok ? e->status : 0,
                     ok ? &r : NULL);
         if (ok)
-            bd_wire_report_drop(&r);
+            bd_wire_heartbeat_release(&r);
         settle(s, n);
     }
     t->over = true;
--- a/tests/simulation.c
+++ b/tests/simulation.c
@@ -401,7 +401,7 @@
     snprintf(settings->node, sizeof settings->node, "node-%d", i);
     settings->lease = bd_secs(s->lease_s);
     settings->cancel = bd_secs(s->cancel_s);
-    settings->report = bd_secs(s->report_s);
+    settings->heartbeat_interval = bd_secs(s->report_s);
     settings->leader_ttl = bd_secs(2);
     settings->clock_error = bd_secs(0.005);
     settings->list_lag = bd_secs(3);
--- a/tests/small.h
+++ b/tests/small.h
@@ -8,7 +8,7 @@
 static inline void small_settings(struct bd_settings *s)
 {
     snprintf(s->node, sizeof s->node, "node-0");
-    s->report = bd_secs(2);
+    s->heartbeat_interval = bd_secs(2);
     s->lease = bd_secs(10);
     s->cancel = bd_secs(35);
     s->gang_wait = bd_secs(30);
