--- a/src/adapters/api_server.c
+++ b/src/adapters/api_server.c
@@ -27,7 +27,7 @@
     bool too_large, too_much, asked, answered, health;
     int status, retry_after;
     char *body;
-    enum bd_cmd_kind kind; /* once it was asked */
+    enum bd_event_kind kind; /* once it was asked */
     struct timespec since;
 };
 
@@ -66,13 +66,13 @@
     return send_now(conn, status, strdup(buf), retry);
 }
 
-static enum bd_timing timing_of(enum bd_cmd_kind kind)
+static enum bd_timing timing_of(enum bd_event_kind kind)
 {
-    if (kind == BD_C_HEARTBEAT)
+    if (kind == BD_EVENT_HEARTBEAT)
         return BD_TIMING_HEARTBEAT;
-    if (kind == BD_C_SUBMIT)
+    if (kind == BD_EVENT_USER_SUBMIT)
         return BD_TIMING_SUBMISSION;
-    return kind == BD_C_GET ? BD_TIMING_POLL : BD_TIMING_CANCELLATION;
+    return kind == BD_EVENT_USER_STATUS ? BD_TIMING_POLL : BD_TIMING_CANCELLATION;
 }
 
 void bd_api_reply(struct bd_node *node, void *request, int status, char *body, int retry_after)
@@ -131,30 +131,30 @@
 {
     bool get = strcmp(method, "GET") == 0, post = strcmp(method, "POST") == 0;
     if (strcmp(url, BD_PATH_HEARTBEAT) == 0)
-        return post ? BD_C_HEARTBEAT : -405;
+        return post ? BD_EVENT_HEARTBEAT : -405;
     if (strcmp(url, BD_PATH_JOBS) == 0)
-        return post ? BD_C_SUBMIT : -405;
+        return post ? BD_EVENT_USER_SUBMIT : -405;
     if (job_path(url, BD_PATH_CANCEL, name, cap))
-        return post ? BD_C_CANCEL : -405;
+        return post ? BD_EVENT_USER_CANCEL : -405;
     if (job_path(url, "", name, cap))
-        return get ? BD_C_GET : -405;
+        return get ? BD_EVENT_USER_STATUS : -405;
     return -404;
 }
 
 static enum MHD_Result ask_core(struct bd_node *node, struct request *r, int kind, const char *name)
 {
-    struct bd_cmd *command = bd_cmd_new((enum bd_cmd_kind)kind);
-    command->request = r;
-    command->text = r->buf ? r->buf : strdup("");
-    command->len = r->len;
+    struct bd_event *event = bd_event_new((enum bd_event_kind)kind);
+    event->request = r;
+    event->text = r->buf ? r->buf : strdup("");
+    event->len = r->len;
     r->buf = NULL;
-    snprintf(command->name, sizeof command->name, "%s", name);
+    snprintf(event->name, sizeof event->name, "%s", name);
     r->asked = true;
-    r->kind = command->kind;
+    r->kind = event->kind;
     r->since = bd_now();
     atomic_fetch_add(&node->api_server->pending, 1);
     MHD_suspend_connection(r->conn);
-    bd_tell(node, command);
+    bd_event_post(node, event);
     return MHD_YES;
 }
 
@@ -163,7 +163,7 @@
 {
     int most = node->settings.max_sockets / 2;
     most = most < PENDING_LEAST ? PENDING_LEAST : most;
-    if (kind != BD_C_HEARTBEAT)
+    if (kind != BD_EVENT_HEARTBEAT)
         most = (int)(PENDING_USERS * most);
     return atomic_load(&node->api_server->pending) < most;
 }
@@ -224,12 +224,12 @@
 static enum bd_traffic traffic_of(const struct request *r)
 {
     static const struct {
-        enum bd_cmd_kind kind;
+        enum bd_event_kind kind;
         enum bd_traffic traffic;
-    } known[] = {{BD_C_HEARTBEAT, BD_TRAFFIC_HEARTBEAT},
-                 {BD_C_GET, BD_TRAFFIC_POLL},
-                 {BD_C_SUBMIT, BD_TRAFFIC_SUBMISSION},
-                 {BD_C_CANCEL, BD_TRAFFIC_CANCELLATION}};
+    } known[] = {{BD_EVENT_HEARTBEAT, BD_TRAFFIC_HEARTBEAT},
+                 {BD_EVENT_USER_STATUS, BD_TRAFFIC_POLL},
+                 {BD_EVENT_USER_SUBMIT, BD_TRAFFIC_SUBMISSION},
+                 {BD_EVENT_USER_CANCEL, BD_TRAFFIC_CANCELLATION}};
     for (size_t i = 0; r->asked && i < sizeof known / sizeof known[0]; i++)
         if (known[i].kind == r->kind)
             return known[i].traffic;
--- a/src/adapters/cloud_client.c
+++ b/src/adapters/cloud_client.c
@@ -80,13 +80,13 @@
         return;
     }
     d->fails = 0;
-    struct bd_cmd *command = bd_cmd_new(BD_C_TYPES);
-    command->data = malloc((size_t)n * sizeof *d->types);
-    if (!command->data)
+    struct bd_event *event = bd_event_new(BD_EVENT_MACHINE_TYPES);
+    event->data = malloc((size_t)n * sizeof *d->types);
+    if (!event->data)
         abort();
-    memcpy(command->data, d->types, (size_t)n * sizeof *d->types);
-    command->n = (size_t)n;
-    bd_tell(d->n, command);
+    memcpy(event->data, d->types, (size_t)n * sizeof *d->types);
+    event->n = (size_t)n;
+    bd_event_post(d->n, event);
     double pause = atomic_load(&d->n->leading) ? TYPES_S : TYPES_IDLE_S;
     d->next_types = bd_add(bd_now(), bd_secs(pause));
 }
@@ -128,63 +128,63 @@
 
 static void get_list(struct desk *d)
 {
-    struct bd_cmd *command = bd_cmd_new(BD_C_MACHINES);
+    struct bd_event *event = bd_event_new(BD_EVENT_INVENTORY);
     struct bd_cloud_machine *all = NULL;
     bool more = true;
-    command->sent = bd_now();
+    event->sent = bd_now();
     while (more) {
         spend(d);
-        if (bd_cloud_list_page(d->n, d->h, &all, &command->n, &more) == 200)
+        if (bd_cloud_list_page(d->n, d->h, &all, &event->n, &more) == 200)
             continue;
         free(all);
-        bd_cmd_free(command);
+        bd_event_free(event);
         failed(d);
         return;
     }
     d->fails = 0;
-    command->data = all;
-    bd_tell(d->n, command);
+    event->data = all;
+    bd_event_post(d->n, event);
     d->next_list = bd_add(bd_now(), bd_secs(d->list_s));
 }
 
 /* A request without a clear answer is repeated by its name: the name rents once only. */
 static void provision_machines(struct desk *d, struct bd_effect *effect)
 {
-    struct bd_cmd *command = bd_cmd_new(BD_C_PROVISIONED);
-    snprintf(command->name, sizeof command->name, "%s", effect->key);
+    struct bd_event *event = bd_event_new(BD_EVENT_SCALE_OUT_COMPLETED);
+    snprintf(event->name, sizeof event->name, "%s", effect->key);
     for (int i = 0; i < PROVISION_TRIES; i++) {
         json_t *o = NULL;
-        command->status = call(d, "POST", BD_PATH_MACHINES, effect->body, &o);
-        bool outage = command->status == 503 && bd_wire_cloud_outage(o);
-        if (command->status == 200) {
+        event->status = call(d, "POST", BD_PATH_MACHINES, effect->body, &o);
+        bool outage = event->status == 503 && bd_wire_cloud_outage(o);
+        if (event->status == 200) {
             char(*names)[BD_LABEL] = calloc(64, sizeof *names);
             int n = names ? bd_wire_machine_names(o, names, 64) : -1;
-            command->data = names;
-            command->n = n > 0 ? (size_t)n : 0;
+            event->data = names;
+            event->n = n > 0 ? (size_t)n : 0;
         }
         json_decref(o);
-        if (command->status == 200 || command->status == 400 || (command->status == 503 && !outage))
+        if (event->status == 200 || event->status == 400 || (event->status == 503 && !outage))
             break;
         if (!atomic_load(&d->n->leading))
             break;
         failed(d);
     }
-    bd_tell(d->n, command);
+    bd_event_post(d->n, event);
 }
 
 static void do_return(struct desk *d, struct bd_effect *effect)
 {
-    struct bd_cmd *command = bd_cmd_new(BD_C_RETURNED);
+    struct bd_event *event = bd_event_new(BD_EVENT_SCALE_IN_COMPLETED);
     json_t *o = NULL;
-    command->status = call(d, "POST", BD_PATH_RETURN, effect->body, &o);
+    event->status = call(d, "POST", BD_PATH_RETURN, effect->body, &o);
     json_decref(o);
     json_t *sent = json_loads(effect->body, 0, NULL);
     char(*names)[BD_LABEL] = calloc(128, sizeof *names);
     int n = names ? bd_wire_machine_names(sent, names, 128) : -1;
-    command->data = names;
-    command->n = n > 0 ? (size_t)n : 0;
+    event->data = names;
+    event->n = n > 0 ? (size_t)n : 0;
     json_decref(sent);
-    bd_tell(d->n, command);
+    bd_event_post(d->n, event);
 }
 
 static void *run(void *arg)
@@ -223,5 +223,5 @@
         free(d);
         return -1;
     }
-    return bd_thread(run, d, 131072);
+    return bd_thread_start(run, d, 131072);
 }
--- a/src/adapters/election.c
+++ b/src/adapters/election.c
@@ -67,20 +67,20 @@
 static void tell_leader(struct candidate *self, const char *name, uint64_t revision,
                         struct timespec sent, bool away)
 {
-    struct bd_cmd *command = bd_cmd_new(BD_C_LEADER_IS);
-    snprintf(command->name, sizeof command->name, "%s", name);
-    command->number = revision;
-    command->sent = sent;
-    command->flag = away;
+    struct bd_event *event = bd_event_new(BD_EVENT_LEADER_OBSERVED);
+    snprintf(event->name, sizeof event->name, "%s", name);
+    event->number = revision;
+    event->sent = sent;
+    event->flag = away;
     bool news = revision != self->told_revision || away != self->told_away ||
                 strcmp(name, self->told_name) != 0;
     snprintf(self->told_name, sizeof self->told_name, "%s", name);
     self->told_revision = revision;
     self->told_away = away;
     if (news)
-        bd_tell(self->n, command);
+        bd_event_post(self->n, event);
     else
-        bd_tell_quietly(self->n, command);
+        bd_event_post_quietly(self->n, event);
 }
 
 /* Who holds the lease now; the revision of the key into *revision. */
@@ -166,10 +166,10 @@
     if (status != 200)
         return -1;
     self->granted = sent;
-    struct bd_cmd *command = bd_cmd_new(BD_C_RENEWED);
-    command->number = self->grant;
-    command->sent = sent;
-    bd_tell(self->n, command);
+    struct bd_event *event = bd_event_new(BD_EVENT_LEASE_RENEWED);
+    event->number = self->grant;
+    event->sent = sent;
+    bd_event_post(self->n, event);
     return 1;
 }
 
@@ -208,7 +208,7 @@
 static void lost(struct candidate *self)
 {
     self->leading = false;
-    bd_tell(self->n, bd_cmd_new(BD_C_LOST));
+    bd_event_post(self->n, bd_event_new(BD_EVENT_LEADERSHIP_LOST));
 }
 
 static void take_lead(struct candidate *self, uint64_t revision)
@@ -217,27 +217,27 @@
     if (term == 0)
         return;
     bd_say(&self->n->log, BD_INFO, "holds the lease, term %llu", (unsigned long long)term);
-    struct bd_cmd *command = bd_cmd_new(BD_C_GAINED);
-    command->sent = self->granted;
-    command->gain.term = term;
-    command->gain.grant = self->grant;
-    snprintf(command->name, sizeof command->name, "%s", self->nonce);
-    if (!load(self, &command->gain)) {
-        bd_cmd_free(command);
+    struct bd_event *event = bd_event_new(BD_EVENT_LEADERSHIP_ACQUIRED);
+    event->sent = self->granted;
+    event->gain.term = term;
+    event->gain.grant = self->grant;
+    snprintf(event->name, sizeof event->name, "%s", self->nonce);
+    if (!load(self, &event->gain)) {
+        bd_event_free(event);
         return;
     }
-    command->gain.renewed = self->granted;
+    event->gain.renewed = self->granted;
     atomic_store(&self->n->step_down, false);
     self->leading = true;
-    bd_tell(self->n, command);
+    bd_event_post(self->n, event);
     (void)bd_queue_put(&self->n->reader_wake, self);
 }
 
-static void tell_liveness(struct candidate *self, enum bd_cmd_kind kind, struct timespec sent)
+static void tell_liveness(struct candidate *self, enum bd_event_kind kind, struct timespec sent)
 {
-    struct bd_cmd *command = bd_cmd_new(kind);
-    command->sent = sent;
-    bd_tell_quietly(self->n, command); /* it holds its own time */
+    struct bd_event *event = bd_event_new(kind);
+    event->sent = sent;
+    bd_event_post_quietly(self->n, event); /* it holds its own time */
 }
 
 /* Says in the state service that we are in touch with it, under the leader whose key we saw. */
@@ -258,12 +258,12 @@
     bd_txn_compare(&t, "leader", revision);
     bd_txn_put(&t, key, json_pack("{s:f}", "at", bd_to_secs(wall)), 0);
     char *body = bd_txn_finish(&t);
-    tell_liveness(self, BD_C_LIVENESS_SENT, sent);
+    tell_liveness(self, BD_EVENT_LIVENESS_SENT, sent);
     long status = bd_kv_call(self->n, self->h, "POST", BD_PATH_COMMIT, body, call_s(self), &o);
     free(body);
     json_decref(o);
     if (status == 200)
-        tell_liveness(self, BD_C_LIVENESS_WRITTEN, sent);
+        tell_liveness(self, BD_EVENT_LIVENESS_WRITTEN, sent);
 }
 
 /* Ends a grant that would otherwise keep others from leading until it runs out. Nothing rests on
@@ -343,5 +343,5 @@
         seed = seed * 31 + (unsigned char)*p;
     gsl_rng_set(s->rng, seed);
     s->ttl = bd_to_secs(node->settings.leader_ttl);
-    return bd_thread(run, s, 131072);
+    return bd_thread_start(run, s, 131072);
 }
--- a/src/adapters/kv_client.c
+++ b/src/adapters/kv_client.c
@@ -96,14 +96,14 @@
         }
         if (store_revision == 0)
             store_revision = bd_wire_store_revision(page);
-        struct bd_cmd *command = bd_cmd_new(BD_C_RELISTED);
-        command->json = json_incref(bd_wire_pairs(page, &ignored));
+        struct bd_event *event = bd_event_new(BD_EVENT_REPLICA_LISTED);
+        event->json = json_incref(bd_wire_pairs(page, &ignored));
         json_decref(page);
-        command->store_revision = store_revision;
-        command->sent = sent;
-        command->flag = !more;
+        event->store_revision = store_revision;
+        event->sent = sent;
+        event->flag = !more;
         atomic_store(&node->page_out, true);
-        bd_tell(node, command);
+        bd_event_post(node, event);
         while (atomic_load(&node->page_out))
             bd_pause(0.005);
     }
@@ -116,25 +116,25 @@
     json_t *o = NULL;
     snprintf(path, sizeof path, BD_PATH_REFRESH "j/&after=%llu&waitMs=0",
              (unsigned long long)*after);
-    struct bd_cmd *command = bd_cmd_new(BD_C_FOLLOWED);
-    command->sent = bd_now();
+    struct bd_event *event = bd_event_new(BD_EVENT_REPLICA_REFRESHED);
+    event->sent = bd_now();
     long status = bd_kv_call(node, http, "GET", path, NULL, ANSWER_S, &o);
-    command->flag = barrier;
-    command->ok = status == 200;
-    command->after = *after;
-    command->json = o;
+    event->flag = barrier;
+    event->ok = status == 200;
+    event->after = *after;
+    event->json = o;
     bool news = barrier || status != 200;
     atomic_store(&node->reads_refused, status != 200 && status != 410);
     if (status == 200) {
-        command->store_revision = bd_wire_store_revision(o);
+        event->store_revision = bd_wire_store_revision(o);
         news = news || json_array_size(bd_wire_log(o)) > 0;
-        if (command->store_revision > *after)
-            *after = command->store_revision;
+        if (event->store_revision > *after)
+            *after = event->store_revision;
     }
     if (news)
-        bd_tell(node, command);
+        bd_event_post(node, event);
     else
-        bd_tell_quietly(node, command); /* it holds the time at which it was sent */
+        bd_event_post_quietly(node, event); /* it holds the time at which it was sent */
     if (status != 200 && status != 410)
         bd_pause(PAUSE_S);
     return status == 410;
@@ -142,27 +142,27 @@
 
 static void read_delegates(struct bd_node *node, struct bd_http *http)
 {
-    struct bd_cmd *command = bd_cmd_new(BD_C_DELEGATES);
-    command->sent = bd_now();
-    command->json = bd_kv_list(node, http, "p/");
-    if (command->json)
-        bd_tell(node, command);
+    struct bd_event *event = bd_event_new(BD_EVENT_DELEGATE_RECORDS);
+    event->sent = bd_now();
+    event->json = bd_kv_list(node, http, "p/");
+    if (event->json)
+        bd_event_post(node, event);
     else
-        bd_cmd_free(command);
+        bd_event_free(event);
 }
 
 /* The drains' own records are few and read each time, their machines' only where they are not known
  * yet: after them, so that the machines of all that were listed are there. */
 static void read_drains(struct bd_node *node, struct bd_http *http)
 {
-    struct bd_cmd *command = bd_cmd_new(BD_C_DRAINS);
-    command->json = bd_kv_list(node, http, BD_DRAIN_KEY);
-    if (command->json && atomic_load(&node->want_drain_sets))
-        command->sets = bd_kv_list(node, http, BD_DRAIN_SET);
-    if (command->json)
-        bd_tell(node, command);
+    struct bd_event *event = bd_event_new(BD_EVENT_DRAIN_RECORDS);
+    event->json = bd_kv_list(node, http, BD_DRAIN_KEY);
+    if (event->json && atomic_load(&node->want_drain_sets))
+        event->sets = bd_kv_list(node, http, BD_DRAIN_SET);
+    if (event->json)
+        bd_event_post(node, event);
     else
-        bd_cmd_free(command);
+        bd_event_free(event);
 }
 
 /* Until the next refresh is due, or polls wait for one; one wake-up where that is enough. */
@@ -251,14 +251,14 @@
     struct bd_node *node;
     struct bd_http *http;
     struct bd_effect *effect;
-    struct bd_cmd *command; /* gets the revision, and the keys whose conditions failed */
+    struct bd_event *event; /* gets the revision, and the keys whose conditions failed */
     bool unsure;            /* a copy without an answer may have been applied */
     int busy;               /* answers in a row that the rate is used up */
 };
 
 static int shown(struct attempt *a)
 {
-    return sequence_shows(a->node, a->http, a->effect, &a->command->store_revision);
+    return sequence_shows(a->node, a->http, a->effect, &a->event->store_revision);
 }
 
 static enum bd_outcome after_conflict(struct attempt *a, json_t *answer)
@@ -266,8 +266,8 @@
     json_t *failed = bd_wire_failed(answer);
     bool sequence = names(failed, "w");
     int w = sequence ? shown(a) : 0;
-    json_decref(a->command->json);
-    a->command->json = json_incref(answer);
+    json_decref(a->event->json);
+    a->event->json = json_incref(answer);
     if (w != 0)
         return w == 1 ? BD_COMMIT_APPLIED : BD_COMMIT_UNKNOWN;
     return sequence || names(failed, "leader") ? BD_COMMIT_DEPOSED : BD_COMMIT_REFUSED;
@@ -296,7 +296,7 @@
     a->unsure = a->unsure || (status != 429 && status != 503);
     a->busy = status == 429 ? a->busy + 1 : 0;
     if (status == 429)
-        bd_tell(a->node, bd_cmd_new(BD_C_KV_RATE_EXCEEDED));
+        bd_event_post(a->node, bd_event_new(BD_EVENT_KV_RATE_EXCEEDED));
     bd_pause(PAUSE_S);
     /* one larger than a second's changes would be refused for ever */
     bool decide_anew = a->busy >= BUSY_TRIES && (!a->unsure || shown(a) == 0);
@@ -312,7 +312,7 @@
     long status =
         bd_kv_call(a->node, a->http, "POST", BD_PATH_COMMIT, a->effect->body, ANSWER_S, &o);
     if (status == 200) {
-        a->command->store_revision = bd_wire_store_revision(o);
+        a->event->store_revision = bd_wire_store_revision(o);
         outcome = BD_COMMIT_APPLIED;
     } else if (status == 409) {
         outcome = after_conflict(a, o);
@@ -334,14 +334,14 @@
         if (bd_queue_take(&node->to_commit, &item, 1, bd_add(bd_now(), bd_secs(5))) == 0)
             continue;
         struct bd_effect *effect = item;
-        struct bd_cmd *command = bd_cmd_new(BD_C_COMMITTED);
-        command->number = effect->sequence;
-        command->term = strtoull(effect->key, NULL, 10);
-        struct attempt a = {.node = node, .http = http, .effect = effect, .command = command};
+        struct bd_event *event = bd_event_new(BD_EVENT_LEADER_TXN_COMPLETED);
+        event->number = effect->sequence;
+        event->term = strtoull(effect->key, NULL, 10);
+        struct attempt a = {.node = node, .http = http, .effect = effect, .event = event};
         do
-            command->outcome = try_once(&a);
-        while (command->outcome == BD_COMMIT_UNKNOWN);
-        bd_tell(node, command);
+            event->outcome = try_once(&a);
+        while (event->outcome == BD_COMMIT_UNKNOWN);
+        bd_event_post(node, event);
         bd_effect_free(effect);
     }
     return NULL;
@@ -351,60 +351,59 @@
 
 static void commit_delegate(struct bd_node *node, struct bd_http *http, struct bd_effect *effect)
 {
-    struct bd_cmd *command = bd_cmd_new(BD_C_DELEGATE_COMMITTED);
+    struct bd_event *event = bd_event_new(BD_EVENT_DELEGATE_TXN_COMPLETED);
     json_t *o = NULL;
     struct bd_change ch;
     uint64_t grant;
     char path[128];
-    command->sent = bd_now();
+    event->sent = bd_now();
     if (effect->body) {
-        command->status =
-            bd_kv_call(node, http, "POST", BD_PATH_COMMIT, effect->body, ANSWER_S, &o);
-        command->store_revision = bd_wire_store_revision(o);
-        command->flag = command->status == 200;
+        event->status = bd_kv_call(node, http, "POST", BD_PATH_COMMIT, effect->body, ANSWER_S, &o);
+        event->store_revision = bd_wire_store_revision(o);
+        event->flag = event->status == 200;
     } else { /* only the record's revision is asked for */
         snprintf(path, sizeof path, BD_PATH_KEYS "/%s", effect->key);
         long status = bd_kv_call(node, http, "GET", path, NULL, ANSWER_S, &o);
-        command->flag = status == 404 || (status == 200 && bd_wire_pair(o, &ch, &grant));
-        command->store_revision = status == 200 && command->flag ? ch.revision : 0;
+        event->flag = status == 404 || (status == 200 && bd_wire_pair(o, &ch, &grant));
+        event->store_revision = status == 200 && event->flag ? ch.revision : 0;
     }
     json_decref(o);
-    bd_tell(node, command);
+    bd_event_post(node, event);
 }
 
 static void commit_user(struct bd_node *node, struct bd_http *http, struct bd_effect *effect)
 {
-    struct bd_cmd *command = bd_cmd_new(BD_C_USER_COMMITTED);
+    struct bd_event *event = bd_event_new(BD_EVENT_USER_TXN_COMPLETED);
     json_t *o = NULL;
     /* a transaction a line: what a record needs before the record itself */
     char *rest = NULL, *copy = strdup(effect->body);
-    command->status = copy ? 200 : 0;
-    for (char *line = copy ? strtok_r(copy, "\n", &rest) : NULL; line && command->status == 200;
+    event->status = copy ? 200 : 0;
+    for (char *line = copy ? strtok_r(copy, "\n", &rest) : NULL; line && event->status == 200;
          line = strtok_r(NULL, "\n", &rest)) {
         json_decref(o);
-        command->status = bd_kv_call(node, http, "POST", BD_PATH_COMMIT, line, USER_ANSWER_S, &o);
-        command->store_revision = bd_wire_store_revision(o);
+        event->status = bd_kv_call(node, http, "POST", BD_PATH_COMMIT, line, USER_ANSWER_S, &o);
+        event->store_revision = bd_wire_store_revision(o);
     }
     free(copy);
-    command->request = effect->request;
-    command->how = effect->status;
-    command->text = effect->body;
+    event->request = effect->request;
+    event->how = effect->status;
+    event->text = effect->body;
     effect->body = NULL;
-    snprintf(command->name, sizeof command->name, "%s", effect->key);
+    snprintf(event->name, sizeof event->name, "%s", effect->key);
     json_decref(o);
-    bd_tell(node, command);
+    bd_event_post(node, event);
 }
 
 static void look_up(struct bd_node *node, struct bd_http *http, struct bd_effect *effect)
 {
-    struct bd_cmd *command = bd_cmd_new(BD_C_LOOKED_UP);
+    struct bd_event *event = bd_event_new(BD_EVENT_JOB_LOOKUP_COMPLETED);
     char path[128];
     snprintf(path, sizeof path, BD_PATH_KEYS "/j/%s", effect->key);
-    command->status = bd_kv_call(node, http, "GET", path, NULL, ANSWER_S, &command->json);
-    command->request = effect->request;
-    command->how = effect->status;
-    snprintf(command->name, sizeof command->name, "%s", effect->key);
-    bd_tell(node, command);
+    event->status = bd_kv_call(node, http, "GET", path, NULL, ANSWER_S, &event->json);
+    event->request = effect->request;
+    event->how = effect->status;
+    snprintf(event->name, sizeof event->name, "%s", effect->key);
+    bd_event_post(node, event);
 }
 
 static void *user_committer(void *arg)
@@ -429,8 +428,8 @@
 
 int bd_kv_client_start(struct bd_node *node)
 {
-    int rc = bd_thread(reader, node, 131072) | bd_thread(committer, node, 131072);
+    int rc = bd_thread_start(reader, node, 131072) | bd_thread_start(committer, node, 131072);
     for (int i = 0; i < USER_THREADS; i++)
-        rc |= bd_thread(user_committer, node, 131072);
+        rc |= bd_thread_start(user_committer, node, 131072);
     return rc;
 }
--- a/src/adapters/node.h
+++ b/src/adapters/node.h
@@ -14,37 +14,37 @@
 struct bd_worker_client;
 struct bd_heartbeat_cache;
 
-enum bd_cmd_kind {
-    BD_C_SUBMIT,
-    BD_C_GET,
-    BD_C_CANCEL,
-    BD_C_HEARTBEAT,
-    BD_C_USER_COMMITTED,
-    BD_C_FOLLOWED,
-    BD_C_RELISTED,
-    BD_C_LEADER_IS,
-    BD_C_GAINED,
-    BD_C_RENEWED,
-    BD_C_LIVENESS_SENT,
-    BD_C_LIVENESS_WRITTEN,
-    BD_C_LOST,
-    BD_C_COMMITTED,
-    BD_C_DID,
-    BD_C_TYPES,
-    BD_C_MACHINES,
-    BD_C_PROVISIONED,
-    BD_C_RETURNED,
-    BD_C_PEER_FRAME,
-    BD_C_DELEGATES,
-    BD_C_DELEGATE_COMMITTED,
-    BD_C_LOOKED_UP,
-    BD_C_DRAINS,
-    BD_C_KV_RATE_EXCEEDED
+enum bd_event_kind {
+    BD_EVENT_USER_SUBMIT,
+    BD_EVENT_USER_STATUS,
+    BD_EVENT_USER_CANCEL,
+    BD_EVENT_HEARTBEAT,
+    BD_EVENT_USER_TXN_COMPLETED,
+    BD_EVENT_REPLICA_REFRESHED,
+    BD_EVENT_REPLICA_LISTED,
+    BD_EVENT_LEADER_OBSERVED,
+    BD_EVENT_LEADERSHIP_ACQUIRED,
+    BD_EVENT_LEASE_RENEWED,
+    BD_EVENT_LIVENESS_SENT,
+    BD_EVENT_LIVENESS_WRITTEN,
+    BD_EVENT_LEADERSHIP_LOST,
+    BD_EVENT_LEADER_TXN_COMPLETED,
+    BD_EVENT_DIRECT_COMMAND_COMPLETED,
+    BD_EVENT_MACHINE_TYPES,
+    BD_EVENT_INVENTORY,
+    BD_EVENT_SCALE_OUT_COMPLETED,
+    BD_EVENT_SCALE_IN_COMPLETED,
+    BD_EVENT_PEER_FRAME,
+    BD_EVENT_DELEGATE_RECORDS,
+    BD_EVENT_DELEGATE_TXN_COMPLETED,
+    BD_EVENT_JOB_LOOKUP_COMPLETED,
+    BD_EVENT_DRAIN_RECORDS,
+    BD_EVENT_KV_RATE_EXCEEDED
 };
 
 /* What the adapters tell the owner. Owned by the receiver. */
-struct bd_cmd {
-    enum bd_cmd_kind kind;
+struct bd_event {
+    enum bd_event_kind kind;
     void *request;
     char *text;
     size_t len;
@@ -68,7 +68,7 @@
 struct bd_node {
     struct bd_settings settings;
     struct bd_log log;
-    struct bd_queue commands, to_commit, to_users, to_cloud;
+    struct bd_queue events, to_commit, to_users, to_cloud;
     struct bd_api_server *api_server;
     struct bd_core *core;
     /* what adapters need to know of the owner's state */
@@ -83,7 +83,7 @@
     struct bd_worker_client *worker_client;
     struct bd_heartbeat_cache *heartbeats;
     struct timespec next_metrics, metrics_since, commit_sent;
-    struct bd_cmd *pending_gain;
+    struct bd_event *pending_gain;
     /* what the other controllers are told of us */
     pthread_mutex_t status_lock;
     struct bd_frame status;
@@ -92,15 +92,15 @@
     struct timespec next_status;
 };
 
-struct bd_cmd *bd_cmd_new(enum bd_cmd_kind kind);
-void bd_cmd_free(struct bd_cmd *command);
-void bd_tell(struct bd_node *node, struct bd_cmd *command);
+struct bd_event *bd_event_new(enum bd_event_kind kind);
+void bd_event_free(struct bd_event *event);
+void bd_event_post(struct bd_node *node, struct bd_event *event);
 /* what brings nothing new does not wake the owner: it is handled before the next command that does
  */
-void bd_tell_quietly(struct bd_node *node, struct bd_cmd *command);
+void bd_event_post_quietly(struct bd_node *node, struct bd_event *event);
 /* hands what the core wants done to the adapters; owner thread only */
 void bd_effects_perform(struct bd_node *node);
-int bd_thread(void *(*run)(void *), void *arg, size_t stack);
+int bd_thread_start(void *(*run)(void *), void *arg, size_t stack);
 
 int bd_api_start(struct bd_node *node);
 void bd_api_reply(struct bd_node *node, void *request, int status, char *body, int retry_after);
@@ -111,7 +111,8 @@
  */
 #define BD_SOCKETS_OWN 64
 int bd_worker_client_start(struct bd_node *node);
-/* A direct command; takes the effect over. The answer comes as BD_C_DID. */
+/* A direct command; takes the effect over. The answer comes as BD_EVENT_DIRECT_COMMAND_COMPLETED.
+ */
 void bd_worker_client_send(struct bd_node *node, struct bd_effect *effect);
 /* sockets that it may hold */
 int bd_worker_client_sockets(const struct bd_settings *settings);
--- a/src/adapters/peer_listener.c
+++ b/src/adapters/peer_listener.c
@@ -69,21 +69,20 @@
 
 static void hand_over(struct bd_node *node, struct incoming *in, const struct bd_frame *frame)
 {
-    struct bd_cmd *command = bd_cmd_new(BD_C_PEER_FRAME);
+    struct bd_event *event = bd_event_new(BD_EVENT_PEER_FRAME);
     size_t size = offsetof(struct bd_frame, jobs) + frame->count * sizeof frame->jobs[0];
-    command->data = malloc(size); /* without the room for jobs that it does not name */
-    if (!command->data)
+    event->data = malloc(size); /* without the room for jobs that it does not name */
+    if (!event->data)
         abort();
-    memcpy(command->data, frame, size);
-    command->sent = in->heard;
+    memcpy(event->data, frame, size);
+    event->sent = in->heard;
     if (frame->text) {
-        command->text = strndup(frame->text, frame->len);
-        command->len = frame->len;
+        event->text = strndup(frame->text, frame->len);
+        event->len = frame->len;
     }
     bool quiet = says_nothing_new(in, frame);
-    if (!(quiet ? bd_queue_put_quietly(&node->commands, command)
-                : bd_queue_put(&node->commands, command)))
-        bd_cmd_free(command); /* the next heartbeat says it again */
+    if (!(quiet ? bd_queue_put_quietly(&node->events, event) : bd_queue_put(&node->events, event)))
+        bd_event_free(event); /* the next heartbeat says it again */
 }
 
 /* Room for one whole frame is the most that a connection can claim. */
@@ -220,5 +219,5 @@
         free(l);
         return -1;
     }
-    return bd_thread(listen_run, l, STACK_BYTES);
+    return bd_thread_start(listen_run, l, STACK_BYTES);
 }
--- a/src/adapters/peer_transport.c
+++ b/src/adapters/peer_transport.c
@@ -275,6 +275,6 @@
     }
     int rc = bd_peer_listener_start(node);
     for (int i = 0; i < node->settings.npeers && rc == 0; i++)
-        rc = bd_thread(connect_run, node->links[i], STACK_BYTES);
-    return rc == 0 ? bd_thread(heartbeat_run, node, STACK_BYTES) : rc;
+        rc = bd_thread_start(connect_run, node->links[i], STACK_BYTES);
+    return rc == 0 ? bd_thread_start(heartbeat_run, node, STACK_BYTES) : rc;
 }
--- a/src/adapters/worker_client.c
+++ b/src/adapters/worker_client.c
@@ -64,21 +64,21 @@
 {
     char url[128];
     struct bd_reply r;
-    struct bd_cmd *command = bd_cmd_new(BD_C_DID);
+    struct bd_event *event = bd_event_new(BD_EVENT_DIRECT_COMMAND_COMPLETED);
     snprintf(url, sizeof url, "http://%s" BD_PATH_COMMANDS, effect->addr);
     if (bd_before(bd_now(), effect->until)) {
         bd_http_call(http, "POST", url, effect->body, ANSWER_S, &r);
-        command->status = r.status;
-        command->text = r.body;
-        command->len = r.len;
+        event->status = r.status;
+        event->text = r.body;
+        event->len = r.len;
     } else {
-        command->status = BD_DIRECT_NOT_SENT;
+        event->status = BD_DIRECT_NOT_SENT;
     }
-    command->machine = effect->machine;
-    command->number = effect->fencing_token;
-    command->flag = effect->launch;
+    event->machine = effect->machine;
+    event->number = effect->fencing_token;
+    event->flag = effect->launch;
     bd_effect_free(effect);
-    bd_tell(s->n, command);
+    bd_event_post(s->n, event);
 }
 
 static void *sender_run(void *arg)
@@ -150,7 +150,7 @@
         w->senders[i].n = node;
         rc = bd_queue_init(&w->senders[i].queue, QUEUE_CAP);
         if (rc == 0)
-            rc = bd_thread(sender_run, &w->senders[i], STACK_BYTES);
+            rc = bd_thread_start(sender_run, &w->senders[i], STACK_BYTES);
     }
     return rc;
 }
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -106,7 +106,7 @@
     }
     bd_delegate_forget(core);
     bd_forward_end(core);
-    struct bd_effect *effect = bd_core_effects(core);
+    struct bd_effect *effect = bd_core_take_effects(core);
     while (effect) {
         struct bd_effect *next = effect->next;
         bd_effect_free(effect);
@@ -152,7 +152,7 @@
     bd_reply(core, request, status, strdup(buf), retry_after);
 }
 
-struct bd_effect *bd_core_effects(struct bd_core *core)
+struct bd_effect *bd_core_take_effects(struct bd_core *core)
 {
     bd_audit_flush(core); /* what allowed them is in the log before they are carried out */
     struct bd_effect *effect = core->first;
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -92,7 +92,7 @@
 /* where the numbers begin that other controllers send back to us: not where our last process's did
  */
 void bd_core_seed(struct bd_core *core, uint64_t seed);
-struct bd_effect *bd_core_effects(struct bd_core *core); /* takes the list */
+struct bd_effect *bd_core_take_effects(struct bd_core *core); /* takes the list */
 void bd_effect_free(struct bd_effect *effect);
 void bd_core_time(struct bd_core *core, struct timespec now, double wall);
 
--- a/src/runtime/effect_dispatch.c
+++ b/src/runtime/effect_dispatch.c
@@ -100,14 +100,15 @@
 void bd_effects_perform(struct bd_node *node)
 {
     bool sends = false; /* to other controllers */
-    struct bd_effect *effect = bd_core_effects(node->core);
+    struct bd_effect *effect = bd_core_take_effects(node->core);
     while (effect) {
         struct bd_effect *next = effect->next;
         sends = sends || effect->kind == BD_E_FORWARD || effect->kind == BD_E_ANSWER ||
                 effect->kind == BD_E_CANCELLED;
         perform(node, effect);
         effect =
-            next ? next : bd_core_effects(node->core); /* one that failed may have others follow */
+            next ? next
+                 : bd_core_take_effects(node->core); /* one that failed may have others follow */
     }
     if (sends)
         bd_transport_flush(node);
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -22,41 +22,41 @@
 #define HEARTBEAT_CACHE_SHARE 0.08 /* of the memory, for the machines' newest reports */
 #define METRICS_INTERVAL_S 20.0    /* between the log's lines of traffic and times */
 
-struct bd_cmd *bd_cmd_new(enum bd_cmd_kind kind)
+struct bd_event *bd_event_new(enum bd_event_kind kind)
 {
-    struct bd_cmd *cmd = calloc(1, sizeof *cmd);
-    if (!cmd)
+    struct bd_event *event = calloc(1, sizeof *event);
+    if (!event)
         abort();
-    cmd->kind = kind;
-    return cmd;
+    event->kind = kind;
+    return event;
 }
 
-void bd_cmd_free(struct bd_cmd *command)
+void bd_event_free(struct bd_event *event)
 {
-    free(command->text);
-    free(command->data);
-    json_decref(command->json);
-    json_decref(command->sets);
-    json_decref(command->gain.receipts);
-    json_decref(command->gain.intents);
-    free(command);
+    free(event->text);
+    free(event->data);
+    json_decref(event->json);
+    json_decref(event->sets);
+    json_decref(event->gain.receipts);
+    json_decref(event->gain.intents);
+    free(event);
 }
 
-void bd_tell(struct bd_node *node, struct bd_cmd *command)
+void bd_event_post(struct bd_node *node, struct bd_event *event)
 {
-    command->queued = bd_now();
+    event->queued = bd_now();
     /* the adapters' own words are few; the API server checks for room before it admits a request */
-    while (!bd_queue_put(&node->commands, command))
+    while (!bd_queue_put(&node->events, event))
         bd_pause(0.01);
 }
 
-void bd_tell_quietly(struct bd_node *node, struct bd_cmd *command)
+void bd_event_post_quietly(struct bd_node *node, struct bd_event *event)
 {
-    if (!bd_queue_put_quietly(&node->commands, command))
-        bd_tell(node, command);
+    if (!bd_queue_put_quietly(&node->events, event))
+        bd_event_post(node, event);
 }
 
-int bd_thread(void *(*run)(void *), void *arg, size_t stack)
+int bd_thread_start(void *(*run)(void *), void *arg, size_t stack)
 {
     pthread_attr_t attr;
     pthread_t t;
@@ -84,36 +84,36 @@
     }
 }
 
-static void checkin(struct bd_node *node, struct bd_cmd *command)
+static void checkin(struct bd_node *node, struct bd_event *event)
 {
     const struct bd_heartbeat *r =
-        bd_heartbeat_cache_read(node->heartbeats, command->text, command->len);
+        bd_heartbeat_cache_read(node->heartbeats, event->text, event->len);
     if (r)
-        bd_worker_heartbeat_received(node->core, command->request, r, command->text, command->len);
+        bd_worker_heartbeat_received(node->core, event->request, r, event->text, event->len);
     else
-        bd_api_reply(node, command->request, 400, strdup("{\"error\":\"malformed report\"}"), 0);
+        bd_api_reply(node, event->request, 400, strdup("{\"error\":\"malformed report\"}"), 0);
 }
 
-static void did(struct bd_node *node, const struct bd_cmd *command)
+static void did(struct bd_node *node, const struct bd_event *event)
 {
-    bd_core_did(node->core, command->machine, command->number, command->flag, command->status,
-                bd_heartbeat_cache_read(node->heartbeats, command->text, command->len));
+    bd_core_did(node->core, event->machine, event->number, event->flag, event->status,
+                bd_heartbeat_cache_read(node->heartbeats, event->text, event->len));
 }
 
-static void followed(struct bd_node *node, struct bd_cmd *command)
+static void followed(struct bd_node *node, struct bd_event *event)
 {
-    if (command->ok)
-        changes(node->core, bd_wire_log(command->json));
-    bd_core_followed(node->core, command->after, command->store_revision, command->sent,
-                     command->flag, command->ok);
+    if (event->ok)
+        changes(node->core, bd_wire_log(event->json));
+    bd_core_followed(node->core, event->after, event->store_revision, event->sent, event->flag,
+                     event->ok);
 }
 
-static void relisted(struct bd_node *node, struct bd_cmd *command)
+static void relisted(struct bd_node *node, struct bd_event *event)
 {
-    changes(node->core, command->json);
+    changes(node->core, event->json);
     bd_core_evict(node->core);
-    if (command->flag) /* the last page */
-        bd_core_relisted(node->core, command->store_revision, command->sent);
+    if (event->flag) /* the last page */
+        bd_core_relisted(node->core, event->store_revision, event->sent);
     atomic_store(&node->page_out, false);
 }
 
@@ -125,16 +125,15 @@
         bd_worker_heartbeat_forwarded(node->core, frame->name, frame->id, r, text, len);
 }
 
-static void peer(struct bd_node *node, const struct bd_cmd *command)
+static void peer(struct bd_node *node, const struct bd_event *event)
 {
     struct bd_core *core = node->core;
-    const struct bd_frame *frame = command->data;
-    const char *text = command->text;
-    size_t len = command->len;
+    const struct bd_frame *frame = event->data;
+    const char *text = event->text;
+    size_t len = event->len;
     if (frame->type == BD_FRAME_STATUS)
         bd_peer_status_received(core, frame->name, frame->term, frame->flags,
-                                frame->age_ms / 1000.0, (double)frame->at_ms / 1000.0,
-                                command->sent);
+                                frame->age_ms / 1000.0, (double)frame->at_ms / 1000.0, event->sent);
     if (frame->type == BD_FRAME_HEARTBEAT)
         forwarded(node, frame, text, len);
     if (frame->type == BD_FRAME_ANSWER)
@@ -146,111 +145,111 @@
                                   frame->jobs[i].running);
 }
 
-static void looked_up(struct bd_node *node, struct bd_cmd *command)
+static void looked_up(struct bd_node *node, struct bd_event *event)
 {
     struct bd_change ch;
     uint64_t grant;
-    long status = command->status;
-    if (status == 200 && !bd_wire_pair(command->json, &ch, &grant))
+    long status = event->status;
+    if (status == 200 && !bd_wire_pair(event->json, &ch, &grant))
         status = 0;
-    bd_core_looked_up(node->core, command->request, command->name, command->how, status,
+    bd_core_looked_up(node->core, event->request, event->name, event->how, status,
                       status == 200 ? &ch : NULL);
 }
 
-static void worker_cmd(struct bd_node *node, struct bd_cmd *command)
+static void apply_worker_event(struct bd_node *node, struct bd_event *event)
 {
     struct bd_core *core = node->core;
-    switch (command->kind) {
-    case BD_C_HEARTBEAT:
-        checkin(node, command);
+    switch (event->kind) {
+    case BD_EVENT_HEARTBEAT:
+        checkin(node, event);
         break;
-    case BD_C_DID:
-        did(node, command);
+    case BD_EVENT_DIRECT_COMMAND_COMPLETED:
+        did(node, event);
         break;
-    case BD_C_TYPES:
-        bd_core_types(core, command->data, (int)command->n);
+    case BD_EVENT_MACHINE_TYPES:
+        bd_core_types(core, event->data, (int)event->n);
         break;
-    case BD_C_MACHINES:
-        bd_core_machines(core, command->data, command->n, command->sent);
+    case BD_EVENT_INVENTORY:
+        bd_core_machines(core, event->data, event->n, event->sent);
         break;
-    case BD_C_PROVISIONED:
-        bd_core_provisioned(core, command->name, command->status, command->data, (int)command->n);
+    case BD_EVENT_SCALE_OUT_COMPLETED:
+        bd_core_provisioned(core, event->name, event->status, event->data, (int)event->n);
         break;
-    case BD_C_PEER_FRAME:
-        peer(node, command);
+    case BD_EVENT_PEER_FRAME:
+        peer(node, event);
         break;
-    case BD_C_DELEGATES:
-        bd_core_delegates(core, command->json, command->sent);
+    case BD_EVENT_DELEGATE_RECORDS:
+        bd_core_delegates(core, event->json, event->sent);
         break;
-    case BD_C_DELEGATE_COMMITTED:
-        bd_core_delegate_committed(core, command->status, command->store_revision, command->sent,
-                                   command->flag);
+    case BD_EVENT_DELEGATE_TXN_COMPLETED:
+        bd_core_delegate_committed(core, event->status, event->store_revision, event->sent,
+                                   event->flag);
         break;
-    case BD_C_LOOKED_UP:
-        looked_up(node, command);
+    case BD_EVENT_JOB_LOOKUP_COMPLETED:
+        looked_up(node, event);
         break;
-    case BD_C_DRAINS:
-        bd_drain_records(core, command->json, command->sets);
+    case BD_EVENT_DRAIN_RECORDS:
+        bd_drain_records(core, event->json, event->sets);
         break;
-    case BD_C_RETURNED:
-        bd_core_returned(core, command->data, (int)command->n, command->status == 200);
+    case BD_EVENT_SCALE_IN_COMPLETED:
+        bd_core_returned(core, event->data, (int)event->n, event->status == 200);
         break;
     default:
         break;
     }
 }
 
-static void apply(struct bd_node *node, struct bd_cmd *command)
+static void apply(struct bd_node *node, struct bd_event *event)
 {
     struct bd_core *core = node->core;
-    switch (command->kind) {
-    case BD_C_SUBMIT:
-        bd_core_submit(core, command->request, command->text, command->len);
+    switch (event->kind) {
+    case BD_EVENT_USER_SUBMIT:
+        bd_core_submit(core, event->request, event->text, event->len);
         break;
-    case BD_C_GET:
-        bd_core_get(core, command->request, command->name);
+    case BD_EVENT_USER_STATUS:
+        bd_core_get(core, event->request, event->name);
         break;
-    case BD_C_CANCEL:
-        bd_core_cancel(core, command->request, command->name);
+    case BD_EVENT_USER_CANCEL:
+        bd_core_cancel(core, event->request, event->name);
         break;
-    case BD_C_USER_COMMITTED:
-        bd_core_user_committed(core, command->request, command->name, command->text, command->how,
-                               command->status, command->store_revision);
+    case BD_EVENT_USER_TXN_COMPLETED:
+        bd_core_user_committed(core, event->request, event->name, event->text, event->how,
+                               event->status, event->store_revision);
         break;
-    case BD_C_FOLLOWED:
-        followed(node, command);
+    case BD_EVENT_REPLICA_REFRESHED:
+        followed(node, event);
         break;
-    case BD_C_RELISTED:
-        relisted(node, command);
+    case BD_EVENT_REPLICA_LISTED:
+        relisted(node, event);
         break;
-    case BD_C_LEADER_IS:
+    case BD_EVENT_LEADER_OBSERVED:
         if (core->role == BD_FOLLOWER && !node->pending_gain)
-            bd_core_leader_is(core, command->name, command->number, command->sent, command->flag);
+            bd_core_leader_is(core, event->name, event->number, event->sent, event->flag);
         break;
-    case BD_C_LIVENESS_SENT:
-        bd_core_liveness_sent(core, command->sent);
+    case BD_EVENT_LIVENESS_SENT:
+        bd_core_liveness_sent(core, event->sent);
         break;
-    case BD_C_LIVENESS_WRITTEN:
-        bd_core_liveness_written(core, command->sent);
+    case BD_EVENT_LIVENESS_WRITTEN:
+        bd_core_liveness_written(core, event->sent);
         break;
-    case BD_C_RENEWED:
-        bd_core_renewed(core, command->number, command->sent);
+    case BD_EVENT_LEASE_RENEWED:
+        bd_core_renewed(core, event->number, event->sent);
         break;
-    case BD_C_LOST:
+    case BD_EVENT_LEADERSHIP_LOST:
         bd_core_lost(core);
         break;
-    case BD_C_KV_RATE_EXCEEDED:
+    case BD_EVENT_KV_RATE_EXCEEDED:
         bd_kv_rate_exceeded(core);
         break;
-    case BD_C_COMMITTED:
+    case BD_EVENT_LEADER_TXN_COMPLETED:
         /* an answer to an earlier term's transaction says nothing about ours */
         bd_metrics_time(node->metrics, BD_TIMING_COMMIT, bd_between(node->commit_sent, core->now));
-        if (command->term == core->lead.base_term && command->number == core->lead.sequence)
-            bd_core_committed(core, command->outcome, command->store_revision,
-                              bd_wire_failed(command->json));
+        if (event->term == core->lead.base_term && event->number == core->lead.sequence)
+            bd_core_committed(core, event->outcome, event->store_revision,
+                              bd_wire_failed(event->json));
         break;
     default:
-        worker_cmd(node, command);
+        apply_worker_event(node, event);
     }
 }
 
@@ -310,14 +309,14 @@
 /* A gained term takes effect once the replica is at least as new as the term itself. */
 static void gain(struct bd_node *node)
 {
-    struct bd_cmd *g = node->pending_gain;
+    struct bd_event *g = node->pending_gain;
     if (!g || !node->core->replica.ready || node->core->replica.store_revision < g->gain.term)
         return;
     node->pending_gain = NULL;
     g->gain.nonce = g->name;
     bd_core_gained(node->core, &g->gain);
     bd_metrics_time(node->metrics, BD_TIMING_TAKEOVER, bd_between(g->sent, bd_now()));
-    bd_cmd_free(g);
+    bd_event_free(g);
 }
 
 /* A tick of the core; if it planned a round, how long that took. */
@@ -358,23 +357,23 @@
     void *batch[BATCH];
     for (;;) {
         struct timespec until = bd_min(bd_core_next(node->core), node->next_status);
-        size_t got = bd_queue_take(&node->commands, batch, BATCH, until);
+        size_t got = bd_queue_take(&node->events, batch, BATCH, until);
         (void)clock_core(node);
         for (size_t i = 0; i < got; i++) {
-            struct bd_cmd *command = batch[i];
-            if (command->kind == BD_C_GAINED) {
-                node->pending_gain = command;
+            struct bd_event *event = batch[i];
+            if (event->kind == BD_EVENT_LEADERSHIP_ACQUIRED) {
+                node->pending_gain = event;
                 continue;
             }
-            if (command->kind == BD_C_LOST && node->pending_gain) {
-                bd_cmd_free(node->pending_gain);
+            if (event->kind == BD_EVENT_LEADERSHIP_LOST && node->pending_gain) {
+                bd_event_free(node->pending_gain);
                 node->pending_gain = NULL;
             }
-            if (!bd_is_zero(command->queued))
+            if (!bd_is_zero(event->queued))
                 bd_metrics_time(node->metrics, BD_TIMING_QUEUE,
-                                bd_between(command->queued, node->core->now));
-            apply(node, command);
-            bd_cmd_free(command);
+                                bd_between(event->queued, node->core->now));
+            apply(node, event);
+            bd_event_free(event);
         }
         gain(node);
         tick(node);
@@ -407,7 +406,7 @@
 
 static int start_parts(struct bd_node *node)
 {
-    if (bd_http_start() != 0 || bd_queue_init(&node->commands, QUEUE_CAP) != 0 ||
+    if (bd_http_start() != 0 || bd_queue_init(&node->events, QUEUE_CAP) != 0 ||
         bd_queue_init(&node->to_commit, 16) != 0 || bd_queue_init(&node->to_users, 64) != 0 ||
         bd_queue_init(&node->to_cloud, 64) != 0 || bd_queue_init(&node->reader_wake, 4) != 0)
         return -1;
--- a/tests/audit.c
+++ b/tests/audit.c
@@ -46,7 +46,7 @@
     check("another attempt begins a line",
           strstr(written(fd), "event=start job=job-1 attempt=77 task=0-2,5,7-8 machine=vm-1 "
                               "via=direct session=3 seq=9 seen=41 term=44\n") != NULL);
-    (void)bd_core_effects(core);
+    (void)bd_core_take_effects(core);
     check("what allowed an effect is written before it is taken",
           strstr(written(fd), "attempt=78 task=9 ") != NULL);
     for (uint32_t i = 0; i < 400; i += 2)
--- a/tests/direct_commands.c
+++ b/tests/direct_commands.c
@@ -65,13 +65,13 @@
     node->settings.max_sockets = 400;
     node->log = (struct bd_log){BD_ERROR, "node-0"};
     node->metrics = bd_metrics_new();
-    if (!node->metrics || bd_http_start() != 0 || bd_queue_init(&node->commands, 4096) != 0 ||
+    if (!node->metrics || bd_http_start() != 0 || bd_queue_init(&node->events, 4096) != 0 ||
         bd_worker_client_start(node) != 0)
         abort();
     return node;
 }
 
-static void command(struct bd_node *node, uint32_t number, int port, double right_s)
+static void event(struct bd_node *node, uint32_t number, int port, double right_s)
 {
     struct bd_effect *effect = calloc(1, sizeof *effect);
     if (!effect)
@@ -92,12 +92,12 @@
     int got = 0;
     while (got < most && bd_before(bd_now(), end)) {
         void *item;
-        if (bd_queue_take(&node->commands, &item, 1, end) == 0)
+        if (bd_queue_take(&node->events, &item, 1, end) == 0)
             continue;
-        struct bd_cmd *told = item;
+        struct bd_event *told = item;
         got++;
         *not_sent += told->status == BD_DIRECT_NOT_SENT;
-        bd_cmd_free(told);
+        bd_event_free(told);
     }
     return got;
 }
@@ -114,10 +114,10 @@
     int failed = 0, not_sent = 0;
     int port = listen_anywhere(&machine);
     struct bd_node *node = new_node();
-    if (port < 0 || bd_thread(never_answer, &machine, 131072) != 0)
+    if (port < 0 || bd_thread_start(never_answer, &machine, 131072) != 0)
         return 2;
     for (uint32_t i = 0; i < COMMANDS; i++)
-        command(node, i, port, RIGHT_S);
+        event(node, i, port, RIGHT_S);
     int got = outcomes(node, COMMANDS, &not_sent);
     int requests = atomic_load(&machine.requests);
     printf("%d outcomes, %d not sent, %d requests\n", got, not_sent, requests);
@@ -126,7 +126,7 @@
     failed += check("what is told as not sent was not sent", requests <= COMMANDS - not_sent);
     failed += check("what was sent in time was sent", requests > 0);
     not_sent = 0;
-    command(node, 0, port, -0.001);
+    event(node, 0, port, -0.001);
     failed += check("a right that is over already sends nothing",
                     outcomes(node, 1, &not_sent) == 1 && not_sent == 1 &&
                         atomic_load(&machine.requests) == requests);
--- a/tests/drain_profile.c
+++ b/tests/drain_profile.c
@@ -94,7 +94,7 @@
 /* Direct commands are carried out at once, and returned machines are gone. */
 static void answer_effects(struct fleet *f)
 {
-    struct bd_effect *e = bd_core_effects(f->core);
+    struct bd_effect *e = bd_core_take_effects(f->core);
     while (e) {
         struct bd_effect *next = e->next;
         struct bd_heartbeat r;
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -304,7 +304,7 @@
 
 static void perform(struct world *w, int n)
 {
-    struct bd_effect *e = bd_core_effects(w->c[n]);
+    struct bd_effect *e = bd_core_take_effects(w->c[n]);
     while (e) {
         struct bd_effect *next = e->next;
         if (e->kind == BD_E_REPLY && e->request)
@@ -322,7 +322,7 @@
         } else {
             bd_effect_free(e);
         }
-        e = next ? next : bd_core_effects(w->c[n]);
+        e = next ? next : bd_core_take_effects(w->c[n]);
     }
 }
 
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -71,7 +71,7 @@
 
 static void drop_effects(struct world *w)
 {
-    struct bd_effect *e = bd_core_effects(w->c);
+    struct bd_effect *e = bd_core_take_effects(w->c);
     while (e) {
         struct bd_effect *next = e->next;
         if (e->kind == BD_E_COMMIT)
@@ -304,7 +304,7 @@
     read_heartbeat(text, &r);
     bd_worker_heartbeat_received(w->c, NULL, &r, text, strlen(text));
     bd_wire_heartbeat_release(&r);
-    bd_effect_free(bd_core_effects(w->c));
+    bd_effect_free(bd_core_take_effects(w->c));
     CALLGRIND_TOGGLE_COLLECT;
     free(text);
 }
@@ -319,7 +319,7 @@
     CALLGRIND_TOGGLE_COLLECT;
     const struct bd_heartbeat *r = bd_heartbeat_cache_read(w->heartbeats, text, strlen(text));
     bd_worker_heartbeat_received(w->c, NULL, r, text, strlen(text));
-    bd_effect_free(bd_core_effects(w->c));
+    bd_effect_free(bd_core_take_effects(w->c));
     CALLGRIND_TOGGLE_COLLECT;
     free(text);
 }
@@ -340,7 +340,7 @@
     read_heartbeat(text, &r);
     bd_worker_heartbeat_forwarded(w->c, in.name, in.id, &r, text, in.len);
     bd_wire_heartbeat_release(&r);
-    bd_effect_free(bd_core_effects(w->c));
+    bd_effect_free(bd_core_take_effects(w->c));
     CALLGRIND_TOGGLE_COLLECT;
     free(text);
 }
@@ -370,7 +370,7 @@
              n + 5000);
     CALLGRIND_TOGGLE_COLLECT;
     bd_core_submit(w->c, NULL, body, strlen(body));
-    struct bd_effect *e = bd_core_effects(w->c);
+    struct bd_effect *e = bd_core_take_effects(w->c);
     if (!e || e->kind != BD_E_USER_COMMIT)
         abort();
     bd_core_user_committed(w->c, NULL, e->key, e->body, e->status, 200, ++w->revision);
@@ -623,7 +623,7 @@
         delegate_report(w, i);
     for (int tries = 0; tries < 4 && written < w->machines; tries++) {
         bd_core_tick(w->c);
-        struct bd_effect *e = bd_core_effects(w->c);
+        struct bd_effect *e = bd_core_take_effects(w->c);
         while (e) {
             struct bd_effect *next = e->next;
             if (e->kind == BD_E_DELEGATE)
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -107,7 +107,7 @@
     struct bd_effect **tail = &p->left;
     while (*tail)
         tail = &(*tail)->next;
-    *tail = bd_core_effects(p->c);
+    *tail = bd_core_take_effects(p->c);
     for (const struct bd_effect *e = *tail; p->digest && e; e = e->next)
         behaviour_digest_effect(p->digest, bd_to_secs(p->c->now), 0, e, 0);
 }
--- a/tests/scenario_drain.c
+++ b/tests/scenario_drain.c
@@ -227,7 +227,7 @@
     struct bd_effect **at = &p->left;
     while (*at)
         at = &(*at)->next;
-    *at = bd_core_effects(p->c);
+    *at = bd_core_take_effects(p->c);
     for (const struct bd_effect *e = *at; e; e = e->next) {
         struct bd_heartbeat r;
         struct bd_reported_task tasks[WORDS];
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -250,11 +250,11 @@
 {
     take_gain(s, n);
     bd_core_tick(n->core);
-    struct bd_effect *e = bd_core_effects(n->core);
+    struct bd_effect *e = bd_core_take_effects(n->core);
     while (e) {
         struct bd_effect *next = e->next;
         perform(s, n, e);
-        e = next ? next : bd_core_effects(n->core);
+        e = next ? next : bd_core_take_effects(n->core);
     }
     say_status(s, n);
 }
