--- a/cli/drain_command.c
+++ b/cli/drain_command.c
@@ -120,12 +120,12 @@
                 const char *tail, const char *body, json_t **out)
 {
     char url[URL_BYTES];
-    struct bd_reply reply;
+    struct bd_http_response reply;
     snprintf(url, sizeof url, "http://%s" PATH_DRAINS "%s", a->admin, tail);
     bd_http_call(http, method, url, body, ANSWER_S, &reply);
     long status = reply.status;
     *out = reply.body ? json_loadb(reply.body, reply.len, 0, NULL) : NULL;
-    bd_reply_drop(&reply);
+    bd_http_response_free(&reply);
     return status;
 }
 
--- a/src/adapters/cloud_client.c
+++ b/src/adapters/cloud_client.c
@@ -46,12 +46,12 @@
                 const char *body, json_t **out)
 {
     char url[256];
-    struct bd_reply r;
+    struct bd_http_response r;
     snprintf(url, sizeof url, "http://%s%s", node->settings.cloud, path);
     bd_http_call(http, method, url, body, ANSWER_S, &r);
     long status = r.status;
     *out = r.body ? json_loadb(r.body, r.len, 0, NULL) : NULL;
-    bd_reply_drop(&r);
+    bd_http_response_free(&r);
     return status;
 }
 
@@ -194,7 +194,7 @@
         void *item;
         if (bd_queue_take(&d->n->to_cloud, &item, 1, bd_add(bd_now(), bd_secs(0.2))) == 1) {
             struct bd_effect *effect = item;
-            if (effect->kind == BD_E_PROVISION)
+            if (effect->kind == BD_EFFECT_SCALE_OUT)
                 provision_machines(d, effect);
             else
                 do_return(d, effect);
--- a/src/adapters/kv_client.c
+++ b/src/adapters/kv_client.c
@@ -25,14 +25,14 @@
                 const char *body, double timeout_s, json_t **out)
 {
     char url[640];
-    struct bd_reply r;
+    struct bd_http_response r;
     snprintf(url, sizeof url, "http://%s%s", node->settings.kv_addr, path);
     bd_http_call(http, method, url, body, timeout_s, &r);
     long status = r.status;
     *out = r.body ? json_loadb(r.body, r.len, 0, NULL) : NULL;
     if (status == 200 && !*out && strcmp(method, "DELETE") != 0)
         status = 0; /* a malformed answer is no answer */
-    bd_reply_drop(&r);
+    bd_http_response_free(&r);
     return status;
 }
 
@@ -415,9 +415,9 @@
         if (bd_queue_take(&node->to_users, &item, 1, bd_add(bd_now(), bd_secs(5))) == 0)
             continue;
         struct bd_effect *effect = item;
-        if (effect->kind == BD_E_DELEGATE)
+        if (effect->kind == BD_EFFECT_DELEGATE_TXN)
             commit_delegate(node, http, effect);
-        else if (effect->kind == BD_E_LOOKUP)
+        else if (effect->kind == BD_EFFECT_JOB_LOOKUP)
             look_up(node, http, effect);
         else
             commit_user(node, http, effect);
--- a/src/adapters/worker_client.c
+++ b/src/adapters/worker_client.c
@@ -63,7 +63,7 @@
 static void send_command(struct sender *s, struct bd_http *http, struct bd_effect *effect)
 {
     char url[128];
-    struct bd_reply r;
+    struct bd_http_response r;
     struct bd_event *event = bd_event_new(BD_EVENT_DIRECT_COMMAND_COMPLETED);
     snprintf(url, sizeof url, "http://%s" BD_PATH_COMMANDS, effect->addr);
     if (bd_before(bd_now(), effect->until)) {
--- a/src/autoscaling/autoscaler.c
+++ b/src/autoscaling/autoscaler.c
@@ -421,7 +421,7 @@
     }
     if (n == 0)
         return;
-    struct bd_effect *effect = bd_emit(core, BD_E_RETURN);
+    struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_SCALE_IN);
     effect->body = bd_wire_return(names, n);
 }
 
--- a/src/autoscaling/provisioning.c
+++ b/src/autoscaling/provisioning.c
@@ -94,7 +94,7 @@
     r->spot = spot;
     r->count = count < PROVISION_MOST ? count : PROVISION_MOST;
     r->sent = core->now;
-    struct bd_effect *effect = bd_emit(core, BD_E_PROVISION);
+    struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_SCALE_OUT);
     snprintf(effect->key, sizeof effect->key, "%s", r->request);
     effect->body =
         bd_wire_provision(r->request, core->types[type].label, core->zones[zone], spot, r->count);
--- a/src/base/http.c
+++ b/src/base/http.c
@@ -26,7 +26,7 @@
 
 static size_t take(char *data, size_t size, size_t n, void *arg)
 {
-    struct bd_reply *r = arg;
+    struct bd_http_response *r = arg;
     size_t add = size * n;
     if (r->len + add > BODY_MAX)
         return 0;
@@ -73,7 +73,7 @@
     free(http);
 }
 
-static void count_call(struct bd_http *http, const struct bd_reply *r)
+static void count_call(struct bd_http *http, const struct bd_http_response *r)
 {
     long out = 0, connections = 0;
     if (!http->counter)
@@ -85,7 +85,7 @@
 }
 
 void bd_http_call(struct bd_http *http, const char *method, const char *url, const char *body,
-                  double timeout_s, struct bd_reply *out)
+                  double timeout_s, struct bd_http_response *out)
 {
     memset(out, 0, sizeof *out);
     long ms = (long)(timeout_s * 1000.0);
@@ -108,13 +108,13 @@
         curl_easy_getinfo(http->easy, CURLINFO_RESPONSE_CODE, &code);
     count_call(http, out);
     if (code == 0) {
-        bd_reply_drop(out);
+        bd_http_response_free(out);
         return;
     }
     out->status = code;
 }
 
-void bd_reply_drop(struct bd_reply *r)
+void bd_http_response_free(struct bd_http_response *r)
 {
     free(r->body);
     memset(r, 0, sizeof *r);
--- a/src/base/http.h
+++ b/src/base/http.h
@@ -6,9 +6,9 @@
 struct bd_http;
 struct bd_counter;
 
-struct bd_reply {
+struct bd_http_response {
     long status; /* 0: no answer, the request may or may not have been executed */
-    char *body;  /* always terminated, freed by bd_reply_drop */
+    char *body;  /* always terminated, freed by bd_http_response_free */
     size_t len;
 };
 
@@ -19,6 +19,6 @@
 void bd_http_free(struct bd_http *http);
 /* method GET, POST or DELETE; body may be NULL */
 void bd_http_call(struct bd_http *http, const char *method, const char *url, const char *body,
-                  double timeout_s, struct bd_reply *out);
-void bd_reply_drop(struct bd_reply *r);
+                  double timeout_s, struct bd_http_response *out);
+void bd_http_response_free(struct bd_http_response *r);
 #endif
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -115,7 +115,7 @@
     free(core);
 }
 
-struct bd_effect *bd_emit(struct bd_core *core, enum bd_effect_kind kind)
+struct bd_effect *bd_effect_emit(struct bd_core *core, enum bd_effect_kind kind)
 {
     struct bd_effect *e = calloc(1, sizeof *e);
     if (!e)
@@ -129,11 +129,12 @@
     return e;
 }
 
-void bd_reply(struct bd_core *core, void *request, int status, char *body, int retry_after)
+void bd_effect_reply(struct bd_core *core, void *request, int status, char *body, int retry_after)
 {
     struct bd_remote *q = request;
     bool remote = q && q->remote;
-    struct bd_effect *effect = bd_emit(core, remote ? BD_E_ANSWER : BD_E_REPLY);
+    struct bd_effect *effect =
+        bd_effect_emit(core, remote ? BD_EFFECT_FORWARD_REPLY : BD_EFFECT_REPLY);
     effect->request = remote ? NULL : request;
     if (remote) {
         effect->peer = q->peer;
@@ -145,11 +146,12 @@
     effect->retry_after = retry_after;
 }
 
-void bd_refuse(struct bd_core *core, void *request, int status, const char *why, int retry_after)
+void bd_effect_reply_error(struct bd_core *core, void *request, int status, const char *why,
+                           int retry_after)
 {
     char buf[160];
     snprintf(buf, sizeof buf, "{\"error\":\"%s\"}", why);
-    bd_reply(core, request, status, strdup(buf), retry_after);
+    bd_effect_reply(core, request, status, strdup(buf), retry_after);
 }
 
 struct bd_effect *bd_core_take_effects(struct bd_core *core)
@@ -166,7 +168,7 @@
     free(effect);
 }
 
-void bd_core_time(struct bd_core *core, struct timespec now, double wall)
+void bd_core_set_clock(struct bd_core *core, struct timespec now, double wall)
 {
     core->now = now;
     core->wall = wall;
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -94,7 +94,7 @@
 void bd_core_seed(struct bd_core *core, uint64_t seed);
 struct bd_effect *bd_core_take_effects(struct bd_core *core); /* takes the list */
 void bd_effect_free(struct bd_effect *effect);
-void bd_core_time(struct bd_core *core, struct timespec now, double wall);
+void bd_core_set_clock(struct bd_core *core, struct timespec now, double wall);
 
 /* users */
 void bd_core_submit(struct bd_core *core, void *request, const char *body, size_t len);
--- a/src/core/core_internal.h
+++ b/src/core/core_internal.h
@@ -90,8 +90,8 @@
     return spec->any_type || (spec->types >> type & 1);
 }
 
-struct bd_effect *bd_emit(struct bd_core *core, enum bd_effect_kind kind);
-void bd_reply(struct bd_core *core, void *request, int status, char *body, int retry_after);
+struct bd_effect *bd_effect_emit(struct bd_core *core, enum bd_effect_kind kind);
+void bd_effect_reply(struct bd_core *core, void *request, int status, char *body, int retry_after);
 int bd_intern(struct bd_names **table, const char *name);
 int bd_type_index(struct bd_core *core, const char *label);
 int bd_zone_find(const struct bd_core *core, const char *name); /* -1: not known */
@@ -103,7 +103,8 @@
 void bd_spec_resolve(struct bd_core *core, const struct bd_spec_text *t, struct bd_spec *spec);
 
 /* users */
-void bd_refuse(struct bd_core *core, void *request, int status, const char *why, int retry_after);
+void bd_effect_reply_error(struct bd_core *core, void *request, int status, const char *why,
+                           int retry_after);
 void bd_answer_state(struct bd_core *core, void *request, const struct bd_job *job);
 bool bd_reachable(const struct bd_core *core);
 struct bd_wait *bd_wait_barrier(struct bd_core *core, void *request, const char *id,
--- a/src/jobs/admission.c
+++ b/src/jobs/admission.c
@@ -75,7 +75,7 @@
 static void send_commit(struct bd_core *core, void *request, const char *id, char *body,
                         enum bd_wait_how how)
 {
-    struct bd_effect *effect = bd_emit(core, BD_E_USER_COMMIT);
+    struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_USER_TXN);
     effect->request = request;
     effect->status = (int)how;
     snprintf(effect->key, sizeof effect->key, "%s", id);
@@ -211,7 +211,8 @@
     if (body)
         send_commit(core, admission->request, admission->id, body, BD_WAIT_STATE);
     else
-        bd_refuse(core, admission->request, 400, "malformed: longer than can be kept", 0);
+        bd_effect_reply_error(core, admission->request, 400, "malformed: longer than can be kept",
+                              0);
 }
 
 /* ---- judging ---- */
@@ -253,7 +254,7 @@
 
 static void look_for(struct bd_core *core, struct bd_admission *admission, const char *name)
 {
-    struct bd_effect *effect = bd_emit(core, BD_E_LOOKUP);
+    struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_JOB_LOOKUP);
     effect->request = admission->request;
     effect->status = BD_WAIT_ACCEPT;
     snprintf(effect->key, sizeof effect->key, "%s", name);
@@ -279,15 +280,17 @@
         return;
     }
     if (refresh)
-        bd_refuse(core, admission->request, 503, "not ready", 1);
+        bd_effect_reply_error(core, admission->request, 503, "not ready", 1);
     else if (missing)
-        bd_refuse(core, admission->request, 422, "awaits a job that was never accepted", 0);
+        bd_effect_reply_error(core, admission->request, 422, "awaits a job that was never accepted",
+                              0);
     else if (never)
-        bd_refuse(core, admission->request, 422, "awaits a service, which is never done", 0);
+        bd_effect_reply_error(core, admission->request, 422,
+                              "awaits a service, which is never done", 0);
     /* an older controller that leads would start the job too early, and forget what it waits for */
     else if (admission->prerequisites && bd_older_heard(core, BD_PEER_DEPS))
-        bd_refuse(core, admission->request, 503, "an older controller serves beside this one",
-                  OUTAGE_RETRY_S);
+        bd_effect_reply_error(core, admission->request, 503,
+                              "an older controller serves beside this one", OUTAGE_RETRY_S);
     else {
         admission->record.state = cancelled ? BD_CANCELLED : BD_LIVE;
         accept_now(core, admission);
@@ -315,9 +318,9 @@
         return;
     }
     if (status == 404)
-        bd_refuse(core, request, 422, "awaits a job that was never accepted", 0);
+        bd_effect_reply_error(core, request, 422, "awaits a job that was never accepted", 0);
     else
-        bd_refuse(core, request, 503, "state service not reached", OUTAGE_RETRY_S);
+        bd_effect_reply_error(core, request, 503, "state service not reached", OUTAGE_RETRY_S);
     bd_admission_drop(admission);
 }
 
@@ -356,9 +359,9 @@
     } else if (bad) {
         char why[96];
         snprintf(why, sizeof why, "malformed: %s", bad);
-        bd_refuse(core, request, 400, why, 0);
+        bd_effect_reply_error(core, request, 400, why, 0);
     } else if (!core->types_known || !bd_reachable(core)) {
-        bd_refuse(core, request, 503, "not ready", OUTAGE_RETRY_S);
+        bd_effect_reply_error(core, request, 503, "not ready", OUTAGE_RETRY_S);
     } else {
         struct bd_admission *admission = new_admission(request, id, &r);
         admission->prerequisites = json_incref(prerequisites);
@@ -393,11 +396,11 @@
 {
     struct bd_job *job = bd_job_find(core, id);
     if (!job)
-        bd_refuse(core, request, 503, "not ready", 1);
+        bd_effect_reply_error(core, request, 503, "not ready", 1);
     else if (job->state == BD_LIVE)
-        bd_reply(core, request, 201, bd_wire_accepted(id), 0);
+        bd_effect_reply(core, request, 201, bd_wire_accepted(id), 0);
     else if (how == BD_WAIT_STATE && job->state == BD_CANCELLED) /* with a job that it needs */
-        bd_reply(core, request, 201, bd_wire_state(id, "cancelled", 0, 0), 0);
+        bd_effect_reply(core, request, 201, bd_wire_state(id, "cancelled", 0, 0), 0);
     else
         bd_answer_state(core, request, job);
 }
@@ -408,7 +411,7 @@
     if (status == 200) {
         take_writes(core, body, store_revision);
         if (how == BD_WAIT_CANCEL) {
-            struct bd_effect *effect = bd_emit(core, BD_E_CANCELLED);
+            struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_ANNOUNCE_CANCELLATION);
             snprintf(effect->key, sizeof effect->key, "%s", id);
         }
         bd_audit_note(core, "confirm", "job=%s state=%s revision=%llu by=commit", id,
@@ -420,6 +423,6 @@
     } else {
         if (status == 400) /* the next try is in smaller pieces */
             (void)bd_kv_limits_rejected(core, id);
-        bd_refuse(core, request, 503, "state service not reached", 1);
+        bd_effect_reply_error(core, request, 503, "state service not reached", 1);
     }
 }
--- a/src/jobs/dependency_graph.c
+++ b/src/jobs/dependency_graph.c
@@ -348,7 +348,7 @@
              bd_between(prerequisite->asked_at, core->now) < UNSEEN_S * UNSEEN_MOST))
             continue;
         prerequisite->asked_at = core->now;
-        struct bd_effect *effect = bd_emit(core, BD_E_LOOKUP);
+        struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_JOB_LOOKUP);
         effect->status = BD_WAIT_PREREQUISITE;
         snprintf(effect->key, sizeof effect->key, "%s", prerequisite->id);
         asked++;
--- a/src/jobs/replica.c
+++ b/src/jobs/replica.c
@@ -116,16 +116,16 @@
 static void answer_none(struct bd_core *core, void *request, enum bd_wait_how how)
 {
     if (how == BD_WAIT_BAD)
-        bd_refuse(core, request, 400, "malformed", 0);
+        bd_effect_reply_error(core, request, 400, "malformed", 0);
     else if (how == BD_WAIT_NEVER)
-        bd_refuse(core, request, 422, "can never run", 0);
+        bd_effect_reply_error(core, request, 422, "can never run", 0);
     else
-        bd_refuse(core, request, 404, "no such job", 0);
+        bd_effect_reply_error(core, request, 404, "no such job", 0);
 }
 
 static void look_up(struct bd_core *core, const struct bd_wait *w)
 {
-    struct bd_effect *effect = bd_emit(core, BD_E_LOOKUP);
+    struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_JOB_LOOKUP);
     effect->request = w->request;
     effect->status = (int)w->how;
     snprintf(effect->key, sizeof effect->key, "%s", w->id);
@@ -167,7 +167,7 @@
     else if (status == 404)
         answer_none(core, request, w.how);
     else
-        bd_refuse(core, request, 503, "state service not reached", OUTAGE_RETRY_S);
+        bd_effect_reply_error(core, request, 503, "state service not reached", OUTAGE_RETRY_S);
 }
 
 /* ---- final records in memory ---- */
@@ -242,7 +242,8 @@
         else
             bd_admission_drop(w->accept);
         if (!ok)
-            bd_refuse(core, w->request, 503, "state service not reached", OUTAGE_RETRY_S);
+            bd_effect_reply_error(core, w->request, 503, "state service not reached",
+                                  OUTAGE_RETRY_S);
         free(w);
         w = next;
     }
--- a/src/jobs/user_requests.c
+++ b/src/jobs/user_requests.c
@@ -22,7 +22,7 @@
         run = 0;
     if (job->state == BD_DONE)
         done = job->ntasks;
-    bd_reply(core, request, 200, bd_wire_state(job->id, state, done, run), 0);
+    bd_effect_reply(core, request, 200, bd_wire_state(job->id, state, done, run), 0);
 }
 
 /* Whether the state service answered lately: without it nothing can be accepted, and the user is
@@ -38,9 +38,9 @@
     if (job && job->state != BD_LIVE)
         bd_answer_state(core, request, job);
     else if (!bd_wire_job_id(id) || strlen(id) >= BD_ID - 1)
-        bd_refuse(core, request, 404, "no such job", 0);
+        bd_effect_reply_error(core, request, 404, "no such job", 0);
     else if (!bd_reachable(core))
-        bd_refuse(core, request, 503, "state service not reached", OUTAGE_RETRY_S);
+        bd_effect_reply_error(core, request, 503, "state service not reached", OUTAGE_RETRY_S);
     else
         bd_wait_barrier(core, request, id, BD_WAIT_STATE);
 }
@@ -62,9 +62,9 @@
     if (job && job->state != BD_LIVE) {
         bd_answer_state(core, request, job);
     } else if (!bd_wire_job_id(id) || strlen(id) >= BD_ID - 1) {
-        bd_refuse(core, request, 404, "no such job", 0);
+        bd_effect_reply_error(core, request, 404, "no such job", 0);
     } else if (!bd_reachable(core)) {
-        bd_refuse(core, request, 503, "state service not reached", OUTAGE_RETRY_S);
+        bd_effect_reply_error(core, request, 503, "state service not reached", OUTAGE_RETRY_S);
     } else if (job) {
         bd_user_commit(core, request, id, job->revision, bd_cancelled_record(job), BD_WAIT_CANCEL);
     } else { /* perhaps accepted by another node a moment ago */
--- a/src/leadership/commit.c
+++ b/src/leadership/commit.c
@@ -350,7 +350,7 @@
                          (json_int_t)core->lead.sequence),
                0);
     core->lead.write_budget -= (double)(b.ops + 1);
-    struct bd_effect *effect = bd_emit(core, BD_E_COMMIT);
+    struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_LEADER_TXN);
     effect->body = bd_txn_finish(&b.t);
     effect->sequence = core->lead.sequence;
     snprintf(effect->key, sizeof effect->key, "%llu", (unsigned long long)core->lead.base_term);
--- a/src/leadership/leadership.c
+++ b/src/leadership/leadership.c
@@ -122,7 +122,7 @@
     bd_say(core->log, BD_INFO,
            "the records cannot be read here, but elsewhere: gives up the lease");
     bd_core_lost(core);
-    core->last->status = BD_LOST_GIVEN_UP;
+    core->last->status = BD_STEP_DOWN_RESIGNED;
 }
 
 void bd_core_lost(struct bd_core *core)
@@ -162,7 +162,7 @@
     memset(core->cloud.pools, 0, sizeof core->cloud.pools);
     memset(core->cloud.direct, 0, sizeof core->cloud.direct);
     core->delegates.count = 0;
-    (void)bd_emit(core, BD_E_LOST);
+    (void)bd_effect_emit(core, BD_EFFECT_STEP_DOWN);
 }
 
 void bd_core_renewed(struct bd_core *core, uint64_t grant, struct timespec sent)
--- a/src/model/effect.h
+++ b/src/model/effect.h
@@ -12,22 +12,25 @@
 };
 
 enum bd_effect_kind {
-    BD_E_REPLY,
-    BD_E_USER_COMMIT,
-    BD_E_COMMIT,
-    BD_E_DO,
-    BD_E_PROVISION,
-    BD_E_RETURN,
-    BD_E_BARRIER,
-    BD_E_LOST, /* the term is over; status: BD_LOST_... */
-    BD_E_DELEGATE,
-    BD_E_LOOKUP,   /* one job's record: request, key is the id, status is how it was asked */
-    BD_E_FORWARD,  /* a report to the leader */
-    BD_E_ANSWER,   /* the answer to a forwarded one */
-    BD_E_CANCELLED /* a cancellation was confirmed: key is the job's id */
+    BD_EFFECT_REPLY,
+    BD_EFFECT_USER_TXN,
+    BD_EFFECT_LEADER_TXN,
+    BD_EFFECT_DIRECT_COMMAND,
+    BD_EFFECT_SCALE_OUT,
+    BD_EFFECT_SCALE_IN,
+    BD_EFFECT_READ_BARRIER,
+    BD_EFFECT_STEP_DOWN, /* the term is over; status: BD_LOST_... */
+    BD_EFFECT_DELEGATE_TXN,
+    BD_EFFECT_JOB_LOOKUP, /* one job's record: request, key is the id, status is how it was asked */
+    BD_EFFECT_FORWARD_HEARTBEAT,    /* a report to the leader */
+    BD_EFFECT_FORWARD_REPLY,        /* the answer to a forwarded one */
+    BD_EFFECT_ANNOUNCE_CANCELLATION /* a cancellation was confirmed: key is the job's id */
 };
 
-enum { BD_LOST_TAKEN, BD_LOST_GIVEN_UP }; /* given up: the grant still lives and is to be ended */
+enum {
+    BD_STEP_DOWN_LEASE_LOST,
+    BD_STEP_DOWN_RESIGNED
+}; /* given up: the grant still lives and is to be ended */
 
 /* Instead of a direct command's HTTP status: it was still in our own queue when the right to it was
  * over, and was not sent. Nothing of it is on its way. */
--- a/src/runtime/effect_dispatch.c
+++ b/src/runtime/effect_dispatch.c
@@ -23,7 +23,7 @@
 static void pass_on(struct bd_node *node, const struct bd_effect *effect)
 {
     struct bd_frame f;
-    f.type = effect->kind == BD_E_FORWARD ? BD_FRAME_HEARTBEAT : BD_FRAME_ANSWER;
+    f.type = effect->kind == BD_EFFECT_FORWARD_HEARTBEAT ? BD_FRAME_HEARTBEAT : BD_FRAME_ANSWER;
     snprintf(f.name, sizeof f.name, "%s", node->settings.node);
     f.id = effect->forward_id;
     f.status = (uint16_t)effect->status;
@@ -50,47 +50,47 @@
 static void perform(struct bd_node *node, struct bd_effect *effect)
 {
     switch (effect->kind) {
-    case BD_E_REPLY:
+    case BD_EFFECT_REPLY:
         bd_api_reply(node, effect->request, effect->status, effect->body, effect->retry_after);
         effect->body = NULL;
         break;
-    case BD_E_BARRIER:
+    case BD_EFFECT_READ_BARRIER:
         atomic_store(&node->want_barrier, true);
         (void)bd_queue_put(&node->reader_wake, node);
         break;
-    case BD_E_CANCELLED:
+    case BD_EFFECT_ANNOUNCE_CANCELLATION:
         tell_cancelled(node, effect->key);
         break;
-    case BD_E_LOST:
-        atomic_store(&node->give_up, effect->status == BD_LOST_GIVEN_UP);
+    case BD_EFFECT_STEP_DOWN:
+        atomic_store(&node->give_up, effect->status == BD_STEP_DOWN_RESIGNED);
         atomic_store(&node->step_down, true);
         break;
-    case BD_E_FORWARD:
-    case BD_E_ANSWER:
+    case BD_EFFECT_FORWARD_HEARTBEAT:
+    case BD_EFFECT_FORWARD_REPLY:
         pass_on(node, effect);
         break;
-    case BD_E_DELEGATE:
+    case BD_EFFECT_DELEGATE_TXN:
         give(node, &node->to_users, effect);
         return;
-    case BD_E_LOOKUP:
+    case BD_EFFECT_JOB_LOOKUP:
         if (bd_queue_put(&node->to_users, effect))
             return;
         bd_core_looked_up(node->core, effect->request, effect->key, effect->status, 0, NULL);
         break;
-    case BD_E_USER_COMMIT:
+    case BD_EFFECT_USER_TXN:
         if (bd_queue_put(&node->to_users, effect))
             return;
         bd_api_reply(node, effect->request, 503, strdup("{\"error\":\"busy\"}"), 1);
         break;
-    case BD_E_COMMIT:
+    case BD_EFFECT_LEADER_TXN:
         node->commit_sent = node->core->now;
         give(node, &node->to_commit, effect);
         return;
-    case BD_E_DO:
+    case BD_EFFECT_DIRECT_COMMAND:
         bd_worker_client_send(node, effect);
         return;
-    case BD_E_PROVISION:
-    case BD_E_RETURN:
+    case BD_EFFECT_SCALE_OUT:
+    case BD_EFFECT_SCALE_IN:
         give(node, &node->to_cloud, effect);
         return;
     }
@@ -103,8 +103,9 @@
     struct bd_effect *effect = bd_core_take_effects(node->core);
     while (effect) {
         struct bd_effect *next = effect->next;
-        sends = sends || effect->kind == BD_E_FORWARD || effect->kind == BD_E_ANSWER ||
-                effect->kind == BD_E_CANCELLED;
+        sends = sends || effect->kind == BD_EFFECT_FORWARD_HEARTBEAT ||
+                effect->kind == BD_EFFECT_FORWARD_REPLY ||
+                effect->kind == BD_EFFECT_ANNOUNCE_CANCELLATION;
         perform(node, effect);
         effect =
             next ? next
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -333,7 +333,7 @@
 {
     struct timespec wall = {0, 0}, now = bd_now();
     (void)clock_gettime(CLOCK_REALTIME, &wall);
-    bd_core_time(node->core, now, bd_to_secs(wall));
+    bd_core_set_clock(node->core, now, bd_to_secs(wall));
     return now;
 }
 
--- a/src/scheduling/cycle.c
+++ b/src/scheduling/cycle.c
@@ -121,7 +121,7 @@
         core->replica.asked = core->replica.waiting;
         core->replica.waiting = NULL;
         core->replica.barrier_out = true;
-        (void)bd_emit(core, BD_E_BARRIER);
+        (void)bd_effect_emit(core, BD_EFFECT_READ_BARRIER);
     }
     bd_core_yield(core);
     bd_deps_tick(core);
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -112,7 +112,8 @@
                       struct bd_order_list *orders, uint64_t fencing_token)
 {
     halt_cancelled(core, heartbeat, orders);
-    bd_reply(core, request, 200, bd_wire_orders(fencing_token, 0, orders->items, orders->count), 0);
+    bd_effect_reply(core, request, 200,
+                    bd_wire_orders(fencing_token, 0, orders->items, orders->count), 0);
 }
 
 /* Whether the zone's machines do not answer directly, as when it is cut off from us: each try would
@@ -139,7 +140,7 @@
     bool launch = add_launches(core, machine, &orders, true);
     if (orders.count == 0)
         return;
-    struct bd_effect *effect = bd_emit(core, BD_E_DO);
+    struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_DIRECT_COMMAND);
     effect->machine = machine->index;
     effect->fencing_token = core->lead.term;
     effect->launch = launch;
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -207,7 +207,7 @@
     struct bd_delegate *delegate = &core->delegate;
     struct bd_txn t;
     char key[BD_LABEL];
-    struct bd_effect *effect = bd_emit(core, BD_E_DELEGATE);
+    struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_DELEGATE_TXN);
     key_of(core, key, sizeof key);
     snprintf(effect->key, sizeof effect->key, "%s", key);
     delegate->busy = true;
@@ -287,7 +287,7 @@
             answer(core, w->request, w->heartbeat, ready ? core->delegate.term : core->last_term,
                    ready ? k : NULL);
         else
-            bd_reply(core, w->request, 421, bd_wire_redirect(""), 0);
+            bd_effect_reply(core, w->request, 421, bd_wire_redirect(""), 0);
         bd_heartbeat_free(w->heartbeat);
         free(w);
         w = next;
--- a/src/workers/forwarding.c
+++ b/src/workers/forwarding.c
@@ -91,7 +91,7 @@
     bool other = other_leads(core);
     if (other)
         remember_away(core, heartbeat->machine);
-    bd_reply(core, request, 421, bd_wire_redirect(other ? core->leader_name : ""), 0);
+    bd_effect_reply(core, request, 421, bd_wire_redirect(other ? core->leader_name : ""), 0);
 }
 
 /* Whether no controller of some other zone is heard: that zone is likely cut off from ours. */
@@ -187,7 +187,7 @@
     f->until = bd_add(core->now, bd_secs(ANSWER_S));
     f->next = core->forwarding.waiting;
     core->forwarding.waiting = f;
-    struct bd_effect *effect = bd_emit(core, BD_E_FORWARD);
+    struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_FORWARD_HEARTBEAT);
     effect->peer = peer;
     effect->forward_id = f->id;
     effect->body = strndup(body, len);
@@ -232,7 +232,7 @@
 {
     const struct bd_remote *q = forward->request;
     if (q && q->remote) { /* its own controller decides what becomes of it */
-        bd_reply(core, forward->request, 421, bd_wire_redirect(""), 0);
+        bd_effect_reply(core, forward->request, 421, bd_wire_redirect(""), 0);
         return;
     }
     if (core->role == BD_FOLLOWER &&
@@ -252,7 +252,7 @@
         return; /* too late: the worker was answered otherwise */
     *at = forward->next;
     if (status == 200 && body)
-        bd_reply(core, forward->request, 200, strndup(body, len), 0);
+        bd_effect_reply(core, forward->request, 200, strndup(body, len), 0);
     else
         fall_back(core, forward);
     drop(forward);
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -367,18 +367,18 @@
         core->lead.term) { /* it would drop our answer and stay here until its lease is over */
         if (!bd_core_valid(core))
             bd_core_lost(core);
-        bd_reply(core, request, 421, bd_wire_redirect(""), 0);
+        bd_effect_reply(core, request, 421, bd_wire_redirect(""), 0);
         return;
     }
     machine = bd_machine_get(core, heartbeat->machine);
     /* a copy is no sign of life: nothing is learnt from it, and no lease renewed */
     if (is_copy(machine, heartbeat)) {
-        bd_reply(core, request, 503, bd_wire_redirect(""), 0);
+        bd_effect_reply(core, request, 503, bd_wire_redirect(""), 0);
         return;
     }
     int peer = direct ? bd_forward_redirect(core, machine, heartbeat) : -1;
     if (peer >= 0) {
-        bd_reply(core, request, 421, bd_wire_redirect(core->settings->peers[peer].name), 0);
+        bd_effect_reply(core, request, 421, bd_wire_redirect(core->settings->peers[peer].name), 0);
         return;
     }
     if (direct && machine->delegated)
@@ -427,7 +427,7 @@
         if (bd_core_may_answer(core))
             leader_heartbeat(core, q, heartbeat, i);
         else if (!bd_forward_relay(core, q, heartbeat, body, len))
-            bd_reply(core, q, 421, bd_wire_redirect(""), 0);
+            bd_effect_reply(core, q, 421, bd_wire_redirect(""), 0);
     }
 }
 
--- a/tests/audit.c
+++ b/tests/audit.c
@@ -60,16 +60,16 @@
 
 static void rate(struct bd_core *core, struct timespec now, int fd)
 {
-    bd_core_time(core, bd_add(now, bd_secs(100)), 1100);
+    bd_core_set_clock(core, bd_add(now, bd_secs(100)), 1100);
     for (int i = 0; i < 5000; i++)
         bd_audit_note(core, "answer", "n=%d", i);
     check("no more lines at once than the bound", lines_with(written(fd), "event=answer") == 400);
-    bd_core_time(core, bd_add(now, bd_secs(100.5)), 1100.5);
+    bd_core_set_clock(core, bd_add(now, bd_secs(100.5)), 1100.5);
     bd_audit_note(core, "answer", "n=early");
     check("after that, no line before a second's are free", *written(fd) == '\0');
     bd_audit_term(core, "lead", "term=7");
     check("who leads is always written", strstr(written(fd), "event=lead term=7\n") != NULL);
-    bd_core_time(core, bd_add(now, bd_secs(101.1)), 1101.1);
+    bd_core_set_clock(core, bd_add(now, bd_secs(101.1)), 1101.1);
     bd_audit_note(core, "answer", "n=last");
     check("how many were left out is said",
           strstr(written(fd), "event=suppressed lines=4601\n") != NULL);
@@ -88,7 +88,7 @@
     if (!core)
         return 2;
     struct timespec now = bd_secs(1000);
-    bd_core_time(core, now, 1000);
+    bd_core_set_clock(core, now, 1000);
     core->lead.term = 44;
     struct bd_job job = {.id = "job-1"};
     struct bd_machine machine = {.id = "vm-1", .incarnation = 3, .seq = 9, .fencing_token = 41};
--- a/tests/behaviour_digest.c
+++ b/tests/behaviour_digest.c
@@ -50,31 +50,31 @@
 static const char *kind_name(enum bd_effect_kind kind)
 {
     switch (kind) {
-    case BD_E_REPLY:
+    case BD_EFFECT_REPLY:
         return "reply";
-    case BD_E_USER_COMMIT:
+    case BD_EFFECT_USER_TXN:
         return "user-commit";
-    case BD_E_COMMIT:
+    case BD_EFFECT_LEADER_TXN:
         return "leader-commit";
-    case BD_E_DO:
+    case BD_EFFECT_DIRECT_COMMAND:
         return "command";
-    case BD_E_PROVISION:
+    case BD_EFFECT_SCALE_OUT:
         return "provision";
-    case BD_E_RETURN:
+    case BD_EFFECT_SCALE_IN:
         return "return";
-    case BD_E_BARRIER:
+    case BD_EFFECT_READ_BARRIER:
         return "barrier";
-    case BD_E_LOST:
+    case BD_EFFECT_STEP_DOWN:
         return "step-down";
-    case BD_E_DELEGATE:
+    case BD_EFFECT_DELEGATE_TXN:
         return "delegate-commit";
-    case BD_E_LOOKUP:
+    case BD_EFFECT_JOB_LOOKUP:
         return "lookup";
-    case BD_E_FORWARD:
+    case BD_EFFECT_FORWARD_HEARTBEAT:
         return "forward";
-    case BD_E_ANSWER:
+    case BD_EFFECT_FORWARD_REPLY:
         return "forward-reply";
-    case BD_E_CANCELLED:
+    case BD_EFFECT_ANNOUNCE_CANCELLATION:
         return "cancelled";
     }
     abort();
@@ -83,7 +83,7 @@
 /* How a request was asked is internal to the core, so it is not a part of the step. */
 static bool status_is_visible(enum bd_effect_kind kind)
 {
-    return kind != BD_E_USER_COMMIT && kind != BD_E_LOOKUP;
+    return kind != BD_EFFECT_USER_TXN && kind != BD_EFFECT_JOB_LOOKUP;
 }
 
 void behaviour_digest_effect(struct behaviour_digest *digest, double at, int controller,
--- a/tests/direct_commands.c
+++ b/tests/direct_commands.c
@@ -76,7 +76,7 @@
     struct bd_effect *effect = calloc(1, sizeof *effect);
     if (!effect)
         abort();
-    effect->kind = BD_E_DO;
+    effect->kind = BD_EFFECT_DIRECT_COMMAND;
     effect->machine = number;
     effect->launch = true;
     effect->until = bd_add(bd_now(), bd_secs(right_s));
--- a/tests/drain_profile.c
+++ b/tests/drain_profile.c
@@ -41,7 +41,7 @@
 static void at(struct fleet *f, double now)
 {
     f->now = now;
-    bd_core_time(f->core, bd_secs(100 + now), 1000 + now);
+    bd_core_set_clock(f->core, bd_secs(100 + now), 1000 + now);
 }
 
 static void fill(struct fleet *f, uint32_t i, struct bd_heartbeat *r,
@@ -99,10 +99,10 @@
         struct bd_effect *next = e->next;
         struct bd_heartbeat r;
         struct bd_reported_task tasks[128];
-        if (e->kind == BD_E_DO) {
+        if (e->kind == BD_EFFECT_DIRECT_COMMAND) {
             fill(f, (uint32_t)atoi(f->core->by_index[e->machine]->id + 3), &r, tasks);
             bd_core_did(f->core, e->machine, e->fencing_token, e->launch, 200, &r);
-        } else if (e->kind == BD_E_RETURN) {
+        } else if (e->kind == BD_EFFECT_SCALE_IN) {
             json_t *o = json_loads(e->body, 0, NULL);
             char names[128][BD_LABEL];
             bd_core_returned(f->core, names, bd_wire_machine_names(o, names, 128), true);
--- a/tests/fake_server.c
+++ b/tests/fake_server.c
@@ -578,7 +578,7 @@
         pthread_mutex_unlock(&k->w->lock);
         char *text = json_dumps(o, JSON_COMPACT), url[96];
         json_decref(o);
-        struct bd_reply r = {0};
+        struct bd_http_response r = {0};
         snprintf(url, sizeof url, "http://%s/checkin", k->w->nodes[at]);
         if (!stop && !dead)
             bd_http_call(h, "POST", url, text, 2, &r);
@@ -594,7 +594,7 @@
             at = named >= 0 ? named : (at + 1) % k->w->nnodes;
         pthread_mutex_unlock(&k->w->lock);
         json_decref(in);
-        bd_reply_drop(&r);
+        bd_http_response_free(&r);
         if (stop)
             break;
         bd_pause(0.2);
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -307,17 +307,17 @@
     struct bd_effect *e = bd_core_take_effects(w->c[n]);
     while (e) {
         struct bd_effect *next = e->next;
-        if (e->kind == BD_E_REPLY && e->request)
+        if (e->kind == BD_EFFECT_REPLY && e->request)
             answered(w, e->request, e->status, e->body);
-        else if (e->kind == BD_E_USER_COMMIT)
+        else if (e->kind == BD_EFFECT_USER_TXN)
             user_commit(w, n, e);
-        else if (e->kind == BD_E_DO)
+        else if (e->kind == BD_EFFECT_DIRECT_COMMAND)
             direct(w, n, e);
-        else if (e->kind == BD_E_BARRIER)
+        else if (e->kind == BD_EFFECT_READ_BARRIER)
             refresh(w, n, dice(w, 10) != 0);
-        else if (e->kind == BD_E_REPLY && e->status == 200)
+        else if (e->kind == BD_EFFECT_REPLY && e->status == 200)
             orders(w, e->body);
-        if (e->kind == BD_E_COMMIT) {
+        if (e->kind == BD_EFFECT_LEADER_TXN) {
             w->commit[n] = e;
         } else {
             bd_effect_free(e);
@@ -347,7 +347,7 @@
 {
     for (int n = 0; n < NODES; n++)
         if (w->c[n])
-            bd_core_time(w->c[n], bd_secs(100 + w->now), 1000 + w->now);
+            bd_core_set_clock(w->c[n], bd_secs(100 + w->now), 1000 + w->now);
 }
 
 static void settle(struct world *w)
@@ -643,7 +643,7 @@
     int faults = 0;
     settings(&s, 0);
     struct bd_core *c = bd_core_new(&s, &log);
-    bd_core_time(c, bd_secs(100), 1000);
+    bd_core_set_clock(c, bd_secs(100), 1000);
     for (int n = MANY - 1; n >= 0; n--)
         record(c, n, "live", n - 1, 1);
     for (int n = 1; n < MANY; n++)
--- a/tests/loopback_drain.c
+++ b/tests/loopback_drain.c
@@ -78,14 +78,14 @@
                       const char *body, char *out, size_t cap)
 {
     char url[160];
-    struct bd_reply r;
+    struct bd_http_response r;
     snprintf(url, sizeof url, "http://127.0.0.1:%d/admin/v1/drains%s", t->base + ADMIN_PORT + node,
              path);
     bd_http_call(t->h, method, url, body, 15, &r);
     if (out)
         snprintf(out, cap, "%s", r.body ? r.body : "");
     long status = r.status;
-    bd_reply_drop(&r);
+    bd_http_response_free(&r);
     return status;
 }
 
--- a/tests/loopback_nodes.c
+++ b/tests/loopback_nodes.c
@@ -93,13 +93,13 @@
                char *out, size_t cap)
 {
     char url[160];
-    struct bd_reply r;
+    struct bd_http_response r;
     snprintf(url, sizeof url, "http://%s%s", t->addr[node], path);
     bd_http_call(t->h, method, url, body, 5, &r);
     if (out)
         snprintf(out, cap, "%s", r.body ? r.body : "");
     long status = r.status;
-    bd_reply_drop(&r);
+    bd_http_response_free(&r);
     return status;
 }
 
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -74,9 +74,9 @@
     struct bd_effect *e = bd_core_take_effects(w->c);
     while (e) {
         struct bd_effect *next = e->next;
-        if (e->kind == BD_E_COMMIT)
+        if (e->kind == BD_EFFECT_LEADER_TXN)
             check_commit(w, e->body);
-        w->commands += e->kind == BD_E_DO;
+        w->commands += e->kind == BD_EFFECT_DIRECT_COMMAND;
         bd_effect_free(e);
         e = next;
     }
@@ -123,7 +123,7 @@
 static void at(struct world *w, double now)
 {
     w->now = now;
-    bd_core_time(w->c, bd_secs(100 + now), 1000 + now);
+    bd_core_set_clock(w->c, bd_secs(100 + now), 1000 + now);
 }
 
 static void job(struct world *w, int n, enum bd_shape shape, uint32_t tasks, double cpus,
@@ -371,7 +371,7 @@
     CALLGRIND_TOGGLE_COLLECT;
     bd_core_submit(w->c, NULL, body, strlen(body));
     struct bd_effect *e = bd_core_take_effects(w->c);
-    if (!e || e->kind != BD_E_USER_COMMIT)
+    if (!e || e->kind != BD_EFFECT_USER_TXN)
         abort();
     bd_core_user_committed(w->c, NULL, e->key, e->body, e->status, 200, ++w->revision);
     bd_effect_free(e);
@@ -626,7 +626,7 @@
         struct bd_effect *e = bd_core_take_effects(w->c);
         while (e) {
             struct bd_effect *next = e->next;
-            if (e->kind == BD_E_DELEGATE)
+            if (e->kind == BD_EFFECT_DELEGATE_TXN)
                 written = delegate_wrote(w, e, written);
             bd_effect_free(e);
             e = next;
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -99,7 +99,7 @@
     p->c = bd_core_new(&p->settings, &p->log);
     if (!p->c)
         abort();
-    bd_core_time(p->c, bd_secs(100), 1000);
+    bd_core_set_clock(p->c, bd_secs(100), 1000);
 }
 
 static void collect(struct play *p)
@@ -524,7 +524,7 @@
     for (bool more = true; more;) {
         at = at + 2 < to ? at + 2 : to;
         more = at < to;
-        bd_core_time(p->c, bd_secs(100 + at), 1000 + at);
+        bd_core_set_clock(p->c, bd_secs(100 + at), 1000 + at);
         bd_core_renewed(p->c, 7, p->c->now);
         bd_core_delegates(p->c, pairs, p->c->now);
         bd_core_tick(p->c);
@@ -538,10 +538,10 @@
     double to = strtod(p->w[1], NULL), at = bd_to_secs(p->c->now) - 100;
     json_t *none = json_array();
     for (at += 2; at < to; at += 2) {
-        bd_core_time(p->c, bd_secs(100 + at), 1000 + at);
+        bd_core_set_clock(p->c, bd_secs(100 + at), 1000 + at);
         bd_core_delegates(p->c, none, p->c->now);
     }
-    bd_core_time(p->c, bd_secs(100 + to), 1000 + to);
+    bd_core_set_clock(p->c, bd_secs(100 + to), 1000 + to);
     bd_core_delegates(p->c, none, p->c->now);
     json_decref(none);
 }
@@ -572,7 +572,7 @@
 static void cmd_usercommitted(struct play *p)
 {
     struct bd_effect **at = &p->left;
-    while (*at && (*at)->kind != BD_E_USER_COMMIT)
+    while (*at && (*at)->kind != BD_EFFECT_USER_TXN)
         at = &(*at)->next;
     struct bd_effect *e = *at;
     if (!e) {
@@ -714,7 +714,7 @@
 static void cmd_at(struct play *p)
 {
     double s = strtod(p->w[1], NULL);
-    bd_core_time(p->c, bd_secs(100 + s), 1000 + s);
+    bd_core_set_clock(p->c, bd_secs(100 + s), 1000 + s);
 }
 
 static void cmd_returned(struct play *p)
--- a/tests/scenario_drain.c
+++ b/tests/scenario_drain.c
@@ -231,12 +231,12 @@
     for (const struct bd_effect *e = *at; e; e = e->next) {
         struct bd_heartbeat r;
         struct bd_reported_task tasks[WORDS];
-        if (e->kind == BD_E_DO) {
+        if (e->kind == BD_EFFECT_DIRECT_COMMAND) {
             const char *id = p->c->by_index[e->machine]->id, *mute = play_arg(p, "mute");
             bool answers = !mute || strcmp(mute, id) != 0;
             fill_running(p, id, &r, tasks);
             bd_core_did(p->c, e->machine, e->fencing_token, e->launch, answers ? 200 : 0, &r);
-        } else if (e->kind == BD_E_RETURN) {
+        } else if (e->kind == BD_EFFECT_SCALE_IN) {
             json_t *o = json_loads(e->body, 0, NULL);
             char names[128][BD_LABEL];
             bd_core_returned(p->c, names, bd_wire_machine_names(o, names, 128), true);
@@ -253,7 +253,7 @@
     double now = bd_to_secs(p->c->now) - 100, to = now + strtod(p->w[1], NULL);
     for (int half = 0; now < to; half++) {
         now = now + 0.5 < to ? now + 0.5 : to;
-        bd_core_time(p->c, bd_secs(100 + now), 1000 + now);
+        bd_core_set_clock(p->c, bd_secs(100 + now), 1000 + now);
         bd_core_renewed(p->c, 7, p->c->now);
         bd_core_delegates(p->c, NULL, p->c->now);
         bd_core_followed(p->c, p->c->replica.store_revision, p->c->replica.store_revision,
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -42,7 +42,7 @@
 
 static void clock_core(struct sim *s, struct sim_node *n)
 {
-    bd_core_time(n->core, steady(s, n), wall_of(s, n));
+    bd_core_set_clock(n->core, steady(s, n), wall_of(s, n));
 }
 
 static struct sim_call *call(struct sim *s, struct sim_node *n, enum sim_op op, enum then then,
@@ -129,7 +129,7 @@
 static void cloud(struct sim *s, struct sim_node *n, struct bd_effect *e)
 {
     struct sim_event *b = wake(s, n, sim_between(s, 0.1, 0.4), SIM_CLOUD_BACK);
-    b->flag = e->kind == BD_E_PROVISION;
+    b->flag = e->kind == BD_EFFECT_SCALE_OUT;
     b->text = e->body;
     e->body = NULL;
 }
@@ -142,7 +142,7 @@
 static uint64_t requester_of(const struct bd_effect *e)
 {
     const struct sim_request *q = e->request;
-    if (e->kind != BD_E_REPLY || !q)
+    if (e->kind != BD_EFFECT_REPLY || !q)
         return 0;
     return (q->number << 20 | (uint64_t)q->who << 2 | (uint64_t)q->user << 1 | 1);
 }
@@ -153,54 +153,56 @@
     if (s->digest)
         behaviour_digest_effect(s->digest, s->now, (int)(n - s->nodes), e, requester_of(e));
     switch (e->kind) {
-    case BD_E_REPLY:
+    case BD_EFFECT_REPLY:
         reply(s, n, e);
         break;
-    case BD_E_BARRIER:
+    case BD_EFFECT_READ_BARRIER:
         n->want_barrier = true;
         wake(s, n, 0.01, SIM_READER);
         break;
-    case BD_E_LOST:
+    case BD_EFFECT_STEP_DOWN:
         n->step_down = true;
-        if (e->status == BD_LOST_GIVEN_UP)
+        if (e->status == BD_STEP_DOWN_RESIGNED)
             sim_end_grant(s, n->grant);
         break;
-    case BD_E_CANCELLED: /* in half of the days nobody tells: the rules hold without the news */
+    case BD_EFFECT_ANNOUNCE_CANCELLATION: /* in half of the days nobody tells: the rules hold
+                                             without the news */
         for (int i = 0; s->seed / 2 % 2 && i < n->settings.npeers; i++)
             to_peer(s, n, i, BD_FRAME_CANCELLED, NULL)->text = strdup(e->key);
         break;
-    case BD_E_FORWARD:
-    case BD_E_ANSWER:
-        (void)to_peer(s, n, e->peer, e->kind == BD_E_FORWARD ? BD_FRAME_HEARTBEAT : BD_FRAME_ANSWER,
+    case BD_EFFECT_FORWARD_HEARTBEAT:
+    case BD_EFFECT_FORWARD_REPLY:
+        (void)to_peer(s, n, e->peer,
+                      e->kind == BD_EFFECT_FORWARD_HEARTBEAT ? BD_FRAME_HEARTBEAT : BD_FRAME_ANSWER,
                       e);
         break;
-    case BD_E_DELEGATE:
+    case BD_EFFECT_DELEGATE_TXN:
         c = e->body ? call(s, n, SIM_COMMIT, THEN_DELEGATE, NULL, strdup(e->body), 1.5)
                     : call(s, n, SIM_GET, THEN_DELEGATE_MARK, e->key, NULL, 1.5);
         (void)c;
         break;
-    case BD_E_USER_COMMIT:
+    case BD_EFFECT_USER_TXN:
         c = call(s, n, SIM_COMMIT, THEN_USER, NULL, strdup(e->body), 2.5);
         c->effect = e;
         return;
-    case BD_E_LOOKUP: {
+    case BD_EFFECT_JOB_LOOKUP: {
         char key[BD_LABEL + 2];
         snprintf(key, sizeof key, "j/%.60s", e->key);
         c = call(s, n, SIM_GET, THEN_LOOKUP, key, NULL, 1.5);
         c->effect = e;
         return;
     }
-    case BD_E_COMMIT:
+    case BD_EFFECT_LEADER_TXN:
         if (n->commit)
             bd_effect_free(n->commit);
         n->commit = e;
         next_commit(s, n);
         return;
-    case BD_E_DO:
+    case BD_EFFECT_DIRECT_COMMAND:
         direct(s, n, e);
         break;
-    case BD_E_PROVISION:
-    case BD_E_RETURN:
+    case BD_EFFECT_SCALE_OUT:
+    case BD_EFFECT_SCALE_IN:
         cloud(s, n, e);
         break;
     }
