--- a/cli/main.c
+++ b/cli/main.c
@@ -62,7 +62,7 @@
         return 2;
     }
     struct bd_node *node =
-        a.check ? NULL : bd_controller_new(settings, bd_level_of(getenv("LOG_LEVEL")));
+        a.check ? NULL : bd_controller_new(settings, bd_log_level_parse(getenv("LOG_LEVEL")));
     if (!node) /* else the controller's own copy holds it */
         free(settings->draining);
     free(settings);
--- a/include/brambledoor/log.h
+++ b/include/brambledoor/log.h
@@ -2,14 +2,14 @@
 #ifndef BD_LOG_H
 #define BD_LOG_H
 
-enum bd_level { BD_ERROR, BD_INFO, BD_DEBUG };
+enum bd_log_level { BD_LOG_ERROR, BD_LOG_INFO, BD_LOG_DEBUG };
 
 struct bd_log {
-    enum bd_level level;
+    enum bd_log_level level;
     const char *node;
 };
 
-enum bd_level bd_level_of(const char *name);
-void bd_say(const struct bd_log *log, enum bd_level level, const char *fmt, ...)
+enum bd_log_level bd_log_level_parse(const char *name);
+void bd_log_write(const struct bd_log *log, enum bd_log_level level, const char *fmt, ...)
     __attribute__((format(printf, 3, 4)));
 #endif
--- a/src/adapters/admin_server.c
+++ b/src/adapters/admin_server.c
@@ -187,6 +187,6 @@
         free(server);
         return -1;
     }
-    bd_say(&node->log, BD_INFO, "administration resources on %s", rules->admin_addr);
+    bd_log_write(&node->log, BD_LOG_INFO, "administration resources on %s", rules->admin_addr);
     return 0;
 }
--- a/src/adapters/election.c
+++ b/src/adapters/election.c
@@ -216,7 +216,8 @@
     uint64_t term = acquire(self, revision);
     if (term == 0)
         return;
-    bd_say(&self->n->log, BD_INFO, "holds the lease, term %llu", (unsigned long long)term);
+    bd_log_write(&self->n->log, BD_LOG_INFO, "holds the lease, term %llu",
+                 (unsigned long long)term);
     struct bd_event *event = bd_event_new(BD_EVENT_LEADERSHIP_ACQUIRED);
     event->sent = self->granted;
     event->gain.term = term;
@@ -305,7 +306,7 @@
     }
     if (renew(self) == 0) {
         enum view v = see(self, &revision);
-        bd_say(&self->n->log, BD_INFO, "grant is over, view %d", (int)v);
+        bd_log_write(&self->n->log, BD_LOG_INFO, "grant is over, view %d", (int)v);
         lost(self);
         return;
     }
--- a/src/adapters/kv_client.c
+++ b/src/adapters/kv_client.c
@@ -279,8 +279,9 @@
     if (bd_wire_no_grant(answer)) {
         /* of a leader that was cut off or stood still for longer than its grant: its term is over
          */
-        bd_say(&a->node->log, BD_INFO, "transaction %llu of term %s is refused: the grant is over",
-               (unsigned long long)a->effect->sequence, a->effect->key);
+        bd_log_write(&a->node->log, BD_LOG_INFO,
+                     "transaction %llu of term %s is refused: the grant is over",
+                     (unsigned long long)a->effect->sequence, a->effect->key);
         return BD_COMMIT_DEPOSED;
     }
     int w = a->unsure ? shown(a) : 0;
--- a/src/adapters/peer_listener.c
+++ b/src/adapters/peer_listener.c
@@ -122,7 +122,7 @@
     in->len -= taken;
     memmove(in->buf, in->buf + taken, in->len);
     if (used < 0)
-        bd_say(&l->n->log, BD_ERROR, "malformed frame from another controller");
+        bd_log_write(&l->n->log, BD_LOG_ERROR, "malformed frame from another controller");
     return used == 0;
 }
 
@@ -213,7 +213,7 @@
         (void)setsockopt(l->fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
     if (l->fd < 0 || bind(l->fd, (struct sockaddr *)&at, sizeof at) != 0 ||
         listen(l->fd, INCOMING) != 0) {
-        bd_say(&node->log, BD_ERROR, "cannot listen on %s", node->settings.peer_addr);
+        bd_log_write(&node->log, BD_LOG_ERROR, "cannot listen on %s", node->settings.peer_addr);
         if (l->fd >= 0)
             (void)close(l->fd);
         free(l);
--- a/src/autoscaling/autoscaler.c
+++ b/src/autoscaling/autoscaler.c
@@ -240,8 +240,8 @@
         if (f)
             count_job(f, job, from);
         else if (!core->lead.classes_said)
-            bd_say(core->log, BD_ERROR, "more than %d classes: the rest gets no spare room",
-                   CLASSES);
+            bd_log_write(core->log, BD_LOG_ERROR,
+                         "more than %d classes: the rest gets no spare room", CLASSES);
         core->lead.classes_said |= !f;
     }
     return n;
@@ -417,7 +417,8 @@
         machine->returning = true;
         machine->return_after = bd_add(core->now, bd_secs(6.0));
         snprintf(names[n++], BD_LABEL, "%s", machine->id);
-        bd_say(core->log, BD_INFO, "%s goes back%s", machine->id, machine->bad ? " (faulty)" : "");
+        bd_log_write(core->log, BD_LOG_INFO, "%s goes back%s", machine->id,
+                     machine->bad ? " (faulty)" : "");
     }
     if (n == 0)
         return;
@@ -476,12 +477,13 @@
     }
     if (up + n[USE_COMING] == 0)
         return;
-    bd_say(core->log, BD_INFO,
-           "fleet %s%s: %u up, %u coming, %u idle; %u with gpu work, %u with services, %u with "
-           "arrays; in use %.0f of %.0f cpus, %.0f of %.0f gpus",
-           core->types[t].label, spot ? " (spot)" : "", up, n[USE_COMING], n[USE_IDLE], n[USE_GPU],
-           n[USE_SERVICES], n[USE_ARRAYS], cpus, up * core->types[t].cpus, gpus,
-           up * core->types[t].gpus);
+    bd_log_write(
+        core->log, BD_LOG_INFO,
+        "fleet %s%s: %u up, %u coming, %u idle; %u with gpu work, %u with services, %u with "
+        "arrays; in use %.0f of %.0f cpus, %.0f of %.0f gpus",
+        core->types[t].label, spot ? " (spot)" : "", up, n[USE_COMING], n[USE_IDLE], n[USE_GPU],
+        n[USE_SERVICES], n[USE_ARRAYS], cpus, up * core->types[t].cpus, gpus,
+        up * core->types[t].gpus);
 }
 
 /* A line a type and kind, for whoever asks what the money is spent on. */
--- a/src/autoscaling/consolidation.c
+++ b/src/autoscaling/consolidation.c
@@ -213,7 +213,7 @@
             t->fetches = r.job->spec.image;
         t->taken = true;
         s->m->emptying = true;
-        bd_say(g->core->log, BD_INFO, "%s/%u moves off %s", r.job->id, r.task, s->m->id);
+        bd_log_write(g->core->log, BD_LOG_INFO, "%s/%u moves off %s", r.job->id, r.task, s->m->id);
         bd_task_stop(g->core, r.job, r.task, BD_STOP_GATHERED, false);
     }
     return away;
--- a/src/autoscaling/inventory.c
+++ b/src/autoscaling/inventory.c
@@ -10,7 +10,7 @@
     for (int i = 0; i < n; i++) {
         int k = bd_type_index(core, t[i].label);
         if (k < 0) {
-            bd_say(core->log, BD_ERROR, "machine type %s is one too many", t[i].label);
+            bd_log_write(core->log, BD_LOG_ERROR, "machine type %s is one too many", t[i].label);
             continue;
         }
         struct bd_type *d = &core->types[k];
@@ -51,7 +51,7 @@
         snprintf(machine->addr, sizeof machine->addr, "%s", l->addr);
     if (l->state == BD_FAILED && !machine->failed) {
         machine->failed = true;
-        bd_say(core->log, BD_INFO, "%s failed", machine->id);
+        bd_log_write(core->log, BD_LOG_INFO, "%s failed", machine->id);
         bd_machine_lapse(core, machine, BD_END_MACHINE_FAILED);
     }
 }
@@ -63,8 +63,8 @@
     struct timespec existed = bd_max(machine->heard, machine->known_at);
     if (machine->gone || machine->listed_now || bd_between(existed, asked) < lag)
         return;
-    bd_say(core->log, BD_INFO, "%s is gone from the list, %u tasks lost", machine->id,
-           machine->nrefs);
+    bd_log_write(core->log, BD_LOG_INFO, "%s is gone from the list, %u tasks lost", machine->id,
+                 machine->nrefs);
     bd_machine_gone(core, machine);
 }
 
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -5,16 +5,16 @@
 #include <string.h>
 #include <unistd.h>
 
-enum bd_level bd_level_of(const char *name)
+enum bd_log_level bd_log_level_parse(const char *name)
 {
     if (name && strcmp(name, "debug") == 0)
-        return BD_DEBUG;
+        return BD_LOG_DEBUG;
     if (name && strcmp(name, "error") == 0)
-        return BD_ERROR;
-    return BD_INFO;
+        return BD_LOG_ERROR;
+    return BD_LOG_INFO;
 }
 
-void bd_say(const struct bd_log *log, enum bd_level level, const char *fmt, ...)
+void bd_log_write(const struct bd_log *log, enum bd_log_level level, const char *fmt, ...)
 {
     static const char *const names[] = {"error", "info", "debug"};
     if (!log || level > log->level)
--- a/src/base/metrics.c
+++ b/src/base/metrics.c
@@ -109,11 +109,11 @@
     double writes = (double)atomic_exchange(&c->writes, 0);
     if (messages == 0 && connections == 0)
         return;
-    bd_say(log, BD_INFO,
-           "traffic %s: %.1f messages, %.0f bytes out, %.0f bytes in, %.2f connections, %.1f "
-           "writes a second",
-           name, messages / seconds, out / seconds, in / seconds, connections / seconds,
-           writes / seconds);
+    bd_log_write(log, BD_LOG_INFO,
+                 "traffic %s: %.1f messages, %.0f bytes out, %.0f bytes in, %.2f connections, %.1f "
+                 "writes a second",
+                 name, messages / seconds, out / seconds, in / seconds, connections / seconds,
+                 writes / seconds);
 }
 
 /* The upper edge of the bin in which the quantile lies. */
@@ -134,12 +134,12 @@
     gsl_histogram *h = metrics->timings[timing];
     double all = gsl_histogram_sum(h);
     if (all > 0)
-        bd_say(log, BD_INFO,
-               "time %s: %.0f, half within %.1f ms, 95%% within %.1f ms, at most %.1f ms",
-               timing_names[timing], all,
-               fmin(quantile(h, 0.5, all), metrics->longest[timing]) * 1e3,
-               fmin(quantile(h, 0.95, all), metrics->longest[timing]) * 1e3,
-               metrics->longest[timing] * 1e3);
+        bd_log_write(log, BD_LOG_INFO,
+                     "time %s: %.0f, half within %.1f ms, 95%% within %.1f ms, at most %.1f ms",
+                     timing_names[timing], all,
+                     fmin(quantile(h, 0.5, all), metrics->longest[timing]) * 1e3,
+                     fmin(quantile(h, 0.95, all), metrics->longest[timing]) * 1e3,
+                     metrics->longest[timing] * 1e3);
     gsl_histogram_reset(h);
     metrics->longest[timing] = 0;
 }
@@ -153,6 +153,6 @@
     for (size_t i = 0; i < BD_TIMINGS; i++)
         report_timing(metrics, (enum bd_timing)i, log);
     struct mallinfo2 heap = mallinfo2();
-    bd_say(log, BD_INFO, "memory: %zu kB of the heap used, %zu kB held", heap.uordblks / 1024,
-           (heap.arena + heap.hblkhd) / 1024);
+    bd_log_write(log, BD_LOG_INFO, "memory: %zu kB of the heap used, %zu kB held",
+                 heap.uordblks / 1024, (heap.arena + heap.hblkhd) / 1024);
 }
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -156,7 +156,7 @@
 
 struct bd_effect *bd_core_take_effects(struct bd_core *core)
 {
-    bd_audit_flush(core); /* what allowed them is in the log before they are carried out */
+    bd_decision_log_flush(core); /* what allowed them is in the log before they are carried out */
     struct bd_effect *effect = core->first;
     core->first = core->last = NULL;
     return effect;
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -75,7 +75,7 @@
     struct bd_delegate delegate;   /* as follower: what we answer for the leader */
     struct bd_delegate_view delegates;
     struct bd_forwarding forwarding;
-    struct bd_audit audit;
+    struct bd_decision_log decision_log;
     enum bd_role role;
     char leader_name[BD_LABEL];
     uint64_t leader_term, last_term; /* 0 while nobody leads; the last that was not 0 */
--- a/src/drain/drain.c
+++ b/src/drain/drain.c
@@ -111,9 +111,9 @@
     else if (part)
         part->dirty = true;
     core->lead.round_wanted = core->lead.round_wanted || stage;
-    bd_say(core->log, stage ? BD_INFO : BD_DEBUG, "drain %s: %s is %s%s%s%s%s", drain->name, m->id,
-           bd_drain_stage_name(m->stage), m->wait ? ", waits for " : "",
-           bd_drain_wait_name(m->wait), *m->team ? " of " : "", m->team);
+    bd_log_write(core->log, stage ? BD_LOG_INFO : BD_LOG_DEBUG, "drain %s: %s is %s%s%s%s%s",
+                 drain->name, m->id, bd_drain_stage_name(m->stage), m->wait ? ", waits for " : "",
+                 bd_drain_wait_name(m->wait), *m->team ? " of " : "", m->team);
 }
 
 static void set_stage(struct bd_core *core, struct bd_drain *drain, struct bd_drain_machine *m,
@@ -275,8 +275,8 @@
             drain->machines[i].recorded != drain->machines[i].stage)
             return;
     drain->over = true;
-    bd_say(core->log, BD_INFO, "drain %s is done: %u machines, %.0f s", drain->name,
-           drain->nmachines, core->wall - drain->record.at);
+    bd_log_write(core->log, BD_LOG_INFO, "drain %s is done: %u machines, %.0f s", drain->name,
+                 drain->nmachines, core->wall - drain->record.at);
 }
 
 static void say_drain(const struct bd_core *core, const struct bd_drain *drain)
@@ -288,8 +288,8 @@
     }
     for (uint32_t w = 1; w < BD_DRAIN_WAITS; w++)
         most = waits[w] > waits[most] ? w : most;
-    bd_say(
-        core->log, BD_INFO,
+    bd_log_write(
+        core->log, BD_LOG_INFO,
         "drain %s (%s): %u cordoned, %u waiting (%u for %s), %u stopping, %u empty, %u replaced, "
         "%u returned, %u failed",
         drain->name, bd_drain_state_name(drain->record.state), n[BD_STAGE_CORDONED],
@@ -304,10 +304,11 @@
     for (uint32_t i = 0; i < ledger->nbudgets; i++) {
         const struct bd_budget *budget = &ledger->budgets[i];
         if (budget->up + budget->down > 0)
-            bd_say(core->log, BD_INFO, "budget of %s%s%s: %u up, %u down, %u silent, %u left",
-                   bd_budget_team(core, budget), *budget->rule->job_class ? ", class " : "",
-                   budget->rule->job_class, budget->up, budget->down, budget->silent,
-                   bd_budget_left(budget));
+            bd_log_write(core->log, BD_LOG_INFO,
+                         "budget of %s%s%s: %u up, %u down, %u silent, %u left",
+                         bd_budget_team(core, budget), *budget->rule->job_class ? ", class " : "",
+                         budget->rule->job_class, budget->up, budget->down, budget->silent,
+                         bd_budget_left(budget));
     }
 }
 
--- a/src/drain/durable.c
+++ b/src/drain/durable.c
@@ -68,7 +68,8 @@
     struct bd_drain *drain = NULL;
     const char *name = ch->key + strlen(BD_DRAIN_KEY);
     if (!bd_drain_record_read(name, ch->value, ch->revision, &record)) {
-        bd_say(core->log, BD_ERROR, "record %s cannot be read: it is left alone", ch->key);
+        bd_log_write(core->log, BD_LOG_ERROR, "record %s cannot be read: it is left alone",
+                     ch->key);
         return;
     }
     HASH_FIND_STR(core->drains->drains, name, drain);
@@ -114,11 +115,12 @@
     drain->loaded = part == drain->record.parts && drain->nmachines > 0;
     drain->damaged = !drain->loaded;
     if (drain->damaged)
-        bd_say(core->log, BD_ERROR, "drain %s: its machines cannot be read: it is left alone",
-               drain->name);
+        bd_log_write(core->log, BD_LOG_ERROR,
+                     "drain %s: its machines cannot be read: it is left alone", drain->name);
     else
-        bd_say(core->log, BD_INFO, "drain %s: %u machines to %s, %s", drain->name, drain->nmachines,
-               bd_drain_mode_name(drain->record.mode), bd_drain_state_name(drain->record.state));
+        bd_log_write(core->log, BD_LOG_INFO, "drain %s: %u machines to %s, %s", drain->name,
+                     drain->nmachines, bd_drain_mode_name(drain->record.mode),
+                     bd_drain_state_name(drain->record.state));
 }
 
 void bd_drain_records(struct bd_core *core, json_t *records, json_t *sets)
@@ -170,8 +172,9 @@
     out->bytes = bd_wire_bytes(out->value);
     part->written = core->now;
     if (out->bytes > core->kv_limits.kv_value_bytes_max) {
-        bd_say(core->log, BD_ERROR, "drain %s: a record of %zu bytes is larger than a value may be",
-               drain->name, out->bytes);
+        bd_log_write(core->log, BD_LOG_ERROR,
+                     "drain %s: a record of %zu bytes is larger than a value may be", drain->name,
+                     out->bytes);
         json_decref(out->value);
         memset(out, 0, sizeof *out);
         part->urgent = false;
--- a/src/drain/plan.c
+++ b/src/drain/plan.c
@@ -82,7 +82,7 @@
         return;
     m->told = core->now;
     core->drains->steps++;
-    bd_say(core->log, BD_INFO, "drain %s: %s stops %u tasks", drain->name, m->id, told);
+    bd_log_write(core->log, BD_LOG_INFO, "drain %s: %s stops %u tasks", drain->name, m->id, told);
 }
 
 /* Whether nothing of its step was told yet. */
--- a/src/drain/replacement.c
+++ b/src/drain/replacement.c
@@ -50,8 +50,8 @@
 
 static void give_up(struct bd_core *core, const struct bd_drain *drain, struct bd_drain_machine *m)
 {
-    bd_say(core->log, BD_INFO, "drain %s: replacement %s of %s is given up", drain->name,
-           m->replacement, m->id);
+    bd_log_write(core->log, BD_LOG_INFO, "drain %s: replacement %s of %s is given up", drain->name,
+                 m->replacement, m->id);
     m->replacement[0] = '\0';
     m->tries++;
 }
@@ -183,7 +183,7 @@
                              struct bd_drain_machine *m, const char *id)
 {
     snprintf(m->replacement, sizeof m->replacement, "%s", id);
-    bd_say(core->log, BD_INFO, "drain %s: %s is to replace %s", drain->name, id, m->id);
+    bd_log_write(core->log, BD_LOG_INFO, "drain %s: %s is to replace %s", drain->name, id, m->id);
     bd_drain_note(drain, m);
 }
 
--- a/src/jobs/admission.c
+++ b/src/jobs/admission.c
@@ -414,9 +414,9 @@
             struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_ANNOUNCE_CANCELLATION);
             snprintf(effect->key, sizeof effect->key, "%s", id);
         }
-        bd_audit_note(core, "confirm", "job=%s state=%s revision=%llu by=commit", id,
-                      how == BD_WAIT_CANCEL ? "cancelled" : "accepted",
-                      (unsigned long long)store_revision);
+        bd_decision_log_note(core, "confirm", "job=%s state=%s revision=%llu by=commit", id,
+                             how == BD_WAIT_CANCEL ? "cancelled" : "accepted",
+                             (unsigned long long)store_revision);
         accepted(core, request, id, (enum bd_wait_how)how);
     } else if (status == 409) { /* somebody was faster: look again, then answer what is */
         (void)bd_wait_barrier(core, request, id, (enum bd_wait_how)how);
--- a/src/jobs/dependency_graph.c
+++ b/src/jobs/dependency_graph.c
@@ -75,8 +75,8 @@
     if (--job->open > 0)
         return;
     release(core, job);
-    bd_say(core->log, BD_INFO, "%s is ready, %.1f s after its submission", job->id,
-           core->wall - job->at);
+    bd_log_write(core->log, BD_LOG_INFO, "%s is ready, %.1f s after its submission", job->id,
+                 core->wall - job->at);
     core->lead.round_wanted = true;
 }
 
@@ -227,7 +227,7 @@
     json_t *names = bd_wire_read_part(value);
     size_t n = strcspn(key, "/");
     if (!names || n >= sizeof id || strlen(key) >= sizeof p->key) {
-        bd_say(core->log, BD_ERROR, "record j/%s cannot be read", key);
+        bd_log_write(core->log, BD_LOG_ERROR, "record j/%s cannot be read", key);
         return;
     }
     snprintf(id, sizeof id, "%.*s", (int)n, key);
@@ -252,8 +252,8 @@
 {
     job->chained = r->damaged || r->parts || json_array_size(r->names) > 0;
     if (r->damaged) {
-        bd_say(core->log, BD_ERROR, "%s: what it awaits cannot be read: it is not started",
-               job->id);
+        bd_log_write(core->log, BD_LOG_ERROR,
+                     "%s: what it awaits cannot be read: it is not started", job->id);
         job->open = 1;
     } else if (r->parts) {
         job->parts = r->parts;
--- a/src/jobs/replica.c
+++ b/src/jobs/replica.c
@@ -69,7 +69,7 @@
         return;
     }
     if (strlen(id) >= BD_ID || !bd_wire_read_record(ch->value, &r)) {
-        bd_say(core->log, BD_ERROR, "record %s cannot be read", ch->key);
+        bd_log_write(core->log, BD_LOG_ERROR, "record %s cannot be read", ch->key);
         return;
     }
     struct bd_job *job = bd_job_find(core, id);
@@ -88,7 +88,7 @@
             job->record_spec = json_deep_copy(json_object_get(ch->value, "job"));
     }
     if (core->role == BD_LEADER && !job->tasks && r.state == BD_LIVE && !bd_job_lead(core, job))
-        bd_say(core->log, BD_ERROR, "%s: no memory for its tasks yet", job->id);
+        bd_log_write(core->log, BD_LOG_ERROR, "%s: no memory for its tasks yet", job->id);
     take_state(core, job, &r);
     if (first && r.state == BD_LIVE)
         bd_deps_take(core, job, &r.prerequisites);
@@ -253,8 +253,8 @@
 {
     core->replica.store_revision = store_revision;
     core->replica.ready = true;
-    bd_audit_term(core, "relist", "revision=%llu age_ms=%.0f jobs=%u",
-                  (unsigned long long)store_revision, 1000 * bd_between(sent, core->now),
-                  HASH_COUNT(core->jobs));
+    bd_decision_log_term(core, "relist", "revision=%llu age_ms=%.0f jobs=%u",
+                         (unsigned long long)store_revision, 1000 * bd_between(sent, core->now),
+                         HASH_COUNT(core->jobs));
     core->replica.refreshed_at = bd_max(core->replica.refreshed_at, sent);
 }
--- a/src/leadership/commit.c
+++ b/src/leadership/commit.c
@@ -113,8 +113,8 @@
     for (uint32_t i = named; i < commit->nplan; i++)
         bd_task_free(core, commit->plan[i].job, commit->plan[i].task, BD_END_NOT_COMMITTED);
     if (named < commit->nplan)
-        bd_say(core->log, BD_ERROR, "%u starts did not fit the intent records",
-               commit->nplan - named);
+        bd_log_write(core->log, BD_LOG_ERROR, "%u starts did not fit the intent records",
+                     commit->nplan - named);
     commit->nplan = named;
 }
 
--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -38,7 +38,7 @@
             continue;
         }
         bd_task_set(core, e->job, e->task, BD_T_LAUNCH);
-        bd_audit_task(core, "place", e->job, e->task, e->attempt, machine, committed);
+        bd_decision_log_task(core, "place", e->job, e->task, e->attempt, machine, committed);
         if (!e->job->started)
             bd_metrics_time(core->metrics, BD_TIMING_START, core->wall - e->job->ready);
         e->job->started = true;
@@ -95,15 +95,15 @@
 static void done_kept(struct bd_core *core, struct bd_job *job, uint64_t store_revision)
 {
     double age = core->wall - job->at;
-    bd_say(
-        core->log, BD_INFO,
+    bd_log_write(
+        core->log, BD_LOG_INFO,
         "%s is done: %u tasks, rank %d, guess %.0f s; last placed after %.1f s, last begun after "
         "%.1f s, done after %.1f s, %u places lost",
         job->id, job->ntasks, (int)job->spec.rank, job->spec.estimate,
         age - bd_between(job->last_placed, core->now), age - bd_between(job->last_begun, core->now),
         age, job->restarts);
-    bd_audit_note(core, "confirm", "job=%s state=done revision=%llu by=commit", job->id,
-                  (unsigned long long)store_revision);
+    bd_decision_log_note(core, "confirm", "job=%s state=done revision=%llu by=commit", job->id,
+                         (unsigned long long)store_revision);
     job->revision = store_revision;
     job->state = BD_DONE;
     job->end = core->wall;
@@ -122,8 +122,9 @@
         core->lead.last_token_raise = core->now;
         core->lead.fenced_attempt = (core->lead.base_term << 20) + core->lead.counter;
         core->lead.withheld = 0;
-        bd_audit_term(core, "token", "base=%llu term=%llu",
-                      (unsigned long long)core->lead.base_term, (unsigned long long)store_revision);
+        bd_decision_log_term(core, "token", "base=%llu term=%llu",
+                             (unsigned long long)core->lead.base_term,
+                             (unsigned long long)store_revision);
     }
     for (uint32_t i = 0; i < commit->nreceipts; i++)
         receipt_kept(&commit->receipts[i]);
--- a/src/leadership/kv_limits.c
+++ b/src/leadership/kv_limits.c
@@ -41,10 +41,11 @@
     core->kv_limits.refused_at = core->now;
     core->kv_limits.kv_value_bytes_max = smaller(was.kv_value_bytes_max, VALUE_LEAST);
     core->kv_limits.kv_txn_ops_max = smaller(was.kv_txn_ops_max, OPS_LEAST);
-    bd_say(core->log, BD_ERROR,
-           "the state service calls %s malformed: values of at most %zu bytes and %zu changes from "
-           "now on",
-           what, core->kv_limits.kv_value_bytes_max, core->kv_limits.kv_txn_ops_max);
+    bd_log_write(
+        core->log, BD_LOG_ERROR,
+        "the state service calls %s malformed: values of at most %zu bytes and %zu changes from "
+        "now on",
+        what, core->kv_limits.kv_value_bytes_max, core->kv_limits.kv_txn_ops_max);
     return core->kv_limits.kv_value_bytes_max < was.kv_value_bytes_max ||
            core->kv_limits.kv_txn_ops_max < was.kv_txn_ops_max;
 }
@@ -69,8 +70,9 @@
         core->kv_limits.write_rps = RATE_LEAST;
     if (core->lead.write_budget > 0)
         core->lead.write_budget = 0;
-    bd_say(core->log, BD_INFO, "the state service is asked too much: %.1f changes a second",
-           core->kv_limits.write_rps);
+    bd_log_write(core->log, BD_LOG_INFO,
+                 "the state service is asked too much: %.1f changes a second",
+                 core->kv_limits.write_rps);
 }
 
 static size_t larger(size_t now, size_t most)
@@ -92,8 +94,8 @@
     l->grown_at = core->now;
     l->kv_value_bytes_max = larger(l->kv_value_bytes_max, core->settings->kv_value_bytes_max);
     l->kv_txn_ops_max = larger(l->kv_txn_ops_max, core->settings->kv_txn_ops_max);
-    bd_say(core->log, BD_INFO, "tries values of up to %zu bytes and %zu changes again",
-           l->kv_value_bytes_max, l->kv_txn_ops_max);
+    bd_log_write(core->log, BD_LOG_INFO, "tries values of up to %zu bytes and %zu changes again",
+                 l->kv_value_bytes_max, l->kv_txn_ops_max);
 }
 
 void bd_kv_limits_tick(struct bd_core *core)
--- a/src/leadership/leadership.c
+++ b/src/leadership/leadership.c
@@ -119,8 +119,8 @@
     if (!bd_core_valid(core) || bd_between(core->replica.refreshed_at, core->now) < BLIND_S ||
         !cut_alone(core))
         return;
-    bd_say(core->log, BD_INFO,
-           "the records cannot be read here, but elsewhere: gives up the lease");
+    bd_log_write(core->log, BD_LOG_INFO,
+                 "the records cannot be read here, but elsewhere: gives up the lease");
     bd_core_lost(core);
     core->last->status = BD_STEP_DOWN_RESIGNED;
 }
@@ -129,11 +129,12 @@
 {
     if (core->role != BD_LEADER)
         return;
-    bd_say(core->log, BD_INFO, "term %llu is over", (unsigned long long)core->lead.term);
-    bd_audit_term(core, "lost", "base=%llu term=%llu valid_s=%.2f refreshed_s=%.2f",
-                  (unsigned long long)core->lead.base_term, (unsigned long long)core->lead.term,
-                  bd_between(core->now, core->lead.valid_until),
-                  bd_between(core->replica.refreshed_at, core->now));
+    bd_log_write(core->log, BD_LOG_INFO, "term %llu is over", (unsigned long long)core->lead.term);
+    bd_decision_log_term(core, "lost", "base=%llu term=%llu valid_s=%.2f refreshed_s=%.2f",
+                         (unsigned long long)core->lead.base_term,
+                         (unsigned long long)core->lead.term,
+                         bd_between(core->now, core->lead.valid_until),
+                         bd_between(core->replica.refreshed_at, core->now));
     core->role = BD_FOLLOWER;
     if (strcmp(core->leader_name, core->settings->node) == 0)
         core->leader_name[0] = '\0';
--- a/src/leadership/reconciliation.c
+++ b/src/leadership/reconciliation.c
@@ -96,14 +96,15 @@
                 continue;
             bd_task_assign(core, e->job, e->task, machine, e->attempt, BD_T_UNKNOWN);
             task->flags |= BD_F_SENT;
-            bd_audit_task(core, "unknown", e->job, e->task, e->attempt, machine, intent);
+            bd_decision_log_task(core, "unknown", e->job, e->task, e->attempt, machine, intent);
             if (e->job->state != BD_LIVE)
                 task->flags |= BD_F_STOP | BD_F_FORCE;
             unknown++;
         }
     }
-    bd_say(core->log, BD_INFO, "term %llu: %u intent records, %u tasks to be accounted for",
-           (unsigned long long)core->lead.base_term, core->lead.nrounds, unknown);
+    bd_log_write(core->log, BD_LOG_INFO,
+                 "term %llu: %u intent records, %u tasks to be accounted for",
+                 (unsigned long long)core->lead.base_term, core->lead.nrounds, unknown);
 }
 
 void bd_core_gained(struct bd_core *core, const struct bd_gain *g)
@@ -136,7 +137,7 @@
         job->receipt_chunks = 0;
         /* cancelled jobs too: what still runs of them counts and must be stopped */
         if (job->state != BD_DONE && !bd_job_lead(core, job))
-            bd_say(core->log, BD_ERROR, "%s: no memory for its tasks", job->id);
+            bd_log_write(core->log, BD_LOG_ERROR, "%s: no memory for its tasks", job->id);
     }
     json_array_foreach(g->receipts, i, v)
     {
@@ -145,14 +146,15 @@
     }
     load_intents(core, g->intents);
     classify(core);
-    bd_audit_term(core, "lead",
-                  "term=%llu grant=%llu replica=%llu replica_age_ms=%.0f w=%llu receipts=%zu "
-                  "intents=%zu others_lapse_s=%.1f",
-                  (unsigned long long)g->term, (unsigned long long)g->grant,
-                  (unsigned long long)core->replica.store_revision,
-                  1000 * bd_between(core->replica.refreshed_at, core->now),
-                  (unsigned long long)g->sequence_revision, json_array_size(g->receipts),
-                  json_array_size(g->intents), bd_between(core->now, core->lead.others_lapse));
+    bd_decision_log_term(
+        core, "lead",
+        "term=%llu grant=%llu replica=%llu replica_age_ms=%.0f w=%llu receipts=%zu "
+        "intents=%zu others_lapse_s=%.1f",
+        (unsigned long long)g->term, (unsigned long long)g->grant,
+        (unsigned long long)core->replica.store_revision,
+        1000 * bd_between(core->replica.refreshed_at, core->now),
+        (unsigned long long)g->sequence_revision, json_array_size(g->receipts),
+        json_array_size(g->intents), bd_between(core->now, core->lead.others_lapse));
     bd_drain_gained(core);
     core->lead.valid_until = core->lead.renewed = g->renewed;
     bd_core_renewed(core, g->grant, g->renewed);
--- a/src/model/decision_log.c
+++ b/src/model/decision_log.c
@@ -25,66 +25,72 @@
 
 static bool wanted(const struct bd_core *core)
 {
-    return core->log && core->log->level >= BD_INFO;
+    return core->log && core->log->level >= BD_LOG_INFO;
 }
 
 static void write_line(struct bd_core *core, const char *text)
 {
-    struct bd_audit *audit = &core->audit;
-    audit->lines += LINES_A_SECOND * bd_between(audit->lines_at, core->now);
-    audit->lines = audit->lines > LINES_AT_ONCE ? LINES_AT_ONCE : audit->lines;
-    audit->lines_at = core->now;
+    struct bd_decision_log *decision_log = &core->decision_log;
+    decision_log->lines += LINES_A_SECOND * bd_between(decision_log->lines_at, core->now);
+    decision_log->lines = decision_log->lines > LINES_AT_ONCE ? LINES_AT_ONCE : decision_log->lines;
+    decision_log->lines_at = core->now;
     /* once it is used up, not line by line: a second's lines at a time */
-    double enough = audit->suppressed > 0 ? LINES_A_SECOND : 1;
-    if (audit->lines < enough) {
-        audit->suppressed++;
+    double enough = decision_log->suppressed > 0 ? LINES_A_SECOND : 1;
+    if (decision_log->lines < enough) {
+        decision_log->suppressed++;
         return;
     }
-    if (audit->suppressed > 0)
-        bd_say(core->log, BD_INFO, "event=suppressed lines=%u", audit->suppressed);
-    audit->suppressed = 0;
-    audit->lines--;
-    bd_say(core->log, BD_INFO, "%s", text);
+    if (decision_log->suppressed > 0)
+        bd_log_write(core->log, BD_LOG_INFO, "event=suppressed lines=%u", decision_log->suppressed);
+    decision_log->suppressed = 0;
+    decision_log->lines--;
+    bd_log_write(core->log, BD_LOG_INFO, "%s", text);
 }
 
 /* The open range behind those that are closed. False: there is no room for it. */
-static bool close_range(struct bd_audit *audit)
+static bool close_range(struct bd_decision_log *decision_log)
 {
-    size_t len = strlen(audit->ranges), room = sizeof audit->ranges - len;
+    size_t len = strlen(decision_log->ranges), room = sizeof decision_log->ranges - len;
     const char *comma = len > 0 ? "," : "";
-    int n = audit->from == audit->to
-                ? snprintf(audit->ranges + len, room, "%s%u", comma, audit->from)
-                : snprintf(audit->ranges + len, room, "%s%u-%u", comma, audit->from, audit->to);
+    int n = decision_log->from == decision_log->to
+                ? snprintf(decision_log->ranges + len, room, "%s%u", comma, decision_log->from)
+                : snprintf(decision_log->ranges + len, room, "%s%u-%u", comma, decision_log->from,
+                           decision_log->to);
     if (n >= 0 && (size_t)n < room)
         return true;
-    audit->ranges[len] = '\0';
+    decision_log->ranges[len] = '\0';
     return false;
 }
 
-void bd_audit_flush(struct bd_core *core)
+void bd_decision_log_flush(struct bd_core *core)
 {
-    struct bd_audit *audit = &core->audit;
-    char line[sizeof audit->head + sizeof audit->tail + sizeof audit->ranges + 16];
-    if (!audit->open)
+    struct bd_decision_log *decision_log = &core->decision_log;
+    char line[sizeof decision_log->head + sizeof decision_log->tail + sizeof decision_log->ranges +
+              16];
+    if (!decision_log->open)
         return;
-    audit->open = false;
-    (void)close_range(audit);
-    snprintf(line, sizeof line, "%s task=%s %s", audit->head, audit->ranges, audit->tail);
+    decision_log->open = false;
+    (void)close_range(decision_log);
+    snprintf(line, sizeof line, "%s task=%s %s", decision_log->head, decision_log->ranges,
+             decision_log->tail);
     write_line(core, line);
 }
 
 /* Adds the task to the line that is being gathered, if all else is the same. */
-static bool joins(struct bd_audit *audit, const char *head, const char *tail, uint32_t task)
+static bool joins(struct bd_decision_log *decision_log, const char *head, const char *tail,
+                  uint32_t task)
 {
-    if (!audit->open || strcmp(audit->head, head) != 0 || strcmp(audit->tail, tail) != 0)
+    if (!decision_log->open || strcmp(decision_log->head, head) != 0 ||
+        strcmp(decision_log->tail, tail) != 0)
         return false;
-    if (task == audit->to + 1) {
-        audit->to = task;
+    if (task == decision_log->to + 1) {
+        decision_log->to = task;
         return true;
     }
-    if (strlen(audit->ranges) + 32 > sizeof audit->ranges || !close_range(audit))
+    if (strlen(decision_log->ranges) + 32 > sizeof decision_log->ranges ||
+        !close_range(decision_log))
         return false;
-    audit->from = audit->to = task;
+    decision_log->from = decision_log->to = task;
     return true;
 }
 
@@ -104,33 +110,34 @@
                  (unsigned long long)core->lead.term);
 }
 
-void bd_audit_task(struct bd_core *core, const char *event, const struct bd_job *job, uint32_t task,
-                   uint64_t attempt, const struct bd_machine *machine, const char *why)
+void bd_decision_log_task(struct bd_core *core, const char *event, const struct bd_job *job,
+                          uint32_t task, uint64_t attempt, const struct bd_machine *machine,
+                          const char *why)
 {
-    struct bd_audit *audit = &core->audit;
-    char head[sizeof audit->head], tail[sizeof audit->tail];
+    struct bd_decision_log *decision_log = &core->decision_log;
+    char head[sizeof decision_log->head], tail[sizeof decision_log->tail];
     if (!wanted(core))
         return;
     snprintf(head, sizeof head, "event=%s job=%s attempt=%llu", event, job->id,
              (unsigned long long)attempt);
     evidence(core, machine, why, tail, sizeof tail);
-    if (joins(audit, head, tail, task))
+    if (joins(decision_log, head, tail, task))
         return;
-    bd_audit_flush(core);
-    memcpy(audit->head, head, sizeof head);
-    memcpy(audit->tail, tail, sizeof tail);
-    audit->ranges[0] = '\0';
-    audit->from = audit->to = task;
-    audit->open = true;
+    bd_decision_log_flush(core);
+    memcpy(decision_log->head, head, sizeof head);
+    memcpy(decision_log->tail, tail, sizeof tail);
+    decision_log->ranges[0] = '\0';
+    decision_log->from = decision_log->to = task;
+    decision_log->open = true;
 }
 
-void bd_audit_machine(struct bd_core *core, const char *event, const struct bd_machine *machine,
-                      const char *why)
+void bd_decision_log_machine(struct bd_core *core, const char *event,
+                             const struct bd_machine *machine, const char *why)
 {
     char line[384], tail[256];
     if (!wanted(core))
         return;
-    bd_audit_flush(core);
+    bd_decision_log_flush(core);
     evidence(core, machine, why, tail, sizeof tail);
     snprintf(line, sizeof line, "event=%s %s", event, tail);
     write_line(core, line);
@@ -142,16 +149,16 @@
     char line[384];
     if (!wanted(core))
         return;
-    bd_audit_flush(core);
+    bd_decision_log_flush(core);
     int n = snprintf(line, sizeof line, "event=%s ", event);
     (void)vsnprintf(line + n, sizeof line - (size_t)n, fmt, ap);
     if (always)
-        bd_say(core->log, BD_INFO, "%s", line);
+        bd_log_write(core->log, BD_LOG_INFO, "%s", line);
     else
         write_line(core, line);
 }
 
-void bd_audit_note(struct bd_core *core, const char *event, const char *fmt, ...)
+void bd_decision_log_note(struct bd_core *core, const char *event, const char *fmt, ...)
 {
     va_list ap;
     va_start(ap, fmt);
@@ -159,7 +166,7 @@
     va_end(ap);
 }
 
-void bd_audit_term(struct bd_core *core, const char *event, const char *fmt, ...)
+void bd_decision_log_term(struct bd_core *core, const char *event, const char *fmt, ...)
 {
     va_list ap;
     va_start(ap, fmt);
@@ -167,24 +174,26 @@
     va_end(ap);
 }
 
-void bd_audit_end(struct bd_core *core, const struct bd_job *job, uint32_t task,
-                  enum bd_hold_end why)
+void bd_decision_log_release(struct bd_core *core, const struct bd_job *job, uint32_t task,
+                             enum bd_hold_end why)
 {
     const struct bd_task *held = &job->tasks[task];
     char text[64];
     if (!wanted(core))
         return;
     snprintf(text, sizeof text, "why=%s state=%s", ends[why], states[held->state]);
-    bd_audit_task(core, "free", job, task, held->attempt, bd_machine_of(core, held->machine), text);
+    bd_decision_log_task(core, "free", job, task, held->attempt, bd_machine_of(core, held->machine),
+                         text);
 }
 
-void bd_audit_stop(struct bd_core *core, const struct bd_job *job, uint32_t task,
-                   enum bd_stop_reason why, bool force)
+void bd_decision_log_stop(struct bd_core *core, const struct bd_job *job, uint32_t task,
+                          enum bd_stop_reason why, bool force)
 {
     const struct bd_task *held = &job->tasks[task];
     char text[64];
     if (!wanted(core))
         return;
     snprintf(text, sizeof text, "why=%s force=%d state=%s", stops[why], force, states[held->state]);
-    bd_audit_task(core, "stop", job, task, held->attempt, bd_machine_of(core, held->machine), text);
+    bd_decision_log_task(core, "stop", job, task, held->attempt, bd_machine_of(core, held->machine),
+                         text);
 }
--- a/src/model/task_state.c
+++ b/src/model/task_state.c
@@ -245,7 +245,7 @@
     struct bd_task *task = &job->tasks[i];
     bool was_sent = task->state != BD_T_PLAN && task->state != BD_T_WAIT;
     if (was_sent)
-        bd_audit_end(core, job, i, why);
+        bd_decision_log_release(core, job, i, why);
     job->restarts += was_sent;
     let_go(core, job, i);
     if (task->state == BD_T_DONE)
@@ -263,7 +263,7 @@
 {
     if (job->tasks[i].state == BD_T_DONE)
         return;
-    bd_audit_end(core, job, i, BD_END_DONE);
+    bd_decision_log_release(core, job, i, BD_END_DONE);
     let_go(core, job, i);
     job->tasks[i].flags = 0;
     bd_task_set(core, job, i, BD_T_DONE);
@@ -290,7 +290,7 @@
     struct bd_task *task = &job->tasks[i];
     struct bd_machine *machine = bd_machine_of(core, task->machine);
     if (!(task->flags & BD_F_STOP) || (force && !(task->flags & BD_F_FORCE)))
-        bd_audit_stop(core, job, i, why, force);
+        bd_decision_log_stop(core, job, i, why, force);
     if (force)
         task->flags |= BD_F_FORCE;
     task->flags |= BD_F_STOP;
--- a/src/runtime/effect_dispatch.c
+++ b/src/runtime/effect_dispatch.c
@@ -14,7 +14,7 @@
 static void give(struct bd_node *node, struct bd_queue *queue, struct bd_effect *effect)
 {
     while (!bd_queue_put(queue, effect)) {
-        bd_say(&node->log, BD_ERROR, "an adapter's queue is full");
+        bd_log_write(&node->log, BD_LOG_ERROR, "an adapter's queue is full");
         bd_pause(0.05);
     }
 }
@@ -31,7 +31,7 @@
     f.len = effect->body ? (uint32_t)strlen(effect->body) : 0;
     f.count = 0;
     if (!bd_transport_send(node, effect->peer, &f))
-        bd_say(&node->log, BD_DEBUG, "a frame to another controller was dropped");
+        bd_log_write(&node->log, BD_LOG_DEBUG, "a frame to another controller was dropped");
 }
 
 /* To all controllers that understand it; the others learn of it from the records, as we would. */
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -345,7 +345,8 @@
     uint32_t all, repeated;
     bd_heartbeat_cache_counts(node->heartbeats, &all, &repeated);
     if (all > 0)
-        bd_say(&node->log, BD_INFO, "reports: %u, %u of them as the machine's last", all, repeated);
+        bd_log_write(&node->log, BD_LOG_INFO, "reports: %u, %u of them as the machine's last", all,
+                     repeated);
     if (!bd_is_zero(node->metrics_since))
         bd_metrics_report(node->metrics, &node->log, bd_between(node->metrics_since, now));
     node->metrics_since = now;
@@ -393,7 +394,7 @@
     settings->leader_ttl = bd_secs(ttl);
 }
 
-struct bd_node *bd_controller_new(const struct bd_settings *settings, enum bd_level level)
+struct bd_node *bd_controller_new(const struct bd_settings *settings, enum bd_log_level level)
 {
     struct bd_node *node = calloc(1, sizeof *node);
     if (!node)
@@ -427,11 +428,12 @@
         bd_transport_start(node) != 0)
         return -1;
     if (bd_api_start(node) != 0) {
-        bd_say(&node->log, BD_ERROR, "cannot listen on %s", node->settings.api_addr);
+        bd_log_write(&node->log, BD_LOG_ERROR, "cannot listen on %s", node->settings.api_addr);
         return -1;
     }
     if (bd_admin_start(node) != 0) {
-        bd_say(&node->log, BD_ERROR, "cannot listen on %s", node->settings.draining->admin_addr);
+        bd_log_write(&node->log, BD_LOG_ERROR, "cannot listen on %s",
+                     node->settings.draining->admin_addr);
         return -1;
     }
     return 0;
@@ -440,9 +442,9 @@
 int bd_controller_start(struct bd_node *node)
 {
     if (start_parts(node) != 0) {
-        bd_say(&node->log, BD_ERROR, "cannot start");
+        bd_log_write(&node->log, BD_LOG_ERROR, "cannot start");
         return -1;
     }
-    bd_say(&node->log, BD_INFO, "started, version %s", BD_VERSION);
+    bd_log_write(&node->log, BD_LOG_INFO, "started, version %s", BD_VERSION);
     return 0;
 }
--- a/src/scheduling/cycle.c
+++ b/src/scheduling/cycle.c
@@ -36,7 +36,8 @@
          */
         if (machine->delegated || bd_before(core->delegates.read_at, machine->lapse_at))
             continue;
-        bd_say(core->log, BD_INFO, "%s: lease over, %u tasks lost", machine->id, machine->nrefs);
+        bd_log_write(core->log, BD_LOG_INFO, "%s: lease over, %u tasks lost", machine->id,
+                     machine->nrefs);
         machine->expired_incarnation = machine->incarnation;
         machine->fenced = false;
         bd_machine_lapse(core, machine, BD_END_LEASE_OVER);
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -60,8 +60,8 @@
             (direct && task->attempt <= core->lead.fenced_attempt))
             continue;
         bd_orders_add(orders, BD_LAUNCH, job->id, i, task->attempt, 0);
-        bd_audit_task(core, "start", job, i, task->attempt, machine,
-                      direct ? "via=direct" : "via=answer");
+        bd_decision_log_task(core, "start", job, i, task->attempt, machine,
+                             direct ? "via=direct" : "via=answer");
         task->flags |= direct ? BD_F_SENT | BD_F_DO : BD_F_SENT | BD_F_TOLD;
         launch = true;
     }
@@ -91,7 +91,7 @@
                                   const struct bd_reported_task *s, struct bd_order_list *orders)
 {
     bd_orders_add(orders, BD_HALT, s->job, s->task, s->attempt, 0);
-    bd_audit_task(core, "halt", job, s->task, s->attempt, NULL, "why=cancelled via=answer");
+    bd_decision_log_task(core, "halt", job, s->task, s->attempt, NULL, "why=cancelled via=answer");
 }
 
 /* Halts of what users have cancelled: nobody's leave is needed for these, and the machine need not
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -130,7 +130,8 @@
     if (delegate->nserved < most_machines(core) &&
         len + RECORD_HEAD < core->kv_limits.kv_value_bytes_max)
         return true;
-    bd_say(core->log, BD_ERROR, "a delegate's record is full with %u machines", delegate->nserved);
+    bd_log_write(core->log, BD_LOG_ERROR, "a delegate's record is full with %u machines",
+                 delegate->nserved);
     return false;
 }
 
@@ -238,22 +239,23 @@
 }
 
 /* The first answer to each machine of our record; of those that we stand by for, one at a time. */
-static void audit_answer(struct bd_core *core, const struct bd_heartbeat *heartbeat,
-                         uint64_t fencing_token, struct bd_served *served)
+static void log_first_reply(struct bd_core *core, const struct bd_heartbeat *heartbeat,
+                            uint64_t fencing_token, struct bd_served *served)
 {
-    struct timespec *said = &core->audit.standby_said;
+    struct timespec *said = &core->decision_log.standby_said;
     if (served ? served->answered : bd_between(*said, core->now) < STANDBY_SAID_S)
         return;
     if (served)
         served->answered = true;
     else
         *said = core->now;
-    bd_audit_note(core, "answer",
-                  "machine=%s by=%s session=%llu seq=%llu seen=%llu term=%llu refreshed_s=%.2f",
-                  heartbeat->machine, served ? "delegate" : "standby",
-                  (unsigned long long)heartbeat->incarnation, (unsigned long long)heartbeat->seq,
-                  (unsigned long long)heartbeat->fencing_token, (unsigned long long)fencing_token,
-                  bd_between(core->replica.refreshed_at, core->now));
+    bd_decision_log_note(
+        core, "answer",
+        "machine=%s by=%s session=%llu seq=%llu seen=%llu term=%llu refreshed_s=%.2f",
+        heartbeat->machine, served ? "delegate" : "standby",
+        (unsigned long long)heartbeat->incarnation, (unsigned long long)heartbeat->seq,
+        (unsigned long long)heartbeat->fencing_token, (unsigned long long)fencing_token,
+        bd_between(core->replica.refreshed_at, core->now));
 }
 
 /* `served`: its entry in our record; NULL: we stand by. */
@@ -261,7 +263,7 @@
                    uint64_t fencing_token, struct bd_served *served)
 {
     struct bd_order_list orders = {0};
-    audit_answer(core, heartbeat, fencing_token, served);
+    log_first_reply(core, heartbeat, fencing_token, served);
     bd_orders_answer(core, request, heartbeat, &orders, fencing_token);
     free(orders.items);
 }
@@ -314,7 +316,8 @@
     if (status == 400)
         (void)bd_kv_limits_rejected(core, "the delegate's record");
     if (status != 200)
-        bd_say(core->log, BD_INFO, "the delegate's record was not written: status %ld", status);
+        bd_log_write(core->log, BD_LOG_INFO, "the delegate's record was not written: status %ld",
+                     status);
     /* a leader's key that was only rewritten is no reason to send the workers round */
     answer_asking(core, status != 200 && status != 409);
     if (delegate->asking)
@@ -419,8 +422,8 @@
     if (delegate->nprobes > 0 && ago <= way_back_s(core))
         return delegate->nprobes < delegate->batch && ago < GATHER_S && send_probe(core, heartbeat);
     if (delegate->nprobes > 0) {
-        bd_say(core->log, BD_INFO, "%u workers did reach %s, whom we do not hear",
-               delegate->nprobes, core->leader_name);
+        bd_log_write(core->log, BD_LOG_INFO, "%u workers did reach %s, whom we do not hear",
+                     delegate->nprobes, core->leader_name);
         delegate->batch = delegate->batch * 2 < BD_PROBES ? delegate->batch * 2 : BD_PROBES;
         delegate->nprobes = 0;
     } else if (ago < (nobody_heard(core) ? SOON_S : PROBE_S)) {
@@ -483,8 +486,8 @@
     }
     let_wait(core, request, heartbeat);
     if (delegate->nserved == 1)
-        bd_say(core->log, BD_INFO, "%s is not heard: answers its workers, first %s",
-               core->leader_name, heartbeat->machine);
+        bd_log_write(core->log, BD_LOG_INFO, "%s is not heard: answers its workers, first %s",
+                     core->leader_name, heartbeat->machine);
     delegate->next_confirm = core->now;
     return true;
 }
--- a/src/workers/delegate_view.c
+++ b/src/workers/delegate_view.c
@@ -66,8 +66,8 @@
     /* it may have heard us meanwhile, and what the key says of it be over */
     if (first || bd_between(s->named, core->now) > AGAIN_S) {
         s->named = core->now;
-        bd_say(core->log, BD_INFO, "%s answers for us needlessly: %s came here", s->key,
-               machine->id);
+        bd_log_write(core->log, BD_LOG_INFO, "%s answers for us needlessly: %s came here", s->key,
+                     machine->id);
         core->lead.token_raise_wanted = true;
     }
     s->dismissed = core->now;
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -30,7 +30,8 @@
     machine->error_job = job;
     if (machine->errors >= FAILING_ERRORS && !machine->bad) {
         machine->bad = true;
-        bd_say(core->log, BD_INFO, "%s fails its tasks and is taken out of use", machine->id);
+        bd_log_write(core->log, BD_LOG_INFO, "%s fails its tasks and is taken out of use",
+                     machine->id);
     }
 }
 
@@ -68,14 +69,15 @@
         if (run <= SLOW_FACTOR * job->longest_run + SLOW_EXTRA_TENTHS)
             continue;
         late++;
-        bd_say(core->log, BD_DEBUG, "%s on %s runs for %.1f s, of %u others none over %.1f s",
-               job->id, machine->id, run / 10.0, job->runs, job->longest_run / 10.0);
+        bd_log_write(core->log, BD_LOG_DEBUG,
+                     "%s on %s runs for %.1f s, of %u others none over %.1f s", job->id,
+                     machine->id, run / 10.0, job->runs, job->longest_run / 10.0);
     }
     if (late < SLOW_TASKS)
         return;
     machine->bad = true;
-    bd_say(core->log, BD_INFO, "%s runs %u tasks far too slowly and is taken out of use",
-           machine->id, late);
+    bd_log_write(core->log, BD_LOG_INFO, "%s runs %u tasks far too slowly and is taken out of use",
+                 machine->id, late);
 }
 
 static bool is_current(const struct bd_machine *machine, const struct bd_task *task,
@@ -156,12 +158,14 @@
         }
         /* no intent names it, yet it runs: holding it here is what keeps it from running twice */
         bd_task_assign(core, job, s->task, machine, s->attempt, BD_T_LIVE);
-        bd_audit_task(core, "adopt", job, s->task, s->attempt, machine, "why=shown_without_intent");
+        bd_decision_log_task(core, "adopt", job, s->task, s->attempt, machine,
+                             "why=shown_without_intent");
         if (job->state != BD_LIVE)
             task->flags |= BD_F_STOP | BD_F_FORCE;
     }
     if (task->state == BD_T_UNKNOWN)
-        bd_audit_task(core, "adopt", job, s->task, s->attempt, machine, "why=intent_and_report");
+        bd_decision_log_task(core, "adopt", job, s->task, s->attempt, machine,
+                             "why=intent_and_report");
     uint8_t flags = task->flags;
     if (s->sub == BD_RUNNING && (task->sub != BD_RUNNING || task->state != BD_T_LIVE)) {
         job->last_begun = core->now;
@@ -301,12 +305,12 @@
 }
 
 /* The first answer in our term, and the first since the machine has seen it. */
-static void audit_answer(struct bd_core *core, struct bd_machine *machine)
+static void log_first_reply(struct bd_core *core, struct bd_machine *machine)
 {
     if (machine->answered && (machine->answered_seen || !machine->fenced))
         return;
-    bd_audit_machine(core, "answer", machine,
-                     machine->fenced ? "by=leader evidence=yes" : "by=leader evidence=no");
+    bd_decision_log_machine(core, "answer", machine,
+                            machine->fenced ? "by=leader evidence=yes" : "by=leader evidence=no");
     machine->answered = true;
     machine->answered_seen = machine->fenced;
 }
@@ -316,7 +320,7 @@
 {
     if (machine->fenced)
         bd_orders_owed(core, machine, orders);
-    audit_answer(core, machine);
+    log_first_reply(core, machine);
     machine->lapse_at = bd_lease_end(core, core->now);
     if (!machine->fenced) /* if this answer is lost, an earlier term may still renew it */
         machine->lapse_at = bd_max(machine->lapse_at, core->lead.others_lapse);
@@ -462,7 +466,7 @@
  * its next check-in. */
 static void direct_not_sent(struct bd_core *core, struct bd_machine *machine, bool launch)
 {
-    bd_audit_machine(core, "unsent", machine, launch ? "launch=1" : "launch=0");
+    bd_decision_log_machine(core, "unsent", machine, launch ? "launch=1" : "launch=0");
     if (launch && machine->late_launch_token == 0)
         exclude_late(machine);
     machine->do_after = bd_add(core->now, core->settings->heartbeat_interval);
--- a/tests/audit.c
+++ b/tests/audit.c
@@ -40,9 +40,9 @@
 {
     static const uint32_t tasks[] = {0, 1, 2, 5, 7, 8};
     for (size_t i = 0; i < sizeof tasks / sizeof *tasks; i++)
-        bd_audit_task(core, "start", job, tasks[i], 77, machine, "via=direct");
+        bd_decision_log_task(core, "start", job, tasks[i], 77, machine, "via=direct");
     check("a line waits for more tasks", *written(fd) == '\0');
-    bd_audit_task(core, "start", job, 9, 78, machine, "via=direct");
+    bd_decision_log_task(core, "start", job, 9, 78, machine, "via=direct");
     check("another attempt begins a line",
           strstr(written(fd), "event=start job=job-1 attempt=77 task=0-2,5,7-8 machine=vm-1 "
                               "via=direct session=3 seq=9 seen=41 term=44\n") != NULL);
@@ -50,8 +50,8 @@
     check("what allowed an effect is written before it is taken",
           strstr(written(fd), "attempt=78 task=9 ") != NULL);
     for (uint32_t i = 0; i < 400; i += 2)
-        bd_audit_task(core, "start", job, i, 79, machine, "");
-    bd_audit_flush(core);
+        bd_decision_log_task(core, "start", job, i, 79, machine, "");
+    bd_decision_log_flush(core);
     const char *text = written(fd);
     check("no task is left out of a long list", strstr(text, "task=0,2,4,") != NULL &&
                                                     strstr(text, ",398 machine") != NULL &&
@@ -62,15 +62,15 @@
 {
     bd_core_set_clock(core, bd_add(now, bd_secs(100)), 1100);
     for (int i = 0; i < 5000; i++)
-        bd_audit_note(core, "answer", "n=%d", i);
+        bd_decision_log_note(core, "answer", "n=%d", i);
     check("no more lines at once than the bound", lines_with(written(fd), "event=answer") == 400);
     bd_core_set_clock(core, bd_add(now, bd_secs(100.5)), 1100.5);
-    bd_audit_note(core, "answer", "n=early");
+    bd_decision_log_note(core, "answer", "n=early");
     check("after that, no line before a second's are free", *written(fd) == '\0');
-    bd_audit_term(core, "lead", "term=7");
+    bd_decision_log_term(core, "lead", "term=7");
     check("who leads is always written", strstr(written(fd), "event=lead term=7\n") != NULL);
     bd_core_set_clock(core, bd_add(now, bd_secs(101.1)), 1101.1);
-    bd_audit_note(core, "answer", "n=last");
+    bd_decision_log_note(core, "answer", "n=last");
     check("how many were left out is said",
           strstr(written(fd), "event=suppressed lines=4601\n") != NULL);
 }
@@ -78,7 +78,7 @@
 int main(void)
 {
     static struct bd_settings settings;
-    struct bd_log log = {BD_INFO, "node-0"};
+    struct bd_log log = {BD_LOG_INFO, "node-0"};
     int fds[2];
     if (pipe2(fds, O_NONBLOCK) != 0 || fcntl(fds[1], F_SETPIPE_SZ, 1 << 20) < 0 ||
         dup2(fds[1], STDERR_FILENO) < 0)
@@ -94,10 +94,10 @@
     struct bd_machine machine = {.id = "vm-1", .incarnation = 3, .seq = 9, .fencing_token = 41};
     ranges(core, &job, &machine, fds[0]);
     rate(core, now, fds[0]);
-    log.level = BD_ERROR;
-    bd_audit_task(core, "start", &job, 0, 1, &machine, "");
-    bd_audit_note(core, "lead", "term=1");
-    bd_audit_flush(core);
+    log.level = BD_LOG_ERROR;
+    bd_decision_log_task(core, "start", &job, 0, 1, &machine, "");
+    bd_decision_log_note(core, "lead", "term=1");
+    bd_decision_log_flush(core);
     check("nothing is written below info", *written(fds[0]) == '\0');
     bd_core_free(core);
     return failed ? 1 : 0;
--- a/tests/direct_commands.c
+++ b/tests/direct_commands.c
@@ -63,7 +63,7 @@
     if (!node)
         abort();
     node->settings.max_sockets = 400;
-    node->log = (struct bd_log){BD_ERROR, "node-0"};
+    node->log = (struct bd_log){BD_LOG_ERROR, "node-0"};
     node->metrics = bd_metrics_new();
     if (!node->metrics || bd_http_start() != 0 || bd_queue_init(&node->events, 4096) != 0 ||
         bd_worker_client_start(node) != 0)
--- a/tests/drain_profile.c
+++ b/tests/drain_profile.c
@@ -175,7 +175,7 @@
     f->settings.nteams = TEAMS;
     for (int i = 0; i < TEAMS; i++)
         snprintf(f->settings.teams[i].name, BD_NAME, "team-%d", i);
-    f->log = (struct bd_log){BD_ERROR, "drain-profile"};
+    f->log = (struct bd_log){BD_LOG_ERROR, "drain-profile"};
     f->machines = machines;
     f->core = bd_core_new(&f->settings, &f->log);
     if (!f->core)
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -570,7 +570,7 @@
     if (!w)
         abort();
     w->seed = seed;
-    w->log = (struct bd_log){BD_ERROR, "graphs"};
+    w->log = (struct bd_log){BD_LOG_ERROR, "graphs"};
     w->rng = gsl_rng_alloc(gsl_rng_taus2);
     gsl_rng_set(w->rng, seed);
     for (int n = 0; n < NODES; n++)
@@ -639,7 +639,7 @@
 static int large(void)
 {
     struct bd_settings s = {0};
-    struct bd_log log = {BD_ERROR, "graphs"};
+    struct bd_log log = {BD_LOG_ERROR, "graphs"};
     int faults = 0;
     settings(&s, 0);
     struct bd_core *c = bd_core_new(&s, &log);
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -649,7 +649,7 @@
 
 int main(int argc, char **argv)
 {
-    struct world w = {.log = {BD_ERROR, "profile"}};
+    struct world w = {.log = {BD_LOG_ERROR, "profile"}};
     static const struct {
         const char *verb;
         int (*run)(struct world *w);
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -824,7 +824,7 @@
 
 int main(int argc, char **argv)
 {
-    struct play p = {.log = {BD_ERROR, "scenario"}};
+    struct play p = {.log = {BD_LOG_ERROR, "scenario"}};
     char line[4096], copy[4096];
     struct behaviour_digest digest;
     bool traced = argc == 3 && strcmp(argv[2], "steps") == 0;
@@ -840,7 +840,7 @@
     }
     small_settings(&p.settings);
     if (getenv("LOG_LEVEL"))
-        p.log.level = bd_level_of(getenv("LOG_LEVEL"));
+        p.log.level = bd_log_level_parse(getenv("LOG_LEVEL"));
     int steps = 0;
     while (fgets(line, sizeof line, f)) {
         p.line++;
--- a/tests/simulation.c
+++ b/tests/simulation.c
@@ -428,7 +428,7 @@
     }
     if (s->draining)
         settings->draining = sim_drain_rules(s);
-    s->nodes[i].log = (struct bd_log){BD_ERROR, s->nodes[i].settings.node};
+    s->nodes[i].log = (struct bd_log){BD_LOG_ERROR, s->nodes[i].settings.node};
 }
 
 static void begin(struct sim *s, const struct sim_plan *p, unsigned long seed)
@@ -645,7 +645,7 @@
     s->loud = loud;
     s->digest = digest;
     for (int i = 0; debug && i < SIM_NODES; i++)
-        s->nodes[i].log.level = BD_DEBUG;
+        s->nodes[i].log.level = BD_LOG_DEBUG;
     while (s->broken <= 5 && (s->now < s->ends || (s->now < s->ends + MOST_S && !all_served(s)))) {
         s->now += STEP_S;
         if (out && s->now >= s->outage)
