--- a/src/core/core.h
+++ b/src/core/core.h
@@ -157,8 +157,9 @@
                                    size_t len);
 void bd_forward_reply_received(struct bd_core *core, uint64_t id, int status, const char *body,
                                size_t len);
-void bd_core_did(struct bd_core *core, uint32_t machine, uint64_t fencing_token, bool launch,
-                 long status, const struct bd_heartbeat *heartbeat);
+void bd_worker_direct_command_completed(struct bd_core *core, uint32_t machine,
+                                        uint64_t fencing_token, bool launch, long status,
+                                        const struct bd_heartbeat *heartbeat);
 /* cloud */
 void bd_core_types(struct bd_core *core, const struct bd_type_text *t, int n);
 void bd_core_machines(struct bd_core *core, const struct bd_cloud_machine *l, size_t n,
--- a/src/core/core_internal.h
+++ b/src/core/core_internal.h
@@ -151,7 +151,7 @@
 uint32_t bd_tenths(struct timespec t);
 void bd_find_slow(struct bd_core *core, struct bd_machine *machine);
 void bd_find_outbound_cut(struct bd_core *core);
-void bd_orders_send(struct bd_core *core, struct bd_machine *machine);
+void bd_commands_send_direct(struct bd_core *core, struct bd_machine *machine);
 bool bd_has_image(const struct bd_machine *machine, int image);
 double bd_fetch_s(const struct bd_core *core, const struct bd_machine *machine,
                   const struct bd_spec *spec);
--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -47,7 +47,7 @@
     for (uint32_t i = 0; i < commit->nplan; i++) {
         struct bd_machine *machine = bd_machine_of(core, commit->plan[i].machine);
         if (machine)
-            bd_orders_send(core, machine);
+            bd_commands_send_direct(core, machine);
     }
     for (uint32_t i = 0; i < commit->nparts; i++) {
         const struct bd_part *p = &commit->parts[i];
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -32,12 +32,12 @@
     struct timespec heard, known_at, idle_since, refuse_until;
     struct timespec asked; /* its newest check-in: a direct answer is heard, but renews nothing */
     double age_at_known;
-    double notice_left; /* < 0: none */
-    bool do_busy;       /* one direct command at a time */
-    uint32_t do_fails;  /* without an answer, in a row */
-    struct timespec do_after;
+    double notice_left;       /* < 0: none */
+    bool direct_in_flight;    /* one direct command at a time */
+    uint32_t direct_failures; /* without an answer, in a row */
+    struct timespec direct_not_before;
     uint64_t late_launch_token; /* highest token of a direct launch without an answer, 0: none */
-    struct timespec do_since;
+    struct timespec direct_sent_at;
     struct bd_ref *refs;
     uint32_t nrefs, cap;
     double cpus, gpus, mem;                      /* in use */
--- a/src/model/task_state.c
+++ b/src/model/task_state.c
@@ -298,7 +298,7 @@
     if (task->state == BD_T_LAUNCH && !(task->flags & BD_F_SENT))
         bd_task_free(core, job, i, BD_END_NOT_SENT); /* nothing was ever sent: nothing can start */
     else if (machine)
-        bd_orders_send(core, machine);
+        bd_commands_send_direct(core, machine);
 }
 
 /* A gang saves only if all its members are told within a short time: they are stopped together. */
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -96,8 +96,9 @@
 
 static void did(struct bd_node *node, const struct bd_event *event)
 {
-    bd_core_did(node->core, event->machine, event->number, event->flag, event->status,
-                bd_heartbeat_cache_read(node->heartbeats, event->text, event->len));
+    bd_worker_direct_command_completed(
+        node->core, event->machine, event->number, event->flag, event->status,
+        bd_heartbeat_cache_read(node->heartbeats, event->text, event->len));
 }
 
 static void followed(struct bd_node *node, struct bd_event *event)
--- a/src/scheduling/cycle.c
+++ b/src/scheduling/cycle.c
@@ -53,7 +53,7 @@
     for (uint32_t i = 0; i < core->nmachines && !core->lead.token_raise_wanted; i++) {
         struct bd_machine *machine = core->by_index[i];
         if (!machine->late_launch_token || machine->late_launch_token < core->lead.term ||
-            machine->gone || bd_between(machine->do_since, core->now) < TOKEN_RAISE_AFTER_S)
+            machine->gone || bd_between(machine->direct_sent_at, core->now) < TOKEN_RAISE_AFTER_S)
             continue;
         for (uint32_t k = 0; k < machine->nrefs; k++)
             if (machine->refs[k].job->tasks[machine->refs[k].task].flags & BD_F_DO)
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -76,10 +76,10 @@
     struct bd_reported_task *tasks;
 };
 
-enum bd_verb { BD_LAUNCH, BD_HALT, BD_FORGET };
+enum bd_command_verb { BD_COMMAND_LAUNCH, BD_COMMAND_HALT, BD_COMMAND_FORGET };
 
-struct bd_order {
-    enum bd_verb verb;
+struct bd_command {
+    enum bd_command_verb verb;
     char job[BD_ID];
     uint32_t task;
     uint64_t attempt;
@@ -151,8 +151,8 @@
 /* session 0: an answer to a report, else the body of a direct command */
 /* Bytes of the value as it is sent; SIZE_MAX: out of memory. */
 size_t bd_wire_bytes(const json_t *value);
-char *bd_wire_orders(uint64_t fencing_token, uint64_t incarnation, const struct bd_order *o,
-                     size_t n);
+char *bd_wire_commands(uint64_t fencing_token, uint64_t incarnation, const struct bd_command *o,
+                       size_t n);
 int bd_wire_types(json_t *o, struct bd_type_text *out, int max);
 int bd_wire_machines(json_t *o, struct bd_cloud_machine *out, int max, bool *more);
 char *bd_wire_provision(const char *request, const char *type, const char *zone, bool spot,
--- a/src/wire/wire_workers.c
+++ b/src/wire/wire_workers.c
@@ -84,8 +84,8 @@
     heartbeat->n = 0;
 }
 
-char *bd_wire_orders(uint64_t fencing_token, uint64_t incarnation, const struct bd_order *o,
-                     size_t n)
+char *bd_wire_commands(uint64_t fencing_token, uint64_t incarnation, const struct bd_command *o,
+                       size_t n)
 {
     size_t cap = 96 + n * 128, len = 0;
     char *buf = malloc(cap);
@@ -102,7 +102,7 @@
                                 "%s{\"verb\":\"%s\",\"chore\":\"%s/%u\",\"try\":%llu",
                                 i ? ",\n" : "", verbs[o[i].verb], o[i].job, o[i].task,
                                 (unsigned long long)o[i].attempt);
-        if (o[i].verb == BD_HALT)
+        if (o[i].verb == BD_COMMAND_HALT)
             len += (size_t)snprintf(buf + len, cap - len, ",\"mercyS\":%.3f", o[i].grace);
         len += (size_t)snprintf(buf + len, cap - len, "}");
     }
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -262,10 +262,10 @@
 static void answer(struct bd_core *core, void *request, const struct bd_heartbeat *heartbeat,
                    uint64_t fencing_token, struct bd_served *served)
 {
-    struct bd_order_list orders = {0};
+    struct bd_command_list commands = {0};
     log_first_reply(core, heartbeat, fencing_token, served);
-    bd_orders_answer(core, request, heartbeat, &orders, fencing_token);
-    free(orders.items);
+    bd_commands_reply(core, request, heartbeat, &commands, fencing_token);
+    free(commands.items);
 }
 
 /* Answers who asked; those who came while the record was being written wait for the next one. */
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -105,17 +105,17 @@
  * while it knows the attempt, or once it has seen a higher token: what a token's direct launches
  * may have carried is not forgotten before. */
 static void forget(struct bd_core *core, const struct bd_heartbeat *heartbeat,
-                   const struct bd_reported_task *s, struct bd_order_list *orders)
+                   const struct bd_reported_task *s, struct bd_command_list *commands)
 {
     if (s->attempt <= core->lead.fenced_attempt && heartbeat->fencing_token >= core->lead.term)
-        bd_orders_add(orders, BD_FORGET, s->job, s->task, s->attempt, 0);
+        bd_commands_append(commands, BD_COMMAND_FORGET, s->job, s->task, s->attempt, 0);
     else if (core->lead.withheld++ == 0)
         core->lead.withheld_at = core->now;
 }
 
 static void exited(struct bd_core *core, struct bd_machine *machine, struct bd_job *job,
                    const struct bd_heartbeat *heartbeat, const struct bd_reported_task *s,
-                   struct bd_order_list *orders)
+                   struct bd_command_list *commands)
 {
     struct bd_task *task = &job->tasks[s->task];
     bool current = is_current(machine, task, s->attempt);
@@ -135,7 +135,7 @@
         }
         bd_task_done(core, job, s->task);
         if (task->flags & BD_F_RECEIPT)
-            forget(core, heartbeat, s, orders);
+            forget(core, heartbeat, s, commands);
         return;
     }
     if (late) {
@@ -144,16 +144,16 @@
     }
     if (current)
         ended(core, machine, job, s->task, s);
-    forget(core, heartbeat, s, orders);
+    forget(core, heartbeat, s, commands);
 }
 
 static void alive(struct bd_core *core, struct bd_machine *machine, struct bd_job *job,
-                  const struct bd_reported_task *s, struct bd_order_list *orders)
+                  const struct bd_reported_task *s, struct bd_command_list *commands)
 {
     struct bd_task *task = &job->tasks[s->task];
     if (!is_current(machine, task, s->attempt)) {
         if (task->state != BD_T_WAIT) { /* the task is elsewhere or done: this one must not be */
-            bd_orders_add(orders, BD_HALT, s->job, s->task, s->attempt, 0);
+            bd_commands_append(commands, BD_COMMAND_HALT, s->job, s->task, s->attempt, 0);
             return;
         }
         /* no intent names it, yet it runs: holding it here is what keeps it from running twice */
@@ -235,7 +235,7 @@
 }
 
 static void evidence(struct bd_core *core, struct bd_machine *machine,
-                     const struct bd_heartbeat *heartbeat, struct bd_order_list *orders)
+                     const struct bd_heartbeat *heartbeat, struct bd_command_list *commands)
 {
     for (size_t k = 0; k < heartbeat->n; k++) {
         const struct bd_reported_task *s = &heartbeat->tasks[k];
@@ -243,15 +243,15 @@
         if (!job || !job->tasks || s->task >= job->ntasks) {
             /* done jobs' results may be forgotten; of others nothing is known here */
             if (s->sub == BD_EXITED && job && job->state == BD_DONE)
-                forget(core, heartbeat, s, orders);
+                forget(core, heartbeat, s, commands);
             else if (s->sub != BD_EXITED)
-                bd_orders_add(orders, BD_HALT, s->job, s->task, s->attempt, 0);
+                bd_commands_append(commands, BD_COMMAND_HALT, s->job, s->task, s->attempt, 0);
             continue;
         }
         if (s->sub == BD_EXITED)
-            exited(core, machine, job, heartbeat, s, orders);
+            exited(core, machine, job, heartbeat, s, commands);
         else
-            alive(core, machine, job, s, orders);
+            alive(core, machine, job, s, commands);
     }
 }
 
@@ -277,7 +277,7 @@
 
 /* Takes a report in. False: stale, nothing changed. */
 static bool take_report(struct bd_core *core, struct bd_machine *machine,
-                        const struct bd_heartbeat *heartbeat, struct bd_order_list *orders)
+                        const struct bd_heartbeat *heartbeat, struct bd_command_list *commands)
 {
     if (!newer(machine, heartbeat))
         return false;
@@ -296,11 +296,11 @@
         core->lead.round_wanted = true;
     machine->fenced = true;
     if (machine->late_launch_token && heartbeat->fencing_token > machine->late_launch_token &&
-        !machine->do_busy)
+        !machine->direct_in_flight)
         exclude_late(machine);
     mark_shown(core, machine, heartbeat);
     missing(core, machine);
-    evidence(core, machine, heartbeat, orders);
+    evidence(core, machine, heartbeat, commands);
     return true;
 }
 
@@ -316,15 +316,15 @@
 }
 
 static void answer_checkin(struct bd_core *core, void *request, struct bd_machine *machine,
-                           const struct bd_heartbeat *heartbeat, struct bd_order_list *orders)
+                           const struct bd_heartbeat *heartbeat, struct bd_command_list *commands)
 {
     if (machine->fenced)
-        bd_orders_owed(core, machine, orders);
+        bd_commands_pending(core, machine, commands);
     log_first_reply(core, machine);
     machine->lapse_at = bd_lease_end(core, core->now);
     if (!machine->fenced) /* if this answer is lost, an earlier term may still renew it */
         machine->lapse_at = bd_max(machine->lapse_at, core->lead.others_lapse);
-    bd_orders_answer(core, request, heartbeat, orders, core->lead.term);
+    bd_commands_reply(core, request, heartbeat, commands, core->lead.term);
 }
 
 /* A worker has one check-in under way and numbers them upwards; one that is not newer than the
@@ -387,18 +387,18 @@
     }
     if (direct && machine->delegated)
         bd_delegate_needless(core, machine);
-    struct bd_order_list orders = {0};
+    struct bd_command_list commands = {0};
     hears_us(machine, heartbeat, via);
     answers_settled(machine);
-    if (take_report(core, machine, heartbeat, &orders))
+    if (take_report(core, machine, heartbeat, &commands))
         machine->direct = direct;
     machine->asked_seq = heartbeat->seq;
     machine->asked = core->now;
     if (!bd_core_valid(core))
-        orders.count = 0;
-    answer_checkin(core, request, machine, heartbeat, &orders);
-    free(orders.items);
-    bd_orders_send(core, machine);
+        commands.count = 0;
+    answer_checkin(core, request, machine, heartbeat, &commands);
+    free(commands.items);
+    bd_commands_send_direct(core, machine);
 }
 
 void bd_worker_heartbeat_received(struct bd_core *core, void *request,
@@ -439,13 +439,13 @@
 static void direct_failed(struct bd_core *core, struct bd_machine *machine)
 {
     double pause = bd_to_secs(core->settings->heartbeat_interval);
-    for (uint32_t k = 0; k < machine->do_fails && k < DIRECT_DOUBLINGS; k++)
+    for (uint32_t k = 0; k < machine->direct_failures && k < DIRECT_DOUBLINGS; k++)
         pause *= 2;
-    machine->do_fails++;
+    machine->direct_failures++;
     if (machine->zone >= 0)
         core->cloud.direct[machine->zone].fails++;
     machine->outbound_cut = true; /* nothing new for it until it shows that it hears */
-    machine->do_after = bd_add(core->now, bd_secs(pause));
+    machine->direct_not_before = bd_add(core->now, bd_secs(pause));
 }
 
 /* As leader: whether so many seem not to hear that it is rather we who are not heard. */
@@ -469,17 +469,18 @@
     bd_decision_log_machine(core, "unsent", machine, launch ? "launch=1" : "launch=0");
     if (launch && machine->late_launch_token == 0)
         exclude_late(machine);
-    machine->do_after = bd_add(core->now, core->settings->heartbeat_interval);
+    machine->direct_not_before = bd_add(core->now, core->settings->heartbeat_interval);
 }
 
-void bd_core_did(struct bd_core *core, uint32_t machine, uint64_t fencing_token, bool launch,
-                 long status, const struct bd_heartbeat *heartbeat)
+void bd_worker_direct_command_completed(struct bd_core *core, uint32_t machine,
+                                        uint64_t fencing_token, bool launch, long status,
+                                        const struct bd_heartbeat *heartbeat)
 {
     struct bd_machine *m = bd_machine_of(core, machine);
     if (core->role != BD_LEADER || !m || fencing_token < core->lead.base_term)
         return;
-    m->do_busy = false;
-    bd_metrics_time(core->metrics, BD_TIMING_DIRECT, bd_between(m->do_since, core->now));
+    m->direct_in_flight = false;
+    bd_metrics_time(core->metrics, BD_TIMING_DIRECT, bd_between(m->direct_sent_at, core->now));
     if (status == BD_DIRECT_NOT_SENT) {
         direct_not_sent(core, m, launch);
         return;
@@ -491,7 +492,7 @@
             m->late_launch_token = fencing_token;
         return;
     }
-    m->do_fails = 0;
+    m->direct_failures = 0;
     m->outbound_cut = false;
     if (m->zone >= 0)
         core->cloud.direct[m->zone].fails = 0;
@@ -499,13 +500,13 @@
         direct_failed(core, m); /* the address serves another machine now */
         return;
     }
-    struct bd_order_list orders = {0};
+    struct bd_command_list commands = {0};
     if (launch && m->late_launch_token == 0)
         exclude_late(m); /* answered: nothing of it is on its way any more */
     if (m->gone)
         return;
-    (void)take_report(core, m, heartbeat, &orders);
-    free(orders.items); /* said again with the next report */
+    (void)take_report(core, m, heartbeat, &commands);
+    free(commands.items); /* said again with the next report */
     if (m->nrefs)
-        bd_orders_send(core, m);
+        bd_commands_send_direct(core, m);
 }
--- a/tests/drain_profile.c
+++ b/tests/drain_profile.c
@@ -101,7 +101,8 @@
         struct bd_reported_task tasks[128];
         if (e->kind == BD_EFFECT_DIRECT_COMMAND) {
             fill(f, (uint32_t)atoi(f->core->by_index[e->machine]->id + 3), &r, tasks);
-            bd_core_did(f->core, e->machine, e->fencing_token, e->launch, 200, &r);
+            bd_worker_direct_command_completed(f->core, e->machine, e->fencing_token, e->launch,
+                                               200, &r);
         } else if (e->kind == BD_EFFECT_SCALE_IN) {
             json_t *o = json_loads(e->body, 0, NULL);
             char names[128][BD_LABEL];
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -196,7 +196,7 @@
     }
 }
 
-static void orders(struct world *w, const char *body)
+static void commands(struct world *w, const char *body)
 {
     json_t *o = json_loads(body, 0, NULL), *v;
     size_t i;
@@ -274,10 +274,11 @@
     struct bd_reported_task *seen = calloc(TASKS, sizeof *seen);
     bool heard = dice(w, 12) != 0, told = heard && dice(w, 12) != 0;
     if (heard)
-        orders(w, e->body);
+        commands(w, e->body);
     if (told)
         fill_report(w, &r, seen);
-    bd_core_did(w->c[n], e->machine, e->fencing_token, e->launch, told ? 200 : 0, told ? &r : NULL);
+    bd_worker_direct_command_completed(w->c[n], e->machine, e->fencing_token, e->launch,
+                                       told ? 200 : 0, told ? &r : NULL);
     free(seen);
 }
 
@@ -316,7 +317,7 @@
         else if (e->kind == BD_EFFECT_READ_BARRIER)
             refresh(w, n, dice(w, 10) != 0);
         else if (e->kind == BD_EFFECT_REPLY && e->status == 200)
-            orders(w, e->body);
+            commands(w, e->body);
         if (e->kind == BD_EFFECT_LEADER_TXN) {
             w->commit[n] = e;
         } else {
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -403,8 +403,8 @@
     snprintf(r.type, sizeof r.type, "%s", m->type < 0 ? "?" : p->c->types[m->type].label);
     snprintf(r.zone, sizeof r.zone, "%s", m->zone < 0 ? "?" : p->c->zones[m->zone]);
     long status = (long)play_num(p, "status", 200);
-    bd_core_did(p->c, m->index, (uint64_t)play_num(p, "token", 0), play_num(p, "launch", 1) != 0,
-                status, status ? &r : NULL);
+    bd_worker_direct_command_completed(p->c, m->index, (uint64_t)play_num(p, "token", 0),
+                                       play_num(p, "launch", 1) != 0, status, status ? &r : NULL);
 }
 
 static void cmd_listed(struct play *p)
--- a/tests/scenario_drain.c
+++ b/tests/scenario_drain.c
@@ -235,7 +235,8 @@
             const char *id = p->c->by_index[e->machine]->id, *mute = play_arg(p, "mute");
             bool answers = !mute || strcmp(mute, id) != 0;
             fill_running(p, id, &r, tasks);
-            bd_core_did(p->c, e->machine, e->fencing_token, e->launch, answers ? 200 : 0, &r);
+            bd_worker_direct_command_completed(p->c, e->machine, e->fencing_token, e->launch,
+                                               answers ? 200 : 0, &r);
         } else if (e->kind == BD_EFFECT_SCALE_IN) {
             json_t *o = json_loads(e->body, 0, NULL);
             char names[128][BD_LABEL];
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -732,7 +732,8 @@
     }
     if (!bd_before(steady(s, n), t->until)) {
         clock_core(s, n);
-        bd_core_did(n->core, t->machine, t->fencing_token, t->launch, BD_DIRECT_NOT_SENT, NULL);
+        bd_worker_direct_command_completed(n->core, t->machine, t->fencing_token, t->launch,
+                                           BD_DIRECT_NOT_SENT, NULL);
         settle(s, n);
         free(t);
         return;
@@ -756,8 +757,8 @@
     if (!t->over && n->core && n->epoch == e->epoch) {
         bool ok = e->kind == SIM_DO_BACK && read_heartbeat(e->text, &r);
         clock_core(s, n);
-        bd_core_did(n->core, t->machine, t->fencing_token, t->launch, ok ? e->status : 0,
-                    ok ? &r : NULL);
+        bd_worker_direct_command_completed(n->core, t->machine, t->fencing_token, t->launch,
+                                           ok ? e->status : 0, ok ? &r : NULL);
         if (ok)
             bd_wire_heartbeat_release(&r);
         settle(s, n);
