--- a/src/core/core_internal.h
+++ b/src/core/core_internal.h
@@ -137,13 +137,14 @@
 void bd_task_set(struct bd_core *core, struct bd_job *job, uint32_t i, enum bd_task_state st);
 void bd_task_assign(struct bd_core *core, struct bd_job *job, uint32_t i,
                     struct bd_machine *machine, uint64_t attempt, enum bd_task_state st);
-void bd_task_free(struct bd_core *core, struct bd_job *job, uint32_t i, enum bd_hold_end why);
+void bd_task_release(struct bd_core *core, struct bd_job *job, uint32_t i,
+                     enum bd_release_reason why);
 void bd_task_done(struct bd_core *core, struct bd_job *job, uint32_t i);
 void bd_task_stop(struct bd_core *core, struct bd_job *job, uint32_t i, enum bd_stop_reason why,
                   bool force);
 bool bd_job_lead(struct bd_core *core, struct bd_job *job);
 void bd_job_unlead(struct bd_job *job);
-void bd_machine_lapse(struct bd_core *core, struct bd_machine *machine, enum bd_hold_end why);
+void bd_machine_lapse(struct bd_core *core, struct bd_machine *machine, enum bd_release_reason why);
 void bd_machine_gone(struct bd_core *core, struct bd_machine *machine);
 bool bd_overdue(const struct bd_core *core, const struct bd_machine *machine);
 bool bd_machine_usable(const struct bd_core *core, const struct bd_machine *machine);
--- a/src/leadership/commit.c
+++ b/src/leadership/commit.c
@@ -111,7 +111,8 @@
                                           commit->parts[commit->nparts - 1].n
                                     : 0;
     for (uint32_t i = named; i < commit->nplan; i++)
-        bd_task_free(core, commit->plan[i].job, commit->plan[i].task, BD_END_NOT_COMMITTED);
+        bd_task_release(core, commit->plan[i].job, commit->plan[i].task,
+                        BD_RELEASE_INTENT_NOT_COMMITTED);
     if (named < commit->nplan)
         bd_log_write(core->log, BD_LOG_ERROR, "%u starts did not fit the intent records",
                      commit->nplan - named);
--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -34,7 +34,7 @@
         struct bd_machine *machine = bd_machine_of(core, task->machine);
         if (e->job->state != BD_LIVE || bd_cancel_heard(core, e->job) || !machine ||
             machine->gone || machine->returning) {
-            bd_task_free(core, e->job, e->task, BD_END_NOT_SENT);
+            bd_task_release(core, e->job, e->task, BD_RELEASE_LAUNCH_NOT_SENT);
             continue;
         }
         bd_task_set(core, e->job, e->task, BD_T_LAUNCH);
@@ -154,7 +154,7 @@
         struct bd_intent *e = &commit->plan[n];
         if (e->job->tasks && e->job->tasks[e->task].state == BD_T_PLAN &&
             e->job->tasks[e->task].attempt == e->attempt)
-            bd_task_free(core, e->job, e->task, BD_END_NOT_COMMITTED);
+            bd_task_release(core, e->job, e->task, BD_RELEASE_INTENT_NOT_COMMITTED);
     }
     core->lead.token_raise_wanted = core->lead.token_raise_wanted || commit->raises_fencing_token;
     /* the same number is never used for another content */
--- a/src/model/decision_log.c
+++ b/src/model/decision_log.c
@@ -7,16 +7,16 @@
 #define LINES_A_SECOND 40.0
 #define LINES_AT_ONCE 400.0 /* a takeover of some hundred machines */
 
-static const char *const ends[] = {[BD_END_NOT_COMMITTED] = "not_committed",
-                                   [BD_END_NOT_SENT] = "not_sent",
-                                   [BD_END_EXITED] = "exited",
-                                   [BD_END_NOT_SHOWN] = "not_shown",
-                                   [BD_END_NEW_INCARNATION] = "new_session",
-                                   [BD_END_LEASE_OVER] = "lease_over",
-                                   [BD_END_MACHINE_GONE] = "machine_gone",
-                                   [BD_END_MACHINE_FAILED] = "machine_failed",
-                                   [BD_END_MOVED] = "moved",
-                                   [BD_END_DONE] = "done"};
+static const char *const ends[] = {[BD_RELEASE_INTENT_NOT_COMMITTED] = "not_committed",
+                                   [BD_RELEASE_LAUNCH_NOT_SENT] = "not_sent",
+                                   [BD_RELEASE_EXITED] = "exited",
+                                   [BD_RELEASE_NOT_REPORTED] = "not_shown",
+                                   [BD_RELEASE_NEW_INCARNATION] = "new_session",
+                                   [BD_RELEASE_LEASE_EXPIRED] = "lease_over",
+                                   [BD_RELEASE_MACHINE_GONE] = "machine_gone",
+                                   [BD_RELEASE_MACHINE_FAILED] = "machine_failed",
+                                   [BD_RELEASE_MOVED] = "moved",
+                                   [BD_RELEASE_DONE] = "done"};
 static const char *const stops[] = {
     [BD_STOP_CANCELLED] = "cancelled", [BD_STOP_PREEMPTED] = "preempted",
     [BD_STOP_GATHERED] = "gathered",   [BD_STOP_DRAINED] = "drained",
@@ -175,7 +175,7 @@
 }
 
 void bd_decision_log_release(struct bd_core *core, const struct bd_job *job, uint32_t task,
-                             enum bd_hold_end why)
+                             enum bd_release_reason why)
 {
     const struct bd_task *held = &job->tasks[task];
     char text[64];
--- a/src/model/decision_log.h
+++ b/src/model/decision_log.h
@@ -46,7 +46,7 @@
 
 /* The hold of a task on its machine ended. */
 void bd_decision_log_release(struct bd_core *core, const struct bd_job *job, uint32_t task,
-                             enum bd_hold_end why);
+                             enum bd_release_reason why);
 void bd_decision_log_stop(struct bd_core *core, const struct bd_job *job, uint32_t task,
                           enum bd_stop_reason why, bool force);
 #endif
--- a/src/model/task.h
+++ b/src/model/task.h
@@ -26,17 +26,17 @@
 };
 
 /* Why a task's hold on a machine ended. */
-enum bd_hold_end {
-    BD_END_NOT_COMMITTED,   /* its intent was not: nothing was sent */
-    BD_END_NOT_SENT,        /* its intent was, but nothing was ever sent */
-    BD_END_EXITED,          /* a report shows its attempt exited */
-    BD_END_NOT_SHOWN,       /* a report that has seen our term does not show it */
-    BD_END_NEW_INCARNATION, /* ... is of a later session */
-    BD_END_LEASE_OVER,
-    BD_END_MACHINE_GONE, /* returned, or missing from the cloud's list */
-    BD_END_MACHINE_FAILED,
-    BD_END_MOVED, /* a report shows it elsewhere */
-    BD_END_DONE
+enum bd_release_reason {
+    BD_RELEASE_INTENT_NOT_COMMITTED, /* its intent was not: nothing was sent */
+    BD_RELEASE_LAUNCH_NOT_SENT,      /* its intent was, but nothing was ever sent */
+    BD_RELEASE_EXITED,               /* a report shows its attempt exited */
+    BD_RELEASE_NOT_REPORTED,         /* a report that has seen our term does not show it */
+    BD_RELEASE_NEW_INCARNATION,      /* ... is of a later session */
+    BD_RELEASE_LEASE_EXPIRED,
+    BD_RELEASE_MACHINE_GONE, /* returned, or missing from the cloud's list */
+    BD_RELEASE_MACHINE_FAILED,
+    BD_RELEASE_MOVED, /* a report shows it elsewhere */
+    BD_RELEASE_DONE
 };
 
 /* Why a task is told to stop. */
--- a/src/model/task_state.c
+++ b/src/model/task_state.c
@@ -188,7 +188,7 @@
 {
     struct bd_task *task = &job->tasks[i];
     if (holds(task))
-        bd_task_free(core, job, i, BD_END_MOVED);
+        bd_task_release(core, job, i, BD_RELEASE_MOVED);
     task->machine = machine->index;
     task->attempt = attempt;
     task->flags = 0;
@@ -240,7 +240,8 @@
     }
 }
 
-void bd_task_free(struct bd_core *core, struct bd_job *job, uint32_t i, enum bd_hold_end why)
+void bd_task_release(struct bd_core *core, struct bd_job *job, uint32_t i,
+                     enum bd_release_reason why)
 {
     struct bd_task *task = &job->tasks[i];
     bool was_sent = task->state != BD_T_PLAN && task->state != BD_T_WAIT;
@@ -263,7 +264,7 @@
 {
     if (job->tasks[i].state == BD_T_DONE)
         return;
-    bd_decision_log_release(core, job, i, BD_END_DONE);
+    bd_decision_log_release(core, job, i, BD_RELEASE_DONE);
     let_go(core, job, i);
     job->tasks[i].flags = 0;
     bd_task_set(core, job, i, BD_T_DONE);
@@ -296,7 +297,8 @@
     task->flags |= BD_F_STOP;
     bd_ledger_task(core, job, i);
     if (task->state == BD_T_LAUNCH && !(task->flags & BD_F_SENT))
-        bd_task_free(core, job, i, BD_END_NOT_SENT); /* nothing was ever sent: nothing can start */
+        bd_task_release(core, job, i,
+                        BD_RELEASE_LAUNCH_NOT_SENT); /* nothing was ever sent: nothing can start */
     else if (machine)
         bd_commands_send_direct(core, machine);
 }
@@ -354,7 +356,7 @@
 }
 
 /* Everything the machine's last session had is gone. */
-void bd_machine_lapse(struct bd_core *core, struct bd_machine *machine, enum bd_hold_end why)
+void bd_machine_lapse(struct bd_core *core, struct bd_machine *machine, enum bd_release_reason why)
 {
     uint32_t k = 0;
     while (k < machine->nrefs) {
@@ -365,7 +367,7 @@
             k++;
             continue;
         }
-        bd_task_free(core, r.job, r.task, why);
+        bd_task_release(core, r.job, r.task, why);
         k = 0; /* freeing one may move the others */
     }
     machine->late_launch_token = 0;
@@ -373,7 +375,7 @@
 
 void bd_machine_gone(struct bd_core *core, struct bd_machine *machine)
 {
-    bd_machine_lapse(core, machine, BD_END_MACHINE_GONE);
+    bd_machine_lapse(core, machine, BD_RELEASE_MACHINE_GONE);
     machine->gone = true;
     machine->addr[0] = '\0';
 }
--- a/src/scheduling/cycle.c
+++ b/src/scheduling/cycle.c
@@ -40,7 +40,7 @@
                      machine->nrefs);
         machine->expired_incarnation = machine->incarnation;
         machine->fenced = false;
-        bd_machine_lapse(core, machine, BD_END_LEASE_OVER);
+        bd_machine_lapse(core, machine, BD_RELEASE_LEASE_EXPIRED);
         machine->lapse_at = bd_add(core->now, bd_secs(1.0)); /* plans that stayed, if any */
     }
 }
--- a/src/scheduling/placement.c
+++ b/src/scheduling/placement.c
@@ -257,7 +257,8 @@
 static void unplan(struct round *r, uint32_t from)
 {
     for (uint32_t i = from; i < r->k->nplan; i++)
-        bd_task_free(r->core, r->k->plan[i].job, r->k->plan[i].task, BD_END_NOT_COMMITTED);
+        bd_task_release(r->core, r->k->plan[i].job, r->k->plan[i].task,
+                        BD_RELEASE_INTENT_NOT_COMMITTED);
     r->k->nplan = from;
 }
 
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -98,7 +98,7 @@
     } else if (s->why == BD_WHY_UNKNOWN) {
         job->hold_until = bd_add(core->now, bd_secs(RETRY_FIRST_S));
     }
-    bd_task_free(core, job, i, BD_END_EXITED);
+    bd_task_release(core, job, i, BD_RELEASE_EXITED);
 }
 
 /* Even a direct launch that was answered may come once more, as a late copy. The worker ignores it
@@ -198,7 +198,7 @@
             k++;
             continue;
         }
-        bd_task_free(core, job, i, BD_END_NOT_SHOWN);
+        bd_task_release(core, job, i, BD_RELEASE_NOT_REPORTED);
         k = 0;
     }
 }
@@ -267,7 +267,7 @@
 static void session_rose(struct bd_core *core, struct bd_machine *machine)
 {
     if (machine->fenced)
-        bd_machine_lapse(core, machine, BD_END_NEW_INCARNATION);
+        bd_machine_lapse(core, machine, BD_RELEASE_NEW_INCARNATION);
     machine->asked_seq = 0;
     machine->outbound_cut =
         true; /* until it shows that it hears: its lease ran out, answered or not */
