--- a/src/autoscaling/inventory.c
+++ b/src/autoscaling/inventory.c
@@ -52,7 +52,7 @@
     if (l->state == BD_FAILED && !machine->failed) {
         machine->failed = true;
         bd_log_write(core->log, BD_LOG_INFO, "%s failed", machine->id);
-        bd_machine_lapse(core, machine, BD_RELEASE_MACHINE_FAILED);
+        bd_machine_lease_expired(core, machine, BD_RELEASE_MACHINE_FAILED);
     }
 }
 
--- a/src/core/core_internal.h
+++ b/src/core/core_internal.h
@@ -144,11 +144,12 @@
                   bool force);
 bool bd_job_lead(struct bd_core *core, struct bd_job *job);
 void bd_job_unlead(struct bd_job *job);
-void bd_machine_lapse(struct bd_core *core, struct bd_machine *machine, enum bd_release_reason why);
+void bd_machine_lease_expired(struct bd_core *core, struct bd_machine *machine,
+                              enum bd_release_reason why);
 void bd_machine_gone(struct bd_core *core, struct bd_machine *machine);
 bool bd_overdue(const struct bd_core *core, const struct bd_machine *machine);
 bool bd_machine_usable(const struct bd_core *core, const struct bd_machine *machine);
-struct timespec bd_lease_end(const struct bd_core *core, struct timespec answered);
+struct timespec bd_lease_expiry(const struct bd_core *core, struct timespec answered);
 uint32_t bd_tenths(struct timespec t);
 void bd_find_slow(struct bd_core *core, struct bd_machine *machine);
 void bd_find_outbound_cut(struct bd_core *core);
--- a/src/leadership/leadership.h
+++ b/src/leadership/leadership.h
@@ -45,7 +45,8 @@
     uint32_t withheld;       /* forgets that wait for a higher token, since it last rose */
     struct timespec withheld_at; /* the first of them */
     struct timespec valid_until, renewed;
-    struct timespec others_lapse; /* sessions renewed by earlier terms are over by then */
+    struct timespec
+        earlier_leases_expire_at; /* sessions renewed by earlier terms are over by then */
     bool listed_once;             /* the cloud's list was read in this term */
     uint64_t sequence_revision, sequence, round_n, request_n;
     struct bd_commit *commit; /* the one transaction under way */
--- a/src/leadership/reconciliation.c
+++ b/src/leadership/reconciliation.c
@@ -131,7 +131,7 @@
     /* an earlier leader in its grace, or a delegate of one, may have answered until then */
     double rest = bd_grace_s(core->settings) - bd_to_secs(core->settings->leader_ttl);
     rest = rest > DELEGATE_FRESH_S ? rest : DELEGATE_FRESH_S;
-    core->lead.others_lapse = bd_lease_end(core, bd_add(core->now, bd_secs(rest)));
+    core->lead.earlier_leases_expire_at = bd_lease_expiry(core, bd_add(core->now, bd_secs(rest)));
     HASH_ITER(hh, core->jobs, job, jt)
     {
         job->receipt_chunks = 0;
@@ -154,7 +154,7 @@
         (unsigned long long)core->replica.store_revision,
         1000 * bd_between(core->replica.refreshed_at, core->now),
         (unsigned long long)g->sequence_revision, json_array_size(g->receipts),
-        json_array_size(g->intents), bd_between(core->now, core->lead.others_lapse));
+        json_array_size(g->intents), bd_between(core->now, core->lead.earlier_leases_expire_at));
     bd_drain_gained(core);
     core->lead.valid_until = core->lead.renewed = g->renewed;
     bd_core_renewed(core, g->grant, g->renewed);
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -27,8 +27,8 @@
     uint32_t misrouted;     /* times in a row that it went elsewhere although it was answered */
     bool outbound_cut;      /* seems not to hear what it is told */
     struct timespec age_known, return_after;
-    struct timespec lapse_at; /* from here on nothing of the last session runs */
-    struct timespec steady;   /* since then it has been heard without a gap */
+    struct timespec lease_expires_at; /* from here on nothing of the last session runs */
+    struct timespec steady;           /* since then it has been heard without a gap */
     struct timespec heard, known_at, idle_since, refuse_until;
     struct timespec asked; /* its newest check-in: a direct answer is heard, but renews nothing */
     double age_at_known;
--- a/src/model/task_state.c
+++ b/src/model/task_state.c
@@ -343,20 +343,21 @@
     m->notice_left = -1;
     m->known_at = m->idle_since = core->now;
     /* it may have been renewed by an earlier term that we cannot see */
-    m->lapse_at = core->lead.others_lapse;
+    m->lease_expires_at = core->lead.earlier_leases_expire_at;
     core->by_index[core->nmachines++] = m;
     HASH_ADD_STR(core->machines, id, m);
     return m;
 }
 
-struct timespec bd_lease_end(const struct bd_core *core, struct timespec answered)
+struct timespec bd_lease_expiry(const struct bd_core *core, struct timespec answered)
 {
     double lease = bd_to_secs(core->settings->lease) * (1 + DRIFT) + 0.2;
     return bd_add(answered, bd_secs(lease));
 }
 
 /* Everything the machine's last session had is gone. */
-void bd_machine_lapse(struct bd_core *core, struct bd_machine *machine, enum bd_release_reason why)
+void bd_machine_lease_expired(struct bd_core *core, struct bd_machine *machine,
+                              enum bd_release_reason why)
 {
     uint32_t k = 0;
     while (k < machine->nrefs) {
@@ -375,7 +376,7 @@
 
 void bd_machine_gone(struct bd_core *core, struct bd_machine *machine)
 {
-    bd_machine_lapse(core, machine, BD_RELEASE_MACHINE_GONE);
+    bd_machine_lease_expired(core, machine, BD_RELEASE_MACHINE_GONE);
     machine->gone = true;
     machine->addr[0] = '\0';
 }
--- a/src/scheduling/cycle.c
+++ b/src/scheduling/cycle.c
@@ -29,19 +29,20 @@
             continue;
         struct timespec answered = bd_standby_until(core, machine, until);
         if (!bd_is_zero(answered)) /* a controller of its cut zone may have answered it */
-            machine->lapse_at = bd_max(machine->lapse_at, bd_lease_end(core, answered));
-        if (bd_before(core->now, machine->lapse_at))
+            machine->lease_expires_at =
+                bd_max(machine->lease_expires_at, bd_lease_expiry(core, answered));
+        if (bd_before(core->now, machine->lease_expires_at))
             continue;
         /* a delegate may have answered it: a refresh begun after the lease's end must not show it
          */
-        if (machine->delegated || bd_before(core->delegates.read_at, machine->lapse_at))
+        if (machine->delegated || bd_before(core->delegates.read_at, machine->lease_expires_at))
             continue;
         bd_log_write(core->log, BD_LOG_INFO, "%s: lease over, %u tasks lost", machine->id,
                      machine->nrefs);
         machine->expired_incarnation = machine->incarnation;
         machine->fenced = false;
-        bd_machine_lapse(core, machine, BD_RELEASE_LEASE_EXPIRED);
-        machine->lapse_at = bd_add(core->now, bd_secs(1.0)); /* plans that stayed, if any */
+        bd_machine_lease_expired(core, machine, BD_RELEASE_LEASE_EXPIRED);
+        machine->lease_expires_at = bd_add(core->now, bd_secs(1.0)); /* plans that stayed, if any */
     }
 }
 
--- a/src/workers/delegate_view.c
+++ b/src/workers/delegate_view.c
@@ -94,12 +94,12 @@
     if (core->role != BD_LEADER)
         return;
     bool gap = bd_between(core->delegates.read_at, sent) > GAP_S;
-    struct timespec end = bd_lease_end(core, bd_add(core->now, bd_secs(DELEGATE_FRESH_S)));
+    struct timespec end = bd_lease_expiry(core, bd_add(core->now, bd_secs(DELEGATE_FRESH_S)));
     for (uint32_t k = 0; k < core->nmachines; k++) {
         struct bd_machine *machine = core->by_index[k];
         if (machine->delegated ||
             gap) /* it may have been answered until now, and a little longer */
-            machine->lapse_at = bd_max(machine->lapse_at, end);
+            machine->lease_expires_at = bd_max(machine->lease_expires_at, end);
         machine->delegated = false;
     }
     json_array_foreach(pairs, i, v)
@@ -109,6 +109,6 @@
     }
     for (uint32_t k = 0; k < core->nmachines; k++)
         if (core->by_index[k]->delegated)
-            core->by_index[k]->lapse_at = bd_max(core->by_index[k]->lapse_at, end);
+            core->by_index[k]->lease_expires_at = bd_max(core->by_index[k]->lease_expires_at, end);
     core->delegates.read_at = sent;
 }
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -267,12 +267,12 @@
 static void session_rose(struct bd_core *core, struct bd_machine *machine)
 {
     if (machine->fenced)
-        bd_machine_lapse(core, machine, BD_RELEASE_NEW_INCARNATION);
+        bd_machine_lease_expired(core, machine, BD_RELEASE_NEW_INCARNATION);
     machine->asked_seq = 0;
     machine->outbound_cut =
         true; /* until it shows that it hears: its lease ran out, answered or not */
     /* the new session's own lease began at the latest now, whether a check-in is ever answered */
-    machine->lapse_at = bd_max(machine->lapse_at, bd_lease_end(core, core->now));
+    machine->lease_expires_at = bd_max(machine->lease_expires_at, bd_lease_expiry(core, core->now));
 }
 
 /* Takes a report in. False: stale, nothing changed. */
@@ -321,9 +321,10 @@
     if (machine->fenced)
         bd_commands_pending(core, machine, commands);
     log_first_reply(core, machine);
-    machine->lapse_at = bd_lease_end(core, core->now);
+    machine->lease_expires_at = bd_lease_expiry(core, core->now);
     if (!machine->fenced) /* if this answer is lost, an earlier term may still renew it */
-        machine->lapse_at = bd_max(machine->lapse_at, core->lead.others_lapse);
+        machine->lease_expires_at =
+            bd_max(machine->lease_expires_at, core->lead.earlier_leases_expire_at);
     bd_commands_reply(core, request, heartbeat, commands, core->lead.term);
 }
 
