--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -39,7 +39,7 @@
     BD_TIMING_POLL, /* from a request's arrival to its answer */
     BD_TIMING_SUBMISSION,
     BD_TIMING_CANCELLATION,
-    BD_TIMING_ROUND,  /* planning a round and building its transaction */
+    BD_TIMING_CYCLE,  /* planning a round and building its transaction */
     BD_TIMING_COMMIT, /* from there to the transaction's outcome */
     BD_TIMING_START,  /* from a job's readiness to its first committed start */
     BD_TIMING_TAKEOVER,
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -45,13 +45,13 @@
     }
 }
 
-void bd_rounds_free(struct bd_core *core)
+void bd_intent_records_free(struct bd_core *core)
 {
-    for (uint32_t i = 0; i < core->lead.nrounds; i++)
-        free(core->lead.rounds[i].e);
-    free(core->lead.rounds);
-    core->lead.rounds = NULL;
-    core->lead.nrounds = core->lead.cap_rounds = 0;
+    for (uint32_t i = 0; i < core->lead.nintent_records; i++)
+        free(core->lead.intent_records[i].e);
+    free(core->lead.intent_records);
+    core->lead.intent_records = NULL;
+    core->lead.nintent_records = core->lead.cap_intent_records = 0;
 }
 
 void bd_commit_free(struct bd_commit *commit)
@@ -92,7 +92,7 @@
     free_waits(&core->replica.asked);
     bd_admission_end(core);
     bd_deps_free(core);
-    bd_rounds_free(core);
+    bd_intent_records_free(core);
     bd_commit_free(core->lead.commit);
     core->last_term = 0; /* nobody waits for a better answer any more */
     bd_delegate_end(core);
--- a/src/core/core_internal.h
+++ b/src/core/core_internal.h
@@ -28,8 +28,8 @@
     struct bd_wait *next;
 };
 
-#define BD_ROUND_PARTS 6   /* intent records in one transaction, at most */
-#define BD_VALUE_SHARE 0.9 /* of a value, as counted */
+#define BD_CYCLE_INTENT_RECORDS_MAX 6 /* intent records in one transaction, at most */
+#define BD_VALUE_SHARE 0.9            /* of a value, as counted */
 
 /* bytes of a job's tasks on one machine in an intent record, without the tasks' numbers */
 static inline size_t bd_group_bytes(const struct bd_job *job, const struct bd_machine *machine)
@@ -38,7 +38,7 @@
 }
 #define BD_TASK_BYTES 7u /* of a task's number in it */
 
-#define BD_COMMIT_JOBS 64 /* of each kind in one transaction; the rest comes with the next */
+#define BD_CYCLE_JOBS_MAX 64 /* of each kind in one transaction; the rest comes with the next */
 
 struct bd_commit { /* the one leader transaction in flight */
     struct bd_intent *plan;
@@ -49,16 +49,16 @@
         unsigned char bits[CHUNK / 8];
     } * receipts;
     uint32_t nreceipts;
-    struct bd_job *done[BD_COMMIT_JOBS];
+    struct bd_job *done[BD_CYCLE_JOBS_MAX];
     uint32_t ndone;
-    struct bd_job *cancelled[BD_COMMIT_JOBS]; /* by derivation: now their records say so too */
+    struct bd_job *cancelled[BD_CYCLE_JOBS_MAX]; /* by derivation: now their records say so too */
     uint32_t ncancelled;
     struct bd_part { /* an intent record: a value takes only so many */
         char key[BD_LABEL];
         uint32_t from, n;
-    } parts[BD_ROUND_PARTS];
+    } parts[BD_CYCLE_INTENT_RECORDS_MAX];
     uint32_t nparts;
-    char dropped[BD_COMMIT_JOBS][BD_LABEL];
+    char dropped[BD_CYCLE_JOBS_MAX][BD_LABEL];
     uint32_t ndropped;
     bool raises_fencing_token;
 };
@@ -227,9 +227,9 @@
 void bd_delegate_forget(struct bd_core *core);
 
 /* rounds */
-void bd_round_place(struct bd_core *core); /* fills c->commit's plan */
-uint32_t bd_round_parts(const struct bd_core *core);
-void bd_round_commit(struct bd_core *core); /* builds and sends the transaction */
+void bd_cycle_place(struct bd_core *core); /* fills c->commit's plan */
+uint32_t bd_cycle_intent_records(const struct bd_core *core);
+void bd_cycle_commit(struct bd_core *core); /* builds and sends the transaction */
 void bd_commit_free(struct bd_commit *commit);
 uint32_t bd_jobs_in_order(struct bd_core *core, struct bd_job ***out);
 bool bd_allowed(const struct bd_spec *spec, int type, int zone, bool spot);
@@ -239,9 +239,9 @@
 void bd_autoscaler_tick(struct bd_core *core);
 
 /* shared by the parts of the core */
-void bd_rounds_free(struct bd_core *core);
+void bd_intent_records_free(struct bd_core *core);
 
 /* intent records */
 #define BD_HEX_DIGITS "0123456789abcdef"
-void bd_round_keep(struct bd_core *core, const char *key, struct bd_intent *e, uint32_t n);
+void bd_intent_record_keep(struct bd_core *core, const char *key, struct bd_intent *e, uint32_t n);
 #endif
--- a/src/drain/drain.c
+++ b/src/drain/drain.c
@@ -110,7 +110,7 @@
         bd_drain_note(drain, m);
     else if (part)
         part->dirty = true;
-    core->lead.round_wanted = core->lead.round_wanted || stage;
+    core->lead.cycle_wanted = core->lead.cycle_wanted || stage;
     bd_log_write(core->log, stage ? BD_LOG_INFO : BD_LOG_DEBUG, "drain %s: %s is %s%s%s%s%s",
                  drain->name, m->id, bd_drain_stage_name(m->stage), m->wait ? ", waits for " : "",
                  bd_drain_wait_name(m->wait), *m->team ? " of " : "", m->team);
--- a/src/jobs/dependency_graph.c
+++ b/src/jobs/dependency_graph.c
@@ -77,7 +77,7 @@
     release(core, job);
     bd_log_write(core->log, BD_LOG_INFO, "%s is ready, %.1f s after its submission", job->id,
                  core->wall - job->at);
-    core->lead.round_wanted = true;
+    core->lead.cycle_wanted = true;
 }
 
 static void derive_cancelled(struct bd_core *core, struct bd_job *job)
--- a/src/jobs/replica.c
+++ b/src/jobs/replica.c
@@ -92,7 +92,7 @@
     take_state(core, job, &r);
     if (first && r.state == BD_LIVE)
         bd_deps_take(core, job, &r.prerequisites);
-    core->lead.round_wanted = true;
+    core->lead.cycle_wanted = true;
 }
 
 #define NEWS_S 5.0 /* a cancellation that is only heard of counts so long */
@@ -186,9 +186,9 @@
 {
     for (struct bd_job *job = core->jobs; job; job = job->hh.next)
         job->pinned = job->state == BD_LIVE || job->tasks || job->receipt_chunks || job->derived;
-    for (uint32_t r = 0; r < core->lead.nrounds; r++)
-        for (uint32_t k = 0; k < core->lead.rounds[r].n; k++)
-            core->lead.rounds[r].e[k].job->pinned = true;
+    for (uint32_t r = 0; r < core->lead.nintent_records; r++)
+        for (uint32_t k = 0; k < core->lead.intent_records[r].n; k++)
+            core->lead.intent_records[r].e[k].job->pinned = true;
     for (uint32_t k = 0; core->lead.commit && k < core->lead.commit->nplan; k++)
         core->lead.commit->plan[k].job->pinned = true;
     for (uint32_t k = 0; core->lead.commit && k < core->lead.commit->nreceipts; k++)
--- a/src/leadership/commit.c
+++ b/src/leadership/commit.c
@@ -40,12 +40,12 @@
 }
 
 /* How many intent records a transaction may hold beside receipts. */
-uint32_t bd_round_parts(const struct bd_core *core)
+uint32_t bd_cycle_intent_records(const struct bd_core *core)
 {
     size_t n = INTENT_BYTES / core->kv_limits.kv_value_bytes_max,
            ops = bd_kv_limits_txn_ops(core) / 4;
     n = n < ops ? n : ops;
-    return n < 1 ? 1 : n > BD_ROUND_PARTS ? BD_ROUND_PARTS : (uint32_t)n;
+    return n < 1 ? 1 : n > BD_CYCLE_INTENT_RECORDS_MAX ? BD_CYCLE_INTENT_RECORDS_MAX : (uint32_t)n;
 }
 
 static bool same_group(const struct bd_intent *a, const struct bd_intent *b)
@@ -90,13 +90,13 @@
             if_job(builder, commit->plan[i].job);
         prev = commit->plan[i].job;
     }
-    for (uint32_t i = 0; i < commit->nplan && commit->nparts < bd_round_parts(core);) {
+    for (uint32_t i = 0; i < commit->nplan && commit->nparts < bd_cycle_intent_records(core);) {
         struct bd_part *p = &commit->parts[commit->nparts++];
         p->from = i;
         p->n = commit->nplan - i;
         snprintf(p->key, sizeof p->key, "i/%020llu-%08llu",
                  (unsigned long long)core->lead.base_term,
-                 (unsigned long long)++core->lead.round_n);
+                 (unsigned long long)++core->lead.cycle_number);
         bd_txn_put(&builder->t, p->key, intent_value(core, commit->plan + i, &p->n), 0);
         spend(builder, 1, 0, core->kv_limits.kv_value_bytes_max);
         i += p->n;
@@ -133,7 +133,7 @@
 static bool add_done(struct bd_core *core, struct build *builder, struct bd_job *job)
 {
     struct bd_commit *commit = core->lead.commit;
-    if (commit->ndone == BD_COMMIT_JOBS || !room_for(builder, 1, 1, 300))
+    if (commit->ndone == BD_CYCLE_JOBS_MAX || !room_for(builder, 1, 1, 300))
         return false;
     struct bd_record r = {.state = BD_DONE, .tasks = job->ntasks, .at = job->at, .end = core->wall};
     snprintf(r.spec.job_class, sizeof r.spec.job_class, "%s", bd_class_name(core, job->job_class));
@@ -154,7 +154,7 @@
     {
         if (!job->derived || job->stale || bd_before(core->now, job->backoff_until))
             continue;
-        if (commit->ncancelled == BD_COMMIT_JOBS || !room_for(builder, 1, 1, most))
+        if (commit->ncancelled == BD_CYCLE_JOBS_MAX || !room_for(builder, 1, 1, most))
             return;
         add_record(builder, job, bd_cancelled_record(job), most);
         commit->cancelled[commit->ncancelled++] = job;
@@ -235,7 +235,7 @@
     }
 }
 
-static bool round_live(const struct bd_round *r)
+static bool round_live(const struct bd_intent_record *r)
 {
     for (uint32_t i = 0; i < r->n; i++) {
         const struct bd_intent *e = &r->e[i];
@@ -270,9 +270,9 @@
     if (*core->delegates.stale && can_drop(core, builder))
         drop_key(core, builder, core->delegates.stale);
     core->delegates.stale[0] = '\0';
-    for (uint32_t i = 0; i < core->lead.nrounds && can_drop(core, builder); i++)
-        if (!round_live(&core->lead.rounds[i]))
-            drop_key(core, builder, core->lead.rounds[i].key);
+    for (uint32_t i = 0; i < core->lead.nintent_records && can_drop(core, builder); i++)
+        if (!round_live(&core->lead.intent_records[i]))
+            drop_key(core, builder, core->lead.intent_records[i].key);
     HASH_ITER(hh, core->jobs, job, jt)
     {
         if (job->state == BD_CANCELLED && job->tasks && job->nlive == 0)
@@ -319,7 +319,7 @@
     }
 }
 
-void bd_round_commit(struct bd_core *core)
+void bd_cycle_commit(struct bd_core *core)
 {
     struct bd_commit *commit = core->lead.commit;
     struct build b = {.most_ops = bd_kv_limits_txn_ops(core) - 1,
--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -4,17 +4,17 @@
 #include "drain/drain.h"
 #include <stdio.h>
 
-void bd_round_keep(struct bd_core *core, const char *key, struct bd_intent *e, uint32_t n)
+void bd_intent_record_keep(struct bd_core *core, const char *key, struct bd_intent *e, uint32_t n)
 {
-    if (core->lead.nrounds == core->lead.cap_rounds) {
-        uint32_t cap = core->lead.cap_rounds ? core->lead.cap_rounds * 2 : 64;
-        struct bd_round *r = realloc(core->lead.rounds, cap * sizeof *r);
+    if (core->lead.nintent_records == core->lead.cap_intent_records) {
+        uint32_t cap = core->lead.cap_intent_records ? core->lead.cap_intent_records * 2 : 64;
+        struct bd_intent_record *r = realloc(core->lead.intent_records, cap * sizeof *r);
         if (!r)
             abort();
-        core->lead.rounds = r;
-        core->lead.cap_rounds = cap;
+        core->lead.intent_records = r;
+        core->lead.cap_intent_records = cap;
     }
-    struct bd_round *r = &core->lead.rounds[core->lead.nrounds++];
+    struct bd_intent_record *r = &core->lead.intent_records[core->lead.nintent_records++];
     memset(r, 0, sizeof *r);
     snprintf(r->key, sizeof r->key, "%s", key);
     r->e = e;
@@ -55,7 +55,7 @@
         if (!e)
             abort();
         memcpy(e, commit->plan + p->from, p->n * sizeof *e);
-        bd_round_keep(core, p->key, e, p->n);
+        bd_intent_record_keep(core, p->key, e, p->n);
     }
 }
 
@@ -82,10 +82,11 @@
 static void forget_rounds(struct bd_core *core, const struct bd_commit *commit)
 {
     for (uint32_t d = 0; d < commit->ndropped; d++) {
-        for (uint32_t i = 0; i < core->lead.nrounds; i++) {
-            if (strcmp(core->lead.rounds[i].key, commit->dropped[d]) == 0) {
-                free(core->lead.rounds[i].e);
-                core->lead.rounds[i] = core->lead.rounds[--core->lead.nrounds];
+        for (uint32_t i = 0; i < core->lead.nintent_records; i++) {
+            if (strcmp(core->lead.intent_records[i].key, commit->dropped[d]) == 0) {
+                free(core->lead.intent_records[i].e);
+                core->lead.intent_records[i] =
+                    core->lead.intent_records[--core->lead.nintent_records];
                 break;
             }
         }
@@ -194,5 +195,5 @@
         refused(core, commit, failed);
     bd_commit_free(commit);
     bd_drain_committed(core, outcome == BD_COMMIT_APPLIED);
-    core->lead.round_wanted = true;
+    core->lead.cycle_wanted = true;
 }
--- a/src/leadership/leadership.c
+++ b/src/leadership/leadership.c
@@ -154,7 +154,7 @@
     free(core->by_index);
     core->by_index = NULL;
     core->nmachines = core->cap_machines = 0;
-    bd_rounds_free(core);
+    bd_intent_records_free(core);
     bd_commit_free(core->lead.commit);
     core->lead.commit = NULL;
     core->cloud.nprovisions = 0;
--- a/src/leadership/leadership.h
+++ b/src/leadership/leadership.h
@@ -11,7 +11,7 @@
     uint64_t attempt;
 };
 
-struct bd_round { /* one intent record in the state service */
+struct bd_intent_record { /* one intent record in the state service */
     char key[BD_LABEL];
     struct bd_intent *e;
     uint32_t n;
@@ -48,12 +48,12 @@
     struct timespec
         earlier_leases_expire_at; /* sessions renewed by earlier terms are over by then */
     bool listed_once;             /* the cloud's list was read in this term */
-    uint64_t sequence_revision, sequence, round_n, request_n;
+    uint64_t sequence_revision, sequence, cycle_number, request_n;
     struct bd_commit *commit; /* the one transaction under way */
-    struct bd_round *rounds;
-    uint32_t nrounds, cap_rounds;
-    struct timespec next_round, next_fleet, next_gc, next_tick, last_token_raise, next_summary;
-    bool token_raise_wanted, round_wanted;
+    struct bd_intent_record *intent_records;
+    uint32_t nintent_records, cap_intent_records;
+    struct timespec next_cycle, next_fleet, next_gc, next_tick, last_token_raise, next_summary;
+    bool token_raise_wanted, cycle_wanted;
     double write_budget;
     struct timespec write_budget_at;
     bool classes_said;      /* that there are more than spare room is kept for */
--- a/src/leadership/reconciliation.c
+++ b/src/leadership/reconciliation.c
@@ -77,7 +77,7 @@
         {
             load_group(core, g, &e, &n);
         }
-        bd_round_keep(core, ch.key, e, n);
+        bd_intent_record_keep(core, ch.key, e, n);
     }
 }
 
@@ -85,11 +85,11 @@
 static void classify(struct bd_core *core)
 {
     uint32_t unknown = 0;
-    for (uint32_t r = 0; r < core->lead.nrounds; r++) {
+    for (uint32_t r = 0; r < core->lead.nintent_records; r++) {
         char intent[BD_LABEL + 8];
-        snprintf(intent, sizeof intent, "intent=%s", core->lead.rounds[r].key);
-        for (uint32_t k = 0; k < core->lead.rounds[r].n; k++) {
-            struct bd_intent *e = &core->lead.rounds[r].e[k];
+        snprintf(intent, sizeof intent, "intent=%s", core->lead.intent_records[r].key);
+        for (uint32_t k = 0; k < core->lead.intent_records[r].n; k++) {
+            struct bd_intent *e = &core->lead.intent_records[r].e[k];
             struct bd_task *task = &e->job->tasks[e->task];
             struct bd_machine *machine = bd_machine_of(core, e->machine);
             if (task->state != BD_T_WAIT || task->attempt != e->attempt || !machine)
@@ -104,7 +104,7 @@
     }
     bd_log_write(core->log, BD_LOG_INFO,
                  "term %llu: %u intent records, %u tasks to be accounted for",
-                 (unsigned long long)core->lead.base_term, core->lead.nrounds, unknown);
+                 (unsigned long long)core->lead.base_term, core->lead.nintent_records, unknown);
 }
 
 void bd_core_gained(struct bd_core *core, const struct bd_gain *g)
@@ -119,7 +119,7 @@
     core->lead.counter = 0;
     core->lead.fenced_attempt = g->term << 20; /* earlier terms' launches carried lower tokens */
     core->lead.withheld = 0;
-    core->lead.round_n = 0;
+    core->lead.cycle_number = 0;
     core->lead.request_n = 0;
     core->lead.sequence_revision = g->sequence_revision;
     core->lead.sequence = g->sequence;
@@ -158,5 +158,5 @@
     bd_drain_gained(core);
     core->lead.valid_until = core->lead.renewed = g->renewed;
     bd_core_renewed(core, g->grant, g->renewed);
-    core->lead.round_wanted = true;
+    core->lead.cycle_wanted = true;
 }
--- a/src/model/task_state.c
+++ b/src/model/task_state.c
@@ -255,7 +255,7 @@
     task->sub = BD_FETCHING;
     bd_task_set(core, job, i, BD_T_WAIT);
     bd_ledger_task(core, job, i);
-    core->lead.round_wanted = true;
+    core->lead.cycle_wanted = true;
     if (job->spec.shape == BD_GANG && job->ntasks > 1 && was_sent && job->nlive > 0)
         gang_member_gone(core, job);
 }
@@ -271,7 +271,7 @@
     bd_ledger_task(core, job, i);
     job->dirty = true;
     job->dirty_chunks |= 1u << (i / CHUNK);
-    core->lead.round_wanted = true;
+    core->lead.cycle_wanted = true;
 }
 
 void bd_task_done(struct bd_core *core, struct bd_job *job, uint32_t i)
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -327,7 +327,7 @@
     bool under_way = node->core->lead.commit != NULL;
     bd_core_tick(node->core);
     if (!under_way && node->core->lead.commit)
-        bd_metrics_time(node->metrics, BD_TIMING_ROUND, bd_between(began, bd_now()));
+        bd_metrics_time(node->metrics, BD_TIMING_CYCLE, bd_between(began, bd_now()));
 }
 
 static struct timespec clock_core(struct bd_node *node)
--- a/src/scheduling/cycle.c
+++ b/src/scheduling/cycle.c
@@ -6,9 +6,9 @@
 #include <stdio.h>
 
 /* named defaults */
-#define ROUND_S 0.05
-#define ROUND_MOST_S 0.5
-#define ROUND_SHARE 0.3 /* of the processor that rounds may take */
+#define CYCLE_INTERVAL_S 0.05
+#define CYCLE_INTERVAL_MAX_S 0.5
+#define CYCLE_SHARE 0.3 /* of the processor that rounds may take */
 #define REFRESH_S 1e-7  /* for one job at one machine, on a whole core (callgrind, about) */
 #define EVICT_S 10.0
 #define WRITE_SHARE 0.6 /* of the state service's changes; the rest is the users' */
@@ -90,27 +90,29 @@
     for (const struct bd_job *job = core->jobs; job; job = job->hh.next)
         jobs += job->state == BD_LIVE && job->nwait > 0 && !bd_job_waits(job);
     double s = core->settings->cpu > 0
-                   ? jobs * core->nmachines * REFRESH_S / core->settings->cpu / ROUND_SHARE
+                   ? jobs * core->nmachines * REFRESH_S / core->settings->cpu / CYCLE_SHARE
                    : 0;
-    return s < ROUND_S ? ROUND_S : s > ROUND_MOST_S ? ROUND_MOST_S : s;
+    return s < CYCLE_INTERVAL_S       ? CYCLE_INTERVAL_S
+           : s > CYCLE_INTERVAL_MAX_S ? CYCLE_INTERVAL_MAX_S
+                                      : s;
 }
 
 static void round_now(struct bd_core *core)
 {
-    if (core->lead.commit || bd_before(core->now, core->lead.next_round) ||
+    if (core->lead.commit || bd_before(core->now, core->lead.next_cycle) ||
         core->lead.write_budget < 2)
         return;
-    if (!core->lead.round_wanted && !core->lead.token_raise_wanted && core->graph.nderived == 0 &&
+    if (!core->lead.cycle_wanted && !core->lead.token_raise_wanted && core->graph.nderived == 0 &&
         bd_before(core->now, core->lead.next_gc))
         return;
-    core->lead.round_wanted = false;
-    core->lead.next_round = bd_add(core->now, bd_secs(round_s(core)));
+    core->lead.cycle_wanted = false;
+    core->lead.next_cycle = bd_add(core->now, bd_secs(round_s(core)));
     core->lead.commit = calloc(1, sizeof *core->lead.commit);
     if (!core->lead.commit)
         abort();
     if (!core->lead.token_raise_wanted)
-        bd_round_place(core);
-    bd_round_commit(core);
+        bd_cycle_place(core);
+    bd_cycle_commit(core);
 }
 
 void bd_core_tick(struct bd_core *core)
@@ -148,7 +150,7 @@
     if (core->types_known && bd_before(core->lead.next_fleet, core->now)) {
         core->lead.next_fleet = bd_add(core->now, bd_secs(1.0));
         bd_autoscaler_tick(core);
-        core->lead.round_wanted = true; /* pauses run out without an event */
+        core->lead.cycle_wanted = true; /* pauses run out without an event */
     }
     round_now(core);
 }
@@ -158,6 +160,6 @@
     double s =
         core->forwarding.waiting || core->delegate.nserved || core->delegate.asking ? 0.2 : 1.0;
     if (core->role == BD_LEADER)
-        s = core->lead.round_wanted && !core->lead.commit ? ROUND_S : 0.25;
+        s = core->lead.cycle_wanted && !core->lead.commit ? CYCLE_INTERVAL_S : 0.25;
     return bd_add(core->now, bd_secs(s));
 }
--- a/src/scheduling/placement.c
+++ b/src/scheduling/placement.c
@@ -18,7 +18,7 @@
 #define HOLD_AFTER_S 10.0    /* a gang waits so long before room is held and made for it */
 
 /* Free room that is not kept for a task whose place is being vacated. */
-struct bd_room bd_unclaimed_room(const struct round *r, const struct bd_machine *machine)
+struct bd_room bd_unclaimed_room(const struct placement_cycle *r, const struct bd_machine *machine)
 {
     struct bd_room room = bd_room_left(r->core, machine), held = r->claimed[machine->index];
     return (struct bd_room){room.cpus - held.cpus, room.gpus - held.gpus, room.mem - held.mem};
@@ -107,14 +107,14 @@
 }
 
 /* As bd_fetch_s, with what the round has planned there already. */
-static double fetch_s(const struct round *r, const struct bd_machine *machine,
+static double fetch_s(const struct placement_cycle *r, const struct bd_machine *machine,
                       const struct bd_spec *spec)
 {
     double v = bd_fetch_s(r->core, machine, spec);
     return v > 0 && !bd_has_image(machine, spec->image) ? v + r->fetch[machine->index] : v;
 }
 
-double bd_place_cost(const struct round *d, const struct bd_spec *spec,
+double bd_place_cost(const struct placement_cycle *d, const struct bd_spec *spec,
                      const struct bd_machine *machine, struct bd_room r, bool harm)
 {
     const struct bd_core *core = d->core;
@@ -133,7 +133,7 @@
     return v;
 }
 
-bool bd_zone_open(const struct round *r, const struct bd_machine *machine)
+bool bd_zone_open(const struct placement_cycle *r, const struct bd_machine *machine)
 {
     return r->only_zone < 0 || r->only_zone == machine->zone;
 }
@@ -148,15 +148,15 @@
 /* Whether work that could go elsewhere would keep a dear machine from going back: nothing else
  * does, and it is not kept for work that is expected. One short task in each of many such machines
  * costs more than all that runs there is worth. */
-static bool keeps_dear(const struct round *r, const struct bd_spec *spec,
+static bool keeps_dear(const struct placement_cycle *r, const struct bd_spec *spec,
                        const struct bd_machine *machine)
 {
     return spec->gpus <= 0 && spec->shape == BD_ARRAY && r->dear[machine->type][machine->spot] &&
            machine->pinned_cpus <= 0 && machine->pinned_gpus <= 0 && !machine->spare;
 }
 
-static struct bd_machine *best(struct round *r, const struct bd_job *job, const uint32_t *zones,
-                               bool any_price, bool may_harm)
+static struct bd_machine *best(struct placement_cycle *r, const struct bd_job *job,
+                               const uint32_t *zones, bool any_price, bool may_harm)
 {
     struct bd_core *core = r->core;
     struct bd_machine *found = NULL;
@@ -191,8 +191,8 @@
     return found;
 }
 
-static void plan(struct round *r, struct bd_job *job, uint32_t i, struct bd_machine *machine,
-                 uint64_t attempt)
+static void plan(struct placement_cycle *r, struct bd_job *job, uint32_t i,
+                 struct bd_machine *machine, uint64_t attempt)
 {
     struct bd_commit *commit = r->k;
     if (commit->nplan == commit->cap) {
@@ -209,7 +209,7 @@
 
 /* How many tasks of the job on the machine the round's records still take. A record's end may leave
  * a group's worth unused: that much is kept back for each. */
-static uint32_t record_room(const struct round *r, const struct bd_job *job,
+static uint32_t record_room(const struct placement_cycle *r, const struct bd_job *job,
                             const struct bd_machine *machine, uint32_t most)
 {
     size_t head = bd_group_bytes(job, machine);
@@ -220,7 +220,7 @@
 }
 
 /* Places up to `most` waiting tasks of the job; returns how many found a place. */
-static uint32_t fill(struct round *r, struct bd_job *job, uint32_t most, uint64_t attempt,
+static uint32_t fill(struct placement_cycle *r, struct bd_job *job, uint32_t most, uint64_t attempt,
                      bool may_harm)
 {
     uint32_t zones[BD_MAX_ZONES], placed = 0, next = 0;
@@ -254,7 +254,7 @@
     return placed;
 }
 
-static void unplan(struct round *r, uint32_t from)
+static void unplan(struct placement_cycle *r, uint32_t from)
 {
     for (uint32_t i = from; i < r->k->nplan; i++)
         bd_task_release(r->core, r->k->plan[i].job, r->k->plan[i].task,
@@ -264,7 +264,7 @@
 
 /* A job within its guarantee need not wait for a long fetch while its image lies on a machine that
  * another team uses beyond its own guarantee: true if such a machine is being vacated for it. */
-static bool waits_for_image(struct round *r, struct bd_job *job)
+static bool waits_for_image(struct placement_cycle *r, struct bd_job *job)
 {
     struct bd_core *core = r->core;
     uint32_t zones[BD_MAX_ZONES];
@@ -280,14 +280,14 @@
 
 /* Keeps what a gang that waits could have already, so that smaller work that comes later does not
  * overtake it for ever. */
-static void hold(struct round *r, const struct bd_job *job, uint32_t from)
+static void hold(struct placement_cycle *r, const struct bd_job *job, uint32_t from)
 {
     for (uint32_t i = from; i < r->k->nplan; i++)
         bd_room_add(&r->claimed[r->k->plan[i].machine], &job->spec, 1);
 }
 
 /* All of the gang, or nothing; *got says how many could be placed where most could. */
-static bool whole_gang(struct round *r, struct bd_job *job, uint64_t attempt, bool keep,
+static bool whole_gang(struct placement_cycle *r, struct bd_job *job, uint64_t attempt, bool keep,
                        uint32_t *got)
 {
     uint32_t from = r->k->nplan;
@@ -304,7 +304,7 @@
 
 /* A gang that must be together is tried in each zone; room is then made in the one that has most.
  */
-static bool place_gang(struct round *r, struct bd_job *job, uint64_t attempt)
+static bool place_gang(struct placement_cycle *r, struct bd_job *job, uint64_t attempt)
 {
     uint32_t got = 0, most = 0;
     int zone = -1, zones = job->spec.together && job->ntasks > 1 ? r->core->nzones : 0;
@@ -331,7 +331,8 @@
 /* A service begins where its image lies, and so does an array with little time: in free room, or in
  * room that is made there, which is sooner than a fetch. Returns how many were placed; those that
  * room is made for are no longer wanted. */
-static uint32_t place_quickly(struct round *r, struct bd_job *job, uint32_t *want, uint64_t attempt)
+static uint32_t place_quickly(struct placement_cycle *r, struct bd_job *job, uint32_t *want,
+                              uint64_t attempt)
 {
     r->quick = true;
     uint32_t got = fill(r, job, *want, attempt, false);
@@ -341,7 +342,7 @@
     return got;
 }
 
-static void know_prices(struct round *r, const struct bd_job *job)
+static void know_prices(struct placement_cycle *r, const struct bd_job *job)
 {
     const struct bd_spec *spec = &job->spec;
     bool due = isfinite(job->due_by);
@@ -367,7 +368,7 @@
             r->dear[t][spot] = bd_dear(r->core, spec, t, spot);
 }
 
-static void place_job(struct round *r, struct bd_job *job)
+static void place_job(struct placement_cycle *r, struct bd_job *job)
 {
     uint32_t want = quota_left(r->core, &job->spec, job->nwait), got = 0;
     bool gang = job->spec.shape == BD_GANG, above = job->rank > BD_IDLE;
@@ -416,9 +417,9 @@
     }
 }
 
-void bd_round_place(struct bd_core *core)
+void bd_cycle_place(struct bd_core *core)
 {
-    struct round r = {.core = core, .k = core->lead.commit, .only_zone = -1, .nstops = 1};
+    struct placement_cycle r = {.core = core, .k = core->lead.commit, .only_zone = -1, .nstops = 1};
     r.njobs = bd_jobs_in_order(core, &r.jobs);
     gpu_demand(core, r.jobs, r.njobs);
     r.claimed = calloc(core->nmachines + 1, sizeof *r.claimed);
@@ -427,7 +428,7 @@
     r.cost = calloc(core->nmachines + 1, sizeof *r.cost);
     r.open = calloc(core->nmachines + 1, sizeof *r.open);
     /* each record but the last may end a group's worth early */
-    uint32_t parts = bd_round_parts(core);
+    uint32_t parts = bd_cycle_intent_records(core);
     r.most_bytes = (size_t)(BD_VALUE_SHARE * (double)core->kv_limits.kv_value_bytes_max * parts) -
                    (size_t)(parts - 1) * 2 * BD_LABEL;
     r.compares_max = (uint32_t)(3 * core->kv_limits.kv_txn_ops_max);
--- a/src/scheduling/placement_internal.h
+++ b/src/scheduling/placement_internal.h
@@ -15,7 +15,7 @@
     bool any, stopping, borrowed;
 };
 
-struct round {
+struct placement_cycle {
     struct bd_core *core;
     struct bd_commit *k;
     struct bd_job **jobs;
@@ -35,19 +35,19 @@
     double spot_lost;           /* what a spot one costs it that an ordinary one would not */
     double not_spot;            /* what an ordinary machine costs it that a spot one would not */
 };
-struct bd_room bd_unclaimed_room(const struct round *r, const struct bd_machine *machine);
+struct bd_room bd_unclaimed_room(const struct placement_cycle *r, const struct bd_machine *machine);
 void bd_zone_counts(struct bd_core *core, const struct bd_job *job, uint32_t *n);
 uint32_t bd_zone_left(const struct bd_core *core, const struct bd_job *job, const uint32_t *n,
                       int z, uint32_t most);
-double bd_place_cost(const struct round *d, const struct bd_spec *spec,
+double bd_place_cost(const struct placement_cycle *d, const struct bd_spec *spec,
                      const struct bd_machine *machine, struct bd_room r, bool harm);
-bool bd_zone_open(const struct round *r, const struct bd_machine *machine);
+bool bd_zone_open(const struct placement_cycle *r, const struct bd_machine *machine);
 bool bd_quick_there(const struct bd_core *core, const struct bd_spec *spec,
                     const struct bd_machine *machine);
 bool bd_stoppable(const struct bd_job *job, const struct bd_task *task);
-void bd_stop_costs(struct round *r, const struct bd_job *job, const uint32_t *zones,
+void bd_stop_costs(struct placement_cycle *r, const struct bd_job *job, const uint32_t *zones,
                    bool only_cheap, bool with_image);
-bool bd_vacate(struct round *r, struct bd_job *job, uint32_t *zones, bool only_cheap);
-uint32_t bd_preempt(struct round *r, struct bd_job *job, uint32_t n, bool only_cheap);
-bool bd_preempt_gang(struct round *r, struct bd_job *job, uint32_t lacking);
+bool bd_vacate(struct placement_cycle *r, struct bd_job *job, uint32_t *zones, bool only_cheap);
+uint32_t bd_preempt(struct placement_cycle *r, struct bd_job *job, uint32_t n, bool only_cheap);
+bool bd_preempt_gang(struct placement_cycle *r, struct bd_job *job, uint32_t lacking);
 #endif
--- a/src/scheduling/preemption.c
+++ b/src/scheduling/preemption.c
@@ -23,7 +23,7 @@
     return (job->rank < want->rank || owed) && bd_stoppable(job, task);
 }
 
-static const struct stops *sum_up(struct round *r, const struct bd_machine *machine)
+static const struct stops *sum_up(struct placement_cycle *r, const struct bd_machine *machine)
 {
     struct stops *s = &r->stops[machine->index];
     if (s->stamp == r->nstops)
@@ -43,8 +43,8 @@
 }
 
 /* Room on the machine once what is stopping has gone, and what else could be stopped. */
-static void later_room(struct round *r, const struct bd_job *want, struct bd_machine *machine,
-                       struct bd_room *soon, struct bd_room *most)
+static void later_room(struct placement_cycle *r, const struct bd_job *want,
+                       struct bd_machine *machine, struct bd_room *soon, struct bd_room *most)
 {
     const struct stops *s = sum_up(r, machine);
     *soon = bd_unclaimed_room(r, machine);
@@ -89,8 +89,8 @@
     return pick;
 }
 
-static void stop_for(struct round *r, const struct bd_job *want, struct bd_machine *machine,
-                     struct bd_room soon)
+static void stop_for(struct placement_cycle *r, const struct bd_job *want,
+                     struct bd_machine *machine, struct bd_room soon)
 {
     while (!bd_room_fits(soon, &want->spec, 1)) {
         struct bd_ref pick = least_valuable(want, machine);
@@ -103,8 +103,8 @@
 }
 
 /* What making room on the machine would cost; infinite where it cannot be made. */
-static double stop_cost(struct round *r, const struct bd_job *job, struct bd_machine *machine,
-                        const uint32_t *zones, bool only_cheap)
+static double stop_cost(struct placement_cycle *r, const struct bd_job *job,
+                        struct bd_machine *machine, const uint32_t *zones, bool only_cheap)
 {
     struct bd_core *core = r->core;
     struct bd_room soon, most;
@@ -123,7 +123,7 @@
 }
 
 /* What room for one task would cost on each machine. */
-void bd_stop_costs(struct round *r, const struct bd_job *job, const uint32_t *zones,
+void bd_stop_costs(struct placement_cycle *r, const struct bd_job *job, const uint32_t *zones,
                    bool only_cheap, bool with_image)
 {
     for (uint32_t i = 0; i < r->core->nmachines; i++) {
@@ -137,7 +137,7 @@
 /* Makes room for one task where that costs least, and keeps it for the task. False: nowhere. The
  * costs are counted once for all tasks of the job, and again only for the machine that is picked.
  */
-bool bd_vacate(struct round *r, struct bd_job *job, uint32_t *zones, bool only_cheap)
+bool bd_vacate(struct placement_cycle *r, struct bd_job *job, uint32_t *zones, bool only_cheap)
 {
     for (;;) {
         struct bd_room soon, most;
@@ -163,7 +163,7 @@
 }
 
 /* Makes room for up to n tasks; returns for how many room is made or on its way. */
-uint32_t bd_preempt(struct round *r, struct bd_job *job, uint32_t n, bool only_cheap)
+uint32_t bd_preempt(struct placement_cycle *r, struct bd_job *job, uint32_t n, bool only_cheap)
 {
     uint32_t zones[BD_MAX_ZONES], made = 0;
     bd_zone_counts(r->core, job, zones);
@@ -175,7 +175,7 @@
 }
 
 /* Stops nothing unless all that the gang lacks can be had; false: it cannot. */
-bool bd_preempt_gang(struct round *r, struct bd_job *job, uint32_t lacking)
+bool bd_preempt_gang(struct placement_cycle *r, struct bd_job *job, uint32_t lacking)
 {
     uint32_t zones[BD_MAX_ZONES], can = 0;
     bd_zone_counts(r->core, job, zones);
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -293,7 +293,7 @@
     if (heartbeat->fencing_token < core->lead.base_term)
         return true; /* an earlier term may still command it: no evidence yet */
     if (!machine->fenced)
-        core->lead.round_wanted = true;
+        core->lead.cycle_wanted = true;
     machine->fenced = true;
     if (machine->late_launch_token && heartbeat->fencing_token > machine->late_launch_token &&
         !machine->direct_in_flight)
