--- a/src/adapters/election.c
+++ b/src/adapters/election.c
@@ -173,7 +173,7 @@
     return 1;
 }
 
-static bool read_sequence(struct candidate *self, struct bd_gain *g)
+static bool read_sequence(struct candidate *self, struct bd_acquisition *g)
 {
     json_t *o = NULL;
     struct bd_change ch;
@@ -186,7 +186,7 @@
 }
 
 /* Reads what earlier terms left. The grant is renewed between the steps. */
-static bool load(struct candidate *self, struct bd_gain *g)
+static bool load(struct candidate *self, struct bd_acquisition *g)
 {
     for (int step = 0; step < 3;) {
         bool ok = false;
@@ -300,7 +300,7 @@
     uint64_t revision = 0;
     if (atomic_exchange(&self->n->step_down, false)) {
         self->leading = false;
-        if (atomic_exchange(&self->n->give_up, false))
+        if (atomic_exchange(&self->n->resign, false))
             end_grant(self);
         return;
     }
--- a/src/adapters/kv_client.c
+++ b/src/adapters/kv_client.c
@@ -261,7 +261,7 @@
     return sequence_shows(a->node, a->http, a->effect, &a->event->store_revision);
 }
 
-static enum bd_outcome after_conflict(struct attempt *a, json_t *answer)
+static enum bd_txn_outcome after_conflict(struct attempt *a, json_t *answer)
 {
     json_t *failed = bd_wire_failed(answer);
     bool sequence = names(failed, "w");
@@ -269,12 +269,12 @@
     json_decref(a->event->json);
     a->event->json = json_incref(answer);
     if (w != 0)
-        return w == 1 ? BD_COMMIT_APPLIED : BD_COMMIT_UNKNOWN;
-    return sequence || names(failed, "leader") ? BD_COMMIT_DEPOSED : BD_COMMIT_REFUSED;
+        return w == 1 ? BD_TXN_COMMITTED : BD_TXN_UNKNOWN;
+    return sequence || names(failed, "leader") ? BD_TXN_DEPOSED : BD_TXN_CONFLICT;
 }
 
 /* Not applied now, perhaps beyond a limit that was lowered; but an earlier copy may be. */
-static enum bd_outcome after_malformed(struct attempt *a, json_t *answer)
+static enum bd_txn_outcome after_malformed(struct attempt *a, json_t *answer)
 {
     if (bd_wire_no_grant(answer)) {
         /* of a leader that was cut off or stood still for longer than its grant: its term is over
@@ -282,18 +282,18 @@
         bd_log_write(&a->node->log, BD_LOG_INFO,
                      "transaction %llu of term %s is refused: the grant is over",
                      (unsigned long long)a->effect->sequence, a->effect->key);
-        return BD_COMMIT_DEPOSED;
+        return BD_TXN_DEPOSED;
     }
     int w = a->unsure ? shown(a) : 0;
     if (w != 0)
-        return w == 1 ? BD_COMMIT_APPLIED : BD_COMMIT_UNKNOWN;
-    return BD_COMMIT_MALFORMED;
+        return w == 1 ? BD_TXN_COMMITTED : BD_TXN_UNKNOWN;
+    return BD_TXN_REJECTED;
 }
 
-static enum bd_outcome after_no_answer(struct attempt *a, long status)
+static enum bd_txn_outcome after_no_answer(struct attempt *a, long status)
 {
     if (!atomic_load(&a->node->leading))
-        return BD_COMMIT_DEPOSED;
+        return BD_TXN_DEPOSED;
     a->unsure = a->unsure || (status != 429 && status != 503);
     a->busy = status == 429 ? a->busy + 1 : 0;
     if (status == 429)
@@ -301,20 +301,20 @@
     bd_pause(PAUSE_S);
     /* one larger than a second's changes would be refused for ever */
     bool decide_anew = a->busy >= BUSY_TRIES && (!a->unsure || shown(a) == 0);
-    return decide_anew ? BD_COMMIT_REFUSED : BD_COMMIT_UNKNOWN;
+    return decide_anew ? BD_TXN_CONFLICT : BD_TXN_UNKNOWN;
 }
 
 /* Sends one and the same transaction once: it can apply once only, since it is conditional on the
  * commit sequence and changes it. */
-static enum bd_outcome try_once(struct attempt *a)
+static enum bd_txn_outcome try_once(struct attempt *a)
 {
     json_t *o = NULL;
-    enum bd_outcome outcome;
+    enum bd_txn_outcome outcome;
     long status =
         bd_kv_call(a->node, a->http, "POST", BD_PATH_COMMIT, a->effect->body, ANSWER_S, &o);
     if (status == 200) {
         a->event->store_revision = bd_wire_store_revision(o);
-        outcome = BD_COMMIT_APPLIED;
+        outcome = BD_TXN_COMMITTED;
     } else if (status == 409) {
         outcome = after_conflict(a, o);
     } else if (status == 400) {
@@ -341,7 +341,7 @@
         struct attempt a = {.node = node, .http = http, .effect = effect, .event = event};
         do
             event->outcome = try_once(&a);
-        while (event->outcome == BD_COMMIT_UNKNOWN);
+        while (event->outcome == BD_TXN_UNKNOWN);
         bd_event_post(node, event);
         bd_effect_free(effect);
     }
--- a/src/adapters/node.h
+++ b/src/adapters/node.h
@@ -50,9 +50,9 @@
     size_t len;
     char name[BD_LABEL];
     long status;
-    enum bd_outcome outcome; /* COMMITTED */
-    int how;                 /* as the effect's status said how it was asked */
-    bool ok;                 /* FOLLOWED: it was answered */
+    enum bd_txn_outcome outcome; /* COMMITTED */
+    int how;                     /* as the effect's status said how it was asked */
+    bool ok;                     /* FOLLOWED: it was answered */
     uint64_t store_revision, after, number, term;
     struct timespec sent;
     struct timespec queued; /* when it was handed to the owner; zero: quietly, it may wait */
@@ -62,7 +62,7 @@
     json_t *sets; /* DRAINS: their machines' records, or NULL */
     void *data;   /* one block, by kind */
     size_t n;
-    struct bd_gain gain;
+    struct bd_acquisition gain;
 };
 
 struct bd_node {
@@ -73,7 +73,7 @@
     struct bd_core *core;
     /* what adapters need to know of the owner's state */
     atomic_bool leading, want_barrier, types_known, step_down, up, page_out;
-    atomic_bool give_up;         /* with step_down: the grant is to be ended */
+    atomic_bool resign;          /* with step_down: the grant is to be ended */
     atomic_bool want_drain_sets; /* the records of drains' machines are to be read */
     atomic_bool reads_refused;   /* the newest refresh of the records was not served */
     atomic_ullong store_revision;
@@ -83,7 +83,7 @@
     struct bd_worker_client *worker_client;
     struct bd_heartbeat_cache *heartbeats;
     struct timespec next_metrics, metrics_since, commit_sent;
-    struct bd_event *pending_gain;
+    struct bd_event *pending_acquisition;
     /* what the other controllers are told of us */
     pthread_mutex_t status_lock;
     struct bd_frame status;
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -42,7 +42,7 @@
     BD_TIMING_CYCLE,  /* planning a round and building its transaction */
     BD_TIMING_COMMIT, /* from there to the transaction's outcome */
     BD_TIMING_START,  /* from a job's readiness to its first committed start */
-    BD_TIMING_TAKEOVER,
+    BD_TIMING_FAILOVER,
     BD_TIMING_DIRECT, /* from a direct command's decision to its outcome, our own queue included */
     BD_TIMINGS
 };
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -116,16 +116,16 @@
 void bd_core_relisted(struct bd_core *core, uint64_t store_revision, struct timespec sent);
 /* leadership */
 /* dismissed: the leader's key says that it hears the workers that we answer for it */
-void bd_core_leader_is(struct bd_core *core, const char *name, uint64_t revision,
-                       struct timespec sent, bool dismissed);
-void bd_core_gained(struct bd_core *core, const struct bd_gain *g);
-void bd_core_renewed(struct bd_core *core, uint64_t grant, struct timespec sent);
-void bd_core_lost(struct bd_core *core);
+void bd_leadership_leader_observed(struct bd_core *core, const char *name, uint64_t revision,
+                                   struct timespec sent, bool dismissed);
+void bd_leadership_acquired(struct bd_core *core, const struct bd_acquisition *g);
+void bd_leadership_renewed(struct bd_core *core, uint64_t grant, struct timespec sent);
+void bd_leadership_lost(struct bd_core *core);
 /* a commit was answered that the rate is used up */
 void bd_kv_rate_exceeded(struct bd_core *core);
 /* the fate of the leader's transaction, which is known */
-void bd_core_committed(struct bd_core *core, enum bd_outcome outcome, uint64_t store_revision,
-                       json_t *failed);
+void bd_leader_txn_completed(struct bd_core *core, enum bd_txn_outcome outcome,
+                             uint64_t store_revision, json_t *failed);
 /* the other controllers */
 /* heard: when its frame arrived, which may be some time before the frame is handled */
 void bd_peer_status_received(struct bd_core *core, const char *name, uint64_t term, uint8_t flags,
@@ -144,7 +144,7 @@
 void bd_core_delegates(struct bd_core *core, json_t *pairs, struct timespec sent);
 void bd_core_delegate_committed(struct bd_core *core, long status, uint64_t store_revision,
                                 struct timespec sent, bool revision_known);
-bool bd_core_up(const struct bd_core *core);
+bool bd_leadership_healthy(const struct bd_core *core);
 bool bd_core_hears_leader(const struct bd_core *core);
 /* workers */
 /* body: the report as it came, passed on if the leader is elsewhere */
@@ -171,6 +171,6 @@
 /* ranks and due times, if what waits for what has changed */
 void bd_core_weigh(struct bd_core *core);
 struct timespec bd_core_next(const struct bd_core *core);
-bool bd_core_may_answer(const struct bd_core *core);
-bool bd_core_valid(const struct bd_core *core);
+bool bd_leadership_may_reply(const struct bd_core *core);
+bool bd_leadership_lease_valid(const struct bd_core *core);
 #endif
--- a/src/core/core_internal.h
+++ b/src/core/core_internal.h
@@ -166,8 +166,8 @@
 void bd_kv_limits_tick(struct bd_core *core);
 void bd_kv_limits_back_off(struct bd_core *core, struct bd_job *job);
 
-void bd_core_yield(struct bd_core *core);
-void bd_core_give_up_if_blind(struct bd_core *core);
+void bd_leadership_step_down(struct bd_core *core);
+void bd_leadership_resign_if_reads_fail(struct bd_core *core);
 /* whether another controller has just said that the job is cancelled */
 bool bd_cancel_heard(const struct bd_core *core, const struct bd_job *job);
 
--- a/src/drain/drain.c
+++ b/src/drain/drain.c
@@ -126,7 +126,7 @@
 static bool lists_are_complete(const struct bd_core *core)
 {
     double lag = 2 * bd_to_secs(core->settings->list_lag) + LISTED_EXTRA_S;
-    return core->lead.listed_once && bd_between(core->drains->gained, core->now) > lag;
+    return core->lead.listed_once && bd_between(core->drains->leadership_acquired, core->now) > lag;
 }
 
 static void machine_gone(struct bd_core *core, struct bd_drain *drain, struct bd_drain_machine *m)
@@ -339,7 +339,7 @@
 void bd_drain_tick(struct bd_core *core)
 {
     struct bd_drains *drains = core->drains;
-    if (!drains || !bd_core_valid(core) || bd_before(core->now, drains->next_tick))
+    if (!drains || !bd_leadership_lease_valid(core) || bd_before(core->now, drains->next_tick))
         return;
     drains->next_tick = bd_add(core->now, bd_secs(TICK_S));
     cordon(core);
@@ -359,17 +359,17 @@
     say_summary(core);
 }
 
-void bd_drain_gained(struct bd_core *core)
+void bd_drain_leadership_acquired(struct bd_core *core)
 {
     if (!core->drains)
         return;
-    core->drains->gained = core->now;
+    core->drains->leadership_acquired = core->now;
     core->drains->steps = 0;
-    bd_ledger_gained(core);
+    bd_ledger_leadership_acquired(core);
     bd_drains_forget(core->drains);
 }
 
-void bd_drain_lost(struct bd_core *core)
+void bd_drain_leadership_lost(struct bd_core *core)
 {
     if (!core->drains)
         return;
--- a/src/drain/drain.h
+++ b/src/drain/drain.h
@@ -201,8 +201,8 @@
 /* Whether the machines' records are to be read with the next look. */
 bool bd_drain_wants_sets(const struct bd_core *core);
 /* A new term begins, after the tasks were classified; a term is over. */
-void bd_drain_gained(struct bd_core *core);
-void bd_drain_lost(struct bd_core *core);
+void bd_drain_leadership_acquired(struct bd_core *core);
+void bd_drain_leadership_lost(struct bd_core *core);
 void bd_drain_tick(struct bd_core *core);
 
 /* One write that the leader's next transaction is to hold. */
--- a/src/drain/drain_internal.h
+++ b/src/drain/drain_internal.h
@@ -38,7 +38,7 @@
 void bd_ledger_clear(struct bd_ledger *ledger);
 void bd_ledger_free(struct bd_ledger *ledger);
 /* After a takeover: all that is not seen running counts as down. */
-void bd_ledger_gained(struct bd_core *core);
+void bd_ledger_leadership_acquired(struct bd_core *core);
 /* Counts anew what is silent. */
 void bd_ledger_silent(struct bd_core *core);
 /* How many tasks may be down at all, and how many more may go down by our own doing. */
@@ -155,7 +155,7 @@
     struct bd_drain_machine **owners;              /* by machine: whose entry drives it */
     uint32_t nowners;
     bool want_sets;
-    struct timespec gained, next_tick, next_summary, hold_until;
+    struct timespec leadership_acquired, next_tick, next_summary, hold_until;
     uint32_t steps; /* machines that were told to stop their tasks, in this term */
 };
 
--- a/src/drain/ledger.c
+++ b/src/drain/ledger.c
@@ -191,7 +191,7 @@
            job->receipt_chunks != 0;
 }
 
-void bd_ledger_gained(struct bd_core *core)
+void bd_ledger_leadership_acquired(struct bd_core *core)
 {
     struct bd_ledger *ledger = &core->drains->ledger;
     bd_ledger_clear(ledger);
--- a/src/drain/plan.c
+++ b/src/drain/plan.c
@@ -94,7 +94,7 @@
 void bd_drain_tell(struct bd_core *core)
 {
     struct bd_drain *drain, *tmp;
-    if (!bd_core_valid(core))
+    if (!bd_leadership_lease_valid(core))
         return;
     bd_ledger_silent(core);
     HASH_ITER(hh, core->drains->drains, drain, tmp)
--- a/src/drain/replacement.c
+++ b/src/drain/replacement.c
@@ -48,7 +48,7 @@
 
 /* ---- those that came to nothing ---- */
 
-static void give_up(struct bd_core *core, const struct bd_drain *drain, struct bd_drain_machine *m)
+static void resign(struct bd_core *core, const struct bd_drain *drain, struct bd_drain_machine *m)
 {
     bd_log_write(core->log, BD_LOG_INFO, "drain %s: replacement %s of %s is given up", drain->name,
                  m->replacement, m->id);
@@ -69,7 +69,7 @@
     bool late = bd_between(m->asked, core->now) > core->drains->rules->replace_s &&
                 (!machine || !machine->fenced);
     if (lost || late)
-        give_up(core, drain, m);
+        resign(core, drain, m);
 }
 
 /* ---- asking ---- */
--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -176,24 +176,24 @@
         bd_kv_limits_back_off(core, commit->cancelled[i]);
 }
 
-void bd_core_committed(struct bd_core *core, enum bd_outcome outcome, uint64_t store_revision,
-                       json_t *failed)
+void bd_leader_txn_completed(struct bd_core *core, enum bd_txn_outcome outcome,
+                             uint64_t store_revision, json_t *failed)
 {
     struct bd_commit *commit = core->lead.commit;
     if (!commit || core->role != BD_LEADER)
         return;
-    if (outcome == BD_COMMIT_DEPOSED) {
-        bd_core_lost(core);
+    if (outcome == BD_TXN_DEPOSED) {
+        bd_leadership_lost(core);
         return;
     }
     core->lead.commit = NULL;
-    if (outcome == BD_COMMIT_MALFORMED)
+    if (outcome == BD_TXN_REJECTED)
         too_large(core, commit);
-    if (outcome == BD_COMMIT_APPLIED)
+    if (outcome == BD_TXN_COMMITTED)
         kept(core, commit, store_revision);
     else
         refused(core, commit, failed);
     bd_commit_free(commit);
-    bd_drain_committed(core, outcome == BD_COMMIT_APPLIED);
+    bd_drain_committed(core, outcome == BD_TXN_COMMITTED);
     core->lead.cycle_wanted = true;
 }
--- a/src/leadership/leadership.c
+++ b/src/leadership/leadership.c
@@ -15,23 +15,23 @@
 static int newer_leader(const struct bd_core *core);
 static bool cut_alone(const struct bd_core *core);
 
-bool bd_core_valid(const struct bd_core *core)
+bool bd_leadership_lease_valid(const struct bd_core *core)
 {
     return core->role == BD_LEADER && bd_before(core->now, core->lead.valid_until);
 }
 
-bool bd_core_may_answer(const struct bd_core *core)
+bool bd_leadership_may_reply(const struct bd_core *core)
 {
     if (core->role != BD_LEADER || !bd_may_renew(core))
         return false;
-    if (bd_core_valid(core))
+    if (bd_leadership_lease_valid(core))
         return true;
     /* a new leader counts with our answers from our last renewal on */
     return newer_leader(core) < 0 && !cut_alone(core) && bd_in_grace(core, core->lead.renewed);
 }
 
-void bd_core_leader_is(struct bd_core *core, const char *name, uint64_t revision,
-                       struct timespec sent, bool dismissed)
+void bd_leadership_leader_observed(struct bd_core *core, const char *name, uint64_t revision,
+                                   struct timespec sent, bool dismissed)
 {
     bd_delegate_dismissed(core, dismissed, revision, sent);
     snprintf(core->leader_name, sizeof core->leader_name, "%s", name);
@@ -87,12 +87,12 @@
 }
 
 /* Without the state service we are told here, not there, that somebody else leads. */
-void bd_core_yield(struct bd_core *core)
+void bd_leadership_step_down(struct bd_core *core)
 {
-    int i = core->role == BD_LEADER && !bd_core_valid(core) ? newer_leader(core) : -1;
+    int i = core->role == BD_LEADER && !bd_leadership_lease_valid(core) ? newer_leader(core) : -1;
     if (i < 0)
         return;
-    bd_core_lost(core);
+    bd_leadership_lost(core);
     snprintf(core->leader_name, sizeof core->leader_name, "%s", core->settings->peers[i].name);
 }
 
@@ -107,25 +107,25 @@
     return true;
 }
 
-bool bd_core_up(const struct bd_core *core)
+bool bd_leadership_healthy(const struct bd_core *core)
 {
     return core->replica.ready && core->types_known && !cut_alone(core) && !quite_alone(core);
 }
 
 /* The lease is renewed, but our refreshes of the records are refused while another controller's are
  * served: nothing could start until ours are served again. Another may start work at once. */
-void bd_core_give_up_if_blind(struct bd_core *core)
+void bd_leadership_resign_if_reads_fail(struct bd_core *core)
 {
-    if (!bd_core_valid(core) || bd_between(core->replica.refreshed_at, core->now) < BLIND_S ||
-        !cut_alone(core))
+    if (!bd_leadership_lease_valid(core) ||
+        bd_between(core->replica.refreshed_at, core->now) < BLIND_S || !cut_alone(core))
         return;
     bd_log_write(core->log, BD_LOG_INFO,
                  "the records cannot be read here, but elsewhere: gives up the lease");
-    bd_core_lost(core);
+    bd_leadership_lost(core);
     core->last->status = BD_STEP_DOWN_RESIGNED;
 }
 
-void bd_core_lost(struct bd_core *core)
+void bd_leadership_lost(struct bd_core *core)
 {
     if (core->role != BD_LEADER)
         return;
@@ -138,7 +138,7 @@
     core->role = BD_FOLLOWER;
     if (strcmp(core->leader_name, core->settings->node) == 0)
         core->leader_name[0] = '\0';
-    bd_drain_lost(core);
+    bd_drain_leadership_lost(core);
     struct bd_job *job, *jt;
     HASH_ITER(hh, core->jobs, job, jt)
     {
@@ -166,7 +166,7 @@
     (void)bd_effect_emit(core, BD_EFFECT_STEP_DOWN);
 }
 
-void bd_core_renewed(struct bd_core *core, uint64_t grant, struct timespec sent)
+void bd_leadership_renewed(struct bd_core *core, uint64_t grant, struct timespec sent)
 {
     if (core->role != BD_LEADER || grant != core->lead.grant)
         return;
--- a/src/leadership/leadership.h
+++ b/src/leadership/leadership.h
@@ -17,16 +17,16 @@
     uint32_t n;
 };
 
-enum bd_outcome {
-    BD_COMMIT_APPLIED,
-    BD_COMMIT_REFUSED,   /* a condition failed: `failed` lists the keys */
-    BD_COMMIT_MALFORMED, /* not applied, and to be decided anew in smaller pieces */
-    BD_COMMIT_DEPOSED,   /* leadership is gone */
-    BD_COMMIT_UNKNOWN    /* to be sent again */
+enum bd_txn_outcome {
+    BD_TXN_COMMITTED,
+    BD_TXN_CONFLICT, /* a condition failed: `failed` lists the keys */
+    BD_TXN_REJECTED, /* not applied, and to be decided anew in smaller pieces */
+    BD_TXN_DEPOSED,  /* leadership is gone */
+    BD_TXN_UNKNOWN   /* to be sent again */
 };
 
 /* leadership */
-struct bd_gain {
+struct bd_acquisition {
     uint64_t term, grant, sequence_revision, sequence;
     const char *nonce;
     struct timespec renewed; /* when the request that made the grant was sent */
--- a/src/leadership/reconciliation.c
+++ b/src/leadership/reconciliation.c
@@ -107,7 +107,7 @@
                  (unsigned long long)core->lead.base_term, core->lead.nintent_records, unknown);
 }
 
-void bd_core_gained(struct bd_core *core, const struct bd_gain *g)
+void bd_leadership_acquired(struct bd_core *core, const struct bd_acquisition *g)
 {
     struct bd_job *job, *jt;
     struct bd_change ch;
@@ -125,7 +125,7 @@
     core->lead.sequence = g->sequence;
     core->lead.listed_once = false;
     snprintf(core->lead.nonce, sizeof core->lead.nonce, "%s", g->nonce);
-    bd_core_leader_is(core, core->settings->node, g->term, g->renewed, false);
+    bd_leadership_leader_observed(core, core->settings->node, g->term, g->renewed, false);
     bd_delegate_end(core);
     core->delegates.read_at = core->now;
     /* an earlier leader in its grace, or a delegate of one, may have answered until then */
@@ -155,8 +155,8 @@
         1000 * bd_between(core->replica.refreshed_at, core->now),
         (unsigned long long)g->sequence_revision, json_array_size(g->receipts),
         json_array_size(g->intents), bd_between(core->now, core->lead.earlier_leases_expire_at));
-    bd_drain_gained(core);
+    bd_drain_leadership_acquired(core);
     core->lead.valid_until = core->lead.renewed = g->renewed;
-    bd_core_renewed(core, g->grant, g->renewed);
+    bd_leadership_renewed(core, g->grant, g->renewed);
     core->lead.cycle_wanted = true;
 }
--- a/src/runtime/effect_dispatch.c
+++ b/src/runtime/effect_dispatch.c
@@ -62,7 +62,7 @@
         tell_cancelled(node, effect->key);
         break;
     case BD_EFFECT_STEP_DOWN:
-        atomic_store(&node->give_up, effect->status == BD_STEP_DOWN_RESIGNED);
+        atomic_store(&node->resign, effect->status == BD_STEP_DOWN_RESIGNED);
         atomic_store(&node->step_down, true);
         break;
     case BD_EFFECT_FORWARD_HEARTBEAT:
@@ -116,6 +116,6 @@
     atomic_store(&node->leading, node->core->role == BD_LEADER);
     atomic_store(&node->store_revision, node->core->replica.store_revision);
     atomic_store(&node->want_drain_sets, bd_drain_wants_sets(node->core));
-    atomic_store(&node->up, bd_core_up(node->core));
+    atomic_store(&node->up, bd_leadership_healthy(node->core));
     atomic_store(&node->types_known, node->core->types_known);
 }
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -224,8 +224,9 @@
         relisted(node, event);
         break;
     case BD_EVENT_LEADER_OBSERVED:
-        if (core->role == BD_FOLLOWER && !node->pending_gain)
-            bd_core_leader_is(core, event->name, event->number, event->sent, event->flag);
+        if (core->role == BD_FOLLOWER && !node->pending_acquisition)
+            bd_leadership_leader_observed(core, event->name, event->number, event->sent,
+                                          event->flag);
         break;
     case BD_EVENT_LIVENESS_SENT:
         bd_core_liveness_sent(core, event->sent);
@@ -234,10 +235,10 @@
         bd_core_liveness_written(core, event->sent);
         break;
     case BD_EVENT_LEASE_RENEWED:
-        bd_core_renewed(core, event->number, event->sent);
+        bd_leadership_renewed(core, event->number, event->sent);
         break;
     case BD_EVENT_LEADERSHIP_LOST:
-        bd_core_lost(core);
+        bd_leadership_lost(core);
         break;
     case BD_EVENT_KV_RATE_EXCEEDED:
         bd_kv_rate_exceeded(core);
@@ -246,8 +247,8 @@
         /* an answer to an earlier term's transaction says nothing about ours */
         bd_metrics_time(node->metrics, BD_TIMING_COMMIT, bd_between(node->commit_sent, core->now));
         if (event->term == core->lead.base_term && event->number == core->lead.sequence)
-            bd_core_committed(core, event->outcome, event->store_revision,
-                              bd_wire_failed(event->json));
+            bd_leader_txn_completed(core, event->outcome, event->store_revision,
+                                    bd_wire_failed(event->json));
         break;
     default:
         apply_worker_event(node, event);
@@ -310,13 +311,13 @@
 /* A gained term takes effect once the replica is at least as new as the term itself. */
 static void gain(struct bd_node *node)
 {
-    struct bd_event *g = node->pending_gain;
+    struct bd_event *g = node->pending_acquisition;
     if (!g || !node->core->replica.ready || node->core->replica.store_revision < g->gain.term)
         return;
-    node->pending_gain = NULL;
+    node->pending_acquisition = NULL;
     g->gain.nonce = g->name;
-    bd_core_gained(node->core, &g->gain);
-    bd_metrics_time(node->metrics, BD_TIMING_TAKEOVER, bd_between(g->sent, bd_now()));
+    bd_leadership_acquired(node->core, &g->gain);
+    bd_metrics_time(node->metrics, BD_TIMING_FAILOVER, bd_between(g->sent, bd_now()));
     bd_event_free(g);
 }
 
@@ -364,12 +365,12 @@
         for (size_t i = 0; i < got; i++) {
             struct bd_event *event = batch[i];
             if (event->kind == BD_EVENT_LEADERSHIP_ACQUIRED) {
-                node->pending_gain = event;
+                node->pending_acquisition = event;
                 continue;
             }
-            if (event->kind == BD_EVENT_LEADERSHIP_LOST && node->pending_gain) {
-                bd_event_free(node->pending_gain);
-                node->pending_gain = NULL;
+            if (event->kind == BD_EVENT_LEADERSHIP_LOST && node->pending_acquisition) {
+                bd_event_free(node->pending_acquisition);
+                node->pending_acquisition = NULL;
             }
             if (!bd_is_zero(event->queued))
                 bd_metrics_time(node->metrics, BD_TIMING_QUEUE,
--- a/src/scheduling/cycle.c
+++ b/src/scheduling/cycle.c
@@ -127,7 +127,7 @@
         core->replica.barrier_out = true;
         (void)bd_effect_emit(core, BD_EFFECT_READ_BARRIER);
     }
-    bd_core_yield(core);
+    bd_leadership_step_down(core);
     bd_deps_tick(core);
     bd_forward_tick(core);
     if (core->role != BD_LEADER) {
@@ -141,9 +141,9 @@
         late_launches(core);
         forgets_due(core);
         bd_find_outbound_cut(core);
-        bd_core_give_up_if_blind(core);
+        bd_leadership_resign_if_reads_fail(core);
     }
-    if (!bd_core_valid(core))
+    if (!bd_leadership_lease_valid(core))
         return;
     tokens(core);
     bd_drain_tick(core);
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -137,7 +137,7 @@
 {
     struct bd_command_list commands = {0};
     if (machine->direct_in_flight || bd_before(core->now, machine->direct_not_before) ||
-        !machine->fenced || machine->gone || !*machine->addr || !bd_core_valid(core) ||
+        !machine->fenced || machine->gone || !*machine->addr || !bd_leadership_lease_valid(core) ||
         bd_overdue(core, machine) || zone_closed(core, machine))
         return;
     add_halts(machine, &commands);
--- a/src/workers/forwarding.c
+++ b/src/workers/forwarding.c
@@ -281,7 +281,7 @@
 {
     int found = -1, n = 0;
     if ((strcmp(heartbeat->zone, core->settings->zone) == 0 && !zone_silent(core)) ||
-        !bd_core_valid(core) ||
+        !bd_leadership_lease_valid(core) ||
         (!bd_is_zero(machine->redirected) &&
          bd_between(machine->redirected, core->now) < REDIRECT_S))
         return -1;
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -370,8 +370,8 @@
     bool direct = via < 0;
     if (heartbeat->fencing_token >
         core->lead.term) { /* it would drop our answer and stay here until its lease is over */
-        if (!bd_core_valid(core))
-            bd_core_lost(core);
+        if (!bd_leadership_lease_valid(core))
+            bd_leadership_lost(core);
         bd_effect_reply(core, request, 421, bd_wire_redirect(""), 0);
         return;
     }
@@ -395,7 +395,7 @@
         machine->direct = direct;
     machine->asked_seq = heartbeat->seq;
     machine->asked = core->now;
-    if (!bd_core_valid(core))
+    if (!bd_leadership_lease_valid(core))
         commands.count = 0;
     answer_checkin(core, request, machine, heartbeat, &commands);
     free(commands.items);
@@ -406,7 +406,7 @@
                                   const struct bd_heartbeat *heartbeat, const char *body,
                                   size_t len)
 {
-    if (bd_core_may_answer(core)) {
+    if (bd_leadership_may_reply(core)) {
         leader_heartbeat(core, request, heartbeat, -1);
         return;
     }
@@ -429,7 +429,7 @@
         q->remote = true;
         q->peer = i;
         q->id = id;
-        if (bd_core_may_answer(core))
+        if (bd_leadership_may_reply(core))
             leader_heartbeat(core, q, heartbeat, i);
         else if (!bd_forward_relay(core, q, heartbeat, body, len))
             bd_effect_reply(core, q, 421, bd_wire_redirect(""), 0);
--- a/src/workers/lease_renewal.c
+++ b/src/workers/lease_renewal.c
@@ -42,7 +42,8 @@
 /* A launch is repeated until its task is seen; not while the job may be cancelled for long. */
 bool bd_may_launch(const struct bd_core *core)
 {
-    return bd_core_valid(core) && bd_between(core->replica.refreshed_at, core->now) < KNOWN_S;
+    return bd_leadership_lease_valid(core) &&
+           bd_between(core->replica.refreshed_at, core->now) < KNOWN_S;
 }
 
 /* A direct command waits in a queue before it is sent, perhaps behind machines that do not answer:
--- a/tests/drain_profile.c
+++ b/tests/drain_profile.c
@@ -118,7 +118,7 @@
 static void half_second(struct fleet *f, int half)
 {
     at(f, f->now + 0.5);
-    bd_core_renewed(f->core, 7, f->core->now);
+    bd_leadership_renewed(f->core, 7, f->core->now);
     bd_core_delegates(f->core, NULL, f->core->now);
     bd_core_followed(f->core, f->core->replica.store_revision, f->core->replica.store_revision,
                      f->core->now, f->core->replica.barrier_out, true);
@@ -126,7 +126,7 @@
         heartbeat(f, i);
     bd_core_tick(f->core);
     if (f->core->lead.commit)
-        bd_core_committed(f->core, BD_COMMIT_APPLIED, ++f->revision, NULL);
+        bd_leader_txn_completed(f->core, BD_TXN_COMMITTED, ++f->revision, NULL);
     answer_effects(f);
     for (int team = 0; team < TEAMS; team++) {
         uint32_t down, up;
@@ -189,10 +189,10 @@
     snprintf(t.zones[1], BD_LABEL, "b");
     bd_core_types(f->core, &t, 1);
     bd_core_relisted(f->core, 1, f->core->now);
-    struct bd_gain g = {.term = 1, .grant = 7, .nonce = "n", .renewed = f->core->now};
+    struct bd_acquisition g = {.term = 1, .grant = 7, .nonce = "n", .renewed = f->core->now};
     g.receipts = json_array();
     g.intents = json_array();
-    bd_core_gained(f->core, &g);
+    bd_leadership_acquired(f->core, &g);
     json_decref(g.receipts);
     json_decref(g.intents);
     bd_core_machines(f->core, NULL, 0, f->core->now);
@@ -392,7 +392,7 @@
         drain(&f, machines / 2);
     for (int k = 0; k < TICKS; k++) {
         at(&f, f.now + 0.51);
-        bd_core_renewed(f.core, 7, f.core->now);
+        bd_leadership_renewed(f.core, 7, f.core->now);
         bd_core_followed(f.core, f.core->replica.store_revision, f.core->replica.store_revision,
                          f.core->now, false, true);
         for (uint32_t i = 0; i < f.machines; i++)
@@ -402,7 +402,7 @@
         bd_core_tick(f.core);
         CALLGRIND_TOGGLE_COLLECT;
         if (f.core->lead.commit)
-            bd_core_committed(f.core, BD_COMMIT_APPLIED, ++f.revision, NULL);
+            bd_leader_txn_completed(f.core, BD_TXN_COMMITTED, ++f.revision, NULL);
         answer_effects(&f);
     }
     drop(&f);
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -360,8 +360,8 @@
         return;
     w->commit[n] = NULL;
     long status = apply(w, e->body, &failed);
-    bd_core_committed(w->c[n], status == 200 ? BD_COMMIT_APPLIED : BD_COMMIT_REFUSED,
-                      w->store_revision, failed);
+    bd_leader_txn_completed(w->c[n], status == 200 ? BD_TXN_COMMITTED : BD_TXN_CONFLICT,
+                            w->store_revision, failed);
     json_decref(failed);
     bd_effect_free(e);
 }
@@ -409,13 +409,13 @@
     w->store_revision++;
     set_key(w, "leader", value);
     json_decref(value);
-    struct bd_gain g = {
+    struct bd_acquisition g = {
         .term = w->store_revision, .grant = 7, .nonce = "n", .renewed = w->c[n]->now};
     g.sequence_revision = wit ? wit->revision : 0;
     g.receipts = listed(w, "r/");
     g.intents = listed(w, "i/");
     refresh(w, n, true); /* the replica is at least as new as the term */
-    bd_core_gained(w->c[n], &g);
+    bd_leadership_acquired(w->c[n], &g);
     json_decref(g.receipts);
     json_decref(g.intents);
 }
@@ -517,7 +517,7 @@
 {
     w->now += 0.3;
     times(w);
-    bd_core_renewed(w->c[w->leader], 7, w->c[w->leader]->now);
+    bd_leadership_renewed(w->c[w->leader], 7, w->c[w->leader]->now);
     user_step(w, next, troubles);
     machine_step(w);
     for (int n = 0; n < NODES; n++)
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -182,10 +182,10 @@
 static void round_once(struct world *w)
 {
     at(w, w->now + 1.1);
-    bd_core_renewed(w->c, 7, w->c->now);
+    bd_leadership_renewed(w->c, 7, w->c->now);
     bd_core_tick(w->c);
     if (w->c->lead.commit)
-        bd_core_committed(w->c, BD_COMMIT_APPLIED, ++w->revision, NULL);
+        bd_leader_txn_completed(w->c, BD_TXN_COMMITTED, ++w->revision, NULL);
     drop_effects(w);
 }
 
@@ -199,10 +199,10 @@
     type(w, "small", 16, 0, 64, 1);
     type(w, "gpu", 48, 4, 288, 15);
     bd_core_relisted(w->c, 1, w->c->now);
-    struct bd_gain g = {.term = 1, .grant = 7, .nonce = "n", .renewed = w->c->now};
+    struct bd_acquisition g = {.term = 1, .grant = 7, .nonce = "n", .renewed = w->c->now};
     g.receipts = json_array();
     g.intents = json_array();
-    bd_core_gained(w->c, &g);
+    bd_leadership_acquired(w->c, &g);
     json_decref(g.receipts);
     json_decref(g.intents);
     bd_core_machines(w->c, NULL, 0, w->c->now);
@@ -383,13 +383,13 @@
 {
     (void)n;
     at(w, w->now + 1.1);
-    bd_core_renewed(w->c, 7, w->c->now);
+    bd_leadership_renewed(w->c, 7, w->c->now);
     bd_core_followed(w->c, w->c->replica.store_revision, w->c->replica.store_revision, w->c->now,
                      false, true);
     CALLGRIND_TOGGLE_COLLECT;
     bd_core_tick(w->c);
     if (w->c->lead.commit)
-        bd_core_committed(w->c, BD_COMMIT_APPLIED, ++w->revision, NULL);
+        bd_leader_txn_completed(w->c, BD_TXN_COMMITTED, ++w->revision, NULL);
     CALLGRIND_TOGGLE_COLLECT;
     drop_effects(w);
 }
@@ -465,14 +465,15 @@
 static void takeover(struct world *w, uint32_t n)
 {
     json_t *list = intents(w);
-    struct bd_gain g = {.term = w->revision + 1, .grant = 7, .nonce = "n", .renewed = w->c->now};
+    struct bd_acquisition g = {
+        .term = w->revision + 1, .grant = 7, .nonce = "n", .renewed = w->c->now};
     (void)n;
-    bd_core_lost(w->c);
+    bd_leadership_lost(w->c);
     drop_effects(w);
     g.receipts = json_array();
     g.intents = list;
     CALLGRIND_TOGGLE_COLLECT;
-    bd_core_gained(w->c, &g);
+    bd_leadership_acquired(w->c, &g);
     CALLGRIND_TOGGLE_COLLECT;
     json_decref(g.receipts);
     json_decref(g.intents);
@@ -547,12 +548,13 @@
     uint32_t before = held_in_all(w), starts = w->commands;
     double heap = heap_mb();
     json_t *list = intents(w);
-    struct bd_gain g = {.term = w->revision + 1, .grant = 7, .nonce = "n", .renewed = w->c->now};
-    bd_core_lost(w->c);
+    struct bd_acquisition g = {
+        .term = w->revision + 1, .grant = 7, .nonce = "n", .renewed = w->c->now};
+    bd_leadership_lost(w->c);
     drop_effects(w);
     g.receipts = json_array();
     g.intents = list;
-    bd_core_gained(w->c, &g);
+    bd_leadership_acquired(w->c, &g);
     double grown = heap_mb() - heap;
     json_decref(g.receipts);
     json_decref(list);
@@ -613,12 +615,12 @@
 static void delegate_full(struct world *w)
 {
     uint32_t written = 0;
-    bd_core_lost(w->c);
+    bd_leadership_lost(w->c);
     drop_effects(w);
     bd_peer_status_received(w->c, PEER, 9, BD_PEER_LEADS | BD_PEER_KV_REACHABLE, 0, w->c->wall,
                             w->c->now);
     at(w, w->now + 30);
-    bd_core_leader_is(w->c, PEER, 9, w->c->now, false);
+    bd_leadership_leader_observed(w->c, PEER, 9, w->c->now, false);
     for (uint32_t i = 0; i < w->machines; i++)
         delegate_report(w, i);
     for (int tries = 0; tries < 4 && written < w->machines; tries++) {
@@ -632,7 +634,7 @@
             e = next;
         }
         at(w, w->now + 0.6);
-        bd_core_leader_is(w->c, PEER, 9, w->c->now, false);
+        bd_leadership_leader_observed(w->c, PEER, 9, w->c->now, false);
     }
     if (written < w->machines)
         fault(w, "machines that the delegate's record lacks", w->machines - written, 0);
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -282,7 +282,7 @@
 
 static void cmd_gain(struct play *p)
 {
-    struct bd_gain g = {0};
+    struct bd_acquisition g = {0};
     g.term = strtoull(p->w[1], NULL, 10);
     g.grant = 7;
     g.nonce = "n";
@@ -309,7 +309,7 @@
             play_fail(p, "gain");
         }
     }
-    bd_core_gained(p->c, &g);
+    bd_leadership_acquired(p->c, &g);
     json_decref(g.receipts);
     json_decref(g.intents);
 }
@@ -452,7 +452,8 @@
 static void cmd_leader(struct play *p)
 {
     const char *name = strcmp(p->w[1], "-") == 0 ? "" : p->w[1];
-    bd_core_leader_is(p->c, name, strtoull(p->w[2], NULL, 10), p->c->now, play_yes(p, "away"));
+    bd_leadership_leader_observed(p->c, name, strtoull(p->w[2], NULL, 10), p->c->now,
+                                  play_yes(p, "away"));
 }
 
 static void cmd_delegates(struct play *p)
@@ -525,7 +526,7 @@
         at = at + 2 < to ? at + 2 : to;
         more = at < to;
         bd_core_set_clock(p->c, bd_secs(100 + at), 1000 + at);
-        bd_core_renewed(p->c, 7, p->c->now);
+        bd_leadership_renewed(p->c, 7, p->c->now);
         bd_core_delegates(p->c, pairs, p->c->now);
         bd_core_tick(p->c);
     }
@@ -558,14 +559,14 @@
     json_t *failed = json_array();
     for (int i = 2; i < p->n; i++)
         json_array_append_new(failed, json_string(p->w[i]));
-    enum bd_outcome outcome = strcmp(p->w[1], "ok") == 0      ? BD_COMMIT_APPLIED
-                              : strcmp(p->w[1], "lost") == 0  ? BD_COMMIT_DEPOSED
-                              : strcmp(p->w[1], "large") == 0 ? BD_COMMIT_MALFORMED
-                                                              : BD_COMMIT_REFUSED;
+    enum bd_txn_outcome outcome = strcmp(p->w[1], "ok") == 0      ? BD_TXN_COMMITTED
+                                  : strcmp(p->w[1], "lost") == 0  ? BD_TXN_DEPOSED
+                                  : strcmp(p->w[1], "large") == 0 ? BD_TXN_REJECTED
+                                                                  : BD_TXN_CONFLICT;
     if (!p->c->lead.commit)
         play_fail(p, "nothing is being committed");
     p->store_revision = p->store_revision < 1000 ? 1000 : p->store_revision + 1;
-    bd_core_committed(p->c, outcome, p->store_revision, failed);
+    bd_leader_txn_completed(p->c, outcome, p->store_revision, failed);
     json_decref(failed);
 }
 
@@ -745,9 +746,9 @@
     else if (strcmp(v, "offered") == 0)
         bd_core_liveness_sent(p->c, p->c->now);
     else if (strcmp(v, "renew") == 0)
-        bd_core_renewed(p->c, 7, p->c->now);
+        bd_leadership_renewed(p->c, 7, p->c->now);
     else if (strcmp(v, "lose") == 0)
-        bd_core_lost(p->c);
+        bd_leadership_lost(p->c);
     else if (strcmp(v, "get") == 0)
         bd_core_get(p->c, NULL, p->w[1]);
     else if (strcmp(v, "cancel") == 0)
@@ -755,7 +756,7 @@
     else if (strcmp(v, "seed") == 0)
         bd_core_seed(p->c, p->n > 1 ? strtoull(p->w[1], NULL, 10) : 0);
     else if (strcmp(v, "up") == 0) {
-        if (p->n < 2 || bd_core_up(p->c) != (atoi(p->w[1]) != 0))
+        if (p->n < 2 || bd_leadership_healthy(p->c) != (atoi(p->w[1]) != 0))
             play_fail(p, "up is otherwise");
     } else if (strcmp(v, "ready") == 0)
         bd_core_relisted(p->c, 10, p->c->now);
--- a/tests/scenario_drain.c
+++ b/tests/scenario_drain.c
@@ -255,7 +255,7 @@
     for (int half = 0; now < to; half++) {
         now = now + 0.5 < to ? now + 0.5 : to;
         bd_core_set_clock(p->c, bd_secs(100 + now), 1000 + now);
-        bd_core_renewed(p->c, 7, p->c->now);
+        bd_leadership_renewed(p->c, 7, p->c->now);
         bd_core_delegates(p->c, NULL, p->c->now);
         bd_core_followed(p->c, p->c->replica.store_revision, p->c->replica.store_revision,
                          p->c->now, p->c->replica.barrier_out, true);
@@ -266,7 +266,7 @@
         bd_core_tick(p->c);
         p->store_revision = p->store_revision < 1000 ? 1000 : p->store_revision + 1;
         if (p->c->lead.commit)
-            bd_core_committed(p->c, BD_COMMIT_APPLIED, p->store_revision, NULL);
+            bd_leader_txn_completed(p->c, BD_TXN_COMMITTED, p->store_revision, NULL);
         answer_effects(p);
     }
 }
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -211,11 +211,12 @@
 
 static void take_gain(struct sim *s, struct sim_node *n)
 {
-    if (!n->gained || !n->core->replica.ready || n->core->replica.store_revision < n->gain.term)
+    if (!n->leadership_acquired || !n->core->replica.ready ||
+        n->core->replica.store_revision < n->gain.term)
         return;
-    n->gained = false;
+    n->leadership_acquired = false;
     n->gain.nonce = n->nonce;
-    bd_core_gained(n->core, &n->gain);
+    bd_leadership_acquired(n->core, &n->gain);
     json_decref(n->gain.receipts);
     json_decref(n->gain.intents);
     n->gain.receipts = n->gain.intents = NULL;
@@ -397,10 +398,10 @@
 {
     struct bd_change ch;
     uint64_t grant;
-    bool told = n->core->role == BD_FOLLOWER && !n->gained;
+    bool told = n->core->role == BD_FOLLOWER && !n->leadership_acquired;
     if (status == 404) {
         if (told)
-            bd_core_leader_is(n->core, "", 0, c->sent, false);
+            bd_leadership_leader_observed(n->core, "", 0, c->sent, false);
         if (n->reads_refused)
             election_again(s, n, 0.3);
         else
@@ -417,7 +418,7 @@
             away = away || strcmp(json_string_value(v), n->settings.node) == 0;
         }
         if (told)
-            bd_core_leader_is(n->core, node, ch.revision, c->sent, away);
+            bd_leadership_leader_observed(n->core, node, ch.revision, c->sent, away);
         if (strcmp(node, n->settings.node) == 0 && !n->reads_refused) {
             get_grant(s, n, ch.revision);
             return;
@@ -503,7 +504,7 @@
     } else {
         n->gain.renewed = n->granted;
         n->step_down = false;
-        n->leading = n->gained = true;
+        n->leading = n->leadership_acquired = true;
         election_again(s, n, 0);
     }
 }
@@ -515,13 +516,13 @@
         json_decref(n->gain.receipts);
         json_decref(n->gain.intents);
         n->gain.receipts = n->gain.intents = NULL;
-        n->gained = false;
-        bd_core_lost(n->core);
+        n->leadership_acquired = false;
+        bd_leadership_lost(n->core);
         election_again(s, n, 0);
         return;
     }
     if (status == 200)
-        bd_core_renewed(n->core, c->number, c->sent);
+        bd_leadership_renewed(n->core, c->number, c->sent);
     election_again(s, n, TTL_S / 6);
 }
 
@@ -539,14 +540,14 @@
     return false;
 }
 
-static void committed(struct sim *s, struct sim_node *n, enum bd_outcome outcome,
+static void committed(struct sim *s, struct sim_node *n, enum bd_txn_outcome outcome,
                       uint64_t store_revision, json_t *o)
 {
     struct bd_effect *e = n->commit;
     struct bd_core *c = n->core;
     n->commit = NULL;
     if (strtoull(e->key, NULL, 10) == c->lead.base_term && e->sequence == c->lead.sequence)
-        bd_core_committed(c, outcome, store_revision, bd_wire_failed(o));
+        bd_leader_txn_completed(c, outcome, store_revision, bd_wire_failed(o));
     bd_effect_free(e);
     (void)s;
 }
@@ -566,19 +567,19 @@
                 strtoull(n->commit->key, NULL, 10) &&
             (uint64_t)json_integer_value(json_object_get(ch.value, "n")) == n->commit->sequence;
         if (ours)
-            committed(s, n, BD_COMMIT_APPLIED, ch.revision, NULL);
+            committed(s, n, BD_TXN_COMMITTED, ch.revision, NULL);
         else if (status == 200 || status == 404)
-            committed(s, n, BD_COMMIT_DEPOSED, 0, NULL);
+            committed(s, n, BD_TXN_DEPOSED, 0, NULL);
         else
             (void)call(s, n, SIM_GET, THEN_SEQUENCE_SHOWS, "w", NULL, 1.5);
     } else if (status == 200) {
-        committed(s, n, BD_COMMIT_APPLIED, bd_wire_store_revision(o), NULL);
+        committed(s, n, BD_TXN_COMMITTED, bd_wire_store_revision(o), NULL);
     } else if (status == 409 && names(failed, "w")) {
         (void)call(s, n, SIM_GET, THEN_SEQUENCE_SHOWS, "w", NULL, 1.5);
     } else if (status == 409) {
-        committed(s, n, names(failed, "leader") ? BD_COMMIT_DEPOSED : BD_COMMIT_REFUSED, 0, o);
+        committed(s, n, names(failed, "leader") ? BD_TXN_DEPOSED : BD_TXN_CONFLICT, 0, o);
     } else if (status == 400 || !n->leading) {
-        committed(s, n, BD_COMMIT_DEPOSED, 0, NULL);
+        committed(s, n, BD_TXN_DEPOSED, 0, NULL);
     } else {
         wake(s, n, 0.25, SIM_ELECTION)->flag = true; /* the same once more */
     }
@@ -956,7 +957,7 @@
     json_decref(n->gain.receipts);
     json_decref(n->gain.intents);
     memset(&n->gain, 0, sizeof n->gain);
-    n->gained = false;
+    n->leadership_acquired = false;
     if (n->commit)
         bd_effect_free(n->commit);
     n->commit = NULL;
--- a/tests/simulation.c
+++ b/tests/simulation.c
@@ -142,7 +142,7 @@
     int from = (int)(sim_rnd(s) * SIM_NODES);
     for (int i = 0; i < SIM_NODES; i++) {
         int k = (from + i) % SIM_NODES;
-        if (s->nodes[k].core && bd_core_up(s->nodes[k].core))
+        if (s->nodes[k].core && bd_leadership_healthy(s->nodes[k].core))
             return k;
     }
     return from;
@@ -271,7 +271,7 @@
 static int who_is(struct sim *s, const char *who)
 {
     for (int i = 0; strcmp(who, "leader") == 0 && i < SIM_NODES; i++)
-        if (s->nodes[i].core && bd_core_valid(s->nodes[i].core))
+        if (s->nodes[i].core && bd_leadership_lease_valid(s->nodes[i].core))
             return i;
     return *who >= '0' && *who <= '9' ? atoi(who) : (int)(sim_rnd(s) * SIM_NODES);
 }
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -96,8 +96,8 @@
     char nonce[BD_LABEL];
     uint64_t grant;
     struct timespec granted, liveness_at;
-    struct bd_gain gain;
-    bool gained; /* a gain waits for the replica */
+    struct bd_acquisition gain;
+    bool leadership_acquired; /* a gain waits for the replica */
     /* committer */
     struct bd_effect *commit;
     double next_status, next_list;
