--- a/src/autoscaling/autoscaler.c
+++ b/src/autoscaling/autoscaler.c
@@ -274,7 +274,7 @@
     struct bd_core *core = d->core;
     for (uint32_t i = 0; i < core->nmachines; i++) {
         struct bd_machine *machine = core->by_index[i];
-        if (!bd_machine_usable(core, machine) || (machine->nrefs == 0) != idle)
+        if (!bd_machine_usable(core, machine) || (machine->nreservations == 0) != idle)
             continue;
         struct bin *b = add_bin(d, machine->type, machine->zone, machine->spot, false);
         b->machine = machine;
@@ -309,10 +309,10 @@
         if (machine->gone || !bd_machine_usable(core, machine) ||
             !bd_only_services(core, machine, &held))
             continue;
-        for (uint32_t k = 0; k < machine->nrefs; k++)
-            if (machine->refs[k].job->spec.shape == BD_SERVICE &&
-                machine->refs[k].job->state == BD_LIVE)
-                want_job(d, &machine->refs[k].job->spec, 1, BD_REACH_CHEAP);
+        for (uint32_t k = 0; k < machine->nreservations; k++)
+            if (machine->reservations[k].job->spec.shape == BD_SERVICE &&
+                machine->reservations[k].job->state == BD_JOB_ACTIVE)
+                want_job(d, &machine->reservations[k].job->spec, 1, BD_REACH_CHEAP);
     }
 }
 
@@ -355,8 +355,8 @@
     bins_coming(d);
     uint32_t n = bd_jobs_in_order(core, &jobs);
     for (uint32_t i = 0; i < n; i++)
-        if (jobs[i]->nwait > 0 && bd_before(jobs[i]->hold_until, core->now))
-            want_job(d, &jobs[i]->spec, under_quota(d, &jobs[i]->spec, jobs[i]->nwait),
+        if (jobs[i]->npending > 0 && bd_before(jobs[i]->hold_until, core->now))
+            want_job(d, &jobs[i]->spec, under_quota(d, &jobs[i]->spec, jobs[i]->npending),
                      bd_reach_of(core, jobs[i]));
     free(jobs);
     for (uint32_t i = 0; i < core->nmachines; i++)
@@ -373,14 +373,14 @@
 
 static bool boot_given_up(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return booting(core, machine) && machine->nrefs == 0 &&
+    return booting(core, machine) && machine->nreservations == 0 &&
            machine_age(core, machine) >
                BOOT_PATIENCE * core->types[machine->type].boot + BOOT_EXTRA_S;
 }
 
 static bool dead(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return machine->incarnation && machine->nrefs == 0 && !machine->fenced &&
+    return machine->incarnation && machine->nreservations == 0 && !machine->fenced &&
            bd_between(machine->heard, core->now) > bd_to_secs(core->settings->lease) + DEAD_EXTRA_S;
 }
 
@@ -391,7 +391,7 @@
         return false;
     if (machine->returning || machine->failed)
         return true;
-    if (machine->nrefs > 0)
+    if (machine->nreservations > 0)
         return false;
     if (boot_given_up(core, machine) || dead(core, machine))
         return true;
@@ -431,16 +431,17 @@
 {
     for (uint32_t i = 0; i < core->nmachines; i++) {
         struct bd_machine *machine = core->by_index[i];
-        bd_find_slow(core, machine);
+        bd_machine_detect_slow(core, machine);
         if (machine->gone || (machine->notice_left < 0 && !machine->bad))
             continue;
-        for (uint32_t k = machine->nrefs; k > 0; k--) {
-            if (k > machine->nrefs)
+        for (uint32_t k = machine->nreservations; k > 0; k--) {
+            if (k > machine->nreservations)
                 continue;
-            struct bd_ref r = machine->refs[k - 1];
+            struct bd_reservation r = machine->reservations[k - 1];
             struct bd_task *task = &r.job->tasks[r.task];
-            if ((task->state == BD_T_LIVE || task->state == BD_T_LAUNCH) &&
-                !(task->flags & BD_F_STOP) && (r.job->spec.checkpoint > 0 || machine->bad))
+            if ((task->state == BD_TASK_CONFIRMED || task->state == BD_TASK_LAUNCHING) &&
+                !(task->flags & BD_TASK_FLAG_STOP_REQUESTED) &&
+                (r.job->spec.checkpoint > 0 || machine->bad))
                 bd_task_stop(core, r.job, r.task, BD_STOP_EVACUATED, false);
         }
     }
@@ -452,8 +453,8 @@
 static enum use use_of(const struct bd_machine *machine)
 {
     enum use u = machine->incarnation ? USE_IDLE : USE_COMING;
-    for (uint32_t k = 0; k < machine->nrefs; k++) {
-        const struct bd_spec *spec = &machine->refs[k].job->spec;
+    for (uint32_t k = 0; k < machine->nreservations; k++) {
+        const struct bd_spec *spec = &machine->reservations[k].job->spec;
         enum use v = spec->gpus > 0              ? USE_GPU
                      : spec->shape == BD_SERVICE ? USE_SERVICES
                                                  : USE_ARRAYS;
--- a/src/autoscaling/consolidation.c
+++ b/src/autoscaling/consolidation.c
@@ -26,8 +26,8 @@
     *services = 0;
     if (machine->gpus > 0)
         return false;
-    for (uint32_t k = 0; k < machine->nrefs; k++) {
-        const struct bd_job *job = machine->refs[k].job;
+    for (uint32_t k = 0; k < machine->nreservations; k++) {
+        const struct bd_job *job = machine->reservations[k].job;
         if (job->spec.shape == BD_SERVICE &&
             bd_dear(core, &job->spec, machine->type, machine->spot))
             *services += job->spec.cpus;
@@ -38,9 +38,10 @@
 static bool settled(const struct bd_core *core, const struct bd_job *job,
                     const struct bd_task *task)
 {
-    return job->spec.shape == BD_SERVICE && job->nwait == 0 && task->state == BD_T_LIVE &&
-           task->sub == BD_RUNNING && !(task->flags & BD_F_STOP) &&
-           bd_between(job->last_begun, core->now) > SETTLED_S;
+    return job->spec.shape == BD_SERVICE && job->npending == 0 &&
+           task->state == BD_TASK_CONFIRMED && task->execution == BD_EXECUTION_RUNNING &&
+           !(task->flags & BD_TASK_FLAG_STOP_REQUESTED) &&
+           bd_between(job->last_started_at, core->now) > SETTLED_S;
 }
 
 /* A refresh at where services could gather: the machines with room for some, and what moves that
@@ -129,7 +130,7 @@
     for (uint32_t i = 0; i < core->nmachines; i++) {
         struct bd_machine *machine = core->by_index[i];
         double held = 0;
-        machine->emptying = machine->emptying && machine->nrefs > 0 && !machine->gone;
+        machine->emptying = machine->emptying && machine->nreservations > 0 && !machine->gone;
         if (machine->gone || !bd_machine_usable(core, machine))
             continue;
         if (bd_only_services(core, machine, &held))
@@ -163,11 +164,11 @@
     int fetched[EMPTY_MOST];
     const struct bd_spec *what[EMPTY_MOST];
     uint32_t n = 0;
-    bool all = s->m->nrefs <= EMPTY_MOST, slow = false;
+    bool all = s->m->nreservations <= EMPTY_MOST, slow = false;
     double away = 0;
-    for (uint32_t k = 0; all && k < s->m->nrefs; k++) {
-        struct bd_ref r = s->m->refs[k];
-        if (r.job->tasks[r.task].flags & BD_F_STOP)
+    for (uint32_t k = 0; all && k < s->m->nreservations; k++) {
+        struct bd_reservation r = s->m->reservations[k];
+        if (r.job->tasks[r.task].flags & BD_TASK_FLAG_STOP_REQUESTED)
             continue;
         struct target *t = settled(g->core, r.job, &r.job->tasks[r.task])
                                ? place_elsewhere(g, r.job, s->m, than)
@@ -198,10 +199,10 @@
 static double empty(struct gathering *g, const struct source *s, double than)
 {
     double away = 0;
-    for (uint32_t k = s->m->nrefs; k > 0; k--) {
-        if (k > s->m->nrefs)
+    for (uint32_t k = s->m->nreservations; k > 0; k--) {
+        if (k > s->m->nreservations)
             continue;
-        struct bd_ref r = s->m->refs[k - 1];
+        struct bd_reservation r = s->m->reservations[k - 1];
         if (!settled(g->core, r.job, &r.job->tasks[r.task]))
             continue;
         struct target *t = place_elsewhere(g, r.job, s->m, than);
@@ -224,8 +225,9 @@
 {
     double running = 0, passed = fmin(bd_between(core->cloud.moves_at, core->now), AWAY_KEPT_S);
     for (const struct bd_job *job = core->jobs; job; job = job->hh.next)
-        running +=
-            job->state == BD_LIVE && job->has_spec && job->spec.shape == BD_SERVICE ? job->nrun : 0;
+        running += job->state == BD_JOB_ACTIVE && job->has_spec && job->spec.shape == BD_SERVICE
+                       ? job->nrunning
+                       : 0;
     double rate = fmax(AWAY_LEAST_S, AWAY_SHARE * running);
     core->cloud.moves_s = fmin(core->cloud.moves_s + rate * passed, rate * AWAY_KEPT_S);
     core->cloud.moves_at = core->now;
--- a/src/autoscaling/inventory.c
+++ b/src/autoscaling/inventory.c
@@ -49,7 +49,7 @@
     machine->age_known = core->now;
     if (!*machine->addr)
         snprintf(machine->addr, sizeof machine->addr, "%s", l->addr);
-    if (l->state == BD_FAILED && !machine->failed) {
+    if (l->state == BD_MACHINE_FAILED && !machine->failed) {
         machine->failed = true;
         bd_log_write(core->log, BD_LOG_INFO, "%s failed", machine->id);
         bd_machine_lease_expired(core, machine, BD_RELEASE_MACHINE_FAILED);
@@ -64,7 +64,7 @@
     if (machine->gone || machine->listed_now || bd_between(existed, asked) < lag)
         return;
     bd_log_write(core->log, BD_LOG_INFO, "%s is gone from the list, %u tasks lost", machine->id,
-                 machine->nrefs);
+                 machine->nreservations);
     bd_machine_gone(core, machine);
 }
 
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -82,7 +82,7 @@
     HASH_ITER(hh, core->machines, machine, mt)
     {
         HASH_DEL(core->machines, machine);
-        free(machine->refs);
+        free(machine->reservations);
         free(machine);
     }
     free(core->by_index);
--- a/src/core/core_internal.h
+++ b/src/core/core_internal.h
@@ -142,8 +142,8 @@
 void bd_task_done(struct bd_core *core, struct bd_job *job, uint32_t i);
 void bd_task_stop(struct bd_core *core, struct bd_job *job, uint32_t i, enum bd_stop_reason why,
                   bool force);
-bool bd_job_lead(struct bd_core *core, struct bd_job *job);
-void bd_job_unlead(struct bd_job *job);
+bool bd_job_start_tracking(struct bd_core *core, struct bd_job *job);
+void bd_job_stop_tracking(struct bd_job *job);
 void bd_machine_lease_expired(struct bd_core *core, struct bd_machine *machine,
                               enum bd_release_reason why);
 void bd_machine_gone(struct bd_core *core, struct bd_machine *machine);
@@ -151,8 +151,8 @@
 bool bd_machine_usable(const struct bd_core *core, const struct bd_machine *machine);
 struct timespec bd_lease_expiry(const struct bd_core *core, struct timespec answered);
 uint32_t bd_tenths(struct timespec t);
-void bd_find_slow(struct bd_core *core, struct bd_machine *machine);
-void bd_find_outbound_cut(struct bd_core *core);
+void bd_machine_detect_slow(struct bd_core *core, struct bd_machine *machine);
+void bd_machines_detect_outbound_partition(struct bd_core *core);
 void bd_commands_send_direct(struct bd_core *core, struct bd_machine *machine);
 bool bd_has_image(const struct bd_machine *machine, int image);
 double bd_fetch_s(const struct bd_core *core, const struct bd_machine *machine,
--- a/src/drain/candidate.c
+++ b/src/drain/candidate.c
@@ -22,8 +22,8 @@
 bool bd_candidate_stoppable(const struct bd_job *job, uint32_t i)
 {
     const struct bd_task *task = &job->tasks[i];
-    bool holds = task->state == BD_T_LIVE || task->state == BD_T_LAUNCH;
-    return holds && !(task->flags & BD_F_STOP);
+    bool holds = task->state == BD_TASK_CONFIRMED || task->state == BD_TASK_LAUNCHING;
+    return holds && !(task->flags & BD_TASK_FLAG_STOP_REQUESTED);
 }
 
 uint32_t bd_candidate_falls(struct bd_core *core, const struct bd_job *job, uint32_t task)
@@ -43,7 +43,7 @@
                              const struct bd_job *job)
 {
     for (uint32_t k = 0; job->spec.shape == BD_GANG && k < before; k++)
-        if (machine->refs[k].job == job)
+        if (machine->reservations[k].job == job)
             return true;
     return false;
 }
@@ -51,10 +51,10 @@
 static bool add_task(struct bd_core *core, struct bd_candidate *candidate, uint32_t k)
 {
     const struct bd_machine *machine = candidate->machine;
-    const struct bd_job *job = machine->refs[k].job;
+    const struct bd_job *job = machine->reservations[k].job;
     const struct bd_ledger_job *entry = bd_ledger_job_of(core, job);
     bool counted = gang_was_counted(machine, k, job);
-    uint32_t falls = counted ? 0 : bd_candidate_falls(core, job, machine->refs[k].task);
+    uint32_t falls = counted ? 0 : bd_candidate_falls(core, job, machine->reservations[k].task);
     for (uint32_t i = 0; falls > 0 && i < entry->nbudgets; i++)
         if (!add_need(candidate, entry->budgets[i], falls))
             return false;
@@ -77,7 +77,7 @@
 {
     candidate->nneeds = candidate->tasks = 0;
     candidate->moves = (struct bd_room){0, 0, 0};
-    for (uint32_t k = 0; k < candidate->machine->nrefs; k++)
+    for (uint32_t k = 0; k < candidate->machine->nreservations; k++)
         if (!add_task(core, candidate, k))
             return false;
     return true;
@@ -134,18 +134,19 @@
 bool bd_bins_take(struct bd_bins *bins, const struct bd_candidate *candidate)
 {
     const struct bd_machine *machine = candidate->machine;
-    struct bd_bin **took = calloc(machine->nrefs + 1, sizeof(struct bd_bin *));
+    struct bd_bin **took = calloc(machine->nreservations + 1, sizeof(struct bd_bin *));
     if (!took)
         abort();
     uint32_t n = 0;
-    while (n < machine->nrefs && (took[n] = first_fit(bins, &machine->refs[n].job->spec))) {
-        bd_room_add(&took[n]->room, &machine->refs[n].job->spec, -1);
+    while (n < machine->nreservations &&
+           (took[n] = first_fit(bins, &machine->reservations[n].job->spec))) {
+        bd_room_add(&took[n]->room, &machine->reservations[n].job->spec, -1);
         n++;
     }
-    bool all = n == machine->nrefs;
+    bool all = n == machine->nreservations;
     while (!all && n > 0) {
         n--;
-        bd_room_add(&took[n]->room, &machine->refs[n].job->spec, 1);
+        bd_room_add(&took[n]->room, &machine->reservations[n].job->spec, 1);
     }
     free(took);
     return all;
--- a/src/drain/drain.c
+++ b/src/drain/drain.c
@@ -141,12 +141,12 @@
 {
     if (bd_is_zero(m->told) || bd_between(m->told, core->now) < core->drains->rules->stop_s)
         return;
-    for (uint32_t k = machine->nrefs; k > 0; k--) {
-        if (k > machine->nrefs)
+    for (uint32_t k = machine->nreservations; k > 0; k--) {
+        if (k > machine->nreservations)
             continue;
-        struct bd_ref ref = machine->refs[k - 1];
+        struct bd_reservation ref = machine->reservations[k - 1];
         uint8_t flags = ref.job->tasks[ref.task].flags;
-        if (flags & BD_F_STOP && !(flags & BD_F_FORCE))
+        if (flags & BD_TASK_FLAG_STOP_REQUESTED && !(flags & BD_TASK_FLAG_FORCED_STOP))
             bd_task_stop(core, ref.job, ref.task, BD_STOP_DRAINED, true);
     }
 }
@@ -155,7 +155,7 @@
                      struct bd_machine *machine)
 {
     bool replaces = drain->record.mode == BD_DRAIN_REPLACE;
-    if (machine->nrefs == 0)
+    if (machine->nreservations == 0)
         set_stage(core, drain, m, BD_STAGE_EMPTY,
                   replaces ? BD_DRAIN_WAIT_WORK : BD_DRAIN_WAIT_NOTHING);
     else
@@ -165,7 +165,7 @@
 static void empty(struct bd_core *core, struct bd_drain *drain, struct bd_drain_machine *m,
                   const struct bd_machine *machine)
 {
-    if (machine->nrefs > 0) { /* a report showed what we did not know of */
+    if (machine->nreservations > 0) { /* a report showed what we did not know of */
         set_stage(core, drain, m, BD_STAGE_WAITING, BD_DRAIN_WAIT_STEP);
         return;
     }
@@ -201,7 +201,7 @@
         stopping(core, drain, m, machine);
     else if (m->stage == BD_STAGE_EMPTY)
         empty(core, drain, m, machine);
-    else if (m->stage != BD_STAGE_REPLACED && machine->nrefs == 0)
+    else if (m->stage != BD_STAGE_REPLACED && machine->nreservations == 0)
         idle(core, drain, m);
 }
 
@@ -424,8 +424,8 @@
             if (m->wait != BD_DRAIN_WAIT_ROOM || !machine ||
                 machines++ >= core->drains->rules->machines_in_step)
                 continue;
-            for (uint32_t k = 0; k < machine->nrefs; k++)
-                want(arg, &machine->refs[k].job->spec);
+            for (uint32_t k = 0; k < machine->nreservations; k++)
+                want(arg, &machine->reservations[k].job->spec);
         }
     }
 }
--- a/src/drain/ledger.c
+++ b/src/drain/ledger.c
@@ -142,21 +142,23 @@
 
 static bool runs(const struct bd_task *task)
 {
-    return task->state == BD_T_LIVE && task->sub == BD_RUNNING && !(task->flags & BD_F_STOP);
+    return task->state == BD_TASK_CONFIRMED && task->execution == BD_EXECUTION_RUNNING &&
+           !(task->flags & BD_TASK_FLAG_STOP_REQUESTED);
 }
 
 /* Told to stop, while it may be running already. */
 static bool may_stop(const struct bd_task *task)
 {
-    return task->flags & BD_F_STOP &&
-           (task->state == BD_T_LIVE || task->state == BD_T_LAUNCH || task->state == BD_T_UNKNOWN);
+    return task->flags & BD_TASK_FLAG_STOP_REQUESTED &&
+           (task->state == BD_TASK_CONFIRMED || task->state == BD_TASK_LAUNCHING ||
+            task->state == BD_TASK_UNKNOWN);
 }
 
 void bd_ledger_task(struct bd_core *core, struct bd_job *job, uint32_t i)
 {
     if (!core->drains || core->role != BD_LEADER)
         return;
-    if (job->state != BD_LIVE) { /* its user ended it: that is no disruption */
+    if (job->state != BD_JOB_ACTIVE) { /* its user ended it: that is no disruption */
         bd_ledger_forget(core, job);
         return;
     }
@@ -165,7 +167,7 @@
     struct bd_ledger_job *entry = bd_ledger_job_of(core, job);
     if (!entry)
         return;
-    if (task->state == BD_T_DONE)
+    if (task->state == BD_TASK_DONE)
         set_over(ledger, entry, i);
     else if (runs(task))
         set_up(ledger, entry, i);
@@ -187,7 +189,7 @@
  * disruption, and one of which nothing is left on any machine is taken for that. */
 static bool may_have_run(const struct bd_job *job)
 {
-    return job->spec.shape != BD_ARRAY || job->nlive > 0 || job->ndone > 0 ||
+    return job->spec.shape != BD_ARRAY || job->nplaced > 0 || job->ndone > 0 ||
            job->receipt_chunks != 0;
 }
 
@@ -196,11 +198,11 @@
     struct bd_ledger *ledger = &core->drains->ledger;
     bd_ledger_clear(ledger);
     for (struct bd_job *job = core->jobs; job; job = job->hh.next) {
-        if (job->state != BD_LIVE || !job->tasks || !may_have_run(job))
+        if (job->state != BD_JOB_ACTIVE || !job->tasks || !may_have_run(job))
             continue;
         struct bd_ledger_job *entry = bd_ledger_job_of(core, job);
         for (uint32_t i = 0; entry && i < job->ntasks; i++)
-            if (job->tasks[i].state != BD_T_DONE)
+            if (job->tasks[i].state != BD_TASK_DONE)
                 set_down(ledger, entry, i);
     }
 }
@@ -213,9 +215,9 @@
 
 static void silent_tasks(struct bd_ledger *ledger, const struct bd_machine *machine)
 {
-    for (uint32_t k = 0; k < machine->nrefs; k++) {
-        const struct bd_ledger_job *entry = find(ledger, machine->refs[k].job);
-        if (!entry || !roaring_bitmap_contains(entry->up, machine->refs[k].task))
+    for (uint32_t k = 0; k < machine->nreservations; k++) {
+        const struct bd_ledger_job *entry = find(ledger, machine->reservations[k].job);
+        if (!entry || !roaring_bitmap_contains(entry->up, machine->reservations[k].task))
             continue;
         for (uint32_t i = 0; i < entry->nbudgets; i++)
             ledger->budgets[entry->budgets[i]].silent++;
@@ -230,7 +232,7 @@
         ledger->budgets[i].silent = 0;
     for (uint32_t i = 0; i < core->nmachines; i++) {
         const struct bd_machine *machine = core->by_index[i];
-        if (!machine->gone && machine->nrefs > 0 &&
+        if (!machine->gone && machine->nreservations > 0 &&
             (!machine->fenced || machine->notice_left >= 0 || bd_overdue(core, machine)))
             silent_tasks(ledger, machine);
     }
--- a/src/drain/plan.c
+++ b/src/drain/plan.c
@@ -26,7 +26,8 @@
 /* ---- telling ---- */
 
 /* Whether the budgets bear that the task, and what stops with it, goes down now. */
-static bool within_budgets(struct bd_core *core, const struct bd_ref *ref, const char **team)
+static bool within_budgets(struct bd_core *core, const struct bd_reservation *ref,
+                           const char **team)
 {
     const struct bd_ledger_job *entry = bd_ledger_job_of(core, ref->job);
     uint32_t falls = bd_candidate_falls(core, ref->job, ref->task);
@@ -45,10 +46,10 @@
 static uint32_t stop_tasks(struct bd_core *core, struct bd_machine *machine, const char **team)
 {
     uint32_t told = 0;
-    for (uint32_t k = machine->nrefs; k > 0; k--) {
-        if (k > machine->nrefs) /* a gang's end takes others along */
+    for (uint32_t k = machine->nreservations; k > 0; k--) {
+        if (k > machine->nreservations) /* a gang's end takes others along */
             continue;
-        struct bd_ref ref = machine->refs[k - 1];
+        struct bd_reservation ref = machine->reservations[k - 1];
         if (!bd_candidate_stoppable(ref.job, ref.task) || !within_budgets(core, &ref, team))
             continue;
         bd_task_stop(core, ref.job, ref.task, BD_STOP_DRAINED, false);
@@ -151,8 +152,8 @@
 {
     if (core->wall - drain->record.at > core->drains->rules->wait_s)
         return false;
-    for (uint32_t k = 0; k < machine->nrefs; k++) {
-        const struct bd_spec *spec = &machine->refs[k].job->spec;
+    for (uint32_t k = 0; k < machine->nreservations; k++) {
+        const struct bd_spec *spec = &machine->reservations[k].job->spec;
         if (spec->shape != BD_SERVICE && spec->checkpoint <= 0)
             return true;
     }
--- a/src/drain/replacement.c
+++ b/src/drain/replacement.c
@@ -39,8 +39,9 @@
     if (!bd_replacement_up(core, m))
         return false;
     const struct bd_machine *machine = bd_drain_machine_named(core, m->replacement);
-    for (uint32_t k = 0; k < machine->nrefs; k++)
-        if (bd_ledger_is_up(&core->drains->ledger, machine->refs[k].job, machine->refs[k].task))
+    for (uint32_t k = 0; k < machine->nreservations; k++)
+        if (bd_ledger_is_up(&core->drains->ledger, machine->reservations[k].job,
+                            machine->reservations[k].task))
             return true;
     /* there may be nothing for it to do: all that was moved runs */
     return nothing_is_down(&core->drains->ledger);
--- a/src/jobs/admission.c
+++ b/src/jobs/admission.c
@@ -246,8 +246,8 @@
         struct bd_job *x = bd_job_find(core, json_string_value(v));
         if (!x)
             return json_string_value(v);
-        *cancelled |= x->state == BD_CANCELLED;
-        *never |= x->state == BD_LIVE && x->has_spec && x->spec.shape == BD_SERVICE;
+        *cancelled |= x->state == BD_JOB_CANCELLED;
+        *never |= x->state == BD_JOB_ACTIVE && x->has_spec && x->spec.shape == BD_SERVICE;
     }
     return NULL;
 }
@@ -292,7 +292,7 @@
         bd_effect_reply_error(core, admission->request, 503,
                               "an older controller serves beside this one", OUTAGE_RETRY_S);
     else {
-        admission->record.state = cancelled ? BD_CANCELLED : BD_LIVE;
+        admission->record.state = cancelled ? BD_JOB_CANCELLED : BD_JOB_ACTIVE;
         accept_now(core, admission);
     }
     bd_admission_drop(admission);
@@ -339,7 +339,7 @@
 
 void bd_core_submit(struct bd_core *core, void *request, const char *body, size_t len)
 {
-    struct bd_record r = {.state = BD_LIVE, .at = core->wall, .has_spec = true};
+    struct bd_record r = {.state = BD_JOB_ACTIVE, .at = core->wall, .has_spec = true};
     char id[BD_ID] = "";
     json_t *prerequisites = NULL, *o = json_loadb(body, len, JSON_REJECT_DUPLICATES, NULL);
     const char *bad = o ? bd_wire_submission(o, id, &r.spec) : "body";
@@ -397,9 +397,9 @@
     struct bd_job *job = bd_job_find(core, id);
     if (!job)
         bd_effect_reply_error(core, request, 503, "not ready", 1);
-    else if (job->state == BD_LIVE)
+    else if (job->state == BD_JOB_ACTIVE)
         bd_effect_reply(core, request, 201, bd_wire_accepted(id), 0);
-    else if (how == BD_WAIT_STATE && job->state == BD_CANCELLED) /* with a job that it needs */
+    else if (how == BD_WAIT_STATE && job->state == BD_JOB_CANCELLED) /* with a job that it needs */
         bd_effect_reply(core, request, 201, bd_wire_state(id, "cancelled", 0, 0), 0);
     else
         bd_answer_state(core, request, job);
--- a/src/jobs/dependency_graph.c
+++ b/src/jobs/dependency_graph.c
@@ -83,7 +83,7 @@
 static void derive_cancelled(struct bd_core *core, struct bd_job *job)
 {
     release(core, job);
-    bd_job_set_state(core, job, BD_CANCELLED);
+    bd_job_set_state(core, job, BD_JOB_CANCELLED);
     job->derived = true;
     core->graph.nderived++;
 }
@@ -106,7 +106,7 @@
             DL_DELETE(prerequisite->after, e);
             prerequisite->nafter--;
             e->prerequisite = NULL;
-            if (k->state == BD_DONE) {
+            if (k->state == BD_JOB_DONE) {
                 one_less(core, d, k->end);
                 continue;
             }
@@ -138,11 +138,11 @@
     struct bd_job *x = bd_job_find(core, name);
     struct bd_dependency *e = &job->dependencies[job->ndependencies++];
     e->job = job;
-    if (x && x->state == BD_DONE) {
+    if (x && x->state == BD_JOB_DONE) {
         job->ready = x->end > job->ready ? x->end : job->ready;
         return false;
     }
-    if (x && x->state == BD_CANCELLED)
+    if (x && x->state == BD_JOB_CANCELLED)
         return true;
     struct bd_prerequisite *prerequisite = prerequisite_of(core, name);
     if (prerequisite->after && prerequisite->after->prev->job == job)
@@ -291,7 +291,7 @@
          prerequisite = prerequisite->hh.next)
         prerequisite->left = prerequisite->nafter;
     for (struct bd_job *job = core->jobs; job; job = job->hh.next) {
-        if (job->state != BD_LIVE)
+        if (job->state != BD_JOB_ACTIVE)
             continue;
         job->rank = job->spec.rank;
         job->due_by = job->chained && job->spec.due >= 0 ? job->at + job->spec.due : INFINITY;
--- a/src/jobs/replica.c
+++ b/src/jobs/replica.c
@@ -10,7 +10,7 @@
 {
     for (uint32_t i = 0; job->tasks && i < job->ntasks; i++) {
         enum bd_task_state st = (enum bd_task_state)job->tasks[i].state;
-        if (st == BD_T_LAUNCH || st == BD_T_LIVE || st == BD_T_UNKNOWN)
+        if (st == BD_TASK_LAUNCHING || st == BD_TASK_CONFIRMED || st == BD_TASK_UNKNOWN)
             bd_task_stop(core, job, i, BD_STOP_CANCELLED, true);
     }
 }
@@ -18,11 +18,11 @@
 void bd_job_set_state(struct bd_core *core, struct bd_job *job, enum bd_job_state state)
 {
     job->state = state;
-    if (state != BD_LIVE)
+    if (state != BD_JOB_ACTIVE)
         bd_ledger_forget(core, job);
-    if (state == BD_CANCELLED)
+    if (state == BD_JOB_CANCELLED)
         stop_tasks(core, job);
-    if (state == BD_DONE) {
+    if (state == BD_JOB_DONE) {
         json_decref(job->record_spec);
         job->record_spec = NULL;
     }
@@ -48,7 +48,7 @@
  * says it too. */
 static void take_state(struct bd_core *core, struct bd_job *job, const struct bd_record *record)
 {
-    if (record->state == BD_LIVE)
+    if (record->state == BD_JOB_ACTIVE)
         return;
     bd_deps_written(core, job);
     if (job->state == record->state)
@@ -84,13 +84,14 @@
     if (r.has_spec && !job->has_spec) {
         bd_spec_resolve(core, &r.spec, &job->spec);
         job->has_spec = true;
-        if (r.state != BD_DONE)
+        if (r.state != BD_JOB_DONE)
             job->record_spec = json_deep_copy(json_object_get(ch->value, "job"));
     }
-    if (core->role == BD_LEADER && !job->tasks && r.state == BD_LIVE && !bd_job_lead(core, job))
+    if (core->role == BD_LEADER && !job->tasks && r.state == BD_JOB_ACTIVE &&
+        !bd_job_start_tracking(core, job))
         bd_log_write(core->log, BD_LOG_ERROR, "%s: no memory for its tasks yet", job->id);
     take_state(core, job, &r);
-    if (first && r.state == BD_LIVE)
+    if (first && r.state == BD_JOB_ACTIVE)
         bd_deps_take(core, job, &r.prerequisites);
     core->lead.cycle_wanted = true;
 }
@@ -107,7 +108,7 @@
 void bd_core_cancelled_elsewhere(struct bd_core *core, const char *id)
 {
     struct bd_job *job = bd_job_find(core, id);
-    if (!job || job->state != BD_LIVE || bd_cancel_heard(core, job))
+    if (!job || job->state != BD_JOB_ACTIVE || bd_cancel_heard(core, job))
         return;
     job->cancel_heard = core->now;
     stop_tasks(core, job);
@@ -140,7 +141,7 @@
         return;
     }
     bd_admission_drop(w->accept);
-    if (job && w->how == BD_WAIT_CANCEL && job->state == BD_LIVE)
+    if (job && w->how == BD_WAIT_CANCEL && job->state == BD_JOB_ACTIVE)
         bd_user_commit(core, w->request, id, job->revision, bd_cancelled_record(job),
                        BD_WAIT_CANCEL);
     else if (job)
@@ -185,7 +186,8 @@
 static void pin(struct bd_core *core)
 {
     for (struct bd_job *job = core->jobs; job; job = job->hh.next)
-        job->pinned = job->state == BD_LIVE || job->tasks || job->receipt_chunks || job->derived;
+        job->pinned =
+            job->state == BD_JOB_ACTIVE || job->tasks || job->receipt_chunks || job->derived;
     for (uint32_t r = 0; r < core->lead.nintent_records; r++)
         for (uint32_t k = 0; k < core->lead.intent_records[r].n; k++)
             core->lead.intent_records[r].e[k].job->pinned = true;
--- a/src/jobs/user_requests.c
+++ b/src/jobs/user_requests.c
@@ -7,20 +7,20 @@
 void bd_answer_state(struct bd_core *core, void *request, const struct bd_job *job)
 {
     const char *state = "pending";
-    uint32_t done = job->ndone, run = job->nrun;
+    uint32_t done = job->ndone, run = job->nrunning;
     if (core->role != BD_LEADER) {
         done = job->shown_done;
-        run = job->shown_run;
+        run = job->shown_running;
     }
-    if (job->state == BD_CANCELLED)
+    if (job->state == BD_JOB_CANCELLED)
         state = "cancelled";
-    else if (job->state == BD_DONE)
+    else if (job->state == BD_JOB_DONE)
         state = "done";
     else if (run > 0)
         state = "running";
-    if (job->state != BD_LIVE)
+    if (job->state != BD_JOB_ACTIVE)
         run = 0;
-    if (job->state == BD_DONE)
+    if (job->state == BD_JOB_DONE)
         done = job->ntasks;
     bd_effect_reply(core, request, 200, bd_wire_state(job->id, state, done, run), 0);
 }
@@ -35,7 +35,7 @@
 void bd_core_get(struct bd_core *core, void *request, const char *id)
 {
     struct bd_job *job = bd_job_find(core, id);
-    if (job && job->state != BD_LIVE)
+    if (job && job->state != BD_JOB_ACTIVE)
         bd_answer_state(core, request, job);
     else if (!bd_wire_job_id(id) || strlen(id) >= BD_ID - 1)
         bd_effect_reply_error(core, request, 404, "no such job", 0);
@@ -49,7 +49,7 @@
  * lower now. */
 json_t *bd_cancelled_record(const struct bd_job *job)
 {
-    struct bd_record r = {.state = BD_CANCELLED, .tasks = job->ntasks, .at = job->at};
+    struct bd_record r = {.state = BD_JOB_CANCELLED, .tasks = job->ntasks, .at = job->at};
     json_t *o = bd_wire_record(&r);
     if (o && job->record_spec)
         json_object_set_new(o, "job", bd_wire_ended_spec(job->record_spec));
@@ -59,7 +59,7 @@
 void bd_core_cancel(struct bd_core *core, void *request, const char *id)
 {
     struct bd_job *job = bd_job_find(core, id);
-    if (job && job->state != BD_LIVE) {
+    if (job && job->state != BD_JOB_ACTIVE) {
         bd_answer_state(core, request, job);
     } else if (!bd_wire_job_id(id) || strlen(id) >= BD_ID - 1) {
         bd_effect_reply_error(core, request, 404, "no such job", 0);
--- a/src/leadership/commit.c
+++ b/src/leadership/commit.c
@@ -135,7 +135,8 @@
     struct bd_commit *commit = core->lead.commit;
     if (commit->ndone == BD_CYCLE_JOBS_MAX || !room_for(builder, 1, 1, 300))
         return false;
-    struct bd_record r = {.state = BD_DONE, .tasks = job->ntasks, .at = job->at, .end = core->wall};
+    struct bd_record r = {
+        .state = BD_JOB_DONE, .tasks = job->ntasks, .at = job->at, .end = core->wall};
     snprintf(r.spec.job_class, sizeof r.spec.job_class, "%s", bd_class_name(core, job->job_class));
     add_record(builder, job, bd_wire_record(&r), 200);
     commit->done[commit->ndone++] = job;
@@ -166,7 +167,7 @@
     uint32_t from = r->chunk * CHUNK;
     memset(r->bits, 0, sizeof r->bits);
     for (uint32_t i = 0; i < CHUNK && from + i < job->ntasks; i++)
-        if (job->tasks[from + i].state == BD_T_DONE)
+        if (job->tasks[from + i].state == BD_TASK_DONE)
             r->bits[i / 8] |= (unsigned char)(1u << (i % 8));
 }
 
@@ -214,7 +215,7 @@
     struct bd_job *job, *jt;
     HASH_ITER(hh, core->jobs, job, jt)
     {
-        if (!job->dirty || !job->tasks || job->state != BD_LIVE || job->stale ||
+        if (!job->dirty || !job->tasks || job->state != BD_JOB_ACTIVE || job->stale ||
             bd_before(core->now, job->backoff_until))
             continue;
         if (job->ndone == job->ntasks) {
@@ -275,9 +276,9 @@
             drop_key(core, builder, core->lead.intent_records[i].key);
     HASH_ITER(hh, core->jobs, job, jt)
     {
-        if (job->state == BD_CANCELLED && job->tasks && job->nlive == 0)
-            bd_job_unlead(job); /* nothing of it is anywhere any more */
-        if (job->state == BD_LIVE || !job->receipt_chunks)
+        if (job->state == BD_JOB_CANCELLED && job->tasks && job->nplaced == 0)
+            bd_job_stop_tracking(job); /* nothing of it is anywhere any more */
+        if (job->state == BD_JOB_ACTIVE || !job->receipt_chunks)
             continue;
         for (uint32_t ch = 0; ch < 64 && can_drop(core, builder); ch++) {
             if (job->receipt_chunks >> ch & 1) {
--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -29,15 +29,15 @@
     for (uint32_t i = 0; i < commit->nplan; i++) {
         struct bd_intent *e = &commit->plan[i];
         struct bd_task *task = e->job->tasks ? &e->job->tasks[e->task] : NULL;
-        if (!task || task->state != BD_T_PLAN || task->attempt != e->attempt)
+        if (!task || task->state != BD_TASK_PLANNED || task->attempt != e->attempt)
             continue;
         struct bd_machine *machine = bd_machine_of(core, task->machine);
-        if (e->job->state != BD_LIVE || bd_cancel_heard(core, e->job) || !machine ||
+        if (e->job->state != BD_JOB_ACTIVE || bd_cancel_heard(core, e->job) || !machine ||
             machine->gone || machine->returning) {
             bd_task_release(core, e->job, e->task, BD_RELEASE_LAUNCH_NOT_SENT);
             continue;
         }
-        bd_task_set(core, e->job, e->task, BD_T_LAUNCH);
+        bd_task_set(core, e->job, e->task, BD_TASK_LAUNCHING);
         bd_decision_log_task(core, "place", e->job, e->task, e->attempt, machine, committed);
         if (!e->job->started)
             bd_metrics_time(core->metrics, BD_TIMING_START, core->wall - e->job->ready);
@@ -70,8 +70,8 @@
     for (uint32_t i = 0; i < CHUNK && from + i < job->ntasks; i++) {
         struct bd_task *task = &job->tasks[from + i];
         if (r->bits[i / 8] >> (i % 8) & 1)
-            task->flags |= BD_F_RECEIPT;
-        else if (task->state == BD_T_DONE)
+            task->flags |= BD_TASK_FLAG_RECEIPT_COMMITTED;
+        else if (task->state == BD_TASK_DONE)
             all = false;
     }
     if (all)
@@ -101,15 +101,15 @@
         "%s is done: %u tasks, rank %d, guess %.0f s; last placed after %.1f s, last begun after "
         "%.1f s, done after %.1f s, %u places lost",
         job->id, job->ntasks, (int)job->spec.rank, job->spec.estimate,
-        age - bd_between(job->last_placed, core->now), age - bd_between(job->last_begun, core->now),
-        age, job->restarts);
+        age - bd_between(job->last_placed_at, core->now),
+        age - bd_between(job->last_started_at, core->now), age, job->restarts);
     bd_decision_log_note(core, "confirm", "job=%s state=done revision=%llu by=commit", job->id,
                          (unsigned long long)store_revision);
     job->revision = store_revision;
-    job->state = BD_DONE;
+    job->state = BD_JOB_DONE;
     job->end = core->wall;
     bd_ledger_forget(core, job);
-    bd_job_unlead(job);
+    bd_job_stop_tracking(job);
     json_decref(job->record_spec);
     job->record_spec = NULL;
     bd_deps_settled(core, job); /* now, and not before, what waits for it may start */
@@ -153,7 +153,7 @@
     }
     for (uint32_t n = 0; n < commit->nplan; n++) {
         struct bd_intent *e = &commit->plan[n];
-        if (e->job->tasks && e->job->tasks[e->task].state == BD_T_PLAN &&
+        if (e->job->tasks && e->job->tasks[e->task].state == BD_TASK_PLANNED &&
             e->job->tasks[e->task].attempt == e->attempt)
             bd_task_release(core, e->job, e->task, BD_RELEASE_INTENT_NOT_COMMITTED);
     }
--- a/src/leadership/leadership.c
+++ b/src/leadership/leadership.c
@@ -52,7 +52,7 @@
         core->peers[i].term = term;
         core->peers[i].flags = flags;
         core->peers[i].status_sent_wall_s = status_sent_wall_s;
-        core->peers[i].kv_seen_at = bd_sub(heard, bd_secs(kv_age_s));
+        core->peers[i].kv_seen_at = bd_execution_state(heard, bd_secs(kv_age_s));
     }
 }
 
@@ -63,7 +63,7 @@
     if (!job || core->role == BD_LEADER)
         return;
     job->shown_done = done;
-    job->shown_run = running;
+    job->shown_running = running;
 }
 
 /* Whether another controller is served by the state service while we are not. */
@@ -142,13 +142,13 @@
     struct bd_job *job, *jt;
     HASH_ITER(hh, core->jobs, job, jt)
     {
-        bd_job_unlead(job);
+        bd_job_stop_tracking(job);
     }
     struct bd_machine *machine, *mt;
     HASH_ITER(hh, core->machines, machine, mt)
     {
         HASH_DEL(core->machines, machine);
-        free(machine->refs);
+        free(machine->reservations);
         free(machine);
     }
     free(core->by_index);
--- a/src/leadership/reconciliation.c
+++ b/src/leadership/reconciliation.c
@@ -26,9 +26,9 @@
             uint32_t task = chunk * CHUNK + (i / 2) * 8 + (i % 2 ? bit : bit + 4);
             if (!((p - hex) >> bit & 1) || task >= job->ntasks)
                 continue;
-            if (job->tasks[task].state != BD_T_DONE)
-                bd_task_set(core, job, task, BD_T_DONE);
-            job->tasks[task].flags |= BD_F_RECEIPT;
+            if (job->tasks[task].state != BD_TASK_DONE)
+                bd_task_set(core, job, task, BD_TASK_DONE);
+            job->tasks[task].flags |= BD_TASK_FLAG_RECEIPT_COMMITTED;
         }
     }
     if (job->ndone == job->ntasks)
@@ -92,13 +92,13 @@
             struct bd_intent *e = &core->lead.intent_records[r].e[k];
             struct bd_task *task = &e->job->tasks[e->task];
             struct bd_machine *machine = bd_machine_of(core, e->machine);
-            if (task->state != BD_T_WAIT || task->attempt != e->attempt || !machine)
+            if (task->state != BD_TASK_PENDING || task->attempt != e->attempt || !machine)
                 continue;
-            bd_task_assign(core, e->job, e->task, machine, e->attempt, BD_T_UNKNOWN);
-            task->flags |= BD_F_SENT;
+            bd_task_assign(core, e->job, e->task, machine, e->attempt, BD_TASK_UNKNOWN);
+            task->flags |= BD_TASK_FLAG_LAUNCH_SENT;
             bd_decision_log_task(core, "unknown", e->job, e->task, e->attempt, machine, intent);
-            if (e->job->state != BD_LIVE)
-                task->flags |= BD_F_STOP | BD_F_FORCE;
+            if (e->job->state != BD_JOB_ACTIVE)
+                task->flags |= BD_TASK_FLAG_STOP_REQUESTED | BD_TASK_FLAG_FORCED_STOP;
             unknown++;
         }
     }
@@ -136,7 +136,7 @@
     {
         job->receipt_chunks = 0;
         /* cancelled jobs too: what still runs of them counts and must be stopped */
-        if (job->state != BD_DONE && !bd_job_lead(core, job))
+        if (job->state != BD_JOB_DONE && !bd_job_start_tracking(core, job))
             bd_log_write(core->log, BD_LOG_ERROR, "%s: no memory for its tasks", job->id);
     }
     json_array_foreach(g->receipts, i, v)
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -26,13 +26,13 @@
     enum bd_job_state state;
     bool stale; /* a transaction saw another revision; wait for the change itself */
     bool dirty; /* has receipts to commit */
-    uint32_t ntasks, ndone, nwait, nlive, nrun, shown_done, shown_run;
+    uint32_t ntasks, ndone, npending, nplaced, nrunning, shown_done, shown_running;
     uint64_t receipt_chunks; /* bits of chunks committed */
     uint32_t dirty_chunks;
     double at;
     struct timespec next_force;    /* when something may be stopped for it again */
     struct timespec backoff_until; /* nothing is written of it before: see kv_limits.c */
-    struct timespec hold_until, last_placed, last_begun;
+    struct timespec hold_until, last_placed_at, last_started_at;
     uint32_t restarts;            /* tasks that lost a place they had */
     struct timespec cancel_heard; /* when another controller said that it is cancelled */
     bool started;                 /* some start of it was committed in this term */
@@ -57,7 +57,7 @@
     struct bd_task *tasks; /* only while leading */
 };
 
-struct bd_ref {
+struct bd_reservation {
     struct bd_job *job;
     uint32_t task;
 };
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -38,8 +38,8 @@
     struct timespec direct_not_before;
     uint64_t late_launch_token; /* highest token of a direct launch without an answer, 0: none */
     struct timespec direct_sent_at;
-    struct bd_ref *refs;
-    uint32_t nrefs, cap;
+    struct bd_reservation *reservations;
+    uint32_t nreservations, cap;
     double cpus, gpus, mem;                      /* in use */
     double pinned_cpus, pinned_gpus, pinned_mem; /* by services and GPU tasks */
     struct bd_held_image {                       /* the most recently used first */
--- a/src/model/task.h
+++ b/src/model/task.h
@@ -6,23 +6,25 @@
 #define BD_NO_MACHINE UINT32_MAX
 
 enum bd_task_state {
-    BD_T_WAIT,    /* on no machine; may be placed */
-    BD_T_PLAN,    /* placed; its intent is not known to be committed: nothing was sent */
-    BD_T_LAUNCH,  /* intent committed; the launch is repeated until a report shows it */
-    BD_T_LIVE,    /* a report showed it */
-    BD_T_UNKNOWN, /* an earlier term's intent without a report: its room stays held */
-    BD_T_DONE
+    BD_TASK_PENDING,   /* on no machine; may be placed */
+    BD_TASK_PLANNED,   /* placed; its intent is not known to be committed: nothing was sent */
+    BD_TASK_LAUNCHING, /* intent committed; the launch is repeated until a report shows it */
+    BD_TASK_CONFIRMED, /* a report showed it */
+    BD_TASK_UNKNOWN,   /* an earlier term's intent without a report: its room stays held */
+    BD_TASK_DONE
 };
 
 enum {
-    BD_F_STOP = 1,    /* is to be halted */
-    BD_F_DO = 2,      /* a direct launch has no answer yet: it may still run late */
-    BD_F_RECEIPT = 4, /* the receipt is committed */
-    BD_F_EXITED = 8,  /* exited, but held until the late launch is excluded */
-    BD_F_SENT = 16,   /* a launch was sent in any form */
-    BD_F_FORCE = 32,  /* halt without grace */
-    BD_F_TOLD = 64,   /* launched in the answer to the newest check-in: it may still be under way */
-    BD_F_SHOWN = 128  /* in the report being read */
+    BD_TASK_FLAG_STOP_REQUESTED = 1, /* is to be halted */
+    BD_TASK_FLAG_DIRECT_LAUNCH_IN_FLIGHT =
+        2, /* a direct launch has no answer yet: it may still run late */
+    BD_TASK_FLAG_RECEIPT_COMMITTED = 4, /* the receipt is committed */
+    BD_TASK_FLAG_EXITED = 8,            /* exited, but held until the late launch is excluded */
+    BD_TASK_FLAG_LAUNCH_SENT = 16,      /* a launch was sent in any form */
+    BD_TASK_FLAG_FORCED_STOP = 32,      /* halt without grace */
+    BD_TASK_FLAG_LAUNCH_IN_REPLY =
+        64, /* launched in the answer to the newest check-in: it may still be under way */
+    BD_TASK_FLAG_IN_HEARTBEAT = 128 /* in the report being read */
 };
 
 /* Why a task's hold on a machine ended. */
@@ -52,7 +54,7 @@
 struct bd_task {
     uint64_t attempt;
     uint32_t machine;
-    uint8_t state, sub, flags;
-    uint32_t begun; /* tenths of a second of the steady clock; 0: not seen to begin */
+    uint8_t state, execution, flags;
+    uint32_t started_at; /* tenths of a second of the steady clock; 0: not seen to begin */
 };
 #endif
--- a/src/model/task_state.c
+++ b/src/model/task_state.c
@@ -39,7 +39,7 @@
     machine->pinned_mem += sign * spec->mem;
 }
 
-bool bd_job_lead(struct bd_core *core, struct bd_job *job)
+bool bd_job_start_tracking(struct bd_core *core, struct bd_job *job)
 {
     (void)core;
     if (job->tasks)
@@ -49,22 +49,22 @@
         return false;
     for (uint32_t i = 0; i < job->ntasks; i++)
         job->tasks[i].machine = BD_NO_MACHINE;
-    job->nwait = job->ntasks;
-    job->ndone = job->nlive = job->nrun = 0;
+    job->npending = job->ntasks;
+    job->ndone = job->nplaced = job->nrunning = 0;
     job->receipt_chunks = 0;
     job->dirty = false;
     return true;
 }
 
-void bd_job_unlead(struct bd_job *job)
+void bd_job_stop_tracking(struct bd_job *job)
 {
     if (job->tasks) {
         job->shown_done = job->ndone;
-        job->shown_run = job->nrun;
+        job->shown_running = job->nrunning;
     }
     free(job->tasks);
     job->tasks = NULL;
-    job->nwait = job->ndone = job->nlive = job->nrun = 0;
+    job->npending = job->ndone = job->nplaced = job->nrunning = 0;
     job->dirty = false;
     job->dirty_chunks = 0;
 }
@@ -72,17 +72,18 @@
 static void count(struct bd_job *job, const struct bd_task *task, int d)
 {
     switch (task->state) {
-    case BD_T_WAIT:
-        job->nwait += (uint32_t)d;
+    case BD_TASK_PENDING:
+        job->npending += (uint32_t)d;
         break;
-    case BD_T_DONE:
+    case BD_TASK_DONE:
         job->ndone += (uint32_t)d;
         break;
     default:
-        job->nlive += (uint32_t)d;
+        job->nplaced += (uint32_t)d;
     }
-    if (task->state == BD_T_LIVE && (task->sub == BD_RUNNING || task->sub == BD_SAVING))
-        job->nrun += (uint32_t)d;
+    if (task->state == BD_TASK_CONFIRMED &&
+        (task->execution == BD_EXECUTION_RUNNING || task->execution == BD_EXECUTION_CHECKPOINTING))
+        job->nrunning += (uint32_t)d;
 }
 
 void bd_task_set(struct bd_core *core, struct bd_job *job, uint32_t i, enum bd_task_state st)
@@ -95,22 +96,22 @@
 
 static void add_ref(struct bd_machine *machine, struct bd_job *job, uint32_t i)
 {
-    if (machine->nrefs == machine->cap) {
+    if (machine->nreservations == machine->cap) {
         uint32_t cap = machine->cap ? machine->cap * 2 : 8;
-        struct bd_ref *r = realloc(machine->refs, cap * sizeof *r);
+        struct bd_reservation *r = realloc(machine->reservations, cap * sizeof *r);
         if (!r)
             abort();
-        machine->refs = r;
+        machine->reservations = r;
         machine->cap = cap;
     }
-    machine->refs[machine->nrefs++] = (struct bd_ref){job, i};
+    machine->reservations[machine->nreservations++] = (struct bd_reservation){job, i};
 }
 
 static void drop_ref(struct bd_machine *machine, const struct bd_job *job, uint32_t i)
 {
-    for (uint32_t k = 0; k < machine->nrefs; k++) {
-        if (machine->refs[k].job == job && machine->refs[k].task == i) {
-            machine->refs[k] = machine->refs[--machine->nrefs];
+    for (uint32_t k = 0; k < machine->nreservations; k++) {
+        if (machine->reservations[k].job == job && machine->reservations[k].task == i) {
+            machine->reservations[k] = machine->reservations[--machine->nreservations];
             return;
         }
     }
@@ -192,13 +193,13 @@
     task->machine = machine->index;
     task->attempt = attempt;
     task->flags = 0;
-    task->begun = 0;
-    task->sub = BD_FETCHING;
+    task->started_at = 0;
+    task->execution = BD_EXECUTION_FETCHING;
     bd_task_set(core, job, i, st);
-    job->last_placed = core->now;
+    job->last_placed_at = core->now;
     add_ref(machine, job, i);
     machine_use(machine, &job->spec, 1);
-    if (st != BD_T_PLAN) /* a plan that comes to nothing fetches nothing */
+    if (st != BD_TASK_PLANNED) /* a plan that comes to nothing fetches nothing */
         bd_remember_image(core, machine, &job->spec, true);
     team_use(core, &job->spec, 1);
 }
@@ -215,7 +216,7 @@
         return;
     drop_ref(machine, job, i);
     machine_use(machine, &job->spec, -1);
-    if (machine->nrefs == 0) {
+    if (machine->nreservations == 0) {
         machine->cpus = machine->gpus = machine->mem = 0;
         machine->pinned_cpus = machine->pinned_gpus = machine->pinned_mem = 0;
         machine->idle_since = core->now;
@@ -224,9 +225,9 @@
 
 static bool stoppable(const struct bd_task *task)
 {
-    return (task->state == BD_T_LAUNCH || task->state == BD_T_LIVE ||
-            task->state == BD_T_UNKNOWN) &&
-           !(task->flags & BD_F_STOP);
+    return (task->state == BD_TASK_LAUNCHING || task->state == BD_TASK_CONFIRMED ||
+            task->state == BD_TASK_UNKNOWN) &&
+           !(task->flags & BD_TASK_FLAG_STOP_REQUESTED);
 }
 
 /* A gang that lost a member cannot go on: the rest is stopped, and the whole is placed again. */
@@ -244,30 +245,30 @@
                      enum bd_release_reason why)
 {
     struct bd_task *task = &job->tasks[i];
-    bool was_sent = task->state != BD_T_PLAN && task->state != BD_T_WAIT;
+    bool was_sent = task->state != BD_TASK_PLANNED && task->state != BD_TASK_PENDING;
     if (was_sent)
         bd_decision_log_release(core, job, i, why);
     job->restarts += was_sent;
     let_go(core, job, i);
-    if (task->state == BD_T_DONE)
+    if (task->state == BD_TASK_DONE)
         return;
     task->flags = 0;
-    task->sub = BD_FETCHING;
-    bd_task_set(core, job, i, BD_T_WAIT);
+    task->execution = BD_EXECUTION_FETCHING;
+    bd_task_set(core, job, i, BD_TASK_PENDING);
     bd_ledger_task(core, job, i);
     core->lead.cycle_wanted = true;
-    if (job->spec.shape == BD_GANG && job->ntasks > 1 && was_sent && job->nlive > 0)
+    if (job->spec.shape == BD_GANG && job->ntasks > 1 && was_sent && job->nplaced > 0)
         gang_member_gone(core, job);
 }
 
 static void one_done(struct bd_core *core, struct bd_job *job, uint32_t i)
 {
-    if (job->tasks[i].state == BD_T_DONE)
+    if (job->tasks[i].state == BD_TASK_DONE)
         return;
     bd_decision_log_release(core, job, i, BD_RELEASE_DONE);
     let_go(core, job, i);
     job->tasks[i].flags = 0;
-    bd_task_set(core, job, i, BD_T_DONE);
+    bd_task_set(core, job, i, BD_TASK_DONE);
     bd_ledger_task(core, job, i);
     job->dirty = true;
     job->dirty_chunks |= 1u << (i / CHUNK);
@@ -290,13 +291,14 @@
 {
     struct bd_task *task = &job->tasks[i];
     struct bd_machine *machine = bd_machine_of(core, task->machine);
-    if (!(task->flags & BD_F_STOP) || (force && !(task->flags & BD_F_FORCE)))
+    if (!(task->flags & BD_TASK_FLAG_STOP_REQUESTED) ||
+        (force && !(task->flags & BD_TASK_FLAG_FORCED_STOP)))
         bd_decision_log_stop(core, job, i, why, force);
     if (force)
-        task->flags |= BD_F_FORCE;
-    task->flags |= BD_F_STOP;
+        task->flags |= BD_TASK_FLAG_FORCED_STOP;
+    task->flags |= BD_TASK_FLAG_STOP_REQUESTED;
     bd_ledger_task(core, job, i);
-    if (task->state == BD_T_LAUNCH && !(task->flags & BD_F_SENT))
+    if (task->state == BD_TASK_LAUNCHING && !(task->flags & BD_TASK_FLAG_LAUNCH_SENT))
         bd_task_release(core, job, i,
                         BD_RELEASE_LAUNCH_NOT_SENT); /* nothing was ever sent: nothing can start */
     else if (machine)
@@ -360,11 +362,11 @@
                               enum bd_release_reason why)
 {
     uint32_t k = 0;
-    while (k < machine->nrefs) {
-        struct bd_ref r = machine->refs[k];
+    while (k < machine->nreservations) {
+        struct bd_reservation r = machine->reservations[k];
         struct bd_task *task = &r.job->tasks[r.task];
         /* a plan was not sent: it stays with its transaction */
-        if (task->state == BD_T_PLAN) {
+        if (task->state == BD_TASK_PLANNED) {
             k++;
             continue;
         }
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -268,7 +268,7 @@
     struct bd_progress *p = &node->progress[node->nprogress++];
     memcpy(p->id, job->id, sizeof p->id);
     p->done = job->ndone;
-    p->running = job->nrun;
+    p->running = job->nrunning;
 }
 
 /* What the other controllers are told of us; the leader adds its jobs' counts, for the others to
@@ -301,7 +301,7 @@
     if (core->role == BD_LEADER) {
         HASH_ITER(hh, core->jobs, job, jt)
         {
-            if (job->state == BD_LIVE && job->tasks && (job->ndone || job->nrun))
+            if (job->state == BD_JOB_ACTIVE && job->tasks && (job->ndone || job->nrunning))
                 add_progress(node, job);
         }
     }
--- a/src/scheduling/cycle.c
+++ b/src/scheduling/cycle.c
@@ -25,7 +25,7 @@
     bd_standby_zones(core, until);
     for (uint32_t i = 0; i < core->nmachines; i++) {
         struct bd_machine *machine = core->by_index[i];
-        if (machine->gone || machine->nrefs == 0)
+        if (machine->gone || machine->nreservations == 0)
             continue;
         struct timespec answered = bd_standby_until(core, machine, until);
         if (!bd_is_zero(answered)) /* a controller of its cut zone may have answered it */
@@ -38,7 +38,7 @@
         if (machine->delegated || bd_before(core->delegates.read_at, machine->lease_expires_at))
             continue;
         bd_log_write(core->log, BD_LOG_INFO, "%s: lease over, %u tasks lost", machine->id,
-                     machine->nrefs);
+                     machine->nreservations);
         machine->expired_incarnation = machine->incarnation;
         machine->fenced = false;
         bd_machine_lease_expired(core, machine, BD_RELEASE_LEASE_EXPIRED);
@@ -56,8 +56,9 @@
         if (!machine->late_launch_token || machine->late_launch_token < core->lead.term ||
             machine->gone || bd_between(machine->direct_sent_at, core->now) < TOKEN_RAISE_AFTER_S)
             continue;
-        for (uint32_t k = 0; k < machine->nrefs; k++)
-            if (machine->refs[k].job->tasks[machine->refs[k].task].flags & BD_F_DO)
+        for (uint32_t k = 0; k < machine->nreservations; k++)
+            if (machine->reservations[k].job->tasks[machine->reservations[k].task].flags &
+                BD_TASK_FLAG_DIRECT_LAUNCH_IN_FLIGHT)
                 core->lead.token_raise_wanted =
                     bd_between(core->lead.last_token_raise, core->now) > TOKEN_RAISE_EVERY_S;
     }
@@ -88,7 +89,7 @@
 {
     double jobs = 0;
     for (const struct bd_job *job = core->jobs; job; job = job->hh.next)
-        jobs += job->state == BD_LIVE && job->nwait > 0 && !bd_job_waits(job);
+        jobs += job->state == BD_JOB_ACTIVE && job->npending > 0 && !bd_job_waits(job);
     double s = core->settings->cpu > 0
                    ? jobs * core->nmachines * REFRESH_S / core->settings->cpu / CYCLE_SHARE
                    : 0;
@@ -140,7 +141,7 @@
         lapses(core);
         late_launches(core);
         forgets_due(core);
-        bd_find_outbound_cut(core);
+        bd_machines_detect_outbound_partition(core);
         bd_leadership_resign_if_reads_fail(core);
     }
     if (!bd_leadership_lease_valid(core))
--- a/src/scheduling/job_order.c
+++ b/src/scheduling/job_order.c
@@ -52,7 +52,7 @@
         abort();
     HASH_ITER(hh, core->jobs, job, jt)
     {
-        if (job->state == BD_LIVE && job->tasks && job->has_spec && job->spec.team >= 0 &&
+        if (job->state == BD_JOB_ACTIVE && job->tasks && job->has_spec && job->spec.team >= 0 &&
             job->ndone < job->ntasks && !bd_job_waits(job) && !bd_cancel_heard(core, job))
             list[n++] = job;
     }
--- a/src/scheduling/placement.c
+++ b/src/scheduling/placement.c
@@ -203,7 +203,7 @@
         commit->plan = p;
         commit->cap = cap;
     }
-    bd_task_assign(r->core, job, i, machine, attempt, BD_T_PLAN);
+    bd_task_assign(r->core, job, i, machine, attempt, BD_TASK_PLANNED);
     commit->plan[commit->nplan++] = (struct bd_intent){job, i, machine->index, attempt};
 }
 
@@ -243,7 +243,7 @@
             r->fetch[machine->index] += job->spec.image_gb / r->core->types[machine->type].fetch;
         r->bytes += bd_group_bytes(job, machine) + (size_t)n * BD_TASK_BYTES;
         for (; n > 0 && next < job->ntasks; next++) {
-            if (job->tasks[next].state != BD_T_WAIT)
+            if (job->tasks[next].state != BD_TASK_PENDING)
                 continue;
             plan(r, job, next, machine, attempt);
             zones[machine->zone]++;
@@ -370,7 +370,7 @@
 
 static void place_job(struct placement_cycle *r, struct bd_job *job)
 {
-    uint32_t want = quota_left(r->core, &job->spec, job->nwait), got = 0;
+    uint32_t want = quota_left(r->core, &job->spec, job->npending), got = 0;
     bool gang = job->spec.shape == BD_GANG, above = job->rank > BD_IDLE;
     if (r->compares >= r->compares_max || want == 0 || (gang && want < job->ntasks))
         return;
@@ -407,7 +407,7 @@
     for (uint32_t i = 0; i < n; i++) {
         const struct bd_spec *spec = &jobs[i]->spec;
         core->cloud.gpu_waiting |=
-            spec->gpus > 0 && jobs[i]->nwait > 0 && quota_left(core, spec, 1) > 0;
+            spec->gpus > 0 && jobs[i]->npending > 0 && quota_left(core, spec, 1) > 0;
         for (int t = 0; spec->gpus > 0 && t < core->ntypes; t++)
             for (int spot = 0; spot < 2; spot++)
                 if (bd_type_allowed(spec, t) && (spec->spot || !spot) &&
@@ -438,7 +438,7 @@
         r.open[i] = bd_machine_usable(core, core->by_index[i]) && !core->by_index[i]->emptying;
     for (uint32_t i = 0; i < r.njobs; i++) {
         struct bd_job *job = r.jobs[i];
-        if (job->nwait > 0 && !job->stale && bd_before(job->hold_until, core->now) &&
+        if (job->npending > 0 && !job->stale && bd_before(job->hold_until, core->now) &&
             !bd_before(core->now, job->backoff_until))
             place_job(&r, job);
     }
--- a/src/scheduling/preemption.c
+++ b/src/scheduling/preemption.c
@@ -8,7 +8,8 @@
 
 bool bd_stoppable(const struct bd_job *job, const struct bd_task *task)
 {
-    return !(task->flags & BD_F_STOP) && (task->state == BD_T_LIVE || task->state == BD_T_LAUNCH) &&
+    return !(task->flags & BD_TASK_FLAG_STOP_REQUESTED) &&
+           (task->state == BD_TASK_CONFIRMED || task->state == BD_TASK_LAUNCHING) &&
            job->spec.shape != BD_SERVICE;
 }
 
@@ -19,7 +20,8 @@
      * that others wait for by a due time: there is enough beside them */
     bool hurries = isfinite(job->due_by) && job->rank > want->rank;
     bool owed = want->in_guarantee && !job->in_guarantee && want->spec.team != job->spec.team &&
-                !hurries && task->state == BD_T_LIVE && task->sub == BD_RUNNING;
+                !hurries && task->state == BD_TASK_CONFIRMED &&
+                task->execution == BD_EXECUTION_RUNNING;
     return (job->rank < want->rank || owed) && bd_stoppable(job, task);
 }
 
@@ -29,10 +31,10 @@
     if (s->stamp == r->nstops)
         return s;
     *s = (struct stops){.stamp = r->nstops, .least = BD_PRODUCTION};
-    for (uint32_t k = 0; k < machine->nrefs; k++) {
-        const struct bd_job *job = machine->refs[k].job;
-        const struct bd_task *task = &job->tasks[machine->refs[k].task];
-        s->stopping |= (task->flags & BD_F_STOP) != 0;
+    for (uint32_t k = 0; k < machine->nreservations; k++) {
+        const struct bd_job *job = machine->reservations[k].job;
+        const struct bd_task *task = &job->tasks[machine->reservations[k].task];
+        s->stopping |= (task->flags & BD_TASK_FLAG_STOP_REQUESTED) != 0;
         if (!bd_stoppable(job, task))
             continue;
         s->any = true;
@@ -52,10 +54,10 @@
     bool lower = s->any && s->least < want->rank;
     if (!s->stopping && !lower && !(want->in_guarantee && s->borrowed))
         return;
-    for (uint32_t k = 0; k < machine->nrefs; k++) {
-        struct bd_job *job = machine->refs[k].job;
-        struct bd_task *task = &job->tasks[machine->refs[k].task];
-        if (task->flags & BD_F_STOP) {
+    for (uint32_t k = 0; k < machine->nreservations; k++) {
+        struct bd_job *job = machine->reservations[k].job;
+        struct bd_task *task = &job->tasks[machine->reservations[k].task];
+        if (task->flags & BD_TASK_FLAG_STOP_REQUESTED) {
             bd_room_add(soon, &job->spec, 1);
             bd_room_add(most, &job->spec, 1);
         } else if (may_stop(want, job, task)) {
@@ -66,7 +68,7 @@
 
 /* Whether x is less worth keeping than y: the lower rank, then the younger job, which has more time
  * to make up for it, then the newer start. */
-static bool less_valuable(const struct bd_ref *x, const struct bd_ref *y)
+static bool less_valuable(const struct bd_reservation *x, const struct bd_reservation *y)
 {
     const struct bd_job *a = x->job, *b = y->job;
     if (a->rank != b->rank)
@@ -77,14 +79,15 @@
 }
 
 /* Picks the least valuable of what may be stopped. */
-static struct bd_ref least_valuable(const struct bd_job *want, const struct bd_machine *machine)
+static struct bd_reservation least_valuable(const struct bd_job *want,
+                                            const struct bd_machine *machine)
 {
-    struct bd_ref pick = {0};
-    for (uint32_t k = 0; k < machine->nrefs; k++) {
-        struct bd_job *job = machine->refs[k].job;
-        if (may_stop(want, job, &job->tasks[machine->refs[k].task]) &&
-            (!pick.job || less_valuable(&machine->refs[k], &pick)))
-            pick = machine->refs[k];
+    struct bd_reservation pick = {0};
+    for (uint32_t k = 0; k < machine->nreservations; k++) {
+        struct bd_job *job = machine->reservations[k].job;
+        if (may_stop(want, job, &job->tasks[machine->reservations[k].task]) &&
+            (!pick.job || less_valuable(&machine->reservations[k], &pick)))
+            pick = machine->reservations[k];
     }
     return pick;
 }
@@ -93,7 +96,7 @@
                      struct bd_machine *machine, struct bd_room soon)
 {
     while (!bd_room_fits(soon, &want->spec, 1)) {
-        struct bd_ref pick = least_valuable(want, machine);
+        struct bd_reservation pick = least_valuable(want, machine);
         if (!pick.job)
             return;
         bd_room_add(&soon, &pick.job->spec, 1);
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -45,25 +45,31 @@
     bool together, scatter, spot;
 };
 
-enum bd_sub { BD_FETCHING, BD_GATHERING, BD_RUNNING, BD_SAVING, BD_EXITED };
-enum bd_why {
-    BD_WHY_NONE,
-    BD_WHY_DONE,
-    BD_WHY_STOPPED,
-    BD_WHY_PEERS,
-    BD_WHY_ALONE,
-    BD_WHY_ERROR,
-    BD_WHY_NO_ROOM,
-    BD_WHY_BUSY,
-    BD_WHY_UNKNOWN
+enum bd_execution_state {
+    BD_EXECUTION_FETCHING,
+    BD_EXECUTION_JOINING_GANG,
+    BD_EXECUTION_RUNNING,
+    BD_EXECUTION_CHECKPOINTING,
+    BD_EXECUTION_EXITED
+};
+enum bd_exit_reason {
+    BD_EXIT_NONE,
+    BD_EXIT_DONE,
+    BD_EXIT_STOPPED,
+    BD_EXIT_GANG_MEMBER_LOST,
+    BD_EXIT_GANG_INCOMPLETE,
+    BD_EXIT_ERROR,
+    BD_EXIT_NO_CAPACITY,
+    BD_EXIT_BUSY,
+    BD_EXIT_UNKNOWN
 };
 
 struct bd_reported_task {
     char job[BD_ID];
     uint32_t task;
     uint64_t attempt;
-    enum bd_sub sub;
-    enum bd_why why;
+    enum bd_execution_state execution;
+    enum bd_exit_reason exit_reason;
     bool kept;
 };
 
@@ -93,7 +99,7 @@
     int nzones;
 };
 
-enum bd_job_state { BD_LIVE, BD_DONE, BD_CANCELLED };
+enum bd_job_state { BD_JOB_ACTIVE, BD_JOB_DONE, BD_JOB_CANCELLED };
 
 /* What a job waits for: the names of other jobs, in its record or, where a value does not hold them
  * all, in parts of their own that are written before it. */
@@ -117,7 +123,7 @@
 struct bd_cloud_machine {
     char id[BD_LABEL], addr[BD_LABEL], type[BD_LABEL], zone[BD_LABEL];
     bool spot;
-    enum { BD_BOOTING, BD_UP, BD_FAILED } state;
+    enum { BD_MACHINE_BOOTING, BD_MACHINE_UP, BD_MACHINE_FAILED } state;
     double age;
 };
 
--- a/src/wire/wire_cloud.c
+++ b/src/wire/wire_cloud.c
@@ -59,9 +59,9 @@
         m->addr[0] = '\0';
     if (!bd_wire_amount(v, "heldS", &m->age))
         m->age = 0;
-    m->state = strcmp(state, "running") == 0  ? BD_UP
-               : strcmp(state, "failed") == 0 ? BD_FAILED
-                                              : BD_BOOTING;
+    m->state = strcmp(state, "running") == 0  ? BD_MACHINE_UP
+               : strcmp(state, "failed") == 0 ? BD_MACHINE_FAILED
+                                              : BD_MACHINE_BOOTING;
     return true;
 }
 
--- a/src/wire/wire_jobs.c
+++ b/src/wire/wire_jobs.c
@@ -227,7 +227,7 @@
     out->has_spec = json_is_object(job) && spec_of(job, &out->spec) == NULL;
     if (!out->has_spec && !bd_wire_label(v, "k", out->spec.job_class))
         out->spec.job_class[0] = '\0';
-    return out->has_spec || out->state == BD_DONE;
+    return out->has_spec || out->state == BD_JOB_DONE;
 }
 
 char *bd_wire_accepted(const char *id)
--- a/src/wire/wire_workers.c
+++ b/src/wire/wire_workers.c
@@ -16,12 +16,13 @@
     memset(t, 0, sizeof *t);
     if (!bd_wire_task_name(json_string_value(json_object_get(o, "chore")), t->job, &t->task))
         return false;
-    int sub = bd_wire_index_of(subs, COUNT(subs), json_string_value(json_object_get(o, "mood")));
-    if (sub < 0 || !bd_wire_whole(o, "try", &t->attempt))
+    int execution =
+        bd_wire_index_of(subs, COUNT(subs), json_string_value(json_object_get(o, "mood")));
+    if (execution < 0 || !bd_wire_whole(o, "try", &t->attempt))
         return false;
-    t->sub = (enum bd_sub)sub;
+    t->execution = (enum bd_execution_state)execution;
     int why = bd_wire_index_of(whys, COUNT(whys), json_string_value(json_object_get(o, "cause")));
-    t->why = why < 0 ? BD_WHY_NONE : (enum bd_why)why;
+    t->exit_reason = why < 0 ? BD_EXIT_NONE : (enum bd_exit_reason)why;
     t->kept = json_is_true(json_object_get(o, "kept"));
     return true;
 }
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -27,20 +27,21 @@
 
 static double halt_grace_s(const struct bd_job *job, const struct bd_task *task)
 {
-    if (task->flags & BD_F_FORCE || job->spec.checkpoint <= 0)
+    if (task->flags & BD_TASK_FLAG_FORCED_STOP || job->spec.checkpoint <= 0)
         return 0;
     return job->spec.save + 1.0;
 }
 
 static void add_halts(struct bd_machine *machine, struct bd_command_list *commands)
 {
-    for (uint32_t k = 0; k < machine->nrefs; k++) {
-        const struct bd_job *job = machine->refs[k].job;
-        uint32_t i = machine->refs[k].task;
+    for (uint32_t k = 0; k < machine->nreservations; k++) {
+        const struct bd_job *job = machine->reservations[k].job;
+        uint32_t i = machine->reservations[k].task;
         const struct bd_task *task = &job->tasks[i];
-        bool force = task->flags & BD_F_FORCE;
-        if (task->flags & BD_F_STOP && !(task->flags & BD_F_EXITED) && task->state == BD_T_LIVE &&
-            (task->sub != BD_SAVING || force))
+        bool force = task->flags & BD_TASK_FLAG_FORCED_STOP;
+        if (task->flags & BD_TASK_FLAG_STOP_REQUESTED && !(task->flags & BD_TASK_FLAG_EXITED) &&
+            task->state == BD_TASK_CONFIRMED &&
+            (task->execution != BD_EXECUTION_CHECKPOINTING || force))
             bd_commands_append(commands, BD_COMMAND_HALT, job->id, i, task->attempt,
                                halt_grace_s(job, task));
     }
@@ -52,18 +53,20 @@
                          struct bd_command_list *commands, bool direct)
 {
     bool launch = false;
-    for (uint32_t k = 0; k < machine->nrefs && bd_may_launch(core); k++) {
-        struct bd_job *job = machine->refs[k].job;
-        uint32_t i = machine->refs[k].task;
+    for (uint32_t k = 0; k < machine->nreservations && bd_may_launch(core); k++) {
+        struct bd_job *job = machine->reservations[k].job;
+        uint32_t i = machine->reservations[k].task;
         struct bd_task *task = &job->tasks[i];
-        if (task->state != BD_T_LAUNCH || task->flags & (BD_F_EXITED | BD_F_STOP) ||
-            job->state != BD_LIVE || bd_cancel_heard(core, job) ||
+        if (task->state != BD_TASK_LAUNCHING ||
+            task->flags & (BD_TASK_FLAG_EXITED | BD_TASK_FLAG_STOP_REQUESTED) ||
+            job->state != BD_JOB_ACTIVE || bd_cancel_heard(core, job) ||
             (direct && task->attempt <= core->lead.fenced_attempt))
             continue;
         bd_commands_append(commands, BD_COMMAND_LAUNCH, job->id, i, task->attempt, 0);
         bd_decision_log_task(core, "start", job, i, task->attempt, machine,
                              direct ? "via=direct" : "via=answer");
-        task->flags |= direct ? BD_F_SENT | BD_F_DO : BD_F_SENT | BD_F_TOLD;
+        task->flags |= direct ? BD_TASK_FLAG_LAUNCH_SENT | BD_TASK_FLAG_DIRECT_LAUNCH_IN_FLIGHT
+                              : BD_TASK_FLAG_LAUNCH_SENT | BD_TASK_FLAG_LAUNCH_IN_REPLY;
         launch = true;
     }
     return launch;
@@ -106,8 +109,9 @@
 {
     for (size_t i = 0; i < heartbeat->n; i++) {
         const struct bd_reported_task *s = &heartbeat->tasks[i];
-        const struct bd_job *job = s->sub == BD_EXITED ? NULL : bd_job_find(core, s->job);
-        if (job && job->state == BD_CANCELLED && !has_halt(commands, s))
+        const struct bd_job *job =
+            s->execution == BD_EXECUTION_EXITED ? NULL : bd_job_find(core, s->job);
+        if (job && job->state == BD_JOB_CANCELLED && !has_halt(commands, s))
             add_halt_of_cancelled(core, job, s, commands);
     }
 }
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -22,7 +22,7 @@
 static void machine_failed_task(struct bd_core *core, struct bd_machine *machine,
                                 struct bd_job *job)
 {
-    bool proven = job->ndone > 0 || job->nrun > 0; /* its tasks do run on other machines */
+    bool proven = job->ndone > 0 || job->nrunning > 0; /* its tasks do run on other machines */
     if (proven)
         machine->errors += 2;
     else if (machine->error_job != job)
@@ -49,7 +49,7 @@
 
 /* A machine is slow if several of its tasks run far longer than any of their jobs' finished ones.
  */
-void bd_find_slow(struct bd_core *core, struct bd_machine *machine)
+void bd_machine_detect_slow(struct bd_core *core, struct bd_machine *machine)
 {
     uint32_t late = 0;
     /* what was held back shows tasks running that have ended long since */
@@ -57,15 +57,16 @@
         bd_between(machine->steady, machine->heard) <
             SLOW_STEADY * bd_to_secs(core->settings->heartbeat_interval))
         return;
-    for (uint32_t k = 0; k < machine->nrefs; k++) {
-        const struct bd_job *job = machine->refs[k].job;
-        const struct bd_task *task = &job->tasks[machine->refs[k].task];
-        if (task->state != BD_T_LIVE || task->sub != BD_RUNNING || !task->begun ||
-            task->flags & BD_F_EXITED || job->spec.shape != BD_ARRAY || job->runs < SLOW_RUNS ||
-            2 * job->runs < job->ntasks)
+    for (uint32_t k = 0; k < machine->nreservations; k++) {
+        const struct bd_job *job = machine->reservations[k].job;
+        const struct bd_task *task = &job->tasks[machine->reservations[k].task];
+        if (task->state != BD_TASK_CONFIRMED || task->execution != BD_EXECUTION_RUNNING ||
+            !task->started_at || task->flags & BD_TASK_FLAG_EXITED || job->spec.shape != BD_ARRAY ||
+            job->runs < SLOW_RUNS || 2 * job->runs < job->ntasks)
             continue; /* the first that finish are the short ones */
         /* as its last report showed it: a machine that we do not hear may be done long since */
-        uint32_t run = bd_tenths(bd_max(machine->heard, bd_secs(task->begun / 10.0))) - task->begun;
+        uint32_t run =
+            bd_tenths(bd_max(machine->heard, bd_secs(task->started_at / 10.0))) - task->started_at;
         if (run <= SLOW_FACTOR * job->longest_run + SLOW_EXTRA_TENTHS)
             continue;
         late++;
@@ -84,18 +85,18 @@
                        uint64_t attempt)
 {
     return task->machine == machine->index && task->attempt == attempt &&
-           task->state != BD_T_PLAN && task->state != BD_T_WAIT;
+           task->state != BD_TASK_PLANNED && task->state != BD_TASK_PENDING;
 }
 
 static void ended(struct bd_core *core, struct bd_machine *machine, struct bd_job *job, uint32_t i,
                   const struct bd_reported_task *s)
 {
-    if (s->why == BD_WHY_ERROR) {
+    if (s->exit_reason == BD_EXIT_ERROR) {
         machine_failed_task(core, machine, job);
         job_failed_task(core, machine, job);
-    } else if (s->why == BD_WHY_NO_ROOM || s->why == BD_WHY_BUSY) {
+    } else if (s->exit_reason == BD_EXIT_NO_CAPACITY || s->exit_reason == BD_EXIT_BUSY) {
         machine->refuse_until = bd_add(core->now, bd_secs(REFUSED_PAUSE_S));
-    } else if (s->why == BD_WHY_UNKNOWN) {
+    } else if (s->exit_reason == BD_EXIT_UNKNOWN) {
         job->hold_until = bd_add(core->now, bd_secs(RETRY_FIRST_S));
     }
     bd_task_release(core, job, i, BD_RELEASE_EXITED);
@@ -120,26 +121,26 @@
     struct bd_task *task = &job->tasks[s->task];
     bool current = is_current(machine, task, s->attempt);
     /* a late copy of the launch would start a forgotten attempt again */
-    bool late = current && task->flags & BD_F_DO;
-    if (s->why == BD_WHY_DONE && job->state == BD_LIVE) {
+    bool late = current && task->flags & BD_TASK_FLAG_DIRECT_LAUNCH_IN_FLIGHT;
+    if (s->exit_reason == BD_EXIT_DONE && job->state == BD_JOB_ACTIVE) {
         if (current) /* older ones are shown until they are forgotten, and prove nothing */
             machine->errors = 0;
         if (late) {
-            task->flags |= BD_F_EXITED;
+            task->flags |= BD_TASK_FLAG_EXITED;
             return;
         }
-        if (current && task->begun) {
-            uint32_t run = bd_tenths(core->now) - task->begun;
+        if (current && task->started_at) {
+            uint32_t run = bd_tenths(core->now) - task->started_at;
             job->longest_run = run > job->longest_run ? run : job->longest_run;
             job->runs++;
         }
         bd_task_done(core, job, s->task);
-        if (task->flags & BD_F_RECEIPT)
+        if (task->flags & BD_TASK_FLAG_RECEIPT_COMMITTED)
             forget(core, heartbeat, s, commands);
         return;
     }
     if (late) {
-        task->flags |= BD_F_EXITED;
+        task->flags |= BD_TASK_FLAG_EXITED;
         return;
     }
     if (current)
@@ -152,32 +153,35 @@
 {
     struct bd_task *task = &job->tasks[s->task];
     if (!is_current(machine, task, s->attempt)) {
-        if (task->state != BD_T_WAIT) { /* the task is elsewhere or done: this one must not be */
+        if (task->state !=
+            BD_TASK_PENDING) { /* the task is elsewhere or done: this one must not be */
             bd_commands_append(commands, BD_COMMAND_HALT, s->job, s->task, s->attempt, 0);
             return;
         }
         /* no intent names it, yet it runs: holding it here is what keeps it from running twice */
-        bd_task_assign(core, job, s->task, machine, s->attempt, BD_T_LIVE);
+        bd_task_assign(core, job, s->task, machine, s->attempt, BD_TASK_CONFIRMED);
         bd_decision_log_task(core, "adopt", job, s->task, s->attempt, machine,
                              "why=shown_without_intent");
-        if (job->state != BD_LIVE)
-            task->flags |= BD_F_STOP | BD_F_FORCE;
+        if (job->state != BD_JOB_ACTIVE)
+            task->flags |= BD_TASK_FLAG_STOP_REQUESTED | BD_TASK_FLAG_FORCED_STOP;
     }
-    if (task->state == BD_T_UNKNOWN)
+    if (task->state == BD_TASK_UNKNOWN)
         bd_decision_log_task(core, "adopt", job, s->task, s->attempt, machine,
                              "why=intent_and_report");
     uint8_t flags = task->flags;
-    if (s->sub == BD_RUNNING && (task->sub != BD_RUNNING || task->state != BD_T_LIVE)) {
-        job->last_begun = core->now;
+    if (s->execution == BD_EXECUTION_RUNNING &&
+        (task->execution != BD_EXECUTION_RUNNING || task->state != BD_TASK_CONFIRMED)) {
+        job->last_started_at = core->now;
         bd_remember_image(core, machine, &job->spec, true);
         /* one that was taken over running began before: how long ago is not known */
-        task->begun =
-            task->state == BD_T_LAUNCH || task->state == BD_T_LIVE ? bd_tenths(core->now) : 0;
+        task->started_at = task->state == BD_TASK_LAUNCHING || task->state == BD_TASK_CONFIRMED
+                               ? bd_tenths(core->now)
+                               : 0;
     }
-    bd_task_set(core, job, s->task, BD_T_WAIT); /* so that the sums see the new sub-state */
-    task->sub = (uint8_t)s->sub;
-    bd_task_set(core, job, s->task, BD_T_LIVE);
-    task->flags = flags | BD_F_SENT;
+    bd_task_set(core, job, s->task, BD_TASK_PENDING); /* so that the sums see the new sub-state */
+    task->execution = (uint8_t)s->execution;
+    bd_task_set(core, job, s->task, BD_TASK_CONFIRMED);
+    task->flags = flags | BD_TASK_FLAG_LAUNCH_SENT;
     bd_ledger_task(core, job, s->task);
 }
 
@@ -185,14 +189,17 @@
 static void missing(struct bd_core *core, struct bd_machine *machine)
 {
     uint32_t k = 0;
-    while (k < machine->nrefs) {
-        struct bd_job *job = machine->refs[k].job;
-        uint32_t i = machine->refs[k].task;
+    while (k < machine->nreservations) {
+        struct bd_job *job = machine->reservations[k].job;
+        uint32_t i = machine->reservations[k].task;
         struct bd_task *task = &job->tasks[i];
-        bool shown = task->flags & BD_F_SHOWN;
-        task->flags &= (uint8_t)~BD_F_SHOWN;
-        bool hold = shown || task->state == BD_T_PLAN || task->flags & (BD_F_DO | BD_F_TOLD);
-        if (!hold && task->state == BD_T_LAUNCH && !(task->flags & BD_F_STOP))
+        bool shown = task->flags & BD_TASK_FLAG_IN_HEARTBEAT;
+        task->flags &= (uint8_t)~BD_TASK_FLAG_IN_HEARTBEAT;
+        bool hold =
+            shown || task->state == BD_TASK_PLANNED ||
+            task->flags & (BD_TASK_FLAG_DIRECT_LAUNCH_IN_FLIGHT | BD_TASK_FLAG_LAUNCH_IN_REPLY);
+        if (!hold && task->state == BD_TASK_LAUNCHING &&
+            !(task->flags & BD_TASK_FLAG_STOP_REQUESTED))
             hold = true; /* the launch is repeated with this answer */
         if (hold) {
             k++;
@@ -211,7 +218,7 @@
         uint32_t i = heartbeat->tasks[k].task;
         if (job && job->tasks && i < job->ntasks &&
             is_current(machine, &job->tasks[i], heartbeat->tasks[k].attempt))
-            job->tasks[i].flags |= BD_F_SHOWN;
+            job->tasks[i].flags |= BD_TASK_FLAG_IN_HEARTBEAT;
     }
 }
 
@@ -219,9 +226,9 @@
 static void exclude_late(struct bd_machine *machine)
 {
     machine->late_launch_token = 0;
-    for (uint32_t k = 0; k < machine->nrefs; k++)
-        machine->refs[k].job->tasks[machine->refs[k].task].flags &=
-            (uint8_t) ~(BD_F_DO | BD_F_EXITED);
+    for (uint32_t k = 0; k < machine->nreservations; k++)
+        machine->reservations[k].job->tasks[machine->reservations[k].task].flags &=
+            (uint8_t) ~(BD_TASK_FLAG_DIRECT_LAUNCH_IN_FLIGHT | BD_TASK_FLAG_EXITED);
 }
 
 static void identify(struct bd_core *core, struct bd_machine *machine,
@@ -242,13 +249,13 @@
         struct bd_job *job = bd_job_find(core, s->job);
         if (!job || !job->tasks || s->task >= job->ntasks) {
             /* done jobs' results may be forgotten; of others nothing is known here */
-            if (s->sub == BD_EXITED && job && job->state == BD_DONE)
+            if (s->execution == BD_EXECUTION_EXITED && job && job->state == BD_JOB_DONE)
                 forget(core, heartbeat, s, commands);
-            else if (s->sub != BD_EXITED)
+            else if (s->execution != BD_EXECUTION_EXITED)
                 bd_commands_append(commands, BD_COMMAND_HALT, s->job, s->task, s->attempt, 0);
             continue;
         }
-        if (s->sub == BD_EXITED)
+        if (s->execution == BD_EXECUTION_EXITED)
             exited(core, machine, job, heartbeat, s, commands);
         else
             alive(core, machine, job, s, commands);
@@ -358,8 +365,9 @@
  * never will. The answer to a direct command proves nothing of the kind. */
 static void answers_settled(struct bd_machine *machine)
 {
-    for (uint32_t k = 0; k < machine->nrefs; k++)
-        machine->refs[k].job->tasks[machine->refs[k].task].flags &= (uint8_t)~BD_F_TOLD;
+    for (uint32_t k = 0; k < machine->nreservations; k++)
+        machine->reservations[k].job->tasks[machine->reservations[k].task].flags &=
+            (uint8_t)~BD_TASK_FLAG_LAUNCH_IN_REPLY;
 }
 
 /* As leader, or in its grace. */
@@ -450,7 +458,7 @@
 }
 
 /* As leader: whether so many seem not to hear that it is rather we who are not heard. */
-void bd_find_outbound_cut(struct bd_core *core)
+void bd_machines_detect_outbound_partition(struct bd_core *core)
 {
     uint32_t known = 0, outbound_cut = 0;
     for (uint32_t i = 0; i < core->nmachines; i++) {
@@ -508,6 +516,6 @@
         return;
     (void)take_report(core, m, heartbeat, &commands);
     free(commands.items); /* said again with the next report */
-    if (m->nrefs)
+    if (m->nreservations)
         bd_commands_send_direct(core, m);
 }
--- a/tests/drain_profile.c
+++ b/tests/drain_profile.c
@@ -59,21 +59,22 @@
     snprintf(r->type, sizeof r->type, "small");
     snprintf(r->zone, sizeof r->zone, "%s", i % 2 ? "a" : "b");
     HASH_FIND_STR(f->core->machines, r->machine, m);
-    for (uint32_t k = 0; m && k < m->nrefs && r->n < 128; k++) {
-        const struct bd_job *job = m->refs[k].job;
-        const struct bd_task *task = &job->tasks[m->refs[k].task];
-        if (task->state == BD_T_PLAN)
+    for (uint32_t k = 0; m && k < m->nreservations && r->n < 128; k++) {
+        const struct bd_job *job = m->reservations[k].job;
+        const struct bd_task *task = &job->tasks[m->reservations[k].task];
+        if (task->state == BD_TASK_PLANNED)
             continue;
         struct bd_reported_task *seen = &tasks[r->n++];
-        bool stops = task->flags & BD_F_STOP;
-        bool begins = bd_between(job->last_placed, f->core->now) < START_S;
+        bool stops = task->flags & BD_TASK_FLAG_STOP_REQUESTED;
+        bool begins = bd_between(job->last_placed_at, f->core->now) < START_S;
         snprintf(seen->job, sizeof seen->job, "%s", job->id);
-        seen->task = m->refs[k].task;
+        seen->task = m->reservations[k].task;
         seen->attempt = task->attempt;
-        seen->sub = stops                                ? BD_EXITED
-                    : task->sub == BD_RUNNING || !begins ? BD_RUNNING
-                                                         : BD_FETCHING;
-        seen->why = stops ? BD_WHY_STOPPED : BD_WHY_NONE;
+        seen->execution = stops ? BD_EXECUTION_EXITED
+                          : task->execution == BD_EXECUTION_RUNNING || !begins
+                              ? BD_EXECUTION_RUNNING
+                              : BD_EXECUTION_FETCHING;
+        seen->exit_reason = stops ? BD_EXIT_STOPPED : BD_EXIT_NONE;
     }
 }
 
@@ -137,8 +138,11 @@
 
 static void service(struct fleet *f, uint32_t n)
 {
-    struct bd_record r = {
-        .state = BD_LIVE, .at = 1000, .has_spec = true, .tasks = JOB_TASKS, .spec = {.ntypes = -1}};
+    struct bd_record r = {.state = BD_JOB_ACTIVE,
+                          .at = 1000,
+                          .has_spec = true,
+                          .tasks = JOB_TASKS,
+                          .spec = {.ntypes = -1}};
     char key[BD_LABEL];
     snprintf(key, sizeof key, "j/job-%06u", n);
     snprintf(r.spec.job_class, sizeof r.spec.job_class, "web");
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -230,8 +230,8 @@
         struct bd_reported_task *s = &seen[r->n++];
         (void)bd_wire_task_name(t->name, s->job, &s->task);
         s->attempt = t->attempt;
-        s->sub = t->ended ? BD_EXITED : BD_RUNNING;
-        s->why = !t->ended ? BD_WHY_NONE : t->stopped ? BD_WHY_STOPPED : BD_WHY_DONE;
+        s->execution = t->ended ? BD_EXECUTION_EXITED : BD_EXECUTION_RUNNING;
+        s->exit_reason = !t->ended ? BD_EXIT_NONE : t->stopped ? BD_EXIT_STOPPED : BD_EXIT_DONE;
     }
 }
 
@@ -603,7 +603,7 @@
                    uint64_t revision)
 {
     char key[64], name[32];
-    struct bd_record r = {.state = BD_LIVE, .tasks = 1, .at = 1000, .has_spec = true};
+    struct bd_record r = {.state = BD_JOB_ACTIVE, .tasks = 1, .at = 1000, .has_spec = true};
     json_t *names = json_array();
     snprintf(key, sizeof key, "j/job-%d", n);
     snprintf(name, sizeof name, "job-%d", prerequisites);
@@ -618,7 +618,7 @@
     r.spec.tasks = 1;
     r.spec.rank = n == MANY - 1 ? BD_HIGH : BD_IDLE;
     r.prerequisites.names = names;
-    r.state = strcmp(state, "cancelled") == 0 ? BD_CANCELLED : BD_LIVE;
+    r.state = strcmp(state, "cancelled") == 0 ? BD_JOB_CANCELLED : BD_JOB_ACTIVE;
     json_t *v = bd_wire_record(&r);
     struct bd_change ch = {key, v, revision};
     bd_core_change(c, &ch);
@@ -653,7 +653,7 @@
     faults += job_of(c, 0)->rank != BD_HIGH || job_of(c, 1)->open != 1;
     record(c, 0, "cancelled", -1, 2);
     for (int n = 0; n < 2 * MANY; n++)
-        faults += n != MANY && job_of(c, n)->state != BD_CANCELLED;
+        faults += n != MANY && job_of(c, n)->state != BD_JOB_CANCELLED;
     faults += c->graph.prerequisites != NULL || c->graph.nderived != 2 * MANY - 2;
     bd_core_free(c);
     if (faults)
--- a/tests/inputs.c
+++ b/tests/inputs.c
@@ -298,7 +298,7 @@
     memset(&r, 0, sizeof r);
     check(bd_wire_submission(o, id, &r.spec) == NULL, "record: submission");
     json_decref(o);
-    r.state = BD_LIVE;
+    r.state = BD_JOB_ACTIVE;
     r.tasks = 3;
     r.at = 1000.5;
     r.has_spec = true;
@@ -426,7 +426,8 @@
               key);
         jobs[ok ? r.state : 0]++;
     }
-    check(jobs[BD_LIVE] == 2 && jobs[BD_DONE] == 1 && jobs[BD_CANCELLED] == 1 && intents > 0,
+    check(jobs[BD_JOB_ACTIVE] == 2 && jobs[BD_JOB_DONE] == 1 && jobs[BD_JOB_CANCELLED] == 1 &&
+              intents > 0,
           "records of production");
     json_decref(all);
     snprintf(path, sizeof path, "%s/production-frames.bin", dir);
@@ -466,13 +467,15 @@
     if (!c)
         exit(2);
     const struct bd_heartbeat *r = read_cached(c, "vm-1", "7", "running");
-    check(r && r->seq == 7 && r->n == 1 && r->tasks[0].sub == BD_RUNNING, "a report is read");
+    check(r && r->seq == 7 && r->n == 1 && r->tasks[0].execution == BD_EXECUTION_RUNNING,
+          "a report is read");
     r = read_cached(c, "vm-1", "1008", "running");
     check(r && r->seq == 1008 && r->incarnation == 1 && r->fencing_token == 4 && r->n == 1 &&
-              strcmp(r->machine, "vm-1") == 0 && r->tasks[0].sub == BD_RUNNING,
+              strcmp(r->machine, "vm-1") == 0 && r->tasks[0].execution == BD_EXECUTION_RUNNING,
           "one that only has another number says the same");
     r = read_cached(c, "vm-1", "1009", "pulling");
-    check(r && r->seq == 1009 && r->tasks[0].sub == BD_FETCHING, "another state is seen");
+    check(r && r->seq == 1009 && r->tasks[0].execution == BD_EXECUTION_FETCHING,
+          "another state is seen");
     r = read_cached(c, "vm-2", "1010", "pulling");
     check(r && r->seq == 1010 && strcmp(r->machine, "vm-2") == 0, "another machine is seen");
     bd_heartbeat_cache_counts(c, &all, &repeated);
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -129,7 +129,8 @@
 static void job(struct world *w, int n, enum bd_shape shape, uint32_t tasks, double cpus,
                 double gpus, double mem)
 {
-    struct bd_record r = {.state = BD_LIVE, .at = 1000 + w->now, .has_spec = true, .tasks = tasks};
+    struct bd_record r = {
+        .state = BD_JOB_ACTIVE, .at = 1000 + w->now, .has_spec = true, .tasks = tasks};
     char key[BD_LABEL];
     snprintf(key, sizeof key, "j/job-%06d", n);
     snprintf(r.spec.job_class, sizeof r.spec.job_class, "class-%d", (int)shape);
@@ -167,13 +168,13 @@
     memset(tasks, 0, sizeof tasks);
     r.tasks = tasks;
     HASH_FIND_STR(w->c->machines, r.machine, m);
-    for (uint32_t k = 0; m && k < m->nrefs && r.n < 128; k++) {
-        const struct bd_job *j = m->refs[k].job;
+    for (uint32_t k = 0; m && k < m->nreservations && r.n < 128; k++) {
+        const struct bd_job *j = m->reservations[k].job;
         struct bd_reported_task *t = &tasks[r.n++];
         snprintf(t->job, sizeof t->job, "%s", j->id);
-        t->task = m->refs[k].task;
+        t->task = m->reservations[k].task;
         t->attempt = j->tasks[t->task].attempt;
-        t->sub = BD_RUNNING;
+        t->execution = BD_EXECUTION_RUNNING;
     }
     bd_worker_heartbeat_received(w->c, NULL, &r, "{}", 2);
     drop_effects(w);
@@ -231,8 +232,8 @@
     for (const struct bd_job *j = w->c->jobs; j; j = j->hh.next) {
         if (j->spec.shape != shape)
             continue;
-        *held += j->nlive;
-        *waits += j->nwait;
+        *held += j->nplaced;
+        *waits += j->npending;
     }
 }
 
@@ -269,12 +270,13 @@
     snprintf(machine, sizeof machine, "vm-%06u", i);
     snprintf(addr, sizeof addr, "10.1.0.1:%u", i);
     HASH_FIND_STR(w->c->machines, machine, m);
-    for (uint32_t k = 0; m && k < m->nrefs; k++) {
-        const struct bd_job *j = m->refs[k].job;
-        snprintf(name, sizeof name, "%s/%u", j->id, m->refs[k].task);
-        json_array_append_new(tasks, json_pack("{s:s,s:I,s:s}", "chore", name, "try",
-                                               (json_int_t)j->tasks[m->refs[k].task].attempt,
-                                               "mood", "running"));
+    for (uint32_t k = 0; m && k < m->nreservations; k++) {
+        const struct bd_job *j = m->reservations[k].job;
+        snprintf(name, sizeof name, "%s/%u", j->id, m->reservations[k].task);
+        json_array_append_new(tasks,
+                              json_pack("{s:s,s:I,s:s}", "chore", name, "try",
+                                        (json_int_t)j->tasks[m->reservations[k].task].attempt,
+                                        "mood", "running"));
     }
     json_t *o =
         json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:n,s:o}", "hearth", machine, "endpoint", addr,
@@ -443,9 +445,9 @@
             NULL; /* tasks of one attempt of one job stand together, as they are written */
         const struct bd_job *of = NULL;
         uint64_t attempt = 0;
-        for (uint32_t k = 0; k < m->nrefs; k++) {
-            const struct bd_job *j = m->refs[k].job;
-            uint32_t task = m->refs[k].task;
+        for (uint32_t k = 0; k < m->nreservations; k++) {
+            const struct bd_job *j = m->reservations[k].job;
+            uint32_t task = m->reservations[k].task;
             if (!last || of != j || attempt != j->tasks[task].attempt) {
                 of = j;
                 attempt = j->tasks[task].attempt;
@@ -518,7 +520,7 @@
 {
     uint32_t held = 0;
     for (const struct bd_job *j = w->c->jobs; j; j = j->hh.next)
-        held += j->nlive;
+        held += j->nplaced;
     return held;
 }
 
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -259,13 +259,13 @@
 
 static void cmd_job(struct play *p)
 {
-    struct bd_record r = {.state = BD_LIVE, .at = play_num(p, "mark", 1), .has_spec = true};
+    struct bd_record r = {.state = BD_JOB_ACTIVE, .at = play_num(p, "mark", 1), .has_spec = true};
     const char *state = play_arg(p, "state");
     char key[BD_LABEL];
     spec(p, &r.spec);
     r.tasks = r.spec.tasks;
     if (state)
-        r.state = strcmp(state, "done") == 0 ? BD_DONE : BD_CANCELLED;
+        r.state = strcmp(state, "done") == 0 ? BD_JOB_DONE : BD_JOB_CANCELLED;
     snprintf(key, sizeof key, "j/%s", p->w[1]);
     json_t *names = play_arg(p, "needs") ? names_in(play_arg(p, "needs")) : NULL;
     r.prerequisites.names = names;
@@ -314,19 +314,19 @@
     json_decref(g.intents);
 }
 
-static enum bd_sub sub_of(const char *s, enum bd_why *why)
+static enum bd_execution_state sub_of(const char *s, enum bd_exit_reason *why)
 {
     static const char *const subs[] = {"pulling", "gathering", "running", "saving"};
     static const char *const whys[] = {"",      "done",    "stopped", "peers",  "alone",
                                        "error", "no_room", "busy",    "unknown"};
-    *why = BD_WHY_NONE;
+    *why = BD_EXIT_NONE;
     for (int i = 0; i < 4; i++)
         if (strcmp(s, subs[i]) == 0)
-            return (enum bd_sub)i;
+            return (enum bd_execution_state)i;
     for (int i = 1; i < 9; i++)
         if (strcmp(s, whys[i]) == 0)
-            *why = (enum bd_why)i;
-    return BD_EXITED;
+            *why = (enum bd_exit_reason)i;
+    return BD_EXECUTION_EXITED;
 }
 
 static void fill_report(struct play *p, struct bd_heartbeat *r, struct bd_reported_task *tasks)
@@ -350,7 +350,7 @@
             return;
         }
         t->attempt = attempt(tryn);
-        t->sub = sub_of(state, &t->why);
+        t->execution = sub_of(state, &t->exit_reason);
         r->n++;
     }
 }
@@ -417,7 +417,9 @@
         if (sscanf(p->w[i], "%63[^:]:%63[^:]:%63[^:]:%31s", l[n].id, l[n].type, l[n].zone, state) <
             3)
             play_fail(p, "listed");
-        l[n].state = *state == 'r' ? BD_UP : *state == 'f' ? BD_FAILED : BD_BOOTING;
+        l[n].state = *state == 'r'   ? BD_MACHINE_UP
+                     : *state == 'f' ? BD_MACHINE_FAILED
+                                     : BD_MACHINE_BOOTING;
     }
     bd_core_machines(p->c, l, n, p->c->now);
 }
@@ -481,7 +483,7 @@
     for (int i = 0; i < n; i++) {
         char key[BD_LABEL];
         snprintf(key, sizeof key, "j/job-%d", 1000000 + i);
-        struct bd_record r = {.state = BD_DONE, .tasks = 1, .at = 1, .end = 2};
+        struct bd_record r = {.state = BD_JOB_DONE, .tasks = 1, .at = 1, .end = 2};
         json_t *v = bd_wire_record(&r);
         struct bd_change ch = {key, v, (uint64_t)(i + 1)};
         bd_core_change(p->c, &ch);
@@ -496,11 +498,11 @@
     char key[BD_LABEL];
     snprintf(key, sizeof key, "j/%s", p->w[1]);
     long status = atol(p->w[3]);
-    struct bd_record r = {.state = BD_DONE, .tasks = 1, .at = 1};
+    struct bd_record r = {.state = BD_JOB_DONE, .tasks = 1, .at = 1};
     if (p->n > 4 && strcmp(p->w[4], "cancelled") == 0) {
         spec(p, &r.spec);
         r.has_spec = true;
-        r.state = BD_CANCELLED;
+        r.state = BD_JOB_CANCELLED;
     }
     struct bd_change ch = {key, v = bd_wire_record(&r), 5};
     bd_core_looked_up(p->c, NULL, p->w[1], atoi(p->w[2]), status, status == 200 ? &ch : NULL);
--- a/tests/scenario_drain.c
+++ b/tests/scenario_drain.c
@@ -186,20 +186,22 @@
                      : "small");
     snprintf(r->zone, sizeof r->zone, "%s", zone ? zone : typed ? p->c->zones[m->zone] : "a");
     r->seq = ++p->report_seq + 1000;
-    for (uint32_t k = 0; m && k < m->nrefs && r->n < WORDS; k++) {
-        const struct bd_job *j = m->refs[k].job;
-        const struct bd_task *t = &j->tasks[m->refs[k].task];
-        if (t->state == BD_T_PLAN)
+    for (uint32_t k = 0; m && k < m->nreservations && r->n < WORDS; k++) {
+        const struct bd_job *j = m->reservations[k].job;
+        const struct bd_task *t = &j->tasks[m->reservations[k].task];
+        if (t->state == BD_TASK_PLANNED)
             continue;
         struct bd_reported_task *seen = &tasks[r->n++];
         snprintf(seen->job, sizeof seen->job, "%s", j->id);
-        seen->task = m->refs[k].task;
+        seen->task = m->reservations[k].task;
         seen->attempt = t->attempt;
-        bool stops = t->flags & BD_F_STOP && !play_yes(p, "deaf");
+        bool stops = t->flags & BD_TASK_FLAG_STOP_REQUESTED && !play_yes(p, "deaf");
         const char *fetches = play_arg(p, "fetches");
-        bool waits = fetches && strcmp(fetches, id) == 0 && t->sub != BD_RUNNING;
-        seen->sub = stops ? BD_EXITED : waits ? BD_FETCHING : BD_RUNNING;
-        seen->why = stops ? BD_WHY_STOPPED : BD_WHY_NONE;
+        bool waits = fetches && strcmp(fetches, id) == 0 && t->execution != BD_EXECUTION_RUNNING;
+        seen->execution = stops   ? BD_EXECUTION_EXITED
+                          : waits ? BD_EXECUTION_FETCHING
+                                  : BD_EXECUTION_RUNNING;
+        seen->exit_reason = stops ? BD_EXIT_STOPPED : BD_EXIT_NONE;
     }
 }
 
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -116,8 +116,10 @@
     struct sim_try *t = calloc(1, sizeof *t);
     if (!t)
         abort();
-    *t = (struct sim_try){
-        .refs = 1, .machine = e->machine, .fencing_token = e->fencing_token, .launch = e->launch};
+    *t = (struct sim_try){.reservations = 1,
+                          .machine = e->machine,
+                          .fencing_token = e->fencing_token,
+                          .launch = e->launch};
     t->worker = atoi(e->addr + 2); /* "w-N" */
     t->until = e->until;
     struct sim_event *d = wake(s, n, n->senders_stalled - s->now, SIM_DO_SEND);
@@ -739,7 +741,7 @@
         free(t);
         return;
     }
-    t->refs = 2;
+    t->reservations = 2;
     bool held = sim_held_up(s);
     struct sim_event *d = wake(s, n, sim_delay(s) + (held ? sim_between(s, 0.5, 6) : 0), SIM_DO_IN);
     d->who = t->worker;
@@ -765,7 +767,7 @@
         settle(s, n);
     }
     t->over = true;
-    if (--t->refs == 0)
+    if (--t->reservations == 0)
         free(t);
 }
 
@@ -844,10 +846,10 @@
         snprintf(l[k].addr, BD_LABEL, "w-%d", i);
         snprintf(l[k].type, BD_LABEL, "%s", w->type);
         snprintf(l[k].zone, BD_LABEL, "%s", w->zone);
-        l[k].state = s->now < w->up_at ? BD_BOOTING : BD_UP;
+        l[k].state = s->now < w->up_at ? BD_MACHINE_BOOTING : BD_MACHINE_UP;
         l[k++].age = s->now - w->provisioned_at;
     }
-    bd_core_machines(n->core, l, k, bd_sub(n->core->now, bd_secs(0.1)));
+    bd_core_machines(n->core, l, k, bd_execution_state(n->core->now, bd_secs(0.1)));
     free(l);
 }
 
--- a/tests/sim_state.c
+++ b/tests/sim_state.c
@@ -135,7 +135,7 @@
 
 void sim_call_drop(struct sim_call *c)
 {
-    if (--c->refs > 0)
+    if (--c->reservations > 0)
         return;
     free(c->body);
     if (c->effect)
@@ -152,7 +152,7 @@
     bool write = c->op == SIM_COMMIT && !refused;
     struct sim_event *e = sim_post(s, there, SIM_STATE_RUN);
     e->call = c;
-    c->refs++;
+    c->reservations++;
     e->flag = true; /* its answer arrives */
     if (write && s->now < s->lost_until && sim_rnd(s) < s->lost_share)
         e->flag = false;
@@ -161,11 +161,11 @@
         double late = sim_between(s, 2, 12);
         (void)sim_post_again(s, e, late);
         e->status = -1; /* not now */
-        c->refs++;
+        c->reservations++;
     }
     struct sim_event *g = sim_post(s, timeout, SIM_STATE_GIVEN_UP);
     g->call = c;
-    c->refs++;
+    c->reservations++;
 }
 
 void sim_state_event(struct sim *s, struct sim_event *e)
@@ -181,7 +181,7 @@
             back->call = c;
             back->status = status;
             back->data = out;
-            c->refs++;
+            c->reservations++;
             out = NULL;
         }
     } else if (e->kind == SIM_STATE_BACK) {
--- a/tests/sim_work.c
+++ b/tests/sim_work.c
@@ -83,7 +83,8 @@
 {
     struct sim_job *j = &s->jobs[t->job];
     int at = (int)(w - s->workers);
-    if (t->sub != BD_GATHERING && t->sub != BD_RUNNING && t->sub != BD_SAVING)
+    if (t->execution != BD_EXECUTION_JOINING_GANG && t->execution != BD_EXECUTION_RUNNING &&
+        t->execution != BD_EXECUTION_CHECKPOINTING)
         return;
     if (j->machine[t->task] == at)
         j->machine[t->task] = -1;
@@ -93,13 +94,13 @@
 
 static void gang_done(struct sim *s, const struct sim_slot *first);
 
-static void exits(struct sim *s, struct sim_worker *w, struct sim_slot *t, enum bd_why why)
+static void exits(struct sim *s, struct sim_worker *w, struct sim_slot *t, enum bd_exit_reason why)
 {
     off_machine(s, w, t);
-    t->sub = BD_EXITED;
-    t->why = why;
+    t->execution = BD_EXECUTION_EXITED;
+    t->exit_reason = why;
     sim_note(s, "%s/%u exits on %s: %s", s->jobs[t->job].id, t->task, w->id, whys[why]);
-    if (why == BD_WHY_DONE) {
+    if (why == BD_EXIT_DONE) {
         struct sim_job *j = &s->jobs[t->job];
         for (uint32_t k = 0; k < j->tasks; k++) /* a gang's tasks complete together */
             if (k == t->task || j->shape == BD_GANG)
@@ -120,8 +121,8 @@
         struct sim_worker *w = &s->workers[i];
         for (int k = 0; !w->gone && k < w->nslots; k++) {
             struct sim_slot *t = &w->slots[k];
-            if (t->job == job && t->attempt == attempt && t->sub == BD_RUNNING)
-                exits(s, w, t, BD_WHY_DONE);
+            if (t->job == job && t->attempt == attempt && t->execution == BD_EXECUTION_RUNNING)
+                exits(s, w, t, BD_EXIT_DONE);
         }
     }
 }
@@ -129,7 +130,7 @@
 static void kill_all(struct sim *s, struct sim_worker *w)
 {
     for (int i = 0; i < w->nslots; i++) {
-        if (w->slots[i].sub == BD_RUNNING)
+        if (w->slots[i].execution == BD_EXECUTION_RUNNING)
             sim_drain_lost(s, &w->slots[i]);
         off_machine(s, w, &w->slots[i]);
     }
@@ -169,7 +170,7 @@
 {
     double sum = 0;
     for (int i = 0; i < w->nslots; i++)
-        if (w->slots[i].sub != BD_EXITED)
+        if (w->slots[i].execution != BD_EXECUTION_EXITED)
             sum += s->jobs[w->slots[i].job].cpus;
     return sum;
 }
@@ -182,16 +183,18 @@
         abort();
     struct sim_slot *old = NULL;
     for (int i = 0; i < w->nslots; i++)
-        if (w->slots[i].job == job && w->slots[i].task == task && w->slots[i].sub != BD_EXITED)
+        if (w->slots[i].job == job && w->slots[i].task == task &&
+            w->slots[i].execution != BD_EXECUTION_EXITED)
             old = &w->slots[i];
     struct sim_slot *t = &w->slots[w->nslots++];
-    *t = (struct sim_slot){job, task, attempt, BD_FETCHING, BD_WHY_NONE, s->now + s->fetch_s};
+    *t = (struct sim_slot){
+        job, task, attempt, BD_EXECUTION_FETCHING, BD_EXIT_NONE, s->now + s->fetch_s};
     if (old) {
-        t->sub = BD_EXITED;
-        t->why = BD_WHY_BUSY;
+        t->execution = BD_EXECUTION_EXITED;
+        t->exit_reason = BD_EXIT_BUSY;
     } else if (used(s, w) > 8 + 1e-6) {
-        t->sub = BD_EXITED;
-        t->why = BD_WHY_NO_ROOM;
+        t->execution = BD_EXECUTION_EXITED;
+        t->exit_reason = BD_EXIT_NO_CAPACITY;
     }
     if (w->next_report > s->now + 0.4)
         w->next_report = s->now + 0.4;
@@ -212,11 +215,11 @@
         struct sim_slot *t = slot_of(w, job, task, attempt);
         if (strcmp(verb, "launch") == 0)
             launch(s, w, job, task, attempt);
-        else if (strcmp(verb, "halt") == 0 && t && t->sub != BD_EXITED) {
-            if (t->sub == BD_RUNNING)
+        else if (strcmp(verb, "halt") == 0 && t && t->execution != BD_EXECUTION_EXITED) {
+            if (t->execution == BD_EXECUTION_RUNNING)
                 sim_drain_stopped(s, w, t);
-            exits(s, w, t, BD_WHY_STOPPED);
-        } else if (strcmp(verb, "forget") == 0 && t && t->sub == BD_EXITED)
+            exits(s, w, t, BD_EXIT_STOPPED);
+        } else if (strcmp(verb, "forget") == 0 && t && t->execution == BD_EXECUTION_EXITED)
             *t = w->slots[--w->nslots];
     }
 }
@@ -230,9 +233,9 @@
         struct sim_slot *t = &w->slots[i];
         snprintf(name, sizeof name, "%.30s/%u", s->jobs[t->job].id, t->task);
         json_t *v = json_pack("{s:s,s:I,s:s}", "chore", name, "try", (json_int_t)t->attempt, "mood",
-                              subs[t->sub]);
-        if (t->sub == BD_EXITED)
-            json_object_set_new(v, "cause", json_string(whys[t->why]));
+                              subs[t->execution]);
+        if (t->execution == BD_EXECUTION_EXITED)
+            json_object_set_new(v, "cause", json_string(whys[t->exit_reason]));
         json_array_append_new(list, v);
     }
     json_t *o = json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:n,s:o}", "hearth", w->id, "endpoint",
@@ -366,7 +369,7 @@
     if (late && !w->gone) { /* executed when the cut ends, or the machine goes on */
         double until = there ? w->hangs : zones ? s->zones_cut : w->cut;
         (void)sim_post_again(s, e, until - s->now + 0.05);
-        t->refs++;
+        t->reservations++;
     } else if (there && s->now >= w->up_at) {
         uint64_t fencing_token = (uint64_t)json_integer_value(json_object_get(o, "seal"));
         uint64_t incarnation = (uint64_t)json_integer_value(json_object_get(o, "tenancy"));
@@ -384,10 +387,10 @@
         b->status = good ? 200 : 409;
         b->text = report_text(s, w);
         b->data = t;
-        t->refs++;
+        t->reservations++;
     }
     json_decref(o);
-    if (--t->refs == 0)
+    if (--t->reservations == 0)
         free(t);
 }
 
@@ -414,7 +417,8 @@
         for (int k = 0; !w->gone && s->now >= w->hangs && k < w->nslots; k++) {
             struct sim_slot *t = &w->slots[k];
             if (t->job == job && t->attempt == attempt)
-                n += t->sub == BD_RUNNING || t->sub == BD_GATHERING;
+                n += t->execution == BD_EXECUTION_RUNNING ||
+                     t->execution == BD_EXECUTION_JOINING_GANG;
         }
     }
     return n == s->jobs[job].tasks;
@@ -423,30 +427,32 @@
 static void run_slot(struct sim *s, struct sim_worker *w, struct sim_slot *t)
 {
     struct sim_job *j = &s->jobs[t->job];
-    if (t->sub == BD_FETCHING && s->now >= t->until) {
+    if (t->execution == BD_EXECUTION_FETCHING && s->now >= t->until) {
         bool gang = j->shape == BD_GANG && j->tasks > 1;
         if (j->done[t->task]) { /* its result is kept */
-            exits(s, w, t, BD_WHY_DONE);
+            exits(s, w, t, BD_EXIT_DONE);
             return;
         }
         on_machine(s, w, t);
-        t->sub = gang ? BD_GATHERING : BD_RUNNING;
+        t->execution = gang ? BD_EXECUTION_JOINING_GANG : BD_EXECUTION_RUNNING;
         t->until = s->now + (gang ? GANG_WAIT_S : j->run_s);
         if (w->next_report > s->now + 0.4)
             w->next_report = s->now + 0.4;
     }
-    if ((t->sub == BD_GATHERING || t->sub == BD_RUNNING) && j->done[t->task]) {
-        exits(s, w, t, BD_WHY_DONE);
-    } else if (t->sub == BD_GATHERING && together(s, t->job, t->attempt)) {
-        t->sub = BD_RUNNING;
+    if ((t->execution == BD_EXECUTION_JOINING_GANG || t->execution == BD_EXECUTION_RUNNING) &&
+        j->done[t->task]) {
+        exits(s, w, t, BD_EXIT_DONE);
+    } else if (t->execution == BD_EXECUTION_JOINING_GANG && together(s, t->job, t->attempt)) {
+        t->execution = BD_EXECUTION_RUNNING;
         t->until = s->now + j->run_s;
-    } else if (t->sub == BD_GATHERING && s->now >= t->until) {
-        exits(s, w, t, BD_WHY_ALONE);
-    } else if (t->sub == BD_RUNNING && j->shape == BD_GANG && j->tasks > 1 &&
+    } else if (t->execution == BD_EXECUTION_JOINING_GANG && s->now >= t->until) {
+        exits(s, w, t, BD_EXIT_GANG_INCOMPLETE);
+    } else if (t->execution == BD_EXECUTION_RUNNING && j->shape == BD_GANG && j->tasks > 1 &&
                !together(s, t->job, t->attempt)) {
-        exits(s, w, t, BD_WHY_PEERS);
-    } else if (t->sub == BD_RUNNING && j->shape != BD_SERVICE && s->now >= t->until) {
-        exits(s, w, t, BD_WHY_DONE);
+        exits(s, w, t, BD_EXIT_GANG_MEMBER_LOST);
+    } else if (t->execution == BD_EXECUTION_RUNNING && j->shape != BD_SERVICE &&
+               s->now >= t->until) {
+        exits(s, w, t, BD_EXIT_DONE);
     }
 }
 
--- a/tests/simulation.c
+++ b/tests/simulation.c
@@ -615,7 +615,7 @@
         if (e->kind == SIM_DO_SEND || e->kind == SIM_DO_IN || e->kind == SIM_DO_BACK ||
             e->kind == SIM_DO_GIVEN_UP) {
             struct sim_try *t = e->data;
-            if (--t->refs == 0)
+            if (--t->reservations == 0)
                 free(t);
         }
         if (e->call)
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -69,7 +69,7 @@
 
 struct sim_call { /* of a controller to the state service */
     enum sim_op op;
-    int node, then, refs;
+    int node, then, reservations;
     uint64_t epoch, number;
     char key[96];
     char *body;
@@ -107,8 +107,8 @@
     int job;
     uint32_t task;
     uint64_t attempt;
-    enum bd_sub sub;
-    enum bd_why why;
+    enum bd_execution_state execution;
+    enum bd_exit_reason exit_reason;
     double until;
 };
 
@@ -207,7 +207,7 @@
 };
 struct sim_try { /* a direct command */
     bool over, launch;
-    int refs, worker;
+    int reservations, worker;
     struct timespec until;
     uint32_t machine;
     uint64_t fencing_token;
