--- a/src/autoscaling/autoscaler.c
+++ b/src/autoscaling/autoscaler.c
@@ -136,8 +136,8 @@
 
 static uint32_t under_quota(struct demand *d, const struct bd_spec *spec, uint32_t n)
 {
-    n = bd_team_room(&d->core->settings->teams[spec->team], d->team_cpus[spec->team],
-                     d->team_gpus[spec->team], spec, n);
+    n = bd_team_free_quota(&d->core->settings->teams[spec->team], d->team_cpus[spec->team],
+                           d->team_gpus[spec->team], spec, n);
     d->team_cpus[spec->team] += n * spec->cpus;
     d->team_gpus[spec->team] += n * spec->gpus;
     return n;
--- a/src/core/core_internal.h
+++ b/src/core/core_internal.h
@@ -234,8 +234,8 @@
 uint32_t bd_jobs_in_order(struct bd_core *core, struct bd_job ***out);
 bool bd_allowed(const struct bd_spec *spec, int type, int zone, bool spot);
 /* How many tasks the team's limit leaves room for, up to `most`, with so much of it in use. */
-uint32_t bd_team_room(const struct bd_team_limits *team, double cpus, double gpus,
-                      const struct bd_spec *spec, uint32_t most);
+uint32_t bd_team_free_quota(const struct bd_team_limits *team, double cpus, double gpus,
+                            const struct bd_spec *spec, uint32_t most);
 void bd_autoscaler_tick(struct bd_core *core);
 
 /* shared by the parts of the core */
--- a/src/drain/candidate.c
+++ b/src/drain/candidate.c
@@ -59,7 +59,7 @@
         if (!add_need(candidate, entry->budgets[i], falls))
             return false;
     candidate->tasks += falls;
-    bd_room_add(&candidate->moves, &job->spec, 1);
+    bd_resources_add(&candidate->moves, &job->spec, 1);
     return true;
 }
 
@@ -76,7 +76,7 @@
 bool bd_candidate_fill(struct bd_core *core, struct bd_candidate *candidate)
 {
     candidate->nneeds = candidate->tasks = 0;
-    candidate->moves = (struct bd_room){0, 0, 0};
+    candidate->moves = (struct bd_resources){0, 0, 0};
     for (uint32_t k = 0; k < candidate->machine->nreservations; k++)
         if (!add_task(core, candidate, k))
             return false;
@@ -95,7 +95,7 @@
         struct bd_machine *machine = core->by_index[i];
         if (!bd_machine_usable(core, machine))
             continue;
-        bins->bins[bins->n++] = (struct bd_bin){machine, bd_room_left(core, machine)};
+        bins->bins[bins->n++] = (struct bd_bin){machine, bd_machine_free(core, machine)};
     }
 }
 
@@ -106,13 +106,13 @@
     bins->n = 0;
 }
 
-struct bd_room bd_bins_total(const struct bd_bins *bins)
+struct bd_resources bd_bins_total(const struct bd_bins *bins)
 {
-    struct bd_room sum = {0, 0, 0};
+    struct bd_resources sum = {0, 0, 0};
     for (uint32_t i = 0; i < bins->n; i++) {
-        sum.cpus += bins->bins[i].room.cpus;
-        sum.gpus += bins->bins[i].room.gpus;
-        sum.mem += bins->bins[i].room.mem;
+        sum.cpus += bins->bins[i].capacity.cpus;
+        sum.gpus += bins->bins[i].capacity.gpus;
+        sum.mem += bins->bins[i].capacity.mem;
     }
     return sum;
 }
@@ -120,7 +120,7 @@
 static bool fits(const struct bd_bin *bin, const struct bd_spec *spec)
 {
     return bd_allowed(spec, bin->machine->type, bin->machine->zone, bin->machine->spot) &&
-           bd_room_fits(bin->room, spec, 1) > 0;
+           bd_resources_fit(bin->capacity, spec, 1) > 0;
 }
 
 static struct bd_bin *first_fit(struct bd_bins *bins, const struct bd_spec *spec)
@@ -140,13 +140,13 @@
     uint32_t n = 0;
     while (n < machine->nreservations &&
            (took[n] = first_fit(bins, &machine->reservations[n].job->spec))) {
-        bd_room_add(&took[n]->room, &machine->reservations[n].job->spec, -1);
+        bd_resources_add(&took[n]->capacity, &machine->reservations[n].job->spec, -1);
         n++;
     }
     bool all = n == machine->nreservations;
     while (!all && n > 0) {
         n--;
-        bd_room_add(&took[n]->room, &machine->reservations[n].job->spec, 1);
+        bd_resources_add(&took[n]->capacity, &machine->reservations[n].job->spec, 1);
     }
     free(took);
     return all;
--- a/src/drain/drain.c
+++ b/src/drain/drain.c
@@ -421,7 +421,7 @@
         for (uint32_t i = 0; bd_drain_goes_on(drain) && i < drain->nmachines; i++) {
             const struct bd_drain_machine *m = &drain->machines[i];
             const struct bd_machine *machine = m->machine;
-            if (m->wait != BD_DRAIN_WAIT_ROOM || !machine ||
+            if (m->wait != BD_DRAIN_WAIT_CAPACITY || !machine ||
                 machines++ >= core->drains->rules->machines_in_step)
                 continue;
             for (uint32_t k = 0; k < machine->nreservations; k++)
--- a/src/drain/drain.h
+++ b/src/drain/drain.h
@@ -110,7 +110,7 @@
     BD_DRAIN_WAIT_BUDGET,      /* of the team that is named */
     BD_DRAIN_WAIT_STEP,        /* enough machines are in a step */
     BD_DRAIN_WAIT_ZONE,        /* a zone that may not drain together with its own is in a step */
-    BD_DRAIN_WAIT_ROOM,        /* for what would move */
+    BD_DRAIN_WAIT_CAPACITY,    /* for what would move */
     BD_DRAIN_WAIT_WORK,        /* until its replacement has taken work */
     BD_DRAIN_WAITS
 };
--- a/src/drain/drain_internal.h
+++ b/src/drain/drain_internal.h
@@ -66,7 +66,7 @@
     int zone;
     struct bd_need needs[BD_NEEDS_MOST];
     uint32_t nneeds, tasks;
-    struct bd_room moves; /* what its tasks take, in sum */
+    struct bd_resources moves; /* what its tasks take, in sum */
 };
 
 /* Fills the candidate's needs. False: they are too many. */
@@ -85,13 +85,13 @@
 struct bd_bins {
     struct bd_bin {
         struct bd_machine *machine;
-        struct bd_room room;
+        struct bd_resources capacity;
     } * bins;
     uint32_t n;
 };
 void bd_bins_fill(struct bd_core *core, struct bd_bins *bins);
 void bd_bins_free(struct bd_bins *bins);
-struct bd_room bd_bins_total(const struct bd_bins *bins);
+struct bd_resources bd_bins_total(const struct bd_bins *bins);
 /* Takes room for all that would move; false: there is not enough, and nothing is taken. */
 bool bd_bins_take(struct bd_bins *bins, const struct bd_candidate *candidate);
 
@@ -104,7 +104,7 @@
     const uint32_t *left; /* by budget */
     uint32_t nbudgets;
     uint32_t most; /* machines */
-    struct bd_room room;
+    struct bd_resources capacity;
     const bool (*apart)[BD_MAX_ZONES]; /* zones that may not drain together */
     bool zone_used[BD_MAX_ZONES];      /* a machine of it is in a step */
 };
--- a/src/drain/plan.c
+++ b/src/drain/plan.c
@@ -234,7 +234,7 @@
             bd_drain_set(core, choice->of[i], candidate->entry,
                          (struct bd_entry_state){BD_STAGE_STOPPING, BD_DRAIN_WAIT_NOTHING, ""});
         } else if (wanted) {
-            wait_for(core, choice->of[i], candidate->entry, BD_DRAIN_WAIT_ROOM, "");
+            wait_for(core, choice->of[i], candidate->entry, BD_DRAIN_WAIT_CAPACITY, "");
         }
     }
     for (uint32_t i = 0; i < choice->problem.n; i++) {
@@ -307,7 +307,7 @@
     choice.problem.candidates = choice.candidates;
     choice.problem.left = choice.left;
     choice.problem.nbudgets = drains->ledger.nbudgets;
-    choice.problem.room = bd_bins_total(&choice.bins);
+    choice.problem.capacity = bd_bins_total(&choice.bins);
     choice.problem.apart = (const bool(*)[BD_MAX_ZONES])drains->apart;
     gather_candidates(&choice);
     if (choice.problem.n > 0)
--- a/src/drain/record.c
+++ b/src/drain/record.c
@@ -160,8 +160,8 @@
     }
     /* a replacement's name may be a few digits longer than ours */
     size_t each = MACHINE_BYTES + 2 * longest_id + 8 + team;
-    double room = VALUE_SHARE * (double)kv_value_bytes_max - HEAD_BYTES;
-    return room < (double)each ? 0 : (uint32_t)(room / (double)each);
+    double capacity = VALUE_SHARE * (double)kv_value_bytes_max - HEAD_BYTES;
+    return capacity < (double)each ? 0 : (uint32_t)(capacity / (double)each);
 }
 
 void bd_drain_part_key(char *key, size_t cap, const char *set, uint32_t part)
--- a/src/drain/solver.c
+++ b/src/drain/solver.c
@@ -52,7 +52,7 @@
     }
 }
 
-static void room_row(struct program *program, size_t of, double room)
+static void room_row(struct program *program, size_t of, double capacity)
 {
     const struct bd_step_problem *problem = program->problem;
     for (uint32_t i = 0; i < problem->n; i++) {
@@ -60,7 +60,7 @@
         program->columns[i] = (int)i + 1;
         memcpy(&program->values[i], moves + of, sizeof(double));
     }
-    row(program, (int)problem->n, LE, room);
+    row(program, (int)problem->n, LE, capacity);
 }
 
 static void machines_row(struct program *program)
@@ -132,9 +132,9 @@
     (void)set_add_rowmode(program->lp, TRUE);
     budget_rows(program);
     machines_row(program);
-    room_row(program, offsetof(struct bd_room, cpus), problem->room.cpus);
-    room_row(program, offsetof(struct bd_room, gpus), problem->room.gpus);
-    room_row(program, offsetof(struct bd_room, mem), problem->room.mem);
+    room_row(program, offsetof(struct bd_resources, cpus), problem->capacity.cpus);
+    room_row(program, offsetof(struct bd_resources, gpus), problem->capacity.gpus);
+    room_row(program, offsetof(struct bd_resources, mem), problem->capacity.mem);
     zone_rows(program);
     (void)set_add_rowmode(program->lp, FALSE);
     objective(program, columns);
--- a/src/drain/steps.c
+++ b/src/drain/steps.c
@@ -15,9 +15,10 @@
     for (int zone = 0; zone < BD_MAX_ZONES && candidate->zone >= 0; zone++)
         if (problem->zone_used[zone] && problem->apart[candidate->zone][zone])
             return BD_DRAIN_WAIT_ZONE;
-    if (candidate->moves.cpus > problem->room.cpus || candidate->moves.gpus > problem->room.gpus ||
-        candidate->moves.mem > problem->room.mem)
-        return BD_DRAIN_WAIT_ROOM;
+    if (candidate->moves.cpus > problem->capacity.cpus ||
+        candidate->moves.gpus > problem->capacity.gpus ||
+        candidate->moves.mem > problem->capacity.mem)
+        return BD_DRAIN_WAIT_CAPACITY;
     return BD_DRAIN_WAIT_NOTHING;
 }
 
@@ -29,9 +30,9 @@
     problem->most--;
     if (candidate->zone >= 0)
         problem->zone_used[candidate->zone] = true;
-    problem->room.cpus -= candidate->moves.cpus;
-    problem->room.gpus -= candidate->moves.gpus;
-    problem->room.mem -= candidate->moves.mem;
+    problem->capacity.cpus -= candidate->moves.cpus;
+    problem->capacity.gpus -= candidate->moves.gpus;
+    problem->capacity.mem -= candidate->moves.mem;
 }
 
 /* What sorting by cost needs. */
--- a/src/jobs/admission.c
+++ b/src/jobs/admission.c
@@ -121,10 +121,10 @@
 /* Names from *i on, as many as a value holds. */
 static json_t *some_names(const struct bd_core *core, json_t *prerequisites, size_t *i)
 {
-    double room = BD_VALUE_SHARE * (double)core->kv_limits.kv_value_bytes_max - 32;
+    double capacity = BD_VALUE_SHARE * (double)core->kv_limits.kv_value_bytes_max - 32;
     json_t *some = json_array(), *v;
     while ((v = json_array_get(prerequisites, *i)) &&
-           (room -= (double)json_string_length(v) + 3) > 0) {
+           (capacity -= (double)json_string_length(v) + 3) > 0) {
         json_array_append(some, v);
         ++*i;
     }
--- a/src/leadership/commit.c
+++ b/src/leadership/commit.c
@@ -57,17 +57,17 @@
 static json_t *intent_value(struct bd_core *core, const struct bd_intent *e, uint32_t *n)
 {
     json_t *list = json_array();
-    double room = BD_VALUE_SHARE * (double)core->kv_limits.kv_value_bytes_max;
+    double capacity = BD_VALUE_SHARE * (double)core->kv_limits.kv_value_bytes_max;
     uint32_t i = 0;
     while (i < *n) {
         struct bd_machine *machine = bd_machine_of(core, e[i].machine);
         size_t head = machine ? bd_group_bytes(e[i].job, machine) : BD_LABEL;
         uint32_t k = i;
         json_t *tasks = json_array();
-        room -= (double)head;
-        for (; k < *n && same_group(&e[k], &e[i]) && room >= BD_TASK_BYTES; k++) {
+        capacity -= (double)head;
+        for (; k < *n && same_group(&e[k], &e[i]) && capacity >= BD_TASK_BYTES; k++) {
             json_array_append_new(tasks, json_integer(e[k].task));
-            room -= BD_TASK_BYTES;
+            capacity -= BD_TASK_BYTES;
         }
         if (k == i) {
             json_decref(tasks);
--- a/src/model/decision_log.c
+++ b/src/model/decision_log.c
@@ -50,13 +50,13 @@
 /* The open range behind those that are closed. False: there is no room for it. */
 static bool close_range(struct bd_decision_log *decision_log)
 {
-    size_t len = strlen(decision_log->ranges), room = sizeof decision_log->ranges - len;
+    size_t len = strlen(decision_log->ranges), capacity = sizeof decision_log->ranges - len;
     const char *comma = len > 0 ? "," : "";
     int n = decision_log->from == decision_log->to
-                ? snprintf(decision_log->ranges + len, room, "%s%u", comma, decision_log->from)
-                : snprintf(decision_log->ranges + len, room, "%s%u-%u", comma, decision_log->from,
-                           decision_log->to);
-    if (n >= 0 && (size_t)n < room)
+                ? snprintf(decision_log->ranges + len, capacity, "%s%u", comma, decision_log->from)
+                : snprintf(decision_log->ranges + len, capacity, "%s%u-%u", comma,
+                           decision_log->from, decision_log->to);
+    if (n >= 0 && (size_t)n < capacity)
         return true;
     decision_log->ranges[len] = '\0';
     return false;
--- a/src/model/resources.c
+++ b/src/model/resources.c
@@ -4,18 +4,18 @@
 
 #define ROUNDING 1e-6 /* of sums of amounts */
 
-struct bd_room bd_room_left(const struct bd_core *core, const struct bd_machine *machine)
+struct bd_resources bd_machine_free(const struct bd_core *core, const struct bd_machine *machine)
 {
     const struct bd_type *type = &core->types[machine->type];
-    return (struct bd_room){type->cpus - machine->cpus, type->gpus - machine->gpus,
-                            type->mem - machine->mem};
+    return (struct bd_resources){type->cpus - machine->cpus, type->gpus - machine->gpus,
+                                 type->mem - machine->mem};
 }
 
-void bd_room_add(struct bd_room *room, const struct bd_spec *spec, double sign)
+void bd_resources_add(struct bd_resources *capacity, const struct bd_spec *spec, double sign)
 {
-    room->cpus += sign * spec->cpus;
-    room->gpus += sign * spec->gpus;
-    room->mem += sign * spec->mem;
+    capacity->cpus += sign * spec->cpus;
+    capacity->gpus += sign * spec->gpus;
+    capacity->mem += sign * spec->mem;
 }
 
 uint32_t bd_amount_fits(double have, double need, uint32_t most)
@@ -26,9 +26,9 @@
     return n <= 0 ? 0 : n < most ? (uint32_t)n : most;
 }
 
-uint32_t bd_room_fits(struct bd_room room, const struct bd_spec *spec, uint32_t most)
+uint32_t bd_resources_fit(struct bd_resources capacity, const struct bd_spec *spec, uint32_t most)
 {
-    most = bd_amount_fits(room.cpus, spec->cpus, most);
-    most = bd_amount_fits(room.gpus, spec->gpus, most);
-    return bd_amount_fits(room.mem, spec->mem, most);
+    most = bd_amount_fits(capacity.cpus, spec->cpus, most);
+    most = bd_amount_fits(capacity.gpus, spec->gpus, most);
+    return bd_amount_fits(capacity.mem, spec->mem, most);
 }
--- a/src/scheduling/placement.c
+++ b/src/scheduling/placement.c
@@ -18,10 +18,13 @@
 #define HOLD_AFTER_S 10.0    /* a gang waits so long before room is held and made for it */
 
 /* Free room that is not kept for a task whose place is being vacated. */
-struct bd_room bd_unclaimed_room(const struct placement_cycle *r, const struct bd_machine *machine)
+struct bd_resources bd_unclaimed_capacity(const struct placement_cycle *r,
+                                          const struct bd_machine *machine)
 {
-    struct bd_room room = bd_room_left(r->core, machine), held = r->claimed[machine->index];
-    return (struct bd_room){room.cpus - held.cpus, room.gpus - held.gpus, room.mem - held.mem};
+    struct bd_resources capacity = bd_machine_free(r->core, machine),
+                        held = r->claimed[machine->index];
+    return (struct bd_resources){capacity.cpus - held.cpus, capacity.gpus - held.gpus,
+                                 capacity.mem - held.mem};
 }
 
 bool bd_allowed(const struct bd_spec *spec, int type, int zone, bool spot)
@@ -30,8 +33,8 @@
            (spec->spot || !spot);
 }
 
-uint32_t bd_team_room(const struct bd_team_limits *team, double cpus, double gpus,
-                      const struct bd_spec *spec, uint32_t most)
+uint32_t bd_team_free_quota(const struct bd_team_limits *team, double cpus, double gpus,
+                            const struct bd_spec *spec, uint32_t most)
 {
     if (team->cpus_max > 0)
         most = bd_amount_fits(team->cpus_max - cpus, spec->cpus, most);
@@ -43,8 +46,8 @@
 static uint32_t quota_left(const struct bd_core *core, const struct bd_spec *spec, uint32_t most)
 {
     int team = spec->team;
-    return bd_team_room(&core->settings->teams[team], core->team_cpus[team], core->team_gpus[team],
-                        spec, most);
+    return bd_team_free_quota(&core->settings->teams[team], core->team_cpus[team],
+                              core->team_gpus[team], spec, most);
 }
 
 /* Tasks of the job per zone, counting all that hold a place, unknown and stopping ones too. */
@@ -88,14 +91,14 @@
     const struct bd_type *type = &core->types[machine->type];
     if (spec->gpus > 0 || g->gpus <= 0)
         return most;
-    struct bd_room r = {type->cpus - machine->pinned_cpus, type->gpus - machine->pinned_gpus,
-                        type->mem - machine->pinned_mem};
-    uint32_t gpu_tasks = bd_room_fits(r, g, 64);
+    struct bd_resources r = {type->cpus - machine->pinned_cpus, type->gpus - machine->pinned_gpus,
+                             type->mem - machine->pinned_mem};
+    uint32_t gpu_tasks = bd_resources_fit(r, g, 64);
     if (gpu_tasks == 0) /* services alone keep GPU work away: they are to move together here */
         return machine->gpus > 0 || spec->shape == BD_SERVICE ? most : 0;
-    struct bd_room left = {type->cpus - machine->cpus - gpu_tasks * g->cpus, 0,
-                           type->mem - machine->mem - gpu_tasks * g->mem};
-    return left.cpus < 0 || left.mem < 0 ? 0 : bd_room_fits(left, spec, most);
+    struct bd_resources left = {type->cpus - machine->cpus - gpu_tasks * g->cpus, 0,
+                                type->mem - machine->mem - gpu_tasks * g->mem};
+    return left.cpus < 0 || left.mem < 0 ? 0 : bd_resources_fit(left, spec, most);
 }
 
 /* Whether it is known what GPU work could do here: before any has come, nothing is harmless. */
@@ -115,7 +118,7 @@
 }
 
 double bd_place_cost(const struct placement_cycle *d, const struct bd_spec *spec,
-                     const struct bd_machine *machine, struct bd_room r, bool harm)
+                     const struct bd_machine *machine, struct bd_resources r, bool harm)
 {
     const struct bd_core *core = d->core;
     const struct bd_type *type = &core->types[machine->type];
@@ -168,8 +171,9 @@
             continue;
         if (r->quick && !bd_quick_there(core, &job->spec, machine))
             continue;
-        struct bd_room room = bd_unclaimed_room(r, machine);
-        if (!bd_room_fits(room, &job->spec, 1) || !bd_zone_left(core, job, zones, machine->zone, 1))
+        struct bd_resources capacity = bd_unclaimed_capacity(r, machine);
+        if (!bd_resources_fit(capacity, &job->spec, 1) ||
+            !bd_zone_left(core, job, zones, machine->zone, 1))
             continue;
         bool harm = harmless(core, &job->spec, machine, 1) == 0;
         if (harm && !may_harm)
@@ -182,7 +186,7 @@
         if (keeps && !any_price)
             continue;
         double v =
-            bd_place_cost(r, &job->spec, machine, room, harm) + (keeps ? COST_KEEPS_DEAR : 0);
+            bd_place_cost(r, &job->spec, machine, capacity, harm) + (keeps ? COST_KEEPS_DEAR : 0);
         if (v < low) {
             low = v;
             found = machine;
@@ -231,8 +235,8 @@
         struct bd_machine *machine = best(r, job, zones, any_price, may_harm);
         if (!machine)
             break;
-        struct bd_room room = bd_unclaimed_room(r, machine);
-        uint32_t n = bd_room_fits(room, &job->spec, most - placed),
+        struct bd_resources capacity = bd_unclaimed_capacity(r, machine);
+        uint32_t n = bd_resources_fit(capacity, &job->spec, most - placed),
                  kind = harmless(r->core, &job->spec, machine, n);
         if (kind > 0) /* the next ones may do better elsewhere */
             n = kind;
@@ -283,7 +287,7 @@
 static void hold(struct placement_cycle *r, const struct bd_job *job, uint32_t from)
 {
     for (uint32_t i = from; i < r->k->nplan; i++)
-        bd_room_add(&r->claimed[r->k->plan[i].machine], &job->spec, 1);
+        bd_resources_add(&r->claimed[r->k->plan[i].machine], &job->spec, 1);
 }
 
 /* All of the gang, or nothing; *got says how many could be placed where most could. */
--- a/src/scheduling/placement_internal.h
+++ b/src/scheduling/placement_internal.h
@@ -22,25 +22,26 @@
     uint32_t njobs;
     size_t bytes, most_bytes;
     uint32_t compares, compares_max;
-    struct stops *stops;        /* by machine */
-    double *fetch;              /* by machine: seconds of fetching that this round's plans add */
-    double *cost;               /* by machine: of making room for the job that is being placed */
-    uint32_t nstops;            /* tasks stopped in this round, and one more */
-    struct bd_room *claimed;    /* by machine: room that waits for tasks being stopped */
-    int only_zone;              /* -1: any */
-    bool quick;                 /* only where no long fetch comes first */
-    bool *open;                 /* by machine: new work may come to it */
-    bool dear[BD_MAX_TYPES][2]; /* for the job that is being placed */
-    bool urgent;                /* its aims leave it no time for a fetch */
-    double spot_lost;           /* what a spot one costs it that an ordinary one would not */
-    double not_spot;            /* what an ordinary machine costs it that a spot one would not */
+    struct stops *stops;          /* by machine */
+    double *fetch;                /* by machine: seconds of fetching that this round's plans add */
+    double *cost;                 /* by machine: of making room for the job that is being placed */
+    uint32_t nstops;              /* tasks stopped in this round, and one more */
+    struct bd_resources *claimed; /* by machine: room that waits for tasks being stopped */
+    int only_zone;                /* -1: any */
+    bool quick;                   /* only where no long fetch comes first */
+    bool *open;                   /* by machine: new work may come to it */
+    bool dear[BD_MAX_TYPES][2];   /* for the job that is being placed */
+    bool urgent;                  /* its aims leave it no time for a fetch */
+    double spot_lost;             /* what a spot one costs it that an ordinary one would not */
+    double not_spot;              /* what an ordinary machine costs it that a spot one would not */
 };
-struct bd_room bd_unclaimed_room(const struct placement_cycle *r, const struct bd_machine *machine);
+struct bd_resources bd_unclaimed_capacity(const struct placement_cycle *r,
+                                          const struct bd_machine *machine);
 void bd_zone_counts(struct bd_core *core, const struct bd_job *job, uint32_t *n);
 uint32_t bd_zone_left(const struct bd_core *core, const struct bd_job *job, const uint32_t *n,
                       int z, uint32_t most);
 double bd_place_cost(const struct placement_cycle *d, const struct bd_spec *spec,
-                     const struct bd_machine *machine, struct bd_room r, bool harm);
+                     const struct bd_machine *machine, struct bd_resources r, bool harm);
 bool bd_zone_open(const struct placement_cycle *r, const struct bd_machine *machine);
 bool bd_quick_there(const struct bd_core *core, const struct bd_spec *spec,
                     const struct bd_machine *machine);
--- a/src/scheduling/preemption.c
+++ b/src/scheduling/preemption.c
@@ -46,10 +46,11 @@
 
 /* Room on the machine once what is stopping has gone, and what else could be stopped. */
 static void later_room(struct placement_cycle *r, const struct bd_job *want,
-                       struct bd_machine *machine, struct bd_room *soon, struct bd_room *most)
+                       struct bd_machine *machine, struct bd_resources *soon,
+                       struct bd_resources *most)
 {
     const struct stops *s = sum_up(r, machine);
-    *soon = bd_unclaimed_room(r, machine);
+    *soon = bd_unclaimed_capacity(r, machine);
     *most = *soon;
     bool lower = s->any && s->least < want->rank;
     if (!s->stopping && !lower && !(want->in_guarantee && s->borrowed))
@@ -58,10 +59,10 @@
         struct bd_job *job = machine->reservations[k].job;
         struct bd_task *task = &job->tasks[machine->reservations[k].task];
         if (task->flags & BD_TASK_FLAG_STOP_REQUESTED) {
-            bd_room_add(soon, &job->spec, 1);
-            bd_room_add(most, &job->spec, 1);
+            bd_resources_add(soon, &job->spec, 1);
+            bd_resources_add(most, &job->spec, 1);
         } else if (may_stop(want, job, task)) {
-            bd_room_add(most, &job->spec, 1);
+            bd_resources_add(most, &job->spec, 1);
         }
     }
 }
@@ -93,13 +94,13 @@
 }
 
 static void stop_for(struct placement_cycle *r, const struct bd_job *want,
-                     struct bd_machine *machine, struct bd_room soon)
+                     struct bd_machine *machine, struct bd_resources soon)
 {
-    while (!bd_room_fits(soon, &want->spec, 1)) {
+    while (!bd_resources_fit(soon, &want->spec, 1)) {
         struct bd_reservation pick = least_valuable(want, machine);
         if (!pick.job)
             return;
-        bd_room_add(&soon, &pick.job->spec, 1);
+        bd_resources_add(&soon, &pick.job->spec, 1);
         r->nstops++;
         bd_task_stop(r->core, pick.job, pick.task, BD_STOP_PREEMPTED, false);
     }
@@ -110,14 +111,14 @@
                         struct bd_machine *machine, const uint32_t *zones, bool only_cheap)
 {
     struct bd_core *core = r->core;
-    struct bd_room soon, most;
+    struct bd_resources soon, most;
     if (!r->open[machine->index] || !bd_zone_open(r, machine) ||
         !bd_allowed(&job->spec, machine->type, machine->zone, machine->spot) ||
         (only_cheap && r->dear[machine->type][machine->spot]) ||
         !bd_zone_left(core, job, zones, machine->zone, 1))
         return INFINITY;
     later_room(r, job, machine, &soon, &most);
-    if (!bd_room_fits(most, &job->spec, 1))
+    if (!bd_resources_fit(most, &job->spec, 1))
         return INFINITY;
     double v = bd_fetch_s(core, machine, &job->spec);
     double lacking = fmax(0, fmax(job->spec.cpus - soon.cpus, 0) / fmax(job->spec.cpus, 1) +
@@ -143,7 +144,7 @@
 bool bd_vacate(struct placement_cycle *r, struct bd_job *job, uint32_t *zones, bool only_cheap)
 {
     for (;;) {
-        struct bd_room soon, most;
+        struct bd_resources soon, most;
         uint32_t pick = 0;
         for (uint32_t i = 1; i < r->core->nmachines; i++)
             if (r->cost[i] < r->cost[pick])
@@ -158,7 +159,7 @@
         }
         later_room(r, job, machine, &soon, &most);
         stop_for(r, job, machine, soon);
-        bd_room_add(&r->claimed[pick], &job->spec, 1);
+        bd_resources_add(&r->claimed[pick], &job->spec, 1);
         zones[machine->zone]++;
         r->cost[pick] = stop_cost(r, job, machine, zones, only_cheap);
         return true;
--- a/src/workers/lease_renewal.c
+++ b/src/workers/lease_renewal.c
@@ -22,9 +22,9 @@
  * with it too: all controllers must come to the same figure. */
 double bd_grace_s(const struct bd_settings *settings)
 {
-    double room = bd_to_secs(settings->cancel) - bd_to_secs(settings->lease) * (1 + DRIFT);
-    double margin = room * MARGIN_SHARE < MARGIN_S ? room * MARGIN_SHARE : MARGIN_S;
-    return room > 0 ? room - margin : 0;
+    double capacity = bd_to_secs(settings->cancel) - bd_to_secs(settings->lease) * (1 + DRIFT);
+    double margin = capacity * MARGIN_SHARE < MARGIN_S ? capacity * MARGIN_SHARE : MARGIN_S;
+    return capacity > 0 ? capacity - margin : 0;
 }
 
 bool bd_in_grace(const struct bd_core *core, struct timespec seen)
