--- a/src/autoscaling/autoscaler.c
+++ b/src/autoscaling/autoscaler.c
@@ -100,8 +100,8 @@
 }
 
 /* The cheapest kind of machine for `left` more tasks, or false. */
-static bool choose(struct demand *d, const struct bd_spec *spec, uint32_t left, enum bd_reach reach,
-                   int *type, int *zone, bool *spot)
+static bool choose(struct demand *d, const struct bd_spec *spec, uint32_t left,
+                   enum bd_cost_tier cost_tier, int *type, int *zone, bool *spot)
 {
     struct bd_core *core = d->core;
     double low = INFINITY;
@@ -115,7 +115,7 @@
         for (int z = 0; z < core->nzones; z++) {
             for (int sp = 0; sp < 2; sp++) {
                 if (!(core->types[t].zones >> z & 1) || !bd_allowed(spec, t, z, sp) ||
-                    !bd_in_reach(core, spec, reach, t, sp) ||
+                    !bd_within_cost_tier(core, spec, cost_tier, t, sp) ||
                     bd_before(core->now, core->cloud.pools[t][z][sp].refuse_until))
                     continue;
                 double v = (sp ? core->types[t].spot_price : core->types[t].price) / n;
@@ -146,13 +146,13 @@
 /* Finds n tasks room within the reach, in what is there or coming and then in what can be rented;
  * returns for how many there was none. */
 static uint32_t want_within(struct demand *d, const struct bd_spec *spec, uint32_t n,
-                            enum bd_reach reach)
+                            enum bd_cost_tier cost_tier)
 {
     int type = 0, zone = 0;
     bool spot = false, in[BD_MAX_TYPES][2] = {{false}};
     for (int t = 0; t < d->core->ntypes; t++)
         for (int sp = 0; sp < 2; sp++)
-            in[t][sp] = bd_in_reach(d->core, spec, reach, t, sp);
+            in[t][sp] = bd_within_cost_tier(d->core, spec, cost_tier, t, sp);
     for (int i = 0; i < d->n && n > 0; i++) {
         struct bin *b = &d->bins[i];
         while (n > 0 && in[b->type][b->spot] && bin_fits(b, spec) &&
@@ -163,7 +163,7 @@
                 b->machine->spare = true;
         }
     }
-    while (n > 0 && choose(d, spec, n, reach, &type, &zone, &spot)) {
+    while (n > 0 && choose(d, spec, n, cost_tier, &type, &zone, &spot)) {
         struct bin *b = add_bin(d, type, zone, spot, true);
         while (n > 0 && bin_fits(b, spec)) {
             bin_take(b, spec);
@@ -175,11 +175,12 @@
 
 /* A job that may have a dear place by now still gets a cheap one rented where there is one: dear
  * machines on their way are for work that needs them. */
-static void want_job(struct demand *d, const struct bd_spec *spec, uint32_t n, enum bd_reach reach)
+static void want_job(struct demand *d, const struct bd_spec *spec, uint32_t n,
+                     enum bd_cost_tier cost_tier)
 {
-    if (reach == BD_REACH_ANY)
-        n = want_within(d, spec, n, BD_REACH_CHEAP);
-    (void)want_within(d, spec, n, reach);
+    if (cost_tier == BD_TIER_ANY)
+        n = want_within(d, spec, n, BD_TIER_CHEAP);
+    (void)want_within(d, spec, n, cost_tier);
 }
 
 /* ---- spare room, from the aims and what arrives ---- */
@@ -255,7 +256,7 @@
     int type = 0, zone = 0;
     bool spot = false;
     double most = 0, per_job = (double)k->tasks / k->jobs;
-    if (!choose(d, &k->spec, (uint32_t)ceil(per_job), BD_REACH_ANY, &type, &zone, &spot))
+    if (!choose(d, &k->spec, (uint32_t)ceil(per_job), BD_TIER_ANY, &type, &zone, &spot))
         return 0;
     double lead = core->types[type].boot + k->image_gb / k->jobs / core->types[type].fetch;
     for (int i = 0; i < core->settings->naims; i++) {
@@ -296,7 +297,7 @@
     for (int gpus = 1; gpus >= 0; gpus--)
         for (int i = 0; i < n; i++)
             if (k[i].jobs && (k[i].spec.gpus > 0) == (gpus > 0) && k[i].spec.team >= 0)
-                want_job(d, &k[i].spec, spare_slots(d, &k[i], window), BD_REACH_ANY);
+                want_job(d, &k[i].spec, spare_slots(d, &k[i], window), BD_TIER_ANY);
 }
 
 /* Cheap room for the services on dear machines: nothing waits for it, so that no demand shows. */
@@ -312,13 +313,13 @@
         for (uint32_t k = 0; k < machine->nreservations; k++)
             if (machine->reservations[k].job->spec.shape == BD_SERVICE &&
                 machine->reservations[k].job->state == BD_JOB_ACTIVE)
-                want_job(d, &machine->reservations[k].job->spec, 1, BD_REACH_CHEAP);
+                want_job(d, &machine->reservations[k].job->spec, 1, BD_TIER_CHEAP);
     }
 }
 
 static void want_moved(void *arg, const struct bd_spec *spec)
 {
-    want_job(arg, spec, 1, BD_REACH_ANY);
+    want_job(arg, spec, 1, BD_TIER_ANY);
 }
 
 static void provision_wanted(struct demand *d)
@@ -357,7 +358,7 @@
     for (uint32_t i = 0; i < n; i++)
         if (jobs[i]->npending > 0 && bd_before(jobs[i]->hold_until, core->now))
             want_job(d, &jobs[i]->spec, under_quota(d, &jobs[i]->spec, jobs[i]->npending),
-                     bd_reach_of(core, jobs[i]));
+                     bd_cost_tier_of(core, jobs[i]));
     free(jobs);
     for (uint32_t i = 0; i < core->nmachines; i++)
         core->by_index[i]->spare = false;
--- a/src/autoscaling/consolidation.c
+++ b/src/autoscaling/consolidation.c
@@ -29,7 +29,7 @@
     for (uint32_t k = 0; k < machine->nreservations; k++) {
         const struct bd_job *job = machine->reservations[k].job;
         if (job->spec.shape == BD_SERVICE &&
-            bd_dear(core, &job->spec, machine->type, machine->spot))
+            bd_type_is_expensive(core, &job->spec, machine->type, machine->spot))
             *services += job->spec.cpus;
     }
     return *services > 0;
@@ -77,7 +77,7 @@
         t->cpus < job->spec.cpus || t->gpus < job->spec.gpus || t->mem < job->spec.mem ||
         !bd_allowed(&job->spec, machine->type, machine->zone, machine->spot))
         return false;
-    bool cheap = !bd_dear(core, &job->spec, machine->type, machine->spot);
+    bool cheap = !bd_type_is_expensive(core, &job->spec, machine->type, machine->spot);
     if (move_fetch_s(core, t, &job->spec) >= (cheap ? CHEAP_FETCH_S : MOVE_FETCH_S))
         return false;
     return cheap || machine->gpus > 0 || t->services > services;
@@ -95,7 +95,8 @@
         if (!target_fits(g->core, job, t, from, services))
             continue;
         double v = t->m->gpus > 0 ? 0 : 1 + t->services;
-        if (!bd_dear(g->core, &job->spec, t->m->type, t->m->spot)) /* the sooner there the better */
+        if (!bd_type_is_expensive(g->core, &job->spec, t->m->type,
+                                  t->m->spot)) /* the sooner there the better */
             v += 1e6 * (1 + CHEAP_FETCH_S - move_fetch_s(g->core, t, &job->spec));
         if (v > high) {
             high = v;
--- a/src/core/core_internal.h
+++ b/src/core/core_internal.h
@@ -179,14 +179,15 @@
 struct timespec bd_command_until(const struct bd_core *core, bool launch);
 
 /* prices: which machines a job may take, by how long it has waited */
-enum bd_reach { BD_REACH_SPOT, BD_REACH_CHEAP, BD_REACH_ANY };
+enum bd_cost_tier { BD_TIER_SPOT, BD_TIER_CHEAP, BD_TIER_ANY };
 const char *bd_class_name(const struct bd_core *core, int id);
 int bd_tasks_a_machine(const struct bd_type *type, const struct bd_spec *spec);
-bool bd_dear(const struct bd_core *core, const struct bd_spec *spec, int type, bool spot);
+bool bd_type_is_expensive(const struct bd_core *core, const struct bd_spec *spec, int type,
+                          bool spot);
 double bd_slack(const struct bd_core *core, int job_class, double estimate, const struct bd_aim *a);
-enum bd_reach bd_reach_of(const struct bd_core *core, const struct bd_job *job);
-bool bd_in_reach(const struct bd_core *core, const struct bd_spec *spec, enum bd_reach reach,
-                 int type, bool spot);
+enum bd_cost_tier bd_cost_tier_of(const struct bd_core *core, const struct bd_job *job);
+bool bd_within_cost_tier(const struct bd_core *core, const struct bd_spec *spec,
+                         enum bd_cost_tier cost_tier, int type, bool spot);
 
 /* standing by in a zone that is cut off */
 #define STANDBY_AFTER_S 3.0 /* without a word from the state service */
--- a/src/scheduling/cost_model.c
+++ b/src/scheduling/cost_model.c
@@ -3,11 +3,11 @@
 #include <math.h>
 
 /* named defaults */
-#define DEAR 2.5           /* times the cheapest ordinary place for the task */
-#define PATIENCE 1.0       /* of the time that a job can spare */
-#define HOPE_S 20.0        /* with less to spare an aim is not counted on */
-#define YIELD_LEAST_S 15.0 /* while GPU work waits for machines */
-#define RUN_FACTOR 1.5     /* a job's slowest task against its owner's guess */
+#define EXPENSIVE_FACTOR 2.5 /* times the cheapest ordinary place for the task */
+#define PATIENCE 1.0         /* of the time that a job can spare */
+#define HOPE_S 20.0          /* with less to spare an aim is not counted on */
+#define YIELD_LEAST_S 15.0   /* while GPU work waits for machines */
+#define RUN_FACTOR 1.5       /* a job's slowest task against its owner's guess */
 
 int bd_tasks_a_machine(const struct bd_type *type, const struct bd_spec *spec)
 {
@@ -32,12 +32,13 @@
 }
 
 /* Whether a place on such a machine costs much more than the cheapest would. */
-bool bd_dear(const struct bd_core *core, const struct bd_spec *spec, int type, bool spot)
+bool bd_type_is_expensive(const struct bd_core *core, const struct bd_spec *spec, int type,
+                          bool spot)
 {
     double low = INFINITY;
     for (int t = 0; t < core->ntypes; t++)
         low = fmin(low, place_price(core, spec, t, false));
-    return place_price(core, spec, type, spot) > DEAR * low;
+    return place_price(core, spec, type, spot) > EXPENSIVE_FACTOR * low;
 }
 
 const char *bd_class_name(const struct bd_core *core, int id)
@@ -88,7 +89,7 @@
     return any ? PATIENCE * fmin(tight, loose) : 0;
 }
 
-enum bd_reach bd_reach_of(const struct bd_core *core, const struct bd_job *job)
+enum bd_cost_tier bd_cost_tier_of(const struct bd_core *core, const struct bd_job *job)
 {
     double can = patience(core, &job->spec), waited = core->wall - job->ready;
     if (isfinite(job->due_by)) /* what waits for it leaves it no more than that */
@@ -96,16 +97,16 @@
     bool yields = core->cloud.gpu_waiting && job->spec.gpus <= 0 && job->spec.shape == BD_ARRAY &&
                   job->rank <= BD_STANDARD;
     if (waited >= (yields ? fmax(can, YIELD_LEAST_S) : can))
-        return BD_REACH_ANY;
-    return job->spec.spot && waited < can / 2 ? BD_REACH_SPOT : BD_REACH_CHEAP;
+        return BD_TIER_ANY;
+    return job->spec.spot && waited < can / 2 ? BD_TIER_SPOT : BD_TIER_CHEAP;
 }
 
-bool bd_in_reach(const struct bd_core *core, const struct bd_spec *spec, enum bd_reach reach,
-                 int type, bool spot)
+bool bd_within_cost_tier(const struct bd_core *core, const struct bd_spec *spec,
+                         enum bd_cost_tier cost_tier, int type, bool spot)
 {
-    if (reach == BD_REACH_ANY)
+    if (cost_tier == BD_TIER_ANY)
         return true;
-    if (reach == BD_REACH_SPOT && !spot)
+    if (cost_tier == BD_TIER_SPOT && !spot)
         return false;
-    return !bd_dear(core, spec, type, spot);
+    return !bd_type_is_expensive(core, spec, type, spot);
 }
--- a/src/scheduling/placement.c
+++ b/src/scheduling/placement.c
@@ -4,18 +4,18 @@
 #include <math.h>
 
 /* named defaults: the weights of a choice, in seconds of later start */
-#define COST_GPU_WASTE 200.0 /* work without GPUs on a machine that has some */
-#define COST_KEEPS_DEAR 30.0 /* a dear machine that would go back otherwise */
-#define COST_LEFTOVER 5.0    /* the whole machine left free after the placement */
-#define COST_NOT_SPOT 20.0   /* work that may use spot, on an ordinary machine */
-#define NOT_SPOT_SHARE 0.2   /* ... but no more than this of the time that its aims leave */
-#define COST_SPOT_LOST 8.0   /* what a due time may lose by a spot machine that is taken */
-#define DUE_HURRY_S 8.0      /* less than this until the start that a due time needs */
-#define HURRY_S 30.0         /* less than this to spare */
-#define WORTH_MOVING_S 12.0  /* a fetch longer than this is worth stopping borrowed work */
-#define QUICK_S 0.5          /* a fetch that nobody minds */
-#define FORCE_AGAIN_S 0.5    /* a job that nothing can be stopped for asks again after this */
-#define HOLD_AFTER_S 10.0    /* a gang waits so long before room is held and made for it */
+#define COST_GPU_WASTE 200.0      /* work without GPUs on a machine that has some */
+#define COST_KEEPS_EXPENSIVE 30.0 /* a dear machine that would go back otherwise */
+#define COST_LEFTOVER 5.0         /* the whole machine left free after the placement */
+#define COST_NOT_SPOT 20.0        /* work that may use spot, on an ordinary machine */
+#define NOT_SPOT_SHARE 0.2        /* ... but no more than this of the time that its aims leave */
+#define COST_SPOT_LOST 8.0        /* what a due time may lose by a spot machine that is taken */
+#define DUE_HURRY_S 8.0           /* less than this until the start that a due time needs */
+#define HURRY_S 30.0              /* less than this to spare */
+#define WORTH_MOVING_S 12.0       /* a fetch longer than this is worth stopping borrowed work */
+#define QUICK_S 0.5               /* a fetch that nobody minds */
+#define FORCE_AGAIN_S 0.5         /* a job that nothing can be stopped for asks again after this */
+#define HOLD_AFTER_S 10.0         /* a gang waits so long before room is held and made for it */
 
 /* Free room that is not kept for a task whose place is being vacated. */
 struct bd_resources bd_unclaimed_capacity(const struct placement_cycle *r,
@@ -154,8 +154,9 @@
 static bool keeps_dear(const struct placement_cycle *r, const struct bd_spec *spec,
                        const struct bd_machine *machine)
 {
-    return spec->gpus <= 0 && spec->shape == BD_ARRAY && r->dear[machine->type][machine->spot] &&
-           machine->pinned_cpus <= 0 && machine->pinned_gpus <= 0 && !machine->spare;
+    return spec->gpus <= 0 && spec->shape == BD_ARRAY &&
+           r->expensive[machine->type][machine->spot] && machine->pinned_cpus <= 0 &&
+           machine->pinned_gpus <= 0 && !machine->spare;
 }
 
 static struct bd_machine *best(struct placement_cycle *r, const struct bd_job *job,
@@ -179,14 +180,14 @@
         if (harm && !may_harm)
             continue;
         /* a dear machine that GPU work cannot use anyway is as good as a cheap one */
-        if (!any_price && r->dear[machine->type][machine->spot] &&
+        if (!any_price && r->expensive[machine->type][machine->spot] &&
             (harm || !known_use(core, machine)))
             continue;
         bool keeps = keeps_dear(r, &job->spec, machine);
         if (keeps && !any_price)
             continue;
-        double v =
-            bd_place_cost(r, &job->spec, machine, capacity, harm) + (keeps ? COST_KEEPS_DEAR : 0);
+        double v = bd_place_cost(r, &job->spec, machine, capacity, harm) +
+                   (keeps ? COST_KEEPS_EXPENSIVE : 0);
         if (v < low) {
             low = v;
             found = machine;
@@ -229,7 +230,7 @@
 {
     uint32_t zones[BD_MAX_ZONES], placed = 0, next = 0;
     /* only what is rented waits for spot: a machine that is there costs the same idle */
-    bool any_price = bd_reach_of(r->core, job) == BD_REACH_ANY;
+    bool any_price = bd_cost_tier_of(r->core, job) == BD_TIER_ANY;
     bd_zone_counts(r->core, job, zones);
     while (placed < most) {
         struct bd_machine *machine = best(r, job, zones, any_price, may_harm);
@@ -369,7 +370,7 @@
     }
     for (int t = 0; t < r->core->ntypes; t++)
         for (int spot = 0; spot < 2; spot++)
-            r->dear[t][spot] = bd_dear(r->core, spec, t, spot);
+            r->expensive[t][spot] = bd_type_is_expensive(r->core, spec, t, spot);
 }
 
 static void place_job(struct placement_cycle *r, struct bd_job *job)
--- a/src/scheduling/placement_internal.h
+++ b/src/scheduling/placement_internal.h
@@ -30,10 +30,10 @@
     int only_zone;                /* -1: any */
     bool quick;                   /* only where no long fetch comes first */
     bool *open;                   /* by machine: new work may come to it */
-    bool dear[BD_MAX_TYPES][2];   /* for the job that is being placed */
-    bool urgent;                  /* its aims leave it no time for a fetch */
-    double spot_lost;             /* what a spot one costs it that an ordinary one would not */
-    double not_spot;              /* what an ordinary machine costs it that a spot one would not */
+    bool expensive[BD_MAX_TYPES][2]; /* for the job that is being placed */
+    bool urgent;                     /* its aims leave it no time for a fetch */
+    double spot_lost;                /* what a spot one costs it that an ordinary one would not */
+    double not_spot; /* what an ordinary machine costs it that a spot one would not */
 };
 struct bd_resources bd_unclaimed_capacity(const struct placement_cycle *r,
                                           const struct bd_machine *machine);
--- a/src/scheduling/preemption.c
+++ b/src/scheduling/preemption.c
@@ -114,7 +114,7 @@
     struct bd_resources soon, most;
     if (!r->open[machine->index] || !bd_zone_open(r, machine) ||
         !bd_allowed(&job->spec, machine->type, machine->zone, machine->spot) ||
-        (only_cheap && r->dear[machine->type][machine->spot]) ||
+        (only_cheap && r->expensive[machine->type][machine->spot]) ||
         !bd_zone_left(core, job, zones, machine->zone, 1))
         return INFINITY;
     later_room(r, job, machine, &soon, &most);
