--- a/src/autoscaling/autoscaler.c
+++ b/src/autoscaling/autoscaler.c
@@ -507,6 +507,6 @@
     if (!core->lead.listed_once)
         return;
     provision_for_demand(core);
-    bd_gather(core);
+    bd_consolidate(core);
     return_machines(core);
 }
--- a/src/autoscaling/autoscaler_internal.h
+++ b/src/autoscaling/autoscaler_internal.h
@@ -9,5 +9,5 @@
 const char *bd_provision_request(struct bd_core *core, int type, int zone, bool spot, int count);
 bool bd_only_services(const struct bd_core *core, const struct bd_machine *machine,
                       double *services);
-void bd_gather(struct bd_core *core);
+void bd_consolidate(struct bd_core *core);
 #endif
--- a/src/autoscaling/consolidation.c
+++ b/src/autoscaling/consolidation.c
@@ -7,15 +7,15 @@
 #include <math.h>
 #include <stdio.h>
 
-#define SETTLED_S 40.0   /* a service younger than this stays where it is */
-#define GATHER_SHARE 0.8 /* of a machine: with more services than this it is left as it is */
-#define AWAY_LEAST_S 2.0 /* seconds that moves keep replicas away, a second, */
-#define AWAY_SHARE 0.003 /* of the services' running tasks */
-#define AWAY_KEPT_S 40.0 /* so long is kept of what was not used */
-#define MOVE_S 2.0       /* one move keeps a replica away so long, and for the fetch of its image */
-#define EMPTY_MOST 64    /* tasks of a machine that is emptied */
-#define MOVE_FETCH_S 4.0 /* a longer fetch is not worth a move, */
-#define CHEAP_FETCH_S 15.0 /* ... nor this to a cheap machine */
+#define SETTLED_S 40.0        /* a service younger than this stays where it is */
+#define CONSOLIDATE_SHARE 0.8 /* of a machine: with more services than this it is left as it is */
+#define AWAY_LEAST_S 2.0      /* seconds that moves keep replicas away, a second, */
+#define AWAY_SHARE 0.003      /* of the services' running tasks */
+#define AWAY_KEPT_S 40.0      /* so long is kept of what was not used */
+#define MOVE_S 2.0 /* one move keeps a replica away so long, and for the fetch of its image */
+#define CONSOLIDATING_MAX 64 /* tasks of a machine that is emptied */
+#define MOVE_FETCH_S 4.0     /* a longer fetch is not worth a move, */
+#define CHEAP_FETCH_S 15.0   /* ... nor this to a cheap machine */
 
 /* ---- gathering: services that keep dear machines busy move together ---- */
 
@@ -46,7 +46,7 @@
 
 /* A refresh at where services could gather: the machines with room for some, and what moves that
  * are decided in this look take of it. */
-struct gathering {
+struct consolidation {
     struct bd_core *core;
     struct source {
         struct bd_machine *m;
@@ -73,7 +73,7 @@
                         const struct target *t, const struct bd_machine *from, double services)
 {
     const struct bd_machine *machine = t->m;
-    if (machine == from || machine->emptying || machine->zone != from->zone ||
+    if (machine == from || machine->consolidating || machine->zone != from->zone ||
         t->cpus < job->spec.cpus || t->gpus < job->spec.gpus || t->mem < job->spec.mem ||
         !bd_allowed(&job->spec, machine->type, machine->zone, machine->spot))
         return false;
@@ -85,7 +85,7 @@
 
 /* A place for the task where no GPU work is harmed: on a cheap machine, on the one that holds most
  * services already, or beside GPU work, which will end and leave the service alone there. */
-static struct target *place_elsewhere(struct gathering *g, const struct bd_job *job,
+static struct target *place_elsewhere(struct consolidation *g, const struct bd_job *job,
                                       const struct bd_machine *from, double services)
 {
     struct target *found = NULL;
@@ -121,7 +121,7 @@
     return a->m->index < b->m->index ? -1 : 1;
 }
 
-static void look_round(struct gathering *g)
+static void look_round(struct consolidation *g)
 {
     struct bd_core *core = g->core;
     g->sources = calloc(core->nmachines + 1, sizeof *g->sources);
@@ -131,7 +131,8 @@
     for (uint32_t i = 0; i < core->nmachines; i++) {
         struct bd_machine *machine = core->by_index[i];
         double held = 0;
-        machine->emptying = machine->emptying && machine->nreservations > 0 && !machine->gone;
+        machine->consolidating =
+            machine->consolidating && machine->nreservations > 0 && !machine->gone;
         if (machine->gone || !bd_machine_usable(core, machine))
             continue;
         if (bd_only_services(core, machine, &held))
@@ -149,7 +150,7 @@
     qsort(g->sources, g->nsources, sizeof *g->sources, fewer_services);
 }
 
-static bool is_target(const struct gathering *g, const struct bd_machine *machine)
+static bool is_target(const struct consolidation *g, const struct bd_machine *machine)
 {
     for (uint32_t i = 0; i < g->ntargets; i++)
         if (g->targets[i].m == machine)
@@ -159,13 +160,13 @@
 
 /* Whether all that the machine holds could move now: to empty it in part frees nothing. Moves with
  * a long fetch wait until what replicas may be away covers them. */
-static bool can_empty(struct gathering *g, const struct source *s, double than)
+static bool can_consolidate(struct consolidation *g, const struct source *s, double than)
 {
-    struct target *took[EMPTY_MOST];
-    int fetched[EMPTY_MOST];
-    const struct bd_spec *what[EMPTY_MOST];
+    struct target *took[CONSOLIDATING_MAX];
+    int fetched[CONSOLIDATING_MAX];
+    const struct bd_spec *what[CONSOLIDATING_MAX];
     uint32_t n = 0;
-    bool all = s->m->nreservations <= EMPTY_MOST, slow = false;
+    bool all = s->m->nreservations <= CONSOLIDATING_MAX, slow = false;
     double away = 0;
     for (uint32_t k = 0; all && k < s->m->nreservations; k++) {
         struct bd_reservation r = s->m->reservations[k];
@@ -197,7 +198,7 @@
 
 /* All tasks leave the machine at once: a job that was moved is not settled for a while. Returns for
  * how long replicas are away, in sum. */
-static double empty(struct gathering *g, const struct source *s, double than)
+static double empty(struct consolidation *g, const struct source *s, double than)
 {
     double away = 0;
     for (uint32_t k = s->m->nreservations; k > 0; k--) {
@@ -214,9 +215,9 @@
         if (bd_fetch_s(g->core, t->m, &r.job->spec) > 0)
             t->fetches = r.job->spec.image;
         t->taken = true;
-        s->m->emptying = true;
+        s->m->consolidating = true;
         bd_log_write(g->core->log, BD_LOG_INFO, "%s/%u moves off %s", r.job->id, r.task, s->m->id);
-        bd_task_stop(g->core, r.job, r.task, BD_STOP_GATHERED, false);
+        bd_task_stop(g->core, r.job, r.task, BD_STOP_CONSOLIDATED, false);
     }
     return away;
 }
@@ -236,18 +237,19 @@
 
 /* Dear machines are emptied, those with the fewest services first; one that cannot be emptied now
  * does not hold up the others. */
-void bd_gather(struct bd_core *core)
+void bd_consolidate(struct bd_core *core)
 {
-    struct gathering g = {.core = core};
+    struct consolidation g = {.core = core};
     look_round(&g);
     allow_moves(core);
     for (uint32_t i = 0; i < g.nsources && core->cloud.moves_s > 0; i++) {
         struct source *s = &g.sources[i];
         /* a machine full of services is worth emptying into cheap room only */
         double than =
-            s->services > GATHER_SHARE * core->types[s->m->type].cpus ? INFINITY : s->services;
-        s->m->emptying = false; /* new services may come if it is not to be emptied after all */
-        if (is_target(&g, s->m) || !can_empty(&g, s, than) || !bd_drain_allows(core, s->m))
+            s->services > CONSOLIDATE_SHARE * core->types[s->m->type].cpus ? INFINITY : s->services;
+        s->m->consolidating =
+            false; /* new services may come if it is not to be emptied after all */
+        if (is_target(&g, s->m) || !can_consolidate(&g, s, than) || !bd_drain_allows(core, s->m))
             continue;
         core->cloud.moves_s -= empty(&g, s, than);
     }
--- a/src/model/decision_log.c
+++ b/src/model/decision_log.c
@@ -18,9 +18,9 @@
                                    [BD_RELEASE_MOVED] = "moved",
                                    [BD_RELEASE_DONE] = "done"};
 static const char *const stops[] = {
-    [BD_STOP_CANCELLED] = "cancelled", [BD_STOP_PREEMPTED] = "preempted",
-    [BD_STOP_GATHERED] = "gathered",   [BD_STOP_DRAINED] = "drained",
-    [BD_STOP_EVACUATED] = "evacuated", [BD_STOP_GANG] = "gang"};
+    [BD_STOP_CANCELLED] = "cancelled",   [BD_STOP_PREEMPTED] = "preempted",
+    [BD_STOP_CONSOLIDATED] = "gathered", [BD_STOP_DRAINED] = "drained",
+    [BD_STOP_EVACUATED] = "evacuated",   [BD_STOP_GANG] = "gang"};
 static const char *const states[] = {"wait", "plan", "launch", "live", "unknown", "done"};
 
 static bool wanted(const struct bd_core *core)
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -55,7 +55,7 @@
     int delegate;               /* whose: an index into the core's delegates */
     struct timespec redirected; /* when it was last sent to its own zone's controller */
     bool direct;                /* its last report came from itself, not by another controller */
-    bool emptying;              /* being emptied, so that a dear machine is free again */
+    bool consolidating;         /* being emptied, so that a dear machine is free again */
     bool bad, spare;            /* spare: kept for work that is expected */
 };
 #endif
--- a/src/model/task.h
+++ b/src/model/task.h
@@ -45,7 +45,7 @@
 enum bd_stop_reason {
     BD_STOP_CANCELLED,
     BD_STOP_PREEMPTED,
-    BD_STOP_GATHERED, /* moves, so that its machine can go back */
+    BD_STOP_CONSOLIDATED, /* moves, so that its machine can go back */
     BD_STOP_DRAINED,
     BD_STOP_EVACUATED, /* its machine is taken by the cloud, or fails its tasks */
     BD_STOP_GANG       /* another task of its gang is gone */
--- a/src/scheduling/placement.c
+++ b/src/scheduling/placement.c
@@ -440,7 +440,7 @@
     if (!r.claimed || !r.open || !r.stops || !r.cost || !r.fetch)
         abort();
     for (uint32_t i = 0; i < core->nmachines; i++)
-        r.open[i] = bd_machine_usable(core, core->by_index[i]) && !core->by_index[i]->emptying;
+        r.open[i] = bd_machine_usable(core, core->by_index[i]) && !core->by_index[i]->consolidating;
     for (uint32_t i = 0; i < r.njobs; i++) {
         struct bd_job *job = r.jobs[i];
         if (job->npending > 0 && !job->stale && bd_before(job->hold_until, core->now) &&
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -20,19 +20,19 @@
 /* named defaults */
 #define CONFIRM_S 0.5
 #define KEEP_LEAST_S 3.0
-#define RECORD_SHARE 0.9   /* of the largest value that the state service takes */
-#define NAME_BYTES 3u      /* of a machine in it, beside its name */
-#define TXN_BYTES 56000u   /* of a transaction, of which the limit is 64 KiB */
-#define RECORD_HEAD 64u    /* bytes of the record beside the machines' names */
-#define ASK_S 2.4          /* a worker waits so long for the record; it gives up after 4 s */
-#define AGAIN_S 0.15       /* after a refused write: the leader's key is looked at about as often */
-#define PROBE_S 6.0        /* before a probe is sent, and after one came back */
-#define SOON_S 1.5         /* ... when no other controller is heard at all */
-#define GATHER_S 2.5       /* in which the workers of one batch are sent */
-#define PATIENT_S 40.0     /* then one with tasks may be sent too */
-#define STANDBY_SAID_S 5.0 /* between lines of the log about those we stand by for */
-#define WORKER_WAITS_S 4.0 /* the platform's: a worker waits so long for an answer, */
-#define WORKER_PAUSE_S 1.0 /* and goes to the next node after this */
+#define RECORD_SHARE 0.9 /* of the largest value that the state service takes */
+#define NAME_BYTES 3u    /* of a machine in it, beside its name */
+#define TXN_BYTES 56000u /* of a transaction, of which the limit is 64 KiB */
+#define RECORD_HEAD 64u  /* bytes of the record beside the machines' names */
+#define ASK_S 2.4        /* a worker waits so long for the record; it gives up after 4 s */
+#define AGAIN_S 0.15     /* after a refused write: the leader's key is looked at about as often */
+#define PROBE_S 6.0      /* before a probe is sent, and after one came back */
+#define SOON_S 1.5       /* ... when no other controller is heard at all */
+#define CONSOLIDATE_INTERVAL_S 2.5 /* in which the workers of one batch are sent */
+#define PATIENT_S 40.0             /* then one with tasks may be sent too */
+#define STANDBY_SAID_S 5.0         /* between lines of the log about those we stand by for */
+#define WORKER_WAITS_S 4.0         /* the platform's: a worker waits so long for an answer, */
+#define WORKER_PAUSE_S 1.0         /* and goes to the next node after this */
 
 struct bd_waiting_heartbeat {
     void *request;
@@ -420,7 +420,8 @@
         return false;
     }
     if (delegate->nprobes > 0 && ago <= way_back_s(core))
-        return delegate->nprobes < delegate->batch && ago < GATHER_S && send_probe(core, heartbeat);
+        return delegate->nprobes < delegate->batch && ago < CONSOLIDATE_INTERVAL_S &&
+               send_probe(core, heartbeat);
     if (delegate->nprobes > 0) {
         bd_log_write(core->log, BD_LOG_INFO, "%u workers did reach %s, whom we do not hear",
                      delegate->nprobes, core->leader_name);
