--- a/include/brambledoor/settings.h
+++ b/include/brambledoor/settings.h
@@ -50,7 +50,7 @@
     int max_sockets;
     /* operators' own */
     struct timespec leader_ttl; /* zero: derived from the worker lease */
-    double spare_share;         /* spare room, as a multiple of what the aims ask for */
+    double headroom_share;      /* spare room, as a multiple of what the aims ask for */
     double idle_boots; /* an idle machine goes back after this many of its type's boot times */
     struct bd_drain_rules *draining; /* NULL: draining is off */
 };
--- a/src/autoscaling/autoscaler.c
+++ b/src/autoscaling/autoscaler.c
@@ -53,7 +53,7 @@
 
 static bool booting(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return !machine->gone && !machine->returning && !machine->failed && !machine->incarnation &&
+    return !machine->gone && !machine->scaling_in && !machine->failed && !machine->incarnation &&
            machine->type >= 0 && machine->zone >= 0 && core->types[machine->type].known;
 }
 
@@ -71,10 +71,11 @@
             machine_age(core, machine) < BOOT_HOPE * core->types[machine->type].boot + BOOT_EXTRA_S)
             (void)add_bin(d, machine->type, machine->zone, machine->spot, false);
     }
-    for (int k = 0; k < core->cloud.nprovisions; k++)
-        for (int i = 0; i < core->cloud.provisions[k].count; i++)
-            (void)add_bin(d, core->cloud.provisions[k].type, core->cloud.provisions[k].zone,
-                          core->cloud.provisions[k].spot, false);
+    for (int k = 0; k < core->cloud.nprovision_requests; k++)
+        for (int i = 0; i < core->cloud.provision_requests[k].count; i++)
+            (void)add_bin(d, core->cloud.provision_requests[k].type,
+                          core->cloud.provision_requests[k].zone,
+                          core->cloud.provision_requests[k].spot, false);
 }
 
 static bool bin_fits(const struct bin *b, const struct bd_spec *spec)
@@ -160,7 +161,7 @@
             bin_take(b, spec);
             n--;
             if (b->machine)
-                b->machine->spare = true;
+                b->machine->headroom = true;
         }
     }
     while (n > 0 && choose(d, spec, n, cost_tier, &type, &zone, &spot)) {
@@ -267,7 +268,7 @@
         double z = gsl_cdf_ugaussian_Pinv(fmin(0.995, (1 + a->share) / 2));
         most = fmax(most, z * sqrt(2 * k->arrived / window * lead) * per_job);
     }
-    return (uint32_t)ceil(most * core->settings->spare_share);
+    return (uint32_t)ceil(most * core->settings->headroom_share);
 }
 
 static void bins_free(struct demand *d, bool idle)
@@ -325,7 +326,7 @@
 static void provision_wanted(struct demand *d)
 {
     struct bd_core *core = d->core;
-    for (int i = 0; i < d->n && core->cloud.nprovisions < PROVISIONS_OPEN; i++) {
+    for (int i = 0; i < d->n && core->cloud.nprovision_requests < PROVISIONS_OPEN; i++) {
         struct bin *w = &d->bins[i];
         /* what a market has that was asked already is about to be known */
         if (!w->wanted || bd_pool_of(core, w->type, w->zone, w->spot)->asked)
@@ -361,7 +362,7 @@
                      bd_cost_tier_of(core, jobs[i]));
     free(jobs);
     for (uint32_t i = 0; i < core->nmachines; i++)
-        core->by_index[i]->spare = false;
+        core->by_index[i]->headroom = false;
     want_spares(d);
     want_cheap_room(d);
     bd_drain_demand(core, want_moved, d);
@@ -388,9 +389,9 @@
 /* A machine is kept idle for about as long as getting it again would take. */
 static bool wants_return(struct bd_core *core, struct bd_machine *machine)
 {
-    if (machine->gone || bd_before(core->now, machine->return_after))
+    if (machine->gone || bd_before(core->now, machine->scale_in_not_before))
         return false;
-    if (machine->returning || machine->failed)
+    if (machine->scaling_in || machine->failed)
         return true;
     if (machine->nreservations > 0)
         return false;
@@ -402,9 +403,9 @@
         return bd_drain_returns(core, machine);
     if (bd_drain_keeps(core, machine))
         return false;
-    return machine->bad || machine->notice_left >= 0 ||
-           (!machine->spare && bd_between(machine->idle_since, core->now) >
-                                   core->settings->idle_boots * core->types[machine->type].boot);
+    return machine->quarantined || machine->notice_left >= 0 ||
+           (!machine->headroom && bd_between(machine->idle_since, core->now) >
+                                      core->settings->idle_boots * core->types[machine->type].boot);
 }
 
 static void return_machines(struct bd_core *core)
@@ -415,11 +416,11 @@
         struct bd_machine *machine = core->by_index[i];
         if (!wants_return(core, machine))
             continue;
-        machine->returning = true;
-        machine->return_after = bd_add(core->now, bd_secs(6.0));
+        machine->scaling_in = true;
+        machine->scale_in_not_before = bd_add(core->now, bd_secs(6.0));
         snprintf(names[n++], BD_LABEL, "%s", machine->id);
         bd_log_write(core->log, BD_LOG_INFO, "%s goes back%s", machine->id,
-                     machine->bad ? " (faulty)" : "");
+                     machine->quarantined ? " (faulty)" : "");
     }
     if (n == 0)
         return;
@@ -433,7 +434,7 @@
     for (uint32_t i = 0; i < core->nmachines; i++) {
         struct bd_machine *machine = core->by_index[i];
         bd_machine_detect_slow(core, machine);
-        if (machine->gone || (machine->notice_left < 0 && !machine->bad))
+        if (machine->gone || (machine->notice_left < 0 && !machine->quarantined))
             continue;
         for (uint32_t k = machine->nreservations; k > 0; k--) {
             if (k > machine->nreservations)
@@ -442,7 +443,7 @@
             struct bd_task *task = &r.job->tasks[r.task];
             if ((task->state == BD_TASK_CONFIRMED || task->state == BD_TASK_LAUNCHING) &&
                 !(task->flags & BD_TASK_FLAG_STOP_REQUESTED) &&
-                (r.job->spec.checkpoint > 0 || machine->bad))
+                (r.job->spec.checkpoint > 0 || machine->quarantined))
                 bd_task_stop(core, r.job, r.task, BD_STOP_EVACUATED, false);
         }
     }
@@ -504,7 +505,7 @@
 {
     say_fleet(core);
     evacuate(core);
-    if (!core->lead.listed_once)
+    if (!core->lead.inventory_read)
         return;
     provision_for_demand(core);
     bd_consolidate(core);
--- a/src/autoscaling/autoscaler.h
+++ b/src/autoscaling/autoscaler.h
@@ -4,10 +4,12 @@
 #include "brambledoor/settings.h"
 #include "model/job.h"
 
-#define BD_PROVISIONS 64 /* requests to the cloud that are not settled; no more are made */
+#define BD_PROVISION_REQUESTS_MAX                                                                  \
+    64 /* requests to the cloud that are not settled; no more are made */
 
-struct bd_provision { /* one request to the cloud, from its first sending to its machines' listing
-                       */
+struct bd_provision_request_state { /* one request to the cloud, from its first sending to its
+                                     * machines' listing
+                                     */
     char request[BD_LABEL];
     int type, zone, count;
     bool spot, answered;
@@ -24,8 +26,8 @@
 struct bd_cloud_view {
     double moves_s; /* that replicas may be away for moves, */
     struct timespec moves_at;
-    struct bd_provision provisions[BD_PROVISIONS];
-    int nprovisions;
+    struct bd_provision_request_state provision_requests[BD_PROVISION_REQUESTS_MAX];
+    int nprovision_requests;
     bool gpu_waiting;                           /* some live job's GPU tasks have no place */
     struct bd_spec gpu_wanted[BD_MAX_TYPES][2]; /* by type and spot: a live job's GPU task */
     struct { /* by zone: direct commands without an answer, in a row */
--- a/src/autoscaling/inventory.c
+++ b/src/autoscaling/inventory.c
@@ -5,7 +5,7 @@
 #include <math.h>
 #include <stdio.h>
 
-void bd_core_types(struct bd_core *core, const struct bd_type_text *t, int n)
+void bd_inventory_types(struct bd_core *core, const struct bd_type_text *t, int n)
 {
     for (int i = 0; i < n; i++) {
         int k = bd_type_index(core, t[i].label);
@@ -41,7 +41,7 @@
     struct bd_machine *machine = bd_machine_get(core, l->id);
     if (machine->gone)
         return;
-    machine->listed_now = true;
+    machine->in_inventory = true;
     machine->type = bd_type_index(core, l->type);
     machine->zone = bd_zone_index(core, l->zone);
     machine->spot = l->spot;
@@ -61,23 +61,23 @@
 {
     double lag = 2 * bd_to_secs(core->settings->list_lag) + 1.0;
     struct timespec existed = bd_max(machine->heard, machine->known_at);
-    if (machine->gone || machine->listed_now || bd_between(existed, asked) < lag)
+    if (machine->gone || machine->in_inventory || bd_between(existed, asked) < lag)
         return;
     bd_log_write(core->log, BD_LOG_INFO, "%s is gone from the list, %u tasks lost", machine->id,
                  machine->nreservations);
     bd_machine_gone(core, machine);
 }
 
-void bd_core_machines(struct bd_core *core, const struct bd_cloud_machine *l, size_t n,
-                      struct timespec asked)
+void bd_inventory_machines(struct bd_core *core, const struct bd_cloud_machine *l, size_t n,
+                           struct timespec asked)
 {
     if (core->role != BD_LEADER)
         return;
     for (uint32_t i = 0; i < core->nmachines; i++)
-        core->by_index[i]->listed_now = false;
+        core->by_index[i]->in_inventory = false;
     for (size_t i = 0; i < n; i++)
         take_listed(core, &l[i]);
     for (uint32_t i = 0; i < core->nmachines; i++)
         take_missing(core, core->by_index[i], asked);
-    core->lead.listed_once = true;
+    core->lead.inventory_read = true;
 }
--- a/src/autoscaling/provisioning.c
+++ b/src/autoscaling/provisioning.c
@@ -25,19 +25,21 @@
     k->refuse_until = bd_add(core->now, bd_secs(k->backoff));
 }
 
-void bd_core_provisioned(struct bd_core *core, const char *request, long status,
-                         char (*names)[BD_LABEL], int n)
+void bd_scale_out_completed(struct bd_core *core, const char *request, long status,
+                            char (*names)[BD_LABEL], int n)
 {
     int k = 0;
-    while (k < core->cloud.nprovisions && strcmp(core->cloud.provisions[k].request, request) != 0)
+    while (k < core->cloud.nprovision_requests &&
+           strcmp(core->cloud.provision_requests[k].request, request) != 0)
         k++;
-    if (core->role != BD_LEADER || k == core->cloud.nprovisions)
+    if (core->role != BD_LEADER || k == core->cloud.nprovision_requests)
         return;
-    struct bd_provision r = core->cloud.provisions[k];
-    core->cloud.provisions[k] = core->cloud.provisions[--core->cloud.nprovisions];
+    struct bd_provision_request_state r = core->cloud.provision_requests[k];
+    core->cloud.provision_requests[k] =
+        core->cloud.provision_requests[--core->cloud.nprovision_requests];
     struct bd_pool *mk = bd_pool_of(core, r.type, r.zone, r.spot);
     mk->asked = false;
-    core->lead.next_fleet = core->now; /* what was not filled is sought elsewhere at once */
+    core->lead.next_autoscaling = core->now; /* what was not filled is sought elsewhere at once */
     if (status != 200 || n < r.count)
         bd_pool_back_off(core, mk);
     else
@@ -59,7 +61,7 @@
                  n);
 }
 
-void bd_core_returned(struct bd_core *core, char (*names)[BD_LABEL], int n, bool ok)
+void bd_scale_in_completed(struct bd_core *core, char (*names)[BD_LABEL], int n, bool ok)
 {
     if (core->role != BD_LEADER)
         return;
@@ -74,17 +76,18 @@
                     core->now;
             bd_machine_gone(core, machine);
         } else { /* it may be gone all the same: it is not used again, and asked for again */
-            machine->return_after = bd_add(core->now, bd_secs(3.0));
+            machine->scale_in_not_before = bd_add(core->now, bd_secs(3.0));
         }
     }
 }
 
 const char *bd_provision_request(struct bd_core *core, int type, int zone, bool spot, int count)
 {
-    if (core->cloud.nprovisions ==
-        (int)(sizeof core->cloud.provisions / sizeof *core->cloud.provisions))
+    if (core->cloud.nprovision_requests ==
+        (int)(sizeof core->cloud.provision_requests / sizeof *core->cloud.provision_requests))
         return NULL;
-    struct bd_provision *r = &core->cloud.provisions[core->cloud.nprovisions++];
+    struct bd_provision_request_state *r =
+        &core->cloud.provision_requests[core->cloud.nprovision_requests++];
     memset(r, 0, sizeof *r);
     /* never used again: the term is ours alone, and so is the number within it */
     snprintf(r->request, sizeof r->request, "r-%llu-%llu", (unsigned long long)core->lead.base_term,
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -161,12 +161,12 @@
                                         uint64_t fencing_token, bool launch, long status,
                                         const struct bd_heartbeat *heartbeat);
 /* cloud */
-void bd_core_types(struct bd_core *core, const struct bd_type_text *t, int n);
-void bd_core_machines(struct bd_core *core, const struct bd_cloud_machine *l, size_t n,
-                      struct timespec asked);
-void bd_core_provisioned(struct bd_core *core, const char *request, long status,
-                         char (*names)[BD_LABEL], int n);
-void bd_core_returned(struct bd_core *core, char (*names)[BD_LABEL], int n, bool ok);
+void bd_inventory_types(struct bd_core *core, const struct bd_type_text *t, int n);
+void bd_inventory_machines(struct bd_core *core, const struct bd_cloud_machine *l, size_t n,
+                           struct timespec asked);
+void bd_scale_out_completed(struct bd_core *core, const char *request, long status,
+                            char (*names)[BD_LABEL], int n);
+void bd_scale_in_completed(struct bd_core *core, char (*names)[BD_LABEL], int n, bool ok);
 void bd_core_tick(struct bd_core *core);
 /* ranks and due times, if what waits for what has changed */
 void bd_core_weigh(struct bd_core *core);
--- a/src/drain/drain.c
+++ b/src/drain/drain.c
@@ -15,8 +15,8 @@
     drains->rules = settings->draining;
     drains->cordoned = roaring_bitmap_create();
     drains->kept = roaring_bitmap_create();
-    drains->returning = roaring_bitmap_create();
-    if (!drains->cordoned || !drains->kept || !drains->returning)
+    drains->scaling_in = roaring_bitmap_create();
+    if (!drains->cordoned || !drains->kept || !drains->scaling_in)
         abort();
     bd_ledger_init(&drains->ledger, settings);
     return drains;
@@ -30,7 +30,7 @@
     bd_ledger_free(&drains->ledger);
     roaring_bitmap_free(drains->cordoned);
     roaring_bitmap_free(drains->kept);
-    roaring_bitmap_free(drains->returning);
+    roaring_bitmap_free(drains->scaling_in);
     free(drains->owners);
     free(drains);
 }
@@ -74,7 +74,7 @@
 
 bool bd_drain_returns(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return core->drains && roaring_bitmap_contains(core->drains->returning, machine->index);
+    return core->drains && roaring_bitmap_contains(core->drains->scaling_in, machine->index);
 }
 
 /* ---- entries ---- */
@@ -126,7 +126,8 @@
 static bool lists_are_complete(const struct bd_core *core)
 {
     double lag = 2 * bd_to_secs(core->settings->list_lag) + LISTED_EXTRA_S;
-    return core->lead.listed_once && bd_between(core->drains->leadership_acquired, core->now) > lag;
+    return core->lead.inventory_read &&
+           bd_between(core->drains->leadership_acquired, core->now) > lag;
 }
 
 static void machine_gone(struct bd_core *core, struct bd_drain *drain, struct bd_drain_machine *m)
@@ -226,7 +227,7 @@
                     ? m->stage == BD_STAGE_EMPTY && m->recorded == BD_STAGE_EMPTY
                     : m->stage == BD_STAGE_REPLACED && m->recorded == BD_STAGE_REPLACED;
     if (first && back)
-        roaring_bitmap_add(drains->returning, machine->index);
+        roaring_bitmap_add(drains->scaling_in, machine->index);
 }
 
 /* Of two drains that cover a machine the first by name drives it, the other shows the same. */
@@ -257,7 +258,7 @@
     struct bd_drains *drains = core->drains;
     roaring_bitmap_clear(drains->cordoned);
     roaring_bitmap_clear(drains->kept);
-    roaring_bitmap_clear(drains->returning);
+    roaring_bitmap_clear(drains->scaling_in);
     free(drains->owners);
     drains->nowners = core->nmachines;
     drains->owners = calloc(core->nmachines + 1, sizeof *drains->owners);
--- a/src/drain/drain_internal.h
+++ b/src/drain/drain_internal.h
@@ -150,9 +150,9 @@
     const struct bd_drain_rules *rules;
     bool apart[BD_MAX_ZONES][BD_MAX_ZONES];
     struct bd_ledger ledger;
-    struct bd_drain *drains;                       /* hash by name */
-    roaring_bitmap_t *cordoned, *kept, *returning; /* machines by index */
-    struct bd_drain_machine **owners;              /* by machine: whose entry drives it */
+    struct bd_drain *drains;                        /* hash by name */
+    roaring_bitmap_t *cordoned, *kept, *scaling_in; /* machines by index */
+    struct bd_drain_machine **owners;               /* by machine: whose entry drives it */
     uint32_t nowners;
     bool want_sets;
     struct timespec leadership_acquired, next_tick, next_summary, hold_until;
--- a/src/drain/durable.c
+++ b/src/drain/durable.c
@@ -26,7 +26,7 @@
     }
     roaring_bitmap_clear(drains->cordoned);
     roaring_bitmap_clear(drains->kept);
-    roaring_bitmap_clear(drains->returning);
+    roaring_bitmap_clear(drains->scaling_in);
     drains->nowners = 0;
     drains->want_sets = true;
 }
--- a/src/drain/replacement.c
+++ b/src/drain/replacement.c
@@ -65,8 +65,8 @@
         m->asked = core->now;
     const struct bd_machine *machine = bd_drain_machine_named(core, m->replacement);
     /* another drain may cover the replacement itself */
-    bool lost = machine && (machine->gone || machine->failed || machine->bad ||
-                            machine->returning || bd_drain_cordoned(core, machine));
+    bool lost = machine && (machine->gone || machine->failed || machine->quarantined ||
+                            machine->scaling_in || bd_drain_cordoned(core, machine));
     bool late = bd_between(m->asked, core->now) > core->drains->rules->replace_s &&
                 (!machine || !machine->fenced);
     if (lost || late)
@@ -171,7 +171,7 @@
             if (!wanted(core, drain, m))
                 continue;
             check(core, drain, m);
-            if (open < most && core->lead.listed_once)
+            if (open < most && core->lead.inventory_read)
                 open += join(core, groups, &n, m);
         }
     }
--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -33,7 +33,7 @@
             continue;
         struct bd_machine *machine = bd_machine_of(core, task->machine);
         if (e->job->state != BD_JOB_ACTIVE || bd_cancel_heard(core, e->job) || !machine ||
-            machine->gone || machine->returning) {
+            machine->gone || machine->scaling_in) {
             bd_task_release(core, e->job, e->task, BD_RELEASE_LAUNCH_NOT_SENT);
             continue;
         }
--- a/src/leadership/leadership.c
+++ b/src/leadership/leadership.c
@@ -157,7 +157,7 @@
     bd_intent_records_free(core);
     bd_commit_free(core->lead.commit);
     core->lead.commit = NULL;
-    core->cloud.nprovisions = 0;
+    core->cloud.nprovision_requests = 0;
     memset(core->team_cpus, 0, sizeof core->team_cpus);
     memset(core->team_gpus, 0, sizeof core->team_gpus);
     memset(core->cloud.pools, 0, sizeof core->cloud.pools);
--- a/src/leadership/leadership.h
+++ b/src/leadership/leadership.h
@@ -47,12 +47,13 @@
     struct timespec valid_until, renewed;
     struct timespec
         earlier_leases_expire_at; /* sessions renewed by earlier terms are over by then */
-    bool listed_once;             /* the cloud's list was read in this term */
+    bool inventory_read;          /* the cloud's list was read in this term */
     uint64_t sequence_revision, sequence, cycle_number, request_n;
     struct bd_commit *commit; /* the one transaction under way */
     struct bd_intent_record *intent_records;
     uint32_t nintent_records, cap_intent_records;
-    struct timespec next_cycle, next_fleet, next_gc, next_tick, last_token_raise, next_summary;
+    struct timespec next_cycle, next_autoscaling, next_gc, next_tick, last_token_raise,
+        next_summary;
     bool token_raise_wanted, cycle_wanted;
     double write_budget;
     struct timespec write_budget_at;
--- a/src/leadership/reconciliation.c
+++ b/src/leadership/reconciliation.c
@@ -123,7 +123,7 @@
     core->lead.request_n = 0;
     core->lead.sequence_revision = g->sequence_revision;
     core->lead.sequence = g->sequence;
-    core->lead.listed_once = false;
+    core->lead.inventory_read = false;
     snprintf(core->lead.nonce, sizeof core->lead.nonce, "%s", g->nonce);
     bd_leadership_leader_observed(core, core->settings->node, g->term, g->renewed, false);
     bd_delegate_end(core);
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -17,7 +17,7 @@
     char id[BD_LABEL], addr[BD_LABEL];
     uint32_t index;
     int type, zone; /* -1: not known yet */
-    bool spot, listed_now, failed, fenced, gone, returning;
+    bool spot, in_inventory, failed, fenced, gone, scaling_in;
     uint64_t incarnation, seq, expired_incarnation;
     uint64_t fencing_token; /* the highest that it has seen, by its newest report */
     bool answered;          /* in this term, */
@@ -26,7 +26,7 @@
     int via;                /* the controller that the check-in came to: a peer's number, or -1 */
     uint32_t misrouted;     /* times in a row that it went elsewhere although it was answered */
     bool outbound_cut;      /* seems not to hear what it is told */
-    struct timespec age_known, return_after;
+    struct timespec age_known, scale_in_not_before;
     struct timespec lease_expires_at; /* from here on nothing of the last session runs */
     struct timespec steady;           /* since then it has been heard without a gap */
     struct timespec heard, known_at, idle_since, refuse_until;
@@ -56,6 +56,6 @@
     struct timespec redirected; /* when it was last sent to its own zone's controller */
     bool direct;                /* its last report came from itself, not by another controller */
     bool consolidating;         /* being emptied, so that a dear machine is free again */
-    bool bad, spare;            /* spare: kept for work that is expected */
+    bool quarantined, headroom; /* spare: kept for work that is expected */
 };
 #endif
--- a/src/model/task_state.c
+++ b/src/model/task_state.c
@@ -399,8 +399,8 @@
 bool bd_machine_usable(const struct bd_core *core, const struct bd_machine *machine)
 {
     return machine->type >= 0 && machine->zone >= 0 && core->types[machine->type].known &&
-           machine->fenced && !machine->gone && !machine->returning && !machine->failed &&
-           !machine->bad && machine->notice_left < 0 && !bd_drain_cordoned(core, machine) &&
+           machine->fenced && !machine->gone && !machine->scaling_in && !machine->failed &&
+           !machine->quarantined && machine->notice_left < 0 && !bd_drain_cordoned(core, machine) &&
            (!machine->outbound_cut || core->lead.outbound_cut_many) &&
            !late(core, machine->heard) &&
            /* one that answers directly while its check-ins reach nobody loses all with its lease */
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -168,13 +168,13 @@
         did(node, event);
         break;
     case BD_EVENT_MACHINE_TYPES:
-        bd_core_types(core, event->data, (int)event->n);
+        bd_inventory_types(core, event->data, (int)event->n);
         break;
     case BD_EVENT_INVENTORY:
-        bd_core_machines(core, event->data, event->n, event->sent);
+        bd_inventory_machines(core, event->data, event->n, event->sent);
         break;
     case BD_EVENT_SCALE_OUT_COMPLETED:
-        bd_core_provisioned(core, event->name, event->status, event->data, (int)event->n);
+        bd_scale_out_completed(core, event->name, event->status, event->data, (int)event->n);
         break;
     case BD_EVENT_PEER_FRAME:
         peer(node, event);
@@ -193,7 +193,7 @@
         bd_drain_records(core, event->json, event->sets);
         break;
     case BD_EVENT_SCALE_IN_COMPLETED:
-        bd_core_returned(core, event->data, (int)event->n, event->status == 200);
+        bd_scale_in_completed(core, event->data, (int)event->n, event->status == 200);
         break;
     default:
         break;
--- a/src/runtime/settings.c
+++ b/src/runtime/settings.c
@@ -208,7 +208,7 @@
     struct reader r = {path, err, errlen, false};
     json_error_t je;
     memset(s, 0, sizeof *s);
-    s->spare_share = 1.6;
+    s->headroom_share = 1.6;
     s->idle_boots = 0.7;
     json_t *root = json_load_file(path, 0, &je);
     if (!root) {
@@ -256,7 +256,7 @@
     else if (strcmp(name, "leader-ttl-s") == 0)
         settings->leader_ttl = bd_secs(d);
     else if (strcmp(name, "spare-share") == 0)
-        settings->spare_share = d;
+        settings->headroom_share = d;
     else if (strcmp(name, "idle-boots") == 0)
         settings->idle_boots = d;
     else
--- a/src/scheduling/cycle.c
+++ b/src/scheduling/cycle.c
@@ -148,8 +148,8 @@
         return;
     tokens(core);
     bd_drain_tick(core);
-    if (core->types_known && bd_before(core->lead.next_fleet, core->now)) {
-        core->lead.next_fleet = bd_add(core->now, bd_secs(1.0));
+    if (core->types_known && bd_before(core->lead.next_autoscaling, core->now)) {
+        core->lead.next_autoscaling = bd_add(core->now, bd_secs(1.0));
         bd_autoscaler_tick(core);
         core->lead.cycle_wanted = true; /* pauses run out without an event */
     }
--- a/src/scheduling/placement.c
+++ b/src/scheduling/placement.c
@@ -156,7 +156,7 @@
 {
     return spec->gpus <= 0 && spec->shape == BD_ARRAY &&
            r->expensive[machine->type][machine->spot] && machine->pinned_cpus <= 0 &&
-           machine->pinned_gpus <= 0 && !machine->spare;
+           machine->pinned_gpus <= 0 && !machine->headroom;
 }
 
 static struct bd_machine *best(struct placement_cycle *r, const struct bd_job *job,
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -28,8 +28,8 @@
     else if (machine->error_job != job)
         machine->errors++;
     machine->error_job = job;
-    if (machine->errors >= FAILING_ERRORS && !machine->bad) {
-        machine->bad = true;
+    if (machine->errors >= FAILING_ERRORS && !machine->quarantined) {
+        machine->quarantined = true;
         bd_log_write(core->log, BD_LOG_INFO, "%s fails its tasks and is taken out of use",
                      machine->id);
     }
@@ -39,7 +39,7 @@
 static void job_failed_task(struct bd_core *core, struct bd_machine *machine, struct bd_job *job)
 {
     job->errors++;
-    if (machine->bad || job->ndone > 0)
+    if (machine->quarantined || job->ndone > 0)
         return;
     double pause = RETRY_FIRST_S;
     for (uint32_t k = 2; k < job->errors && pause < RETRY_MOST_S; k++)
@@ -53,7 +53,7 @@
 {
     uint32_t late = 0;
     /* what was held back shows tasks running that have ended long since */
-    if (machine->gone || machine->bad || !machine->fenced ||
+    if (machine->gone || machine->quarantined || !machine->fenced ||
         bd_between(machine->steady, machine->heard) <
             SLOW_STEADY * bd_to_secs(core->settings->heartbeat_interval))
         return;
@@ -76,7 +76,7 @@
     }
     if (late < SLOW_TASKS)
         return;
-    machine->bad = true;
+    machine->quarantined = true;
     bd_log_write(core->log, BD_LOG_INFO, "%s runs %u tasks far too slowly and is taken out of use",
                  machine->id, late);
 }
--- a/tests/drain_profile.c
+++ b/tests/drain_profile.c
@@ -107,7 +107,7 @@
         } else if (e->kind == BD_EFFECT_SCALE_IN) {
             json_t *o = json_loads(e->body, 0, NULL);
             char names[128][BD_LABEL];
-            bd_core_returned(f->core, names, bd_wire_machine_names(o, names, 128), true);
+            bd_scale_in_completed(f->core, names, bd_wire_machine_names(o, names, 128), true);
             json_decref(o);
         }
         bd_effect_free(e);
@@ -191,7 +191,7 @@
     t.nzones = 2;
     snprintf(t.zones[0], BD_LABEL, "a");
     snprintf(t.zones[1], BD_LABEL, "b");
-    bd_core_types(f->core, &t, 1);
+    bd_inventory_types(f->core, &t, 1);
     bd_core_relisted(f->core, 1, f->core->now);
     struct bd_acquisition g = {.term = 1, .grant = 7, .nonce = "n", .renewed = f->core->now};
     g.receipts = json_array();
@@ -199,7 +199,7 @@
     bd_leadership_acquired(f->core, &g);
     json_decref(g.receipts);
     json_decref(g.intents);
-    bd_core_machines(f->core, NULL, 0, f->core->now);
+    bd_inventory_machines(f->core, NULL, 0, f->core->now);
     f->revision = 10;
     for (uint32_t i = 0; i < machines; i++)
         heartbeat(f, i);
@@ -401,7 +401,7 @@
                          f.core->now, false, true);
         for (uint32_t i = 0; i < f.machines; i++)
             heartbeat(&f, i);
-        f.core->lead.next_fleet = bd_add(f.core->now, bd_secs(1000));
+        f.core->lead.next_autoscaling = bd_add(f.core->now, bd_secs(1000));
         CALLGRIND_TOGGLE_COLLECT;
         bd_core_tick(f.core);
         CALLGRIND_TOGGLE_COLLECT;
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -378,7 +378,7 @@
     if (!w->c[n])
         abort();
     times(w);
-    bd_core_types(w->c[n], &t, 1);
+    bd_inventory_types(w->c[n], &t, 1);
     unsigned from = w->nkeys ? dice(w, (unsigned)w->nkeys) : 0;
     for (int i = 0; i < w->nkeys; i++) {
         struct key *k = &w->keys[((unsigned)i + from) % (unsigned)w->nkeys];
--- a/tests/inputs.c
+++ b/tests/inputs.c
@@ -155,7 +155,7 @@
     char err[256];
     struct bd_settings *s = calloc(1, sizeof *s);
     check(operators("(brambledoor (spare-share 0.2) (idle-boots 2))", err, sizeof err, s) == 0 &&
-              s->spare_share == 0.2 && s->idle_boots == 2,
+              s->headroom_share == 0.2 && s->idle_boots == 2,
           "operators' file");
     check(operators("(leader-ttl-s 4)", err, sizeof err, s) == 0 &&
               bd_to_secs(s->leader_ttl) == 4.0,
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -93,7 +93,7 @@
     s->leader_ttl = bd_secs(2);
     s->kv_requests_per_s = 250;
     s->ram_mb = 72;
-    s->spare_share = 1.6;
+    s->headroom_share = 1.6;
     s->idle_boots = 0.7;
     s->nteams = 2;
     for (int i = 0; i < 2; i++)
@@ -117,7 +117,7 @@
     snprintf(t.label, sizeof t.label, "%s", name);
     snprintf(t.zones[0], BD_LABEL, "a");
     snprintf(t.zones[1], BD_LABEL, "b");
-    bd_core_types(w->c, &t, 1);
+    bd_inventory_types(w->c, &t, 1);
 }
 
 static void at(struct world *w, double now)
@@ -206,7 +206,7 @@
     bd_leadership_acquired(w->c, &g);
     json_decref(g.receipts);
     json_decref(g.intents);
-    bd_core_machines(w->c, NULL, 0, w->c->now);
+    bd_inventory_machines(w->c, NULL, 0, w->c->now);
     w->revision = 10;
     for (uint32_t i = 0; i < w->machines; i++)
         heartbeat(w, i);
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -167,7 +167,7 @@
     snprintf(zones, sizeof zones, "%s", play_arg(p, "zones") ? play_arg(p, "zones") : "a,b");
     for (char *s = NULL, *z = strtok_r(zones, ",", &s); z; z = strtok_r(NULL, ",", &s))
         snprintf(t.zones[t.nzones++], BD_LABEL, "%s", z);
-    bd_core_types(p->c, &t, 1);
+    bd_inventory_types(p->c, &t, 1);
 }
 
 bool play_yes(struct play *p, const char *key)
@@ -421,7 +421,7 @@
                      : *state == 'f' ? BD_MACHINE_FAILED
                                      : BD_MACHINE_BOOTING;
     }
-    bd_core_machines(p->c, l, n, p->c->now);
+    bd_inventory_machines(p->c, l, n, p->c->now);
 }
 
 static void cmd_peer(struct play *p)
@@ -593,16 +593,16 @@
 {
     char names[WORDS][BD_LABEL];
     int n = 0;
-    if (p->c->cloud.nprovisions == 0) {
+    if (p->c->cloud.nprovision_requests == 0) {
         play_fail(p, "no rental is open");
         return;
     }
     char request[BD_LABEL];
-    snprintf(request, sizeof request, "%s", p->c->cloud.provisions[0].request);
+    snprintf(request, sizeof request, "%s", p->c->cloud.provision_requests[0].request);
     bool refused = strcmp(p->w[1], "refused") == 0;
     for (int i = 2; i < p->n; i++)
         snprintf(names[n++], BD_LABEL, "%s", p->w[i]);
-    bd_core_provisioned(p->c, request, refused ? 503 : 200, names, n);
+    bd_scale_out_completed(p->c, request, refused ? 503 : 200, names, n);
 }
 
 static const char *const kinds[] = {"reply",   "user",    "commit",   "do",       "rent",
@@ -726,7 +726,7 @@
     int n = 0;
     for (int i = 1; i < p->n; i++)
         snprintf(names[n++], BD_LABEL, "%s", p->w[i]);
-    bd_core_returned(p->c, names, n, true);
+    bd_scale_in_completed(p->c, names, n, true);
 }
 
 static void cmd_submit(struct play *p)
--- a/tests/scenario_drain.c
+++ b/tests/scenario_drain.c
@@ -242,7 +242,7 @@
         } else if (e->kind == BD_EFFECT_SCALE_IN) {
             json_t *o = json_loads(e->body, 0, NULL);
             char names[128][BD_LABEL];
-            bd_core_returned(p->c, names, bd_wire_machine_names(o, names, 128), true);
+            bd_scale_in_completed(p->c, names, bd_wire_machine_names(o, names, 128), true);
             json_decref(o);
         }
     }
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -819,12 +819,12 @@
     if (n->core && n->epoch == e->epoch) {
         clock_core(s, n);
         if (e->flag) {
-            bd_core_provisioned(n->core, json_string_value(json_object_get(o, "plea")),
-                                count ? 200 : 503, names_of, count);
+            bd_scale_out_completed(n->core, json_string_value(json_object_get(o, "plea")),
+                                   count ? 200 : 503, names_of, count);
         } else {
             char(*back)[BD_LABEL] = calloc(128, sizeof *back);
             int k = bd_wire_machine_names(o, back, 128);
-            bd_core_returned(n->core, back, k, true);
+            bd_scale_in_completed(n->core, back, k, true);
             free(back);
         }
         settle(s, n);
@@ -849,7 +849,7 @@
         l[k].state = s->now < w->up_at ? BD_MACHINE_BOOTING : BD_MACHINE_UP;
         l[k++].age = s->now - w->provisioned_at;
     }
-    bd_core_machines(n->core, l, k, bd_execution_state(n->core->now, bd_secs(0.1)));
+    bd_inventory_machines(n->core, l, k, bd_execution_state(n->core->now, bd_secs(0.1)));
     free(l);
 }
 
@@ -945,7 +945,7 @@
                              .nzones = 2};
     snprintf(t.zones[0], BD_LABEL, "a");
     snprintf(t.zones[1], BD_LABEL, "b");
-    bd_core_types(n->core, &t, 1);
+    bd_inventory_types(n->core, &t, 1);
     wake(s, n, 0.01, SIM_READER);
     wake(s, n, 0.02, SIM_ELECTION);
     wake(s, n, 0.03, SIM_NODE_TICK);
--- a/tests/small.h
+++ b/tests/small.h
@@ -20,7 +20,7 @@
     s->kv_value_bytes_max = 8192;
     s->kv_txn_ops_max = 24;
     s->ram_mb = 1;
-    s->spare_share = 0;
+    s->headroom_share = 0;
     s->idle_boots = 1;
 }
 #endif
