--- a/include/brambledoor/settings.h
+++ b/include/brambledoor/settings.h
@@ -9,21 +9,21 @@
 #define BD_MAX_PEERS 16
 #define BD_MAX_ZONES 16
 #define BD_MAX_TEAMS 64
-#define BD_MAX_AIMS 64
+#define BD_MAX_SLOS 64
 
 struct bd_peer {
     char name[BD_NAME], zone[BD_NAME], addr[BD_NAME];
 };
 
-struct bd_team_limits {
+struct bd_team_quota {
     char name[BD_NAME];
-    double cpus, cpus_max, gpus, gpus_max; /* 0: none */
+    double cpus, cpus_quota, gpus, gpus_quota; /* guaranteed share and quota; 0: none */
 };
 
-enum bd_aim_kind { BD_AIM_WAIT, BD_AIM_FINISHED, BD_AIM_GUARANTEE, BD_AIM_OTHER };
+enum bd_slo_kind { BD_SLO_WAIT, BD_SLO_FINISHED, BD_SLO_GUARANTEED_SHARE, BD_SLO_OTHER };
 
-struct bd_aim {
-    enum bd_aim_kind kind;
+struct bd_slo {
+    enum bd_slo_kind kind;
     char job_class[BD_NAME];
     double within_s, share;
 };
@@ -37,10 +37,10 @@
     char cloud[BD_NAME], kv_addr[BD_NAME];
     char zones[BD_MAX_ZONES][BD_NAME];
     int nzones;
-    struct bd_team_limits teams[BD_MAX_TEAMS];
+    struct bd_team_quota teams[BD_MAX_TEAMS];
     int nteams;
-    struct bd_aim aims[BD_MAX_AIMS];
-    int naims;
+    struct bd_slo slos[BD_MAX_SLOS];
+    int nslos;
     int nodes;
     struct timespec heartbeat_interval, lease, gang_wait, gang_peer, cancel, list_lag, clock_error;
     double kv_requests_per_s, kv_writes_per_s,
--- a/src/autoscaling/autoscaler.c
+++ b/src/autoscaling/autoscaler.c
@@ -260,8 +260,8 @@
     if (!choose(d, &k->spec, (uint32_t)ceil(per_job), BD_TIER_ANY, &type, &zone, &spot))
         return 0;
     double lead = core->types[type].boot + k->image_gb / k->jobs / core->types[type].fetch;
-    for (int i = 0; i < core->settings->naims; i++) {
-        const struct bd_aim *a = &core->settings->aims[i];
+    for (int i = 0; i < core->settings->nslos; i++) {
+        const struct bd_slo *a = &core->settings->slos[i];
         double wait = bd_slack(core, k->id, k->estimate / k->jobs, a);
         if (wait < 0 || wait >= lead)
             continue;
--- a/src/core/core_internal.h
+++ b/src/core/core_internal.h
@@ -184,7 +184,7 @@
 int bd_tasks_a_machine(const struct bd_type *type, const struct bd_spec *spec);
 bool bd_type_is_expensive(const struct bd_core *core, const struct bd_spec *spec, int type,
                           bool spot);
-double bd_slack(const struct bd_core *core, int job_class, double estimate, const struct bd_aim *a);
+double bd_slack(const struct bd_core *core, int job_class, double estimate, const struct bd_slo *a);
 enum bd_cost_tier bd_cost_tier_of(const struct bd_core *core, const struct bd_job *job);
 bool bd_within_cost_tier(const struct bd_core *core, const struct bd_spec *spec,
                          enum bd_cost_tier cost_tier, int type, bool spot);
@@ -235,7 +235,7 @@
 uint32_t bd_jobs_in_order(struct bd_core *core, struct bd_job ***out);
 bool bd_allowed(const struct bd_spec *spec, int type, int zone, bool spot);
 /* How many tasks the team's limit leaves room for, up to `most`, with so much of it in use. */
-uint32_t bd_team_free_quota(const struct bd_team_limits *team, double cpus, double gpus,
+uint32_t bd_team_free_quota(const struct bd_team_quota *team, double cpus, double gpus,
                             const struct bd_spec *spec, uint32_t most);
 void bd_autoscaler_tick(struct bd_core *core);
 
--- a/src/jobs/admission.c
+++ b/src/jobs/admission.c
@@ -49,10 +49,10 @@
     int team = bd_team_index(core, s->team);
     if (team < 0)
         return false;
-    const struct bd_team_limits *t = &core->settings->teams[team];
+    const struct bd_team_quota *t = &core->settings->teams[team];
     bool at_once = s->shape != BD_ARRAY && s->tasks > 1;
     double n = s->shape == BD_ARRAY ? 1 : s->tasks;
-    if (over(t->cpus_max, s->cpus * n) || over(t->gpus_max, s->gpus * n))
+    if (over(t->cpus_quota, s->cpus * n) || over(t->gpus_quota, s->gpus * n))
         return false;
     uint32_t zones = zones_for(core, s);
     bool one_zone = s->together || (zones & (zones - 1)) == 0;
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -39,7 +39,7 @@
     uint32_t errors;
     uint32_t runs, longest_run; /* finished tasks seen from begin to end, and tenths of a second */
     struct bd_spec spec;
-    bool has_spec, in_guarantee, pinned;
+    bool has_spec, within_guaranteed_share, pinned;
     /* what it waits for, see dependency_graph.c */
     struct bd_dependency *dependencies;
     uint32_t ndependencies, open;         /* it is ready when none is open */
--- a/src/runtime/settings.c
+++ b/src/runtime/settings.c
@@ -100,39 +100,39 @@
         return;
     json_array_foreach(a, i, o)
     {
-        struct bd_team_limits *t = &settings->teams[i];
+        struct bd_team_quota *t = &settings->teams[i];
         text(r, o, "name", t->name);
         t->cpus = number(r, o, "cpus", 0);
-        t->cpus_max = number(r, o, "cpus_max", 0);
+        t->cpus_quota = number(r, o, "cpus_max", 0);
         t->gpus = number(r, o, "gpus", 0);
-        t->gpus_max = number(r, o, "gpus_max", 0);
+        t->gpus_quota = number(r, o, "gpus_max", 0);
         settings->nteams = (int)i + 1;
     }
 }
 
-static enum bd_aim_kind aim_kind(const char *name)
+static enum bd_slo_kind aim_kind(const char *name)
 {
     if (name && strcmp(name, "wait") == 0)
-        return BD_AIM_WAIT;
+        return BD_SLO_WAIT;
     if (name && strcmp(name, "finished") == 0)
-        return BD_AIM_FINISHED;
+        return BD_SLO_FINISHED;
     if (name && strcmp(name, "guarantee") == 0)
-        return BD_AIM_GUARANTEE;
-    return BD_AIM_OTHER;
+        return BD_SLO_GUARANTEED_SHARE;
+    return BD_SLO_OTHER;
 }
 
 /* Aims only redirect; one that cannot be read is passed over, never a fault. */
-static void aims(struct reader *r, json_t *facts, struct bd_settings *settings)
+static void slos(struct reader *r, json_t *facts, struct bd_settings *settings)
 {
     json_t *a = json_object_get(facts, "objectives"), *o;
     size_t i;
-    if (json_array_size(a) > BD_MAX_AIMS)
+    if (json_array_size(a) > BD_MAX_SLOS)
         fault(r, "objectives", "has too many entries");
     json_array_foreach(a, i, o)
     {
-        if (settings->naims == BD_MAX_AIMS)
+        if (settings->nslos == BD_MAX_SLOS)
             return;
-        struct bd_aim *m = &settings->aims[settings->naims++];
+        struct bd_slo *m = &settings->slos[settings->nslos++];
         const char *job_class = json_string_value(json_object_get(o, "class"));
         m->kind = aim_kind(json_string_value(json_object_get(o, "kind")));
         if (job_class)
@@ -178,7 +178,7 @@
     settings->nodes = (int)number(r, f, "count", 1);
     zones(r, f, settings);
     teams(r, f, settings);
-    aims(r, f, settings);
+    slos(r, f, settings);
     json_t *w = object(r, f, "workers");
     settings->heartbeat_interval = span(r, w, "report_s", 0.01);
     settings->lease = span(r, w, "lease_s", 0.1);
--- a/src/scheduling/cost_model.c
+++ b/src/scheduling/cost_model.c
@@ -53,13 +53,13 @@
 }
 
 /* How long a job of the class may wait and still meet the aim; below 0: not this class's aim. */
-double bd_slack(const struct bd_core *core, int job_class, double estimate, const struct bd_aim *a)
+double bd_slack(const struct bd_core *core, int job_class, double estimate, const struct bd_slo *a)
 {
     if (strcmp(a->job_class, bd_class_name(core, job_class)) != 0)
         return -1;
-    if (a->kind == BD_AIM_WAIT)
+    if (a->kind == BD_SLO_WAIT)
         return a->within_s;
-    if (a->kind == BD_AIM_FINISHED)
+    if (a->kind == BD_SLO_FINISHED)
         return fmax(0, a->within_s - RUN_FACTOR * estimate);
     return -1;
 }
@@ -74,12 +74,12 @@
     for (int t = 0; t < core->ntypes; t++)
         if (place_price(core, spec, t, false) < INFINITY)
             lead = fmax(lead, core->types[t].boot + spec->image_gb / core->types[t].fetch);
-    for (int i = 0; i < core->settings->naims; i++) {
-        const struct bd_aim *a = &core->settings->aims[i];
+    for (int i = 0; i < core->settings->nslos; i++) {
+        const struct bd_slo *a = &core->settings->slos[i];
         double slack = bd_slack(core, spec->job_class, spec->estimate, a), v = slack - lead;
         if (slack < 0)
             continue;
-        if (a->kind == BD_AIM_WAIT && v < HOPE_S)
+        if (a->kind == BD_SLO_WAIT && v < HOPE_S)
             return 0;
         any = true;
         loose = fmax(loose, v);
--- a/src/scheduling/job_order.c
+++ b/src/scheduling/job_order.c
@@ -8,8 +8,8 @@
     const struct bd_job *a = *(struct bd_job *const *)x, *b = *(struct bd_job *const *)y;
     if (a->rank != b->rank)
         return a->rank > b->rank ? -1 : 1;
-    if (a->in_guarantee != b->in_guarantee)
-        return a->in_guarantee ? -1 : 1;
+    if (a->within_guaranteed_share != b->within_guaranteed_share)
+        return a->within_guaranteed_share ? -1 : 1;
     if (a->due_by != b->due_by) /* most have none */
         return a->due_by < b->due_by ? -1 : 1;
     if (a->ready != b->ready)
@@ -32,12 +32,12 @@
     qsort(jobs, n, sizeof(struct bd_job *), order_age);
     for (uint32_t i = 0; i < n; i++) {
         struct bd_job *job = jobs[i];
-        const struct bd_team_limits *t = &core->settings->teams[job->spec.team];
+        const struct bd_team_quota *t = &core->settings->teams[job->spec.team];
         double left = job->ntasks - job->ndone;
         cpus[job->spec.team] += left * job->spec.cpus;
         gpus[job->spec.team] += left * job->spec.gpus;
         /* work that uses nothing of what is guaranteed is not owed anything */
-        job->in_guarantee =
+        job->within_guaranteed_share =
             ((t->cpus > 0 && job->spec.cpus > 0) || (t->gpus > 0 && job->spec.gpus > 0)) &&
             (t->cpus <= 0 || cpus[job->spec.team] <= t->cpus + EPS) &&
             (t->gpus <= 0 || gpus[job->spec.team] <= t->gpus + EPS);
--- a/src/scheduling/placement.c
+++ b/src/scheduling/placement.c
@@ -33,13 +33,13 @@
            (spec->spot || !spot);
 }
 
-uint32_t bd_team_free_quota(const struct bd_team_limits *team, double cpus, double gpus,
+uint32_t bd_team_free_quota(const struct bd_team_quota *team, double cpus, double gpus,
                             const struct bd_spec *spec, uint32_t most)
 {
-    if (team->cpus_max > 0)
-        most = bd_amount_fits(team->cpus_max - cpus, spec->cpus, most);
-    if (team->gpus_max > 0)
-        most = bd_amount_fits(team->gpus_max - gpus, spec->gpus, most);
+    if (team->cpus_quota > 0)
+        most = bd_amount_fits(team->cpus_quota - cpus, spec->cpus, most);
+    if (team->gpus_quota > 0)
+        most = bd_amount_fits(team->gpus_quota - gpus, spec->gpus, most);
     return most;
 }
 
@@ -273,7 +273,7 @@
 {
     struct bd_core *core = r->core;
     uint32_t zones[BD_MAX_ZONES];
-    if (!job->in_guarantee || job->ntasks != 1)
+    if (!job->within_guaranteed_share || job->ntasks != 1)
         return false;
     bd_zone_counts(core, job, zones);
     struct bd_machine *now = best(r, job, zones, true, true);
@@ -360,9 +360,9 @@
         r->not_spot = 0;
         r->urgent = bd_due_slack(r->core, job) < DUE_HURRY_S;
     }
-    for (int i = 0; i < r->core->settings->naims; i++) {
+    for (int i = 0; i < r->core->settings->nslos; i++) {
         double slack =
-            bd_slack(r->core, spec->job_class, spec->estimate, &r->core->settings->aims[i]);
+            bd_slack(r->core, spec->job_class, spec->estimate, &r->core->settings->slos[i]);
         if (slack < 0)
             continue;
         r->not_spot = fmin(r->not_spot, slack * NOT_SPOT_SHARE);
--- a/src/scheduling/preemption.c
+++ b/src/scheduling/preemption.c
@@ -19,8 +19,8 @@
     /* a team's guarantee may take what another team runs beyond its own, but for a few short tasks
      * that others wait for by a due time: there is enough beside them */
     bool hurries = isfinite(job->due_by) && job->rank > want->rank;
-    bool owed = want->in_guarantee && !job->in_guarantee && want->spec.team != job->spec.team &&
-                !hurries && task->state == BD_TASK_CONFIRMED &&
+    bool owed = want->within_guaranteed_share && !job->within_guaranteed_share &&
+                want->spec.team != job->spec.team && !hurries && task->state == BD_TASK_CONFIRMED &&
                 task->execution == BD_EXECUTION_RUNNING;
     return (job->rank < want->rank || owed) && bd_stoppable(job, task);
 }
@@ -39,7 +39,7 @@
             continue;
         s->any = true;
         s->least = job->rank < s->least ? job->rank : s->least;
-        s->borrowed |= !job->in_guarantee;
+        s->borrowed |= !job->within_guaranteed_share;
     }
     return s;
 }
@@ -53,7 +53,7 @@
     *soon = bd_unclaimed_capacity(r, machine);
     *most = *soon;
     bool lower = s->any && s->least < want->rank;
-    if (!s->stopping && !lower && !(want->in_guarantee && s->borrowed))
+    if (!s->stopping && !lower && !(want->within_guaranteed_share && s->borrowed))
         return;
     for (uint32_t k = 0; k < machine->nreservations; k++) {
         struct bd_job *job = machine->reservations[k].job;
--- a/tests/inputs.c
+++ b/tests/inputs.c
@@ -91,7 +91,7 @@
     char *good = text_of(dir, "settings.json");
     snprintf(path, sizeof path, "%s/settings.json", dir);
     check(bd_settings_load(s, path, err, sizeof err) == 0, "good settings");
-    check(s->npeers == 2 && s->nteams == 2 && s->naims == 2 && s->nzones == 2 &&
+    check(s->npeers == 2 && s->nteams == 2 && s->nslos == 2 && s->nzones == 2 &&
               bd_to_secs(s->lease) == 10.0 && s->kv_txn_ops_max == 24,
           "good settings are read");
     bad_settings(good, "\"node_name\": \"node-0\"", "\"node_name\": 7", "node_name");
@@ -128,7 +128,7 @@
     bad_settings(good, "\"external\": {", "\"external\": [], \"x\": {", "external");
     bad_settings(good, "\"teams\": [", "\"teams\": 3, \"x\": [", "teams");
     char many[4096] = "\"objectives\": [";
-    for (int i = 0; i <= BD_MAX_AIMS; i++) /* one more than there is room for */
+    for (int i = 0; i <= BD_MAX_SLOS; i++) /* one more than there is room for */
         strcat(many, "{\"kind\": \"wait\"}, ");
     bad_settings(good, "\"objectives\": [", many, "objectives");
     bad_settings(good, "{", "[", "line");
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -99,7 +99,7 @@
     for (int i = 0; i < 2; i++)
         snprintf(s->teams[i].name, BD_NAME, "team-%d", i);
     s->teams[0].gpus = 200;
-    s->teams[0].gpus_max = 1500;
+    s->teams[0].gpus_quota = 1500;
 }
 
 static void type(struct world *w, const char *name, double cpus, double gpus, double mem,
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -132,20 +132,20 @@
     snprintf(zones, sizeof zones, "%s", play_arg(p, "zones") ? play_arg(p, "zones") : "");
     for (char *s = NULL, *z = strtok_r(zones, ",", &s); z; z = strtok_r(NULL, ",", &s))
         snprintf(p->settings.zones[p->settings.nzones++], BD_NAME, "%s", z);
-    const char *aim = play_arg(p, "aim");
-    if (aim) {
-        struct bd_aim *a = &p->settings.aims[p->settings.naims++];
-        if (sscanf(aim, "%63[^:]:%lf:%lf", a->job_class, &a->within_s, &a->share) != 3)
+    const char *slo = play_arg(p, "aim");
+    if (slo) {
+        struct bd_slo *a = &p->settings.slos[p->settings.nslos++];
+        if (sscanf(slo, "%63[^:]:%lf:%lf", a->job_class, &a->within_s, &a->share) != 3)
             play_fail(p, "aim");
-        a->kind = BD_AIM_WAIT;
+        a->kind = BD_SLO_WAIT;
     }
     if (play_arg(p, "zone"))
         snprintf(p->settings.zone, sizeof p->settings.zone, "%s", play_arg(p, "zone"));
     if (t) {
-        struct bd_team_limits *l = &p->settings.teams[p->settings.nteams++];
+        struct bd_team_quota *l = &p->settings.teams[p->settings.nteams++];
         char name[BD_NAME];
-        if (sscanf(t, "%63[^:]:%lf:%lf:%lf:%lf", name, &l->cpus, &l->cpus_max, &l->gpus,
-                   &l->gpus_max) != 5)
+        if (sscanf(t, "%63[^:]:%lf:%lf:%lf:%lf", name, &l->cpus, &l->cpus_quota, &l->gpus,
+                   &l->gpus_quota) != 5)
             play_fail(p, "team");
         snprintf(l->name, sizeof l->name, "%s", name);
     }
--- a/tests/simulation.c
+++ b/tests/simulation.c
@@ -424,7 +424,7 @@
     for (int k = 0; k < 2; k++) {
         snprintf(settings->teams[k].name, BD_NAME, "%s", k ? "b" : "a");
         settings->teams[k].cpus = 4;
-        settings->teams[k].cpus_max = s->team_max[k];
+        settings->teams[k].cpus_quota = s->team_max[k];
     }
     if (s->draining)
         settings->draining = sim_drain_rules(s);
