--- a/src/autoscaling/autoscaler.c
+++ b/src/autoscaling/autoscaler.c
@@ -312,7 +312,7 @@
             !bd_only_services(core, machine, &held))
             continue;
         for (uint32_t k = 0; k < machine->nreservations; k++)
-            if (machine->reservations[k].job->spec.shape == BD_SERVICE &&
+            if (machine->reservations[k].job->spec.kind == BD_JOB_SERVICE &&
                 machine->reservations[k].job->state == BD_JOB_ACTIVE)
                 want_job(d, &machine->reservations[k].job->spec, 1, BD_TIER_CHEAP);
     }
@@ -443,7 +443,7 @@
             struct bd_task *task = &r.job->tasks[r.task];
             if ((task->state == BD_TASK_CONFIRMED || task->state == BD_TASK_LAUNCHING) &&
                 !(task->flags & BD_TASK_FLAG_STOP_REQUESTED) &&
-                (r.job->spec.checkpoint > 0 || machine->quarantined))
+                (r.job->spec.checkpoint_interval_s > 0 || machine->quarantined))
                 bd_task_stop(core, r.job, r.task, BD_STOP_EVACUATED, false);
         }
     }
@@ -457,9 +457,9 @@
     enum use u = machine->incarnation ? USE_IDLE : USE_COMING;
     for (uint32_t k = 0; k < machine->nreservations; k++) {
         const struct bd_spec *spec = &machine->reservations[k].job->spec;
-        enum use v = spec->gpus > 0              ? USE_GPU
-                     : spec->shape == BD_SERVICE ? USE_SERVICES
-                                                 : USE_ARRAYS;
+        enum use v = spec->gpus > 0                 ? USE_GPU
+                     : spec->kind == BD_JOB_SERVICE ? USE_SERVICES
+                                                    : USE_ARRAYS;
         u = u == USE_COMING || v < u ? v : u;
     }
     return u;
--- a/src/autoscaling/consolidation.c
+++ b/src/autoscaling/consolidation.c
@@ -28,7 +28,7 @@
         return false;
     for (uint32_t k = 0; k < machine->nreservations; k++) {
         const struct bd_job *job = machine->reservations[k].job;
-        if (job->spec.shape == BD_SERVICE &&
+        if (job->spec.kind == BD_JOB_SERVICE &&
             bd_type_is_expensive(core, &job->spec, machine->type, machine->spot))
             *services += job->spec.cpus;
     }
@@ -38,7 +38,7 @@
 static bool settled(const struct bd_core *core, const struct bd_job *job,
                     const struct bd_task *task)
 {
-    return job->spec.shape == BD_SERVICE && job->npending == 0 &&
+    return job->spec.kind == BD_JOB_SERVICE && job->npending == 0 &&
            task->state == BD_TASK_CONFIRMED && task->execution == BD_EXECUTION_RUNNING &&
            !(task->flags & BD_TASK_FLAG_STOP_REQUESTED) &&
            bd_between(job->last_started_at, core->now) > SETTLED_S;
@@ -227,7 +227,7 @@
 {
     double running = 0, passed = fmin(bd_between(core->cloud.moves_at, core->now), AWAY_KEPT_S);
     for (const struct bd_job *job = core->jobs; job; job = job->hh.next)
-        running += job->state == BD_JOB_ACTIVE && job->has_spec && job->spec.shape == BD_SERVICE
+        running += job->state == BD_JOB_ACTIVE && job->has_spec && job->spec.kind == BD_JOB_SERVICE
                        ? job->nrunning
                        : 0;
     double rate = fmax(AWAY_LEAST_S, AWAY_SHARE * running);
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -248,17 +248,17 @@
         if (k >= 0)
             s->types |= 1u << k;
     }
-    s->shape = t->shape;
-    s->rank = t->rank;
+    s->kind = t->kind;
+    s->priority = t->priority;
     s->cpus = t->cpus;
     s->gpus = t->gpus;
     s->mem = t->mem;
     s->image_gb = t->image_gb;
     s->estimate = t->estimate;
-    s->checkpoint = t->checkpoint;
-    s->save = t->save;
-    s->due = t->due;
-    s->together = t->together;
-    s->scatter = t->scatter;
+    s->checkpoint_interval_s = t->checkpoint_interval_s;
+    s->checkpoint_save_s = t->checkpoint_save_s;
+    s->deadline_s = t->deadline_s;
+    s->same_zone = t->same_zone;
+    s->spread_zones = t->spread_zones;
     s->spot = t->spot;
 }
--- a/src/core/core_internal.h
+++ b/src/core/core_internal.h
@@ -129,7 +129,7 @@
 void bd_deps_seen(struct bd_core *core, struct bd_job *job);
 void bd_deps_settled(struct bd_core *core, struct bd_job *job);
 void bd_deps_written(struct bd_core *core, struct bd_job *job);
-double bd_due_slack(const struct bd_core *core, const struct bd_job *job);
+double bd_deadline_slack(const struct bd_core *core, const struct bd_job *job);
 void bd_deps_tick(struct bd_core *core);
 void bd_deps_free(struct bd_core *core);
 
--- a/src/drain/candidate.c
+++ b/src/drain/candidate.c
@@ -32,7 +32,7 @@
     uint32_t n = 0;
     if (!entry)
         return 0;
-    if (job->spec.shape != BD_GANG)
+    if (job->spec.kind != BD_JOB_GANG)
         return bd_candidate_stoppable(job, task);
     for (uint32_t i = 0; i < job->ntasks; i++)
         n += bd_candidate_stoppable(job, i);
@@ -42,7 +42,7 @@
 static bool gang_was_counted(const struct bd_machine *machine, uint32_t before,
                              const struct bd_job *job)
 {
-    for (uint32_t k = 0; job->spec.shape == BD_GANG && k < before; k++)
+    for (uint32_t k = 0; job->spec.kind == BD_JOB_GANG && k < before; k++)
         if (machine->reservations[k].job == job)
             return true;
     return false;
--- a/src/drain/ledger.c
+++ b/src/drain/ledger.c
@@ -189,7 +189,7 @@
  * disruption, and one of which nothing is left on any machine is taken for that. */
 static bool may_have_run(const struct bd_job *job)
 {
-    return job->spec.shape != BD_ARRAY || job->nplaced > 0 || job->ndone > 0 ||
+    return job->spec.kind != BD_JOB_ARRAY || job->nplaced > 0 || job->ndone > 0 ||
            job->receipt_chunks != 0;
 }
 
--- a/src/drain/plan.c
+++ b/src/drain/plan.c
@@ -154,7 +154,7 @@
         return false;
     for (uint32_t k = 0; k < machine->nreservations; k++) {
         const struct bd_spec *spec = &machine->reservations[k].job->spec;
-        if (spec->shape != BD_SERVICE && spec->checkpoint <= 0)
+        if (spec->kind != BD_JOB_SERVICE && spec->checkpoint_interval_s <= 0)
             return true;
     }
     return false;
--- a/src/jobs/admission.c
+++ b/src/jobs/admission.c
@@ -50,13 +50,13 @@
     if (team < 0)
         return false;
     const struct bd_team_quota *t = &core->settings->teams[team];
-    bool at_once = s->shape != BD_ARRAY && s->tasks > 1;
-    double n = s->shape == BD_ARRAY ? 1 : s->tasks;
+    bool at_once = s->kind != BD_JOB_ARRAY && s->tasks > 1;
+    double n = s->kind == BD_JOB_ARRAY ? 1 : s->tasks;
     if (over(t->cpus_quota, s->cpus * n) || over(t->gpus_quota, s->gpus * n))
         return false;
     uint32_t zones = zones_for(core, s);
-    bool one_zone = s->together || (zones & (zones - 1)) == 0;
-    return zones != 0 && !(at_once && s->scatter && one_zone);
+    bool one_zone = s->same_zone || (zones & (zones - 1)) == 0;
+    return zones != 0 && !(at_once && s->spread_zones && one_zone);
 }
 
 /* Sets the job's record if its revision is this one; 0: if there is none. */
@@ -247,7 +247,7 @@
         if (!x)
             return json_string_value(v);
         *cancelled |= x->state == BD_JOB_CANCELLED;
-        *never |= x->state == BD_JOB_ACTIVE && x->has_spec && x->spec.shape == BD_SERVICE;
+        *never |= x->state == BD_JOB_ACTIVE && x->has_spec && x->spec.kind == BD_JOB_SERVICE;
     }
     return NULL;
 }
--- a/src/jobs/dependency_graph.c
+++ b/src/jobs/dependency_graph.c
@@ -280,9 +280,9 @@
 }
 
 /* Seconds that the job can still wait for its start, for all that need it to be in time. */
-double bd_due_slack(const struct bd_core *core, const struct bd_job *job)
+double bd_deadline_slack(const struct bd_core *core, const struct bd_job *job)
 {
-    return job->due_by - span_s(job) - core->wall;
+    return job->finish_by - span_s(job) - core->wall;
 }
 
 static void start_weighing(struct bd_core *core, struct bd_job **work)
@@ -293,8 +293,9 @@
     for (struct bd_job *job = core->jobs; job; job = job->hh.next) {
         if (job->state != BD_JOB_ACTIVE)
             continue;
-        job->rank = job->spec.rank;
-        job->due_by = job->chained && job->spec.due >= 0 ? job->at + job->spec.due : INFINITY;
+        job->priority = job->spec.priority;
+        job->finish_by =
+            job->chained && job->spec.deadline_s >= 0 ? job->at + job->spec.deadline_s : INFINITY;
         if (job->dependencies && !job->prerequisite) {
             job->todo = *work;
             *work = job;
@@ -320,8 +321,8 @@
             struct bd_job *x = prerequisite ? prerequisite->job : NULL;
             if (!x)
                 continue;
-            x->rank = job->rank > x->rank ? job->rank : x->rank;
-            x->due_by = fmin(x->due_by, job->due_by - span_s(job));
+            x->priority = job->priority > x->priority ? job->priority : x->priority;
+            x->finish_by = fmin(x->finish_by, job->finish_by - span_s(job));
             if (--prerequisite->left == 0 && x->dependencies) {
                 x->todo = work;
                 work = x;
--- a/src/jobs/replica.c
+++ b/src/jobs/replica.c
@@ -37,8 +37,8 @@
     j->ntasks = record->tasks;
     j->job_class = *record->spec.job_class ? bd_intern(&core->classes, record->spec.job_class) : -1;
     j->at = j->ready = record->at;
-    j->rank = record->spec.rank;
-    j->due_by = INFINITY;
+    j->priority = record->spec.priority;
+    j->finish_by = INFINITY;
     HASH_ADD_STR(core->jobs, id, j);
     bd_deps_seen(core, j);
     return j;
--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -100,7 +100,7 @@
         core->log, BD_LOG_INFO,
         "%s is done: %u tasks, rank %d, guess %.0f s; last placed after %.1f s, last begun after "
         "%.1f s, done after %.1f s, %u places lost",
-        job->id, job->ntasks, (int)job->spec.rank, job->spec.estimate,
+        job->id, job->ntasks, (int)job->spec.priority, job->spec.estimate,
         age - bd_between(job->last_placed_at, core->now),
         age - bd_between(job->last_started_at, core->now), age, job->restarts);
     bd_decision_log_note(core, "confirm", "job=%s state=done revision=%llu by=commit", job->id,
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -13,10 +13,11 @@
     int job_class, team, image, zone; /* zone -1: any */
     uint32_t types;                   /* bits of allowed types, all set for any */
     bool any_type;
-    enum bd_shape shape;
-    enum bd_rank rank;
-    double cpus, gpus, mem, image_gb, estimate, checkpoint, save, due;
-    bool together, scatter, spot;
+    enum bd_job_kind kind;
+    enum bd_priority priority;
+    double cpus, gpus, mem, image_gb, estimate, checkpoint_interval_s, checkpoint_save_s,
+        deadline_s;
+    bool same_zone, spread_zones, spot;
 };
 
 struct bd_job {
@@ -49,8 +50,8 @@
     bool chained;      /* it waits, or waited, for others: its due time is minded */
     bool derived;      /* cancelled because a job before it is: its record does not say so yet */
     double ready, end; /* by the time of day: when it could begin; when it was done */
-    enum bd_rank rank; /* the highest among it and all that need it */
-    double due_by;     /* when it must be done for all of them to be in time; infinite: no matter */
+    enum bd_priority priority; /* the highest among it and all that need it */
+    double finish_by; /* when it must be done for all of them to be in time; infinite: no matter */
     struct bd_job *todo;
     int job_class;         /* -1: not known */
     json_t *record_spec;   /* the record's own text of the job, kept for rewriting */
--- a/src/model/task_state.c
+++ b/src/model/task_state.c
@@ -32,7 +32,7 @@
     machine->cpus += sign * spec->cpus;
     machine->gpus += sign * spec->gpus;
     machine->mem += sign * spec->mem;
-    if (spec->shape != BD_SERVICE && spec->gpus <= 0)
+    if (spec->kind != BD_JOB_SERVICE && spec->gpus <= 0)
         return; /* ends by itself before long */
     machine->pinned_cpus += sign * spec->cpus;
     machine->pinned_gpus += sign * spec->gpus;
@@ -257,7 +257,7 @@
     bd_task_set(core, job, i, BD_TASK_PENDING);
     bd_ledger_task(core, job, i);
     core->lead.cycle_wanted = true;
-    if (job->spec.shape == BD_GANG && job->ntasks > 1 && was_sent && job->nplaced > 0)
+    if (job->spec.kind == BD_JOB_GANG && job->ntasks > 1 && was_sent && job->nplaced > 0)
         gang_member_gone(core, job);
 }
 
@@ -277,7 +277,7 @@
 
 void bd_task_done(struct bd_core *core, struct bd_job *job, uint32_t i)
 {
-    if (job->spec.shape != BD_GANG) {
+    if (job->spec.kind != BD_JOB_GANG) {
         one_done(core, job, i);
         return;
     }
@@ -310,7 +310,7 @@
                   bool force)
 {
     stop_one(core, job, i, why, force);
-    if (job->spec.shape != BD_GANG)
+    if (job->spec.kind != BD_JOB_GANG)
         return;
     for (uint32_t k = 0; k < job->ntasks; k++)
         if (stoppable(&job->tasks[k]))
--- a/src/scheduling/cost_model.c
+++ b/src/scheduling/cost_model.c
@@ -92,10 +92,10 @@
 enum bd_cost_tier bd_cost_tier_of(const struct bd_core *core, const struct bd_job *job)
 {
     double can = patience(core, &job->spec), waited = core->wall - job->ready;
-    if (isfinite(job->due_by)) /* what waits for it leaves it no more than that */
-        can = fmin(can, fmax(0, bd_due_slack(core, job) - HOPE_S + waited));
-    bool yields = core->cloud.gpu_waiting && job->spec.gpus <= 0 && job->spec.shape == BD_ARRAY &&
-                  job->rank <= BD_STANDARD;
+    if (isfinite(job->finish_by)) /* what waits for it leaves it no more than that */
+        can = fmin(can, fmax(0, bd_deadline_slack(core, job) - HOPE_S + waited));
+    bool yields = core->cloud.gpu_waiting && job->spec.gpus <= 0 &&
+                  job->spec.kind == BD_JOB_ARRAY && job->priority <= BD_PRIORITY_STANDARD;
     if (waited >= (yields ? fmax(can, YIELD_LEAST_S) : can))
         return BD_TIER_ANY;
     return job->spec.spot && waited < can / 2 ? BD_TIER_SPOT : BD_TIER_CHEAP;
--- a/src/scheduling/job_order.c
+++ b/src/scheduling/job_order.c
@@ -6,12 +6,12 @@
 static int order_jobs(const void *x, const void *y)
 {
     const struct bd_job *a = *(struct bd_job *const *)x, *b = *(struct bd_job *const *)y;
-    if (a->rank != b->rank)
-        return a->rank > b->rank ? -1 : 1;
+    if (a->priority != b->priority)
+        return a->priority > b->priority ? -1 : 1;
     if (a->within_guaranteed_share != b->within_guaranteed_share)
         return a->within_guaranteed_share ? -1 : 1;
-    if (a->due_by != b->due_by) /* most have none */
-        return a->due_by < b->due_by ? -1 : 1;
+    if (a->finish_by != b->finish_by) /* most have none */
+        return a->finish_by < b->finish_by ? -1 : 1;
     if (a->ready != b->ready)
         return a->ready < b->ready ? -1 : 1;
     return strcmp(a->id, b->id);
--- a/src/scheduling/placement.c
+++ b/src/scheduling/placement.c
@@ -10,7 +10,7 @@
 #define COST_NOT_SPOT 20.0        /* work that may use spot, on an ordinary machine */
 #define NOT_SPOT_SHARE 0.2        /* ... but no more than this of the time that its aims leave */
 #define COST_SPOT_LOST 8.0        /* what a due time may lose by a spot machine that is taken */
-#define DUE_HURRY_S 8.0           /* less than this until the start that a due time needs */
+#define DEADLINE_URGENT_S 8.0     /* less than this until the start that a due time needs */
 #define HURRY_S 30.0              /* less than this to spare */
 #define WORTH_MOVING_S 12.0       /* a fetch longer than this is worth stopping borrowed work */
 #define QUICK_S 0.5               /* a fetch that nobody minds */
@@ -54,7 +54,7 @@
 void bd_zone_counts(struct bd_core *core, const struct bd_job *job, uint32_t *n)
 {
     memset(n, 0, BD_MAX_ZONES * sizeof *n);
-    if (!job->spec.together && !job->spec.scatter)
+    if (!job->spec.same_zone && !job->spec.spread_zones)
         return;
     for (uint32_t i = 0; i < job->ntasks; i++) {
         struct bd_machine *machine = bd_machine_of(core, job->tasks[i].machine);
@@ -69,11 +69,11 @@
 uint32_t bd_zone_left(const struct bd_core *core, const struct bd_job *job, const uint32_t *n,
                       int z, uint32_t most)
 {
-    if (job->spec.together)
+    if (job->spec.same_zone)
         for (int k = 0; k < core->nzones; k++)
             if (k != z && n[k] > 0)
                 return 0;
-    if (job->spec.scatter) {
+    if (job->spec.spread_zones) {
         uint32_t half = (job->ntasks + 1) / 2;
         uint32_t left = n[z] >= half ? 0 : half - n[z];
         return left < most ? left : most;
@@ -95,7 +95,7 @@
                              type->mem - machine->pinned_mem};
     uint32_t gpu_tasks = bd_resources_fit(r, g, 64);
     if (gpu_tasks == 0) /* services alone keep GPU work away: they are to move together here */
-        return machine->gpus > 0 || spec->shape == BD_SERVICE ? most : 0;
+        return machine->gpus > 0 || spec->kind == BD_JOB_SERVICE ? most : 0;
     struct bd_resources left = {type->cpus - machine->cpus - gpu_tasks * g->cpus, 0,
                                 type->mem - machine->mem - gpu_tasks * g->mem};
     return left.cpus < 0 || left.mem < 0 ? 0 : bd_resources_fit(left, spec, most);
@@ -154,7 +154,7 @@
 static bool keeps_dear(const struct placement_cycle *r, const struct bd_spec *spec,
                        const struct bd_machine *machine)
 {
-    return spec->gpus <= 0 && spec->shape == BD_ARRAY &&
+    return spec->gpus <= 0 && spec->kind == BD_JOB_ARRAY &&
            r->expensive[machine->type][machine->spot] && machine->pinned_cpus <= 0 &&
            machine->pinned_gpus <= 0 && !machine->headroom;
 }
@@ -312,7 +312,7 @@
 static bool place_gang(struct placement_cycle *r, struct bd_job *job, uint64_t attempt)
 {
     uint32_t got = 0, most = 0;
-    int zone = -1, zones = job->spec.together && job->ntasks > 1 ? r->core->nzones : 0;
+    int zone = -1, zones = job->spec.same_zone && job->ntasks > 1 ? r->core->nzones : 0;
     bool waits = r->core->wall - job->ready > HOLD_AFTER_S;
     bool placed = whole_gang(r, job, attempt, waits && zones == 0, &got);
     for (int z = 0; z < zones && !placed; z++) {
@@ -326,7 +326,7 @@
     r->only_zone = zones ? zone : -1;
     if (!placed && zones && waits)
         (void)whole_gang(r, job, attempt, true, &got);
-    if (!placed && (waits || job->ntasks == 1) && job->rank > BD_IDLE &&
+    if (!placed && (waits || job->ntasks == 1) && job->priority > BD_PRIORITY_IDLE &&
         !bd_before(r->core->now, job->next_force) && !bd_preempt_gang(r, job, job->ntasks - got))
         job->next_force = bd_add(r->core->now, bd_secs(FORCE_AGAIN_S));
     r->only_zone = -1;
@@ -350,15 +350,15 @@
 static void know_prices(struct placement_cycle *r, const struct bd_job *job)
 {
     const struct bd_spec *spec = &job->spec;
-    bool due = isfinite(job->due_by);
+    bool due = isfinite(job->finish_by);
     /* work with little time to spare goes where its image lies, on spot or not */
     r->not_spot = COST_NOT_SPOT;
-    r->urgent = spec->shape == BD_SERVICE;
+    r->urgent = spec->kind == BD_JOB_SERVICE;
     /* work that others wait for with a due time would lose more by a second run than spot saves */
     r->spot_lost = due ? COST_SPOT_LOST : 0;
     if (due) {
         r->not_spot = 0;
-        r->urgent = bd_due_slack(r->core, job) < DUE_HURRY_S;
+        r->urgent = bd_deadline_slack(r->core, job) < DEADLINE_URGENT_S;
     }
     for (int i = 0; i < r->core->settings->nslos; i++) {
         double slack =
@@ -376,7 +376,7 @@
 static void place_job(struct placement_cycle *r, struct bd_job *job)
 {
     uint32_t want = quota_left(r->core, &job->spec, job->npending), got = 0;
-    bool gang = job->spec.shape == BD_GANG, above = job->rank > BD_IDLE;
+    bool gang = job->spec.kind == BD_JOB_GANG, above = job->priority > BD_PRIORITY_IDLE;
     if (r->compares >= r->compares_max || want == 0 || (gang && want < job->ntasks))
         return;
     uint64_t attempt = (r->core->lead.base_term << 20) + r->core->lead.counter + 1;
@@ -391,7 +391,7 @@
             got = place_quickly(r, job, &want, attempt);
         got += got < want ? fill(r, job, want - got, attempt, false) : 0;
         /* a short task that is stopped costs less than a GPU machine taken for a long service */
-        if (got < want && job->spec.shape == BD_SERVICE && above)
+        if (got < want && job->spec.kind == BD_JOB_SERVICE && above)
             want -= bd_preempt(r, job, want - got, true);
         got += got < want ? fill(r, job, want - got, attempt, true) : 0;
     }
--- a/src/scheduling/placement_internal.h
+++ b/src/scheduling/placement_internal.h
@@ -11,7 +11,7 @@
  * machines. */
 struct stops {
     uint32_t stamp; /* of the round's count of stops when this was summed up */
-    enum bd_rank least;
+    enum bd_priority lowest_priority;
     bool any, stopping, borrowed;
 };
 
--- a/src/scheduling/preemption.c
+++ b/src/scheduling/preemption.c
@@ -10,7 +10,7 @@
 {
     return !(task->flags & BD_TASK_FLAG_STOP_REQUESTED) &&
            (task->state == BD_TASK_CONFIRMED || task->state == BD_TASK_LAUNCHING) &&
-           job->spec.shape != BD_SERVICE;
+           job->spec.kind != BD_JOB_SERVICE;
 }
 
 static bool may_stop(const struct bd_job *want, const struct bd_job *job,
@@ -18,11 +18,11 @@
 {
     /* a team's guarantee may take what another team runs beyond its own, but for a few short tasks
      * that others wait for by a due time: there is enough beside them */
-    bool hurries = isfinite(job->due_by) && job->rank > want->rank;
+    bool hurries = isfinite(job->finish_by) && job->priority > want->priority;
     bool owed = want->within_guaranteed_share && !job->within_guaranteed_share &&
                 want->spec.team != job->spec.team && !hurries && task->state == BD_TASK_CONFIRMED &&
                 task->execution == BD_EXECUTION_RUNNING;
-    return (job->rank < want->rank || owed) && bd_stoppable(job, task);
+    return (job->priority < want->priority || owed) && bd_stoppable(job, task);
 }
 
 static const struct stops *sum_up(struct placement_cycle *r, const struct bd_machine *machine)
@@ -30,7 +30,7 @@
     struct stops *s = &r->stops[machine->index];
     if (s->stamp == r->nstops)
         return s;
-    *s = (struct stops){.stamp = r->nstops, .least = BD_PRODUCTION};
+    *s = (struct stops){.stamp = r->nstops, .lowest_priority = BD_PRIORITY_PRODUCTION};
     for (uint32_t k = 0; k < machine->nreservations; k++) {
         const struct bd_job *job = machine->reservations[k].job;
         const struct bd_task *task = &job->tasks[machine->reservations[k].task];
@@ -38,7 +38,8 @@
         if (!bd_stoppable(job, task))
             continue;
         s->any = true;
-        s->least = job->rank < s->least ? job->rank : s->least;
+        s->lowest_priority =
+            job->priority < s->lowest_priority ? job->priority : s->lowest_priority;
         s->borrowed |= !job->within_guaranteed_share;
     }
     return s;
@@ -52,7 +53,7 @@
     const struct stops *s = sum_up(r, machine);
     *soon = bd_unclaimed_capacity(r, machine);
     *most = *soon;
-    bool lower = s->any && s->least < want->rank;
+    bool lower = s->any && s->lowest_priority < want->priority;
     if (!s->stopping && !lower && !(want->within_guaranteed_share && s->borrowed))
         return;
     for (uint32_t k = 0; k < machine->nreservations; k++) {
@@ -72,14 +73,14 @@
 static bool less_valuable(const struct bd_reservation *x, const struct bd_reservation *y)
 {
     const struct bd_job *a = x->job, *b = y->job;
-    if (a->rank != b->rank)
-        return a->rank < b->rank;
+    if (a->priority != b->priority)
+        return a->priority < b->priority;
     if (a != b && a->ready != b->ready)
         return a->ready > b->ready;
     return a->tasks[x->task].attempt > b->tasks[y->task].attempt;
 }
 
-/* Picks the least valuable of what may be stopped. */
+/* Picks the lowest_priority valuable of what may be stopped. */
 static struct bd_reservation least_valuable(const struct bd_job *want,
                                             const struct bd_machine *machine)
 {
@@ -138,8 +139,9 @@
     }
 }
 
-/* Makes room for one task where that costs least, and keeps it for the task. False: nowhere. The
- * costs are counted once for all tasks of the job, and again only for the machine that is picked.
+/* Makes room for one task where that costs lowest_priority, and keeps it for the task. False:
+ * nowhere. The costs are counted once for all tasks of the job, and again only for the machine that
+ * is picked.
  */
 bool bd_vacate(struct placement_cycle *r, struct bd_job *job, uint32_t *zones, bool only_cheap)
 {
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -30,19 +30,25 @@
 #define BD_MAX_TYPES 32
 #define BD_MAX_TASKS 100000u
 
-enum bd_shape { BD_ARRAY, BD_GANG, BD_SERVICE };
-enum bd_rank { BD_IDLE, BD_STANDARD, BD_HIGH, BD_PRODUCTION };
+enum bd_job_kind { BD_JOB_ARRAY, BD_JOB_GANG, BD_JOB_SERVICE };
+enum bd_priority {
+    BD_PRIORITY_IDLE,
+    BD_PRIORITY_STANDARD,
+    BD_PRIORITY_HIGH,
+    BD_PRIORITY_PRODUCTION
+};
 
 /* a job as its user wrote it, names not yet looked up */
 struct bd_spec_text {
     char job_class[BD_LABEL], team[BD_LABEL], image[BD_LABEL], zone[BD_LABEL];
     char types[BD_MAX_TYPES][BD_LABEL];
     int ntypes; /* -1: any */
-    enum bd_shape shape;
-    enum bd_rank rank;
+    enum bd_job_kind kind;
+    enum bd_priority priority;
     uint32_t tasks;
-    double cpus, gpus, mem, image_gb, estimate, checkpoint, save, due; /* due < 0: none */
-    bool together, scatter, spot;
+    double cpus, gpus, mem, image_gb, estimate, checkpoint_interval_s, checkpoint_save_s,
+        deadline_s; /* due < 0: none */
+    bool same_zone, spread_zones, spot;
 };
 
 enum bd_execution_state {
--- a/src/wire/wire_jobs.c
+++ b/src/wire/wire_jobs.c
@@ -6,8 +6,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-static const char *const shapes[] = {"sweep", "gang", "service"};
-static const char *const ranks[] = {"idle", "standard", "high", "production"};
+static const char *const kind_names[] = {"sweep", "gang", "service"};
+static const char *const priority_names[] = {"idle", "standard", "high", "production"};
 static const char *const state_names[] = {"live", "done", "cancelled"};
 
 static bool type_list(json_t *o, struct bd_spec_text *s)
@@ -42,12 +42,12 @@
         return "imageGb";
     if (!bd_wire_amount(o, "guessS", &s->estimate))
         return "guessS";
-    if (!bd_wire_amount(o, "markS", &s->checkpoint))
+    if (!bd_wire_amount(o, "markS", &s->checkpoint_interval_s))
         return "markS";
-    if (!bd_wire_amount(o, "stowS", &s->save))
+    if (!bd_wire_amount(o, "stowS", &s->checkpoint_save_s))
         return "stowS";
-    s->due = -1;
-    if (!bd_wire_is_null(json_object_get(o, "dueS")) && !bd_wire_amount(o, "dueS", &s->due))
+    s->deadline_s = -1;
+    if (!bd_wire_is_null(json_object_get(o, "dueS")) && !bd_wire_amount(o, "dueS", &s->deadline_s))
         return "dueS";
     return NULL;
 }
@@ -60,15 +60,16 @@
         return "kin";
     if (!bd_wire_label(o, "household", s->team))
         return "household";
-    int shape =
-        bd_wire_index_of(shapes, COUNT(shapes), json_string_value(json_object_get(o, "shape")));
+    int shape = bd_wire_index_of(kind_names, COUNT(kind_names),
+                                 json_string_value(json_object_get(o, "shape")));
     if (shape < 0)
         return "shape";
-    s->shape = (enum bd_shape)shape;
-    int rank = bd_wire_index_of(ranks, COUNT(ranks), json_string_value(json_object_get(o, "rank")));
+    s->kind = (enum bd_job_kind)shape;
+    int rank = bd_wire_index_of(priority_names, COUNT(priority_names),
+                                json_string_value(json_object_get(o, "rank")));
     if (rank < 0)
         return "rank";
-    s->rank = (enum bd_rank)rank;
+    s->priority = (enum bd_priority)rank;
     if (!bd_wire_whole(o, "chores", &n) || n < 1 || n > BD_MAX_TASKS)
         return "chores";
     s->tasks = (uint32_t)n;
@@ -78,9 +79,9 @@
         return "glade";
     if (!type_list(o, s))
         return "breeds";
-    if (!bd_wire_flag(o, "together", &s->together))
+    if (!bd_wire_flag(o, "together", &s->same_zone))
         return "together";
-    if (!bd_wire_flag(o, "scatter", &s->scatter))
+    if (!bd_wire_flag(o, "scatter", &s->spread_zones))
         return "scatter";
     if (!bd_wire_flag(o, "windfall", &s->spot))
         return "windfall";
@@ -155,12 +156,12 @@
         json_array_append_new(types, json_string(s->types[i]));
     return json_pack(
         "{s:s,s:s,s:s,s:s,s:i,s:f,s:f,s:f,s:s,s:f,s:o,s:o,s:b,s:b,s:b,s:f,s:f,s:f,s:o}", "kin",
-        s->job_class, "household", s->team, "shape", shapes[s->shape], "rank", ranks[s->rank],
-        "chores", (int)s->tasks, "vcpus", s->cpus, "accelerators", s->gpus, "memGb", s->mem, "seed",
-        s->image, "imageGb", s->image_gb, "breeds", types, "glade", maybe(s->zone), "together",
-        (int)s->together, "scatter", (int)s->scatter, "windfall", (int)s->spot, "guessS",
-        s->estimate, "markS", s->checkpoint, "stowS", s->save, "dueS",
-        s->due < 0 ? json_null() : json_real(s->due));
+        s->job_class, "household", s->team, "shape", kind_names[s->kind], "rank",
+        priority_names[s->priority], "chores", (int)s->tasks, "vcpus", s->cpus, "accelerators",
+        s->gpus, "memGb", s->mem, "seed", s->image, "imageGb", s->image_gb, "breeds", types,
+        "glade", maybe(s->zone), "together", (int)s->same_zone, "scatter", (int)s->spread_zones,
+        "windfall", (int)s->spot, "guessS", s->estimate, "markS", s->checkpoint_interval_s, "stowS",
+        s->checkpoint_save_s, "dueS", s->deadline_s < 0 ? json_null() : json_real(s->deadline_s));
 }
 
 json_t *bd_wire_ended_spec(json_t *spec)
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -27,9 +27,9 @@
 
 static double halt_grace_s(const struct bd_job *job, const struct bd_task *task)
 {
-    if (task->flags & BD_TASK_FLAG_FORCED_STOP || job->spec.checkpoint <= 0)
+    if (task->flags & BD_TASK_FLAG_FORCED_STOP || job->spec.checkpoint_interval_s <= 0)
         return 0;
-    return job->spec.save + 1.0;
+    return job->spec.checkpoint_save_s + 1.0;
 }
 
 static void add_halts(struct bd_machine *machine, struct bd_command_list *commands)
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -61,8 +61,8 @@
         const struct bd_job *job = machine->reservations[k].job;
         const struct bd_task *task = &job->tasks[machine->reservations[k].task];
         if (task->state != BD_TASK_CONFIRMED || task->execution != BD_EXECUTION_RUNNING ||
-            !task->started_at || task->flags & BD_TASK_FLAG_EXITED || job->spec.shape != BD_ARRAY ||
-            job->runs < SLOW_RUNS || 2 * job->runs < job->ntasks)
+            !task->started_at || task->flags & BD_TASK_FLAG_EXITED ||
+            job->spec.kind != BD_JOB_ARRAY || job->runs < SLOW_RUNS || 2 * job->runs < job->ntasks)
             continue; /* the first that finish are the short ones */
         /* as its last report showed it: a machine that we do not hear may be done long since */
         uint32_t run =
--- a/tests/drain_profile.c
+++ b/tests/drain_profile.c
@@ -148,11 +148,11 @@
     snprintf(r.spec.job_class, sizeof r.spec.job_class, "web");
     snprintf(r.spec.team, sizeof r.spec.team, "team-%u", n % TEAMS);
     snprintf(r.spec.image, sizeof r.spec.image, "img");
-    r.spec.shape = BD_SERVICE;
-    r.spec.rank = BD_PRODUCTION;
+    r.spec.kind = BD_JOB_SERVICE;
+    r.spec.priority = BD_PRIORITY_PRODUCTION;
     r.spec.tasks = JOB_TASKS;
     r.spec.cpus = r.spec.mem = 1;
-    r.spec.due = -1;
+    r.spec.deadline_s = -1;
     json_t *v = bd_wire_record(&r);
     struct bd_change ch = {key, v, ++f->revision};
     bd_core_change(f->core, &ch);
--- a/tests/fake_server.c
+++ b/tests/fake_server.c
@@ -59,7 +59,7 @@
     struct MHD_Daemon *door_daemon[DOORS];
     struct late {
         json_t *txn;
-        struct timespec due;
+        struct timespec deliver_at;
     } late[64];
     int nlate, lost, late_applied;
     double lost_share, late_share;
@@ -327,7 +327,7 @@
 {
     for (int i = 0; i < w->nlate;) {
         json_t *ignored = NULL;
-        if (bd_before(bd_now(), w->late[i].due)) {
+        if (bd_before(bd_now(), w->late[i].deliver_at)) {
             i++;
             continue;
         }
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -613,10 +613,10 @@
     snprintf(r.spec.team, BD_LABEL, "a");
     snprintf(r.spec.image, BD_LABEL, "i");
     r.spec.ntypes = -1;
-    r.spec.due = -1;
+    r.spec.deadline_s = -1;
     r.spec.cpus = 1;
     r.spec.tasks = 1;
-    r.spec.rank = n == MANY - 1 ? BD_HIGH : BD_IDLE;
+    r.spec.priority = n == MANY - 1 ? BD_PRIORITY_HIGH : BD_PRIORITY_IDLE;
     r.prerequisites.names = names;
     r.state = strcmp(state, "cancelled") == 0 ? BD_JOB_CANCELLED : BD_JOB_ACTIVE;
     json_t *v = bd_wire_record(&r);
@@ -650,7 +650,7 @@
     for (int n = 1; n < MANY; n++)
         record(c, MANY + n, "live", 0, 1);
     bd_core_weigh(c);
-    faults += job_of(c, 0)->rank != BD_HIGH || job_of(c, 1)->open != 1;
+    faults += job_of(c, 0)->priority != BD_PRIORITY_HIGH || job_of(c, 1)->open != 1;
     record(c, 0, "cancelled", -1, 2);
     for (int n = 0; n < 2 * MANY; n++)
         faults += n != MANY && job_of(c, n)->state != BD_JOB_CANCELLED;
--- a/tests/inputs.c
+++ b/tests/inputs.c
@@ -304,7 +304,7 @@
     r.has_spec = true;
     json_t *v = bd_wire_record(&r);
     check(bd_wire_read_record(v, &back) && back.spec.ntypes == 2 && back.tasks == 3 &&
-              back.at == 1000.5 && strcmp(back.spec.zone, "z") == 0 && back.spec.due < 0,
+              back.at == 1000.5 && strcmp(back.spec.zone, "z") == 0 && back.spec.deadline_s < 0,
           "a record survives being written and read");
     json_decref(v);
     static const char *const bad[] = {"{}",
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -126,7 +126,7 @@
     bd_core_set_clock(w->c, bd_secs(100 + now), 1000 + now);
 }
 
-static void job(struct world *w, int n, enum bd_shape shape, uint32_t tasks, double cpus,
+static void job(struct world *w, int n, enum bd_job_kind shape, uint32_t tasks, double cpus,
                 double gpus, double mem)
 {
     struct bd_record r = {
@@ -137,17 +137,17 @@
     snprintf(r.spec.team, sizeof r.spec.team, "team-%d", n % 2);
     snprintf(r.spec.image, sizeof r.spec.image, "img-%d-%d", (int)shape, n % 8);
     r.spec.ntypes = -1;
-    r.spec.shape = shape;
-    r.spec.rank = shape == BD_SERVICE ? BD_PRODUCTION : BD_STANDARD;
+    r.spec.kind = shape;
+    r.spec.priority = shape == BD_JOB_SERVICE ? BD_PRIORITY_PRODUCTION : BD_PRIORITY_STANDARD;
     r.spec.tasks = tasks;
     r.spec.cpus = cpus;
     r.spec.gpus = gpus;
     r.spec.mem = mem;
     r.spec.image_gb = 2;
     r.spec.estimate = 60;
-    r.spec.due = -1;
-    r.spec.scatter = shape == BD_SERVICE;
-    r.spec.spot = shape == BD_ARRAY;
+    r.spec.deadline_s = -1;
+    r.spec.spread_zones = shape == BD_JOB_SERVICE;
+    r.spec.spot = shape == BD_JOB_ARRAY;
     json_t *v = bd_wire_record(&r);
     struct bd_change ch = {key, v, ++w->revision};
     bd_core_change(w->c, &ch);
@@ -213,11 +213,11 @@
     if (w->plain)
         return;
     for (int i = 0; i < 120; i++)
-        job(w, i, BD_SERVICE, 5, 4, 0, 9);
+        job(w, i, BD_JOB_SERVICE, 5, 4, 0, 9);
     for (int i = 0; i < 60; i++)
-        job(w, 1000 + i, BD_ARRAY, 200, 2, 0, 6);
+        job(w, 1000 + i, BD_JOB_ARRAY, 200, 2, 0, 6);
     for (int i = 0; i < 60; i++)
-        job(w, 2000 + i, BD_GANG, 4, 43, 4, 230);
+        job(w, 2000 + i, BD_JOB_GANG, 4, 43, 4, 230);
     for (int k = 0; k < ROUNDS; k++) {
         round_once(w);
         for (uint32_t i = 0; i < w->machines; i++)
@@ -226,11 +226,12 @@
 }
 
 /* Tasks of the shape that hold a place, and that wait for one. */
-static void count_tasks(const struct world *w, enum bd_shape shape, uint32_t *held, uint32_t *waits)
+static void count_tasks(const struct world *w, enum bd_job_kind shape, uint32_t *held,
+                        uint32_t *waits)
 {
     *held = *waits = 0;
     for (const struct bd_job *j = w->c->jobs; j; j = j->hh.next) {
-        if (j->spec.shape != shape)
+        if (j->spec.kind != shape)
             continue;
         *held += j->nplaced;
         *waits += j->npending;
@@ -241,9 +242,9 @@
 static int check(struct world *w)
 {
     uint32_t held, waits, arrays, gangs, ignored;
-    count_tasks(w, BD_SERVICE, &held, &waits);
-    count_tasks(w, BD_ARRAY, &arrays, &ignored);
-    count_tasks(w, BD_GANG, &gangs, &ignored);
+    count_tasks(w, BD_JOB_SERVICE, &held, &waits);
+    count_tasks(w, BD_JOB_ARRAY, &arrays, &ignored);
+    count_tasks(w, BD_JOB_GANG, &gangs, &ignored);
     fprintf(stderr, "%u commits, %u commands; %u services, %u arrays, %u gang tasks placed\n",
             w->commits, w->commands, held, arrays, gangs);
     if (waits > 0)
@@ -535,7 +536,7 @@
 {
     uint32_t tasks = w->machines * FULL_TASKS;
     for (uint32_t n = 0; n * ARRAY_TASKS < tasks; n++)
-        job(w, (int)(5000 + n), BD_ARRAY, ARRAY_TASKS, 0.5, 0, 1);
+        job(w, (int)(5000 + n), BD_JOB_ARRAY, ARRAY_TASKS, 0.5, 0, 1);
     for (int k = 0; k < FULL_ROUNDS && held_in_all(w) < tasks; k++) {
         round_once(w);
         report_all(w);
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -188,18 +188,18 @@
     s->ntypes = -1;
     const char *shape = play_arg(p, "shape");
     if (shape)
-        s->shape = *shape == 'g' ? BD_GANG : *shape == 's' ? BD_SERVICE : BD_ARRAY;
-    s->rank = (enum bd_rank)play_num(p, "rank", BD_STANDARD);
+        s->kind = *shape == 'g' ? BD_JOB_GANG : *shape == 's' ? BD_JOB_SERVICE : BD_JOB_ARRAY;
+    s->priority = (enum bd_priority)play_num(p, "rank", BD_PRIORITY_STANDARD);
     s->tasks = (uint32_t)play_num(p, "tasks", 1);
     s->cpus = play_num(p, "cpus", 1);
     s->gpus = play_num(p, "gpus", 0);
     s->mem = play_num(p, "mem", 1);
-    s->checkpoint = play_num(p, "checkpoint", 0);
-    s->save = play_num(p, "save", 0);
-    s->due = play_num(p, "due", -1);
+    s->checkpoint_interval_s = play_num(p, "checkpoint", 0);
+    s->checkpoint_save_s = play_num(p, "save", 0);
+    s->deadline_s = play_num(p, "due", -1);
     s->estimate = play_num(p, "guess", 0);
-    s->scatter = play_yes(p, "scatter");
-    s->together = play_yes(p, "together");
+    s->spread_zones = play_yes(p, "scatter");
+    s->same_zone = play_yes(p, "together");
     s->spot = play_yes(p, "spot");
 }
 
@@ -251,7 +251,7 @@
     bd_core_weigh(p->c);
     if (strcmp(state_names[j->state], p->w[2]) != 0)
         play_fail(p, state_names[j->state]);
-    if (play_num(p, "rank", j->rank) != (double)j->rank)
+    if (play_num(p, "rank", j->priority) != (double)j->priority)
         play_fail(p, "another rank");
     if (play_num(p, "ready", j->open == 0) != (double)(j->open == 0))
         play_fail(p, "its readiness is otherwise");
--- a/tests/sim_drain.c
+++ b/tests/sim_drain.c
@@ -151,7 +151,7 @@
 void sim_drain_stopped(struct sim *s, const struct sim_worker *w, const struct sim_slot *t)
 {
     const struct sim_job *j = &s->jobs[t->job];
-    if (!s->draining || j->shape != BD_SERVICE)
+    if (!s->draining || j->kind != BD_JOB_SERVICE)
         return;
     for (int i = 0; i < s->njobs; i++)
         if (s->jobs[i].asked_cancel > 0)
@@ -166,12 +166,12 @@
 void sim_drain_runs(struct sim *s, const struct sim_slot *t)
 {
     const struct sim_job *j = &s->jobs[t->job];
-    if (s->draining && j->shape == BD_SERVICE && j->asked_cancel <= 0)
+    if (s->draining && j->kind == BD_JOB_SERVICE && j->asked_cancel <= 0)
         drain_check_runs(&s->check, t->job, t->task, j->team);
 }
 
 void sim_drain_lost(struct sim *s, const struct sim_slot *t)
 {
-    if (s->draining && s->jobs[t->job].shape == BD_SERVICE)
+    if (s->draining && s->jobs[t->job].kind == BD_JOB_SERVICE)
         drain_check_lost(&s->check, s->now, t->job, t->task);
 }
--- a/tests/sim_work.c
+++ b/tests/sim_work.c
@@ -103,9 +103,9 @@
     if (why == BD_EXIT_DONE) {
         struct sim_job *j = &s->jobs[t->job];
         for (uint32_t k = 0; k < j->tasks; k++) /* a gang's tasks complete together */
-            if (k == t->task || j->shape == BD_GANG)
+            if (k == t->task || j->kind == BD_JOB_GANG)
                 j->done[k] = true;
-        if (j->shape == BD_GANG)
+        if (j->kind == BD_JOB_GANG)
             gang_done(s, t);
     }
     if (w->next_report > s->now + 0.3)
@@ -428,7 +428,7 @@
 {
     struct sim_job *j = &s->jobs[t->job];
     if (t->execution == BD_EXECUTION_FETCHING && s->now >= t->until) {
-        bool gang = j->shape == BD_GANG && j->tasks > 1;
+        bool gang = j->kind == BD_JOB_GANG && j->tasks > 1;
         if (j->done[t->task]) { /* its result is kept */
             exits(s, w, t, BD_EXIT_DONE);
             return;
@@ -447,10 +447,10 @@
         t->until = s->now + j->run_s;
     } else if (t->execution == BD_EXECUTION_JOINING_GANG && s->now >= t->until) {
         exits(s, w, t, BD_EXIT_GANG_INCOMPLETE);
-    } else if (t->execution == BD_EXECUTION_RUNNING && j->shape == BD_GANG && j->tasks > 1 &&
+    } else if (t->execution == BD_EXECUTION_RUNNING && j->kind == BD_JOB_GANG && j->tasks > 1 &&
                !together(s, t->job, t->attempt)) {
         exits(s, w, t, BD_EXIT_GANG_MEMBER_LOST);
-    } else if (t->execution == BD_EXECUTION_RUNNING && j->shape != BD_SERVICE &&
+    } else if (t->execution == BD_EXECUTION_RUNNING && j->kind != BD_JOB_SERVICE &&
                s->now >= t->until) {
         exits(s, w, t, BD_EXIT_DONE);
     }
--- a/tests/simulation.c
+++ b/tests/simulation.c
@@ -114,8 +114,8 @@
 
 static void ask_node(struct sim *s, int job, int node, enum sim_verb verb)
 {
-    static const char *const shapes[] = {"sweep", "gang", "service"};
-    static const char *const ranks[] = {"idle", "standard", "high", "production"};
+    static const char *const kind_names[] = {"sweep", "gang", "service"};
+    static const char *const priority_names[] = {"idle", "standard", "high", "production"};
     struct sim_job *j = &s->jobs[job];
     char text[640];
     struct sim_event *e = sim_post(s, sim_delay(s), SIM_USER_IN);
@@ -132,8 +132,8 @@
              "\"%s\",\"chores\":%u,\"vcpus\":%.1f,%s\"memGb\":1,\"seed\":\"img\",\"imageGb\":"
              "1,\"breeds\":null,\"glade\":%s,\"together\":false,\"scatter\":false,\"windfall\":"
              "false,\"guessS\":8,\"markS\":0,\"stowS\":0,\"dueS\":null}",
-             j->id, j->team ? "b" : "a", shapes[j->shape], ranks[j->rank], j->tasks, j->cpus,
-             j->odd && job % 2 ? "" : "\"accelerators\":0,", j->zone);
+             j->id, j->team ? "b" : "a", kind_names[j->kind], priority_names[j->priority], j->tasks,
+             j->cpus, j->odd && job % 2 ? "" : "\"accelerators\":0,", j->zone);
     e->text = strdup(text);
 }
 
@@ -241,14 +241,14 @@
     memset(j, 0, sizeof *j);
     snprintf(j->id, sizeof j->id, "job-%d", n);
     double kind = sim_rnd(s);
-    j->shape = n < p->services ? BD_SERVICE : kind < 0.2 ? BD_GANG : BD_ARRAY;
+    j->kind = n < p->services ? BD_JOB_SERVICE : kind < 0.2 ? BD_JOB_GANG : BD_JOB_ARRAY;
     j->team = n % 2;
-    j->rank = j->shape == BD_SERVICE ? 3 : (int)(sim_rnd(s) * 3);
-    j->tasks = j->shape == BD_ARRAY ? 1 + (uint32_t)(sim_rnd(s) * 5) : 2;
-    j->cpus = j->shape == BD_SERVICE ? 1 : 1 + (int)(sim_rnd(s) * 3);
+    j->priority = j->kind == BD_JOB_SERVICE ? 3 : (int)(sim_rnd(s) * 3);
+    j->tasks = j->kind == BD_JOB_ARRAY ? 1 + (uint32_t)(sim_rnd(s) * 5) : 2;
+    j->cpus = j->kind == BD_JOB_SERVICE ? 1 : 1 + (int)(sim_rnd(s) * 3);
     j->run_s = sim_rnd(s) < 0.15 ? sim_between(s, 30, 60) : sim_between(s, 1, 12);
     if (p->small) {
-        j->shape = BD_ARRAY;
+        j->kind = BD_JOB_ARRAY;
         j->tasks = 1;
         j->cpus = 1;
         j->run_s = sim_between(s, 1, 6);
@@ -259,7 +259,7 @@
               : where < 0.1        ? "\"a\""
               : where < 0.2        ? "\"b\""
                                    : "null";
-    if (sim_rnd(s) < p->cancelled && !(p->drains && j->shape == BD_SERVICE))
+    if (sim_rnd(s) < p->cancelled && !(p->drains && j->kind == BD_JOB_SERVICE))
         j->cancel_at = sim_rnd(s) < 0.2 ? -1 : s->now + at + sim_between(s, 0.1, 40);
     for (int i = 0; i < SIM_TASKS; i++)
         j->machine[i] = -1;
@@ -548,7 +548,7 @@
         left += !j->done[i];
         missing += !j->done[i] && j->machine[i] < 0;
     }
-    double prerequisite = j->cpus * (j->shape == BD_ARRAY ? 1 : missing);
+    double prerequisite = j->cpus * (j->kind == BD_JOB_ARRAY ? 1 : missing);
     bool could = j->accepted_at > 0 && j->asked_cancel <= 0 && left > 0 && missing > 0 &&
                  s->now > s->trouble_ends &&
                  s->team_use[j->team] + prerequisite <= s->team_max[j->team] + 1e-6;
@@ -565,7 +565,7 @@
     for (int i = 0; i < s->njobs; i++) {
         const struct sim_job *j = &s->jobs[i];
         if (!j->odd && j->asked_cancel <= 0 &&
-            (j->shape == BD_SERVICE ? j->on < (int)j->tasks : j->done_at <= 0))
+            (j->kind == BD_JOB_SERVICE ? j->on < (int)j->tasks : j->done_at <= 0))
             return false;
     }
     return sim_drains_over(s);
@@ -589,9 +589,9 @@
             continue;
         if (j->accepted_at <= 0)
             sim_broken(s, "not accepted: %s", j->id);
-        else if (j->shape == BD_SERVICE && j->on < (int)j->tasks)
+        else if (j->kind == BD_JOB_SERVICE && j->on < (int)j->tasks)
             sim_broken(s, "waits: %s has %d of %u replicas", j->id, j->on, j->tasks);
-        else if (j->shape != BD_SERVICE && j->done_at <= 0)
+        else if (j->kind != BD_JOB_SERVICE && j->done_at <= 0)
             sim_broken(s, "not served: %s (%u tasks of %.0f, on %d)", j->id, j->tasks, j->cpus,
                        j->on);
     }
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -129,9 +129,9 @@
 
 struct sim_job {
     char id[BD_ID];
-    enum bd_shape shape;
+    enum bd_job_kind kind;
     uint32_t tasks;
-    int team, rank;
+    int team, priority;
     double cpus, run_s, cancel_at;                           /* withdraw_at: 0 never */
     double asked_cancel, accepted_at, done_at, cancelled_at; /* when the user was told; 0 not yet */
     double answered_at, room_since; /* it waits since then though it could begin; 0: it could not */
