--- a/src/autoscaling/autoscaler.c
+++ b/src/autoscaling/autoscaler.c
@@ -217,7 +217,7 @@
 
 static void count_job(struct job_class *f, const struct bd_job *job, double from)
 {
-    if (bd_job_waits(job))
+    if (bd_job_has_open_parents(job))
         return;
     f->arrived += job->ready >= from;
     if (!job->has_spec)
--- a/src/base/metrics.c
+++ b/src/base/metrics.c
@@ -28,11 +28,11 @@
 
 static gsl_histogram *new_histogram(void)
 {
-    double dependencies[BINS + 1];
+    double parent_edges[BINS + 1];
     for (size_t i = 0; i <= BINS; i++)
-        dependencies[i] = LEAST_S * exp2((double)i / BINS_A_DOUBLING);
+        parent_edges[i] = LEAST_S * exp2((double)i / BINS_A_DOUBLING);
     gsl_histogram *h = gsl_histogram_alloc(BINS);
-    if (h && gsl_histogram_set_ranges(h, dependencies, BINS + 1) != 0) {
+    if (h && gsl_histogram_set_ranges(h, parent_edges, BINS + 1) != 0) {
         gsl_histogram_free(h);
         h = NULL;
     }
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -75,7 +75,7 @@
     {
         HASH_DEL(core->jobs, job);
         json_decref(job->record_spec);
-        free(job->dependencies);
+        free(job->parent_edges);
         free(job->tasks);
         free(job);
     }
@@ -91,7 +91,7 @@
     free_waits(&core->replica.waiting);
     free_waits(&core->replica.asked);
     bd_admission_end(core);
-    bd_deps_free(core);
+    bd_dag_free(core);
     bd_intent_records_free(core);
     bd_commit_free(core->lead.commit);
     core->last_term = 0; /* nobody waits for a better answer any more */
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -67,7 +67,7 @@
     double team_cpus[BD_MAX_TEAMS], team_gpus[BD_MAX_TEAMS]; /* in use, by team */
 
     struct bd_replica replica;
-    struct bd_graph graph;
+    struct bd_dependency_graph graph;
     struct bd_kv_limits kv_limits;
     struct bd_peer_view peers[BD_MAX_PEERS]; /* in the settings' order */
     struct timespec confirmed; /* when our own last liveness record that was written was sent, */
@@ -169,7 +169,7 @@
 void bd_scale_in_completed(struct bd_core *core, char (*names)[BD_LABEL], int n, bool ok);
 void bd_core_tick(struct bd_core *core);
 /* ranks and due times, if what waits for what has changed */
-void bd_core_weigh(struct bd_core *core);
+void bd_dag_update_priorities(struct bd_core *core);
 struct timespec bd_core_next(const struct bd_core *core);
 bool bd_leadership_may_reply(const struct bd_core *core);
 bool bd_leadership_lease_valid(const struct bd_core *core);
--- a/src/core/core_internal.h
+++ b/src/core/core_internal.h
@@ -15,8 +15,8 @@
     BD_WAIT_CANCEL,
     BD_WAIT_BAD,
     BD_WAIT_NEVER,
-    BD_WAIT_ACCEPT,      /* a submission that names jobs which are not in memory */
-    BD_WAIT_PREREQUISITE /* nobody: a record that a job waits for */
+    BD_WAIT_ACCEPT, /* a submission that names jobs which are not in memory */
+    BD_WAIT_PARENT  /* nobody: a record that a job waits for */
 };
 #define OUTAGE_RETRY_S 2
 
@@ -119,19 +119,19 @@
 void bd_job_set_state(struct bd_core *core, struct bd_job *job, enum bd_job_state state);
 
 /* dependencies */
-static inline bool bd_job_waits(const struct bd_job *job)
+static inline bool bd_job_has_open_parents(const struct bd_job *job)
 {
-    return job->open > 0;
+    return job->nopen_parents > 0;
 }
-void bd_deps_take(struct bd_core *core, struct bd_job *job,
-                  const struct bd_record_prerequisites *r);
-void bd_deps_part(struct bd_core *core, const char *key, json_t *value);
-void bd_deps_seen(struct bd_core *core, struct bd_job *job);
-void bd_deps_settled(struct bd_core *core, struct bd_job *job);
-void bd_deps_written(struct bd_core *core, struct bd_job *job);
+void bd_dag_record_loaded(struct bd_core *core, struct bd_job *job,
+                          const struct bd_record_parents *r);
+void bd_dag_parents_part_loaded(struct bd_core *core, const char *key, json_t *value);
+void bd_dag_job_loaded(struct bd_core *core, struct bd_job *job);
+void bd_dag_job_ended(struct bd_core *core, struct bd_job *job);
+void bd_dag_cancellation_written(struct bd_core *core, struct bd_job *job);
 double bd_deadline_slack(const struct bd_core *core, const struct bd_job *job);
-void bd_deps_tick(struct bd_core *core);
-void bd_deps_free(struct bd_core *core);
+void bd_dag_tick(struct bd_core *core);
+void bd_dag_free(struct bd_core *core);
 
 /* tasks: the only ways their state changes */
 void bd_task_set(struct bd_core *core, struct bd_job *job, uint32_t i, enum bd_task_state st);
--- a/src/jobs/admission.c
+++ b/src/jobs/admission.c
@@ -106,7 +106,7 @@
 
 static json_t *record_of(struct bd_admission *admission, bool inline_names)
 {
-    admission->record.prerequisites.names = inline_names ? admission->prerequisites : NULL;
+    admission->record.parents.names = inline_names ? admission->parents : NULL;
     return bd_wire_record(&admission->record);
 }
 
@@ -114,16 +114,16 @@
  * submission that differs does not write them anew. */
 static void name_parts(struct bd_admission *admission)
 {
-    snprintf(admission->record.prerequisites.of, sizeof admission->record.prerequisites.of,
-             "%016llx", (unsigned long long)bd_wire_names_hash(admission->prerequisites));
+    snprintf(admission->record.parents.of, sizeof admission->record.parents.of, "%016llx",
+             (unsigned long long)bd_wire_names_hash(admission->parents));
 }
 
 /* Names from *i on, as many as a value holds. */
-static json_t *some_names(const struct bd_core *core, json_t *prerequisites, size_t *i)
+static json_t *some_names(const struct bd_core *core, json_t *parents, size_t *i)
 {
     double capacity = BD_VALUE_SHARE * (double)core->kv_limits.kv_value_bytes_max - 32;
     json_t *some = json_array(), *v;
-    while ((v = json_array_get(prerequisites, *i)) &&
+    while ((v = json_array_get(parents, *i)) &&
            (capacity -= (double)json_string_length(v) + 3) > 0) {
         json_array_append(some, v);
         ++*i;
@@ -149,7 +149,7 @@
 static char *write_parts(struct bd_core *core, struct bd_admission *admission)
 {
     char *text = NULL, key[2 * BD_LABEL];
-    size_t len = 0, i = 0, n = json_array_size(admission->prerequisites);
+    size_t len = 0, i = 0, n = json_array_size(admission->parents);
     name_parts(admission);
     while (i < n) {
         struct bd_txn t;
@@ -161,11 +161,9 @@
         while (i < n && ops < core->kv_limits.kv_txn_ops_max &&
                bytes + core->kv_limits.kv_value_bytes_max < TXN_BYTES) {
             size_t from = i;
-            snprintf(key, sizeof key, "j/%s/%s/%u", admission->id,
-                     admission->record.prerequisites.of, admission->record.prerequisites.parts++);
-            bd_txn_put(&t, key,
-                       bd_wire_prerequisites_part(some_names(core, admission->prerequisites, &i)),
-                       0);
+            snprintf(key, sizeof key, "j/%s/%s/%u", admission->id, admission->record.parents.of,
+                     admission->record.parents.parts++);
+            bd_txn_put(&t, key, bd_wire_parents_part(some_names(core, admission->parents, &i)), 0);
             if (i == from)
                 n = 0; /* a value holds no name: this cannot be written */
             ops++;
@@ -173,7 +171,7 @@
         }
         add_line(&text, &len, bd_txn_finish(&t));
     }
-    if (n == 0 || admission->record.prerequisites.parts > BD_PREREQUISITE_PARTS) {
+    if (n == 0 || admission->record.parents.parts > BD_PARENT_PARTS_MAX) {
         free(text);
         return NULL;
     }
@@ -193,7 +191,7 @@
     if (fits_value(core, whole))
         return transaction(admission->id, 0, whole);
     json_decref(whole);
-    char *text = admission->prerequisites ? write_parts(core, admission) : NULL;
+    char *text = admission->parents ? write_parts(core, admission) : NULL;
     json_t *record = record_of(admission, false);
     if (!text || !fits_value(core, record)) {
         json_decref(record);
@@ -220,7 +218,7 @@
 void bd_admission_drop(struct bd_admission *admission)
 {
     if (admission)
-        json_decref(admission->prerequisites);
+        json_decref(admission->parents);
     free(admission);
 }
 
@@ -241,7 +239,7 @@
 {
     json_t *v;
     size_t i;
-    json_array_foreach(admission->prerequisites, i, v)
+    json_array_foreach(admission->parents, i, v)
     {
         struct bd_job *x = bd_job_find(core, json_string_value(v));
         if (!x)
@@ -268,14 +266,14 @@
 {
     bool never = false, cancelled = false;
     const char *missing =
-        admission->prerequisites ? find_prerequisites(core, admission, &never, &cancelled) : NULL;
+        admission->parents ? find_prerequisites(core, admission, &never, &cancelled) : NULL;
     if (missing && !proven) {
         bd_wait_barrier(core, admission->request, admission->id, BD_WAIT_ACCEPT)->accept =
             admission;
         return;
     }
     bool refresh = missing && core->replica.evicted;
-    if (refresh && admission->lookups < json_array_size(admission->prerequisites) + LOOKUPS_EXTRA) {
+    if (refresh && admission->lookups < json_array_size(admission->parents) + LOOKUPS_EXTRA) {
         look_for(core, admission, missing);
         return;
     }
@@ -288,7 +286,7 @@
         bd_effect_reply_error(core, admission->request, 422,
                               "awaits a service, which is never done", 0);
     /* an older controller that leads would start the job too early, and forget what it waits for */
-    else if (admission->prerequisites && bd_older_heard(core, BD_PEER_DEPS))
+    else if (admission->parents && bd_older_heard(core, BD_PEER_DEPS))
         bd_effect_reply_error(core, admission->request, 503,
                               "an older controller serves beside this one", OUTAGE_RETRY_S);
     else {
@@ -341,14 +339,14 @@
 {
     struct bd_record r = {.state = BD_JOB_ACTIVE, .at = core->wall, .has_spec = true};
     char id[BD_ID] = "";
-    json_t *prerequisites = NULL, *o = json_loadb(body, len, JSON_REJECT_DUPLICATES, NULL);
+    json_t *parents = NULL, *o = json_loadb(body, len, JSON_REJECT_DUPLICATES, NULL);
     const char *bad = o ? bd_wire_submission(o, id, &r.spec) : "body";
-    if (!bad && !bd_wire_prerequisites(o, &prerequisites))
+    if (!bad && !bd_wire_parents(o, &parents))
         bad = "awaits";
     json_decref(o);
     struct bd_job *job = *id ? bd_job_find(core, id) : NULL;
     if (job) { /* known: its state, whatever the body says now */
-        json_decref(prerequisites);
+        json_decref(parents);
         bd_core_get(core, request, id);
         return;
     }
@@ -364,10 +362,10 @@
         bd_effect_reply_error(core, request, 503, "not ready", OUTAGE_RETRY_S);
     } else {
         struct bd_admission *admission = new_admission(request, id, &r);
-        admission->prerequisites = json_incref(prerequisites);
+        admission->parents = json_incref(parents);
         judge(core, admission, false);
     }
-    json_decref(prerequisites);
+    json_decref(parents);
 }
 
 /* ---- outcome ---- */
--- a/src/jobs/dependency_graph.c
+++ b/src/jobs/dependency_graph.c
@@ -23,10 +23,10 @@
 #define UNSEEN_S 2.0     /* a record that is not in memory is asked about so often */
 #define UNSEEN_MOST 8u   /* at once */
 
-static struct bd_prerequisite *prerequisite_of(struct bd_core *core, const char *id)
+static struct bd_parent_job *prerequisite_of(struct bd_core *core, const char *id)
 {
-    struct bd_prerequisite *n = NULL;
-    HASH_FIND_STR(core->graph.prerequisites, id, n);
+    struct bd_parent_job *n = NULL;
+    HASH_FIND_STR(core->graph.parents, id, n);
     if (n)
         return n;
     n = calloc(1, sizeof *n);
@@ -35,44 +35,44 @@
     snprintf(n->id, sizeof n->id, "%s", id);
     n->job = bd_job_find(core, id);
     if (n->job)
-        n->job->prerequisite = n;
+        n->job->parent = n;
     else
-        core->graph.nunseen++;
-    HASH_ADD_STR(core->graph.prerequisites, id, n);
+        core->graph.nunseen_parents++;
+    HASH_ADD_STR(core->graph.parents, id, n);
     return n;
 }
 
-static void drop_prerequisite(struct bd_core *core, struct bd_prerequisite *prerequisite)
+static void drop_prerequisite(struct bd_core *core, struct bd_parent_job *parent)
 {
-    if (prerequisite->job)
-        prerequisite->job->prerequisite = NULL;
+    if (parent->job)
+        parent->job->parent = NULL;
     else
-        core->graph.nunseen--;
-    HASH_DEL(core->graph.prerequisites, prerequisite);
-    free(prerequisite);
+        core->graph.nunseen_parents--;
+    HASH_DEL(core->graph.parents, parent);
+    free(parent);
 }
 
 /* The job waits no more: it is final, or ready. */
 static void release(struct bd_core *core, struct bd_job *job)
 {
-    for (uint32_t i = 0; i < job->ndependencies; i++) {
-        struct bd_dependency *e = &job->dependencies[i];
-        if (!e->prerequisite)
+    for (uint32_t i = 0; i < job->nparent_edges; i++) {
+        struct bd_dependency_edge *e = &job->parent_edges[i];
+        if (!e->parent)
             continue;
-        DL_DELETE(e->prerequisite->after, e);
-        if (--e->prerequisite->nafter == 0)
-            drop_prerequisite(core, e->prerequisite);
+        DL_DELETE(e->parent->dependents, e);
+        if (--e->parent->ndependents == 0)
+            drop_prerequisite(core, e->parent);
     }
-    free(job->dependencies);
-    job->dependencies = NULL;
-    job->ndependencies = job->open = job->parts = 0;
-    core->graph.weigh = true;
+    free(job->parent_edges);
+    job->parent_edges = NULL;
+    job->nparent_edges = job->nopen_parents = job->parts = 0;
+    core->graph.priorities_stale = true;
 }
 
 static void one_less(struct bd_core *core, struct bd_job *job, double end)
 {
     job->ready = end > job->ready ? end : job->ready;
-    if (--job->open > 0)
+    if (--job->nopen_parents > 0)
         return;
     release(core, job);
     bd_log_write(core->log, BD_LOG_INFO, "%s is ready, %.1f s after its submission", job->id,
@@ -84,28 +84,28 @@
 {
     release(core, job);
     bd_job_set_state(core, job, BD_JOB_CANCELLED);
-    job->derived = true;
-    core->graph.nderived++;
+    job->cancelled_by_parent = true;
+    core->graph.ncancelled_by_parent++;
 }
 
 /* The job is done or cancelled: those that wait for it go on or are cancelled too, and with them
  * what waits for them. A list of work, not a recursion: chains may be long. */
-void bd_deps_settled(struct bd_core *core, struct bd_job *job)
+void bd_dag_job_ended(struct bd_core *core, struct bd_job *job)
 {
     struct bd_job *work = job;
-    if (job->dependencies)
+    if (job->parent_edges)
         release(core, job);
     job->todo = NULL;
     while (work) {
         struct bd_job *k = work;
-        struct bd_prerequisite *prerequisite = k->prerequisite;
+        struct bd_parent_job *parent = k->parent;
         work = k->todo;
-        while (prerequisite && prerequisite->after) {
-            struct bd_dependency *e = prerequisite->after;
+        while (parent && parent->dependents) {
+            struct bd_dependency_edge *e = parent->dependents;
             struct bd_job *d = e->job;
-            DL_DELETE(prerequisite->after, e);
-            prerequisite->nafter--;
-            e->prerequisite = NULL;
+            DL_DELETE(parent->dependents, e);
+            parent->ndependents--;
+            e->parent = NULL;
             if (k->state == BD_JOB_DONE) {
                 one_less(core, d, k->end);
                 continue;
@@ -114,29 +114,29 @@
             d->todo = work;
             work = d;
         }
-        if (prerequisite)
-            drop_prerequisite(core, prerequisite);
+        if (parent)
+            drop_prerequisite(core, parent);
     }
-    core->graph.weigh = true;
+    core->graph.priorities_stale = true;
 }
 
 /* A job's record is there now. */
-void bd_deps_seen(struct bd_core *core, struct bd_job *job)
+void bd_dag_job_loaded(struct bd_core *core, struct bd_job *job)
 {
-    struct bd_prerequisite *prerequisite = NULL;
-    HASH_FIND_STR(core->graph.prerequisites, job->id, prerequisite);
-    if (!prerequisite || prerequisite->job)
+    struct bd_parent_job *parent = NULL;
+    HASH_FIND_STR(core->graph.parents, job->id, parent);
+    if (!parent || parent->job)
         return;
-    prerequisite->job = job;
-    job->prerequisite = prerequisite;
-    core->graph.nunseen--;
+    parent->job = job;
+    job->parent = parent;
+    core->graph.nunseen_parents--;
 }
 
 /* One more that the job waits for. True: that one is cancelled. */
 static bool add_prerequisite(struct bd_core *core, struct bd_job *job, const char *name)
 {
     struct bd_job *x = bd_job_find(core, name);
-    struct bd_dependency *e = &job->dependencies[job->ndependencies++];
+    struct bd_dependency_edge *e = &job->parent_edges[job->nparent_edges++];
     e->job = job;
     if (x && x->state == BD_JOB_DONE) {
         job->ready = x->end > job->ready ? x->end : job->ready;
@@ -144,13 +144,13 @@
     }
     if (x && x->state == BD_JOB_CANCELLED)
         return true;
-    struct bd_prerequisite *prerequisite = prerequisite_of(core, name);
-    if (prerequisite->after && prerequisite->after->prev->job == job)
+    struct bd_parent_job *parent = prerequisite_of(core, name);
+    if (parent->dependents && parent->dependents->prev->job == job)
         return false; /* named twice */
-    e->prerequisite = prerequisite;
-    DL_APPEND(e->prerequisite->after, e);
-    e->prerequisite->nafter++;
-    job->open++;
+    e->parent = parent;
+    DL_APPEND(e->parent->dependents, e);
+    e->parent->ndependents++;
+    job->nopen_parents++;
     return false;
 }
 
@@ -159,25 +159,25 @@
     json_t *v;
     size_t i;
     bool cancelled = false;
-    job->dependencies = calloc(json_array_size(names) + 1, sizeof *job->dependencies);
-    if (!job->dependencies)
+    job->parent_edges = calloc(json_array_size(names) + 1, sizeof *job->parent_edges);
+    if (!job->parent_edges)
         abort();
-    job->open = 1; /* while names are added */
+    job->nopen_parents = 1; /* while names are added */
     json_array_foreach(names, i, v)
     {
         const char *name = json_string_value(v);
         if (bd_wire_job_id(name) && strcmp(name, job->id) != 0)
             cancelled = add_prerequisite(core, job, name) || cancelled;
         else /* what cannot be read is never known to be done */
-            job->open++;
+            job->nopen_parents++;
     }
-    core->graph.weigh = true;
+    core->graph.priorities_stale = true;
     if (!cancelled) {
         one_less(core, job, job->ready);
         return;
     }
     derive_cancelled(core, job);
-    bd_deps_settled(core, job);
+    bd_dag_job_ended(core, job);
 }
 
 static void part_key(char *key, size_t cap, const char *id, const char *of, uint32_t n)
@@ -185,17 +185,16 @@
     snprintf(key, cap, "%s/%s/%u", id, of, n);
 }
 
-static struct bd_prerequisites_part *find_part(struct bd_core *core, const struct bd_job *job,
-                                               uint32_t n)
+static struct bd_parents_part *find_part(struct bd_core *core, const struct bd_job *job, uint32_t n)
 {
-    struct bd_prerequisites_part *p = NULL;
+    struct bd_parents_part *p = NULL;
     char key[BD_LABEL + BD_HASH];
     part_key(key, sizeof key, job->id, job->parts_of, n);
     HASH_FIND_STR(core->graph.parts, key, p);
     return p;
 }
 
-static void drop_part(struct bd_core *core, struct bd_prerequisites_part *p)
+static void drop_part(struct bd_core *core, struct bd_parents_part *p)
 {
     HASH_DEL(core->graph.parts, p);
     json_decref(p->names);
@@ -210,7 +209,7 @@
             return;
     json_t *all = json_array();
     for (uint32_t i = 0; i < job->parts; i++) {
-        struct bd_prerequisites_part *p = find_part(core, job, i);
+        struct bd_parents_part *p = find_part(core, job, i);
         (void)json_array_extend(all, p->names);
         drop_part(core, p);
     }
@@ -220,10 +219,10 @@
 }
 
 /* The part of a job's names: kept until its record is there, which may come before or after. */
-void bd_deps_part(struct bd_core *core, const char *key, json_t *value)
+void bd_dag_parents_part_loaded(struct bd_core *core, const char *key, json_t *value)
 {
     char id[BD_ID];
-    struct bd_prerequisites_part *p = NULL;
+    struct bd_parents_part *p = NULL;
     json_t *names = bd_wire_read_part(value);
     size_t n = strcspn(key, "/");
     if (!names || n >= sizeof id || strlen(key) >= sizeof p->key) {
@@ -248,16 +247,17 @@
 }
 
 /* The record of a live job, seen for the first time. */
-void bd_deps_take(struct bd_core *core, struct bd_job *job, const struct bd_record_prerequisites *r)
+void bd_dag_record_loaded(struct bd_core *core, struct bd_job *job,
+                          const struct bd_record_parents *r)
 {
-    job->chained = r->damaged || r->parts || json_array_size(r->names) > 0;
+    job->in_dag = r->damaged || r->parts || json_array_size(r->names) > 0;
     if (r->damaged) {
         bd_log_write(core->log, BD_LOG_ERROR,
                      "%s: what it awaits cannot be read: it is not started", job->id);
-        job->open = 1;
+        job->nopen_parents = 1;
     } else if (r->parts) {
         job->parts = r->parts;
-        job->open = 1;
+        job->nopen_parents = 1;
         snprintf(job->parts_of, sizeof job->parts_of, "%s", r->of);
         put_together(core, job);
     } else if (json_array_size(r->names) > 0) {
@@ -265,10 +265,10 @@
     }
 }
 
-void bd_deps_written(struct bd_core *core, struct bd_job *job)
+void bd_dag_cancellation_written(struct bd_core *core, struct bd_job *job)
 {
-    core->graph.nderived -= job->derived;
-    job->derived = false;
+    core->graph.ncancelled_by_parent -= job->cancelled_by_parent;
+    job->cancelled_by_parent = false;
 }
 
 /* ---- urgency ---- */
@@ -287,16 +287,15 @@
 
 static void start_weighing(struct bd_core *core, struct bd_job **work)
 {
-    for (struct bd_prerequisite *prerequisite = core->graph.prerequisites; prerequisite;
-         prerequisite = prerequisite->hh.next)
-        prerequisite->left = prerequisite->nafter;
+    for (struct bd_parent_job *parent = core->graph.parents; parent; parent = parent->hh.next)
+        parent->left = parent->ndependents;
     for (struct bd_job *job = core->jobs; job; job = job->hh.next) {
         if (job->state != BD_JOB_ACTIVE)
             continue;
         job->priority = job->spec.priority;
         job->finish_by =
-            job->chained && job->spec.deadline_s >= 0 ? job->at + job->spec.deadline_s : INFINITY;
-        if (job->dependencies && !job->prerequisite) {
+            job->in_dag && job->spec.deadline_s >= 0 ? job->at + job->spec.deadline_s : INFINITY;
+        if (job->parent_edges && !job->parent) {
             job->todo = *work;
             *work = job;
         }
@@ -306,24 +305,24 @@
 /* A job's rank is the highest among it and all that need it, and its end is due early enough for
  * them: from the last ones back, each edge once. Worked out anew when the graph has changed, so
  * that it lasts no longer than those that need it. */
-void bd_core_weigh(struct bd_core *core)
+void bd_dag_update_priorities(struct bd_core *core)
 {
     struct bd_job *work = NULL;
-    if (!core->graph.weigh)
+    if (!core->graph.priorities_stale)
         return;
-    core->graph.weigh = false;
+    core->graph.priorities_stale = false;
     start_weighing(core, &work);
     while (work) {
         struct bd_job *job = work;
         work = job->todo;
-        for (uint32_t i = 0; i < job->ndependencies; i++) {
-            struct bd_prerequisite *prerequisite = job->dependencies[i].prerequisite;
-            struct bd_job *x = prerequisite ? prerequisite->job : NULL;
+        for (uint32_t i = 0; i < job->nparent_edges; i++) {
+            struct bd_parent_job *parent = job->parent_edges[i].parent;
+            struct bd_job *x = parent ? parent->job : NULL;
             if (!x)
                 continue;
             x->priority = job->priority > x->priority ? job->priority : x->priority;
             x->finish_by = fmin(x->finish_by, job->finish_by - span_s(job));
-            if (--prerequisite->left == 0 && x->dependencies) {
+            if (--parent->left == 0 && x->parent_edges) {
                 x->todo = work;
                 work = x;
             }
@@ -335,37 +334,36 @@
 
 /* What a job waits for left memory before the job's own record was read: it is final, and looked
  * up. */
-void bd_deps_tick(struct bd_core *core)
+void bd_dag_tick(struct bd_core *core)
 {
     uint32_t asked = 0;
-    if (core->graph.nunseen == 0 || !core->replica.ready ||
+    if (core->graph.nunseen_parents == 0 || !core->replica.ready ||
         bd_before(core->now, core->graph.next_unseen))
         return;
     core->graph.next_unseen = bd_add(core->now, bd_secs(UNSEEN_S));
-    for (struct bd_prerequisite *prerequisite = core->graph.prerequisites;
-         prerequisite && asked < UNSEEN_MOST; prerequisite = prerequisite->hh.next) {
-        if (prerequisite->job ||
-            (!bd_is_zero(prerequisite->asked_at) &&
-             bd_between(prerequisite->asked_at, core->now) < UNSEEN_S * UNSEEN_MOST))
+    for (struct bd_parent_job *parent = core->graph.parents; parent && asked < UNSEEN_MOST;
+         parent = parent->hh.next) {
+        if (parent->job || (!bd_is_zero(parent->asked_at) &&
+                            bd_between(parent->asked_at, core->now) < UNSEEN_S * UNSEEN_MOST))
             continue;
-        prerequisite->asked_at = core->now;
+        parent->asked_at = core->now;
         struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_JOB_LOOKUP);
-        effect->status = BD_WAIT_PREREQUISITE;
-        snprintf(effect->key, sizeof effect->key, "%s", prerequisite->id);
+        effect->status = BD_WAIT_PARENT;
+        snprintf(effect->key, sizeof effect->key, "%s", parent->id);
         asked++;
     }
     if (asked == UNSEEN_MOST)
         core->graph.next_unseen = core->now;
 }
 
-void bd_deps_free(struct bd_core *core)
+void bd_dag_free(struct bd_core *core)
 {
-    struct bd_prerequisite *prerequisite, *nt;
-    struct bd_prerequisites_part *p, *pt;
-    HASH_ITER(hh, core->graph.prerequisites, prerequisite, nt)
+    struct bd_parent_job *parent, *nt;
+    struct bd_parents_part *p, *pt;
+    HASH_ITER(hh, core->graph.parents, parent, nt)
     {
-        HASH_DEL(core->graph.prerequisites, prerequisite);
-        free(prerequisite);
+        HASH_DEL(core->graph.parents, parent);
+        free(parent);
     }
     HASH_ITER(hh, core->graph.parts, p, pt)
     {
--- a/src/jobs/replica.c
+++ b/src/jobs/replica.c
@@ -40,7 +40,7 @@
     j->priority = record->spec.priority;
     j->finish_by = INFINITY;
     HASH_ADD_STR(core->jobs, id, j);
-    bd_deps_seen(core, j);
+    bd_dag_job_loaded(core, j);
     return j;
 }
 
@@ -50,12 +50,12 @@
 {
     if (record->state == BD_JOB_ACTIVE)
         return;
-    bd_deps_written(core, job);
+    bd_dag_cancellation_written(core, job);
     if (job->state == record->state)
         return;
     job->end = record->end > 0 ? record->end : core->replica.ready ? core->wall : record->at;
     bd_job_set_state(core, job, record->state);
-    bd_deps_settled(core, job);
+    bd_dag_job_ended(core, job);
 }
 
 void bd_core_change(struct bd_core *core, const struct bd_change *ch)
@@ -65,7 +65,7 @@
         return;
     const char *id = ch->key + 2;
     if (strchr(id, '/')) {
-        bd_deps_part(core, id, ch->value);
+        bd_dag_parents_part_loaded(core, id, ch->value);
         return;
     }
     if (strlen(id) >= BD_ID || !bd_wire_read_record(ch->value, &r)) {
@@ -92,7 +92,7 @@
         bd_log_write(core->log, BD_LOG_ERROR, "%s: no memory for its tasks yet", job->id);
     take_state(core, job, &r);
     if (first && r.state == BD_JOB_ACTIVE)
-        bd_deps_take(core, job, &r.prerequisites);
+        bd_dag_record_loaded(core, job, &r.parents);
     core->lead.cycle_wanted = true;
 }
 
@@ -159,7 +159,7 @@
     snprintf(w.id, sizeof w.id, "%s", id);
     if (status == 200)
         bd_core_change(core, ch);
-    if (w.how == BD_WAIT_PREREQUISITE)
+    if (w.how == BD_WAIT_PARENT)
         return;
     if (w.how == BD_WAIT_ACCEPT)
         bd_admission_looked_up(core, request, status == 200 && !bd_job_find(core, id) ? 0 : status);
@@ -186,8 +186,8 @@
 static void pin(struct bd_core *core)
 {
     for (struct bd_job *job = core->jobs; job; job = job->hh.next)
-        job->pinned =
-            job->state == BD_JOB_ACTIVE || job->tasks || job->receipt_chunks || job->derived;
+        job->pinned = job->state == BD_JOB_ACTIVE || job->tasks || job->receipt_chunks ||
+                      job->cancelled_by_parent;
     for (uint32_t r = 0; r < core->lead.nintent_records; r++)
         for (uint32_t k = 0; k < core->lead.intent_records[r].n; k++)
             core->lead.intent_records[r].e[k].job->pinned = true;
--- a/src/leadership/commit.c
+++ b/src/leadership/commit.c
@@ -149,11 +149,11 @@
     struct bd_commit *commit = core->lead.commit;
     struct bd_job *job, *jt;
     const size_t most = 1000; /* of a cancelled record */
-    if (core->graph.nderived == 0)
+    if (core->graph.ncancelled_by_parent == 0)
         return;
     HASH_ITER(hh, core->jobs, job, jt)
     {
-        if (!job->derived || job->stale || bd_before(core->now, job->backoff_until))
+        if (!job->cancelled_by_parent || job->stale || bd_before(core->now, job->backoff_until))
             continue;
         if (commit->ncancelled == BD_CYCLE_JOBS_MAX || !room_for(builder, 1, 1, most))
             return;
--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -112,7 +112,7 @@
     bd_job_stop_tracking(job);
     json_decref(job->record_spec);
     job->record_spec = NULL;
-    bd_deps_settled(core, job); /* now, and not before, what waits for it may start */
+    bd_dag_job_ended(core, job); /* now, and not before, what waits for it may start */
 }
 
 static void kept(struct bd_core *core, struct bd_commit *commit, uint64_t store_revision)
@@ -136,7 +136,7 @@
         done_kept(core, commit->done[i], store_revision);
     for (uint32_t i = 0; i < commit->ncancelled; i++) {
         commit->cancelled[i]->revision = store_revision;
-        bd_deps_written(core, commit->cancelled[i]);
+        bd_dag_cancellation_written(core, commit->cancelled[i]);
     }
 }
 
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -6,8 +6,8 @@
 #include <time.h>
 #include <uthash.h>
 
-struct bd_dependency;
-struct bd_prerequisite;
+struct bd_dependency_edge;
+struct bd_parent_job;
 
 struct bd_spec {
     int job_class, team, image, zone; /* zone -1: any */
@@ -42,14 +42,15 @@
     struct bd_spec spec;
     bool has_spec, within_guaranteed_share, pinned;
     /* what it waits for, see dependency_graph.c */
-    struct bd_dependency *dependencies;
-    uint32_t ndependencies, open;         /* it is ready when none is open */
-    struct bd_prerequisite *prerequisite; /* who waits for it */
+    struct bd_dependency_edge *parent_edges;
+    uint32_t nparent_edges, nopen_parents; /* it is ready when none is open */
+    struct bd_parent_job *parent;          /* who waits for it */
     uint32_t parts; /* of its needs, some of which have not been seen; 0: complete */
     char parts_of[BD_HASH];
-    bool chained;      /* it waits, or waited, for others: its due time is minded */
-    bool derived;      /* cancelled because a job before it is: its record does not say so yet */
-    double ready, end; /* by the time of day: when it could begin; when it was done */
+    bool in_dag;               /* it waits, or waited, for others: its due time is minded */
+    bool cancelled_by_parent;  /* cancelled because a job before it is: its record does not say so
+                                  yet */
+    double ready, end;         /* by the time of day: when it could begin; when it was done */
     enum bd_priority priority; /* the highest among it and all that need it */
     double finish_by; /* when it must be done for all of them to be in time; infinite: no matter */
     struct bd_job *todo;
--- a/src/scheduling/cycle.c
+++ b/src/scheduling/cycle.c
@@ -89,7 +89,7 @@
 {
     double jobs = 0;
     for (const struct bd_job *job = core->jobs; job; job = job->hh.next)
-        jobs += job->state == BD_JOB_ACTIVE && job->npending > 0 && !bd_job_waits(job);
+        jobs += job->state == BD_JOB_ACTIVE && job->npending > 0 && !bd_job_has_open_parents(job);
     double s = core->settings->cpu > 0
                    ? jobs * core->nmachines * REFRESH_S / core->settings->cpu / CYCLE_SHARE
                    : 0;
@@ -103,8 +103,8 @@
     if (core->lead.commit || bd_before(core->now, core->lead.next_cycle) ||
         core->lead.write_budget < 2)
         return;
-    if (!core->lead.cycle_wanted && !core->lead.token_raise_wanted && core->graph.nderived == 0 &&
-        bd_before(core->now, core->lead.next_gc))
+    if (!core->lead.cycle_wanted && !core->lead.token_raise_wanted &&
+        core->graph.ncancelled_by_parent == 0 && bd_before(core->now, core->lead.next_gc))
         return;
     core->lead.cycle_wanted = false;
     core->lead.next_cycle = bd_add(core->now, bd_secs(round_s(core)));
@@ -129,7 +129,7 @@
         (void)bd_effect_emit(core, BD_EFFECT_READ_BARRIER);
     }
     bd_leadership_step_down(core);
-    bd_deps_tick(core);
+    bd_dag_tick(core);
     bd_forward_tick(core);
     if (core->role != BD_LEADER) {
         bd_delegate_tick(core);
--- a/src/scheduling/job_order.c
+++ b/src/scheduling/job_order.c
@@ -53,7 +53,8 @@
     HASH_ITER(hh, core->jobs, job, jt)
     {
         if (job->state == BD_JOB_ACTIVE && job->tasks && job->has_spec && job->spec.team >= 0 &&
-            job->ndone < job->ntasks && !bd_job_waits(job) && !bd_cancel_heard(core, job))
+            job->ndone < job->ntasks && !bd_job_has_open_parents(job) &&
+            !bd_cancel_heard(core, job))
             list[n++] = job;
     }
     *out = list;
@@ -63,7 +64,7 @@
 /* The live jobs in the order in which they are served. The caller frees the list. */
 uint32_t bd_jobs_in_order(struct bd_core *core, struct bd_job ***out)
 {
-    bd_core_weigh(core);
+    bd_dag_update_priorities(core);
     uint32_t n = live_jobs(core, out);
     mark_guarantees(core, *out, n);
     qsort(*out, n, sizeof(struct bd_job *), order_jobs);
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -26,7 +26,7 @@
 #define BD_ID 32
 #define BD_LABEL 64
 #define BD_HASH 20
-#define BD_PREREQUISITE_PARTS 512u
+#define BD_PARENT_PARTS_MAX 512u
 #define BD_MAX_TYPES 32
 #define BD_MAX_TASKS 100000u
 
@@ -109,7 +109,7 @@
 
 /* What a job waits for: the names of other jobs, in its record or, where a value does not hold them
  * all, in parts of their own that are written before it. */
-struct bd_record_prerequisites {
+struct bd_record_parents {
     json_t *names;  /* borrowed; NULL: none here */
     uint32_t parts; /* 0: none */
     char of[BD_HASH];
@@ -123,7 +123,7 @@
     double end; /* done: of its last task's end; 0: not known */
     bool has_spec;
     struct bd_spec_text spec;
-    struct bd_record_prerequisites prerequisites;
+    struct bd_record_parents parents;
 };
 
 struct bd_cloud_machine {
@@ -141,8 +141,8 @@
 /* NULL, or what is wrong; *id gets the job's id as soon as one was found */
 const char *bd_wire_submission(json_t *o, char id[BD_ID], struct bd_spec_text *out);
 /* The jobs that a submission waits for, each once; *out is a new list or NULL. False: malformed. */
-bool bd_wire_prerequisites(json_t *o, json_t **out);
-json_t *bd_wire_prerequisites_part(json_t *names); /* a part's value, and what one holds */
+bool bd_wire_parents(json_t *o, json_t **out);
+json_t *bd_wire_parents_part(json_t *names); /* a part's value, and what one holds */
 json_t *bd_wire_read_part(json_t *v);
 /* a job's text once it is cancelled: as short as it can be read */
 json_t *bd_wire_ended_spec(json_t *spec);
--- a/src/wire/wire_jobs.c
+++ b/src/wire/wire_jobs.c
@@ -100,7 +100,7 @@
     return spec_of(o, out);
 }
 
-bool bd_wire_prerequisites(json_t *o, json_t **out)
+bool bd_wire_parents(json_t *o, json_t **out)
 {
     json_t *a = json_object_get(o, "awaits"), *v, *seen;
     size_t i;
@@ -133,7 +133,7 @@
     return true;
 }
 
-json_t *bd_wire_prerequisites_part(json_t *names)
+json_t *bd_wire_parents_part(json_t *names)
 {
     return json_pack("{s:o}", "awaits", names);
 }
@@ -180,18 +180,18 @@
         json_object_set_new(o, "job", bd_wire_spec(&record->spec));
     else if (o && *record->spec.job_class) /* a finished job's class still tells how many come */
         json_object_set_new(o, "k", json_string(record->spec.job_class));
-    if (o && record->prerequisites.parts)
-        json_object_set_new(o, "parts",
-                            json_pack("{s:s,s:i}", "of", record->prerequisites.of, "n",
-                                      (int)record->prerequisites.parts));
-    else if (o && record->prerequisites.names)
-        json_object_set(o, "awaits", record->prerequisites.names);
+    if (o && record->parents.parts)
+        json_object_set_new(
+            o, "parts",
+            json_pack("{s:s,s:i}", "of", record->parents.of, "n", (int)record->parents.parts));
+    else if (o && record->parents.names)
+        json_object_set(o, "awaits", record->parents.names);
     if (o && record->end > 0)
         json_object_set_new(o, "end", json_real(record->end));
     return o;
 }
 
-static void read_prerequisites(json_t *v, struct bd_record_prerequisites *out)
+static void read_prerequisites(json_t *v, struct bd_record_parents *out)
 {
     json_t *names = json_object_get(v, "awaits"), *parts = json_object_get(v, "parts");
     uint64_t n = 0;
@@ -203,7 +203,7 @@
     if (!parts)
         return;
     if (!of || strlen(of) >= BD_HASH || !bd_wire_whole(parts, "n", &n) || n < 1 ||
-        n > BD_PREREQUISITE_PARTS) {
+        n > BD_PARENT_PARTS_MAX) {
         out->damaged = true;
         return;
     }
@@ -223,7 +223,7 @@
     out->end = json_number_value(json_object_get(v, "end"));
     out->state = (enum bd_job_state)m;
     out->tasks = (uint32_t)n;
-    read_prerequisites(v, &out->prerequisites);
+    read_prerequisites(v, &out->parents);
     json_t *job = json_object_get(v, "job");
     out->has_spec = json_is_object(job) && spec_of(job, &out->spec) == NULL;
     if (!out->has_spec && !bd_wire_label(v, "k", out->spec.job_class))
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -38,7 +38,7 @@
 
 struct job {
     bool tried, accepted, told_cancelled;
-    int prerequisites[NEEDS], nprerequisites;
+    int parents[NEEDS], nprerequisites;
 };
 
 struct task {
@@ -154,7 +154,7 @@
         snprintf(id, sizeof id, "job-%d", i);
         cancelled[i] = record_says(w, id, "cancelled");
         for (int k = 0; k < w->jobs[i].nprerequisites; k++)
-            cancelled[i] = cancelled[i] || cancelled[w->jobs[i].prerequisites[k]];
+            cancelled[i] = cancelled[i] || cancelled[w->jobs[i].parents[k]];
     }
     return cancelled[n];
 }
@@ -164,7 +164,7 @@
     int n = atoi(task + strlen("job-"));
     char id[32];
     for (int k = 0; k < w->jobs[n].nprerequisites; k++) {
-        snprintf(id, sizeof id, "job-%d", w->jobs[n].prerequisites[k]);
+        snprintf(id, sizeof id, "job-%d", w->jobs[n].parents[k]);
         if (!record_says(w, id, "done"))
             fault(w, "started too early", n);
     }
@@ -453,19 +453,19 @@
 
 static void submit(struct world *w, int n)
 {
-    char body[1024], prerequisites[256] = "", id[32];
+    char body[1024], parents[256] = "", id[32];
     struct job *j = &w->jobs[n];
     for (unsigned k = dice(w, NEEDS + 1); !j->tried && n > 0 && k > 0; k--) {
         /* chains, and wide ones: half of them near */
         int x =
             dice(w, 2) ? n - 1 - (int)dice(w, n < 3 ? (unsigned)n : 3) : (int)dice(w, (unsigned)n);
         if (w->jobs[x].accepted)
-            j->prerequisites[j->nprerequisites++] = x;
+            j->parents[j->nprerequisites++] = x;
     }
     j->tried = true;
     for (int k = 0; k < j->nprerequisites; k++) {
-        snprintf(id, sizeof id, "%s\"job-%d\"", k ? "," : "", j->prerequisites[k]);
-        strcat(prerequisites, id);
+        snprintf(id, sizeof id, "%s\"job-%d\"", k ? "," : "", j->parents[k]);
+        strcat(parents, id);
     }
     snprintf(
         body, sizeof body,
@@ -473,7 +473,7 @@
         "\"standard\",\"chores\":%d,\"vcpus\":1,\"accelerators\":0,\"memGb\":1,\"seed\":\"i\","
         "\"imageGb\":0,\"breeds\":null,\"glade\":null,\"together\":false,\"scatter\":false,"
         "\"windfall\":false,\"guessS\":1,\"markS\":0,\"stowS\":0,\"dueS\":null,\"awaits\":[%s]}",
-        n, n % 3 ? "sweep" : "gang", 1 + n % 3, prerequisites);
+        n, n % 3 ? "sweep" : "gang", 1 + n % 3, parents);
     bd_core_submit(w->c[dice(w, NODES)], ask(w, ASK_SUBMIT, n), body, strlen(body));
 }
 
@@ -599,15 +599,14 @@
 
 #define MANY 30000
 
-static void record(struct bd_core *c, int n, const char *state, int prerequisites,
-                   uint64_t revision)
+static void record(struct bd_core *c, int n, const char *state, int parents, uint64_t revision)
 {
     char key[64], name[32];
     struct bd_record r = {.state = BD_JOB_ACTIVE, .tasks = 1, .at = 1000, .has_spec = true};
     json_t *names = json_array();
     snprintf(key, sizeof key, "j/job-%d", n);
-    snprintf(name, sizeof name, "job-%d", prerequisites);
-    if (prerequisites >= 0)
+    snprintf(name, sizeof name, "job-%d", parents);
+    if (parents >= 0)
         json_array_append_new(names, json_string(name));
     snprintf(r.spec.job_class, BD_LABEL, "k");
     snprintf(r.spec.team, BD_LABEL, "a");
@@ -617,7 +616,7 @@
     r.spec.cpus = 1;
     r.spec.tasks = 1;
     r.spec.priority = n == MANY - 1 ? BD_PRIORITY_HIGH : BD_PRIORITY_IDLE;
-    r.prerequisites.names = names;
+    r.parents.names = names;
     r.state = strcmp(state, "cancelled") == 0 ? BD_JOB_CANCELLED : BD_JOB_ACTIVE;
     json_t *v = bd_wire_record(&r);
     struct bd_change ch = {key, v, revision};
@@ -649,12 +648,12 @@
         record(c, n, "live", n - 1, 1);
     for (int n = 1; n < MANY; n++)
         record(c, MANY + n, "live", 0, 1);
-    bd_core_weigh(c);
-    faults += job_of(c, 0)->priority != BD_PRIORITY_HIGH || job_of(c, 1)->open != 1;
+    bd_dag_update_priorities(c);
+    faults += job_of(c, 0)->priority != BD_PRIORITY_HIGH || job_of(c, 1)->nopen_parents != 1;
     record(c, 0, "cancelled", -1, 2);
     for (int n = 0; n < 2 * MANY; n++)
         faults += n != MANY && job_of(c, n)->state != BD_JOB_CANCELLED;
-    faults += c->graph.prerequisites != NULL || c->graph.nderived != 2 * MANY - 2;
+    faults += c->graph.parents != NULL || c->graph.ncancelled_by_parent != 2 * MANY - 2;
     bd_core_free(c);
     if (faults)
         fprintf(stderr, "a large graph: %d faults\n", faults);
--- a/tests/inputs.c
+++ b/tests/inputs.c
@@ -221,7 +221,7 @@
 }
 
 /* What a submission may say of the jobs it waits for; expected: how many names are left, or -1. */
-static void prerequisites(void)
+static void parents(void)
 {
     static const struct {
         const char *text;
@@ -240,7 +240,7 @@
                  {"{\"awaits\":[\"job-1234567890123456789\"]}", -1}};
     for (size_t i = 0; i < sizeof forms / sizeof *forms; i++) {
         json_t *o = json_loads(forms[i].text, 0, NULL), *names = NULL;
-        bool ok = bd_wire_prerequisites(o, &names);
+        bool ok = bd_wire_parents(o, &names);
         check(ok == (forms[i].names >= 0) &&
                   json_array_size(names) == (size_t)(forms[i].names > 0 ? forms[i].names : 0) &&
                   (names != NULL) == (forms[i].names > 0),
@@ -421,9 +421,7 @@
         if (strncmp(key, "j/", 2) != 0)
             continue;
         bool ok = bd_wire_read_record(v, &r);
-        check(ok && !r.prerequisites.names && !r.prerequisites.parts && !r.prerequisites.damaged &&
-                  r.end == 0,
-              key);
+        check(ok && !r.parents.names && !r.parents.parts && !r.parents.damaged && r.end == 0, key);
         jobs[ok ? r.state : 0]++;
     }
     check(jobs[BD_JOB_ACTIVE] == 2 && jobs[BD_JOB_DONE] == 1 && jobs[BD_JOB_CANCELLED] == 1 &&
@@ -511,7 +509,7 @@
     settings(argv[1]);
     operator_files();
     submissions(argv[1]);
-    prerequisites();
+    parents();
     heartbeats(argv[1]);
     cached_reports();
     records();
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -218,7 +218,7 @@
 {
     char key[BD_LABEL + 8];
     snprintf(key, sizeof key, "j/%s", p->w[1]);
-    json_t *v = bd_wire_prerequisites_part(names_in(p->n > 2 ? p->w[2] : ""));
+    json_t *v = bd_wire_parents_part(names_in(p->n > 2 ? p->w[2] : ""));
     struct bd_change ch = {key, v, (uint64_t)play_num(p, "mark", 1)};
     bd_core_change(p->c, &ch);
     json_decref(v);
@@ -248,12 +248,12 @@
         play_fail(p, "no such job");
         return;
     }
-    bd_core_weigh(p->c);
+    bd_dag_update_priorities(p->c);
     if (strcmp(state_names[j->state], p->w[2]) != 0)
         play_fail(p, state_names[j->state]);
     if (play_num(p, "rank", j->priority) != (double)j->priority)
         play_fail(p, "another rank");
-    if (play_num(p, "ready", j->open == 0) != (double)(j->open == 0))
+    if (play_num(p, "ready", j->nopen_parents == 0) != (double)(j->nopen_parents == 0))
         play_fail(p, "its readiness is otherwise");
 }
 
@@ -268,9 +268,9 @@
         r.state = strcmp(state, "done") == 0 ? BD_JOB_DONE : BD_JOB_CANCELLED;
     snprintf(key, sizeof key, "j/%s", p->w[1]);
     json_t *names = play_arg(p, "needs") ? names_in(play_arg(p, "needs")) : NULL;
-    r.prerequisites.names = names;
+    r.parents.names = names;
     if (play_arg(p, "parts") &&
-        sscanf(play_arg(p, "parts"), "%15[^:]:%u", r.prerequisites.of, &r.prerequisites.parts) != 2)
+        sscanf(play_arg(p, "parts"), "%15[^:]:%u", r.parents.of, &r.parents.parts) != 2)
         play_fail(p, "parts");
     r.end = play_num(p, "end", 0);
     json_t *v = bd_wire_record(&r);
--- a/tests/simulation.c
+++ b/tests/simulation.c
@@ -548,10 +548,10 @@
         left += !j->done[i];
         missing += !j->done[i] && j->machine[i] < 0;
     }
-    double prerequisite = j->cpus * (j->kind == BD_JOB_ARRAY ? 1 : missing);
+    double parent = j->cpus * (j->kind == BD_JOB_ARRAY ? 1 : missing);
     bool could = j->accepted_at > 0 && j->asked_cancel <= 0 && left > 0 && missing > 0 &&
                  s->now > s->trouble_ends &&
-                 s->team_use[j->team] + prerequisite <= s->team_max[j->team] + 1e-6;
+                 s->team_use[j->team] + parent <= s->team_max[j->team] + 1e-6;
     if (!could)
         j->room_since = 0;
     else if (j->room_since <= 0)
