--- a/src/core/core_internal.h
+++ b/src/core/core_internal.h
@@ -172,11 +172,11 @@
 bool bd_cancel_heard(const struct bd_core *core, const struct bd_job *job);
 
 /* answering in time: lease_renewal.c */
-double bd_grace_s(const struct bd_settings *settings);
-bool bd_in_grace(const struct bd_core *core, struct timespec seen);
-bool bd_may_renew(const struct bd_core *core);
+double bd_renewal_window_s(const struct bd_settings *settings);
+bool bd_within_renewal_window(const struct bd_core *core, struct timespec seen);
+bool bd_may_renew_leases(const struct bd_core *core);
 bool bd_may_launch(const struct bd_core *core);
-struct timespec bd_command_until(const struct bd_core *core, bool launch);
+struct timespec bd_command_deadline(const struct bd_core *core, bool launch);
 
 /* prices: which machines a job may take, by how long it has waited */
 enum bd_cost_tier { BD_TIER_SPOT, BD_TIER_CHEAP, BD_TIER_ANY };
--- a/src/leadership/leadership.c
+++ b/src/leadership/leadership.c
@@ -22,12 +22,13 @@
 
 bool bd_leadership_may_reply(const struct bd_core *core)
 {
-    if (core->role != BD_LEADER || !bd_may_renew(core))
+    if (core->role != BD_LEADER || !bd_may_renew_leases(core))
         return false;
     if (bd_leadership_lease_valid(core))
         return true;
     /* a new leader counts with our answers from our last renewal on */
-    return newer_leader(core) < 0 && !cut_alone(core) && bd_in_grace(core, core->lead.renewed);
+    return newer_leader(core) < 0 && !cut_alone(core) &&
+           bd_within_renewal_window(core, core->lead.renewed);
 }
 
 void bd_leadership_leader_observed(struct bd_core *core, const char *name, uint64_t revision,
--- a/src/leadership/reconciliation.c
+++ b/src/leadership/reconciliation.c
@@ -129,7 +129,7 @@
     bd_delegate_end(core);
     core->delegates.read_at = core->now;
     /* an earlier leader in its grace, or a delegate of one, may have answered until then */
-    double rest = bd_grace_s(core->settings) - bd_to_secs(core->settings->leader_ttl);
+    double rest = bd_renewal_window_s(core->settings) - bd_to_secs(core->settings->leader_ttl);
     rest = rest > DELEGATE_FRESH_S ? rest : DELEGATE_FRESH_S;
     core->lead.earlier_leases_expire_at = bd_lease_expiry(core, bd_add(core->now, bd_secs(rest)));
     HASH_ITER(hh, core->jobs, job, jt)
--- a/src/workers/autonomous_zone.c
+++ b/src/workers/autonomous_zone.c
@@ -67,7 +67,7 @@
 /* The grace, from the last sign of the state service. */
 static bool in_time(const struct bd_core *core)
 {
-    return bd_may_renew(core) && bd_in_grace(core, core->confirmed);
+    return bd_may_renew_leases(core) && bd_within_renewal_window(core, core->confirmed);
 }
 
 bool bd_standby_answers(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
@@ -103,7 +103,7 @@
         core->peers[peer].suspect_until = bd_add(core->now, bd_secs(STICKY_S));
     if (!bd_before(core->now, core->peers[peer].suspect_until))
         return -1;
-    return bd_grace_s(core->settings) - age + clocks(core);
+    return bd_renewal_window_s(core->settings) - age + clocks(core);
 }
 
 /* As leader, before leases are looked at: for each zone until when workers there may have been
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -152,7 +152,7 @@
     effect->machine = machine->index;
     effect->fencing_token = core->lead.term;
     effect->launch = launch;
-    effect->until = bd_command_until(core, launch);
+    effect->until = bd_command_deadline(core, launch);
     snprintf(effect->addr, sizeof effect->addr, "%s", machine->addr);
     effect->body =
         bd_wire_commands(core->lead.term, machine->incarnation, commands.items, commands.count);
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -235,7 +235,7 @@
 /* The record is written by other means than the records of jobs are read: both must be new. */
 static bool may_answer(const struct bd_core *core)
 {
-    return bd_before(core->now, core->delegate.confirmed_until) && bd_may_renew(core);
+    return bd_before(core->now, core->delegate.confirmed_until) && bd_may_renew_leases(core);
 }
 
 /* The first answer to each machine of our record; of those that we stand by for, one at a time. */
--- a/src/workers/lease_renewal.c
+++ b/src/workers/lease_renewal.c
@@ -20,23 +20,23 @@
 
 /* How long after the sending of the last answered refresh answers may be given. A new leader counts
  * with it too: all controllers must come to the same figure. */
-double bd_grace_s(const struct bd_settings *settings)
+double bd_renewal_window_s(const struct bd_settings *settings)
 {
     double capacity = bd_to_secs(settings->cancel) - bd_to_secs(settings->lease) * (1 + DRIFT);
     double margin = capacity * MARGIN_SHARE < MARGIN_S ? capacity * MARGIN_SHARE : MARGIN_S;
     return capacity > 0 ? capacity - margin : 0;
 }
 
-bool bd_in_grace(const struct bd_core *core, struct timespec seen)
+bool bd_within_renewal_window(const struct bd_core *core, struct timespec seen)
 {
-    double s = bd_grace_s(core->settings) * (1 - DRIFT) - TIMER_S;
+    double s = bd_renewal_window_s(core->settings) * (1 - DRIFT) - TIMER_S;
     return !bd_is_zero(seen) && bd_before(core->now, bd_add(seen, bd_secs(s)));
 }
 
 /* Whether a cancellation that we do not know of still ends in time if we answer now. */
-bool bd_may_renew(const struct bd_core *core)
+bool bd_may_renew_leases(const struct bd_core *core)
 {
-    return bd_in_grace(core, core->replica.refreshed_at);
+    return bd_within_renewal_window(core, core->replica.refreshed_at);
 }
 
 /* A launch is repeated until its task is seen; not while the job may be cancelled for long. */
@@ -48,7 +48,7 @@
 
 /* A direct command waits in a queue before it is sent, perhaps behind machines that do not answer:
  * whoever sends it asks again then. Until this moment the right by which it was decided holds. */
-struct timespec bd_command_until(const struct bd_core *core, bool launch)
+struct timespec bd_command_deadline(const struct bd_core *core, bool launch)
 {
     struct timespec until = core->lead.valid_until;
     struct timespec known = bd_add(core->replica.refreshed_at, bd_secs(KNOWN_S));
