--- a/src/core/core.h
+++ b/src/core/core.h
@@ -42,9 +42,9 @@
     struct timespec heard, kv_seen_at;
     uint64_t term;
     uint8_t flags;
-    double status_sent_wall_s;     /* when it said so, by its time of day */
-    double contact;                /* as leader: its newest record, by its time of day */
-    struct timespec suspect_until; /* as leader: it may be standing by */
+    double status_sent_wall_s;              /* when it said so, by its time of day */
+    double contact;                         /* as leader: its newest record, by its time of day */
+    struct timespec maybe_autonomous_until; /* as leader: it may be standing by */
 };
 
 struct bd_core {
@@ -131,10 +131,10 @@
 void bd_peer_status_received(struct bd_core *core, const char *name, uint64_t term, uint8_t flags,
                              double kv_age_s, double status_sent_wall_s, struct timespec heard);
 /* our own record of being in touch is about to be sent; it was written */
-void bd_core_liveness_sent(struct bd_core *core, struct timespec sent);
-void bd_core_liveness_written(struct bd_core *core, struct timespec sent);
+void bd_liveness_sent(struct bd_core *core, struct timespec sent);
+void bd_liveness_written(struct bd_core *core, struct timespec sent);
 /* we have not been in touch for so long that we may stand by */
-bool bd_core_cut(const struct bd_core *core);
+bool bd_autonomous_zone_active(const struct bd_core *core);
 /* Another controller says that the job's cancellation was confirmed: until the record shows it, the
  * news stops the job's tasks and starts none. No rule rests on it. */
 void bd_core_cancelled_elsewhere(struct bd_core *core, const char *id);
--- a/src/core/core_internal.h
+++ b/src/core/core_internal.h
@@ -190,13 +190,14 @@
                          enum bd_cost_tier cost_tier, int type, bool spot);
 
 /* standing by in a zone that is cut off */
-#define STANDBY_AFTER_S 3.0 /* without a word from the state service */
-bool bd_standby_answers(const struct bd_core *core, const struct bd_heartbeat *heartbeat);
-bool bd_standby_near(const struct bd_core *core, const struct bd_heartbeat *heartbeat);
-void bd_standby_record(struct bd_core *core, const char *node, double at);
-void bd_standby_zones(struct bd_core *core, struct timespec *until);
-struct timespec bd_standby_until(const struct bd_core *core, const struct bd_machine *machine,
-                                 const struct timespec *until);
+#define AUTONOMOUS_AFTER_S 3.0 /* without a word from the state service */
+bool bd_autonomous_zone_may_reply(const struct bd_core *core, const struct bd_heartbeat *heartbeat);
+bool bd_autonomous_zone_is_local(const struct bd_core *core, const struct bd_heartbeat *heartbeat);
+void bd_autonomous_zone_liveness_record(struct bd_core *core, const char *node, double at);
+void bd_autonomous_zone_leases(struct bd_core *core, struct timespec *until);
+struct timespec bd_autonomous_zone_lease_until(const struct bd_core *core,
+                                               const struct bd_machine *machine,
+                                               const struct timespec *until);
 
 /* delegates */
 #define LEADER_SILENT_S                                                                            \
--- a/src/model/decision_log.h
+++ b/src/model/decision_log.h
@@ -25,7 +25,7 @@
     double lines; /* that may be written now */
     struct timespec lines_at;
     uint32_t suppressed;
-    struct timespec standby_said;
+    struct timespec autonomous_logged_at;
 };
 
 /* A task's event. `why` is more key=value text, or empty. */
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -229,10 +229,10 @@
                                           event->flag);
         break;
     case BD_EVENT_LIVENESS_SENT:
-        bd_core_liveness_sent(core, event->sent);
+        bd_liveness_sent(core, event->sent);
         break;
     case BD_EVENT_LIVENESS_WRITTEN:
-        bd_core_liveness_written(core, event->sent);
+        bd_liveness_written(core, event->sent);
         break;
     case BD_EVENT_LEASE_RENEWED:
         bd_leadership_renewed(core, event->number, event->sent);
@@ -293,8 +293,8 @@
         node->status.flags |= BD_PEER_INBOUND_CUT;
     if (age < 1.0 && core->replica.ready)
         node->status.flags |= BD_PEER_KV_REACHABLE;
-    if (bd_core_cut(core))
-        node->status.flags |= BD_PEER_CUT;
+    if (bd_autonomous_zone_active(core))
+        node->status.flags |= BD_PEER_KV_LOST;
     node->status.at_ms = (uint64_t)(core->wall * 1000);
     node->status.age_ms = age > 1e6 ? 1000000000u : (uint32_t)(age * 1000);
     node->nprogress = 0;
--- a/src/scheduling/cycle.c
+++ b/src/scheduling/cycle.c
@@ -22,12 +22,12 @@
 static void lapses(struct bd_core *core)
 {
     struct timespec until[BD_MAX_ZONES];
-    bd_standby_zones(core, until);
+    bd_autonomous_zone_leases(core, until);
     for (uint32_t i = 0; i < core->nmachines; i++) {
         struct bd_machine *machine = core->by_index[i];
         if (machine->gone || machine->nreservations == 0)
             continue;
-        struct timespec answered = bd_standby_until(core, machine, until);
+        struct timespec answered = bd_autonomous_zone_lease_until(core, machine, until);
         if (!bd_is_zero(answered)) /* a controller of its cut zone may have answered it */
             machine->lease_expires_at =
                 bd_max(machine->lease_expires_at, bd_lease_expiry(core, answered));
--- a/src/wire/frame.h
+++ b/src/wire/frame.h
@@ -29,7 +29,7 @@
     BD_PEER_KV_REACHABLE = 2, /* the state service answers it */
     BD_PEER_INBOUND_CUT = 4,  /* as leader: most workers are silent to it */
     BD_PEER_HEARS = 8,        /* it hears the leader */
-    BD_PEER_CUT = 16,         /* it has not been in touch with the state service for a while */
+    BD_PEER_KV_LOST = 16,     /* it has not been in touch with the state service for a while */
     BD_PEER_DEPS = 32,   /* it knows what a job may wait for; versions before that ignore the bit */
     BD_PEER_NEWS = 64,   /* it reads frames of confirmed cancellations; likewise */
     BD_PEER_DRAINS = 128 /* it drains machines within budgets; likewise */
--- a/src/workers/autonomous_zone.c
+++ b/src/workers/autonomous_zone.c
@@ -24,22 +24,22 @@
     return 2 * bd_to_secs(core->settings->clock_error) + CLOCKS_S;
 }
 
-void bd_core_liveness_written(struct bd_core *core, struct timespec sent)
+void bd_liveness_written(struct bd_core *core, struct timespec sent)
 {
     core->confirmed = bd_max(core->confirmed, sent);
 }
 
-void bd_core_liveness_sent(struct bd_core *core, struct timespec sent)
+void bd_liveness_sent(struct bd_core *core, struct timespec sent)
 {
     core->liveness_sent = bd_max(core->liveness_sent, sent);
 }
 
-bool bd_core_cut(const struct bd_core *core)
+bool bd_autonomous_zone_active(const struct bd_core *core)
 {
     /* a record that was written while its answer was lost shows the leader that we are in touch: it
      * would count with no answers of ours */
     return core->role == BD_FOLLOWER &&
-           bd_between(bd_max(core->confirmed, core->liveness_sent), core->now) > STANDBY_AFTER_S;
+           bd_between(bd_max(core->confirmed, core->liveness_sent), core->now) > AUTONOMOUS_AFTER_S;
 }
 
 /* Whether a controller of our zone is cut off as we are; one that is alone in its zone asks nobody.
@@ -52,7 +52,7 @@
         if (!bd_peer_near(core, i))
             continue;
         alone = false;
-        if (core->peers[i].flags & BD_PEER_CUT && bd_peer_heard(core, i, FRAME_FRESH_S) &&
+        if (core->peers[i].flags & BD_PEER_KV_LOST && bd_peer_heard(core, i, FRAME_FRESH_S) &&
             core->wall - core->peers[i].status_sent_wall_s < late)
             return true;
     }
@@ -70,24 +70,24 @@
     return bd_may_renew_leases(core) && bd_within_renewal_window(core, core->confirmed);
 }
 
-bool bd_standby_answers(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
+bool bd_autonomous_zone_may_reply(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
 {
-    return core->last_term && core->replica.ready && bd_core_cut(core) &&
+    return core->last_term && core->replica.ready && bd_autonomous_zone_active(core) &&
            !bd_core_hears_leader(core) && in_time(core) && zone_of_ours(core, heartbeat) &&
            zone_agrees(core);
 }
 
 /* Whether it is worth while to let a worker wait: the cut may just have begun. */
-bool bd_standby_near(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
+bool bd_autonomous_zone_is_local(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
 {
     return core->role == BD_FOLLOWER && core->last_term && in_time(core) &&
            zone_of_ours(core, heartbeat) && !bd_core_hears_leader(core) &&
-           bd_between(core->confirmed, core->now) < STANDBY_AFTER_S + FRAME_FRESH_S;
+           bd_between(core->confirmed, core->now) < AUTONOMOUS_AFTER_S + FRAME_FRESH_S;
 }
 
 /* ---- the leader's view ---- */
 
-void bd_standby_record(struct bd_core *core, const char *node, double at)
+void bd_autonomous_zone_liveness_record(struct bd_core *core, const char *node, double at)
 {
     for (int i = 0; i < core->settings->npeers; i++)
         if (strcmp(core->settings->peers[i].name, node) == 0 && at > core->peers[i].contact)
@@ -99,16 +99,16 @@
 static double answers_for(struct bd_core *core, int peer)
 {
     double age = core->wall - core->peers[peer].contact;
-    if (age > STANDBY_AFTER_S - clocks(core))
-        core->peers[peer].suspect_until = bd_add(core->now, bd_secs(STICKY_S));
-    if (!bd_before(core->now, core->peers[peer].suspect_until))
+    if (age > AUTONOMOUS_AFTER_S - clocks(core))
+        core->peers[peer].maybe_autonomous_until = bd_add(core->now, bd_secs(STICKY_S));
+    if (!bd_before(core->now, core->peers[peer].maybe_autonomous_until))
         return -1;
     return bd_renewal_window_s(core->settings) - age + clocks(core);
 }
 
 /* As leader, before leases are looked at: for each zone until when workers there may have been
  * answered by controllers that stand by; zero: they are not. */
-void bd_standby_zones(struct bd_core *core, struct timespec *until)
+void bd_autonomous_zone_leases(struct bd_core *core, struct timespec *until)
 {
     for (int z = 0; z < core->nzones; z++) {
         int here = 0, suspects = 0;
@@ -118,7 +118,7 @@
                 continue;
             double s = answers_for(core, i);
             here++;
-            suspects += bd_before(core->now, core->peers[i].suspect_until);
+            suspects += bd_before(core->now, core->peers[i].maybe_autonomous_until);
             longest = s > longest ? s : longest;
         }
         here += strcmp(core->settings->zone, core->zones[z]) == 0;
@@ -128,8 +128,9 @@
 }
 
 /* Until when the machine may have been answered; one whose zone is not known may be in any. */
-struct timespec bd_standby_until(const struct bd_core *core, const struct bd_machine *machine,
-                                 const struct timespec *until)
+struct timespec bd_autonomous_zone_lease_until(const struct bd_core *core,
+                                               const struct bd_machine *machine,
+                                               const struct timespec *until)
 {
     struct timespec last = {0, 0};
     if (machine->zone >= 0)
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -28,11 +28,11 @@
 #define AGAIN_S 0.15     /* after a refused write: the leader's key is looked at about as often */
 #define PROBE_S 6.0      /* before a probe is sent, and after one came back */
 #define SOON_S 1.5       /* ... when no other controller is heard at all */
-#define CONSOLIDATE_INTERVAL_S 2.5 /* in which the workers of one batch are sent */
-#define PATIENT_S 40.0             /* then one with tasks may be sent too */
-#define STANDBY_SAID_S 5.0         /* between lines of the log about those we stand by for */
-#define WORKER_WAITS_S 4.0         /* the platform's: a worker waits so long for an answer, */
-#define WORKER_PAUSE_S 1.0         /* and goes to the next node after this */
+#define CONSOLIDATE_INTERVAL_S 2.5    /* in which the workers of one batch are sent */
+#define PATIENT_S 40.0                /* then one with tasks may be sent too */
+#define AUTONOMOUS_LOG_INTERVAL_S 5.0 /* between lines of the log about those we stand by for */
+#define WORKER_WAITS_S 4.0            /* the platform's: a worker waits so long for an answer, */
+#define WORKER_PAUSE_S 1.0            /* and goes to the next node after this */
 
 struct bd_waiting_heartbeat {
     void *request;
@@ -242,8 +242,8 @@
 static void log_first_reply(struct bd_core *core, const struct bd_heartbeat *heartbeat,
                             uint64_t fencing_token, struct bd_served *served)
 {
-    struct timespec *said = &core->decision_log.standby_said;
-    if (served ? served->answered : bd_between(*said, core->now) < STANDBY_SAID_S)
+    struct timespec *said = &core->decision_log.autonomous_logged_at;
+    if (served ? served->answered : bd_between(*said, core->now) < AUTONOMOUS_LOG_INTERVAL_S)
         return;
     if (served)
         served->answered = true;
@@ -277,8 +277,8 @@
         struct bd_waiting_heartbeat *next = w->next;
         struct bd_served *k = served_of(core, w->heartbeat->machine, false);
         bool ready = k && k->confirmed && may_answer(core);
-        bool stands_by = !ready && bd_standby_answers(core, w->heartbeat);
-        bool waits = (k && !all) || bd_standby_near(core, w->heartbeat);
+        bool stands_by = !ready && bd_autonomous_zone_may_reply(core, w->heartbeat);
+        bool waits = (k && !all) || bd_autonomous_zone_is_local(core, w->heartbeat);
         if (!ready && !stands_by && waits && bd_between(w->asked, core->now) < ASK_S) {
             w->next = core->delegate.asking;
             core->delegate.asking = w;
@@ -465,12 +465,12 @@
                            const struct bd_heartbeat *heartbeat)
 {
     struct bd_delegate *delegate = &core->delegate;
-    if (bd_standby_answers(core, heartbeat)) {
+    if (bd_autonomous_zone_may_reply(core, heartbeat)) {
         answer(core, request, heartbeat, core->last_term, NULL);
         return true;
     }
     if (!called_for(core)) {
-        bool near = bd_standby_near(core, heartbeat);
+        bool near = bd_autonomous_zone_is_local(core, heartbeat);
         if (near)
             let_wait(core, request, heartbeat);
         return near;
--- a/src/workers/delegate_view.c
+++ b/src/workers/delegate_view.c
@@ -31,7 +31,8 @@
     if (tail && strcmp(tail, "/at") == 0) {
         char node[BD_LABEL];
         snprintf(node, sizeof node, "%.*s", (int)(tail - ch->key - 2), ch->key + 2);
-        bd_standby_record(core, node, json_number_value(json_object_get(ch->value, "at")));
+        bd_autonomous_zone_liveness_record(core, node,
+                                           json_number_value(json_object_get(ch->value, "at")));
         return;
     }
     struct bd_delegate_seen *s = seen_of(core, ch->key + 2);
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -429,7 +429,7 @@
     uint8_t flags = play_num(p, "state", 1) != 0 ? BD_PEER_KV_REACHABLE : 0;
     flags |= play_num(p, "hears", 1) != 0 ? BD_PEER_HEARS : 0;
     flags |= play_num(p, "deaf", 0) != 0 ? BD_PEER_INBOUND_CUT : 0;
-    flags |= play_yes(p, "cut") ? BD_PEER_CUT : 0;
+    flags |= play_yes(p, "cut") ? BD_PEER_KV_LOST : 0;
     flags |= play_num(p, "deps", 1) != 0 ? BD_PEER_DEPS : 0;
     flags |= play_num(p, "drains", 1) != 0 ? BD_PEER_DRAINS : 0;
     bd_peer_status_received(p->c, p->w[1], (uint64_t)play_num(p, "term", 0), flags,
@@ -744,9 +744,9 @@
     else if (strcmp(v, "busy") == 0)
         bd_kv_rate_exceeded(p->c);
     else if (strcmp(v, "confirmed") == 0)
-        bd_core_liveness_written(p->c, p->c->now);
+        bd_liveness_written(p->c, p->c->now);
     else if (strcmp(v, "offered") == 0)
-        bd_core_liveness_sent(p->c, p->c->now);
+        bd_liveness_sent(p->c, p->c->now);
     else if (strcmp(v, "renew") == 0)
         bd_leadership_renewed(p->c, 7, p->c->now);
     else if (strcmp(v, "lose") == 0)
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -239,7 +239,7 @@
     flags |= bd_core_hears_leader(c) ? BD_PEER_HEARS : 0;
     flags |= c->role == BD_LEADER && c->lead.inbound_cut ? BD_PEER_INBOUND_CUT : 0;
     flags |= age < 1.0 && c->replica.ready ? BD_PEER_KV_REACHABLE : 0;
-    flags |= bd_core_cut(c) ? BD_PEER_CUT : 0;
+    flags |= bd_autonomous_zone_active(c) ? BD_PEER_KV_LOST : 0;
     for (int i = 0; i < n->settings.npeers; i++) {
         struct bd_frame *f = to_peer(s, n, i, BD_FRAME_STATUS, NULL)->data;
         f->term = c->role == BD_LEADER ? c->lead.term : 0;
@@ -392,7 +392,7 @@
     snprintf(key, sizeof key, "p/%.50s/at", n->settings.node);
     bd_txn_compare(&t, "leader", revision);
     bd_txn_put(&t, key, json_pack("{s:f}", "at", wall_of(s, n)), 0);
-    bd_core_liveness_sent(n->core, n->liveness_at);
+    bd_liveness_sent(n->core, n->liveness_at);
     (void)call(s, n, SIM_COMMIT, THEN_LIVENESS, NULL, bd_txn_finish(&t), TTL_S / 3);
 }
 
@@ -611,7 +611,7 @@
         break;
     case THEN_LIVENESS:
         if (status == 200)
-            bd_core_liveness_written(n->core, c->sent);
+            bd_liveness_written(n->core, c->sent);
         break;
     case THEN_RENEW:
         renewed(s, n, c, status);
