--- a/src/drain/plan.c
+++ b/src/drain/plan.c
@@ -292,7 +292,7 @@
     struct bd_drains *drains = core->drains;
     struct choice choice = {.core = core};
     /* an older leader would place on cordoned machines, and knows of no budget */
-    if (bd_older_heard(core, BD_PEER_DRAINS)) {
+    if (bd_older_heard(core, BD_PEER_KNOWS_DRAINS)) {
         all_wait(core, BD_DRAIN_WAIT_OLDER);
         return;
     }
--- a/src/jobs/admission.c
+++ b/src/jobs/admission.c
@@ -286,7 +286,7 @@
         bd_effect_reply_error(core, admission->request, 422,
                               "awaits a service, which is never done", 0);
     /* an older controller that leads would start the job too early, and forget what it waits for */
-    else if (admission->parents && bd_older_heard(core, BD_PEER_DEPS))
+    else if (admission->parents && bd_older_heard(core, BD_PEER_KNOWS_DAG))
         bd_effect_reply_error(core, admission->request, 503,
                               "an older controller serves beside this one", OUTAGE_RETRY_S);
     else {
--- a/src/leadership/leadership.h
+++ b/src/leadership/leadership.h
@@ -57,8 +57,8 @@
     bool token_raise_wanted, cycle_wanted;
     double write_budget;
     struct timespec write_budget_at;
-    bool classes_said;      /* that there are more than spare room is kept for */
-    bool inbound_cut;       /* most workers are silent */
-    bool outbound_cut_many; /* so many seem not to hear us that it is rather us */
+    bool classes_said;               /* that there are more than spare room is kept for */
+    bool inbound_partition;          /* most workers are silent */
+    bool outbound_partition_is_ours; /* so many seem not to hear us that it is rather us */
 };
 #endif
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -19,13 +19,13 @@
     int type, zone; /* -1: not known yet */
     bool spot, in_inventory, failed, fenced, gone, scaling_in;
     uint64_t incarnation, seq, expired_incarnation;
-    uint64_t fencing_token; /* the highest that it has seen, by its newest report */
-    bool answered;          /* in this term, */
-    bool answered_seen;     /* ... since it has seen it: for the evidence log */
-    uint64_t asked_seq;     /* of its newest check-in: what is not newer is a copy */
-    int via;                /* the controller that the check-in came to: a peer's number, or -1 */
-    uint32_t misrouted;     /* times in a row that it went elsewhere although it was answered */
-    bool outbound_cut;      /* seems not to hear what it is told */
+    uint64_t fencing_token;  /* the highest that it has seen, by its newest report */
+    bool answered;           /* in this term, */
+    bool answered_seen;      /* ... since it has seen it: for the evidence log */
+    uint64_t asked_seq;      /* of its newest check-in: what is not newer is a copy */
+    int via;                 /* the controller that the check-in came to: a peer's number, or -1 */
+    uint32_t misrouted;      /* times in a row that it went elsewhere although it was answered */
+    bool outbound_partition; /* seems not to hear what it is told */
     struct timespec age_known, scale_in_not_before;
     struct timespec lease_expires_at; /* from here on nothing of the last session runs */
     struct timespec steady;           /* since then it has been heard without a gap */
--- a/src/runtime/effect_dispatch.c
+++ b/src/runtime/effect_dispatch.c
@@ -43,7 +43,7 @@
     f.len = (uint32_t)strlen(id);
     f.count = 0;
     for (int i = 0; i < node->settings.npeers; i++)
-        if (node->core->peers[i].flags & BD_PEER_NEWS)
+        if (node->core->peers[i].flags & BD_PEER_READS_CANCELLATIONS)
             (void)bd_transport_send(node, i, &f);
 }
 
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -284,13 +284,13 @@
     (void)pthread_mutex_lock(&node->status_lock);
     node->status.term = core->role == BD_LEADER ? core->lead.term : 0;
     node->status.flags = core->role == BD_LEADER ? BD_PEER_LEADS : 0;
-    node->status.flags |= BD_PEER_DEPS | BD_PEER_NEWS;
+    node->status.flags |= BD_PEER_KNOWS_DAG | BD_PEER_READS_CANCELLATIONS;
     if (node->settings.draining)
-        node->status.flags |= BD_PEER_DRAINS;
+        node->status.flags |= BD_PEER_KNOWS_DRAINS;
     if (bd_core_hears_leader(core))
-        node->status.flags |= BD_PEER_HEARS;
-    if (core->role == BD_LEADER && core->lead.inbound_cut)
-        node->status.flags |= BD_PEER_INBOUND_CUT;
+        node->status.flags |= BD_PEER_HEARS_LEADER;
+    if (core->role == BD_LEADER && core->lead.inbound_partition)
+        node->status.flags |= BD_PEER_INBOUND_PARTITION;
     if (age < 1.0 && core->replica.ready)
         node->status.flags |= BD_PEER_KV_REACHABLE;
     if (bd_autonomous_zone_active(core))
--- a/src/wire/frame.h
+++ b/src/wire/frame.h
@@ -6,7 +6,8 @@
  *   progress (2): count u16, then per job: id (u8 length, bytes), done u32, running u32
  *   report (3):   id u64, sender's name (u8 length, bytes), a worker's report (u32 length, bytes)
  *   answer (4):   id u64, status u16, the answer to it (u32 length, bytes)
- *   cancelled (5): a job's id (u32 length, bytes); only to peers whose status has BD_PEER_NEWS */
+ *   cancelled (5): a job's id (u32 length, bytes); only to peers whose status has
+ * BD_PEER_READS_CANCELLATIONS */
 #ifndef BD_FRAME_H
 #define BD_FRAME_H
 #include "wire/wire.h"
@@ -26,13 +27,14 @@
 };
 enum {
     BD_PEER_LEADS = 1,
-    BD_PEER_KV_REACHABLE = 2, /* the state service answers it */
-    BD_PEER_INBOUND_CUT = 4,  /* as leader: most workers are silent to it */
-    BD_PEER_HEARS = 8,        /* it hears the leader */
-    BD_PEER_KV_LOST = 16,     /* it has not been in touch with the state service for a while */
-    BD_PEER_DEPS = 32,   /* it knows what a job may wait for; versions before that ignore the bit */
-    BD_PEER_NEWS = 64,   /* it reads frames of confirmed cancellations; likewise */
-    BD_PEER_DRAINS = 128 /* it drains machines within budgets; likewise */
+    BD_PEER_KV_REACHABLE = 2,      /* the state service answers it */
+    BD_PEER_INBOUND_PARTITION = 4, /* as leader: most workers are silent to it */
+    BD_PEER_HEARS_LEADER = 8,      /* it hears the leader */
+    BD_PEER_KV_LOST = 16,          /* it has not been in touch with the state service for a while */
+    BD_PEER_KNOWS_DAG =
+        32, /* it knows what a job may wait for; versions before that ignore the bit */
+    BD_PEER_READS_CANCELLATIONS = 64, /* it reads frames of confirmed cancellations; likewise */
+    BD_PEER_KNOWS_DRAINS = 128        /* it drains machines within budgets; likewise */
 };
 
 struct bd_progress {
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -443,7 +443,8 @@
     for (int i = 0; i < core->settings->npeers; i++)
         if (bd_peer_near(core, i) && i != bd_leader_index(core) &&
             core->peers[i].flags & BD_PEER_KV_REACHABLE &&
-            !(core->peers[i].flags & BD_PEER_HEARS) && bd_peer_heard(core, i, LEADER_SILENT_S))
+            !(core->peers[i].flags & BD_PEER_HEARS_LEADER) &&
+            bd_peer_heard(core, i, LEADER_SILENT_S))
             return true;
     return false;
 }
--- a/src/workers/forwarding.c
+++ b/src/workers/forwarding.c
@@ -11,9 +11,9 @@
 #define BACK_S 12.0        /* it hung at the leader, and perhaps at another node */
 #define BACK_HOLDS_S 40.0  /* then it is tried again */
 #define FORWARDS_LEAST 512 /* more where there are more sockets, of which each holds one */
-#define INBOUND_CUT_S 60.0
-#define INBOUND_CUT_SHARE 0.6 /* of the machines heard before */
-#define INBOUND_CUT_LEAST 3u
+#define INBOUND_PARTITION_S 60.0
+#define INBOUND_PARTITION_SHARE 0.6 /* of the machines heard before */
+#define INBOUND_PARTITION_MIN 3u
 
 int bd_leader_index(const struct bd_core *core)
 {
@@ -114,9 +114,9 @@
 {
     if (came_back(core, heartbeat->machine))
         return true;
-    if (core->peers[peer].flags & BD_PEER_INBOUND_CUT)
-        core->forwarding.inbound_cut_until = bd_add(core->now, bd_secs(INBOUND_CUT_S));
-    if (bd_before(core->now, core->forwarding.inbound_cut_until))
+    if (core->peers[peer].flags & BD_PEER_INBOUND_PARTITION)
+        core->forwarding.inbound_partition_until = bd_add(core->now, bd_secs(INBOUND_PARTITION_S));
+    if (bd_before(core->now, core->forwarding.inbound_partition_until))
         return true;
     return strcmp(heartbeat->zone, core->settings->zone) == 0 &&
            (!bd_peer_near(core, peer) || zone_silent(core));
@@ -153,7 +153,8 @@
 /* Whether the controller is in touch with the state service, the leader and us. */
 static bool can_pass_on(const struct bd_core *core, int i)
 {
-    return core->peers[i].flags & BD_PEER_KV_REACHABLE && core->peers[i].flags & BD_PEER_HEARS &&
+    return core->peers[i].flags & BD_PEER_KV_REACHABLE &&
+           core->peers[i].flags & BD_PEER_HEARS_LEADER &&
            !(bd_between(core->peers[i].heard, core->now) > LEADER_SILENT_S);
 }
 
@@ -311,5 +312,6 @@
         known++;
         silent += ago > late;
     }
-    core->lead.inbound_cut = known >= INBOUND_CUT_LEAST && silent >= INBOUND_CUT_SHARE * known;
+    core->lead.inbound_partition =
+        known >= INBOUND_PARTITION_MIN && silent >= INBOUND_PARTITION_SHARE * known;
 }
--- a/src/workers/forwarding.h
+++ b/src/workers/forwarding.h
@@ -29,6 +29,6 @@
     uint64_t last_id;
     struct bd_away *sent_away;
     struct timespec
-        inbound_cut_until; /* the leader's workers are better passed on than sent to it */
+        inbound_partition_until; /* the leader's workers are better passed on than sent to it */
 };
 #endif
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -14,10 +14,11 @@
 #define SLOW_STEADY 3.0 /* report intervals heard without a gap before a machine is judged */
 #define SLOW_FACTOR 1.6 /* this many times as long as the longest run */
 #define SLOW_EXTRA_TENTHS 50u
-#define SLOW_RUNS 4u            /* of at least so many */
-#define DIRECT_DOUBLINGS 4u     /* longest pause: 16 report intervals */
-#define MISROUTED_MOST 2u       /* then a machine is taken not to hear */
-#define OUTBOUND_CUT_SHARE 0.34 /* of the machines: more than that do not go deaf together */
+#define SLOW_RUNS 4u                  /* of at least so many */
+#define DIRECT_DOUBLINGS 4u           /* longest pause: 16 report intervals */
+#define MISROUTED_MOST 2u             /* then a machine is taken not to hear */
+#define OUTBOUND_PARTITION_SHARE 0.34 /* of the machines: more than that do not go deaf together   \
+                                       */
 
 static void machine_failed_task(struct bd_core *core, struct bd_machine *machine,
                                 struct bd_job *job)
@@ -276,7 +277,7 @@
     if (machine->fenced)
         bd_machine_lease_expired(core, machine, BD_RELEASE_NEW_INCARNATION);
     machine->asked_seq = 0;
-    machine->outbound_cut =
+    machine->outbound_partition =
         true; /* until it shows that it hears: its lease ran out, answered or not */
     /* the new session's own lease began at the latest now, whether a check-in is ever answered */
     machine->lease_expires_at = bd_max(machine->lease_expires_at, bd_lease_expiry(core, core->now));
@@ -353,10 +354,11 @@
     bool next = heartbeat->incarnation == machine->incarnation && machine->asked_seq &&
                 heartbeat->seq == machine->asked_seq + 1;
     if (next && via == machine->via) {
-        machine->outbound_cut = false;
+        machine->outbound_partition = false;
         machine->misrouted = 0;
     } else if (next) {
-        machine->outbound_cut = machine->outbound_cut || ++machine->misrouted >= MISROUTED_MOST;
+        machine->outbound_partition =
+            machine->outbound_partition || ++machine->misrouted >= MISROUTED_MOST;
     }
     machine->via = via;
 }
@@ -453,22 +455,22 @@
     machine->direct_failures++;
     if (machine->zone >= 0)
         core->cloud.direct[machine->zone].fails++;
-    machine->outbound_cut = true; /* nothing new for it until it shows that it hears */
+    machine->outbound_partition = true; /* nothing new for it until it shows that it hears */
     machine->direct_not_before = bd_add(core->now, bd_secs(pause));
 }
 
 /* As leader: whether so many seem not to hear that it is rather we who are not heard. */
 void bd_machines_detect_outbound_partition(struct bd_core *core)
 {
-    uint32_t known = 0, outbound_cut = 0;
+    uint32_t known = 0, outbound_partition = 0;
     for (uint32_t i = 0; i < core->nmachines; i++) {
         const struct bd_machine *machine = core->by_index[i];
         if (machine->gone || !machine->fenced)
             continue;
         known++;
-        outbound_cut += machine->outbound_cut;
+        outbound_partition += machine->outbound_partition;
     }
-    core->lead.outbound_cut_many = outbound_cut > OUTBOUND_CUT_SHARE * known;
+    core->lead.outbound_partition_is_ours = outbound_partition > OUTBOUND_PARTITION_SHARE * known;
 }
 
 /* Nothing of the command is on its way. The machine is not to blame; what it is owed it gets with
@@ -502,7 +504,7 @@
         return;
     }
     m->direct_failures = 0;
-    m->outbound_cut = false;
+    m->outbound_partition = false;
     if (m->zone >= 0)
         core->cloud.direct[m->zone].fails = 0;
     if (strcmp(heartbeat->machine, m->id) != 0) {
--- a/tests/inputs.c
+++ b/tests/inputs.c
@@ -436,7 +436,7 @@
     for (long used = 1; used > 0 && at < len; at += (size_t)(used > 0 ? used : 0)) {
         used = bd_frame_read(buf + at, len - at, f);
         check(used >= 0 && (used == 0 || f->type != BD_FRAME_STATUS ||
-                            (strcmp(f->name, "node-0") == 0 && !(f->flags & BD_PEER_DEPS))),
+                            (strcmp(f->name, "node-0") == 0 && !(f->flags & BD_PEER_KNOWS_DAG))),
               "a frame of production");
         frames += used > 0;
     }
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -427,11 +427,11 @@
 static void cmd_peer(struct play *p)
 {
     uint8_t flags = play_num(p, "state", 1) != 0 ? BD_PEER_KV_REACHABLE : 0;
-    flags |= play_num(p, "hears", 1) != 0 ? BD_PEER_HEARS : 0;
-    flags |= play_num(p, "deaf", 0) != 0 ? BD_PEER_INBOUND_CUT : 0;
+    flags |= play_num(p, "hears", 1) != 0 ? BD_PEER_HEARS_LEADER : 0;
+    flags |= play_num(p, "deaf", 0) != 0 ? BD_PEER_INBOUND_PARTITION : 0;
     flags |= play_yes(p, "cut") ? BD_PEER_KV_LOST : 0;
-    flags |= play_num(p, "deps", 1) != 0 ? BD_PEER_DEPS : 0;
-    flags |= play_num(p, "drains", 1) != 0 ? BD_PEER_DRAINS : 0;
+    flags |= play_num(p, "deps", 1) != 0 ? BD_PEER_KNOWS_DAG : 0;
+    flags |= play_num(p, "drains", 1) != 0 ? BD_PEER_KNOWS_DRAINS : 0;
     bd_peer_status_received(p->c, p->w[1], (uint64_t)play_num(p, "term", 0), flags,
                             play_num(p, "age", 0), p->c->wall - play_num(p, "late", 0), p->c->now);
 }
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -234,10 +234,10 @@
         return;
     n->next_status = s->now + 0.3;
     double age = bd_between(c->replica.refreshed_at, c->now);
-    uint8_t flags = (uint8_t)(BD_PEER_DEPS | (s->draining ? BD_PEER_DRAINS : 0));
+    uint8_t flags = (uint8_t)(BD_PEER_KNOWS_DAG | (s->draining ? BD_PEER_KNOWS_DRAINS : 0));
     flags |= c->role == BD_LEADER ? BD_PEER_LEADS : 0;
-    flags |= bd_core_hears_leader(c) ? BD_PEER_HEARS : 0;
-    flags |= c->role == BD_LEADER && c->lead.inbound_cut ? BD_PEER_INBOUND_CUT : 0;
+    flags |= bd_core_hears_leader(c) ? BD_PEER_HEARS_LEADER : 0;
+    flags |= c->role == BD_LEADER && c->lead.inbound_partition ? BD_PEER_INBOUND_PARTITION : 0;
     flags |= age < 1.0 && c->replica.ready ? BD_PEER_KV_REACHABLE : 0;
     flags |= bd_autonomous_zone_active(c) ? BD_PEER_KV_LOST : 0;
     for (int i = 0; i < n->settings.npeers; i++) {
--- a/tests/sim_work.c
+++ b/tests/sim_work.c
@@ -287,7 +287,7 @@
 {
     int who = (int)(w - s->workers);
     char *text = report_text(s, w);
-    bool there = reaches(s, w->node, w) && s->now >= w->outbound_cut;
+    bool there = reaches(s, w->node, w) && s->now >= w->outbound_partition;
     w->asking = true;
     w->asked = w->tally;
     w->asked_at = s->now;
@@ -321,8 +321,8 @@
 static void answered(struct sim *s, struct sim_worker *w, struct sim_event *e)
 {
     json_t *o = e->text ? json_loads(e->text, 0, NULL) : NULL;
-    bool inbound_cut = s->now < w->inbound_cut || !reaches(s, e->node, w);
-    if (w->gone || !w->asking || w->asked != e->number || inbound_cut || s->now < w->hangs) {
+    bool inbound_partition = s->now < w->inbound_partition || !reaches(s, e->node, w);
+    if (w->gone || !w->asking || w->asked != e->number || inbound_partition || s->now < w->hangs) {
         json_decref(o);
         return; /* given up, or lost on the way */
     }
@@ -362,7 +362,7 @@
     struct sim_worker *w = &s->workers[e->who];
     struct sim_try *t = e->data;
     json_t *o = json_loads(e->text, 0, NULL);
-    bool there = reaches(s, e->node, w) && s->now >= w->inbound_cut;
+    bool there = reaches(s, e->node, w) && s->now >= w->inbound_partition;
     bool zones = s->now < s->zones_cut && strcmp(s->nodes[e->node].settings.zone, w->zone) != 0;
     bool late = (!there && w->holds && s->now < w->cut) || (there && s->now < w->hangs) ||
                 (zones && sim_rnd(s) < 0.5);
--- a/tests/simulation.c
+++ b/tests/simulation.c
@@ -296,9 +296,9 @@
         if (strcmp(t->verb, "hang") == 0)
             w->hangs = until;
         else if (strcmp(t->verb, "deaf") == 0)
-            w->inbound_cut = until;
+            w->inbound_partition = until;
         else if (strcmp(t->verb, "mute") == 0)
-            w->outbound_cut = until;
+            w->outbound_partition = until;
         else if (strcmp(t->verb, "die") == 0)
             sim_worker_gone(s, w);
         else {
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -121,8 +121,8 @@
     bool asking;
     double asked_at;
     int node;
-    double hangs, outbound_cut, inbound_cut, cut; /* until then */
-    bool holds;                                   /* the cut delivers late instead of never */
+    double hangs, outbound_partition, inbound_partition, cut; /* until then */
+    bool holds; /* the cut delivers late instead of never */
     int nslots;
     struct sim_slot slots[SIM_SLOTS];
 };
