--- a/src/adapters/api_server.c
+++ b/src/adapters/api_server.c
@@ -72,7 +72,7 @@
         return BD_TIMING_HEARTBEAT;
     if (kind == BD_EVENT_USER_SUBMIT)
         return BD_TIMING_SUBMISSION;
-    return kind == BD_EVENT_USER_STATUS ? BD_TIMING_POLL : BD_TIMING_CANCELLATION;
+    return kind == BD_EVENT_USER_STATUS ? BD_TIMING_STATUS_READ : BD_TIMING_CANCELLATION;
 }
 
 void bd_api_reply(struct bd_node *node, void *request, int status, char *body, int retry_after)
@@ -227,7 +227,7 @@
         enum bd_event_kind kind;
         enum bd_traffic traffic;
     } known[] = {{BD_EVENT_HEARTBEAT, BD_TRAFFIC_HEARTBEAT},
-                 {BD_EVENT_USER_STATUS, BD_TRAFFIC_POLL},
+                 {BD_EVENT_USER_STATUS, BD_TRAFFIC_STATUS_READ},
                  {BD_EVENT_USER_SUBMIT, BD_TRAFFIC_SUBMISSION},
                  {BD_EVENT_USER_CANCEL, BD_TRAFFIC_CANCELLATION}};
     for (size_t i = 0; r->asked && i < sizeof known / sizeof known[0]; i++)
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -11,7 +11,7 @@
 
 enum bd_traffic {
     BD_TRAFFIC_HEARTBEAT, /* requests of workers and users, by what they ask for */
-    BD_TRAFFIC_POLL,
+    BD_TRAFFIC_STATUS_READ,
     BD_TRAFFIC_SUBMISSION,
     BD_TRAFFIC_CANCELLATION,
     BD_TRAFFIC_HEALTH,
@@ -36,7 +36,7 @@
 enum bd_timing {
     BD_TIMING_QUEUE, /* from a command's arrival to its handling by the owner thread */
     BD_TIMING_HEARTBEAT,
-    BD_TIMING_POLL, /* from a request's arrival to its answer */
+    BD_TIMING_STATUS_READ, /* from a request's arrival to its answer */
     BD_TIMING_SUBMISSION,
     BD_TIMING_CANCELLATION,
     BD_TIMING_CYCLE,  /* planning a round and building its transaction */
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -35,10 +35,10 @@
     }
 }
 
-static void free_waits(struct bd_wait **list)
+static void free_waits(struct bd_pending_read **list)
 {
     while (*list) {
-        struct bd_wait *w = *list;
+        struct bd_pending_read *w = *list;
         *list = w->next;
         bd_admission_drop(w->accept);
         free(w);
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -16,7 +16,7 @@
 #include "workers/forwarding.h"
 
 struct bd_metrics;
-struct bd_wait;
+struct bd_pending_read;
 struct bd_drains;
 
 struct bd_names {
@@ -32,7 +32,7 @@
     bool evicted; /* some old final records are not in memory any more */
     struct timespec next_evict;
     struct timespec refreshed_at; /* when the newest refresh that was answered was sent */
-    struct bd_wait *waiting,
+    struct bd_pending_read *waiting,
         *asked; /* questions that wait for a read barrier; for the one under way */
     bool barrier_out;
 };
@@ -97,23 +97,23 @@
 void bd_core_set_clock(struct bd_core *core, struct timespec now, double wall);
 
 /* users */
-void bd_core_submit(struct bd_core *core, void *request, const char *body, size_t len);
-void bd_core_get(struct bd_core *core, void *request, const char *id);
-void bd_core_cancel(struct bd_core *core, void *request, const char *id);
+void bd_user_submit(struct bd_core *core, void *request, const char *body, size_t len);
+void bd_user_status(struct bd_core *core, void *request, const char *id);
+void bd_user_cancel(struct bd_core *core, void *request, const char *id);
 /* status 200 with the revision, 409, or 0 and others: not known */
 /* how: as the effect's status said */
-void bd_core_user_committed(struct bd_core *core, void *request, const char *id, const char *body,
-                            int how, long status, uint64_t store_revision);
+void bd_user_txn_completed(struct bd_core *core, void *request, const char *id, const char *body,
+                           int how, long status, uint64_t store_revision);
 /* replica */
-void bd_core_change(struct bd_core *core, const struct bd_change *ch);
-void bd_core_followed(struct bd_core *core, uint64_t after, uint64_t store_revision,
-                      struct timespec sent, bool barrier, bool ok);
+void bd_replica_apply(struct bd_core *core, const struct bd_change *ch);
+void bd_replica_refreshed(struct bd_core *core, uint64_t after, uint64_t store_revision,
+                          struct timespec sent, bool barrier, bool ok);
 /* keeps only the newer of the final records when there are many */
-void bd_core_evict(struct bd_core *core);
+void bd_replica_evict(struct bd_core *core);
 /* status 200 with the record, 404, or others: not known */
-void bd_core_looked_up(struct bd_core *core, void *request, const char *id, int how, long status,
-                       const struct bd_change *ch);
-void bd_core_relisted(struct bd_core *core, uint64_t store_revision, struct timespec sent);
+void bd_replica_lookup_completed(struct bd_core *core, void *request, const char *id, int how,
+                                 long status, const struct bd_change *ch);
+void bd_replica_listed(struct bd_core *core, uint64_t store_revision, struct timespec sent);
 /* leadership */
 /* dismissed: the leader's key says that it hears the workers that we answer for it */
 void bd_leadership_leader_observed(struct bd_core *core, const char *name, uint64_t revision,
@@ -137,15 +137,15 @@
 bool bd_autonomous_zone_active(const struct bd_core *core);
 /* Another controller says that the job's cancellation was confirmed: until the record shows it, the
  * news stops the job's tasks and starts none. No rule rests on it. */
-void bd_core_cancelled_elsewhere(struct bd_core *core, const char *id);
+void bd_job_cancellation_received(struct bd_core *core, const char *id);
 void bd_peer_progress_received(struct bd_core *core, const char *id, uint32_t done,
                                uint32_t running);
 /* a leader's look at the delegates' records; a follower's own record was written */
-void bd_core_delegates(struct bd_core *core, json_t *pairs, struct timespec sent);
-void bd_core_delegate_committed(struct bd_core *core, long status, uint64_t store_revision,
-                                struct timespec sent, bool revision_known);
+void bd_delegate_records_read(struct bd_core *core, json_t *pairs, struct timespec sent);
+void bd_delegate_txn_completed(struct bd_core *core, long status, uint64_t store_revision,
+                               struct timespec sent, bool revision_known);
 bool bd_leadership_healthy(const struct bd_core *core);
-bool bd_core_hears_leader(const struct bd_core *core);
+bool bd_forward_hears_leader(const struct bd_core *core);
 /* workers */
 /* body: the report as it came, passed on if the leader is elsewhere */
 void bd_worker_heartbeat_received(struct bd_core *core, void *request,
--- a/src/core/core_internal.h
+++ b/src/core/core_internal.h
@@ -10,22 +10,22 @@
 #define CHUNK 4096u /* tasks a receipt record covers: 1 KiB of hex */
 #define DRIFT 0.001 /* twice the steady clocks' bound */
 
-enum bd_wait_how {
-    BD_WAIT_STATE,
-    BD_WAIT_CANCEL,
-    BD_WAIT_BAD,
-    BD_WAIT_NEVER,
-    BD_WAIT_ACCEPT, /* a submission that names jobs which are not in memory */
-    BD_WAIT_PARENT  /* nobody: a record that a job waits for */
+enum bd_read_purpose {
+    BD_READ_STATUS,
+    BD_READ_CANCEL,
+    BD_READ_INVALID_SUBMISSION,
+    BD_READ_IMPOSSIBLE_SUBMISSION,
+    BD_READ_ADMISSION, /* a submission that names jobs which are not in memory */
+    BD_READ_PARENT     /* nobody: a record that a job waits for */
 };
 #define OUTAGE_RETRY_S 2
 
-struct bd_wait { /* a poll that waits for a read barrier */
+struct bd_pending_read { /* a poll that waits for a read barrier */
     void *request;
     char id[BD_ID];
-    enum bd_wait_how how;
+    enum bd_read_purpose how;
     struct bd_admission *accept;
-    struct bd_wait *next;
+    struct bd_pending_read *next;
 };
 
 #define BD_CYCLE_INTENT_RECORDS_MAX 6 /* intent records in one transaction, at most */
@@ -105,12 +105,12 @@
 /* users */
 void bd_effect_reply_error(struct bd_core *core, void *request, int status, const char *why,
                            int retry_after);
-void bd_answer_state(struct bd_core *core, void *request, const struct bd_job *job);
-bool bd_reachable(const struct bd_core *core);
-struct bd_wait *bd_wait_barrier(struct bd_core *core, void *request, const char *id,
-                                enum bd_wait_how how);
-void bd_user_commit(struct bd_core *core, void *request, const char *id, uint64_t revision,
-                    json_t *record, enum bd_wait_how how);
+void bd_user_reply_status(struct bd_core *core, void *request, const struct bd_job *job);
+bool bd_kv_reachable(const struct bd_core *core);
+struct bd_pending_read *bd_read_after_barrier(struct bd_core *core, void *request, const char *id,
+                                              enum bd_read_purpose how);
+void bd_user_txn_emit(struct bd_core *core, void *request, const char *id, uint64_t revision,
+                      json_t *record, enum bd_read_purpose how);
 void bd_admission_proven(struct bd_core *core, struct bd_admission *admission);
 void bd_admission_looked_up(struct bd_core *core, void *request, long status);
 void bd_admission_drop(struct bd_admission *admission);
@@ -169,7 +169,7 @@
 void bd_leadership_step_down(struct bd_core *core);
 void bd_leadership_resign_if_reads_fail(struct bd_core *core);
 /* whether another controller has just said that the job is cancelled */
-bool bd_cancel_heard(const struct bd_core *core, const struct bd_job *job);
+bool bd_job_cancellation_announced(const struct bd_core *core, const struct bd_job *job);
 
 /* answering in time: lease_renewal.c */
 double bd_renewal_window_s(const struct bd_settings *settings);
@@ -220,10 +220,10 @@
 bool bd_delegate_heartbeat(struct bd_core *core, void *request,
                            const struct bd_heartbeat *heartbeat);
 void bd_delegate_tick(struct bd_core *core);
-void bd_delegate_needless(struct bd_core *core, const struct bd_machine *machine);
+void bd_delegate_not_needed(struct bd_core *core, const struct bd_machine *machine);
 void bd_delegate_dismissed(struct bd_core *core, bool dismissed, uint64_t revision,
                            struct timespec sent);
-json_t *bd_dismissed(const struct bd_core *core);
+json_t *bd_delegates_dismissed(const struct bd_core *core);
 void bd_delegate_end(struct bd_core *core);
 /* forgets all machines that we answered for the leader */
 void bd_delegate_forget(struct bd_core *core);
--- a/src/jobs/admission.c
+++ b/src/jobs/admission.c
@@ -73,7 +73,7 @@
 }
 
 static void send_commit(struct bd_core *core, void *request, const char *id, char *body,
-                        enum bd_wait_how how)
+                        enum bd_read_purpose how)
 {
     struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_USER_TXN);
     effect->request = request;
@@ -82,16 +82,16 @@
     effect->body = body;
 }
 
-void bd_user_commit(struct bd_core *core, void *request, const char *id, uint64_t revision,
-                    json_t *record, enum bd_wait_how how)
+void bd_user_txn_emit(struct bd_core *core, void *request, const char *id, uint64_t revision,
+                      json_t *record, enum bd_read_purpose how)
 {
     send_commit(core, request, id, transaction(id, revision, record), how);
 }
 
-struct bd_wait *bd_wait_barrier(struct bd_core *core, void *request, const char *id,
-                                enum bd_wait_how how)
+struct bd_pending_read *bd_read_after_barrier(struct bd_core *core, void *request, const char *id,
+                                              enum bd_read_purpose how)
 {
-    struct bd_wait *w = calloc(1, sizeof *w);
+    struct bd_pending_read *w = calloc(1, sizeof *w);
     if (!w)
         abort();
     w->request = request;
@@ -207,7 +207,7 @@
 {
     char *body = writes(core, admission);
     if (body)
-        send_commit(core, admission->request, admission->id, body, BD_WAIT_STATE);
+        send_commit(core, admission->request, admission->id, body, BD_READ_STATUS);
     else
         bd_effect_reply_error(core, admission->request, 400, "malformed: longer than can be kept",
                               0);
@@ -254,7 +254,7 @@
 {
     struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_JOB_LOOKUP);
     effect->request = admission->request;
-    effect->status = BD_WAIT_ACCEPT;
+    effect->status = BD_READ_ADMISSION;
     snprintf(effect->key, sizeof effect->key, "%s", name);
     admission->lookups++;
     admission->next = core->graph.accepting;
@@ -268,7 +268,7 @@
     const char *missing =
         admission->parents ? find_prerequisites(core, admission, &never, &cancelled) : NULL;
     if (missing && !proven) {
-        bd_wait_barrier(core, admission->request, admission->id, BD_WAIT_ACCEPT)->accept =
+        bd_read_after_barrier(core, admission->request, admission->id, BD_READ_ADMISSION)->accept =
             admission;
         return;
     }
@@ -335,7 +335,7 @@
     return a;
 }
 
-void bd_core_submit(struct bd_core *core, void *request, const char *body, size_t len)
+void bd_user_submit(struct bd_core *core, void *request, const char *body, size_t len)
 {
     struct bd_record r = {.state = BD_JOB_ACTIVE, .at = core->wall, .has_spec = true};
     char id[BD_ID] = "";
@@ -347,18 +347,19 @@
     struct bd_job *job = *id ? bd_job_find(core, id) : NULL;
     if (job) { /* known: its state, whatever the body says now */
         json_decref(parents);
-        bd_core_get(core, request, id);
+        bd_user_status(core, request, id);
         return;
     }
     bool wrong = !bad && core->types_known && !can_run(core, &r.spec);
     /* an id that another node may have accepted must not get 400 or 422 */
     if ((bad || wrong) && *id) {
-        (void)bd_wait_barrier(core, request, id, bad ? BD_WAIT_BAD : BD_WAIT_NEVER);
+        (void)bd_read_after_barrier(
+            core, request, id, bad ? BD_READ_INVALID_SUBMISSION : BD_READ_IMPOSSIBLE_SUBMISSION);
     } else if (bad) {
         char why[96];
         snprintf(why, sizeof why, "malformed: %s", bad);
         bd_effect_reply_error(core, request, 400, why, 0);
-    } else if (!core->types_known || !bd_reachable(core)) {
+    } else if (!core->types_known || !bd_kv_reachable(core)) {
         bd_effect_reply_error(core, request, 503, "not ready", OUTAGE_RETRY_S);
     } else {
         struct bd_admission *admission = new_admission(request, id, &r);
@@ -383,41 +384,41 @@
         {
             bd_wire_set_revision(op, store_revision);
             if (bd_wire_change(op, &ch))
-                bd_core_change(core, &ch);
+                bd_replica_apply(core, &ch);
         }
         json_decref(o);
         line += n + (line[n] == '\n');
     }
 }
 
-static void accepted(struct bd_core *core, void *request, const char *id, enum bd_wait_how how)
+static void accepted(struct bd_core *core, void *request, const char *id, enum bd_read_purpose how)
 {
     struct bd_job *job = bd_job_find(core, id);
     if (!job)
         bd_effect_reply_error(core, request, 503, "not ready", 1);
     else if (job->state == BD_JOB_ACTIVE)
         bd_effect_reply(core, request, 201, bd_wire_accepted(id), 0);
-    else if (how == BD_WAIT_STATE && job->state == BD_JOB_CANCELLED) /* with a job that it needs */
+    else if (how == BD_READ_STATUS && job->state == BD_JOB_CANCELLED) /* with a job that it needs */
         bd_effect_reply(core, request, 201, bd_wire_state(id, "cancelled", 0, 0), 0);
     else
-        bd_answer_state(core, request, job);
+        bd_user_reply_status(core, request, job);
 }
 
-void bd_core_user_committed(struct bd_core *core, void *request, const char *id, const char *body,
-                            int how, long status, uint64_t store_revision)
+void bd_user_txn_completed(struct bd_core *core, void *request, const char *id, const char *body,
+                           int how, long status, uint64_t store_revision)
 {
     if (status == 200) {
         take_writes(core, body, store_revision);
-        if (how == BD_WAIT_CANCEL) {
+        if (how == BD_READ_CANCEL) {
             struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_ANNOUNCE_CANCELLATION);
             snprintf(effect->key, sizeof effect->key, "%s", id);
         }
         bd_decision_log_note(core, "confirm", "job=%s state=%s revision=%llu by=commit", id,
-                             how == BD_WAIT_CANCEL ? "cancelled" : "accepted",
+                             how == BD_READ_CANCEL ? "cancelled" : "accepted",
                              (unsigned long long)store_revision);
-        accepted(core, request, id, (enum bd_wait_how)how);
+        accepted(core, request, id, (enum bd_read_purpose)how);
     } else if (status == 409) { /* somebody was faster: look again, then answer what is */
-        (void)bd_wait_barrier(core, request, id, (enum bd_wait_how)how);
+        (void)bd_read_after_barrier(core, request, id, (enum bd_read_purpose)how);
     } else {
         if (status == 400) /* the next try is in smaller pieces */
             (void)bd_kv_limits_rejected(core, id);
--- a/src/jobs/dependency_graph.c
+++ b/src/jobs/dependency_graph.c
@@ -348,7 +348,7 @@
             continue;
         parent->asked_at = core->now;
         struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_JOB_LOOKUP);
-        effect->status = BD_WAIT_PARENT;
+        effect->status = BD_READ_PARENT;
         snprintf(effect->key, sizeof effect->key, "%s", parent->id);
         asked++;
     }
--- a/src/jobs/replica.c
+++ b/src/jobs/replica.c
@@ -58,7 +58,7 @@
     bd_dag_job_ended(core, job);
 }
 
-void bd_core_change(struct bd_core *core, const struct bd_change *ch)
+void bd_replica_apply(struct bd_core *core, const struct bd_change *ch)
 {
     struct bd_record r;
     if (strncmp(ch->key, "j/", 2) != 0 || !ch->value)
@@ -98,33 +98,34 @@
 
 #define NEWS_S 5.0 /* a cancellation that is only heard of counts so long */
 
-bool bd_cancel_heard(const struct bd_core *core, const struct bd_job *job)
+bool bd_job_cancellation_announced(const struct bd_core *core, const struct bd_job *job)
 {
-    return !bd_is_zero(job->cancel_heard) && bd_between(job->cancel_heard, core->now) < NEWS_S;
+    return !bd_is_zero(job->cancellation_heard_at) &&
+           bd_between(job->cancellation_heard_at, core->now) < NEWS_S;
 }
 
 /* The record comes with the next refresh, up to seconds later; starts and halts need not wait for
  * it. If it does not come the news is forgotten, and the job is served as before. */
-void bd_core_cancelled_elsewhere(struct bd_core *core, const char *id)
+void bd_job_cancellation_received(struct bd_core *core, const char *id)
 {
     struct bd_job *job = bd_job_find(core, id);
-    if (!job || job->state != BD_JOB_ACTIVE || bd_cancel_heard(core, job))
+    if (!job || job->state != BD_JOB_ACTIVE || bd_job_cancellation_announced(core, job))
         return;
-    job->cancel_heard = core->now;
+    job->cancellation_heard_at = core->now;
     stop_tasks(core, job);
 }
 
-static void answer_none(struct bd_core *core, void *request, enum bd_wait_how how)
+static void answer_none(struct bd_core *core, void *request, enum bd_read_purpose how)
 {
-    if (how == BD_WAIT_BAD)
+    if (how == BD_READ_INVALID_SUBMISSION)
         bd_effect_reply_error(core, request, 400, "malformed", 0);
-    else if (how == BD_WAIT_NEVER)
+    else if (how == BD_READ_IMPOSSIBLE_SUBMISSION)
         bd_effect_reply_error(core, request, 422, "can never run", 0);
     else
         bd_effect_reply_error(core, request, 404, "no such job", 0);
 }
 
-static void look_up(struct bd_core *core, const struct bd_wait *w)
+static void look_up(struct bd_core *core, const struct bd_pending_read *w)
 {
     struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_JOB_LOOKUP);
     effect->request = w->request;
@@ -132,7 +133,7 @@
     snprintf(effect->key, sizeof effect->key, "%s", w->id);
 }
 
-static void answer_wait(struct bd_core *core, const struct bd_wait *w)
+static void answer_wait(struct bd_core *core, const struct bd_pending_read *w)
 {
     const char *id = w->id;
     struct bd_job *job = bd_job_find(core, id);
@@ -141,27 +142,27 @@
         return;
     }
     bd_admission_drop(w->accept);
-    if (job && w->how == BD_WAIT_CANCEL && job->state == BD_JOB_ACTIVE)
-        bd_user_commit(core, w->request, id, job->revision, bd_cancelled_record(job),
-                       BD_WAIT_CANCEL);
+    if (job && w->how == BD_READ_CANCEL && job->state == BD_JOB_ACTIVE)
+        bd_user_txn_emit(core, w->request, id, job->revision, bd_cancelled_record(job),
+                         BD_READ_CANCEL);
     else if (job)
-        bd_answer_state(core, w->request, job);
+        bd_user_reply_status(core, w->request, job);
     else if (core->replica.evicted)
         look_up(core, w);
     else
         answer_none(core, w->request, w->how);
 }
 
-void bd_core_looked_up(struct bd_core *core, void *request, const char *id, int how, long status,
-                       const struct bd_change *ch)
+void bd_replica_lookup_completed(struct bd_core *core, void *request, const char *id, int how,
+                                 long status, const struct bd_change *ch)
 {
-    struct bd_wait w = {.request = request, .how = (enum bd_wait_how)how};
+    struct bd_pending_read w = {.request = request, .how = (enum bd_read_purpose)how};
     snprintf(w.id, sizeof w.id, "%s", id);
     if (status == 200)
-        bd_core_change(core, ch);
-    if (w.how == BD_WAIT_PARENT)
+        bd_replica_apply(core, ch);
+    if (w.how == BD_READ_PARENT)
         return;
-    if (w.how == BD_WAIT_ACCEPT)
+    if (w.how == BD_READ_ADMISSION)
         bd_admission_looked_up(core, request, status == 200 && !bd_job_find(core, id) ? 0 : status);
     else if (status == 200 && bd_job_find(core, id))
         answer_wait(core, &w);
@@ -201,7 +202,7 @@
         core->lead.commit->cancelled[k]->pinned = true;
 }
 
-void bd_core_evict(struct bd_core *core)
+void bd_replica_evict(struct bd_core *core)
 {
     struct bd_job *job, *jt;
     uint32_t count = HASH_COUNT(core->jobs), most = finals_most(core);
@@ -224,8 +225,8 @@
     }
 }
 
-void bd_core_followed(struct bd_core *core, uint64_t after, uint64_t store_revision,
-                      struct timespec sent, bool barrier, bool ok)
+void bd_replica_refreshed(struct bd_core *core, uint64_t after, uint64_t store_revision,
+                          struct timespec sent, bool barrier, bool ok)
 {
     if (ok && after <= core->replica.store_revision &&
         store_revision > core->replica.store_revision)
@@ -235,10 +236,10 @@
     if (!barrier)
         return;
     core->replica.barrier_out = false;
-    struct bd_wait *w = core->replica.asked;
+    struct bd_pending_read *w = core->replica.asked;
     core->replica.asked = NULL;
     while (w) {
-        struct bd_wait *next = w->next;
+        struct bd_pending_read *next = w->next;
         if (ok)
             answer_wait(core, w);
         else
@@ -251,7 +252,7 @@
     }
 }
 
-void bd_core_relisted(struct bd_core *core, uint64_t store_revision, struct timespec sent)
+void bd_replica_listed(struct bd_core *core, uint64_t store_revision, struct timespec sent)
 {
     core->replica.store_revision = store_revision;
     core->replica.ready = true;
--- a/src/jobs/user_requests.c
+++ b/src/jobs/user_requests.c
@@ -4,7 +4,7 @@
 #include <math.h>
 #include <stdio.h>
 
-void bd_answer_state(struct bd_core *core, void *request, const struct bd_job *job)
+void bd_user_reply_status(struct bd_core *core, void *request, const struct bd_job *job)
 {
     const char *state = "pending";
     uint32_t done = job->ndone, run = job->nrunning;
@@ -27,22 +27,22 @@
 
 /* Whether the state service answered lately: without it nothing can be accepted, and the user is
  * told so at once. */
-bool bd_reachable(const struct bd_core *core)
+bool bd_kv_reachable(const struct bd_core *core)
 {
     return core->replica.ready && bd_between(core->replica.refreshed_at, core->now) < 2.0;
 }
 
-void bd_core_get(struct bd_core *core, void *request, const char *id)
+void bd_user_status(struct bd_core *core, void *request, const char *id)
 {
     struct bd_job *job = bd_job_find(core, id);
     if (job && job->state != BD_JOB_ACTIVE)
-        bd_answer_state(core, request, job);
+        bd_user_reply_status(core, request, job);
     else if (!bd_wire_job_id(id) || strlen(id) >= BD_ID - 1)
         bd_effect_reply_error(core, request, 404, "no such job", 0);
-    else if (!bd_reachable(core))
+    else if (!bd_kv_reachable(core))
         bd_effect_reply_error(core, request, 503, "state service not reached", OUTAGE_RETRY_S);
     else
-        bd_wait_barrier(core, request, id, BD_WAIT_STATE);
+        bd_read_after_barrier(core, request, id, BD_READ_STATUS);
 }
 
 /* Without what only placing needs: it is no larger than what was accepted, and fits limits that are
@@ -56,18 +56,19 @@
     return o;
 }
 
-void bd_core_cancel(struct bd_core *core, void *request, const char *id)
+void bd_user_cancel(struct bd_core *core, void *request, const char *id)
 {
     struct bd_job *job = bd_job_find(core, id);
     if (job && job->state != BD_JOB_ACTIVE) {
-        bd_answer_state(core, request, job);
+        bd_user_reply_status(core, request, job);
     } else if (!bd_wire_job_id(id) || strlen(id) >= BD_ID - 1) {
         bd_effect_reply_error(core, request, 404, "no such job", 0);
-    } else if (!bd_reachable(core)) {
+    } else if (!bd_kv_reachable(core)) {
         bd_effect_reply_error(core, request, 503, "state service not reached", OUTAGE_RETRY_S);
     } else if (job) {
-        bd_user_commit(core, request, id, job->revision, bd_cancelled_record(job), BD_WAIT_CANCEL);
+        bd_user_txn_emit(core, request, id, job->revision, bd_cancelled_record(job),
+                         BD_READ_CANCEL);
     } else { /* perhaps accepted by another node a moment ago */
-        bd_wait_barrier(core, request, id, BD_WAIT_CANCEL);
+        bd_read_after_barrier(core, request, id, BD_READ_CANCEL);
     }
 }
--- a/src/leadership/commit.c
+++ b/src/leadership/commit.c
@@ -296,7 +296,7 @@
         return;
     core->lead.token_raise_wanted = false;
     core->lead.commit->raises_fencing_token = true;
-    json_t *away = bd_dismissed(core);
+    json_t *away = bd_delegates_dismissed(core);
     bd_txn_put(&builder->t, "leader",
                json_pack("{s:s,s:s,s:o}", "node", core->settings->node, "nonce", core->lead.nonce,
                          "away", away),
--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -32,8 +32,8 @@
         if (!task || task->state != BD_TASK_PLANNED || task->attempt != e->attempt)
             continue;
         struct bd_machine *machine = bd_machine_of(core, task->machine);
-        if (e->job->state != BD_JOB_ACTIVE || bd_cancel_heard(core, e->job) || !machine ||
-            machine->gone || machine->scaling_in) {
+        if (e->job->state != BD_JOB_ACTIVE || bd_job_cancellation_announced(core, e->job) ||
+            !machine || machine->gone || machine->scaling_in) {
             bd_task_release(core, e->job, e->task, BD_RELEASE_LAUNCH_NOT_SENT);
             continue;
         }
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -34,9 +34,9 @@
     struct timespec next_force;    /* when something may be stopped for it again */
     struct timespec backoff_until; /* nothing is written of it before: see kv_limits.c */
     struct timespec hold_until, last_placed_at, last_started_at;
-    uint32_t restarts;            /* tasks that lost a place they had */
-    struct timespec cancel_heard; /* when another controller said that it is cancelled */
-    bool started;                 /* some start of it was committed in this term */
+    uint32_t restarts;                     /* tasks that lost a place they had */
+    struct timespec cancellation_heard_at; /* when another controller said that it is cancelled */
+    bool started;                          /* some start of it was committed in this term */
     uint32_t errors;
     uint32_t runs, longest_run; /* finished tasks seen from begin to end, and tenths of a second */
     struct bd_spec spec;
--- a/src/runtime/effect_dispatch.c
+++ b/src/runtime/effect_dispatch.c
@@ -75,7 +75,8 @@
     case BD_EFFECT_JOB_LOOKUP:
         if (bd_queue_put(&node->to_users, effect))
             return;
-        bd_core_looked_up(node->core, effect->request, effect->key, effect->status, 0, NULL);
+        bd_replica_lookup_completed(node->core, effect->request, effect->key, effect->status, 0,
+                                    NULL);
         break;
     case BD_EFFECT_USER_TXN:
         if (bd_queue_put(&node->to_users, effect))
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -80,7 +80,7 @@
     json_array_foreach(log, i, v)
     {
         if (bd_wire_change(v, &ch))
-            bd_core_change(core, &ch);
+            bd_replica_apply(core, &ch);
     }
 }
 
@@ -105,16 +105,16 @@
 {
     if (event->ok)
         changes(node->core, bd_wire_log(event->json));
-    bd_core_followed(node->core, event->after, event->store_revision, event->sent, event->flag,
-                     event->ok);
+    bd_replica_refreshed(node->core, event->after, event->store_revision, event->sent, event->flag,
+                         event->ok);
 }
 
 static void relisted(struct bd_node *node, struct bd_event *event)
 {
     changes(node->core, event->json);
-    bd_core_evict(node->core);
+    bd_replica_evict(node->core);
     if (event->flag) /* the last page */
-        bd_core_relisted(node->core, event->store_revision, event->sent);
+        bd_replica_listed(node->core, event->store_revision, event->sent);
     atomic_store(&node->page_out, false);
 }
 
@@ -140,7 +140,7 @@
     if (frame->type == BD_FRAME_ANSWER)
         bd_forward_reply_received(core, frame->id, frame->status, text, len);
     if (frame->type == BD_FRAME_CANCELLED && len < BD_ID)
-        bd_core_cancelled_elsewhere(core, text);
+        bd_job_cancellation_received(core, text);
     for (unsigned i = 0; i < frame->count; i++)
         bd_peer_progress_received(core, frame->jobs[i].id, frame->jobs[i].done,
                                   frame->jobs[i].running);
@@ -153,8 +153,8 @@
     long status = event->status;
     if (status == 200 && !bd_wire_pair(event->json, &ch, &grant))
         status = 0;
-    bd_core_looked_up(node->core, event->request, event->name, event->how, status,
-                      status == 200 ? &ch : NULL);
+    bd_replica_lookup_completed(node->core, event->request, event->name, event->how, status,
+                                status == 200 ? &ch : NULL);
 }
 
 static void apply_worker_event(struct bd_node *node, struct bd_event *event)
@@ -180,11 +180,11 @@
         peer(node, event);
         break;
     case BD_EVENT_DELEGATE_RECORDS:
-        bd_core_delegates(core, event->json, event->sent);
+        bd_delegate_records_read(core, event->json, event->sent);
         break;
     case BD_EVENT_DELEGATE_TXN_COMPLETED:
-        bd_core_delegate_committed(core, event->status, event->store_revision, event->sent,
-                                   event->flag);
+        bd_delegate_txn_completed(core, event->status, event->store_revision, event->sent,
+                                  event->flag);
         break;
     case BD_EVENT_JOB_LOOKUP_COMPLETED:
         looked_up(node, event);
@@ -205,17 +205,17 @@
     struct bd_core *core = node->core;
     switch (event->kind) {
     case BD_EVENT_USER_SUBMIT:
-        bd_core_submit(core, event->request, event->text, event->len);
+        bd_user_submit(core, event->request, event->text, event->len);
         break;
     case BD_EVENT_USER_STATUS:
-        bd_core_get(core, event->request, event->name);
+        bd_user_status(core, event->request, event->name);
         break;
     case BD_EVENT_USER_CANCEL:
-        bd_core_cancel(core, event->request, event->name);
+        bd_user_cancel(core, event->request, event->name);
         break;
     case BD_EVENT_USER_TXN_COMPLETED:
-        bd_core_user_committed(core, event->request, event->name, event->text, event->how,
-                               event->status, event->store_revision);
+        bd_user_txn_completed(core, event->request, event->name, event->text, event->how,
+                              event->status, event->store_revision);
         break;
     case BD_EVENT_REPLICA_REFRESHED:
         followed(node, event);
@@ -287,7 +287,7 @@
     node->status.flags |= BD_PEER_KNOWS_DAG | BD_PEER_READS_CANCELLATIONS;
     if (node->settings.draining)
         node->status.flags |= BD_PEER_KNOWS_DRAINS;
-    if (bd_core_hears_leader(core))
+    if (bd_forward_hears_leader(core))
         node->status.flags |= BD_PEER_HEARS_LEADER;
     if (core->role == BD_LEADER && core->lead.inbound_partition)
         node->status.flags |= BD_PEER_INBOUND_PARTITION;
--- a/src/scheduling/cycle.c
+++ b/src/scheduling/cycle.c
@@ -120,7 +120,7 @@
 {
     if (bd_before(core->replica.next_evict, core->now)) {
         core->replica.next_evict = bd_add(core->now, bd_secs(EVICT_S));
-        bd_core_evict(core);
+        bd_replica_evict(core);
     }
     if (!core->replica.barrier_out && core->replica.waiting) {
         core->replica.asked = core->replica.waiting;
--- a/src/scheduling/job_order.c
+++ b/src/scheduling/job_order.c
@@ -54,7 +54,7 @@
     {
         if (job->state == BD_JOB_ACTIVE && job->tasks && job->has_spec && job->spec.team >= 0 &&
             job->ndone < job->ntasks && !bd_job_has_open_parents(job) &&
-            !bd_cancel_heard(core, job))
+            !bd_job_cancellation_announced(core, job))
             list[n++] = job;
     }
     *out = list;
--- a/src/workers/autonomous_zone.c
+++ b/src/workers/autonomous_zone.c
@@ -73,7 +73,7 @@
 bool bd_autonomous_zone_may_reply(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
 {
     return core->last_term && core->replica.ready && bd_autonomous_zone_active(core) &&
-           !bd_core_hears_leader(core) && in_time(core) && zone_of_ours(core, heartbeat) &&
+           !bd_forward_hears_leader(core) && in_time(core) && zone_of_ours(core, heartbeat) &&
            zone_agrees(core);
 }
 
@@ -81,7 +81,7 @@
 bool bd_autonomous_zone_is_local(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
 {
     return core->role == BD_FOLLOWER && core->last_term && in_time(core) &&
-           zone_of_ours(core, heartbeat) && !bd_core_hears_leader(core) &&
+           zone_of_ours(core, heartbeat) && !bd_forward_hears_leader(core) &&
            bd_between(core->confirmed, core->now) < AUTONOMOUS_AFTER_S + FRAME_FRESH_S;
 }
 
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -59,7 +59,7 @@
         struct bd_task *task = &job->tasks[i];
         if (task->state != BD_TASK_LAUNCHING ||
             task->flags & (BD_TASK_FLAG_EXITED | BD_TASK_FLAG_STOP_REQUESTED) ||
-            job->state != BD_JOB_ACTIVE || bd_cancel_heard(core, job) ||
+            job->state != BD_JOB_ACTIVE || bd_job_cancellation_announced(core, job) ||
             (direct && task->attempt <= core->lead.fenced_attempt))
             continue;
         bd_commands_append(commands, BD_COMMAND_LAUNCH, job->id, i, task->attempt, 0);
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -296,8 +296,8 @@
     }
 }
 
-void bd_core_delegate_committed(struct bd_core *core, long status, uint64_t store_revision,
-                                struct timespec sent, bool revision_known)
+void bd_delegate_txn_completed(struct bd_core *core, long status, uint64_t store_revision,
+                               struct timespec sent, bool revision_known)
 {
     struct bd_delegate *delegate = &core->delegate;
     delegate->busy = false;
--- a/src/workers/delegate_view.c
+++ b/src/workers/delegate_view.c
@@ -58,7 +58,7 @@
 /* A worker out of a delegate's record reports to the leader itself: the two controllers do not hear
  * each other, but the workers are not cut off. The delegate is told so by the leader's key, which
  * it looks at; its workers then come. */
-void bd_delegate_needless(struct bd_core *core, const struct bd_machine *machine)
+void bd_delegate_not_needed(struct bd_core *core, const struct bd_machine *machine)
 {
     if (machine->delegate >= core->delegates.count)
         return;
@@ -75,7 +75,7 @@
 }
 
 /* For the leader's key; the caller owns the list. */
-json_t *bd_dismissed(const struct bd_core *core)
+json_t *bd_delegates_dismissed(const struct bd_core *core)
 {
     json_t *list = json_array();
     for (int i = 0; i < core->delegates.count; i++)
@@ -87,7 +87,7 @@
     return list;
 }
 
-void bd_core_delegates(struct bd_core *core, json_t *pairs, struct timespec sent)
+void bd_delegate_records_read(struct bd_core *core, json_t *pairs, struct timespec sent)
 {
     struct bd_change ch;
     json_t *v;
--- a/src/workers/forwarding.c
+++ b/src/workers/forwarding.c
@@ -122,7 +122,7 @@
            (!bd_peer_near(core, peer) || zone_silent(core));
 }
 
-bool bd_core_hears_leader(const struct bd_core *core)
+bool bd_forward_hears_leader(const struct bd_core *core)
 {
     return leader_peer(core) >= 0;
 }
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -14,11 +14,12 @@
 #define SLOW_STEADY 3.0 /* report intervals heard without a gap before a machine is judged */
 #define SLOW_FACTOR 1.6 /* this many times as long as the longest run */
 #define SLOW_EXTRA_TENTHS 50u
-#define SLOW_RUNS 4u                  /* of at least so many */
-#define DIRECT_DOUBLINGS 4u           /* longest pause: 16 report intervals */
-#define MISROUTED_MOST 2u             /* then a machine is taken not to hear */
-#define OUTBOUND_PARTITION_SHARE 0.34 /* of the machines: more than that do not go deaf together   \
-                                       */
+#define SLOW_RUNS 4u        /* of at least so many */
+#define DIRECT_DOUBLINGS 4u /* longest pause: 16 report intervals */
+#define MISROUTED_MOST 2u   /* then a machine is taken not to hear */
+#define OUTBOUND_PARTITION_SHARE                                                                   \
+    0.34 /* of the machines: more than that do not go deaf together                                \
+          */
 
 static void machine_failed_task(struct bd_core *core, struct bd_machine *machine,
                                 struct bd_job *job)
@@ -397,7 +398,7 @@
         return;
     }
     if (direct && machine->delegated)
-        bd_delegate_needless(core, machine);
+        bd_delegate_not_needed(core, machine);
     struct bd_command_list commands = {0};
     hears_us(machine, heartbeat, via);
     answers_settled(machine);
--- a/tests/drain_profile.c
+++ b/tests/drain_profile.c
@@ -120,9 +120,9 @@
 {
     at(f, f->now + 0.5);
     bd_leadership_renewed(f->core, 7, f->core->now);
-    bd_core_delegates(f->core, NULL, f->core->now);
-    bd_core_followed(f->core, f->core->replica.store_revision, f->core->replica.store_revision,
-                     f->core->now, f->core->replica.barrier_out, true);
+    bd_delegate_records_read(f->core, NULL, f->core->now);
+    bd_replica_refreshed(f->core, f->core->replica.store_revision, f->core->replica.store_revision,
+                         f->core->now, f->core->replica.barrier_out, true);
     for (uint32_t i = (uint32_t)half % 4; i < f->machines; i += 4)
         heartbeat(f, i);
     bd_core_tick(f->core);
@@ -155,7 +155,7 @@
     r.spec.deadline_s = -1;
     json_t *v = bd_wire_record(&r);
     struct bd_change ch = {key, v, ++f->revision};
-    bd_core_change(f->core, &ch);
+    bd_replica_apply(f->core, &ch);
     json_decref(v);
 }
 
@@ -192,7 +192,7 @@
     snprintf(t.zones[0], BD_LABEL, "a");
     snprintf(t.zones[1], BD_LABEL, "b");
     bd_inventory_types(f->core, &t, 1);
-    bd_core_relisted(f->core, 1, f->core->now);
+    bd_replica_listed(f->core, 1, f->core->now);
     struct bd_acquisition g = {.term = 1, .grant = 7, .nonce = "n", .renewed = f->core->now};
     g.receipts = json_array();
     g.intents = json_array();
@@ -397,8 +397,8 @@
     for (int k = 0; k < TICKS; k++) {
         at(&f, f.now + 0.51);
         bd_leadership_renewed(f.core, 7, f.core->now);
-        bd_core_followed(f.core, f.core->replica.store_revision, f.core->replica.store_revision,
-                         f.core->now, false, true);
+        bd_replica_refreshed(f.core, f.core->replica.store_revision, f.core->replica.store_revision,
+                             f.core->now, false, true);
         for (uint32_t i = 0; i < f.machines; i++)
             heartbeat(&f, i);
         f.core->lead.next_autoscaling = bd_add(f.core->now, bd_secs(1000));
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -299,8 +299,8 @@
             status = 0;
     }
     json_decref(failed);
-    bd_core_user_committed(w->c[n], e->request, e->key, e->body, e->status, status,
-                           w->store_revision);
+    bd_user_txn_completed(w->c[n], e->request, e->key, e->body, e->status, status,
+                          w->store_revision);
 }
 
 static void perform(struct world *w, int n)
@@ -336,12 +336,12 @@
     for (int i = 0; ok && i < w->nkeys; i++) {
         struct bd_change ch = {w->keys[i].name, w->keys[i].value, w->keys[i].revision};
         if (ch.revision > after && strncmp(ch.key, "j/", 2) == 0)
-            bd_core_change(w->c[n], &ch);
+            bd_replica_apply(w->c[n], &ch);
     }
     if (ok)
         w->seen[n] = w->store_revision;
-    bd_core_followed(w->c[n], after, w->store_revision, w->c[n]->now, w->c[n]->replica.barrier_out,
-                     ok);
+    bd_replica_refreshed(w->c[n], after, w->store_revision, w->c[n]->now,
+                         w->c[n]->replica.barrier_out, ok);
 }
 
 static void times(struct world *w)
@@ -384,10 +384,10 @@
         struct key *k = &w->keys[((unsigned)i + from) % (unsigned)w->nkeys];
         struct bd_change ch = {k->name, k->value, k->revision};
         if (strncmp(ch.key, "j/", 2) == 0)
-            bd_core_change(w->c[n], &ch);
+            bd_replica_apply(w->c[n], &ch);
     }
     w->seen[n] = w->store_revision;
-    bd_core_relisted(w->c[n], w->store_revision, w->c[n]->now);
+    bd_replica_listed(w->c[n], w->store_revision, w->c[n]->now);
 }
 
 static json_t *listed(struct world *w, const char *prefix)
@@ -474,7 +474,7 @@
         "\"imageGb\":0,\"breeds\":null,\"glade\":null,\"together\":false,\"scatter\":false,"
         "\"windfall\":false,\"guessS\":1,\"markS\":0,\"stowS\":0,\"dueS\":null,\"awaits\":[%s]}",
         n, n % 3 ? "sweep" : "gang", 1 + n % 3, parents);
-    bd_core_submit(w->c[dice(w, NODES)], ask(w, ASK_SUBMIT, n), body, strlen(body));
+    bd_user_submit(w->c[dice(w, NODES)], ask(w, ASK_SUBMIT, n), body, strlen(body));
 }
 
 static int pick(struct world *w)
@@ -498,9 +498,9 @@
         return;
     snprintf(id, sizeof id, "job-%d", n);
     if (may_cancel && dice(w, 14) == 0)
-        bd_core_cancel(w->c[node], ask(w, ASK_WITHDRAW, n), id);
+        bd_user_cancel(w->c[node], ask(w, ASK_WITHDRAW, n), id);
     else
-        bd_core_get(w->c[node], ask(w, ASK_GET, n), id);
+        bd_user_status(w->c[node], ask(w, ASK_GET, n), id);
 }
 
 static void machine_step(struct world *w)
@@ -620,7 +620,7 @@
     r.state = strcmp(state, "cancelled") == 0 ? BD_JOB_CANCELLED : BD_JOB_ACTIVE;
     json_t *v = bd_wire_record(&r);
     struct bd_change ch = {key, v, revision};
-    bd_core_change(c, &ch);
+    bd_replica_apply(c, &ch);
     json_decref(v);
     json_decref(names);
 }
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -150,7 +150,7 @@
     r.spec.spot = shape == BD_JOB_ARRAY;
     json_t *v = bd_wire_record(&r);
     struct bd_change ch = {key, v, ++w->revision};
-    bd_core_change(w->c, &ch);
+    bd_replica_apply(w->c, &ch);
     json_decref(v);
 }
 
@@ -199,7 +199,7 @@
     at(w, 0);
     type(w, "small", 16, 0, 64, 1);
     type(w, "gpu", 48, 4, 288, 15);
-    bd_core_relisted(w->c, 1, w->c->now);
+    bd_replica_listed(w->c, 1, w->c->now);
     struct bd_acquisition g = {.term = 1, .grant = 7, .nonce = "n", .renewed = w->c->now};
     g.receipts = json_array();
     g.intents = json_array();
@@ -353,10 +353,10 @@
     char id[BD_ID];
     snprintf(id, sizeof id, "job-%06u", n % 100);
     CALLGRIND_TOGGLE_COLLECT;
-    bd_core_get(w->c, NULL, id);
+    bd_user_status(w->c, NULL, id);
     bd_core_tick(w->c);
-    bd_core_followed(w->c, w->c->replica.store_revision, w->c->replica.store_revision, w->c->now,
-                     true, true);
+    bd_replica_refreshed(w->c, w->c->replica.store_revision, w->c->replica.store_revision,
+                         w->c->now, true, true);
     CALLGRIND_TOGGLE_COLLECT;
     drop_effects(w);
 }
@@ -372,11 +372,11 @@
              "\"dueS\":null}",
              n + 5000);
     CALLGRIND_TOGGLE_COLLECT;
-    bd_core_submit(w->c, NULL, body, strlen(body));
+    bd_user_submit(w->c, NULL, body, strlen(body));
     struct bd_effect *e = bd_core_take_effects(w->c);
     if (!e || e->kind != BD_EFFECT_USER_TXN)
         abort();
-    bd_core_user_committed(w->c, NULL, e->key, e->body, e->status, 200, ++w->revision);
+    bd_user_txn_completed(w->c, NULL, e->key, e->body, e->status, 200, ++w->revision);
     bd_effect_free(e);
     CALLGRIND_TOGGLE_COLLECT;
     drop_effects(w);
@@ -387,8 +387,8 @@
     (void)n;
     at(w, w->now + 1.1);
     bd_leadership_renewed(w->c, 7, w->c->now);
-    bd_core_followed(w->c, w->c->replica.store_revision, w->c->replica.store_revision, w->c->now,
-                     false, true);
+    bd_replica_refreshed(w->c, w->c->replica.store_revision, w->c->replica.store_revision,
+                         w->c->now, false, true);
     CALLGRIND_TOGGLE_COLLECT;
     bd_core_tick(w->c);
     if (w->c->lead.commit)
@@ -405,8 +405,8 @@
     (void)n;
     CALLGRIND_TOGGLE_COLLECT;
     json_t *o = json_loads(text, 0, NULL);
-    bd_core_followed(w->c, w->c->replica.store_revision, bd_wire_store_revision(o), w->c->now,
-                     false, true);
+    bd_replica_refreshed(w->c, w->c->replica.store_revision, bd_wire_store_revision(o), w->c->now,
+                         false, true);
     json_decref(o);
     CALLGRIND_TOGGLE_COLLECT;
 }
@@ -586,7 +586,7 @@
         }
         json_t *pairs = json_pack("[{s:s,s:{s:i,s:o},s:I}]", "k", DELEGATE_NAME, "value", "t", 1,
                                   "m", names, "mark", (json_int_t)(100 + revision));
-        bd_core_delegates(w->c, pairs, w->c->now);
+        bd_delegate_records_read(w->c, pairs, w->c->now);
         json_decref(pairs);
         for (uint32_t i = 1; i < w->machines; i += 2)
             heartbeat(w, i);
@@ -610,7 +610,7 @@
 {
     if (e->body)
         check_commit(w, e->body);
-    bd_core_delegate_committed(w->c, e->body ? 200 : 0, ++w->revision, w->c->now, true);
+    bd_delegate_txn_completed(w->c, e->body ? 200 : 0, ++w->revision, w->c->now, true);
     return e->body ? w->c->delegate.nserved : written;
 }
 
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -220,7 +220,7 @@
     snprintf(key, sizeof key, "j/%s", p->w[1]);
     json_t *v = bd_wire_parents_part(names_in(p->n > 2 ? p->w[2] : ""));
     struct bd_change ch = {key, v, (uint64_t)play_num(p, "mark", 1)};
-    bd_core_change(p->c, &ch);
+    bd_replica_apply(p->c, &ch);
     json_decref(v);
 }
 
@@ -234,7 +234,7 @@
         play_fail(p, "not JSON");
     snprintf(key, sizeof key, "j/%s", p->w[1]);
     struct bd_change ch = {key, v, strtoull(p->w[2], NULL, 10)};
-    bd_core_change(p->c, &ch);
+    bd_replica_apply(p->c, &ch);
     json_decref(v);
 }
 
@@ -275,7 +275,7 @@
     r.end = play_num(p, "end", 0);
     json_t *v = bd_wire_record(&r);
     struct bd_change ch = {key, v, (uint64_t)play_num(p, "mark", 1)};
-    bd_core_change(p->c, &ch);
+    bd_replica_apply(p->c, &ch);
     json_decref(v);
     json_decref(names);
 }
@@ -438,7 +438,7 @@
 
 static void cmd_heard(struct play *p)
 {
-    bd_core_cancelled_elsewhere(p->c, p->w[1]);
+    bd_job_cancellation_received(p->c, p->w[1]);
 }
 
 static void cmd_limits(struct play *p)
@@ -472,7 +472,7 @@
         json_array_append_new(pairs, json_pack("{s:s,s:{s:i,s:o},s:i}", "k", key, "value", "t", 1,
                                                "m", m, "mark", (int)revision));
     }
-    bd_core_delegates(p->c, pairs, p->c->now);
+    bd_delegate_records_read(p->c, pairs, p->c->now);
     json_decref(pairs);
 }
 
@@ -486,10 +486,10 @@
         struct bd_record r = {.state = BD_JOB_DONE, .tasks = 1, .at = 1, .end = 2};
         json_t *v = bd_wire_record(&r);
         struct bd_change ch = {key, v, (uint64_t)(i + 1)};
-        bd_core_change(p->c, &ch);
+        bd_replica_apply(p->c, &ch);
         json_decref(v);
     }
-    bd_core_evict(p->c);
+    bd_replica_evict(p->c);
 }
 
 static void cmd_lookedup(struct play *p)
@@ -505,7 +505,8 @@
         r.state = BD_JOB_CANCELLED;
     }
     struct bd_change ch = {key, v = bd_wire_record(&r), 5};
-    bd_core_looked_up(p->c, NULL, p->w[1], atoi(p->w[2]), status, status == 200 ? &ch : NULL);
+    bd_replica_lookup_completed(p->c, NULL, p->w[1], atoi(p->w[2]), status,
+                                status == 200 ? &ch : NULL);
     json_decref(v);
 }
 
@@ -529,7 +530,7 @@
         more = at < to;
         bd_core_set_clock(p->c, bd_secs(100 + at), 1000 + at);
         bd_leadership_renewed(p->c, 7, p->c->now);
-        bd_core_delegates(p->c, pairs, p->c->now);
+        bd_delegate_records_read(p->c, pairs, p->c->now);
         bd_core_tick(p->c);
     }
     json_decref(pairs);
@@ -542,10 +543,10 @@
     json_t *none = json_array();
     for (at += 2; at < to; at += 2) {
         bd_core_set_clock(p->c, bd_secs(100 + at), 1000 + at);
-        bd_core_delegates(p->c, none, p->c->now);
+        bd_delegate_records_read(p->c, none, p->c->now);
     }
     bd_core_set_clock(p->c, bd_secs(100 + to), 1000 + to);
-    bd_core_delegates(p->c, none, p->c->now);
+    bd_delegate_records_read(p->c, none, p->c->now);
     json_decref(none);
 }
 
@@ -553,7 +554,7 @@
 {
     bool known = p->n < 3;
     p->store_revision = p->store_revision < 1000 ? 1000 : p->store_revision + 1;
-    bd_core_delegate_committed(p->c, atol(p->w[1]), p->store_revision, p->c->now, known);
+    bd_delegate_txn_completed(p->c, atol(p->w[1]), p->store_revision, p->c->now, known);
 }
 
 static void cmd_committed(struct play *p)
@@ -584,8 +585,7 @@
     }
     *at = e->next;
     p->store_revision = p->store_revision < 1000 ? 1000 : p->store_revision + 1;
-    bd_core_user_committed(p->c, NULL, e->key, e->body, e->status, atol(p->w[1]),
-                           p->store_revision);
+    bd_user_txn_completed(p->c, NULL, e->key, e->body, e->status, atol(p->w[1]), p->store_revision);
     bd_effect_free(e);
 }
 
@@ -710,8 +710,8 @@
 {
     bool ok = p->n < 2 || strcmp(p->w[1], "fail") != 0;
     bool barrier = p->c->replica.barrier_out;
-    bd_core_followed(p->c, p->c->replica.store_revision, p->c->replica.store_revision + 1,
-                     p->c->now, barrier, ok);
+    bd_replica_refreshed(p->c, p->c->replica.store_revision, p->c->replica.store_revision + 1,
+                         p->c->now, barrier, ok);
 }
 
 static void cmd_at(struct play *p)
@@ -733,7 +733,7 @@
 {
     const char *body = strchr(p->raw, '{');
     body = body ? body : strchr(p->raw, ' ') + 1;
-    bd_core_submit(p->c, NULL, body, strlen(body));
+    bd_user_submit(p->c, NULL, body, strlen(body));
 }
 
 static void cmd_simple(struct play *p)
@@ -752,16 +752,16 @@
     else if (strcmp(v, "lose") == 0)
         bd_leadership_lost(p->c);
     else if (strcmp(v, "get") == 0)
-        bd_core_get(p->c, NULL, p->w[1]);
+        bd_user_status(p->c, NULL, p->w[1]);
     else if (strcmp(v, "cancel") == 0)
-        bd_core_cancel(p->c, NULL, p->w[1]);
+        bd_user_cancel(p->c, NULL, p->w[1]);
     else if (strcmp(v, "seed") == 0)
         bd_core_seed(p->c, p->n > 1 ? strtoull(p->w[1], NULL, 10) : 0);
     else if (strcmp(v, "up") == 0) {
         if (p->n < 2 || bd_leadership_healthy(p->c) != (atoi(p->w[1]) != 0))
             play_fail(p, "up is otherwise");
     } else if (strcmp(v, "ready") == 0)
-        bd_core_relisted(p->c, 10, p->c->now);
+        bd_replica_listed(p->c, 10, p->c->now);
     else
         play_fail(p, "unknown step");
 }
--- a/tests/scenario_drain.c
+++ b/tests/scenario_drain.c
@@ -258,9 +258,9 @@
         now = now + 0.5 < to ? now + 0.5 : to;
         bd_core_set_clock(p->c, bd_secs(100 + now), 1000 + now);
         bd_leadership_renewed(p->c, 7, p->c->now);
-        bd_core_delegates(p->c, NULL, p->c->now);
-        bd_core_followed(p->c, p->c->replica.store_revision, p->c->replica.store_revision,
-                         p->c->now, p->c->replica.barrier_out, true);
+        bd_delegate_records_read(p->c, NULL, p->c->now);
+        bd_replica_refreshed(p->c, p->c->replica.store_revision, p->c->replica.store_revision,
+                             p->c->now, p->c->replica.barrier_out, true);
         for (int i = 2; i < p->n && half % 2 == 0; i++)
             if (!strchr(p->w[i], '='))
                 report_running(p, p->w[i]);
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -236,7 +236,7 @@
     double age = bd_between(c->replica.refreshed_at, c->now);
     uint8_t flags = (uint8_t)(BD_PEER_KNOWS_DAG | (s->draining ? BD_PEER_KNOWS_DRAINS : 0));
     flags |= c->role == BD_LEADER ? BD_PEER_LEADS : 0;
-    flags |= bd_core_hears_leader(c) ? BD_PEER_HEARS_LEADER : 0;
+    flags |= bd_forward_hears_leader(c) ? BD_PEER_HEARS_LEADER : 0;
     flags |= c->role == BD_LEADER && c->lead.inbound_partition ? BD_PEER_INBOUND_PARTITION : 0;
     flags |= age < 1.0 && c->replica.ready ? BD_PEER_KV_REACHABLE : 0;
     flags |= bd_autonomous_zone_active(c) ? BD_PEER_KV_LOST : 0;
@@ -299,7 +299,7 @@
     json_array_foreach(list, i, v)
     {
         if (bd_wire_change(v, &ch))
-            bd_core_change(n->core, &ch);
+            bd_replica_apply(n->core, &ch);
     }
 }
 
@@ -327,15 +327,15 @@
     n->refresh_out = false;
     if (c->then == THEN_LIST && status == 200) {
         changes(n, bd_wire_pairs(o, &ignored));
-        bd_core_relisted(n->core, bd_wire_store_revision(o), c->sent);
+        bd_replica_listed(n->core, bd_wire_store_revision(o), c->sent);
         n->after = n->core->replica.store_revision;
         n->list_again = false;
     } else if (c->then == THEN_REFRESH) {
         n->reads_refused = status != 200;
         if (status == 200)
             changes(n, bd_wire_log(o));
-        bd_core_followed(n->core, c->number, bd_wire_store_revision(o), c->sent, c->flag,
-                         status == 200);
+        bd_replica_refreshed(n->core, c->number, bd_wire_store_revision(o), c->sent, c->flag,
+                             status == 200);
         if (status == 200 && bd_wire_store_revision(o) > n->after)
             n->after = bd_wire_store_revision(o);
     } else if (c->then == THEN_DELEGATES && status == 200) {
@@ -344,7 +344,7 @@
             sim_note(s, "%s sees %s", n->settings.node, text);
             free(text);
         }
-        bd_core_delegates(n->core, bd_wire_pairs(o, &ignored), c->sent);
+        bd_delegate_records_read(n->core, bd_wire_pairs(o, &ignored), c->sent);
     }
     wake(s, n, status == 200 ? (n->want_barrier ? 0.04 : 0.2) : 0.25, SIM_READER);
 }
@@ -621,23 +621,23 @@
         commit_answer(s, n, c, status, o);
         break;
     case THEN_USER:
-        bd_core_user_committed(n->core, e->request, e->key, e->body, e->status, status,
-                               bd_wire_store_revision(o));
+        bd_user_txn_completed(n->core, e->request, e->key, e->body, e->status, status,
+                              bd_wire_store_revision(o));
         break;
     case THEN_DELEGATE:
-        bd_core_delegate_committed(n->core, status, bd_wire_store_revision(o), c->sent,
-                                   status == 200);
+        bd_delegate_txn_completed(n->core, status, bd_wire_store_revision(o), c->sent,
+                                  status == 200);
         break;
     case THEN_DELEGATE_MARK: {
         bool pair = status == 200 && bd_wire_pair(o, &ch, &grant);
-        bd_core_delegate_committed(n->core, 0, pair ? ch.revision : 0, c->sent,
-                                   status == 404 || pair);
+        bd_delegate_txn_completed(n->core, 0, pair ? ch.revision : 0, c->sent,
+                                  status == 404 || pair);
         break;
     }
     case THEN_LOOKUP:
         status = status == 200 && !bd_wire_pair(o, &ch, &grant) ? 0 : status;
-        bd_core_looked_up(n->core, e->request, e->key, e->status, status,
-                          status == 200 ? &ch : NULL);
+        bd_replica_lookup_completed(n->core, e->request, e->key, e->status, status,
+                                    status == 200 ? &ch : NULL);
         break;
     default:
         election_answer(s, n, c, status, o);
@@ -689,7 +689,7 @@
             bd_wire_heartbeat_release(&r);
         }
         if (f->type == BD_FRAME_CANCELLED)
-            bd_core_cancelled_elsewhere(n->core, e->text);
+            bd_job_cancellation_received(n->core, e->text);
         if (f->type == BD_FRAME_ANSWER)
             bd_forward_reply_received(n->core, f->id, f->status, e->text,
                                       e->text ? strlen(e->text) : 0);
@@ -782,11 +782,11 @@
     q->verb = (int)e->status;
     clock_core(s, n);
     if (e->status == SIM_SUBMIT)
-        bd_core_submit(n->core, q, e->text, strlen(e->text));
+        bd_user_submit(n->core, q, e->text, strlen(e->text));
     else if (e->status == SIM_CANCEL)
-        bd_core_cancel(n->core, q, j->id);
+        bd_user_cancel(n->core, q, j->id);
     else
-        bd_core_get(n->core, q, j->id);
+        bd_user_status(n->core, q, j->id);
     settle(s, n);
 }
 
