--- a/src/adapters/kv_client.c
+++ b/src/adapters/kv_client.c
@@ -387,7 +387,7 @@
     }
     free(copy);
     event->request = effect->request;
-    event->how = effect->status;
+    event->purpose = effect->status;
     event->text = effect->body;
     effect->body = NULL;
     snprintf(event->name, sizeof event->name, "%s", effect->key);
@@ -402,7 +402,7 @@
     snprintf(path, sizeof path, BD_PATH_KEYS "/j/%s", effect->key);
     event->status = bd_kv_call(node, http, "GET", path, NULL, ANSWER_S, &event->json);
     event->request = effect->request;
-    event->how = effect->status;
+    event->purpose = effect->status;
     snprintf(event->name, sizeof event->name, "%s", effect->key);
     bd_event_post(node, event);
 }
--- a/src/adapters/node.h
+++ b/src/adapters/node.h
@@ -51,7 +51,7 @@
     char name[BD_LABEL];
     long status;
     enum bd_txn_outcome outcome; /* COMMITTED */
-    int how;                     /* as the effect's status said how it was asked */
+    int purpose;                 /* as the effect's status said how it was asked */
     bool ok;                     /* FOLLOWED: it was answered */
     uint64_t store_revision, after, number, term;
     struct timespec sent;
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -103,7 +103,7 @@
 /* status 200 with the revision, 409, or 0 and others: not known */
 /* how: as the effect's status said */
 void bd_user_txn_completed(struct bd_core *core, void *request, const char *id, const char *body,
-                           int how, long status, uint64_t store_revision);
+                           int purpose, long status, uint64_t store_revision);
 /* replica */
 void bd_replica_apply(struct bd_core *core, const struct bd_change *ch);
 void bd_replica_refreshed(struct bd_core *core, uint64_t after, uint64_t store_revision,
@@ -111,7 +111,7 @@
 /* keeps only the newer of the final records when there are many */
 void bd_replica_evict(struct bd_core *core);
 /* status 200 with the record, 404, or others: not known */
-void bd_replica_lookup_completed(struct bd_core *core, void *request, const char *id, int how,
+void bd_replica_lookup_completed(struct bd_core *core, void *request, const char *id, int purpose,
                                  long status, const struct bd_change *ch);
 void bd_replica_listed(struct bd_core *core, uint64_t store_revision, struct timespec sent);
 /* leadership */
--- a/src/core/core_internal.h
+++ b/src/core/core_internal.h
@@ -23,7 +23,7 @@
 struct bd_pending_read { /* a poll that waits for a read barrier */
     void *request;
     char id[BD_ID];
-    enum bd_read_purpose how;
+    enum bd_read_purpose purpose;
     struct bd_admission *accept;
     struct bd_pending_read *next;
 };
@@ -108,9 +108,9 @@
 void bd_user_reply_status(struct bd_core *core, void *request, const struct bd_job *job);
 bool bd_kv_reachable(const struct bd_core *core);
 struct bd_pending_read *bd_read_after_barrier(struct bd_core *core, void *request, const char *id,
-                                              enum bd_read_purpose how);
+                                              enum bd_read_purpose purpose);
 void bd_user_txn_emit(struct bd_core *core, void *request, const char *id, uint64_t revision,
-                      json_t *record, enum bd_read_purpose how);
+                      json_t *record, enum bd_read_purpose purpose);
 void bd_admission_proven(struct bd_core *core, struct bd_admission *admission);
 void bd_admission_looked_up(struct bd_core *core, void *request, long status);
 void bd_admission_drop(struct bd_admission *admission);
--- a/src/drain/solver.c
+++ b/src/drain/solver.c
@@ -27,10 +27,10 @@
     return ++program->looks > LOOKS_MOST;
 }
 
-static void row(struct program *program, int count, int how, double limit)
+static void row(struct program *program, int count, int purpose, double limit)
 {
     program->ok = program->ok && add_constraintex(program->lp, count, program->values,
-                                                  program->columns, how, limit);
+                                                  program->columns, purpose, limit);
 }
 
 static void budget_rows(struct program *program)
--- a/src/jobs/admission.c
+++ b/src/jobs/admission.c
@@ -73,29 +73,29 @@
 }
 
 static void send_commit(struct bd_core *core, void *request, const char *id, char *body,
-                        enum bd_read_purpose how)
+                        enum bd_read_purpose purpose)
 {
     struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_USER_TXN);
     effect->request = request;
-    effect->status = (int)how;
+    effect->status = (int)purpose;
     snprintf(effect->key, sizeof effect->key, "%s", id);
     effect->body = body;
 }
 
 void bd_user_txn_emit(struct bd_core *core, void *request, const char *id, uint64_t revision,
-                      json_t *record, enum bd_read_purpose how)
+                      json_t *record, enum bd_read_purpose purpose)
 {
-    send_commit(core, request, id, transaction(id, revision, record), how);
+    send_commit(core, request, id, transaction(id, revision, record), purpose);
 }
 
 struct bd_pending_read *bd_read_after_barrier(struct bd_core *core, void *request, const char *id,
-                                              enum bd_read_purpose how)
+                                              enum bd_read_purpose purpose)
 {
     struct bd_pending_read *w = calloc(1, sizeof *w);
     if (!w)
         abort();
     w->request = request;
-    w->how = how;
+    w->purpose = purpose;
     snprintf(w->id, sizeof w->id, "%s", id);
     w->next = core->replica.waiting;
     core->replica.waiting = w;
@@ -391,34 +391,36 @@
     }
 }
 
-static void accepted(struct bd_core *core, void *request, const char *id, enum bd_read_purpose how)
+static void accepted(struct bd_core *core, void *request, const char *id,
+                     enum bd_read_purpose purpose)
 {
     struct bd_job *job = bd_job_find(core, id);
     if (!job)
         bd_effect_reply_error(core, request, 503, "not ready", 1);
     else if (job->state == BD_JOB_ACTIVE)
         bd_effect_reply(core, request, 201, bd_wire_accepted(id), 0);
-    else if (how == BD_READ_STATUS && job->state == BD_JOB_CANCELLED) /* with a job that it needs */
+    else if (purpose == BD_READ_STATUS &&
+             job->state == BD_JOB_CANCELLED) /* with a job that it needs */
         bd_effect_reply(core, request, 201, bd_wire_state(id, "cancelled", 0, 0), 0);
     else
         bd_user_reply_status(core, request, job);
 }
 
 void bd_user_txn_completed(struct bd_core *core, void *request, const char *id, const char *body,
-                           int how, long status, uint64_t store_revision)
+                           int purpose, long status, uint64_t store_revision)
 {
     if (status == 200) {
         take_writes(core, body, store_revision);
-        if (how == BD_READ_CANCEL) {
+        if (purpose == BD_READ_CANCEL) {
             struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_ANNOUNCE_CANCELLATION);
             snprintf(effect->key, sizeof effect->key, "%s", id);
         }
         bd_decision_log_note(core, "confirm", "job=%s state=%s revision=%llu by=commit", id,
-                             how == BD_READ_CANCEL ? "cancelled" : "accepted",
+                             purpose == BD_READ_CANCEL ? "cancelled" : "accepted",
                              (unsigned long long)store_revision);
-        accepted(core, request, id, (enum bd_read_purpose)how);
+        accepted(core, request, id, (enum bd_read_purpose)purpose);
     } else if (status == 409) { /* somebody was faster: look again, then answer what is */
-        (void)bd_read_after_barrier(core, request, id, (enum bd_read_purpose)how);
+        (void)bd_read_after_barrier(core, request, id, (enum bd_read_purpose)purpose);
     } else {
         if (status == 400) /* the next try is in smaller pieces */
             (void)bd_kv_limits_rejected(core, id);
--- a/src/jobs/replica.c
+++ b/src/jobs/replica.c
@@ -115,11 +115,11 @@
     stop_tasks(core, job);
 }
 
-static void answer_none(struct bd_core *core, void *request, enum bd_read_purpose how)
+static void answer_none(struct bd_core *core, void *request, enum bd_read_purpose purpose)
 {
-    if (how == BD_READ_INVALID_SUBMISSION)
+    if (purpose == BD_READ_INVALID_SUBMISSION)
         bd_effect_reply_error(core, request, 400, "malformed", 0);
-    else if (how == BD_READ_IMPOSSIBLE_SUBMISSION)
+    else if (purpose == BD_READ_IMPOSSIBLE_SUBMISSION)
         bd_effect_reply_error(core, request, 422, "can never run", 0);
     else
         bd_effect_reply_error(core, request, 404, "no such job", 0);
@@ -129,7 +129,7 @@
 {
     struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_JOB_LOOKUP);
     effect->request = w->request;
-    effect->status = (int)w->how;
+    effect->status = (int)w->purpose;
     snprintf(effect->key, sizeof effect->key, "%s", w->id);
 }
 
@@ -142,7 +142,7 @@
         return;
     }
     bd_admission_drop(w->accept);
-    if (job && w->how == BD_READ_CANCEL && job->state == BD_JOB_ACTIVE)
+    if (job && w->purpose == BD_READ_CANCEL && job->state == BD_JOB_ACTIVE)
         bd_user_txn_emit(core, w->request, id, job->revision, bd_cancelled_record(job),
                          BD_READ_CANCEL);
     else if (job)
@@ -150,24 +150,24 @@
     else if (core->replica.evicted)
         look_up(core, w);
     else
-        answer_none(core, w->request, w->how);
+        answer_none(core, w->request, w->purpose);
 }
 
-void bd_replica_lookup_completed(struct bd_core *core, void *request, const char *id, int how,
+void bd_replica_lookup_completed(struct bd_core *core, void *request, const char *id, int purpose,
                                  long status, const struct bd_change *ch)
 {
-    struct bd_pending_read w = {.request = request, .how = (enum bd_read_purpose)how};
+    struct bd_pending_read w = {.request = request, .purpose = (enum bd_read_purpose)purpose};
     snprintf(w.id, sizeof w.id, "%s", id);
     if (status == 200)
         bd_replica_apply(core, ch);
-    if (w.how == BD_READ_PARENT)
+    if (w.purpose == BD_READ_PARENT)
         return;
-    if (w.how == BD_READ_ADMISSION)
+    if (w.purpose == BD_READ_ADMISSION)
         bd_admission_looked_up(core, request, status == 200 && !bd_job_find(core, id) ? 0 : status);
     else if (status == 200 && bd_job_find(core, id))
         answer_wait(core, &w);
     else if (status == 404)
-        answer_none(core, request, w.how);
+        answer_none(core, request, w.purpose);
     else
         bd_effect_reply_error(core, request, 503, "state service not reached", OUTAGE_RETRY_S);
 }
--- a/src/model/task_state.c
+++ b/src/model/task_state.c
@@ -14,7 +14,7 @@
     return (uint32_t)((uint64_t)t.tv_sec * 10 + (uint64_t)t.tv_nsec / 100000000u) | 1u;
 }
 
-static bool holds(const struct bd_task *task)
+static bool has_reservation(const struct bd_task *task)
 {
     return task->machine != BD_NO_MACHINE;
 }
@@ -94,7 +94,7 @@
     count(job, &job->tasks[i], 1);
 }
 
-static void add_ref(struct bd_machine *machine, struct bd_job *job, uint32_t i)
+static void add_reservation(struct bd_machine *machine, struct bd_job *job, uint32_t i)
 {
     if (machine->nreservations == machine->cap) {
         uint32_t cap = machine->cap ? machine->cap * 2 : 8;
@@ -107,7 +107,7 @@
     machine->reservations[machine->nreservations++] = (struct bd_reservation){job, i};
 }
 
-static void drop_ref(struct bd_machine *machine, const struct bd_job *job, uint32_t i)
+static void remove_reservation(struct bd_machine *machine, const struct bd_job *job, uint32_t i)
 {
     for (uint32_t k = 0; k < machine->nreservations; k++) {
         if (machine->reservations[k].job == job && machine->reservations[k].task == i) {
@@ -188,7 +188,7 @@
                     struct bd_machine *machine, uint64_t attempt, enum bd_task_state st)
 {
     struct bd_task *task = &job->tasks[i];
-    if (holds(task))
+    if (has_reservation(task))
         bd_task_release(core, job, i, BD_RELEASE_MOVED);
     task->machine = machine->index;
     task->attempt = attempt;
@@ -197,24 +197,24 @@
     task->execution = BD_EXECUTION_FETCHING;
     bd_task_set(core, job, i, st);
     job->last_placed_at = core->now;
-    add_ref(machine, job, i);
+    add_reservation(machine, job, i);
     machine_use(machine, &job->spec, 1);
     if (st != BD_TASK_PLANNED) /* a plan that comes to nothing fetches nothing */
         bd_remember_image(core, machine, &job->spec, true);
     team_use(core, &job->spec, 1);
 }
 
-static void let_go(struct bd_core *core, struct bd_job *job, uint32_t i)
+static void release_reservation(struct bd_core *core, struct bd_job *job, uint32_t i)
 {
     struct bd_task *task = &job->tasks[i];
     struct bd_machine *machine = bd_machine_of(core, task->machine);
-    if (!holds(task))
+    if (!has_reservation(task))
         return;
     task->machine = BD_NO_MACHINE;
     team_use(core, &job->spec, -1);
     if (!machine)
         return;
-    drop_ref(machine, job, i);
+    remove_reservation(machine, job, i);
     machine_use(machine, &job->spec, -1);
     if (machine->nreservations == 0) {
         machine->cpus = machine->gpus = machine->mem = 0;
@@ -249,7 +249,7 @@
     if (was_sent)
         bd_decision_log_release(core, job, i, why);
     job->restarts += was_sent;
-    let_go(core, job, i);
+    release_reservation(core, job, i);
     if (task->state == BD_TASK_DONE)
         return;
     task->flags = 0;
@@ -266,7 +266,7 @@
     if (job->tasks[i].state == BD_TASK_DONE)
         return;
     bd_decision_log_release(core, job, i, BD_RELEASE_DONE);
-    let_go(core, job, i);
+    release_reservation(core, job, i);
     job->tasks[i].flags = 0;
     bd_task_set(core, job, i, BD_TASK_DONE);
     bd_ledger_task(core, job, i);
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -84,7 +84,7 @@
     }
 }
 
-static void checkin(struct bd_node *node, struct bd_event *event)
+static void apply_heartbeat(struct bd_node *node, struct bd_event *event)
 {
     const struct bd_heartbeat *r =
         bd_heartbeat_cache_read(node->heartbeats, event->text, event->len);
@@ -94,7 +94,7 @@
         bd_api_reply(node, event->request, 400, strdup("{\"error\":\"malformed report\"}"), 0);
 }
 
-static void did(struct bd_node *node, const struct bd_event *event)
+static void apply_direct_command_completed(struct bd_node *node, const struct bd_event *event)
 {
     bd_worker_direct_command_completed(
         node->core, event->machine, event->number, event->flag, event->status,
@@ -153,7 +153,7 @@
     long status = event->status;
     if (status == 200 && !bd_wire_pair(event->json, &ch, &grant))
         status = 0;
-    bd_replica_lookup_completed(node->core, event->request, event->name, event->how, status,
+    bd_replica_lookup_completed(node->core, event->request, event->name, event->purpose, status,
                                 status == 200 ? &ch : NULL);
 }
 
@@ -162,10 +162,10 @@
     struct bd_core *core = node->core;
     switch (event->kind) {
     case BD_EVENT_HEARTBEAT:
-        checkin(node, event);
+        apply_heartbeat(node, event);
         break;
     case BD_EVENT_DIRECT_COMMAND_COMPLETED:
-        did(node, event);
+        apply_direct_command_completed(node, event);
         break;
     case BD_EVENT_MACHINE_TYPES:
         bd_inventory_types(core, event->data, (int)event->n);
@@ -214,7 +214,7 @@
         bd_user_cancel(core, event->request, event->name);
         break;
     case BD_EVENT_USER_TXN_COMPLETED:
-        bd_user_txn_completed(core, event->request, event->name, event->text, event->how,
+        bd_user_txn_completed(core, event->request, event->name, event->text, event->purpose,
                               event->status, event->store_revision);
         break;
     case BD_EVENT_REPLICA_REFRESHED:
--- a/src/scheduling/cycle.c
+++ b/src/scheduling/cycle.c
@@ -19,7 +19,7 @@
 
 /* ---- time ---- */
 
-static void lapses(struct bd_core *core)
+static void expire_leases(struct bd_core *core)
 {
     struct timespec until[BD_MAX_ZONES];
     bd_autonomous_zone_leases(core, until);
@@ -138,7 +138,7 @@
     if (bd_before(core->lead.next_tick, core->now)) {
         core->lead.next_tick = bd_add(core->now, bd_secs(0.25));
         bd_forward_listen(core);
-        lapses(core);
+        expire_leases(core);
         late_launches(core);
         forgets_due(core);
         bd_machines_detect_outbound_partition(core);
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -21,7 +21,7 @@
     0.34 /* of the machines: more than that do not go deaf together                                \
           */
 
-static void machine_failed_task(struct bd_core *core, struct bd_machine *machine,
+static void record_task_failure(struct bd_core *core, struct bd_machine *machine,
                                 struct bd_job *job)
 {
     bool proven = job->ndone > 0 || job->nrunning > 0; /* its tasks do run on other machines */
@@ -38,7 +38,8 @@
 }
 
 /* A job that fails everywhere is slowed down; the machines are not blamed for it. */
-static void job_failed_task(struct bd_core *core, struct bd_machine *machine, struct bd_job *job)
+static void back_off_failing_job(struct bd_core *core, struct bd_machine *machine,
+                                 struct bd_job *job)
 {
     job->errors++;
     if (machine->quarantined || job->ndone > 0)
@@ -83,8 +84,8 @@
                  machine->id, late);
 }
 
-static bool is_current(const struct bd_machine *machine, const struct bd_task *task,
-                       uint64_t attempt)
+static bool is_current_attempt(const struct bd_machine *machine, const struct bd_task *task,
+                               uint64_t attempt)
 {
     return task->machine == machine->index && task->attempt == attempt &&
            task->state != BD_TASK_PLANNED && task->state != BD_TASK_PENDING;
@@ -94,8 +95,8 @@
                   const struct bd_reported_task *s)
 {
     if (s->exit_reason == BD_EXIT_ERROR) {
-        machine_failed_task(core, machine, job);
-        job_failed_task(core, machine, job);
+        record_task_failure(core, machine, job);
+        back_off_failing_job(core, machine, job);
     } else if (s->exit_reason == BD_EXIT_NO_CAPACITY || s->exit_reason == BD_EXIT_BUSY) {
         machine->refuse_until = bd_add(core->now, bd_secs(REFUSED_PAUSE_S));
     } else if (s->exit_reason == BD_EXIT_UNKNOWN) {
@@ -116,12 +117,13 @@
         core->lead.withheld_at = core->now;
 }
 
-static void exited(struct bd_core *core, struct bd_machine *machine, struct bd_job *job,
-                   const struct bd_heartbeat *heartbeat, const struct bd_reported_task *s,
-                   struct bd_command_list *commands)
+static void reconcile_exited_task(struct bd_core *core, struct bd_machine *machine,
+                                  struct bd_job *job, const struct bd_heartbeat *heartbeat,
+                                  const struct bd_reported_task *s,
+                                  struct bd_command_list *commands)
 {
     struct bd_task *task = &job->tasks[s->task];
-    bool current = is_current(machine, task, s->attempt);
+    bool current = is_current_attempt(machine, task, s->attempt);
     /* a late copy of the launch would start a forgotten attempt again */
     bool late = current && task->flags & BD_TASK_FLAG_DIRECT_LAUNCH_IN_FLIGHT;
     if (s->exit_reason == BD_EXIT_DONE && job->state == BD_JOB_ACTIVE) {
@@ -150,11 +152,12 @@
     forget(core, heartbeat, s, commands);
 }
 
-static void alive(struct bd_core *core, struct bd_machine *machine, struct bd_job *job,
-                  const struct bd_reported_task *s, struct bd_command_list *commands)
+static void reconcile_running_task(struct bd_core *core, struct bd_machine *machine,
+                                   struct bd_job *job, const struct bd_reported_task *s,
+                                   struct bd_command_list *commands)
 {
     struct bd_task *task = &job->tasks[s->task];
-    if (!is_current(machine, task, s->attempt)) {
+    if (!is_current_attempt(machine, task, s->attempt)) {
         if (task->state !=
             BD_TASK_PENDING) { /* the task is elsewhere or done: this one must not be */
             bd_commands_append(commands, BD_COMMAND_HALT, s->job, s->task, s->attempt, 0);
@@ -188,7 +191,7 @@
 }
 
 /* Tasks that we hold on the machine and that its report does not show. */
-static void missing(struct bd_core *core, struct bd_machine *machine)
+static void release_unreported_tasks(struct bd_core *core, struct bd_machine *machine)
 {
     uint32_t k = 0;
     while (k < machine->nreservations) {
@@ -212,20 +215,20 @@
     }
 }
 
-static void mark_shown(struct bd_core *core, struct bd_machine *machine,
-                       const struct bd_heartbeat *heartbeat)
+static void mark_reported_tasks(struct bd_core *core, struct bd_machine *machine,
+                                const struct bd_heartbeat *heartbeat)
 {
     for (size_t k = 0; k < heartbeat->n; k++) {
         struct bd_job *job = bd_job_find(core, heartbeat->tasks[k].job);
         uint32_t i = heartbeat->tasks[k].task;
         if (job && job->tasks && i < job->ntasks &&
-            is_current(machine, &job->tasks[i], heartbeat->tasks[k].attempt))
+            is_current_attempt(machine, &job->tasks[i], heartbeat->tasks[k].attempt))
             job->tasks[i].flags |= BD_TASK_FLAG_IN_HEARTBEAT;
     }
 }
 
 /* A session change or a higher token excludes every direct launch that had no answer. */
-static void exclude_late(struct bd_machine *machine)
+static void exclude_late_launches(struct bd_machine *machine)
 {
     machine->late_launch_token = 0;
     for (uint32_t k = 0; k < machine->nreservations; k++)
@@ -233,8 +236,8 @@
             (uint8_t) ~(BD_TASK_FLAG_DIRECT_LAUNCH_IN_FLIGHT | BD_TASK_FLAG_EXITED);
 }
 
-static void identify(struct bd_core *core, struct bd_machine *machine,
-                     const struct bd_heartbeat *heartbeat)
+static void update_identity(struct bd_core *core, struct bd_machine *machine,
+                            const struct bd_heartbeat *heartbeat)
 {
     snprintf(machine->addr, sizeof machine->addr, "%s", heartbeat->addr);
     machine->type = bd_type_index(core, heartbeat->type);
@@ -243,8 +246,9 @@
     machine->notice_left = heartbeat->notice;
 }
 
-static void evidence(struct bd_core *core, struct bd_machine *machine,
-                     const struct bd_heartbeat *heartbeat, struct bd_command_list *commands)
+static void reconcile_reported_tasks(struct bd_core *core, struct bd_machine *machine,
+                                     const struct bd_heartbeat *heartbeat,
+                                     struct bd_command_list *commands)
 {
     for (size_t k = 0; k < heartbeat->n; k++) {
         const struct bd_reported_task *s = &heartbeat->tasks[k];
@@ -258,9 +262,9 @@
             continue;
         }
         if (s->execution == BD_EXECUTION_EXITED)
-            exited(core, machine, job, heartbeat, s, commands);
+            reconcile_exited_task(core, machine, job, heartbeat, s, commands);
         else
-            alive(core, machine, job, s, commands);
+            reconcile_running_task(core, machine, job, s, commands);
     }
 }
 
@@ -273,7 +277,7 @@
 /* What we know to be of the old session is gone. But the old session may be known only from a copy
  * that came before the first report itself: then the intents that earlier leaders left may be of
  * the new one, and only a report that has seen our term tells. */
-static void session_rose(struct bd_core *core, struct bd_machine *machine)
+static void incarnation_rose(struct bd_core *core, struct bd_machine *machine)
 {
     if (machine->fenced)
         bd_machine_lease_expired(core, machine, BD_RELEASE_NEW_INCARNATION);
@@ -285,14 +289,14 @@
 }
 
 /* Takes a report in. False: stale, nothing changed. */
-static bool take_report(struct bd_core *core, struct bd_machine *machine,
-                        const struct bd_heartbeat *heartbeat, struct bd_command_list *commands)
+static bool apply_heartbeat(struct bd_core *core, struct bd_machine *machine,
+                            const struct bd_heartbeat *heartbeat, struct bd_command_list *commands)
 {
     if (!newer(machine, heartbeat))
         return false;
     if (machine->incarnation && heartbeat->incarnation > machine->incarnation)
-        session_rose(core, machine);
-    identify(core, machine, heartbeat);
+        incarnation_rose(core, machine);
+    update_identity(core, machine, heartbeat);
     machine->incarnation = heartbeat->incarnation;
     machine->seq = heartbeat->seq;
     machine->fencing_token = heartbeat->fencing_token;
@@ -306,10 +310,10 @@
     machine->fenced = true;
     if (machine->late_launch_token && heartbeat->fencing_token > machine->late_launch_token &&
         !machine->direct_in_flight)
-        exclude_late(machine);
-    mark_shown(core, machine, heartbeat);
-    missing(core, machine);
-    evidence(core, machine, heartbeat, commands);
+        exclude_late_launches(machine);
+    mark_reported_tasks(core, machine, heartbeat);
+    release_unreported_tasks(core, machine);
+    reconcile_reported_tasks(core, machine, heartbeat, commands);
     return true;
 }
 
@@ -324,8 +328,9 @@
     machine->answered_seen = machine->fenced;
 }
 
-static void answer_checkin(struct bd_core *core, void *request, struct bd_machine *machine,
-                           const struct bd_heartbeat *heartbeat, struct bd_command_list *commands)
+static void reply_to_heartbeat(struct bd_core *core, void *request, struct bd_machine *machine,
+                               const struct bd_heartbeat *heartbeat,
+                               struct bd_command_list *commands)
 {
     if (machine->fenced)
         bd_commands_pending(core, machine, commands);
@@ -350,7 +355,8 @@
 
 /* A worker that gets its answer stays with the controller that gave it, one that gets none goes to
  * the next: two check-ins in a row tell which. Called before the report is taken in. */
-static void hears_us(struct bd_machine *machine, const struct bd_heartbeat *heartbeat, int via)
+static void detect_outbound_partition(struct bd_machine *machine,
+                                      const struct bd_heartbeat *heartbeat, int via)
 {
     bool next = heartbeat->incarnation == machine->incarnation && machine->asked_seq &&
                 heartbeat->seq == machine->asked_seq + 1;
@@ -400,15 +406,15 @@
     if (direct && machine->delegated)
         bd_delegate_not_needed(core, machine);
     struct bd_command_list commands = {0};
-    hears_us(machine, heartbeat, via);
+    detect_outbound_partition(machine, heartbeat, via);
     answers_settled(machine);
-    if (take_report(core, machine, heartbeat, &commands))
+    if (apply_heartbeat(core, machine, heartbeat, &commands))
         machine->direct = direct;
     machine->asked_seq = heartbeat->seq;
     machine->asked = core->now;
     if (!bd_leadership_lease_valid(core))
         commands.count = 0;
-    answer_checkin(core, request, machine, heartbeat, &commands);
+    reply_to_heartbeat(core, request, machine, heartbeat, &commands);
     free(commands.items);
     bd_commands_send_direct(core, machine);
 }
@@ -480,7 +486,7 @@
 {
     bd_decision_log_machine(core, "unsent", machine, launch ? "launch=1" : "launch=0");
     if (launch && machine->late_launch_token == 0)
-        exclude_late(machine);
+        exclude_late_launches(machine);
     machine->direct_not_before = bd_add(core->now, core->settings->heartbeat_interval);
 }
 
@@ -514,10 +520,10 @@
     }
     struct bd_command_list commands = {0};
     if (launch && m->late_launch_token == 0)
-        exclude_late(m); /* answered: nothing of it is on its way any more */
+        exclude_late_launches(m); /* answered: nothing of it is on its way any more */
     if (m->gone)
         return;
-    (void)take_report(core, m, heartbeat, &commands);
+    (void)apply_heartbeat(core, m, heartbeat, &commands);
     free(commands.items); /* said again with the next report */
     if (m->nreservations)
         bd_commands_send_direct(core, m);
