--- a/src/adapters/admin_server.c
+++ b/src/adapters/admin_server.c
@@ -12,8 +12,8 @@
 
 #define PATH_DRAINS "/admin/v1/drains"
 #define BODY_MAX 65536u
-#define CONNECTIONS_MOST 8u
-#define WORKING_MOST 3 /* requests at once; a connection more is answered 503 */
+#define CONNECTIONS_MAX 8u
+#define WORKING_MAX 3 /* requests at once; a connection more is answered 503 */
 #define IDLE_S 30u
 #define STACK_BYTES 262144u
 #define RETRY_S 1
@@ -58,7 +58,7 @@
         return false;
     const char *from = url + prefix + 1;
     size_t len = strcspn(from, "/");
-    if (len == 0 || len > BD_DRAIN_NAME_MOST || len >= cap)
+    if (len == 0 || len > BD_DRAIN_NAME_MAX || len >= cap)
         return false;
     memcpy(name, from, len);
     name[len] = '\0';
@@ -110,7 +110,7 @@
         return bd_admin_refuse(MHD_HTTP_CONTENT_TOO_LARGE, "body", "over 64 KiB");
     }
     struct bd_admin_store store = {server->node, NULL};
-    if (atomic_fetch_add(&server->working, 1) < WORKING_MOST)
+    if (atomic_fetch_add(&server->working, 1) < WORKING_MAX)
         store.http = bd_http_new(1, NULL);
     if (store.http) {
         json_decref(answer.body);
@@ -180,7 +180,7 @@
     server->daemon = MHD_start_daemon(
         MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD, 0, NULL, NULL, handle,
         server, MHD_OPTION_SOCK_ADDR, (struct sockaddr *)&addr, MHD_OPTION_CONNECTION_LIMIT,
-        CONNECTIONS_MOST, MHD_OPTION_CONNECTION_TIMEOUT, IDLE_S, MHD_OPTION_NOTIFY_COMPLETED,
+        CONNECTIONS_MAX, MHD_OPTION_CONNECTION_TIMEOUT, IDLE_S, MHD_OPTION_NOTIFY_COMPLETED,
         completed, server, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u, MHD_OPTION_THREAD_STACK_SIZE,
         (size_t)STACK_BYTES, MHD_OPTION_END);
     if (!server->daemon) {
--- a/src/adapters/api_server.c
+++ b/src/adapters/api_server.c
@@ -14,7 +14,7 @@
 #define POOL_BYTES 6144u /* memory a connection keeps */
 #define IDLE_S 120u
 #define BODY_SHARE 0.15   /* of the memory: bodies that are being received or decided */
-#define PENDING_LEAST 512 /* requests that wait for the owner, or half as many as sockets; */
+#define PENDING_MIN 512   /* requests that wait for the owner, or half as many as sockets; */
 #define PENDING_USERS 0.6 /* ... beyond this share workers' reports only */
 #define BACKLOG 1024u     /* all workers come at once when all controllers are back together */
 
@@ -162,7 +162,7 @@
 static bool room_for(const struct bd_node *node, int kind)
 {
     int most = node->settings.max_sockets / 2;
-    most = most < PENDING_LEAST ? PENDING_LEAST : most;
+    most = most < PENDING_MIN ? PENDING_MIN : most;
     if (kind != BD_EVENT_HEARTBEAT)
         most = (int)(PENDING_USERS * most);
     return atomic_load(&node->api_server->pending) < most;
--- a/src/adapters/kv_client.c
+++ b/src/adapters/kv_client.c
@@ -11,8 +11,8 @@
 #include <string.h>
 
 /* named defaults */
-#define REFRESH_S 0.2        /* between refreshes when nobody waits */
-#define REFRESH_LEAST_S 0.04 /* between refreshes when polls wait */
+#define REFRESH_S 0.2      /* between refreshes when nobody waits */
+#define REFRESH_MIN_S 0.04 /* between refreshes when polls wait */
 #define ANSWER_S 1.5
 #define USER_ANSWER_S 2.5
 #define USER_THREADS 2
@@ -169,7 +169,7 @@
 static void wait_to_read(struct bd_node *node)
 {
     void *woken;
-    struct timespec earliest = bd_add(bd_now(), bd_secs(REFRESH_LEAST_S));
+    struct timespec earliest = bd_add(bd_now(), bd_secs(REFRESH_MIN_S));
     if (!atomic_load(&node->want_barrier))
         (void)bd_queue_take(&node->reader_wake, &woken, 1, bd_add(earliest, bd_secs(REFRESH_S)));
     double early = bd_between(bd_now(), earliest);
--- a/src/adapters/peer_listener.c
+++ b/src/adapters/peer_listener.c
@@ -91,8 +91,8 @@
     if (in->len < in->cap)
         return true;
     size_t cap = in->cap ? in->cap * 2 : READ_BYTES;
-    if (cap > BD_FRAME_MOST)
-        cap = BD_FRAME_MOST;
+    if (cap > BD_FRAME_MAX)
+        cap = BD_FRAME_MAX;
     unsigned char *grown = cap > in->cap ? realloc(in->buf, cap) : NULL;
     if (!grown)
         return false;
--- a/src/adapters/peer_transport.c
+++ b/src/adapters/peer_transport.c
@@ -27,8 +27,8 @@
 #define CONNECT_S 0.5
 #define STALLED_S 0.5    /* a connection that takes no bytes for so long is closed */
 #define CONNECTION_S 4.0 /* the life of a connection: see connect_run */
-#define OUTBOX_LEAST 4096u
-#define OUTBOX_MOST 524288u /* more is dropped; whoever waits has a deadline */
+#define OUTBOX_MIN 4096u
+#define OUTBOX_MAX 524288u /* more is dropped; whoever waits has a deadline */
 
 /* ---- connections to the others ---- */
 
@@ -81,10 +81,10 @@
 /* Room for `more` bytes in the outbox. */
 static bool reserve(struct bd_peer_link *link, size_t more)
 {
-    size_t cap = link->cap ? link->cap : OUTBOX_LEAST;
+    size_t cap = link->cap ? link->cap : OUTBOX_MIN;
     while (cap < link->len + more)
         cap *= 2;
-    if (cap > OUTBOX_MOST)
+    if (cap > OUTBOX_MAX)
         return false;
     unsigned char *grown = cap > link->cap ? realloc(link->outbox, cap) : link->outbox;
     if (!grown)
--- a/src/adapters/worker_client.c
+++ b/src/adapters/worker_client.c
@@ -14,11 +14,11 @@
 /* named defaults */
 #define ANSWER_S 1.5
 #define SLOW_S 0.1 /* a sender that has waited so long for an answer gets nothing new */
-#define SENDERS_LEAST 6
-#define SENDERS_MOST 64
+#define SENDERS_MIN 6
+#define SENDERS_MAX 64
 #define SOCKETS_A_SENDER 80 /* of all: a hundred machines that hang at once hold up few others */
 #define OWN_SHARE 0.35      /* of all sockets, for those that we open: to workers and all others */
-#define KEEP_LEAST 4
+#define KEEP_MIN 4
 #define QUEUE_CAP 1024
 #define IDLE_WAIT_S 5.0
 #define STACK_BYTES 131072
@@ -32,7 +32,7 @@
 
 struct bd_worker_client {
     int nsenders;
-    struct sender senders[SENDERS_MOST];
+    struct sender senders[SENDERS_MAX];
 };
 
 static long long now_ms(void)
@@ -43,13 +43,13 @@
 static int sender_count(const struct bd_settings *settings)
 {
     int n = settings->max_sockets / SOCKETS_A_SENDER;
-    return n < SENDERS_LEAST ? SENDERS_LEAST : n > SENDERS_MOST ? SENDERS_MOST : n;
+    return n < SENDERS_MIN ? SENDERS_MIN : n > SENDERS_MAX ? SENDERS_MAX : n;
 }
 
 static int kept_connections(const struct bd_settings *settings)
 {
     int n = ((int)(OWN_SHARE * settings->max_sockets) - BD_SOCKETS_OWN) / sender_count(settings);
-    return n < KEEP_LEAST ? KEEP_LEAST : n;
+    return n < KEEP_MIN ? KEEP_MIN : n;
 }
 
 int bd_worker_client_sockets(const struct bd_settings *settings)
--- a/src/autoscaling/autoscaler.c
+++ b/src/autoscaling/autoscaler.c
@@ -8,13 +8,13 @@
 #define BOOT_PATIENCE 2.5 /* times the usual boot time before a machine is given up */
 #define BOOT_EXTRA_S 12.0
 #define BOOT_HOPE 1.6 /* ... before it is no longer counted on */
-#define RETURN_MOST 100
+#define RETURN_MAX 100
 #define PROVISIONS_OPEN 3 /* requests under way at once */
 #define DEAD_EXTRA_S 15.0
 #define FIXED_PENALTY 2.0 /* ordinary machines are left to work that may not use spot */
 #define CLASSES 32
 #define WINDOW_S 150.0 /* in which arrivals are counted */
-#define WINDOW_LEAST_S 12.0
+#define WINDOW_MIN_S 12.0
 #define SETTLE_S 4.0
 #define SUMMARY_S 20.0
 
@@ -290,7 +290,7 @@
 {
     struct job_class k[CLASSES];
     double from = window_start(d->core), window = d->core->wall - from;
-    if (window < WINDOW_LEAST_S)
+    if (window < WINDOW_MIN_S)
         return;
     int n = arrivals(d->core, k, from);
     bins_free(d, false);
@@ -410,9 +410,9 @@
 
 static void return_machines(struct bd_core *core)
 {
-    char names[RETURN_MOST][BD_LABEL];
+    char names[RETURN_MAX][BD_LABEL];
     int n = 0;
-    for (uint32_t i = 0; i < core->nmachines && n < RETURN_MOST; i++) {
+    for (uint32_t i = 0; i < core->nmachines && n < RETURN_MAX; i++) {
         struct bd_machine *machine = core->by_index[i];
         if (!wants_return(core, machine))
             continue;
--- a/src/autoscaling/consolidation.c
+++ b/src/autoscaling/consolidation.c
@@ -9,7 +9,7 @@
 
 #define SETTLED_S 40.0        /* a service younger than this stays where it is */
 #define CONSOLIDATE_SHARE 0.8 /* of a machine: with more services than this it is left as it is */
-#define AWAY_LEAST_S 2.0      /* seconds that moves keep replicas away, a second, */
+#define AWAY_MIN_S 2.0        /* seconds that moves keep replicas away, a second, */
 #define AWAY_SHARE 0.003      /* of the services' running tasks */
 #define AWAY_KEPT_S 40.0      /* so long is kept of what was not used */
 #define MOVE_S 2.0 /* one move keeps a replica away so long, and for the fetch of its image */
@@ -230,7 +230,7 @@
         running += job->state == BD_JOB_ACTIVE && job->has_spec && job->spec.kind == BD_JOB_SERVICE
                        ? job->nrunning
                        : 0;
-    double rate = fmax(AWAY_LEAST_S, AWAY_SHARE * running);
+    double rate = fmax(AWAY_MIN_S, AWAY_SHARE * running);
     core->cloud.moves_s = fmin(core->cloud.moves_s + rate * passed, rate * AWAY_KEPT_S);
     core->cloud.moves_at = core->now;
 }
--- a/src/autoscaling/provisioning.c
+++ b/src/autoscaling/provisioning.c
@@ -9,8 +9,8 @@
 
 /* named defaults */
 #define BACKOFF_FIRST_S 10.0
-#define BACKOFF_MOST_S 60.0
-#define PROVISION_MOST 50
+#define BACKOFF_MAX_S 60.0
+#define PROVISION_MAX 50
 
 /* ---- provisioning requests ---- */
 
@@ -21,7 +21,7 @@
 
 void bd_pool_back_off(struct bd_core *core, struct bd_pool *k)
 {
-    k->backoff = k->backoff <= 0 ? BACKOFF_FIRST_S : fmin(k->backoff * 2, BACKOFF_MOST_S);
+    k->backoff = k->backoff <= 0 ? BACKOFF_FIRST_S : fmin(k->backoff * 2, BACKOFF_MAX_S);
     k->refuse_until = bd_add(core->now, bd_secs(k->backoff));
 }
 
@@ -96,7 +96,7 @@
     r->type = type;
     r->zone = zone;
     r->spot = spot;
-    r->count = count < PROVISION_MOST ? count : PROVISION_MOST;
+    r->count = count < PROVISION_MAX ? count : PROVISION_MAX;
     r->sent = core->now;
     struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_SCALE_OUT);
     snprintf(effect->key, sizeof effect->key, "%s", r->request);
--- a/src/base/metrics.c
+++ b/src/base/metrics.c
@@ -8,7 +8,7 @@
 
 /* Bins of equal width in the logarithm: three for each doubling, from a tenth of a millisecond to
  * more than a minute. A quantile is told as its bin's upper edge. */
-#define LEAST_S 1e-4
+#define MIN_S 1e-4
 #define BINS_A_DOUBLING 3
 #define DOUBLINGS 20
 #define BINS ((size_t)BINS_A_DOUBLING * DOUBLINGS)
@@ -30,7 +30,7 @@
 {
     double parent_edges[BINS + 1];
     for (size_t i = 0; i <= BINS; i++)
-        parent_edges[i] = LEAST_S * exp2((double)i / BINS_A_DOUBLING);
+        parent_edges[i] = MIN_S * exp2((double)i / BINS_A_DOUBLING);
     gsl_histogram *h = gsl_histogram_alloc(BINS);
     if (h && gsl_histogram_set_ranges(h, parent_edges, BINS + 1) != 0) {
         gsl_histogram_free(h);
@@ -94,8 +94,8 @@
 {
     if (!metrics || !isfinite(seconds))
         return;
-    double most = LEAST_S * exp2(DOUBLINGS) * 0.999;
-    (void)gsl_histogram_increment(metrics->timings[timing], fmin(fmax(seconds, LEAST_S), most));
+    double most = MIN_S * exp2(DOUBLINGS) * 0.999;
+    (void)gsl_histogram_increment(metrics->timings[timing], fmin(fmax(seconds, MIN_S), most));
     metrics->longest[timing] = fmax(metrics->longest[timing], seconds);
 }
 
@@ -125,7 +125,7 @@
         if (below >= share * all && gsl_histogram_get_range(h, i, &lower, &upper) == 0)
             return upper;
     }
-    return LEAST_S * exp2(DOUBLINGS);
+    return MIN_S * exp2(DOUBLINGS);
 }
 
 static void report_timing(struct bd_metrics *metrics, enum bd_timing timing,
--- a/src/drain/candidate.c
+++ b/src/drain/candidate.c
@@ -10,7 +10,7 @@
     uint32_t i = 0;
     while (i < candidate->nneeds && need[i].budget != budget)
         i++;
-    if (i == BD_NEEDS_MOST)
+    if (i == BD_NEEDS_MAX)
         return false;
     if (i == candidate->nneeds)
         need[candidate->nneeds++] = (struct bd_need){.budget = budget};
--- a/src/drain/drain.h
+++ b/src/drain/drain.h
@@ -156,9 +156,9 @@
     json_t *asked; /* the request as it came, for a repeated one */
 };
 
-#define BD_DRAIN_KEY "d/"      /* of drains, */
-#define BD_DRAIN_SET "e/"      /* and of their machines: e/SET/PART */
-#define BD_DRAIN_NAME_MOST 40u /* bytes */
+#define BD_DRAIN_KEY "d/"     /* of drains, */
+#define BD_DRAIN_SET "e/"     /* and of their machines: e/SET/PART */
+#define BD_DRAIN_NAME_MAX 40u /* bytes */
 
 /* ---- records (record.c) ---- */
 
--- a/src/drain/drain_internal.h
+++ b/src/drain/drain_internal.h
@@ -57,14 +57,14 @@
     uint32_t largest; /* of those that can only stop together: a gang, or a task */
 };
 
-#define BD_NEEDS_MOST 64 /* budgets that one machine's tasks draw on */
+#define BD_NEEDS_MAX 64 /* budgets that one machine's tasks draw on */
 
 /* A machine that could be in the next step. */
 struct bd_candidate {
     struct bd_drain_machine *entry;
     struct bd_machine *machine;
     int zone;
-    struct bd_need needs[BD_NEEDS_MOST];
+    struct bd_need needs[BD_NEEDS_MAX];
     uint32_t nneeds, tasks;
     struct bd_resources moves; /* what its tasks take, in sum */
 };
--- a/src/drain/plan.c
+++ b/src/drain/plan.c
@@ -5,7 +5,7 @@
 #include "wire/frame.h"
 #include <stdio.h>
 
-#define CANDIDATES_MOST 96u
+#define CANDIDATES_MAX 96u
 
 static void wait_for(struct bd_core *core, struct bd_drain *drain, struct bd_drain_machine *m,
                      enum bd_drain_wait wait, const char *team)
@@ -115,7 +115,7 @@
     struct bd_core *core;
     struct bd_step_problem problem;
     struct bd_candidate *candidates;
-    struct bd_drain *of[CANDIDATES_MOST]; /* whose entries they are */
+    struct bd_drain *of[CANDIDATES_MAX]; /* whose entries they are */
     uint32_t *left;
     struct bd_bins bins;
 };
@@ -190,7 +190,7 @@
     struct bd_machine *machine = m->machine;
     enum bd_drain_wait wait = not_ready(core, drain, m, machine);
     uint32_t budget = 0;
-    if (wait != BD_DRAIN_WAIT_NOTHING || choice->problem.n == CANDIDATES_MOST) {
+    if (wait != BD_DRAIN_WAIT_NOTHING || choice->problem.n == CANDIDATES_MAX) {
         wait_for(core, drain, m, wait ? wait : BD_DRAIN_WAIT_STEP, "");
         return;
     }
@@ -300,7 +300,7 @@
         return;
     pair_zones(core);
     choice.left = budgets_left(&drains->ledger);
-    choice.candidates = calloc(CANDIDATES_MOST, sizeof *choice.candidates);
+    choice.candidates = calloc(CANDIDATES_MAX, sizeof *choice.candidates);
     if (!choice.candidates)
         abort();
     bd_bins_fill(core, &choice.bins);
--- a/src/drain/replacement.c
+++ b/src/drain/replacement.c
@@ -4,8 +4,8 @@
 #include "drain/drain_internal.h"
 #include <stdio.h>
 
-#define GROUPS_MOST 16u /* pools that are asked in one look */
-#define GROUP_MOST 50   /* machines of one request */
+#define GROUPS_MAX 16u /* pools that are asked in one look */
+#define GROUP_MAX 50   /* machines of one request */
 
 struct pool {
     int type, zone;
@@ -15,7 +15,7 @@
 /* The entries that one request is for. */
 struct group {
     struct pool pool;
-    struct bd_drain_machine *entries[GROUP_MOST];
+    struct bd_drain_machine *entries[GROUP_MAX];
     int count;
 };
 
@@ -123,7 +123,7 @@
         if (groups[i].pool.type == pool->type && groups[i].pool.zone == pool->zone &&
             groups[i].pool.spot == pool->spot)
             return &groups[i];
-    if (*n == GROUPS_MOST)
+    if (*n == GROUPS_MAX)
         return NULL;
     struct group *group = &groups[(*n)++];
     group->pool = *pool;
@@ -141,7 +141,7 @@
         *m->request || !choose_pool(core, m, machine, &pool))
         return false;
     struct group *group = group_of(groups, n, &pool);
-    if (!group || group->count == GROUP_MOST)
+    if (!group || group->count == GROUP_MAX)
         return false;
     group->entries[group->count++] = m;
     return true;
@@ -161,7 +161,7 @@
 {
     uint32_t open = under_way(core), most = core->drains->rules->machines_in_step, n = 0;
     struct bd_drain *drain, *tmp;
-    struct group *groups = calloc(GROUPS_MOST, sizeof *groups);
+    struct group *groups = calloc(GROUPS_MAX, sizeof *groups);
     if (!groups)
         abort();
     HASH_ITER(hh, core->drains->drains, drain, tmp)
--- a/src/drain/request.c
+++ b/src/drain/request.c
@@ -20,7 +20,7 @@
 {
     size_t n =
         s ? strspn(s, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.") : 0;
-    return n > 0 && n <= BD_DRAIN_NAME_MOST && s[n] == '\0';
+    return n > 0 && n <= BD_DRAIN_NAME_MAX && s[n] == '\0';
 }
 
 /* A field that may be missing or null. */
--- a/src/drain/rules.c
+++ b/src/drain/rules.c
@@ -14,7 +14,7 @@
 #define REPLACE_S 300.0
 #define KEEP_S 86400.0
 #define BUDGET_PER_CENT 1.0
-#define NUMBER_MOST 1e6
+#define NUMBER_MAX 1e6
 
 struct reading {
     const struct bd_settings *settings;
@@ -61,7 +61,7 @@
     if (!text(r, e, value))
         return 0;
     double d = strtod(value, &end);
-    if (end == value || *end || !isfinite(d) || d < least || d > NUMBER_MOST)
+    if (end == value || *end || !isfinite(d) || d < least || d > NUMBER_MAX)
         wrong(r, e->list->val, "is not a number in the range that is allowed");
     return d;
 }
@@ -93,7 +93,7 @@
     rule->amount = d;
     bool whole = d == floor(d) && !*end;
     if (end == value || (!whole && !rule->per_cent) || !isfinite(d) || d < 0 ||
-        d > (rule->per_cent ? 100 : NUMBER_MOST))
+        d > (rule->per_cent ? 100 : NUMBER_MAX))
         wrong(r, "down", "needs a number of tasks, or a per cent figure such as 5%");
 }
 
--- a/src/drain/solver.c
+++ b/src/drain/solver.c
@@ -5,9 +5,9 @@
 #include "drain/drain_internal.h"
 #include <lpsolve/lp_lib.h>
 
-#define CANDIDATES_MOST 96u /* more, and the plain choice is taken */
-#define LOOKS_MOST 20000    /* of the solver at whether to go on */
-#define TASK_COST 1e-4      /* a task that is stopped, beside one machine more */
+#define CANDIDATES_MAX 96u /* more, and the plain choice is taken */
+#define LOOKS_MAX 20000    /* of the solver at whether to go on */
+#define TASK_COST 1e-4     /* a task that is stopped, beside one machine more */
 
 /* One program: columns 1 to n are the candidates, then one a zone whose use is a question. */
 struct program {
@@ -24,7 +24,7 @@
 {
     struct program *program = arg;
     (void)lp;
-    return ++program->looks > LOOKS_MOST;
+    return ++program->looks > LOOKS_MAX;
 }
 
 static void row(struct program *program, int count, int purpose, double limit)
@@ -157,7 +157,7 @@
 bool bd_steps_solve(const struct bd_step_problem *problem, roaring_bitmap_t *chosen)
 {
     struct program program = {.problem = problem, .ok = true};
-    if (problem->n == 0 || problem->n > CANDIDATES_MOST)
+    if (problem->n == 0 || problem->n > CANDIDATES_MAX)
         return false;
     int columns = columns_needed(&program);
     program.lp = make_lp(0, columns);
--- a/src/jobs/dependency_graph.c
+++ b/src/jobs/dependency_graph.c
@@ -21,7 +21,7 @@
 #define PATH_FACTOR 1.3  /* a job's slowest task against its owner's guess */
 #define PATH_EXTRA_S 4.0 /* from one job's end to the next one's begin, an image in between */
 #define UNSEEN_S 2.0     /* a record that is not in memory is asked about so often */
-#define UNSEEN_MOST 8u   /* at once */
+#define UNSEEN_MAX 8u    /* at once */
 
 static struct bd_parent_job *prerequisite_of(struct bd_core *core, const char *id)
 {
@@ -341,10 +341,10 @@
         bd_before(core->now, core->graph.next_unseen))
         return;
     core->graph.next_unseen = bd_add(core->now, bd_secs(UNSEEN_S));
-    for (struct bd_parent_job *parent = core->graph.parents; parent && asked < UNSEEN_MOST;
+    for (struct bd_parent_job *parent = core->graph.parents; parent && asked < UNSEEN_MAX;
          parent = parent->hh.next) {
         if (parent->job || (!bd_is_zero(parent->asked_at) &&
-                            bd_between(parent->asked_at, core->now) < UNSEEN_S * UNSEEN_MOST))
+                            bd_between(parent->asked_at, core->now) < UNSEEN_S * UNSEEN_MAX))
             continue;
         parent->asked_at = core->now;
         struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_JOB_LOOKUP);
@@ -352,7 +352,7 @@
         snprintf(effect->key, sizeof effect->key, "%s", parent->id);
         asked++;
     }
-    if (asked == UNSEEN_MOST)
+    if (asked == UNSEEN_MAX)
         core->graph.next_unseen = core->now;
 }
 
--- a/src/leadership/kv_limits.c
+++ b/src/leadership/kv_limits.c
@@ -4,17 +4,17 @@
 #include "core/core_internal.h"
 
 /* named defaults */
-#define OPS_LEAST 2u     /* the commit sequence and one change */
-#define VALUE_LEAST 512u /* a done record and an intent of a few tasks fit */
-#define RATE_LEAST 4.0
-#define BUSY_SHARE 0.8     /* of the rate is left after a 429, */
-#define BUSY_S 1.0         /* at most once in this time; */
-#define CALM_S 10.0        /* after so long without one it rises again, */
-#define RISE 1.01          /* by this a second */
-#define GROW_AFTER_S 60.0  /* after so long without a 400 values and transactions grow again, */
-#define GROW_MOST_S 3600.0 /* ... after twice as long each time that was too much, up to this */
-#define GROW_EVERY_S 10.0  /* between two steps */
-#define BACKOFF_S 1.0      /* what may be malformed itself rests so long, and up to 8 s more */
+#define OPS_MIN 2u     /* the commit sequence and one change */
+#define VALUE_MIN 512u /* a done record and an intent of a few tasks fit */
+#define RATE_MIN 4.0
+#define BUSY_SHARE 0.8    /* of the rate is left after a 429, */
+#define BUSY_S 1.0        /* at most once in this time; */
+#define CALM_S 10.0       /* after so long without one it rises again, */
+#define RISE 1.01         /* by this a second */
+#define GROW_AFTER_S 60.0 /* after so long without a 400 values and transactions grow again, */
+#define GROW_MAX_S 3600.0 /* ... after twice as long each time that was too much, up to this */
+#define GROW_EVERY_S 10.0 /* between two steps */
+#define BACKOFF_S 1.0     /* what may be malformed itself rests so long, and up to 8 s more */
 
 void bd_kv_limits_init(struct bd_core *core)
 {
@@ -35,12 +35,12 @@
 {
     struct bd_kv_limits was = core->kv_limits;
     bool tried = !bd_is_zero(was.grown_at) && bd_between(was.grown_at, core->now) < GROW_AFTER_S;
-    if (tried && was.grow_after < GROW_MOST_S)
+    if (tried && was.grow_after < GROW_MAX_S)
         core->kv_limits.grow_after = 2 * was.grow_after;
     core->kv_limits.grown_at = (struct timespec){0, 0};
     core->kv_limits.refused_at = core->now;
-    core->kv_limits.kv_value_bytes_max = smaller(was.kv_value_bytes_max, VALUE_LEAST);
-    core->kv_limits.kv_txn_ops_max = smaller(was.kv_txn_ops_max, OPS_LEAST);
+    core->kv_limits.kv_value_bytes_max = smaller(was.kv_value_bytes_max, VALUE_MIN);
+    core->kv_limits.kv_txn_ops_max = smaller(was.kv_txn_ops_max, OPS_MIN);
     bd_log_write(
         core->log, BD_LOG_ERROR,
         "the state service calls %s malformed: values of at most %zu bytes and %zu changes from "
@@ -56,7 +56,7 @@
 {
     size_t rate = (size_t)core->kv_limits.write_rps;
     size_t n = core->kv_limits.kv_txn_ops_max < rate ? core->kv_limits.kv_txn_ops_max : rate;
-    return n < OPS_LEAST ? OPS_LEAST : n;
+    return n < OPS_MIN ? OPS_MIN : n;
 }
 
 void bd_kv_rate_exceeded(struct bd_core *core)
@@ -66,8 +66,8 @@
         return;
     core->kv_limits.busy_at = core->kv_limits.raised_at = core->now;
     core->kv_limits.write_rps = core->kv_limits.write_rps * BUSY_SHARE;
-    if (core->kv_limits.write_rps < RATE_LEAST)
-        core->kv_limits.write_rps = RATE_LEAST;
+    if (core->kv_limits.write_rps < RATE_MIN)
+        core->kv_limits.write_rps = RATE_MIN;
     if (core->lead.write_budget > 0)
         core->lead.write_budget = 0;
     bd_log_write(core->log, BD_LOG_INFO,
--- a/src/model/task_state.c
+++ b/src/model/task_state.c
@@ -7,7 +7,7 @@
 /* named defaults */
 #define LATE_HEARTBEATS 1.4 /* report intervals, which vary by a quarter, and what delays one */
 #define LATE_EXTRA_S 1.5
-#define LATE_LEAST_S 5.5 /* one controller that lets it hang */
+#define LATE_MIN_S 5.5 /* one controller that lets it hang */
 
 uint32_t bd_tenths(struct timespec t)
 {
@@ -386,7 +386,7 @@
 static bool late(const struct bd_core *core, struct timespec last)
 {
     double s = LATE_HEARTBEATS * bd_to_secs(core->settings->heartbeat_interval) + LATE_EXTRA_S;
-    return bd_between(last, core->now) > (s > LATE_LEAST_S ? s : LATE_LEAST_S);
+    return bd_between(last, core->now) > (s > LATE_MIN_S ? s : LATE_MIN_S);
 }
 
 /* Whether its report is late: it hangs, or goes round looking for a controller. Direct commands
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -16,9 +16,9 @@
 #define BATCH 128
 #define QUEUE_CAP 4096
 #define STATUS_S 0.3
-#define TTL_SHARE 0.2   /* of the workers' lease, */
-#define TTL_LEAST_S 2.0 /* ... so that several slow answers of the state service fit in, */
-#define TTL_MOST_S 2.5  /* ... and a takeover does not take long */
+#define TTL_SHARE 0.2 /* of the workers' lease, */
+#define TTL_MIN_S 2.0 /* ... so that several slow answers of the state service fit in, */
+#define TTL_MAX_S 2.5 /* ... and a takeover does not take long */
 #define HEARTBEAT_CACHE_SHARE 0.08 /* of the memory, for the machines' newest reports */
 #define METRICS_INTERVAL_S 20.0    /* between the log's lines of traffic and times */
 
@@ -392,7 +392,7 @@
     if (!bd_is_zero(settings->leader_ttl))
         return;
     double ttl = bd_to_secs(settings->lease) * TTL_SHARE;
-    ttl = ttl < TTL_LEAST_S ? TTL_LEAST_S : ttl > TTL_MOST_S ? TTL_MOST_S : ttl;
+    ttl = ttl < TTL_MIN_S ? TTL_MIN_S : ttl > TTL_MAX_S ? TTL_MAX_S : ttl;
     settings->leader_ttl = bd_secs(ttl);
 }
 
--- a/src/runtime/settings.c
+++ b/src/runtime/settings.c
@@ -10,9 +10,9 @@
 
 /* Less than this cannot serve: the program alone holds some 4 MB, and some 70 sockets are for other
  * controllers, the state service, the cloud and commands to workers. */
-#define CPU_LEAST 0.002
-#define RAM_MB_LEAST 8.0
-#define SOCKETS_LEAST 128.0
+#define CPU_MIN 0.002
+#define RAM_MB_MIN 8.0
+#define SOCKETS_MIN 128.0
 #define CANCEL_ROOM_S 1.0 /* between a worker's lease and the end of what was cancelled */
 
 /* One reading of one file; the first fault found is kept. */
@@ -197,9 +197,9 @@
     settings->cloud_requests_per_s = number(r, c, "rps", 0.01);
     settings->list_lag = span(r, c, "list_lag_s", 0);
     json_t *l = object(r, f, "limits");
-    settings->cpu = number(r, l, "cpu", CPU_LEAST);
-    settings->ram_mb = number(r, l, "ram_mb", RAM_MB_LEAST);
-    settings->max_sockets = (int)number(r, l, "max_sockets", SOCKETS_LEAST);
+    settings->cpu = number(r, l, "cpu", CPU_MIN);
+    settings->ram_mb = number(r, l, "ram_mb", RAM_MB_MIN);
+    settings->max_sockets = (int)number(r, l, "max_sockets", SOCKETS_MIN);
     settings->clock_error = bd_secs(number(r, f, "clock_error_ms", 0) / 1000.0);
 }
 
--- a/src/scheduling/cost_model.c
+++ b/src/scheduling/cost_model.c
@@ -6,7 +6,7 @@
 #define EXPENSIVE_FACTOR 2.5 /* times the cheapest ordinary place for the task */
 #define PATIENCE 1.0         /* of the time that a job can spare */
 #define HOPE_S 20.0          /* with less to spare an aim is not counted on */
-#define YIELD_LEAST_S 15.0   /* while GPU work waits for machines */
+#define YIELD_MIN_S 15.0     /* while GPU work waits for machines */
 #define RUN_FACTOR 1.5       /* a job's slowest task against its owner's guess */
 
 int bd_tasks_a_machine(const struct bd_type *type, const struct bd_spec *spec)
@@ -96,7 +96,7 @@
         can = fmin(can, fmax(0, bd_deadline_slack(core, job) - HOPE_S + waited));
     bool yields = core->cloud.gpu_waiting && job->spec.gpus <= 0 &&
                   job->spec.kind == BD_JOB_ARRAY && job->priority <= BD_PRIORITY_STANDARD;
-    if (waited >= (yields ? fmax(can, YIELD_LEAST_S) : can))
+    if (waited >= (yields ? fmax(can, YIELD_MIN_S) : can))
         return BD_TIER_ANY;
     return job->spec.spot && waited < can / 2 ? BD_TIER_SPOT : BD_TIER_CHEAP;
 }
--- a/src/scheduling/cycle.c
+++ b/src/scheduling/cycle.c
@@ -15,7 +15,7 @@
 #define TOKEN_RAISE_AFTER_S 1.5
 #define TOKEN_RAISE_EVERY_S 5.0
 #define FORGET_RAISE_S 25.0 /* so long results stay on the machines before the token rises */
-#define WITHHELD_MOST 4000u /* ... or until reports show so many */
+#define WITHHELD_MAX 4000u  /* ... or until reports show so many */
 
 /* ---- time ---- */
 
@@ -68,7 +68,7 @@
 {
     if (core->lead.withheld &&
         (bd_between(core->lead.withheld_at, core->now) > FORGET_RAISE_S ||
-         (core->lead.withheld > WITHHELD_MOST &&
+         (core->lead.withheld > WITHHELD_MAX &&
           bd_between(core->lead.last_token_raise, core->now) > TOKEN_RAISE_EVERY_S)))
         core->lead.token_raise_wanted = true;
 }
--- a/src/scheduling/preemption.c
+++ b/src/scheduling/preemption.c
@@ -4,7 +4,7 @@
 #include <math.h>
 
 #define COST_STOPPING 10.0 /* the whole room of a task made by stopping others */
-#define PREEMPT_MOST 32u   /* places made for one job in one round */
+#define PREEMPT_MAX 32u    /* places made for one job in one round */
 
 bool bd_stoppable(const struct bd_job *job, const struct bd_task *task)
 {
@@ -174,7 +174,7 @@
     uint32_t zones[BD_MAX_ZONES], made = 0;
     bd_zone_counts(r->core, job, zones);
     bd_stop_costs(r, job, zones, only_cheap, false);
-    n = n < PREEMPT_MOST ? n : PREEMPT_MOST;
+    n = n < PREEMPT_MAX ? n : PREEMPT_MAX;
     while (made < n && bd_vacate(r, job, zones, only_cheap))
         made++;
     return made;
--- a/src/wire/frame.c
+++ b/src/wire/frame.c
@@ -3,7 +3,7 @@
 
 #define MAGIC 0x42444d31u
 #define VERSION 2u
-#define FIELDS_MOST 128u /* bytes of a frame beside its jobs and its text */
+#define FIELDS_MAX 128u /* bytes of a frame beside its jobs and its text */
 
 struct out {
     unsigned char *p;
@@ -81,12 +81,12 @@
 
 size_t bd_frame_bytes(const struct bd_frame *frame)
 {
-    return BD_FRAME_HEAD + FIELDS_MOST + frame->count * sizeof frame->jobs[0] + frame->len;
+    return BD_FRAME_HEAD + FIELDS_MAX + frame->count * sizeof frame->jobs[0] + frame->len;
 }
 
 size_t bd_frame_write(const struct bd_frame *frame, unsigned char *buf, size_t cap)
 {
-    struct out o = {buf, 0, cap < BD_FRAME_MOST ? cap : BD_FRAME_MOST, 0};
+    struct out o = {buf, 0, cap < BD_FRAME_MAX ? cap : BD_FRAME_MAX, 0};
     put(&o, MAGIC, 4);
     put(&o, VERSION, 1);
     put(&o, frame->type, 1);
@@ -194,7 +194,7 @@
     uint64_t magic = get(&head, 4), version = get(&head, 1), type = get(&head, 1);
     uint64_t zero = get(&head, 2);
     size_t body = (size_t)get(&head, 4);
-    if (magic != MAGIC || version != VERSION || zero || body + BD_FRAME_HEAD > BD_FRAME_MOST ||
+    if (magic != MAGIC || version != VERSION || zero || body + BD_FRAME_HEAD > BD_FRAME_MAX ||
         type < BD_FRAME_STATUS || type > BD_FRAME_CANCELLED)
         return -1;
     if (len < BD_FRAME_HEAD + body)
--- a/src/wire/frame.h
+++ b/src/wire/frame.h
@@ -15,7 +15,7 @@
 #include <stdint.h>
 
 #define BD_FRAME_HEAD 12u
-#define BD_FRAME_MOST 70000u
+#define BD_FRAME_MAX 70000u
 #define BD_FRAME_JOBS 96u
 
 enum bd_frame_type {
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -19,7 +19,7 @@
 
 /* named defaults */
 #define CONFIRM_S 0.5
-#define KEEP_LEAST_S 3.0
+#define KEEP_MIN_S 3.0
 #define RECORD_SHARE 0.9 /* of the largest value that the state service takes */
 #define NAME_BYTES 3u    /* of a machine in it, beside its name */
 #define TXN_BYTES 56000u /* of a transaction, of which the limit is 64 KiB */
@@ -46,7 +46,7 @@
 static double keep_s(const struct bd_core *core)
 {
     double s = 1.25 * bd_to_secs(core->settings->heartbeat_interval) + 2.0;
-    return s > KEEP_LEAST_S ? s : KEEP_LEAST_S;
+    return s > KEEP_MIN_S ? s : KEEP_MIN_S;
 }
 
 static void key_of(const struct bd_core *core, char *key, size_t cap)
--- a/src/workers/forwarding.c
+++ b/src/workers/forwarding.c
@@ -6,11 +6,11 @@
 #include <stdio.h>
 
 /* named defaults */
-#define ANSWER_S 1.2       /* then the delegate's way is tried, or the worker sent to the leader */
-#define REDIRECT_S 8.0     /* a worker is not sent to its zone's controller more often */
-#define BACK_S 12.0        /* it hung at the leader, and perhaps at another node */
-#define BACK_HOLDS_S 40.0  /* then it is tried again */
-#define FORWARDS_LEAST 512 /* more where there are more sockets, of which each holds one */
+#define ANSWER_S 1.2      /* then the delegate's way is tried, or the worker sent to the leader */
+#define REDIRECT_S 8.0    /* a worker is not sent to its zone's controller more often */
+#define BACK_S 12.0       /* it hung at the leader, and perhaps at another node */
+#define BACK_HOLDS_S 40.0 /* then it is tried again */
+#define FORWARDS_MIN 512  /* more where there are more sockets, of which each holds one */
 #define INBOUND_PARTITION_S 60.0
 #define INBOUND_PARTITION_SHARE 0.6 /* of the machines heard before */
 #define INBOUND_PARTITION_MIN 3u
@@ -176,7 +176,7 @@
                     const char *body, size_t len, int peer)
 {
     int most =
-        core->settings->max_sockets > FORWARDS_LEAST ? core->settings->max_sockets : FORWARDS_LEAST;
+        core->settings->max_sockets > FORWARDS_MIN ? core->settings->max_sockets : FORWARDS_MIN;
     if (peer < 0 || waiting(core) >= (uint32_t)most)
         return false;
     struct bd_forward *f = calloc(1, sizeof *f);
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -9,14 +9,14 @@
 #define FAILING_ERRORS 3u   /* failures in a row; those of a job that runs elsewhere count twice */
 #define REFUSED_PAUSE_S 3.0 /* a machine that said no_room is left alone */
 #define RETRY_FIRST_S 1.0   /* pause of a job whose tasks fail, doubled each time */
-#define RETRY_MOST_S 30.0
+#define RETRY_MAX_S 30.0
 #define SLOW_TASKS 2u   /* of a machine, */
 #define SLOW_STEADY 3.0 /* report intervals heard without a gap before a machine is judged */
 #define SLOW_FACTOR 1.6 /* this many times as long as the longest run */
 #define SLOW_EXTRA_TENTHS 50u
 #define SLOW_RUNS 4u        /* of at least so many */
 #define DIRECT_DOUBLINGS 4u /* longest pause: 16 report intervals */
-#define MISROUTED_MOST 2u   /* then a machine is taken not to hear */
+#define MISROUTED_MAX 2u    /* then a machine is taken not to hear */
 #define OUTBOUND_PARTITION_SHARE                                                                   \
     0.34 /* of the machines: more than that do not go deaf together                                \
           */
@@ -45,9 +45,9 @@
     if (machine->quarantined || job->ndone > 0)
         return;
     double pause = RETRY_FIRST_S;
-    for (uint32_t k = 2; k < job->errors && pause < RETRY_MOST_S; k++)
+    for (uint32_t k = 2; k < job->errors && pause < RETRY_MAX_S; k++)
         pause *= 2;
-    job->hold_until = bd_add(core->now, bd_secs(pause < RETRY_MOST_S ? pause : RETRY_MOST_S));
+    job->hold_until = bd_add(core->now, bd_secs(pause < RETRY_MAX_S ? pause : RETRY_MAX_S));
 }
 
 /* A machine is slow if several of its tasks run far longer than any of their jobs' finished ones.
@@ -365,7 +365,7 @@
         machine->misrouted = 0;
     } else if (next) {
         machine->outbound_partition =
-            machine->outbound_partition || ++machine->misrouted >= MISROUTED_MOST;
+            machine->outbound_partition || ++machine->misrouted >= MISROUTED_MAX;
     }
     machine->via = via;
 }
--- a/tests/direct_commands.c
+++ b/tests/direct_commands.c
@@ -14,8 +14,8 @@
 
 #define COMMANDS 48
 #define RIGHT_S 2.0
-#define MOST_S 6.0   /* the right, one answer's time after it, and a slow machine's share */
-#define MOST_SENT 24 /* six senders, an answer's time of 1.5 s each */
+#define OVERTIME_MAX_S 6.0 /* the right, one answer's time after it, and a slow machine's share */
+#define MOST_SENT 24       /* six senders, an answer's time of 1.5 s each */
 
 struct machine {
     int listener;
@@ -88,7 +88,7 @@
 /* Takes what the owner would be told, until `most` answers or MOST_S. */
 static int outcomes(struct bd_node *node, int most, int *not_sent)
 {
-    struct timespec end = bd_add(bd_now(), bd_secs(MOST_S));
+    struct timespec end = bd_add(bd_now(), bd_secs(OVERTIME_MAX_S));
     int got = 0;
     while (got < most && bd_before(bd_now(), end)) {
         void *item;
--- a/tests/drain_profile.c
+++ b/tests/drain_profile.c
@@ -24,7 +24,7 @@
 #define REPLICAS 10  /* on a machine at first */
 #define JOB_TASKS 40 /* replicas of a service */
 #define START_S 1.0  /* from the launch until it runs */
-#define MOST_S 20000
+#define OVERTIME_MAX_S 20000
 #define TICKS 20
 #define TEAMS 2
 
@@ -262,7 +262,7 @@
     build(&f, 2 * drained);
     double began = f.now;
     drain(&f, drained);
-    for (int half = 0; !is_over(&f) && f.now < began + MOST_S; half++)
+    for (int half = 0; !is_over(&f) && f.now < began + OVERTIME_MAX_S; half++)
         half_second(&f, half);
     uint32_t down, up, steps = f.core->drains->steps;
     bd_ledger_count(f.core, "team-0", "", &down, &up);
--- a/tests/inputs.c
+++ b/tests/inputs.c
@@ -343,7 +343,7 @@
  * in turn must never be taken for more than the frame holds. */
 static void frames(void)
 {
-    unsigned char buf[BD_FRAME_MOST];
+    unsigned char buf[BD_FRAME_MAX];
     struct bd_frame *f = calloc(1, sizeof *f), *g = calloc(1, sizeof *g);
     f->type = BD_FRAME_STATUS;
     snprintf(f->name, sizeof f->name, "node-7");
--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -608,10 +608,10 @@
 #define MEMORY_TASKS 10000 /* of an array */
 #define MEMORY_CONNECTIONS 200
 /* Upper bounds, half as much again as was measured: one that doubles is noticed. */
-#define START_KB_MOST 3600
-#define JOB_BYTES_MOST 7100
-#define TASK_BYTES_MOST 37
-#define CONNECTION_BYTES_MOST 6900
+#define START_KB_MAX 3600
+#define JOB_BYTES_MAX 7100
+#define TASK_BYTES_MAX 37
+#define CONNECTION_BYTES_MAX 6900
 
 /* What the process holds beside its files' pages. */
 static long memory_kb(const struct test *t, int node)
@@ -686,13 +686,12 @@
     bd_pause(1.5);
     long connections = memory_kb(t, leader);
     nodes_check(t, open == MEMORY_CONNECTIONS, "all connections are open");
-    check_memory(t, "KiB at the start", (double)start, START_KB_MOST);
-    check_memory(t, "bytes a job", 1024.0 * (double)(jobs - start) / MEMORY_JOBS, JOB_BYTES_MOST);
+    check_memory(t, "KiB at the start", (double)start, START_KB_MAX);
+    check_memory(t, "bytes a job", 1024.0 * (double)(jobs - start) / MEMORY_JOBS, JOB_BYTES_MAX);
     check_memory(t, "bytes a task", 1024.0 * (double)(tasks - jobs) / MEMORY_ARRAYS / MEMORY_TASKS,
-                 TASK_BYTES_MOST);
+                 TASK_BYTES_MAX);
     check_memory(t, "bytes a connection",
-                 1024.0 * (double)(connections - tasks) / MEMORY_CONNECTIONS,
-                 CONNECTION_BYTES_MOST);
+                 1024.0 * (double)(connections - tasks) / MEMORY_CONNECTIONS, CONNECTION_BYTES_MAX);
     nodes_check(t, world_leader(t->w) == leader, "the leader goes on leading");
     for (int i = 0; i < MEMORY_CONNECTIONS; i++)
         if (fd[i] >= 0)
--- a/tests/loopback_drain.c
+++ b/tests/loopback_drain.c
@@ -16,7 +16,7 @@
 #define SERVICES 10
 #define REPLICAS 4 /* of a service, a CPU each: ten machines of four */
 #define FIRST_JOB 900
-#define MACHINES_MOST 16
+#define MACHINES_MAX 16
 #define BUDGET_BLUE 2u
 #define BUDGET_RED 1u
 #define ADMIN_PORT 6 /* after the first of the test's ports, one a node */
@@ -297,7 +297,7 @@
         return 2;
     drain_check_start(&h.check, budgets);
     world_watch(t.w, watch, &h);
-    world_capacity(t.w, MACHINES_MOST);
+    world_capacity(t.w, MACHINES_MAX);
     for (int i = 0; i < NODES; i++) {
         bool older = old && i == NODES - 1;
         if (!older)
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -26,7 +26,7 @@
 #define PEER "node-1"
 #define ZONES 2
 #define ROUNDS 40
-#define COMMITS_MOST 16
+#define COMMITS_MAX 16
 
 struct world {
     struct bd_settings settings;
@@ -251,8 +251,8 @@
         fault(w, "service tasks left waiting", waits, 0);
     if (gangs < 60 * 4)
         fault(w, "gang tasks not placed", 60 * 4 - gangs, 0);
-    if (w->commits > COMMITS_MOST) /* 33 with one intent record in each */
-        fault(w, "transactions", w->commits, COMMITS_MOST);
+    if (w->commits > COMMITS_MAX) /* 33 with one intent record in each */
+        fault(w, "transactions", w->commits, COMMITS_MAX);
     /* few for each machine, however many tasks it starts */
     if (w->commands > 2 * w->machines)
         fault(w, "direct commands", w->commands, 2 * w->machines);
@@ -330,7 +330,7 @@
 static void forwarded(struct world *w, uint32_t n)
 {
     static struct bd_frame f, in;
-    static unsigned char buf[BD_FRAME_MOST];
+    static unsigned char buf[BD_FRAME_MAX];
     struct bd_heartbeat r;
     char *text = report_text(w, n % w->machines, ++w->seq);
     f = (struct bd_frame){
--- a/tests/simulation.c
+++ b/tests/simulation.c
@@ -35,10 +35,10 @@
 #include <string.h>
 
 #define STEP_S 0.02
-#define QUIET_S 130.0 /* after the last fault all work is to be served */
-#define WAIT_S 90.0   /* and a lease that may have to lapse first */
-#define MOST_S 400.0  /* ... and then the day is over */
-#define LOST_S 75.0   /* without an answer a job counts as forgotten */
+#define QUIET_S 130.0        /* after the last fault all work is to be served */
+#define WAIT_S 90.0          /* and a lease that may have to lapse first */
+#define OVERTIME_MAX_S 400.0 /* ... and then the day is over */
+#define LOST_S 75.0          /* without an answer a job counts as forgotten */
 
 double sim_rnd(struct sim *s)
 {
@@ -646,7 +646,8 @@
     s->digest = digest;
     for (int i = 0; debug && i < SIM_NODES; i++)
         s->nodes[i].log.level = BD_LOG_DEBUG;
-    while (s->broken <= 5 && (s->now < s->ends || (s->now < s->ends + MOST_S && !all_served(s)))) {
+    while (s->broken <= 5 &&
+           (s->now < s->ends || (s->now < s->ends + OVERTIME_MAX_S && !all_served(s)))) {
         s->now += STEP_S;
         if (out && s->now >= s->outage)
             outage_over(s);
