--- a/src/base/timeutil.c
+++ b/src/base/timeutil.c
@@ -32,7 +32,7 @@
     return t;
 }
 
-struct timespec bd_execution_state(struct timespec a, struct timespec b)
+struct timespec bd_sub(struct timespec a, struct timespec b)
 {
     struct timespec t = {a.tv_sec - b.tv_sec, a.tv_nsec - b.tv_nsec};
     if (t.tv_nsec < 0) {
@@ -64,7 +64,7 @@
 
 double bd_between(struct timespec a, struct timespec b)
 {
-    return bd_to_secs(bd_execution_state(b, a));
+    return bd_to_secs(bd_sub(b, a));
 }
 
 void bd_pause(double s)
--- a/src/base/timeutil.h
+++ b/src/base/timeutil.h
@@ -8,7 +8,7 @@
 struct timespec bd_secs(double s);
 double bd_to_secs(struct timespec t);
 struct timespec bd_add(struct timespec a, struct timespec b);
-struct timespec bd_execution_state(struct timespec a, struct timespec b);
+struct timespec bd_sub(struct timespec a, struct timespec b);
 struct timespec bd_min(struct timespec a, struct timespec b);
 struct timespec bd_max(struct timespec a, struct timespec b);
 bool bd_before(struct timespec a, struct timespec b);
--- a/src/leadership/leadership.c
+++ b/src/leadership/leadership.c
@@ -53,7 +53,7 @@
         core->peers[i].term = term;
         core->peers[i].flags = flags;
         core->peers[i].status_sent_wall_s = status_sent_wall_s;
-        core->peers[i].kv_seen_at = bd_execution_state(heard, bd_secs(kv_age_s));
+        core->peers[i].kv_seen_at = bd_sub(heard, bd_secs(kv_age_s));
     }
 }
 
--- a/src/workers/lease_renewal.c
+++ b/src/workers/lease_renewal.c
@@ -22,9 +22,9 @@
  * with it too: all controllers must come to the same figure. */
 double bd_renewal_window_s(const struct bd_settings *settings)
 {
-    double capacity = bd_to_secs(settings->cancel) - bd_to_secs(settings->lease) * (1 + DRIFT);
-    double margin = capacity * MARGIN_SHARE < MARGIN_S ? capacity * MARGIN_SHARE : MARGIN_S;
-    return capacity > 0 ? capacity - margin : 0;
+    double slack = bd_to_secs(settings->cancel) - bd_to_secs(settings->lease) * (1 + DRIFT);
+    double margin = slack * MARGIN_SHARE < MARGIN_S ? slack * MARGIN_SHARE : MARGIN_S;
+    return slack > 0 ? slack - margin : 0;
 }
 
 bool bd_within_renewal_window(const struct bd_core *core, struct timespec seen)
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -849,7 +849,7 @@
         l[k].state = s->now < w->up_at ? BD_MACHINE_BOOTING : BD_MACHINE_UP;
         l[k++].age = s->now - w->provisioned_at;
     }
-    bd_inventory_machines(n->core, l, k, bd_execution_state(n->core->now, bd_secs(0.1)));
+    bd_inventory_machines(n->core, l, k, bd_sub(n->core->now, bd_secs(0.1)));
     free(l);
 }
 
