--- a/cli/main.c
+++ b/cli/main.c
@@ -1,4 +1,6 @@
 #include "brambledoor/controller.h"
+#include "brambledoor/log.h"
+#include "brambledoor/settings.h"
 #include "drain_command.h"
 #include <argp.h>
 #include <stdio.h>
--- a/src/adapters/admin_server.c
+++ b/src/adapters/admin_server.c
@@ -3,7 +3,11 @@
  * few at once the answer is 503. */
 #include "adapters/admin_store.h"
 #include "adapters/node.h"
+#include "base/http.h"
 #include "base/timeutil.h"
+#include "brambledoor/log.h"
+#include "drain/drain.h"
+#include "wire/wire.h"
 #include <microhttpd.h>
 #include <netinet/in.h>
 #include <stdio.h>
--- a/src/adapters/admin_store.c
+++ b/src/adapters/admin_store.c
@@ -6,6 +6,8 @@
 #include "adapters/kv_client.h"
 #include "adapters/node.h"
 #include "base/timeutil.h"
+#include "drain/drain.h"
+#include "wire/wire.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/src/adapters/api_server.c
+++ b/src/adapters/api_server.c
@@ -4,6 +4,8 @@
 #include "adapters/node.h"
 #include "base/metrics.h"
 #include "base/timeutil.h"
+#include "brambledoor/settings.h"
+#include "wire/wire.h"
 #include <arpa/inet.h>
 #include <microhttpd.h>
 #include <stdio.h>
--- a/src/adapters/cloud_client.c
+++ b/src/adapters/cloud_client.c
@@ -4,7 +4,10 @@
 #include "adapters/node.h"
 #include "base/http.h"
 #include "base/metrics.h"
+#include "base/queue.h"
 #include "base/timeutil.h"
+#include "model/effect.h"
+#include "wire/wire.h"
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/adapters/election.c
+++ b/src/adapters/election.c
@@ -2,8 +2,12 @@
  * of the key at acquisition is the term. */
 #include "adapters/kv_client.h"
 #include "adapters/node.h"
+#include "base/http.h"
 #include "base/metrics.h"
+#include "base/queue.h"
 #include "base/timeutil.h"
+#include "brambledoor/log.h"
+#include "wire/wire.h"
 #include <gsl/gsl_rng.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/adapters/kv_client.c
+++ b/src/adapters/kv_client.c
@@ -4,8 +4,13 @@
 #include "adapters/node.h"
 #include "base/http.h"
 #include "base/metrics.h"
+#include "base/queue.h"
 #include "base/timeutil.h"
+#include "brambledoor/log.h"
 #include "drain/drain.h"
+#include "model/effect.h"
+#include "model/leadership_state.h"
+#include "wire/wire.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/src/adapters/node.h
+++ b/src/adapters/node.h
@@ -6,6 +6,7 @@
 #include "brambledoor/settings.h"
 #include "core/core.h"
 #include "wire/frame.h"
+#include "wire/wire.h"
 #include <stdatomic.h>
 
 struct bd_api_server;
--- a/src/adapters/peer_listener.c
+++ b/src/adapters/peer_listener.c
@@ -5,8 +5,12 @@
 #include "adapters/node.h"
 #include "adapters/peer_transport.h"
 #include "base/metrics.h"
+#include "base/queue.h"
 #include "base/timeutil.h"
+#include "brambledoor/log.h"
+#include "brambledoor/settings.h"
 #include "wire/frame.h"
+#include "wire/wire.h"
 #include <arpa/inet.h>
 #include <errno.h>
 #include <poll.h>
--- a/src/adapters/peer_transport.c
+++ b/src/adapters/peer_transport.c
@@ -9,6 +9,7 @@
 #include "adapters/peer_transport.h"
 #include "adapters/node.h"
 #include "base/metrics.h"
+#include "base/queue.h"
 #include "base/timeutil.h"
 #include "wire/frame.h"
 #include <arpa/inet.h>
--- a/src/adapters/worker_client.c
+++ b/src/adapters/worker_client.c
@@ -7,7 +7,11 @@
 #include "adapters/node.h"
 #include "base/http.h"
 #include "base/metrics.h"
+#include "base/queue.h"
 #include "base/timeutil.h"
+#include "brambledoor/log.h"
+#include "model/effect.h"
+#include "wire/wire.h"
 #include <stdio.h>
 #include <stdlib.h>
 
--- a/src/autoscaling/autoscaler.c
+++ b/src/autoscaling/autoscaler.c
@@ -1,10 +1,24 @@
 /* The machines: what the cloud lists, what is rented and what goes back. */
 #include "autoscaling/autoscaler_internal.h"
-#include "core/core_internal.h"
+#include "autoscaling/autoscaling.h"
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
+#include "brambledoor/settings.h"
 #include "drain/drain.h"
+#include "jobs/jobs.h"
+#include "model/core_state.h"
+#include "model/effect.h"
+#include "model/machine.h"
+#include "model/task.h"
+#include "model/task_state.h"
+#include "scheduling/scheduling.h"
+#include "wire/wire.h"
+#include "workers/workers.h"
 #include <gsl/gsl_cdf.h>
 #include <math.h>
 #include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
 #define BOOT_PATIENCE 2.5 /* times the usual boot time before a machine is given up */
 #define BOOT_EXTRA_S 12.0
 #define BOOT_HOPE 1.6 /* ... before it is no longer counted on */
--- a/src/autoscaling/autoscaler_internal.h
+++ b/src/autoscaling/autoscaler_internal.h
@@ -1,7 +1,11 @@
 /* Shared by the parts of the autoscaler. */
 #ifndef BD_AUTOSCALER_INTERNAL_H
 #define BD_AUTOSCALER_INTERNAL_H
-#include "core/core_internal.h"
+#include "autoscaling/autoscaling.h"
+#include "base/timeutil.h"
+#include "leadership/leadership.h"
+#include "model/task_state.h"
+#include "scheduling/scheduling.h"
 
 struct bd_pool *bd_pool_of(struct bd_core *core, int type, int zone, bool spot);
 void bd_pool_back_off(struct bd_core *core, struct bd_pool *k);
--- a/src/autoscaling/consolidation.c
+++ b/src/autoscaling/consolidation.c
@@ -1,11 +1,19 @@
 /* Moves services from expensive machines to cheap ones, so that the expensive ones become free.
  * Part of the pure core. */
 #include "autoscaling/autoscaler_internal.h"
-#include "core/core_internal.h"
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
 #include "drain/drain.h"
+#include "model/core_state.h"
+#include "model/machine.h"
+#include "model/task.h"
+#include "model/task_state.h"
+#include "scheduling/scheduling.h"
+#include "wire/wire.h"
 #include <gsl/gsl_cdf.h>
 #include <math.h>
 #include <stdio.h>
+#include <stdlib.h>
 
 #define SETTLED_S 40.0        /* a service younger than this stays where it is */
 #define CONSOLIDATE_SHARE 0.8 /* of a machine: with more services than this it is left as it is */
--- a/src/autoscaling/inventory.c
+++ b/src/autoscaling/inventory.c
@@ -1,6 +1,15 @@
 /* The cloud's machine types and its list of machines. Part of the pure core. */
 #include "autoscaling/autoscaler_internal.h"
-#include "core/core_internal.h"
+#include "autoscaling/autoscaling.h"
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
+#include "model/catalog.h"
+#include "model/core_state.h"
+#include "model/leadership_state.h"
+#include "model/machine.h"
+#include "model/task.h"
+#include "model/task_state.h"
+#include "wire/wire.h"
 #include <gsl/gsl_cdf.h>
 #include <math.h>
 #include <stdio.h>
--- a/src/autoscaling/provisioning.c
+++ b/src/autoscaling/provisioning.c
@@ -1,11 +1,20 @@
 /* Requests to the cloud: one at a time for each pool, with backoff where there is no capacity. Part
  * of the pure core. */
 #include "autoscaling/autoscaler_internal.h"
-#include "core/core_internal.h"
+#include "autoscaling/autoscaling.h"
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
 #include "drain/drain.h"
+#include "model/core_state.h"
+#include "model/effect.h"
+#include "model/leadership_state.h"
+#include "model/machine.h"
+#include "model/task_state.h"
+#include "wire/wire.h"
 #include <gsl/gsl_cdf.h>
 #include <math.h>
 #include <stdio.h>
+#include <string.h>
 
 /* named defaults */
 #define BACKOFF_FIRST_S 10.0
--- a/src/base/metrics.c
+++ b/src/base/metrics.c
@@ -1,4 +1,5 @@
 #include "base/metrics.h"
+#include "brambledoor/log.h"
 #include <gsl/gsl_histogram.h>
 #include <malloc.h>
 #include <math.h>
--- a/src/base/timeutil.h
+++ b/src/base/timeutil.h
@@ -4,6 +4,8 @@
 #include <stdbool.h>
 #include <time.h>
 
+#define BD_CLOCK_DRIFT 0.001 /* share by which two steady clocks may differ, at most */
+
 struct timespec bd_now(void);
 struct timespec bd_secs(double s);
 double bd_to_secs(struct timespec t);
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -1,9 +1,21 @@
 /* Users' requests, the replica of job records, and names. */
-#include "core/core_internal.h"
+#include "core/core.h"
+#include "autoscaling/autoscaling.h"
+#include "base/timeutil.h"
 #include "drain/drain.h"
+#include "jobs/jobs.h"
+#include "leadership/commit.h"
+#include "leadership/leadership.h"
+#include "model/catalog.h"
+#include "model/effect.h"
+#include "model/kv_limits.h"
+#include "model/leadership_state.h"
+#include "scheduling/scheduling.h"
 #include "wire/frame.h"
+#include "workers/workers.h"
 #include <math.h>
 #include <stdio.h>
+#include <stdlib.h>
 
 struct bd_core *bd_core_new(const struct bd_settings *settings, const struct bd_log *log)
 {
@@ -25,16 +37,6 @@
     core->forwarding.last_id = seed;
 }
 
-static void free_names(struct bd_names **t)
-{
-    struct bd_names *n, *tmp;
-    HASH_ITER(hh, *t, n, tmp)
-    {
-        HASH_DEL(*t, n);
-        free(n);
-    }
-}
-
 static void free_waits(struct bd_pending_read **list)
 {
     while (*list) {
@@ -45,24 +47,6 @@
     }
 }
 
-void bd_intent_records_free(struct bd_core *core)
-{
-    for (uint32_t i = 0; i < core->lead.nintent_records; i++)
-        free(core->lead.intent_records[i].e);
-    free(core->lead.intent_records);
-    core->lead.intent_records = NULL;
-    core->lead.nintent_records = core->lead.cap_intent_records = 0;
-}
-
-void bd_commit_free(struct bd_commit *commit)
-{
-    if (!commit)
-        return;
-    free(commit->plan);
-    free(commit->receipts);
-    free(commit);
-}
-
 void bd_core_free(struct bd_core *core)
 {
     if (!core)
@@ -86,8 +70,8 @@
         free(machine);
     }
     free(core->by_index);
-    free_names(&core->images);
-    free_names(&core->classes);
+    bd_names_free(&core->images);
+    bd_names_free(&core->classes);
     free_waits(&core->replica.waiting);
     free_waits(&core->replica.asked);
     bd_admission_end(core);
@@ -106,7 +90,7 @@
     }
     bd_delegate_forget(core);
     bd_forward_end(core);
-    struct bd_effect *effect = bd_core_take_effects(core);
+    struct bd_effect *effect = bd_effects_take(core);
     while (effect) {
         struct bd_effect *next = effect->next;
         bd_effect_free(effect);
@@ -115,150 +99,76 @@
     free(core);
 }
 
-struct bd_effect *bd_effect_emit(struct bd_core *core, enum bd_effect_kind kind)
-{
-    struct bd_effect *e = calloc(1, sizeof *e);
-    if (!e)
-        abort(); /* out of memory: the supervisor restarts us, the state service has it all */
-    e->kind = kind;
-    if (core->last)
-        core->last->next = e;
-    else
-        core->first = e;
-    core->last = e;
-    return e;
-}
-
-void bd_effect_reply(struct bd_core *core, void *request, int status, char *body, int retry_after)
-{
-    struct bd_remote *q = request;
-    bool remote = q && q->remote;
-    struct bd_effect *effect =
-        bd_effect_emit(core, remote ? BD_EFFECT_FORWARD_REPLY : BD_EFFECT_REPLY);
-    effect->request = remote ? NULL : request;
-    if (remote) {
-        effect->peer = q->peer;
-        effect->forward_id = q->id;
-        free(q);
-    }
-    effect->status = status;
-    effect->body = body;
-    effect->retry_after = retry_after;
-}
-
-void bd_effect_reply_error(struct bd_core *core, void *request, int status, const char *why,
-                           int retry_after)
-{
-    char buf[160];
-    snprintf(buf, sizeof buf, "{\"error\":\"%s\"}", why);
-    bd_effect_reply(core, request, status, strdup(buf), retry_after);
-}
-
-struct bd_effect *bd_core_take_effects(struct bd_core *core)
-{
-    bd_decision_log_flush(core); /* what allowed them is in the log before they are carried out */
-    struct bd_effect *effect = core->first;
-    core->first = core->last = NULL;
-    return effect;
-}
-
-void bd_effect_free(struct bd_effect *effect)
-{
-    free(effect->body);
-    free(effect);
-}
-
 void bd_core_set_clock(struct bd_core *core, struct timespec now, double wall)
 {
     core->now = now;
     core->wall = wall;
 }
 
-int bd_intern(struct bd_names **table, const char *name)
-{
-    struct bd_names *n = NULL;
-    HASH_FIND_STR(*table, name, n);
-    if (n)
-        return n->index;
-    n = calloc(1, sizeof *n);
-    if (!n)
-        abort();
-    snprintf(n->name, sizeof n->name, "%s", name);
-    n->index = (int)HASH_COUNT(*table);
-    HASH_ADD_STR(*table, name, n);
-    return n->index;
-}
-
-int bd_type_index(struct bd_core *core, const char *label)
-{
-    for (int i = 0; i < core->ntypes; i++)
-        if (strcmp(core->types[i].label, label) == 0)
-            return i;
-    if (core->ntypes == BD_MAX_TYPES)
-        return -1;
-    snprintf(core->types[core->ntypes].label, BD_LABEL, "%s", label);
-    return core->ntypes++;
-}
+#define EVICT_INTERVAL_S 10.0
 
-int bd_zone_find(const struct bd_core *core, const char *name)
+void bd_core_tick(struct bd_core *core)
 {
-    for (int i = 0; i < core->nzones; i++)
-        if (strcmp(core->zones[i], name) == 0)
-            return i;
-    return -1;
+    if (bd_before(core->replica.next_evict, core->now)) {
+        core->replica.next_evict = bd_add(core->now, bd_secs(EVICT_INTERVAL_S));
+        bd_replica_evict(core);
+    }
+    if (!core->replica.barrier_out && core->replica.waiting) {
+        core->replica.asked = core->replica.waiting;
+        core->replica.waiting = NULL;
+        core->replica.barrier_out = true;
+        (void)bd_effect_emit(core, BD_EFFECT_READ_BARRIER);
+    }
+    bd_leadership_step_down(core);
+    bd_dag_tick(core);
+    bd_forward_tick(core);
+    if (core->role != BD_LEADER) {
+        bd_delegate_tick(core);
+        return;
+    }
+    if (bd_before(core->lead.next_tick, core->now)) {
+        core->lead.next_tick = bd_add(core->now, bd_secs(0.25));
+        bd_forward_listen(core);
+        bd_workers_expire_leases(core);
+        bd_fencing_tick(core);
+        bd_machines_detect_outbound_partition(core);
+        bd_leadership_resign_if_reads_fail(core);
+    }
+    if (!bd_leadership_lease_valid(core))
+        return;
+    bd_write_budget_refill(core);
+    bd_drain_tick(core);
+    if (core->types_known && bd_before(core->lead.next_autoscaling, core->now)) {
+        core->lead.next_autoscaling = bd_add(core->now, bd_secs(1.0));
+        bd_autoscaler_tick(core);
+        core->lead.cycle_wanted = true; /* pauses run out without an event */
+    }
+    bd_cycle_run(core);
 }
 
-int bd_zone_index(struct bd_core *core, const char *name)
+struct timespec bd_core_next(const struct bd_core *core)
 {
-    int known = bd_zone_find(core, name);
-    if (known >= 0)
-        return known;
-    if (core->nzones == BD_MAX_ZONES)
-        return -1;
-    snprintf(core->zones[core->nzones], BD_LABEL, "%s", name);
-    return core->nzones++;
+    double s =
+        core->forwarding.waiting || core->delegate.nserved || core->delegate.asking ? 0.2 : 1.0;
+    if (core->role == BD_LEADER)
+        s = core->lead.cycle_wanted && !core->lead.commit ? BD_CYCLE_INTERVAL_S : 0.25;
+    return bd_add(core->now, bd_secs(s));
 }
 
-int bd_team_index(const struct bd_core *core, const char *name)
+void bd_core_leader_observed(struct bd_core *core, const char *name, uint64_t revision,
+                             struct timespec sent, bool dismissed)
 {
-    for (int i = 0; i < core->settings->nteams; i++)
-        if (strcmp(core->settings->teams[i].name, name) == 0)
-            return i;
-    return -1;
+    bd_delegate_dismissed(core, dismissed, revision, sent);
+    bd_leadership_leader_observed(core, name, revision, sent);
 }
 
-struct bd_job *bd_job_find(struct bd_core *core, const char *id)
+void bd_core_leadership_acquired(struct bd_core *core, const struct bd_acquisition *acquisition)
 {
-    struct bd_job *job = NULL;
-    HASH_FIND_STR(core->jobs, id, job);
-    return job;
+    bd_leadership_begin_term(core, acquisition);
+    bd_core_leader_observed(core, core->settings->node, acquisition->term, acquisition->renewed,
+                            false);
+    bd_delegate_end(core);
+    bd_leadership_reconcile(core, acquisition);
+    bd_drain_leadership_acquired(core);
+    bd_leadership_start_serving(core, acquisition);
 }
-
-void bd_spec_resolve(struct bd_core *core, const struct bd_spec_text *t, struct bd_spec *s)
-{
-    memset(s, 0, sizeof *s);
-    s->job_class = bd_intern(&core->classes, t->job_class);
-    s->team = bd_team_index(core, t->team);
-    s->image = bd_intern(&core->images, t->image);
-    s->zone = *t->zone ? bd_zone_index(core, t->zone) : -1;
-    bool nowhere = *t->zone && s->zone < 0; /* a zone too many must not mean any zone */
-    s->any_type = t->ntypes < 0 && !nowhere;
-    for (int i = 0; i < t->ntypes && !nowhere; i++) {
-        int k = bd_type_index(core, t->types[i]);
-        if (k >= 0)
-            s->types |= 1u << k;
-    }
-    s->kind = t->kind;
-    s->priority = t->priority;
-    s->cpus = t->cpus;
-    s->gpus = t->gpus;
-    s->mem = t->mem;
-    s->image_gb = t->image_gb;
-    s->estimate = t->estimate;
-    s->checkpoint_interval_s = t->checkpoint_interval_s;
-    s->checkpoint_save_s = t->checkpoint_save_s;
-    s->deadline_s = t->deadline_s;
-    s->same_zone = t->same_zone;
-    s->spread_zones = t->spread_zones;
-    s->spot = t->spot;
-}
--- a/src/drain/candidate.c
+++ b/src/drain/candidate.c
@@ -1,6 +1,13 @@
 /* What emptying a machine would take: its tasks by budget, and the room that they need elsewhere.
  * Part of the pure core. */
 #include "drain/drain_internal.h"
+#include "model/core_state.h"
+#include "model/machine.h"
+#include "model/resources.h"
+#include "model/task.h"
+#include "scheduling/scheduling.h"
+#include "wire/wire.h"
+#include <stdlib.h>
 
 /* ---- needs ---- */
 
--- a/src/drain/drain.c
+++ b/src/drain/drain.c
@@ -1,7 +1,16 @@
 /* The life of a drain as its leader sees it: how far each machine is, and what the autoscaler may
  * do with it. Part of the pure core. */
+#include "drain/drain.h"
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
 #include "drain/drain_internal.h"
+#include "leadership/leadership.h"
+#include "model/core_state.h"
+#include "model/task.h"
+#include "model/task_state.h"
 #include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
 
 #define TICK_S 0.5
 #define SUMMARY_S 20.0
--- a/src/drain/drain_internal.h
+++ b/src/drain/drain_internal.h
@@ -1,9 +1,14 @@
 /* Shared by the files of the drain package only. */
 #ifndef BD_DRAIN_INTERNAL_H
 #define BD_DRAIN_INTERNAL_H
-#include "core/core_internal.h"
+#include "autoscaling/autoscaling.h"
+#include "base/timeutil.h"
+#include "brambledoor/settings.h"
 #include "drain/drain.h"
+#include "leadership/leadership.h"
+#include "model/core_state.h"
 #include "model/resources.h"
+#include "wire/wire.h"
 #include <roaring/roaring.h>
 #include <uthash.h>
 
--- a/src/drain/durable.c
+++ b/src/drain/durable.c
@@ -2,8 +2,16 @@
  * (paused, called off) are written by any controller on condition of the record's revision; the
  * machines' by the leader alone, with its term and commit sequence as conditions. Part of the pure
  * core. */
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
+#include "drain/drain.h"
 #include "drain/drain_internal.h"
+#include "model/core_state.h"
+#include "model/leadership_state.h"
+#include "wire/wire.h"
 #include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
 
 #define REFUSED_S 1.0 /* after a transaction that was not applied: others go on without ours */
 #define REASONS_S 2.0 /* between two writes of a part that only hold reasons to wait */
--- a/src/drain/ledger.c
+++ b/src/drain/ledger.c
@@ -5,8 +5,17 @@
  *
  * What a new leader cannot know counts as down: an earlier leader's command may still be on its
  * way until the machine's report shows that it has seen our term. */
+#include "drain/drain.h"
 #include "drain/drain_internal.h"
+#include "model/catalog.h"
+#include "model/core_state.h"
+#include "model/leadership_state.h"
+#include "model/machine.h"
+#include "model/task.h"
+#include "wire/wire.h"
 #include <math.h>
+#include <stdlib.h>
+#include <string.h>
 
 static const struct bd_budget_rule *rule_of(const struct bd_drain_rules *rules, const char *team)
 {
--- a/src/drain/plan.c
+++ b/src/drain/plan.c
@@ -1,9 +1,22 @@
 /* Steps: chosen, written into the drain's record by a transaction that is conditional on the term,
  * and only then told to the machines, if the budgets still allow it. A leader that was frozen past
  * its lease cannot write the record, and so tells nobody. Part of the pure core. */
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
+#include "brambledoor/settings.h"
+#include "drain/drain.h"
 #include "drain/drain_internal.h"
+#include "leadership/leadership.h"
+#include "model/catalog.h"
+#include "model/core_state.h"
+#include "model/machine.h"
+#include "model/peers.h"
+#include "model/task.h"
+#include "model/task_state.h"
 #include "wire/frame.h"
+#include "wire/wire.h"
 #include <stdio.h>
+#include <stdlib.h>
 
 #define CANDIDATES_MAX 96u
 
@@ -292,7 +305,7 @@
     struct bd_drains *drains = core->drains;
     struct choice choice = {.core = core};
     /* an older leader would place on cordoned machines, and knows of no budget */
-    if (bd_older_heard(core, BD_PEER_KNOWS_DRAINS)) {
+    if (bd_peer_lacks_feature(core, BD_PEER_KNOWS_DRAINS)) {
         all_wait(core, BD_DRAIN_WAIT_OLDER);
         return;
     }
--- a/src/drain/replacement.c
+++ b/src/drain/replacement.c
@@ -1,8 +1,16 @@
 /* New machines for those that are replaced: one of the same type, where the old one is, or
  * elsewhere if none comes. Part of the pure core. */
 #include "autoscaling/autoscaler_internal.h"
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
+#include "drain/drain.h"
 #include "drain/drain_internal.h"
+#include "model/core_state.h"
+#include "model/machine.h"
+#include "wire/wire.h"
 #include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
 
 #define GROUPS_MAX 16u /* pools that are asked in one look */
 #define GROUP_MAX 50   /* machines of one request */
--- a/src/drain/request.c
+++ b/src/drain/request.c
@@ -1,6 +1,8 @@
 /* What an administrator asks for, judged: the request's fields, and which machines it means. Part
  * of the pure core. */
+#include "brambledoor/settings.h"
 #include "drain/drain.h"
+#include "wire/wire.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/src/drain/rules.c
+++ b/src/drain/rules.c
@@ -1,4 +1,5 @@
 /* The operators' declarations for draining, from the S-expressions of their file. */
+#include "brambledoor/settings.h"
 #include "drain/drain.h"
 #include <math.h>
 #include <sexp.h>
--- a/src/drain/solver.c
+++ b/src/drain/solver.c
@@ -2,8 +2,11 @@
  * many those that stop the fewest tasks, under the budgets, the room, the number of machines in a
  * step and the zones' rule. Bounded in size and in the solver's own steps, not in time, so that
  * the same question always has the same answer. Part of the pure core. */
+#include "brambledoor/settings.h"
 #include "drain/drain_internal.h"
 #include <lpsolve/lp_lib.h>
+#include <stdlib.h>
+#include <string.h>
 
 #define CANDIDATES_MAX 96u /* more, and the plain choice is taken */
 #define LOOKS_MAX 20000    /* of the solver at whether to go on */
--- a/src/drain/steps.c
+++ b/src/drain/steps.c
@@ -1,6 +1,10 @@
 /* Which machines go next: the plain choice, cheapest first, and why a machine may not go. Part of
  * the pure core. */
+#include "brambledoor/settings.h"
+#include "drain/drain.h"
 #include "drain/drain_internal.h"
+#include <stdlib.h>
+#include <string.h>
 
 enum bd_drain_wait bd_step_obstacle(const struct bd_step_problem *problem,
                                     const struct bd_candidate *candidate, uint32_t *budget)
--- a/src/jobs/admission.c
+++ b/src/jobs/admission.c
@@ -2,9 +2,20 @@
  * absent. One that names other jobs is judged by their records: each must have been accepted, which
  * stays true for ever once it is, so that the replica proves it, or a read barrier, or a refresh at
  * the record where it has left memory; only then 422. */
-#include "core/core_internal.h"
+#include "jobs/jobs.h"
+#include "jobs/jobs_internal.h"
+#include "model/catalog.h"
+#include "model/core_state.h"
+#include "model/decision_log.h"
+#include "model/effect.h"
+#include "model/kv_limits.h"
+#include "model/peers.h"
+#include "model/replica_state.h"
 #include "wire/frame.h"
+#include "wire/wire.h"
 #include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
 
 /* named defaults */
 #define TXN_BYTES 50000u  /* of a transaction of parts */
@@ -286,7 +297,7 @@
         bd_effect_reply_error(core, admission->request, 422,
                               "awaits a service, which is never done", 0);
     /* an older controller that leads would start the job too early, and forget what it waits for */
-    else if (admission->parents && bd_older_heard(core, BD_PEER_KNOWS_DAG))
+    else if (admission->parents && bd_peer_lacks_feature(core, BD_PEER_KNOWS_DAG))
         bd_effect_reply_error(core, admission->request, 503,
                               "an older controller serves beside this one", OUTAGE_RETRY_S);
     else {
--- a/src/jobs/dependency_graph.c
+++ b/src/jobs/dependency_graph.c
@@ -12,11 +12,26 @@
  *
  * Names are written with the acceptance: in the job's record, or where a value does not hold them
  * in parts (j/JOB/HASH/N) that are committed before the record that names their hash and number. */
-#include "core/core_internal.h"
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
+#include "jobs/jobs.h"
+#include "jobs/jobs_internal.h"
+#include "model/catalog.h"
+#include "model/core_state.h"
+#include "model/effect.h"
+#include "model/replica_state.h"
+#include "wire/wire.h"
 #include <math.h>
 #include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
 #include <utlist.h>
 
+bool bd_job_has_open_parents(const struct bd_job *job)
+{
+    return job->nopen_parents > 0;
+}
+
 /* named defaults */
 #define PATH_FACTOR 1.3  /* a job's slowest task against its owner's guess */
 #define PATH_EXTRA_S 4.0 /* from one job's end to the next one's begin, an image in between */
--- a/src/jobs/replica.c
+++ b/src/jobs/replica.c
@@ -1,10 +1,24 @@
 /* The replica of the jobs' records: changes, read barriers, look-ups, and which final records stay
  * in memory. Part of the pure core. */
-#include "core/core_internal.h"
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
 #include "drain/drain.h"
+#include "jobs/jobs.h"
+#include "jobs/jobs_internal.h"
+#include "model/catalog.h"
+#include "model/core_state.h"
+#include "model/decision_log.h"
+#include "model/effect.h"
+#include "model/leadership_state.h"
+#include "model/replica_state.h"
+#include "model/task.h"
+#include "model/task_state.h"
 #include "wire/frame.h"
+#include "wire/wire.h"
 #include <math.h>
 #include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
 
 static void stop_tasks(struct bd_core *core, struct bd_job *job)
 {
--- a/src/jobs/user_requests.c
+++ b/src/jobs/user_requests.c
@@ -1,8 +1,17 @@
 /* Users' requests: polls and cancellations. Part of the pure core. */
-#include "core/core_internal.h"
+#include "base/timeutil.h"
+#include "jobs/jobs.h"
+#include "jobs/jobs_internal.h"
+#include "model/catalog.h"
+#include "model/core_state.h"
+#include "model/effect.h"
+#include "model/leadership_state.h"
+#include "model/replica_state.h"
 #include "wire/frame.h"
+#include "wire/wire.h"
 #include <math.h>
 #include <stdio.h>
+#include <string.h>
 
 void bd_user_reply_status(struct bd_core *core, void *request, const struct bd_job *job)
 {
--- a/src/leadership/commit.c
+++ b/src/leadership/commit.c
@@ -1,9 +1,24 @@
 /* Builds the leader's transaction of a round: intents, receipts, done and cancelled records. Part
  * of the pure core. */
+#include "leadership/commit.h"
 #include "base/metrics.h"
-#include "core/core_internal.h"
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
 #include "drain/drain.h"
+#include "jobs/jobs.h"
+#include "model/catalog.h"
+#include "model/core_state.h"
+#include "model/effect.h"
+#include "model/kv_limits.h"
+#include "model/leadership_state.h"
+#include "model/machine.h"
+#include "model/task.h"
+#include "model/task_state.h"
+#include "wire/wire.h"
+#include "workers/workers.h"
 #include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
 
 #define GC_S 2.0
 #define GC_AGAIN_S 0.3 /* when there was more than one transaction takes */
@@ -164,18 +179,18 @@
 
 static void receipt_bits(const struct bd_job *job, struct bd_receipt *r)
 {
-    uint32_t from = r->chunk * CHUNK;
+    uint32_t from = r->chunk * BD_RECEIPT_CHUNK_TASKS;
     memset(r->bits, 0, sizeof r->bits);
-    for (uint32_t i = 0; i < CHUNK && from + i < job->ntasks; i++)
+    for (uint32_t i = 0; i < BD_RECEIPT_CHUNK_TASKS && from + i < job->ntasks; i++)
         if (job->tasks[from + i].state == BD_TASK_DONE)
             r->bits[i / 8] |= (unsigned char)(1u << (i % 8));
 }
 
 static json_t *receipt_value(const struct bd_job *job, const struct bd_receipt *r)
 {
-    char text[CHUNK / 4 + 1];
-    uint32_t left = job->ntasks - r->chunk * CHUNK;
-    uint32_t n = ((left < CHUNK ? left : CHUNK) + 7) / 8;
+    char text[BD_RECEIPT_CHUNK_TASKS / 4 + 1];
+    uint32_t left = job->ntasks - r->chunk * BD_RECEIPT_CHUNK_TASKS;
+    uint32_t n = ((left < BD_RECEIPT_CHUNK_TASKS ? left : BD_RECEIPT_CHUNK_TASKS) + 7) / 8;
     for (uint32_t i = 0; i < n; i++) {
         text[(size_t)2 * i] = BD_HEX_DIGITS[r->bits[i] >> 4];
         text[(size_t)2 * i + 1] = BD_HEX_DIGITS[r->bits[i] & 15];
@@ -188,8 +203,8 @@
                         uint32_t chunk)
 {
     struct bd_commit *commit = core->lead.commit;
-    uint32_t left = job->ntasks - chunk * CHUNK;
-    size_t bytes = (left < CHUNK ? left : CHUNK) / 4 + 16;
+    uint32_t left = job->ntasks - chunk * BD_RECEIPT_CHUNK_TASKS;
+    size_t bytes = (left < BD_RECEIPT_CHUNK_TASKS ? left : BD_RECEIPT_CHUNK_TASKS) / 4 + 16;
     if (!room_for(builder, 1, 1, bytes + 200))
         return false;
     if (bytes >
@@ -224,7 +239,7 @@
             continue;
         }
         bool any = false;
-        for (uint32_t ch = 0; ch * CHUNK < job->ntasks; ch++) {
+        for (uint32_t ch = 0; ch * BD_RECEIPT_CHUNK_TASKS < job->ntasks; ch++) {
             if (!(job->dirty_chunks >> ch & 1))
                 continue;
             if (!any)
@@ -356,4 +371,18 @@
     effect->body = bd_txn_finish(&b.t);
     effect->sequence = core->lead.sequence;
     snprintf(effect->key, sizeof effect->key, "%llu", (unsigned long long)core->lead.base_term);
-}
+}
+
+void bd_commit_free(struct bd_commit *commit)
+{
+    if (!commit)
+        return;
+    free(commit->plan);
+    free(commit->receipts);
+    free(commit);
+}
+
+size_t bd_group_bytes(const struct bd_job *job, const struct bd_machine *machine)
+{
+    return strlen(job->id) + strlen(machine->id) + 36;
+}
--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -1,8 +1,24 @@
 /* What follows from the fate of the leader's transaction. Part of the pure core. */
 #include "base/metrics.h"
-#include "core/core_internal.h"
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
 #include "drain/drain.h"
+#include "jobs/jobs.h"
+#include "leadership/commit.h"
+#include "leadership/leadership.h"
+#include "model/catalog.h"
+#include "model/core_state.h"
+#include "model/decision_log.h"
+#include "model/kv_limits.h"
+#include "model/leadership_state.h"
+#include "model/machine.h"
+#include "model/task.h"
+#include "model/task_state.h"
+#include "wire/wire.h"
+#include "workers/commands.h"
 #include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
 
 void bd_intent_record_keep(struct bd_core *core, const char *key, struct bd_intent *e, uint32_t n)
 {
@@ -65,9 +81,9 @@
     if (!job->tasks)
         return;
     job->receipt_chunks |= 1ull << r->chunk;
-    uint32_t from = r->chunk * CHUNK;
+    uint32_t from = r->chunk * BD_RECEIPT_CHUNK_TASKS;
     bool all = true;
-    for (uint32_t i = 0; i < CHUNK && from + i < job->ntasks; i++) {
+    for (uint32_t i = 0; i < BD_RECEIPT_CHUNK_TASKS && from + i < job->ntasks; i++) {
         struct bd_task *task = &job->tasks[from + i];
         if (r->bits[i / 8] >> (i % 8) & 1)
             task->flags |= BD_TASK_FLAG_RECEIPT_COMMITTED;
@@ -196,4 +212,13 @@
     bd_commit_free(commit);
     bd_drain_committed(core, outcome == BD_TXN_COMMITTED);
     core->lead.cycle_wanted = true;
-}
+}
+
+void bd_intent_records_free(struct bd_core *core)
+{
+    for (uint32_t i = 0; i < core->lead.nintent_records; i++)
+        free(core->lead.intent_records[i].e);
+    free(core->lead.intent_records);
+    core->lead.intent_records = NULL;
+    core->lead.nintent_records = core->lead.cap_intent_records = 0;
+}
--- a/src/leadership/leadership.c
+++ b/src/leadership/leadership.c
@@ -1,10 +1,22 @@
 /* Who leads, what the other controllers say of it, and when a leader ends its term. Part of the
  * pure core. */
-#include "core/core_internal.h"
+#include "leadership/leadership.h"
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
 #include "drain/drain.h"
+#include "leadership/commit.h"
+#include "model/catalog.h"
+#include "model/core_state.h"
+#include "model/decision_log.h"
+#include "model/effect.h"
+#include "model/leadership_state.h"
+#include "model/peers.h"
+#include "model/task_state.h"
 #include "wire/frame.h"
 #include <math.h>
 #include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
 
 #define HEARD_S 2.0 /* another controller's word counts so long */
 #define BLIND_S 4.0 /* two answers of the state service in a row may be lost before */
@@ -32,9 +44,8 @@
 }
 
 void bd_leadership_leader_observed(struct bd_core *core, const char *name, uint64_t revision,
-                                   struct timespec sent, bool dismissed)
+                                   struct timespec sent)
 {
-    bd_delegate_dismissed(core, dismissed, revision, sent);
     snprintf(core->leader_name, sizeof core->leader_name, "%s", name);
     core->leader_term = revision;
     core->last_term = revision ? revision : core->last_term;
@@ -172,7 +183,7 @@
     if (core->role != BD_LEADER || grant != core->lead.grant)
         return;
     struct timespec ttl = core->settings->leader_ttl;
-    double valid = bd_to_secs(ttl) * (1 - DRIFT) - 0.1;
+    double valid = bd_to_secs(ttl) * (1 - BD_CLOCK_DRIFT) - 0.1;
     core->lead.valid_until = bd_max(core->lead.valid_until, bd_add(sent, bd_secs(valid)));
     core->lead.renewed = bd_max(core->lead.renewed, sent);
 }
--- a/src/workers/lease_renewal.c
+++ b/src/leadership/lease_renewal.c
@@ -10,7 +10,9 @@
  * A write that succeeded, a renewal of the grant, a frame of another controller: none of these
  * proves what was cancelled. A leader whose renewals are served while its refreshes are not falls
  * silent as one that is cut off does. */
-#include "core/core_internal.h"
+#include "base/timeutil.h"
+#include "leadership/leadership.h"
+#include "model/core_state.h"
 
 /* named defaults */
 #define MARGIN_S 2.0     /* for what is on its way; */
@@ -22,14 +24,15 @@
  * with it too: all controllers must come to the same figure. */
 double bd_renewal_window_s(const struct bd_settings *settings)
 {
-    double slack = bd_to_secs(settings->cancel) - bd_to_secs(settings->lease) * (1 + DRIFT);
+    double slack =
+        bd_to_secs(settings->cancel) - bd_to_secs(settings->lease) * (1 + BD_CLOCK_DRIFT);
     double margin = slack * MARGIN_SHARE < MARGIN_S ? slack * MARGIN_SHARE : MARGIN_S;
     return slack > 0 ? slack - margin : 0;
 }
 
 bool bd_within_renewal_window(const struct bd_core *core, struct timespec seen)
 {
-    double s = bd_renewal_window_s(core->settings) * (1 - DRIFT) - TIMER_S;
+    double s = bd_renewal_window_s(core->settings) * (1 - BD_CLOCK_DRIFT) - TIMER_S;
     return !bd_is_zero(seen) && bd_before(core->now, bd_add(seen, bd_secs(s)));
 }
 
--- a/src/leadership/reconciliation.c
+++ b/src/leadership/reconciliation.c
@@ -1,9 +1,22 @@
 /* A new leader: earlier terms' receipts and intents, and what they say of each task. Part of the
  * pure core. */
 #include "base/metrics.h"
-#include "core/core_internal.h"
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
 #include "drain/drain.h"
+#include "leadership/commit.h"
+#include "leadership/leadership.h"
+#include "model/catalog.h"
+#include "model/core_state.h"
+#include "model/decision_log.h"
+#include "model/leadership_state.h"
+#include "model/machine.h"
+#include "model/task.h"
+#include "model/task_state.h"
+#include "wire/wire.h"
 #include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
 
 static const char hex[] = BD_HEX_DIGITS;
 
@@ -23,7 +36,7 @@
     for (uint32_t i = 0; text[i]; i++) {
         const char *p = strchr(hex, text[i]);
         for (uint32_t bit = 0; p && bit < 4; bit++) {
-            uint32_t task = chunk * CHUNK + (i / 2) * 8 + (i % 2 ? bit : bit + 4);
+            uint32_t task = chunk * BD_RECEIPT_CHUNK_TASKS + (i / 2) * 8 + (i % 2 ? bit : bit + 4);
             if (!((p - hex) >> bit & 1) || task >= job->ntasks)
                 continue;
             if (job->tasks[task].state != BD_TASK_DONE)
@@ -107,56 +120,84 @@
                  (unsigned long long)core->lead.base_term, core->lead.nintent_records, unknown);
 }
 
-void bd_leadership_acquired(struct bd_core *core, const struct bd_acquisition *g)
+void bd_leadership_begin_term(struct bd_core *core, const struct bd_acquisition *acquisition)
 {
-    struct bd_job *job, *jt;
-    struct bd_change ch;
-    json_t *v;
-    size_t i;
     core->role = BD_LEADER;
-    core->lead.base_term = core->lead.term = g->term;
-    core->lead.grant = g->grant;
+    core->lead.base_term = core->lead.term = acquisition->term;
+    core->lead.grant = acquisition->grant;
     core->lead.counter = 0;
-    core->lead.fenced_attempt = g->term << 20; /* earlier terms' launches carried lower tokens */
+    /* earlier terms' launches carried lower tokens */
+    core->lead.fenced_attempt = acquisition->term << 20;
     core->lead.withheld = 0;
     core->lead.cycle_number = 0;
     core->lead.request_n = 0;
-    core->lead.sequence_revision = g->sequence_revision;
-    core->lead.sequence = g->sequence;
+    core->lead.sequence_revision = acquisition->sequence_revision;
+    core->lead.sequence = acquisition->sequence;
     core->lead.inventory_read = false;
-    snprintf(core->lead.nonce, sizeof core->lead.nonce, "%s", g->nonce);
-    bd_leadership_leader_observed(core, core->settings->node, g->term, g->renewed, false);
-    bd_delegate_end(core);
-    core->delegates.read_at = core->now;
-    /* an earlier leader in its grace, or a delegate of one, may have answered until then */
+    snprintf(core->lead.nonce, sizeof core->lead.nonce, "%s", acquisition->nonce);
+}
+
+/* An earlier leader within its renewal window, or a delegate of one, may have answered until then.
+ */
+static void bound_earlier_leases(struct bd_core *core)
+{
     double rest = bd_renewal_window_s(core->settings) - bd_to_secs(core->settings->leader_ttl);
-    rest = rest > DELEGATE_FRESH_S ? rest : DELEGATE_FRESH_S;
+    rest = rest > BD_DELEGATE_FRESH_S ? rest : BD_DELEGATE_FRESH_S;
     core->lead.earlier_leases_expire_at = bd_lease_expiry(core, bd_add(core->now, bd_secs(rest)));
-    HASH_ITER(hh, core->jobs, job, jt)
+}
+
+static void start_tracking_jobs(struct bd_core *core)
+{
+    struct bd_job *job, *next;
+    HASH_ITER(hh, core->jobs, job, next)
     {
         job->receipt_chunks = 0;
         /* cancelled jobs too: what still runs of them counts and must be stopped */
         if (job->state != BD_JOB_DONE && !bd_job_start_tracking(core, job))
             bd_log_write(core->log, BD_LOG_ERROR, "%s: no memory for its tasks", job->id);
     }
-    json_array_foreach(g->receipts, i, v)
+}
+
+static void load_receipts(struct bd_core *core, json_t *receipts)
+{
+    struct bd_change change;
+    json_t *v;
+    size_t i;
+    json_array_foreach(receipts, i, v)
     {
-        if (bd_wire_change(v, &ch))
-            load_receipt(core, ch.key, ch.value);
+        if (bd_wire_change(v, &change))
+            load_receipt(core, change.key, change.value);
     }
-    load_intents(core, g->intents);
-    classify(core);
+}
+
+static void log_term(struct bd_core *core, const struct bd_acquisition *acquisition)
+{
     bd_decision_log_term(
         core, "lead",
         "term=%llu grant=%llu replica=%llu replica_age_ms=%.0f w=%llu receipts=%zu "
         "intents=%zu others_lapse_s=%.1f",
-        (unsigned long long)g->term, (unsigned long long)g->grant,
+        (unsigned long long)acquisition->term, (unsigned long long)acquisition->grant,
         (unsigned long long)core->replica.store_revision,
         1000 * bd_between(core->replica.refreshed_at, core->now),
-        (unsigned long long)g->sequence_revision, json_array_size(g->receipts),
-        json_array_size(g->intents), bd_between(core->now, core->lead.earlier_leases_expire_at));
-    bd_drain_leadership_acquired(core);
-    core->lead.valid_until = core->lead.renewed = g->renewed;
-    bd_leadership_renewed(core, g->grant, g->renewed);
+        (unsigned long long)acquisition->sequence_revision, json_array_size(acquisition->receipts),
+        json_array_size(acquisition->intents),
+        bd_between(core->now, core->lead.earlier_leases_expire_at));
+}
+
+void bd_leadership_reconcile(struct bd_core *core, const struct bd_acquisition *acquisition)
+{
+    core->delegates.read_at = core->now;
+    bound_earlier_leases(core);
+    start_tracking_jobs(core);
+    load_receipts(core, acquisition->receipts);
+    load_intents(core, acquisition->intents);
+    classify(core);
+    log_term(core, acquisition);
+}
+
+void bd_leadership_start_serving(struct bd_core *core, const struct bd_acquisition *acquisition)
+{
+    core->lead.valid_until = core->lead.renewed = acquisition->renewed;
+    bd_leadership_renewed(core, acquisition->grant, acquisition->renewed);
     core->lead.cycle_wanted = true;
-}
+}
--- a/src/autoscaling/autoscaler.h
+++ b/src/model/autoscaling_state.h
@@ -1,8 +1,9 @@
 /* What the leader asks of the cloud. */
-#ifndef BD_AUTOSCALER_H
-#define BD_AUTOSCALER_H
+#ifndef BD_AUTOSCALING_STATE_H
+#define BD_AUTOSCALING_STATE_H
 #include "brambledoor/settings.h"
 #include "model/job.h"
+#include "wire/wire.h"
 
 #define BD_PROVISION_REQUESTS_MAX                                                                  \
     64 /* requests to the cloud that are not settled; no more are made */
--- /dev/null
+++ b/src/model/catalog.h
@@ -0,0 +1,34 @@
+/* Names and their numbers: types, zones, teams, classes, images, and jobs by their id. */
+#ifndef BD_CATALOG_H
+#define BD_CATALOG_H
+#include "wire/wire.h"
+#include <uthash.h>
+
+struct bd_core;
+struct bd_job;
+struct bd_spec;
+
+struct bd_names {
+    UT_hash_handle hh;
+    int index;
+    char name[BD_LABEL];
+};
+
+/* The name's number, which it gets now if it is new. */
+int bd_intern(struct bd_names **table, const char *name);
+void bd_names_free(struct bd_names **table);
+/* The machine type's number, which it gets now if it is new; -1: too many types. */
+int bd_type_index(struct bd_core *core, const char *label);
+/* The zone's number; -1: not known. */
+int bd_zone_find(const struct bd_core *core, const char *name);
+/* ... which it gets now if it is new; -1: too many zones. */
+int bd_zone_index(struct bd_core *core, const char *name);
+/* The team's number in the settings; -1: not known. */
+int bd_team_index(const struct bd_core *core, const char *name);
+/* The name of a class of jobs by its number. */
+const char *bd_class_name(const struct bd_core *core, int id);
+/* NULL: not known. */
+struct bd_job *bd_job_find(struct bd_core *core, const char *id);
+/* Looks up the names in a job's text. */
+void bd_spec_resolve(struct bd_core *core, const struct bd_spec_text *t, struct bd_spec *spec);
+#endif
--- /dev/null
+++ b/src/model/core_state.h
@@ -0,0 +1,64 @@
+/* The state of one controller, made of the parts' states. Owner thread only.
+ *
+ * Each part is changed by the functions of the folder that its header names, and read by all. */
+#ifndef BD_CORE_STATE_H
+#define BD_CORE_STATE_H
+#include "brambledoor/log.h"
+#include "brambledoor/settings.h"
+#include "model/autoscaling_state.h"
+#include "model/catalog.h"
+#include "model/decision_log.h"
+#include "model/delegate_state.h"
+#include "model/dependency_state.h"
+#include "model/effect.h"
+#include "model/forwarding_state.h"
+#include "model/kv_limits_state.h"
+#include "model/leadership_state.h"
+#include "model/machine.h"
+#include "model/peer_state.h"
+#include "model/replica_state.h"
+#include "wire/wire.h"
+
+struct bd_drains;
+struct bd_metrics;
+
+struct bd_core {
+    const struct bd_settings *settings;
+    const struct bd_log *log;
+    struct bd_metrics *metrics; /* NULL: nothing is timed */
+    struct timespec now;
+    double wall;
+
+    struct bd_job *jobs; /* hash by id */
+    struct bd_machine *machines;
+    struct bd_machine **by_index;
+    uint32_t nmachines, cap_machines;
+    struct bd_names *images, *classes;
+    struct bd_type types[BD_MAX_TYPES];
+    int ntypes;
+    char zones[BD_MAX_ZONES][BD_LABEL];
+    int nzones;
+    bool types_known;
+    double team_cpus[BD_MAX_TEAMS], team_gpus[BD_MAX_TEAMS]; /* in use, by team */
+
+    struct bd_replica replica;
+    struct bd_dependency_graph graph;
+    struct bd_kv_limits kv_limits;
+    struct bd_peer_view peers[BD_MAX_PEERS]; /* in the settings' order */
+    struct timespec confirmed; /* when our own last liveness record that was written was sent, */
+    struct timespec liveness_sent; /* ... and the last one that may have been */
+    struct bd_delegate delegate;   /* as follower: what we answer for the leader */
+    struct bd_delegate_view delegates;
+    struct bd_forwarding forwarding;
+    struct bd_decision_log decision_log;
+    enum bd_role role;
+    char leader_name[BD_LABEL];
+    uint64_t leader_term, last_term; /* 0 while nobody leads; the last that was not 0 */
+    struct timespec leader_seen;
+    struct bd_leadership lead;
+    struct bd_cloud_view cloud;
+    struct bd_drains *drains; /* NULL: draining is off */
+
+    struct bd_effect *first, *last;
+};
+#endif
--- a/src/model/decision_log.c
+++ b/src/model/decision_log.c
@@ -1,7 +1,12 @@
 #include "model/decision_log.h"
-#include "core/core_internal.h"
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
+#include "model/core_state.h"
+#include "model/machine.h"
+#include "model/task.h"
 #include <stdarg.h>
 #include <stdio.h>
+#include <string.h>
 
 /* named defaults */
 #define LINES_A_SECOND 40.0
--- a/src/workers/delegate.h
+++ b/src/model/delegate_state.h
@@ -1,7 +1,7 @@
 /* Delegates: a follower's own record of the machines that it answers, and the leader's view of all
  * such records. */
-#ifndef BD_DELEGATE_H
-#define BD_DELEGATE_H
+#ifndef BD_DELEGATE_STATE_H
+#define BD_DELEGATE_STATE_H
 #include "brambledoor/settings.h"
 #include "wire/wire.h"
 #include <time.h>
--- a/src/jobs/dependency_graph.h
+++ b/src/model/dependency_state.h
@@ -1,7 +1,8 @@
 /* Which job waits for which. */
-#ifndef BD_DEPENDENCY_GRAPH_H
-#define BD_DEPENDENCY_GRAPH_H
+#ifndef BD_DEPENDENCY_STATE_H
+#define BD_DEPENDENCY_STATE_H
 #include "model/job.h"
+#include "wire/wire.h"
 
 /* A job that others wait for; it is live, or its record has not been seen. */
 struct bd_parent_job {
--- a/src/model/effect.h
+++ b/src/model/effect.h
@@ -53,4 +53,19 @@
     int peer;               /* FORWARD, ANSWER: to whom */
     struct bd_effect *next;
 };
+
+struct bd_core;
+
+/* Appends an effect to those that the core asks for. The caller fills it in. Never NULL: without
+ * memory the process ends, and the key-value store has all that matters. */
+struct bd_effect *bd_effect_emit(struct bd_core *core, enum bd_effect_kind kind);
+/* Replies to a request of a user, a worker or a peer. Takes the body over; retry_after in seconds,
+ * 0: none. */
+void bd_effect_reply(struct bd_core *core, void *request, int status, char *body, int retry_after);
+/* ... with {"error": WHY}. */
+void bd_effect_reply_error(struct bd_core *core, void *request, int status, const char *why,
+                           int retry_after);
+/* Takes the list of effects that were emitted; the caller frees each. */
+struct bd_effect *bd_effects_take(struct bd_core *core);
+void bd_effect_free(struct bd_effect *effect);
 #endif
--- a/src/workers/forwarding.h
+++ b/src/model/forwarding_state.h
@@ -1,6 +1,6 @@
 /* Workers' reports on their way to the leader through us. */
-#ifndef BD_FORWARDING_H
-#define BD_FORWARDING_H
+#ifndef BD_FORWARDING_STATE_H
+#define BD_FORWARDING_STATE_H
 #include "wire/wire.h"
 #include <time.h>
 #include <uthash.h>
--- a/src/leadership/kv_limits.c
+++ b/src/model/kv_limits.c
@@ -1,7 +1,10 @@
 /* The state service's limits as we know them: the settings' at first, then what its answers teach.
  * A transaction that it calls malformed (400) was not applied; the likely cause is a limit that was
  * lowered without notice, so the next ones are smaller. One beyond the rate (429) comes later. */
-#include "core/core_internal.h"
+#include "model/kv_limits.h"
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
+#include "model/core_state.h"
 
 /* named defaults */
 #define OPS_MIN 2u     /* the commit sequence and one change */
@@ -14,6 +17,7 @@
 #define GROW_AFTER_S 60.0 /* after so long without a 400 values and transactions grow again, */
 #define GROW_MAX_S 3600.0 /* ... after twice as long each time that was too much, up to this */
 #define GROW_EVERY_S 10.0 /* between two steps */
+#define WRITE_SHARE 0.6   /* of the state service's changes; the rest is the users' */
 #define BACKOFF_S 1.0     /* what may be malformed itself rests so long, and up to 8 s more */
 
 void bd_kv_limits_init(struct bd_core *core)
@@ -117,3 +121,13 @@
 {
     job->backoff_until = bd_add(core->now, bd_secs(BACKOFF_S + (double)(job->revision % 8)));
 }
+
+void bd_write_budget_refill(struct bd_core *core)
+{
+    double rate = core->kv_limits.write_rps * WRITE_SHARE;
+    bd_kv_limits_tick(core);
+    core->lead.write_budget += rate * bd_between(core->lead.write_budget_at, core->now);
+    if (core->lead.write_budget > rate)
+        core->lead.write_budget = rate;
+    core->lead.write_budget_at = core->now;
+}
--- a/src/leadership/kv_limits.h
+++ b/src/model/kv_limits_state.h
@@ -1,6 +1,6 @@
 /* The state service's limits as its answers have shown them so far. */
-#ifndef BD_KV_LIMITS_H
-#define BD_KV_LIMITS_H
+#ifndef BD_KV_LIMITS_STATE_H
+#define BD_KV_LIMITS_STATE_H
 #include <stddef.h>
 #include <time.h>
 
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -2,6 +2,7 @@
 #ifndef BD_MACHINE_H
 #define BD_MACHINE_H
 #include "model/job.h"
+#include "wire/wire.h"
 
 #define BD_IMAGES 40 /* that a machine is known to have; older ones are fetched again */
 
@@ -58,4 +59,26 @@
     bool consolidating;         /* being emptied, so that a dear machine is free again */
     bool quarantined, headroom; /* spare: kept for work that is expected */
 };
+
+struct bd_core;
+
+/* The machine by its number; NULL: none. */
+struct bd_machine *bd_machine_of(struct bd_core *core, uint32_t index);
+/* The machine by its id, made if it is new. Never NULL. */
+struct bd_machine *bd_machine_get(struct bd_core *core, const char *id);
+/* When a lease that was renewed at that moment has surely expired. */
+struct timespec bd_lease_expiry(const struct bd_core *core, struct timespec answered);
+/* Whether its heartbeat is late: it hangs, or looks for a controller. */
+bool bd_overdue(const struct bd_core *core, const struct bd_machine *machine);
+/* Whether new work may be placed on it. */
+bool bd_machine_usable(const struct bd_core *core, const struct bd_machine *machine);
+
+/* Whether the machine holds the image, or fetches it. */
+bool bd_has_image(const struct bd_machine *machine, int image);
+/* Seconds until the image of such a task would be there; infinite: not known. */
+double bd_fetch_s(const struct bd_core *core, const struct bd_machine *machine,
+                  const struct bd_spec *spec);
+/* The image is used, or will be; `there`: a task was seen to run from it. */
+void bd_remember_image(struct bd_core *core, struct bd_machine *machine, const struct bd_spec *spec,
+                       bool there);
 #endif
--- a/src/model/resources.c
+++ b/src/model/resources.c
@@ -1,5 +1,5 @@
 #include "model/resources.h"
-#include "core/core_internal.h"
+#include "model/core_state.h"
 #include <math.h>
 
 #define ROUNDING 1e-6 /* of sums of amounts */
--- a/src/model/task_state.c
+++ b/src/model/task_state.c
@@ -1,13 +1,16 @@
 /* How a task's state changes, with the sums over jobs, machines and teams that go with it. */
-#include "core/core_internal.h"
+#include "model/task_state.h"
 #include "drain/drain.h"
+#include "model/core_state.h"
+#include "model/decision_log.h"
+#include "model/leadership_state.h"
+#include "model/machine.h"
+#include "model/task.h"
+#include "wire/wire.h"
+#include "workers/commands.h"
 #include <math.h>
 #include <stdio.h>
-
-/* named defaults */
-#define LATE_HEARTBEATS 1.4 /* report intervals, which vary by a quarter, and what delays one */
-#define LATE_EXTRA_S 1.5
-#define LATE_MIN_S 5.5 /* one controller that lets it hang */
+#include <stdlib.h>
 
 uint32_t bd_tenths(struct timespec t)
 {
@@ -117,73 +120,6 @@
     }
 }
 
-static const struct bd_held_image *held_image(const struct bd_machine *machine, int image)
-{
-    for (int k = 0; k < machine->nimages; k++)
-        if (machine->images[k].image == image)
-            return &machine->images[k];
-    return NULL;
-}
-
-bool bd_has_image(const struct bd_machine *machine, int image)
-{
-    return held_image(machine, image) != NULL;
-}
-
-static double still_s(const struct bd_core *core, struct timespec ready)
-{
-    return bd_before(core->now, ready) ? bd_between(core->now, ready) : 0;
-}
-
-/* How long until the task's image is there: nothing where it lies already; where other images are
- * on their way it comes after them, or as slowly as if it did. */
-double bd_fetch_s(const struct bd_core *core, const struct bd_machine *machine,
-                  const struct bd_spec *spec)
-{
-    const struct bd_held_image *h = held_image(machine, spec->image);
-    if (h)
-        return still_s(core, h->ready);
-    if (machine->type < 0 ||
-        !core->types[machine->type].known) /* known by an earlier term's intents alone */
-        return INFINITY;
-    return still_s(core, machine->fetched_by) + spec->image_gb / core->types[machine->type].fetch;
-}
-
-/* The least recently used go if all do not fit the machine. */
-static void drop_old_images(const struct bd_core *core, struct bd_machine *machine)
-{
-    double gb = 0;
-    if (machine->type < 0 || !core->types[machine->type].known)
-        return;
-    for (int k = 0; k < machine->nimages; k++) {
-        gb += machine->images[k].gb;
-        if (k > 0 && gb > core->types[machine->type].cache_gb)
-            machine->nimages = k;
-    }
-}
-
-/* The image is used, or will be; `there`: a task was seen to run from it. */
-void bd_remember_image(struct bd_core *core, struct bd_machine *machine, const struct bd_spec *spec,
-                       bool there)
-{
-    const struct bd_held_image *known = held_image(machine, spec->image);
-    struct bd_held_image h = {spec->image, spec->image_gb, core->now};
-    int k = known ? (int)(known - machine->images) : machine->nimages;
-    if (known)
-        h = *known;
-    else if (!there && machine->type >= 0 && core->types[machine->type].fetch > 0)
-        h.ready = machine->fetched_by = bd_add(core->now, bd_secs(bd_fetch_s(core, machine, spec)));
-    if (there)
-        h.ready = core->now;
-    if (k == BD_IMAGES)
-        k--;
-    else if (!known)
-        machine->nimages++;
-    memmove(machine->images + 1, machine->images, (size_t)k * sizeof *machine->images);
-    machine->images[0] = h;
-    drop_old_images(core, machine);
-}
-
 void bd_task_assign(struct bd_core *core, struct bd_job *job, uint32_t i,
                     struct bd_machine *machine, uint64_t attempt, enum bd_task_state st)
 {
@@ -271,7 +207,7 @@
     bd_task_set(core, job, i, BD_TASK_DONE);
     bd_ledger_task(core, job, i);
     job->dirty = true;
-    job->dirty_chunks |= 1u << (i / CHUNK);
+    job->dirty_chunks |= 1u << (i / BD_RECEIPT_CHUNK_TASKS);
     core->lead.cycle_wanted = true;
 }
 
@@ -317,46 +253,6 @@
             stop_one(core, job, k, why, force);
 }
 
-struct bd_machine *bd_machine_of(struct bd_core *core, uint32_t index)
-{
-    return index < core->nmachines ? core->by_index[index] : NULL;
-}
-
-struct bd_machine *bd_machine_get(struct bd_core *core, const char *id)
-{
-    struct bd_machine *m = NULL;
-    HASH_FIND_STR(core->machines, id, m);
-    if (m)
-        return m;
-    m = calloc(1, sizeof *m);
-    if (!m)
-        abort();
-    if (core->nmachines == core->cap_machines) {
-        uint32_t cap = core->cap_machines ? core->cap_machines * 2 : 64;
-        struct bd_machine **b = realloc(core->by_index, cap * sizeof(struct bd_machine *));
-        if (!b)
-            abort();
-        core->by_index = b;
-        core->cap_machines = cap;
-    }
-    snprintf(m->id, sizeof m->id, "%s", id);
-    m->index = core->nmachines;
-    m->type = m->zone = m->via = -1;
-    m->notice_left = -1;
-    m->known_at = m->idle_since = core->now;
-    /* it may have been renewed by an earlier term that we cannot see */
-    m->lease_expires_at = core->lead.earlier_leases_expire_at;
-    core->by_index[core->nmachines++] = m;
-    HASH_ADD_STR(core->machines, id, m);
-    return m;
-}
-
-struct timespec bd_lease_expiry(const struct bd_core *core, struct timespec answered)
-{
-    double lease = bd_to_secs(core->settings->lease) * (1 + DRIFT) + 0.2;
-    return bd_add(answered, bd_secs(lease));
-}
-
 /* Everything the machine's last session had is gone. */
 void bd_machine_lease_expired(struct bd_core *core, struct bd_machine *machine,
                               enum bd_release_reason why)
@@ -382,27 +278,3 @@
     machine->gone = true;
     machine->addr[0] = '\0';
 }
-
-static bool late(const struct bd_core *core, struct timespec last)
-{
-    double s = LATE_HEARTBEATS * bd_to_secs(core->settings->heartbeat_interval) + LATE_EXTRA_S;
-    return bd_between(last, core->now) > (s > LATE_MIN_S ? s : LATE_MIN_S);
-}
-
-/* Whether its report is late: it hangs, or goes round looking for a controller. Direct commands
- * would hold up a sender each. */
-bool bd_overdue(const struct bd_core *core, const struct bd_machine *machine)
-{
-    return late(core, machine->heard);
-}
-
-bool bd_machine_usable(const struct bd_core *core, const struct bd_machine *machine)
-{
-    return machine->type >= 0 && machine->zone >= 0 && core->types[machine->type].known &&
-           machine->fenced && !machine->gone && !machine->scaling_in && !machine->failed &&
-           !machine->quarantined && machine->notice_left < 0 && !bd_drain_cordoned(core, machine) &&
-           (!machine->outbound_partition || core->lead.outbound_partition_is_ours) &&
-           !late(core, machine->heard) &&
-           /* one that answers directly while its check-ins reach nobody loses all with its lease */
-           !late(core, machine->asked) && bd_before(machine->refuse_until, core->now);
-}
--- a/src/runtime/effect_dispatch.c
+++ b/src/runtime/effect_dispatch.c
@@ -2,8 +2,15 @@
 #include "adapters/node.h"
 #include "base/http.h"
 #include "base/metrics.h"
+#include "base/queue.h"
 #include "base/timeutil.h"
+#include "brambledoor/log.h"
 #include "drain/drain.h"
+#include "jobs/jobs.h"
+#include "leadership/leadership.h"
+#include "model/effect.h"
+#include "model/leadership_state.h"
+#include "wire/frame.h"
 #include "wire/heartbeat_cache.h"
 #include <limits.h>
 #include <stdio.h>
@@ -101,7 +108,7 @@
 void bd_effects_perform(struct bd_node *node)
 {
     bool sends = false; /* to other controllers */
-    struct bd_effect *effect = bd_core_take_effects(node->core);
+    struct bd_effect *effect = bd_effects_take(node->core);
     while (effect) {
         struct bd_effect *next = effect->next;
         sends = sends || effect->kind == BD_EFFECT_FORWARD_HEARTBEAT ||
@@ -109,8 +116,7 @@
                 effect->kind == BD_EFFECT_ANNOUNCE_CANCELLATION;
         perform(node, effect);
         effect =
-            next ? next
-                 : bd_core_take_effects(node->core); /* one that failed may have others follow */
+            next ? next : bd_effects_take(node->core); /* one that failed may have others follow */
     }
     if (sends)
         bd_transport_flush(node);
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -1,12 +1,23 @@
 /* The thread that alone owns the core. It drains the commands in batches and hands the effects
  * to the adapters. */
 #include "adapters/node.h"
+#include "autoscaling/autoscaling.h"
 #include "base/http.h"
 #include "base/metrics.h"
+#include "base/queue.h"
 #include "base/timeutil.h"
 #include "brambledoor/controller.h"
+#include "brambledoor/log.h"
+#include "core/core.h"
 #include "drain/drain.h"
+#include "jobs/jobs.h"
+#include "leadership/leadership.h"
+#include "model/kv_limits.h"
+#include "model/leadership_state.h"
+#include "wire/frame.h"
 #include "wire/heartbeat_cache.h"
+#include "wire/wire.h"
+#include "workers/workers.h"
 #include <limits.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -225,8 +236,7 @@
         break;
     case BD_EVENT_LEADER_OBSERVED:
         if (core->role == BD_FOLLOWER && !node->pending_acquisition)
-            bd_leadership_leader_observed(core, event->name, event->number, event->sent,
-                                          event->flag);
+            bd_core_leader_observed(core, event->name, event->number, event->sent, event->flag);
         break;
     case BD_EVENT_LIVENESS_SENT:
         bd_liveness_sent(core, event->sent);
@@ -316,7 +326,7 @@
         return;
     node->pending_acquisition = NULL;
     g->gain.nonce = g->name;
-    bd_leadership_acquired(node->core, &g->gain);
+    bd_core_leadership_acquired(node->core, &g->gain);
     bd_metrics_time(node->metrics, BD_TIMING_FAILOVER, bd_between(g->sent, bd_now()));
     bd_event_free(g);
 }
--- a/src/scheduling/cost_model.c
+++ b/src/scheduling/cost_model.c
@@ -1,6 +1,12 @@
 /* What a place costs, and how long a job may look for a cheap one before its aims are in danger. */
-#include "core/core_internal.h"
+#include "brambledoor/settings.h"
+#include "jobs/jobs.h"
+#include "model/catalog.h"
+#include "model/core_state.h"
+#include "scheduling/scheduling.h"
+#include "wire/wire.h"
 #include <math.h>
+#include <string.h>
 
 /* named defaults */
 #define EXPENSIVE_FACTOR 2.5 /* times the cheapest ordinary place for the task */
@@ -41,17 +47,6 @@
     return place_price(core, spec, type, spot) > EXPENSIVE_FACTOR * low;
 }
 
-const char *bd_class_name(const struct bd_core *core, int id)
-{
-    struct bd_names *n, *t;
-    HASH_ITER(hh, core->classes, n, t)
-    {
-        if (n->index == id)
-            return n->name;
-    }
-    return "";
-}
-
 /* How long a job of the class may wait and still meet the aim; below 0: not this class's aim. */
 double bd_slack(const struct bd_core *core, int job_class, double estimate, const struct bd_slo *a)
 {
--- a/src/scheduling/job_order.c
+++ b/src/scheduling/job_order.c
@@ -1,7 +1,13 @@
 /* The order in which jobs are served. Part of the pure core. */
-#include "core/core_internal.h"
+#include "brambledoor/settings.h"
+#include "jobs/jobs.h"
+#include "model/core_state.h"
 #include "scheduling/placement_internal.h"
+#include "scheduling/scheduling.h"
+#include "wire/wire.h"
 #include <math.h>
+#include <stdlib.h>
+#include <string.h>
 
 static int order_jobs(const void *x, const void *y)
 {
--- a/src/scheduling/placement.c
+++ b/src/scheduling/placement.c
@@ -1,7 +1,20 @@
 /* Placement: which waiting tasks go where. Like tasks of a job are decided as a class. */
-#include "core/core_internal.h"
+#include "base/timeutil.h"
+#include "brambledoor/settings.h"
+#include "jobs/jobs.h"
+#include "leadership/commit.h"
+#include "model/core_state.h"
+#include "model/kv_limits.h"
+#include "model/machine.h"
+#include "model/resources.h"
+#include "model/task.h"
+#include "model/task_state.h"
 #include "scheduling/placement_internal.h"
+#include "scheduling/scheduling.h"
+#include "wire/wire.h"
 #include <math.h>
+#include <stdlib.h>
+#include <string.h>
 
 /* named defaults: the weights of a choice, in seconds of later start */
 #define COST_GPU_WASTE 200.0      /* work without GPUs on a machine that has some */
@@ -27,6 +40,11 @@
                                  capacity.mem - held.mem};
 }
 
+bool bd_type_allowed(const struct bd_spec *spec, int type)
+{
+    return spec->any_type || (spec->types >> type & 1);
+}
+
 bool bd_allowed(const struct bd_spec *spec, int type, int zone, bool spot)
 {
     return bd_type_allowed(spec, type) && (spec->zone < 0 || spec->zone == zone) &&
--- a/src/scheduling/placement_internal.h
+++ b/src/scheduling/placement_internal.h
@@ -1,8 +1,13 @@
 /* Shared by the parts of placement: one round of it. */
 #ifndef BD_PLACEMENT_INTERNAL_H
 #define BD_PLACEMENT_INTERNAL_H
-#include "core/core_internal.h"
+#include "base/timeutil.h"
+#include "jobs/jobs.h"
+#include "leadership/commit.h"
+#include "model/core_state.h"
 #include "model/resources.h"
+#include "scheduling/scheduling.h"
+#include "wire/wire.h"
 
 #define EPS 1e-6
 
@@ -35,6 +40,8 @@
     double spot_lost;                /* what a spot one costs it that an ordinary one would not */
     double not_spot; /* what an ordinary machine costs it that a spot one would not */
 };
+/* Fills the plan of core->lead.commit. */
+void bd_cycle_place(struct bd_core *core);
 struct bd_resources bd_unclaimed_capacity(const struct placement_cycle *r,
                                           const struct bd_machine *machine);
 void bd_zone_counts(struct bd_core *core, const struct bd_job *job, uint32_t *n);
--- a/src/scheduling/preemption.c
+++ b/src/scheduling/preemption.c
@@ -1,6 +1,13 @@
 /* Which tasks may be stopped to make room, and which are. Part of the pure core. */
-#include "core/core_internal.h"
+#include "brambledoor/settings.h"
+#include "model/core_state.h"
+#include "model/machine.h"
+#include "model/resources.h"
+#include "model/task.h"
+#include "model/task_state.h"
 #include "scheduling/placement_internal.h"
+#include "scheduling/scheduling.h"
+#include "wire/wire.h"
 #include <math.h>
 
 #define COST_STOPPING 10.0 /* the whole room of a task made by stopping others */
--- a/src/wire/heartbeat_cache.c
+++ b/src/wire/heartbeat_cache.c
@@ -1,4 +1,5 @@
 #include "wire/heartbeat_cache.h"
+#include "wire/wire.h"
 #include <stdlib.h>
 #include <string.h>
 #include <uthash.h>
--- a/src/workers/autonomous_zone.c
+++ b/src/workers/autonomous_zone.c
@@ -11,8 +11,15 @@
  * at which they can have answered, and a whole lease. A record that is applied late carries its own
  * time. A follower stands by only if another of its zone says, by a frame of this moment, that it
  * is cut off too: so one that crashes, or is cut off alone, delays nothing. */
-#include "core/core_internal.h"
+#include "base/timeutil.h"
+#include "leadership/leadership.h"
+#include "model/core_state.h"
+#include "model/leadership_state.h"
+#include "model/peers.h"
 #include "wire/frame.h"
+#include "workers/workers.h"
+#include "workers/workers_internal.h"
+#include <string.h>
 
 /* named defaults */
 #define STICKY_S 3.0      /* a controller may be heard as cut off so long after it is back */
@@ -49,7 +56,7 @@
     bool alone = true;
     double late = FRAME_FRESH_S + 2 * bd_to_secs(core->settings->clock_error);
     for (int i = 0; i < core->settings->npeers; i++) {
-        if (!bd_peer_near(core, i))
+        if (!bd_peer_is_local(core, i))
             continue;
         alone = false;
         if (core->peers[i].flags & BD_PEER_KV_LOST && bd_peer_heard(core, i, FRAME_FRESH_S) &&
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -1,7 +1,18 @@
 /* Commands that a machine is owed, in answers and directly. Part of the pure core. */
 #include "workers/commands.h"
-#include "core/core_internal.h"
+#include "base/timeutil.h"
+#include "jobs/jobs.h"
+#include "leadership/leadership.h"
+#include "model/catalog.h"
+#include "model/core_state.h"
+#include "model/decision_log.h"
+#include "model/effect.h"
+#include "model/machine.h"
+#include "model/task.h"
+#include "wire/wire.h"
 #include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
 
 #define ZONE_DIRECT_FAILURES 4u /* direct commands without an answer, in a row, of one zone */
 #define ZONE_PROBE_S 4.0
--- a/src/workers/commands.h
+++ b/src/workers/commands.h
@@ -1,7 +1,7 @@
 /* Commands for one machine. */
 #ifndef BD_COMMANDS_H
 #define BD_COMMANDS_H
-#include "core/core_internal.h"
+#include "model/core_state.h"
 
 struct bd_command_list {
     struct bd_command *items;
@@ -18,4 +18,6 @@
  * (lease_renewal.c). */
 void bd_commands_reply(struct bd_core *core, void *request, const struct bd_heartbeat *heartbeat,
                        struct bd_command_list *commands, uint64_t fencing_token);
+/* Sends what is pending directly, where the machine can be expected to reply. */
+void bd_commands_send_direct(struct bd_core *core, struct bd_machine *machine);
 #endif
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -12,10 +12,24 @@
  * While nobody leads, the record is conditional on the leader's key being absent, and answers go on
  * with the last term's token: a new leader counts with answers until DEPUTY_FRESH_S after its gain,
  * and no such record is written once it has its key. */
-#include "core/core_internal.h"
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
+#include "leadership/leadership.h"
+#include "model/core_state.h"
+#include "model/decision_log.h"
+#include "model/delegate_state.h"
+#include "model/effect.h"
+#include "model/kv_limits.h"
+#include "model/leadership_state.h"
+#include "model/peers.h"
 #include "wire/frame.h"
+#include "wire/wire.h"
 #include "workers/commands.h"
+#include "workers/workers.h"
+#include "workers/workers_internal.h"
 #include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
 
 /* named defaults */
 #define CONFIRM_S 0.5
@@ -94,7 +108,7 @@
 {
     bool other = *core->leader_name && core->leader_term && leader_silent(core);
     return core->role == BD_FOLLOWER && !needless(core) && (other || leaderless(core)) &&
-           bd_between(core->leader_seen, core->now) < DELEGATE_FRESH_S;
+           bd_between(core->leader_seen, core->now) < BD_DELEGATE_FRESH_S;
 }
 
 /* Machines that one part of the record can name, by the longest name there is room for so far. */
@@ -305,7 +319,8 @@
     if (revision_known)
         delegate->revision = store_revision;
     if (status == 200) {
-        delegate->confirmed_until = bd_add(sent, bd_secs(DELEGATE_FRESH_S * (1 - DRIFT)));
+        delegate->confirmed_until =
+            bd_add(sent, bd_secs(BD_DELEGATE_FRESH_S * (1 - BD_CLOCK_DRIFT)));
         for (struct bd_served *k = delegate->served; k; k = k->hh.next)
             k->confirmed |= k->sent;
     }
@@ -349,7 +364,7 @@
         return;
     /* with the leader in view again nobody is answered, but the record stands for keep_s */
     if ((core->leader_term || leaderless(core)) &&
-        bd_between(core->leader_seen, core->now) < DELEGATE_FRESH_S)
+        bd_between(core->leader_seen, core->now) < BD_DELEGATE_FRESH_S)
         write_record(core);
     else if (delegate->asking)
         answer_asking(core, true);
@@ -367,7 +382,7 @@
 {
     bool mates = false;
     for (int i = 0; i < core->settings->npeers; i++) {
-        mates |= bd_peer_near(core, i);
+        mates |= bd_peer_is_local(core, i);
         if (bd_peer_heard(core, i, LEADER_SILENT_S))
             return false;
     }
@@ -441,7 +456,7 @@
 static bool zone_cut(const struct bd_core *core)
 {
     for (int i = 0; i < core->settings->npeers; i++)
-        if (bd_peer_near(core, i) && i != bd_leader_index(core) &&
+        if (bd_peer_is_local(core, i) && i != bd_leader_index(core) &&
             core->peers[i].flags & BD_PEER_KV_REACHABLE &&
             !(core->peers[i].flags & BD_PEER_HEARS_LEADER) &&
             bd_peer_heard(core, i, LEADER_SILENT_S))
--- a/src/workers/delegate_view.c
+++ b/src/workers/delegate_view.c
@@ -1,7 +1,16 @@
 /* The leader's view of the delegates' records. Part of the pure core. */
-#include "core/core_internal.h"
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
+#include "leadership/leadership.h"
+#include "model/core_state.h"
+#include "model/leadership_state.h"
+#include "model/machine.h"
 #include "wire/frame.h"
+#include "wire/wire.h"
+#include "workers/workers.h"
+#include "workers/workers_internal.h"
 #include <stdio.h>
+#include <string.h>
 
 #define AWAY_S 30.0 /* a dismissed delegate is named so long in the leader's key */
 #define AGAIN_S 8.0 /* then the key is rewritten, if its workers still come here */
@@ -95,7 +104,7 @@
     if (core->role != BD_LEADER)
         return;
     bool gap = bd_between(core->delegates.read_at, sent) > GAP_S;
-    struct timespec end = bd_lease_expiry(core, bd_add(core->now, bd_secs(DELEGATE_FRESH_S)));
+    struct timespec end = bd_lease_expiry(core, bd_add(core->now, bd_secs(BD_DELEGATE_FRESH_S)));
     for (uint32_t k = 0; k < core->nmachines; k++) {
         struct bd_machine *machine = core->by_index[k];
         if (machine->delegated ||
--- a/src/workers/forwarding.c
+++ b/src/workers/forwarding.c
@@ -1,9 +1,20 @@
 /* Workers report to a controller of their own zone, which passes their reports to the leader and
  * the answers back: if the zone is cut off, its workers are already where they are answered on
  * (see delegate.c), instead of trying nodes that they cannot reach while their leases run out. */
-#include "core/core_internal.h"
+#include "base/timeutil.h"
+#include "leadership/leadership.h"
+#include "model/core_state.h"
+#include "model/effect.h"
+#include "model/forwarding_state.h"
+#include "model/leadership_state.h"
+#include "model/peers.h"
 #include "wire/frame.h"
+#include "wire/wire.h"
+#include "workers/workers.h"
+#include "workers/workers_internal.h"
 #include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
 
 /* named defaults */
 #define ANSWER_S 1.2      /* then the delegate's way is tried, or the worker sent to the leader */
@@ -15,14 +26,6 @@
 #define INBOUND_PARTITION_SHARE 0.6 /* of the machines heard before */
 #define INBOUND_PARTITION_MIN 3u
 
-int bd_leader_index(const struct bd_core *core)
-{
-    for (int i = 0; i < core->settings->npeers; i++)
-        if (strcmp(core->settings->peers[i].name, core->leader_name) == 0)
-            return i;
-    return -1;
-}
-
 /* The leader's number among the peers if it is heard, or -1. */
 static int leader_peer(const struct bd_core *core)
 {
@@ -98,7 +101,7 @@
 static bool zone_silent(const struct bd_core *core)
 {
     for (int i = 0; i < core->settings->npeers; i++) {
-        bool any = bd_peer_near(core, i);
+        bool any = bd_peer_is_local(core, i);
         for (int k = 0; k < core->settings->npeers && !any; k++)
             any = strcmp(core->settings->peers[k].zone, core->settings->peers[i].zone) == 0 &&
                   bd_peer_heard(core, k, LEADER_SILENT_S);
@@ -119,7 +122,7 @@
     if (bd_before(core->now, core->forwarding.inbound_partition_until))
         return true;
     return strcmp(heartbeat->zone, core->settings->zone) == 0 &&
-           (!bd_peer_near(core, peer) || zone_silent(core));
+           (!bd_peer_is_local(core, peer) || zone_silent(core));
 }
 
 bool bd_forward_hears_leader(const struct bd_core *core)
@@ -165,7 +168,7 @@
     for (int i = 0; i < core->settings->npeers; i++) {
         if (i == bd_leader_index(core) || !can_pass_on(core, i))
             continue;
-        if (bd_peer_near(core, i))
+        if (bd_peer_is_local(core, i))
             return i;
         found = found < 0 ? i : found;
     }
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -1,9 +1,24 @@
 /* Workers' reports as evidence, and the orders that go back to them. */
 #include "base/metrics.h"
-#include "core/core_internal.h"
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
 #include "drain/drain.h"
+#include "leadership/leadership.h"
+#include "model/catalog.h"
+#include "model/core_state.h"
+#include "model/decision_log.h"
+#include "model/effect.h"
+#include "model/leadership_state.h"
+#include "model/machine.h"
+#include "model/task.h"
+#include "model/task_state.h"
+#include "wire/wire.h"
 #include "workers/commands.h"
+#include "workers/workers.h"
+#include "workers/workers_internal.h"
 #include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
 
 /* named defaults */
 #define FAILING_ERRORS 3u   /* failures in a row; those of a job that runs elsewhere count twice */
--- /dev/null
+++ b/src/workers/workers.h
@@ -0,0 +1,68 @@
+/* Workers: their heartbeats and the commands that go back, leases and their expiry, and how workers
+ * are answered through partitions, by forwarding, by a delegate or by an autonomous zone.
+ *
+ * Owns core->forwarding, core->delegate, core->delegates and the machines' incarnations and leases.
+ * Called by the runtime for what workers, peers and the key-value store send, and by core/ at each
+ * step. */
+#ifndef BD_WORKERS_H
+#define BD_WORKERS_H
+#include "model/core_state.h"
+
+/* ---- heartbeats (heartbeats.c) ---- */
+
+/* body: the heartbeat as it came, forwarded if the leader is elsewhere. */
+void bd_worker_heartbeat_received(struct bd_core *core, void *request,
+                                  const struct bd_heartbeat *heartbeat, const char *body,
+                                  size_t len);
+/* A heartbeat that a peer forwarded to us. */
+void bd_worker_heartbeat_forwarded(struct bd_core *core, const char *peer, uint64_t id,
+                                   const struct bd_heartbeat *heartbeat, const char *body,
+                                   size_t len);
+/* status: HTTP's, 0 without an answer, or BD_DIRECT_NOT_SENT. */
+void bd_worker_direct_command_completed(struct bd_core *core, uint32_t machine,
+                                        uint64_t fencing_token, bool launch, long status,
+                                        const struct bd_heartbeat *heartbeat);
+/* Quarantines a machine whose tasks run far longer than their jobs' others. */
+void bd_machine_detect_slow(struct bd_core *core, struct bd_machine *machine);
+/* Whether so many machines seem not to hear us that it is rather we who are cut off. */
+void bd_machines_detect_outbound_partition(struct bd_core *core);
+/* Releases what machines with expired leases held. */
+void bd_workers_expire_leases(struct bd_core *core);
+
+/* ---- forwarding (forwarding.c) ---- */
+
+/* The leader's reply to a heartbeat that we forwarded. */
+void bd_forward_reply_received(struct bd_core *core, uint64_t id, int status, const char *body,
+                               size_t len);
+bool bd_forward_hears_leader(const struct bd_core *core);
+/* As leader: whether most workers are silent to us. */
+void bd_forward_listen(struct bd_core *core);
+void bd_forward_tick(struct bd_core *core);
+void bd_forward_end(struct bd_core *core);
+void bd_heartbeat_free(struct bd_heartbeat *heartbeat);
+
+/* ---- delegates (delegate.c, delegate_view.c) ---- */
+
+void bd_delegate_tick(struct bd_core *core);
+/* The leader's key names those delegates that it needs no more. */
+void bd_delegate_dismissed(struct bd_core *core, bool dismissed, uint64_t revision,
+                           struct timespec sent);
+/* The delegates that the leader needs no more, for its key. The caller owns the list. */
+json_t *bd_delegates_dismissed(const struct bd_core *core);
+void bd_delegate_end(struct bd_core *core);
+/* Forgets all machines that we answered for the leader. */
+void bd_delegate_forget(struct bd_core *core);
+/* As leader: the delegates' records were read. */
+void bd_delegate_records_read(struct bd_core *core, json_t *pairs, struct timespec sent);
+/* As follower: the outcome of writing our own record. */
+void bd_delegate_txn_completed(struct bd_core *core, long status, uint64_t store_revision,
+                               struct timespec sent, bool revision_known);
+
+/* ---- autonomous zones (autonomous_zone.c) ---- */
+
+/* Whether we have lost the key-value store for so long that our zone may be autonomous. */
+bool bd_autonomous_zone_active(const struct bd_core *core);
+/* Our own liveness record is about to be sent; it was written. */
+void bd_liveness_sent(struct bd_core *core, struct timespec sent);
+void bd_liveness_written(struct bd_core *core, struct timespec sent);
+#endif
--- a/tests/audit.c
+++ b/tests/audit.c
@@ -1,10 +1,14 @@
 /* The evidence log: tasks that share all else share a line, lines beyond the rate are counted, and
  * nothing is written below the level. Standard error is read back through a pipe. */
-#include "core/core_internal.h"
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
+#include "core/core.h"
 #include "model/decision_log.h"
+#include "model/effect.h"
 #include "small.h"
 #include <fcntl.h>
 #include <stdio.h>
+#include <string.h>
 #include <unistd.h>
 
 static int failed;
@@ -46,7 +50,7 @@
     check("another attempt begins a line",
           strstr(written(fd), "event=start job=job-1 attempt=77 task=0-2,5,7-8 machine=vm-1 "
                               "via=direct session=3 seq=9 seen=41 term=44\n") != NULL);
-    (void)bd_core_take_effects(core);
+    (void)bd_effects_take(core);
     check("what allowed an effect is written before it is taken",
           strstr(written(fd), "attempt=78 task=9 ") != NULL);
     for (uint32_t i = 0; i < 400; i += 2)
--- a/tests/behaviour_digest.c
+++ b/tests/behaviour_digest.c
@@ -1,4 +1,5 @@
 #include "behaviour_digest.h"
+#include "model/effect.h"
 #include <stdarg.h>
 #include <stdlib.h>
 #include <string.h>
--- a/tests/direct_commands.c
+++ b/tests/direct_commands.c
@@ -4,7 +4,10 @@
 #include "adapters/node.h"
 #include "base/http.h"
 #include "base/metrics.h"
+#include "base/queue.h"
 #include "base/timeutil.h"
+#include "brambledoor/log.h"
+#include "model/effect.h"
 #include <arpa/inet.h>
 #include <poll.h>
 #include <stdio.h>
--- a/tests/drain_profile.c
+++ b/tests/drain_profile.c
@@ -15,6 +15,19 @@
 #else
 #define CALLGRIND_TOGGLE_COLLECT
 #endif
+#include "autoscaling/autoscaling.h"
+#include "base/timeutil.h"
+#include "brambledoor/settings.h"
+#include "core/core.h"
+#include "drain/drain.h"
+#include "drain/drain_internal.h"
+#include "jobs/jobs.h"
+#include "leadership/leadership.h"
+#include "model/effect.h"
+#include "model/leadership_state.h"
+#include "model/task.h"
+#include "wire/wire.h"
+#include "workers/workers.h"
 #include <gsl/gsl_rng.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -95,7 +108,7 @@
 /* Direct commands are carried out at once, and returned machines are gone. */
 static void answer_effects(struct fleet *f)
 {
-    struct bd_effect *e = bd_core_take_effects(f->core);
+    struct bd_effect *e = bd_effects_take(f->core);
     while (e) {
         struct bd_effect *next = e->next;
         struct bd_heartbeat r;
@@ -196,7 +209,7 @@
     struct bd_acquisition g = {.term = 1, .grant = 7, .nonce = "n", .renewed = f->core->now};
     g.receipts = json_array();
     g.intents = json_array();
-    bd_leadership_acquired(f->core, &g);
+    bd_core_leadership_acquired(f->core, &g);
     json_decref(g.receipts);
     json_decref(g.intents);
     bd_inventory_machines(f->core, NULL, 0, f->core->now);
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -6,10 +6,18 @@
  * ends; every record of a cancelled one says so in the end.
  *
  *   graphs SEEDS */
+#include "autoscaling/autoscaling.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
+#include "brambledoor/settings.h"
 #include "core/core.h"
+#include "jobs/jobs.h"
+#include "leadership/leadership.h"
+#include "model/effect.h"
+#include "model/leadership_state.h"
 #include "small.h"
+#include "wire/wire.h"
+#include "workers/workers.h"
 #include <gsl/gsl_rng.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -305,7 +313,7 @@
 
 static void perform(struct world *w, int n)
 {
-    struct bd_effect *e = bd_core_take_effects(w->c[n]);
+    struct bd_effect *e = bd_effects_take(w->c[n]);
     while (e) {
         struct bd_effect *next = e->next;
         if (e->kind == BD_EFFECT_REPLY && e->request)
@@ -323,7 +331,7 @@
         } else {
             bd_effect_free(e);
         }
-        e = next ? next : bd_core_take_effects(w->c[n]);
+        e = next ? next : bd_effects_take(w->c[n]);
     }
 }
 
@@ -415,7 +423,7 @@
     g.receipts = listed(w, "r/");
     g.intents = listed(w, "i/");
     refresh(w, n, true); /* the replica is at least as new as the term */
-    bd_leadership_acquired(w->c[n], &g);
+    bd_core_leadership_acquired(w->c[n], &g);
     json_decref(g.receipts);
     json_decref(g.intents);
 }
--- a/tests/loopback_drain.c
+++ b/tests/loopback_drain.c
@@ -2,6 +2,7 @@
  * services are drained and replaced, one worker is killed in a step and the leader once. The
  * workers' own history is held against the budgets. With the version in production as a second
  * argument: no step begins while it is heard. */
+#include "base/http.h"
 #include "base/timeutil.h"
 #include "drain_check.h"
 #include "loopback_nodes.h"
--- a/tests/loopback_nodes.c
+++ b/tests/loopback_nodes.c
@@ -1,6 +1,7 @@
 /* Three real controllers over loopback, for the tests that use them. */
 #include "loopback_nodes.h"
 #include "adapters/node.h"
+#include "base/http.h"
 #include "base/timeutil.h"
 #include <arpa/inet.h>
 #include <signal.h>
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -18,6 +18,14 @@
 #define CALLGRIND_ZERO_STATS
 #define CALLGRIND_DUMP_STATS_AT(name)
 #endif
+#include "autoscaling/autoscaling.h"
+#include "brambledoor/settings.h"
+#include "jobs/jobs.h"
+#include "leadership/leadership.h"
+#include "model/effect.h"
+#include "model/leadership_state.h"
+#include "wire/wire.h"
+#include "workers/workers.h"
 #include <malloc.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -71,7 +79,7 @@
 
 static void drop_effects(struct world *w)
 {
-    struct bd_effect *e = bd_core_take_effects(w->c);
+    struct bd_effect *e = bd_effects_take(w->c);
     while (e) {
         struct bd_effect *next = e->next;
         if (e->kind == BD_EFFECT_LEADER_TXN)
@@ -203,7 +211,7 @@
     struct bd_acquisition g = {.term = 1, .grant = 7, .nonce = "n", .renewed = w->c->now};
     g.receipts = json_array();
     g.intents = json_array();
-    bd_leadership_acquired(w->c, &g);
+    bd_core_leadership_acquired(w->c, &g);
     json_decref(g.receipts);
     json_decref(g.intents);
     bd_inventory_machines(w->c, NULL, 0, w->c->now);
@@ -307,7 +315,7 @@
     read_heartbeat(text, &r);
     bd_worker_heartbeat_received(w->c, NULL, &r, text, strlen(text));
     bd_wire_heartbeat_release(&r);
-    bd_effect_free(bd_core_take_effects(w->c));
+    bd_effect_free(bd_effects_take(w->c));
     CALLGRIND_TOGGLE_COLLECT;
     free(text);
 }
@@ -322,7 +330,7 @@
     CALLGRIND_TOGGLE_COLLECT;
     const struct bd_heartbeat *r = bd_heartbeat_cache_read(w->heartbeats, text, strlen(text));
     bd_worker_heartbeat_received(w->c, NULL, r, text, strlen(text));
-    bd_effect_free(bd_core_take_effects(w->c));
+    bd_effect_free(bd_effects_take(w->c));
     CALLGRIND_TOGGLE_COLLECT;
     free(text);
 }
@@ -343,7 +351,7 @@
     read_heartbeat(text, &r);
     bd_worker_heartbeat_forwarded(w->c, in.name, in.id, &r, text, in.len);
     bd_wire_heartbeat_release(&r);
-    bd_effect_free(bd_core_take_effects(w->c));
+    bd_effect_free(bd_effects_take(w->c));
     CALLGRIND_TOGGLE_COLLECT;
     free(text);
 }
@@ -373,7 +381,7 @@
              n + 5000);
     CALLGRIND_TOGGLE_COLLECT;
     bd_user_submit(w->c, NULL, body, strlen(body));
-    struct bd_effect *e = bd_core_take_effects(w->c);
+    struct bd_effect *e = bd_effects_take(w->c);
     if (!e || e->kind != BD_EFFECT_USER_TXN)
         abort();
     bd_user_txn_completed(w->c, NULL, e->key, e->body, e->status, 200, ++w->revision);
@@ -476,7 +484,7 @@
     g.receipts = json_array();
     g.intents = list;
     CALLGRIND_TOGGLE_COLLECT;
-    bd_leadership_acquired(w->c, &g);
+    bd_core_leadership_acquired(w->c, &g);
     CALLGRIND_TOGGLE_COLLECT;
     json_decref(g.receipts);
     json_decref(g.intents);
@@ -557,7 +565,7 @@
     drop_effects(w);
     g.receipts = json_array();
     g.intents = list;
-    bd_leadership_acquired(w->c, &g);
+    bd_core_leadership_acquired(w->c, &g);
     double grown = heap_mb() - heap;
     json_decref(g.receipts);
     json_decref(list);
@@ -623,12 +631,12 @@
     bd_peer_status_received(w->c, PEER, 9, BD_PEER_LEADS | BD_PEER_KV_REACHABLE, 0, w->c->wall,
                             w->c->now);
     at(w, w->now + 30);
-    bd_leadership_leader_observed(w->c, PEER, 9, w->c->now, false);
+    bd_core_leader_observed(w->c, PEER, 9, w->c->now, false);
     for (uint32_t i = 0; i < w->machines; i++)
         delegate_report(w, i);
     for (int tries = 0; tries < 4 && written < w->machines; tries++) {
         bd_core_tick(w->c);
-        struct bd_effect *e = bd_core_take_effects(w->c);
+        struct bd_effect *e = bd_effects_take(w->c);
         while (e) {
             struct bd_effect *next = e->next;
             if (e->kind == BD_EFFECT_DELEGATE_TXN)
@@ -637,7 +645,7 @@
             e = next;
         }
         at(w, w->now + 0.6);
-        bd_leadership_leader_observed(w->c, PEER, 9, w->c->now, false);
+        bd_core_leader_observed(w->c, PEER, 9, w->c->now, false);
     }
     if (written < w->machines)
         fault(w, "machines that the delegate's record lacks", w->machines - written, 0);
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -36,11 +36,23 @@
  *   limits BYTES CHANGES  the largest value and transaction are these now
  *
  * @T.N is the N-th attempt of term T. LOG_LEVEL shows the core's log. */
+#include "autoscaling/autoscaling.h"
 #include "base/timeutil.h"
+#include "brambledoor/log.h"
+#include "brambledoor/settings.h"
+#include "core/core.h"
 #include "drain/drain.h"
+#include "jobs/jobs.h"
+#include "leadership/leadership.h"
+#include "model/effect.h"
+#include "model/kv_limits.h"
+#include "model/leadership_state.h"
+#include "model/task.h"
 #include "scenario_play.h"
 #include "small.h"
 #include "wire/frame.h"
+#include "wire/wire.h"
+#include "workers/workers.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -107,7 +119,7 @@
     struct bd_effect **tail = &p->left;
     while (*tail)
         tail = &(*tail)->next;
-    *tail = bd_core_take_effects(p->c);
+    *tail = bd_effects_take(p->c);
     for (const struct bd_effect *e = *tail; p->digest && e; e = e->next)
         behaviour_digest_effect(p->digest, bd_to_secs(p->c->now), 0, e, 0);
 }
@@ -309,7 +321,7 @@
             play_fail(p, "gain");
         }
     }
-    bd_leadership_acquired(p->c, &g);
+    bd_core_leadership_acquired(p->c, &g);
     json_decref(g.receipts);
     json_decref(g.intents);
 }
@@ -454,8 +466,8 @@
 static void cmd_leader(struct play *p)
 {
     const char *name = strcmp(p->w[1], "-") == 0 ? "" : p->w[1];
-    bd_leadership_leader_observed(p->c, name, strtoull(p->w[2], NULL, 10), p->c->now,
-                                  play_yes(p, "away"));
+    bd_core_leader_observed(p->c, name, strtoull(p->w[2], NULL, 10), p->c->now,
+                            play_yes(p, "away"));
 }
 
 static void cmd_delegates(struct play *p)
--- a/tests/scenario_drain.c
+++ b/tests/scenario_drain.c
@@ -1,7 +1,17 @@
 /* The steps of scenarios that concern draining; the head of scenario.c explains them. */
+#include "autoscaling/autoscaling.h"
 #include "base/timeutil.h"
+#include "brambledoor/settings.h"
+#include "core/core.h"
 #include "drain/drain.h"
+#include "jobs/jobs.h"
+#include "leadership/leadership.h"
+#include "model/effect.h"
+#include "model/leadership_state.h"
+#include "model/task.h"
 #include "scenario_play.h"
+#include "wire/wire.h"
+#include "workers/workers.h"
 #include <sexp.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -229,7 +239,7 @@
     struct bd_effect **at = &p->left;
     while (*at)
         at = &(*at)->next;
-    *at = bd_core_take_effects(p->c);
+    *at = bd_effects_take(p->c);
     for (const struct bd_effect *e = *at; e; e = e->next) {
         struct bd_heartbeat r;
         struct bd_reported_task tasks[WORDS];
--- a/tests/sim_drain.c
+++ b/tests/sim_drain.c
@@ -1,6 +1,8 @@
 /* Drains on simulated days: administrators' records, and the workers' own history for the checker.
  */
 #include "sim_drain.h"
+#include "drain/drain.h"
+#include "wire/wire.h"
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -1,6 +1,17 @@
 /* The adapters of the simulated controllers: what election.c, kv_client.c, cloud_client.c,
  * worker_client.c, peer_transport.c and event_loop.c do around the core, as events. */
+#include "autoscaling/autoscaling.h"
+#include "base/timeutil.h"
+#include "core/core.h"
+#include "drain/drain.h"
+#include "jobs/jobs.h"
+#include "leadership/leadership.h"
+#include "model/effect.h"
+#include "model/leadership_state.h"
 #include "simulation.h"
+#include "wire/frame.h"
+#include "wire/wire.h"
+#include "workers/workers.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -218,7 +229,7 @@
         return;
     n->leadership_acquired = false;
     n->gain.nonce = n->nonce;
-    bd_leadership_acquired(n->core, &n->gain);
+    bd_core_leadership_acquired(n->core, &n->gain);
     json_decref(n->gain.receipts);
     json_decref(n->gain.intents);
     n->gain.receipts = n->gain.intents = NULL;
@@ -255,11 +266,11 @@
 {
     take_gain(s, n);
     bd_core_tick(n->core);
-    struct bd_effect *e = bd_core_take_effects(n->core);
+    struct bd_effect *e = bd_effects_take(n->core);
     while (e) {
         struct bd_effect *next = e->next;
         perform(s, n, e);
-        e = next ? next : bd_core_take_effects(n->core);
+        e = next ? next : bd_effects_take(n->core);
     }
     say_status(s, n);
 }
@@ -403,7 +414,7 @@
     bool told = n->core->role == BD_FOLLOWER && !n->leadership_acquired;
     if (status == 404) {
         if (told)
-            bd_leadership_leader_observed(n->core, "", 0, c->sent, false);
+            bd_core_leader_observed(n->core, "", 0, c->sent, false);
         if (n->reads_refused)
             election_again(s, n, 0.3);
         else
@@ -420,7 +431,7 @@
             away = away || strcmp(json_string_value(v), n->settings.node) == 0;
         }
         if (told)
-            bd_leadership_leader_observed(n->core, node, ch.revision, c->sent, away);
+            bd_core_leader_observed(n->core, node, ch.revision, c->sent, away);
         if (strcmp(node, n->settings.node) == 0 && !n->reads_refused) {
             get_grant(s, n, ch.revision);
             return;
--- a/tests/sim_state.c
+++ b/tests/sim_state.c
@@ -1,4 +1,5 @@
 /* The state service of the simulated day. */
+#include "model/effect.h"
 #include "simulation.h"
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/sim_work.c
+++ b/tests/sim_work.c
@@ -2,6 +2,7 @@
  * together. What starts or stays here is held against the rules. */
 #include "sim_drain.h"
 #include "simulation.h"
+#include "wire/wire.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/tests/simulation.c
+++ b/tests/simulation.c
@@ -25,9 +25,15 @@
  * a file `drains 1` switches them on, `machines N` is how many there are at first, `services N` how
  * many services come first, and `budget A B` what each team bears. */
 #include "simulation.h"
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
+#include "brambledoor/settings.h"
+#include "drain/drain.h"
+#include "leadership/leadership.h"
 #include "sim_drain.h"
 #include "sim_plan.h"
 #include "small.h"
+#include "wire/wire.h"
 #include <math.h>
 #include <stdarg.h>
 #include <stdio.h>
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -11,6 +11,7 @@
 #include "drain_check.h"
 #include "key_table.h"
 #include "wire/frame.h"
+#include "wire/wire.h"
 #include <gsl/gsl_rng.h>
 #include <jansson.h>
 
