--- a/src/adapters/api_server.c
+++ b/src/adapters/api_server.c
@@ -1,6 +1,7 @@
 /* HTTP for users, workers and health checks, on libmicrohttpd: one polling thread, and a
  * connection is suspended while the owner decides. A thread for each connection would not fit
  * the machine's memory. */
+#include "adapters/event.h"
 #include "adapters/node.h"
 #include "base/metrics.h"
 #include "base/timeutil.h"
--- a/src/adapters/cloud_client.c
+++ b/src/adapters/cloud_client.c
@@ -1,10 +1,12 @@
 /* The cloud: machine types and the list for the leader, provisioning requests and returns in order.
  */
 #include "adapters/cloud_client.h"
+#include "adapters/event.h"
 #include "adapters/node.h"
 #include "base/http.h"
 #include "base/metrics.h"
 #include "base/queue.h"
+#include "base/thread.h"
 #include "base/timeutil.h"
 #include "model/effect.h"
 #include "wire/wire.h"
--- a/src/adapters/election.c
+++ b/src/adapters/election.c
@@ -1,10 +1,12 @@
 /* Election by one versioned lease: the key `leader` on a grant of the state service. The revision
  * of the key at acquisition is the term. */
+#include "adapters/event.h"
 #include "adapters/kv_client.h"
 #include "adapters/node.h"
 #include "base/http.h"
 #include "base/metrics.h"
 #include "base/queue.h"
+#include "base/thread.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "wire/wire.h"
--- a/src/adapters/kv_client.c
+++ b/src/adapters/kv_client.c
@@ -1,10 +1,12 @@
 /* The state service: one thread that looks for changes, one that commits the leader's
  * transactions in order, and a few for the users' own. */
 #include "adapters/kv_client.h"
+#include "adapters/event.h"
 #include "adapters/node.h"
 #include "base/http.h"
 #include "base/metrics.h"
 #include "base/queue.h"
+#include "base/thread.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "drain/drain.h"
--- a/src/adapters/node.h
+++ b/src/adapters/node.h
@@ -1,6 +1,7 @@
 /* One running controller: the owner thread and the adapters around it. */
 #ifndef BD_NODE_H
 #define BD_NODE_H
+#include "adapters/event.h"
 #include "base/queue.h"
 #include "brambledoor/log.h"
 #include "brambledoor/settings.h"
@@ -15,57 +16,6 @@
 struct bd_worker_client;
 struct bd_heartbeat_cache;
 
-enum bd_event_kind {
-    BD_EVENT_USER_SUBMIT,
-    BD_EVENT_USER_STATUS,
-    BD_EVENT_USER_CANCEL,
-    BD_EVENT_HEARTBEAT,
-    BD_EVENT_USER_TXN_COMPLETED,
-    BD_EVENT_REPLICA_REFRESHED,
-    BD_EVENT_REPLICA_LISTED,
-    BD_EVENT_LEADER_OBSERVED,
-    BD_EVENT_LEADERSHIP_ACQUIRED,
-    BD_EVENT_LEASE_RENEWED,
-    BD_EVENT_LIVENESS_SENT,
-    BD_EVENT_LIVENESS_WRITTEN,
-    BD_EVENT_LEADERSHIP_LOST,
-    BD_EVENT_LEADER_TXN_COMPLETED,
-    BD_EVENT_DIRECT_COMMAND_COMPLETED,
-    BD_EVENT_MACHINE_TYPES,
-    BD_EVENT_INVENTORY,
-    BD_EVENT_SCALE_OUT_COMPLETED,
-    BD_EVENT_SCALE_IN_COMPLETED,
-    BD_EVENT_PEER_FRAME,
-    BD_EVENT_DELEGATE_RECORDS,
-    BD_EVENT_DELEGATE_TXN_COMPLETED,
-    BD_EVENT_JOB_LOOKUP_COMPLETED,
-    BD_EVENT_DRAIN_RECORDS,
-    BD_EVENT_KV_RATE_EXCEEDED
-};
-
-/* What the adapters tell the owner. Owned by the receiver. */
-struct bd_event {
-    enum bd_event_kind kind;
-    void *request;
-    char *text;
-    size_t len;
-    char name[BD_LABEL];
-    long status;
-    enum bd_txn_outcome outcome; /* COMMITTED */
-    int purpose;                 /* as the effect's status said how it was asked */
-    bool ok;                     /* FOLLOWED: it was answered */
-    uint64_t store_revision, after, number, term;
-    struct timespec sent;
-    struct timespec queued; /* when it was handed to the owner; zero: quietly, it may wait */
-    bool flag;
-    uint32_t machine;
-    json_t *json;
-    json_t *sets; /* DRAINS: their machines' records, or NULL */
-    void *data;   /* one block, by kind */
-    size_t n;
-    struct bd_acquisition gain;
-};
-
 struct bd_node {
     struct bd_settings settings;
     struct bd_log log;
@@ -93,16 +43,6 @@
     struct timespec next_status;
 };
 
-struct bd_event *bd_event_new(enum bd_event_kind kind);
-void bd_event_free(struct bd_event *event);
-void bd_event_post(struct bd_node *node, struct bd_event *event);
-/* what brings nothing new does not wake the owner: it is handled before the next command that does
- */
-void bd_event_post_quietly(struct bd_node *node, struct bd_event *event);
-/* hands what the core wants done to the adapters; owner thread only */
-void bd_effects_perform(struct bd_node *node);
-int bd_thread_start(void *(*run)(void *), void *arg, size_t stack);
-
 int bd_api_start(struct bd_node *node);
 void bd_api_reply(struct bd_node *node, void *request, int status, char *body, int retry_after);
 int bd_kv_client_start(struct bd_node *node);
--- a/src/adapters/peer_listener.c
+++ b/src/adapters/peer_listener.c
@@ -2,10 +2,12 @@
  * thread.
  *
  * One thread, which alone owns the connections that came in. */
+#include "adapters/event.h"
 #include "adapters/node.h"
 #include "adapters/peer_transport.h"
 #include "base/metrics.h"
 #include "base/queue.h"
+#include "base/thread.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "brambledoor/settings.h"
--- a/src/adapters/peer_transport.c
+++ b/src/adapters/peer_transport.c
@@ -10,6 +10,7 @@
 #include "adapters/node.h"
 #include "base/metrics.h"
 #include "base/queue.h"
+#include "base/thread.h"
 #include "base/timeutil.h"
 #include "wire/frame.h"
 #include <arpa/inet.h>
--- a/src/adapters/worker_client.c
+++ b/src/adapters/worker_client.c
@@ -4,10 +4,12 @@
  * connection is used again: at a burst of short tasks opening connections cost the leader more than
  * all the rest. Nothing waits behind a worker that does not answer while another thread is idle.
  * Threads: bd_worker_client_send is called by the owner alone. */
+#include "adapters/event.h"
 #include "adapters/node.h"
 #include "base/http.h"
 #include "base/metrics.h"
 #include "base/queue.h"
+#include "base/thread.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "model/effect.h"
--- a/src/runtime/effect_dispatch.c
+++ b/src/runtime/effect_dispatch.c
@@ -1,4 +1,5 @@
 /* Hands the core's effects to the adapters. Owner thread only. */
+#include "runtime/effect_dispatch.h"
 #include "adapters/node.h"
 #include "base/http.h"
 #include "base/metrics.h"
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -1,5 +1,6 @@
 /* The thread that alone owns the core. It drains the commands in batches and hands the effects
  * to the adapters. */
+#include "adapters/event.h"
 #include "adapters/node.h"
 #include "autoscaling/autoscaling.h"
 #include "base/http.h"
@@ -14,6 +15,7 @@
 #include "leadership/leadership.h"
 #include "model/kv_limits.h"
 #include "model/leadership_state.h"
+#include "runtime/effect_dispatch.h"
 #include "wire/frame.h"
 #include "wire/heartbeat_cache.h"
 #include "wire/wire.h"
@@ -33,56 +35,6 @@
 #define HEARTBEAT_CACHE_SHARE 0.08 /* of the memory, for the machines' newest reports */
 #define METRICS_INTERVAL_S 20.0    /* between the log's lines of traffic and times */
 
-struct bd_event *bd_event_new(enum bd_event_kind kind)
-{
-    struct bd_event *event = calloc(1, sizeof *event);
-    if (!event)
-        abort();
-    event->kind = kind;
-    return event;
-}
-
-void bd_event_free(struct bd_event *event)
-{
-    free(event->text);
-    free(event->data);
-    json_decref(event->json);
-    json_decref(event->sets);
-    json_decref(event->gain.receipts);
-    json_decref(event->gain.intents);
-    free(event);
-}
-
-void bd_event_post(struct bd_node *node, struct bd_event *event)
-{
-    event->queued = bd_now();
-    /* the adapters' own words are few; the API server checks for room before it admits a request */
-    while (!bd_queue_put(&node->events, event))
-        bd_pause(0.01);
-}
-
-void bd_event_post_quietly(struct bd_node *node, struct bd_event *event)
-{
-    if (!bd_queue_put_quietly(&node->events, event))
-        bd_event_post(node, event);
-}
-
-int bd_thread_start(void *(*run)(void *), void *arg, size_t stack)
-{
-    pthread_attr_t attr;
-    pthread_t t;
-    if (pthread_attr_init(&attr) != 0)
-        return -1;
-    size_t size = stack < (size_t)PTHREAD_STACK_MIN ? (size_t)PTHREAD_STACK_MIN : stack;
-    int rc = pthread_attr_setstacksize(&attr, size);
-    if (rc == 0)
-        rc = pthread_attr_setdetachstate(&attr, PTHREAD_CREATE_DETACHED);
-    if (rc == 0)
-        rc = pthread_create(&t, &attr, run, arg);
-    (void)pthread_attr_destroy(&attr);
-    return rc == 0 ? 0 : -1;
-}
-
 static void changes(struct bd_core *core, json_t *log)
 {
     struct bd_change ch;
--- a/tests/direct_commands.c
+++ b/tests/direct_commands.c
@@ -1,10 +1,12 @@
 /* The real senders of direct commands against a machine that takes connections and never answers:
  * what waits in a sender's queue for longer than the right to it lasts is not sent, the owner is
  * told so, and nothing holds up what comes after it. */
+#include "adapters/event.h"
 #include "adapters/node.h"
 #include "base/http.h"
 #include "base/metrics.h"
 #include "base/queue.h"
+#include "base/thread.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "model/effect.h"
