--- a/src/adapters/admin_server.c
+++ b/src/adapters/admin_server.c
@@ -1,6 +1,7 @@
 /* The administration resources, HTTP and JSON on an address of their own. Requests are few and may
  * take seconds (the cloud's list is long), so each connection has a thread that blocks; beyond a
  * few at once the answer is 503. */
+#include "adapters/admin_server.h"
 #include "adapters/admin_store.h"
 #include "adapters/node.h"
 #include "base/http.h"
@@ -191,6 +192,6 @@
         free(server);
         return -1;
     }
-    bd_log_write(&node->log, BD_LOG_INFO, "administration resources on %s", rules->admin_addr);
+    bd_log_write(&node->log, BD_LOG_INFO, "administration API listens on %s", rules->admin_addr);
     return 0;
 }
--- /dev/null
+++ b/src/adapters/admin_server.h
@@ -0,0 +1,9 @@
+/* The administration resources: HTTP on an address of their own. */
+#ifndef BD_ADMIN_SERVER_H
+#define BD_ADMIN_SERVER_H
+
+struct bd_node;
+
+/* Listens, if the operators' file names an address. 0, or -1: cannot listen. */
+int bd_admin_start(struct bd_node *node);
+#endif
--- a/src/adapters/election.c
+++ b/src/adapters/election.c
@@ -222,7 +222,7 @@
     uint64_t term = acquire(self, revision);
     if (term == 0)
         return;
-    bd_log_write(&self->n->log, BD_LOG_INFO, "holds the lease, term %llu",
+    bd_log_write(&self->n->log, BD_LOG_INFO, "leadership acquired, term %llu",
                  (unsigned long long)term);
     struct bd_event *event = bd_event_new(BD_EVENT_LEADERSHIP_ACQUIRED);
     event->sent = self->granted;
@@ -312,7 +312,7 @@
     }
     if (renew(self) == 0) {
         enum view v = see(self, &revision);
-        bd_log_write(&self->n->log, BD_LOG_INFO, "grant is over, view %d", (int)v);
+        bd_log_write(&self->n->log, BD_LOG_INFO, "the grant has expired, view %d", (int)v);
         lost(self);
         return;
     }
--- a/src/adapters/kv_client.c
+++ b/src/adapters/kv_client.c
@@ -287,7 +287,7 @@
         /* of a leader that was cut off or stood still for longer than its grant: its term is over
          */
         bd_log_write(&a->node->log, BD_LOG_INFO,
-                     "transaction %llu of term %s is refused: the grant is over",
+                     "transaction %llu of term %s is refused: the grant has expired",
                      (unsigned long long)a->effect->sequence, a->effect->key);
         return BD_TXN_DEPOSED;
     }
--- a/src/adapters/peer_listener.c
+++ b/src/adapters/peer_listener.c
@@ -128,7 +128,7 @@
     in->len -= taken;
     memmove(in->buf, in->buf + taken, in->len);
     if (used < 0)
-        bd_log_write(&l->n->log, BD_LOG_ERROR, "malformed frame from another controller");
+        bd_log_write(&l->n->log, BD_LOG_ERROR, "malformed frame from a peer");
     return used == 0;
 }
 
--- a/src/adapters/worker_client.c
+++ b/src/adapters/worker_client.c
@@ -139,7 +139,7 @@
     struct sender *s = sender_for(node->worker_client, effect->machine);
     atomic_fetch_add(&s->waiting, 1);
     while (!bd_queue_put(&s->queue, effect)) {
-        bd_log_write(&node->log, BD_LOG_ERROR, "too many direct commands wait");
+        bd_log_write(&node->log, BD_LOG_ERROR, "the queue of direct commands is full");
         bd_pause(0.05);
     }
 }
--- a/src/autoscaling/autoscaler.c
+++ b/src/autoscaling/autoscaler.c
@@ -256,8 +256,8 @@
         if (f)
             count_job(f, job, from);
         else if (!core->lead.classes_said)
-            bd_log_write(core->log, BD_LOG_ERROR,
-                         "more than %d classes: the rest gets no spare room", CLASSES);
+            bd_log_write(core->log, BD_LOG_ERROR, "more than %d classes: the rest gets no headroom",
+                         CLASSES);
         core->lead.classes_said |= !f;
     }
     return n;
@@ -433,7 +433,7 @@
         machine->scaling_in = true;
         machine->scale_in_not_before = bd_add(core->now, bd_secs(6.0));
         snprintf(names[n++], BD_LABEL, "%s", machine->id);
-        bd_log_write(core->log, BD_LOG_INFO, "%s goes back%s", machine->id,
+        bd_log_write(core->log, BD_LOG_INFO, "%s is scaled in%s", machine->id,
                      machine->quarantined ? " (faulty)" : "");
     }
     if (n == 0)
--- a/src/autoscaling/consolidation.c
+++ b/src/autoscaling/consolidation.c
@@ -224,7 +224,8 @@
             t->fetches = r.job->spec.image;
         t->taken = true;
         s->m->consolidating = true;
-        bd_log_write(g->core->log, BD_LOG_INFO, "%s/%u moves off %s", r.job->id, r.task, s->m->id);
+        bd_log_write(g->core->log, BD_LOG_INFO, "%s/%u is consolidated off %s", r.job->id, r.task,
+                     s->m->id);
         bd_task_stop(g->core, r.job, r.task, BD_STOP_CONSOLIDATED, false);
     }
     return away;
--- a/src/autoscaling/inventory.c
+++ b/src/autoscaling/inventory.c
@@ -72,8 +72,8 @@
     struct timespec existed = bd_max(machine->heard, machine->known_at);
     if (machine->gone || machine->in_inventory || bd_between(existed, asked) < lag)
         return;
-    bd_log_write(core->log, BD_LOG_INFO, "%s is gone from the list, %u tasks lost", machine->id,
-                 machine->nreservations);
+    bd_log_write(core->log, BD_LOG_INFO, "%s is gone from the inventory, %u tasks lost",
+                 machine->id, machine->nreservations);
     bd_machine_gone(core, machine);
 }
 
--- a/src/autoscaling/provisioning.c
+++ b/src/autoscaling/provisioning.c
@@ -64,10 +64,9 @@
         machine->age_known = core->now;
     }
     bd_drain_provisioned(core, request, names, status == 200 ? n : 0);
-    bd_log_write(core->log, BD_LOG_INFO,
-                 "provisioning request of %d %s in %s%s: status %ld, %d machines", r.count,
-                 core->types[r.type].label, core->zones[r.zone], r.spot ? " (spot)" : "", status,
-                 n);
+    bd_log_write(core->log, BD_LOG_INFO, "scale out by %d %s in %s%s: status %ld, %d machines",
+                 r.count, core->types[r.type].label, core->zones[r.zone], r.spot ? " (spot)" : "",
+                 status, n);
 }
 
 void bd_scale_in_completed(struct bd_core *core, char (*names)[BD_LABEL], int n, bool ok)
--- a/src/base/metrics.c
+++ b/src/base/metrics.c
@@ -21,19 +21,20 @@
 };
 
 static const char *const traffic_names[BD_TRAFFIC_KINDS] = {
-    "check-in", "poll",     "submission", "cancellation", "health", "invalid",   "refresh",
-    "commit",   "user-txn", "election",   "cloud",        "direct", "heartbeat", "forward"};
+    "heartbeat", "status-read",    "submission",  "cancellation", "health",
+    "invalid",   "refresh",        "commit",      "user-txn",     "election",
+    "cloud",     "direct-command", "peer-status", "forward"};
 static const char *const timing_names[BD_TIMINGS] = {
-    "queue", "check-in", "poll",  "submission", "cancellation",
-    "round", "commit",   "start", "takeover",   "direct"};
+    "queue", "heartbeat", "status-read", "submission", "cancellation",
+    "cycle", "commit",    "start",       "failover",   "direct"};
 
 static gsl_histogram *new_histogram(void)
 {
-    double parent_edges[BINS + 1];
+    double bin_edges[BINS + 1];
     for (size_t i = 0; i <= BINS; i++)
-        parent_edges[i] = MIN_S * exp2((double)i / BINS_A_DOUBLING);
+        bin_edges[i] = MIN_S * exp2((double)i / BINS_A_DOUBLING);
     gsl_histogram *h = gsl_histogram_alloc(BINS);
-    if (h && gsl_histogram_set_ranges(h, parent_edges, BINS + 1) != 0) {
+    if (h && gsl_histogram_set_ranges(h, bin_edges, BINS + 1) != 0) {
         gsl_histogram_free(h);
         h = NULL;
     }
--- a/src/drain/drain.h
+++ b/src/drain/drain.h
@@ -27,7 +27,6 @@
 struct bd_core;
 struct bd_job;
 struct bd_machine;
-struct bd_node;
 struct bd_spec;
 struct elt; /* of libsexp */
 
@@ -241,8 +240,4 @@
 void bd_ledger_count(const struct bd_core *core, const char *team, const char *job_class,
                      uint32_t *down, uint32_t *up);
 
-/* ---- adapters ---- */
-
-/* The administration resources, on an address of their own. 0, or -1: cannot listen. */
-int bd_admin_start(struct bd_node *node);
 #endif
--- a/src/jobs/admission.c
+++ b/src/jobs/admission.c
@@ -426,7 +426,7 @@
             struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_ANNOUNCE_CANCELLATION);
             snprintf(effect->key, sizeof effect->key, "%s", id);
         }
-        bd_decision_log_note(core, "confirm", "job=%s state=%s revision=%llu by=commit", id,
+        bd_decision_log_note(core, "user_confirmed", "job=%s state=%s revision=%llu by=commit", id,
                              purpose == BD_READ_CANCEL ? "cancelled" : "accepted",
                              (unsigned long long)store_revision);
         accepted(core, request, id, (enum bd_read_purpose)purpose);
--- a/src/jobs/dependency_graph.c
+++ b/src/jobs/dependency_graph.c
@@ -90,7 +90,7 @@
     if (--job->nopen_parents > 0)
         return;
     release(core, job);
-    bd_log_write(core->log, BD_LOG_INFO, "%s is ready, %.1f s after its submission", job->id,
+    bd_log_write(core->log, BD_LOG_INFO, "%s is runnable, %.1f s after its submission", job->id,
                  core->wall - job->at);
     core->lead.cycle_wanted = true;
 }
@@ -267,8 +267,8 @@
 {
     job->in_dag = r->damaged || r->parts || json_array_size(r->names) > 0;
     if (r->damaged) {
-        bd_log_write(core->log, BD_LOG_ERROR,
-                     "%s: what it awaits cannot be read: it is not started", job->id);
+        bd_log_write(core->log, BD_LOG_ERROR, "%s: its parents cannot be read: it is not started",
+                     job->id);
         job->nopen_parents = 1;
     } else if (r->parts) {
         job->parts = r->parts;
--- a/src/jobs/replica.c
+++ b/src/jobs/replica.c
@@ -270,7 +270,7 @@
 {
     core->replica.store_revision = store_revision;
     core->replica.ready = true;
-    bd_decision_log_term(core, "relist", "revision=%llu age_ms=%.0f jobs=%u",
+    bd_decision_log_term(core, "replica_listed", "revision=%llu age_ms=%.0f jobs=%u",
                          (unsigned long long)store_revision, 1000 * bd_between(sent, core->now),
                          HASH_COUNT(core->jobs));
     core->replica.refreshed_at = bd_max(core->replica.refreshed_at, sent);
--- a/src/leadership/commit.c
+++ b/src/leadership/commit.c
@@ -129,7 +129,7 @@
         bd_task_release(core, commit->plan[i].job, commit->plan[i].task,
                         BD_RELEASE_INTENT_NOT_COMMITTED);
     if (named < commit->nplan)
-        bd_log_write(core->log, BD_LOG_ERROR, "%u starts did not fit the intent records",
+        bd_log_write(core->log, BD_LOG_ERROR, "%u launches did not fit the intent records",
                      commit->nplan - named);
     commit->nplan = named;
 }
--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -54,7 +54,8 @@
             continue;
         }
         bd_task_set(core, e->job, e->task, BD_TASK_LAUNCHING);
-        bd_decision_log_task(core, "place", e->job, e->task, e->attempt, machine, committed);
+        bd_decision_log_task(core, "intent_committed", e->job, e->task, e->attempt, machine,
+                             committed);
         if (!e->job->started)
             bd_metrics_time(core->metrics, BD_TIMING_START, core->wall - e->job->ready);
         e->job->started = true;
@@ -112,15 +113,15 @@
 static void done_kept(struct bd_core *core, struct bd_job *job, uint64_t store_revision)
 {
     double age = core->wall - job->at;
-    bd_log_write(
-        core->log, BD_LOG_INFO,
-        "%s is done: %u tasks, rank %d, guess %.0f s; last placed after %.1f s, last begun after "
-        "%.1f s, done after %.1f s, %u places lost",
-        job->id, job->ntasks, (int)job->spec.priority, job->spec.estimate,
-        age - bd_between(job->last_placed_at, core->now),
-        age - bd_between(job->last_started_at, core->now), age, job->restarts);
-    bd_decision_log_note(core, "confirm", "job=%s state=done revision=%llu by=commit", job->id,
-                         (unsigned long long)store_revision);
+    bd_log_write(core->log, BD_LOG_INFO,
+                 "%s is done: %u tasks, priority %d, estimate %.0f s; last placed after %.1f s, "
+                 "last started after "
+                 "%.1f s, done after %.1f s, %u reservations lost",
+                 job->id, job->ntasks, (int)job->spec.priority, job->spec.estimate,
+                 age - bd_between(job->last_placed_at, core->now),
+                 age - bd_between(job->last_started_at, core->now), age, job->restarts);
+    bd_decision_log_note(core, "user_confirmed", "job=%s state=done revision=%llu by=commit",
+                         job->id, (unsigned long long)store_revision);
     job->revision = store_revision;
     job->state = BD_JOB_DONE;
     job->end = core->wall;
@@ -139,7 +140,7 @@
         core->lead.last_token_raise = core->now;
         core->lead.fenced_attempt = (core->lead.base_term << 20) + core->lead.counter;
         core->lead.withheld = 0;
-        bd_decision_log_term(core, "token", "base=%llu term=%llu",
+        bd_decision_log_term(core, "fencing_token_raised", "base=%llu term=%llu",
                              (unsigned long long)core->lead.base_term,
                              (unsigned long long)store_revision);
     }
--- a/src/leadership/leadership.c
+++ b/src/leadership/leadership.c
@@ -132,7 +132,7 @@
         bd_between(core->replica.refreshed_at, core->now) < BLIND_S || !cut_alone(core))
         return;
     bd_log_write(core->log, BD_LOG_INFO,
-                 "the records cannot be read here, but elsewhere: gives up the lease");
+                 "the records cannot be read here but elsewhere: leadership resigned");
     bd_leadership_lost(core);
     core->last->status = BD_STEP_DOWN_RESIGNED;
 }
@@ -141,8 +141,9 @@
 {
     if (core->role != BD_LEADER)
         return;
-    bd_log_write(core->log, BD_LOG_INFO, "term %llu is over", (unsigned long long)core->lead.term);
-    bd_decision_log_term(core, "lost", "base=%llu term=%llu valid_s=%.2f refreshed_s=%.2f",
+    bd_log_write(core->log, BD_LOG_INFO, "leadership lost, term %llu",
+                 (unsigned long long)core->lead.term);
+    bd_decision_log_term(core, "term_lost", "base=%llu term=%llu valid_s=%.2f refreshed_s=%.2f",
                          (unsigned long long)core->lead.base_term,
                          (unsigned long long)core->lead.term,
                          bd_between(core->now, core->lead.valid_until),
--- a/src/leadership/reconciliation.c
+++ b/src/leadership/reconciliation.c
@@ -3,7 +3,6 @@
 #include "base/metrics.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
-#include "drain/drain.h"
 #include "leadership/commit.h"
 #include "leadership/leadership.h"
 #include "model/catalog.h"
@@ -109,14 +108,14 @@
                 continue;
             bd_task_assign(core, e->job, e->task, machine, e->attempt, BD_TASK_UNKNOWN);
             task->flags |= BD_TASK_FLAG_LAUNCH_SENT;
-            bd_decision_log_task(core, "unknown", e->job, e->task, e->attempt, machine, intent);
+            bd_decision_log_task(core, "task_unknown", e->job, e->task, e->attempt, machine,
+                                 intent);
             if (e->job->state != BD_JOB_ACTIVE)
                 task->flags |= BD_TASK_FLAG_STOP_REQUESTED | BD_TASK_FLAG_FORCED_STOP;
             unknown++;
         }
     }
-    bd_log_write(core->log, BD_LOG_INFO,
-                 "term %llu: %u intent records, %u tasks to be accounted for",
+    bd_log_write(core->log, BD_LOG_INFO, "term %llu: %u intent records, %u tasks to reconcile",
                  (unsigned long long)core->lead.base_term, core->lead.nintent_records, unknown);
 }
 
@@ -173,9 +172,9 @@
 static void log_term(struct bd_core *core, const struct bd_acquisition *acquisition)
 {
     bd_decision_log_term(
-        core, "lead",
+        core, "term_acquired",
         "term=%llu grant=%llu replica=%llu replica_age_ms=%.0f w=%llu receipts=%zu "
-        "intents=%zu others_lapse_s=%.1f",
+        "intents=%zu earlier_leases_s=%.1f",
         (unsigned long long)acquisition->term, (unsigned long long)acquisition->grant,
         (unsigned long long)core->replica.store_revision,
         1000 * bd_between(core->replica.refreshed_at, core->now),
--- a/src/model/decision_log.c
+++ b/src/model/decision_log.c
@@ -15,18 +15,19 @@
 static const char *const ends[] = {[BD_RELEASE_INTENT_NOT_COMMITTED] = "not_committed",
                                    [BD_RELEASE_LAUNCH_NOT_SENT] = "not_sent",
                                    [BD_RELEASE_EXITED] = "exited",
-                                   [BD_RELEASE_NOT_REPORTED] = "not_shown",
-                                   [BD_RELEASE_NEW_INCARNATION] = "new_session",
-                                   [BD_RELEASE_LEASE_EXPIRED] = "lease_over",
+                                   [BD_RELEASE_NOT_REPORTED] = "not_reported",
+                                   [BD_RELEASE_NEW_INCARNATION] = "new_incarnation",
+                                   [BD_RELEASE_LEASE_EXPIRED] = "lease_expired",
                                    [BD_RELEASE_MACHINE_GONE] = "machine_gone",
                                    [BD_RELEASE_MACHINE_FAILED] = "machine_failed",
                                    [BD_RELEASE_MOVED] = "moved",
                                    [BD_RELEASE_DONE] = "done"};
 static const char *const stops[] = {
-    [BD_STOP_CANCELLED] = "cancelled",   [BD_STOP_PREEMPTED] = "preempted",
-    [BD_STOP_CONSOLIDATED] = "gathered", [BD_STOP_DRAINED] = "drained",
-    [BD_STOP_EVACUATED] = "evacuated",   [BD_STOP_GANG] = "gang"};
-static const char *const states[] = {"wait", "plan", "launch", "live", "unknown", "done"};
+    [BD_STOP_CANCELLED] = "cancelled",       [BD_STOP_PREEMPTED] = "preempted",
+    [BD_STOP_CONSOLIDATED] = "consolidated", [BD_STOP_DRAINED] = "drained",
+    [BD_STOP_EVACUATED] = "evacuated",       [BD_STOP_GANG] = "gang"};
+static const char *const states[] = {"pending",   "planned", "launching",
+                                     "confirmed", "unknown", "done"};
 
 static bool wanted(const struct bd_core *core)
 {
@@ -106,8 +107,9 @@
 {
     const char *space = why && *why ? " " : "";
     if (machine)
-        snprintf(out, cap, "machine=%s %s%ssession=%llu seq=%llu seen=%llu term=%llu", machine->id,
-                 why ? why : "", space, (unsigned long long)machine->incarnation,
+        snprintf(out, cap,
+                 "machine=%s %s%sincarnation=%llu heartbeat=%llu token_seen=%llu term=%llu",
+                 machine->id, why ? why : "", space, (unsigned long long)machine->incarnation,
                  (unsigned long long)machine->seq, (unsigned long long)machine->fencing_token,
                  (unsigned long long)core->lead.term);
     else
@@ -187,8 +189,8 @@
     if (!wanted(core))
         return;
     snprintf(text, sizeof text, "why=%s state=%s", ends[why], states[held->state]);
-    bd_decision_log_task(core, "free", job, task, held->attempt, bd_machine_of(core, held->machine),
-                         text);
+    bd_decision_log_task(core, "reservation_released", job, task, held->attempt,
+                         bd_machine_of(core, held->machine), text);
 }
 
 void bd_decision_log_stop(struct bd_core *core, const struct bd_job *job, uint32_t task,
@@ -199,6 +201,6 @@
     if (!wanted(core))
         return;
     snprintf(text, sizeof text, "why=%s force=%d state=%s", stops[why], force, states[held->state]);
-    bd_decision_log_task(core, "stop", job, task, held->attempt, bd_machine_of(core, held->machine),
-                         text);
+    bd_decision_log_task(core, "stop_requested", job, task, held->attempt,
+                         bd_machine_of(core, held->machine), text);
 }
--- a/src/model/kv_limits.c
+++ b/src/model/kv_limits.c
@@ -45,11 +45,10 @@
     core->kv_limits.refused_at = core->now;
     core->kv_limits.kv_value_bytes_max = smaller(was.kv_value_bytes_max, VALUE_MIN);
     core->kv_limits.kv_txn_ops_max = smaller(was.kv_txn_ops_max, OPS_MIN);
-    bd_log_write(
-        core->log, BD_LOG_ERROR,
-        "the state service calls %s malformed: values of at most %zu bytes and %zu changes from "
-        "now on",
-        what, core->kv_limits.kv_value_bytes_max, core->kv_limits.kv_txn_ops_max);
+    bd_log_write(core->log, BD_LOG_ERROR,
+                 "the key-value store rejects %s: values of at most %zu bytes and %zu changes from "
+                 "now on",
+                 what, core->kv_limits.kv_value_bytes_max, core->kv_limits.kv_txn_ops_max);
     return core->kv_limits.kv_value_bytes_max < was.kv_value_bytes_max ||
            core->kv_limits.kv_txn_ops_max < was.kv_txn_ops_max;
 }
@@ -75,7 +74,7 @@
     if (core->lead.write_budget > 0)
         core->lead.write_budget = 0;
     bd_log_write(core->log, BD_LOG_INFO,
-                 "the state service is asked too much: %.1f changes a second",
+                 "the key-value store's rate is exceeded: %.1f changes a second",
                  core->kv_limits.write_rps);
 }
 
@@ -98,7 +97,7 @@
     l->grown_at = core->now;
     l->kv_value_bytes_max = larger(l->kv_value_bytes_max, core->settings->kv_value_bytes_max);
     l->kv_txn_ops_max = larger(l->kv_txn_ops_max, core->settings->kv_txn_ops_max);
-    bd_log_write(core->log, BD_LOG_INFO, "tries values of up to %zu bytes and %zu changes again",
+    bd_log_write(core->log, BD_LOG_INFO, "raises the limits to values of %zu bytes and %zu changes",
                  l->kv_value_bytes_max, l->kv_txn_ops_max);
 }
 
--- a/src/runtime/effect_dispatch.c
+++ b/src/runtime/effect_dispatch.c
@@ -39,7 +39,7 @@
     f.len = effect->body ? (uint32_t)strlen(effect->body) : 0;
     f.count = 0;
     if (!bd_transport_send(node, effect->peer, &f))
-        bd_log_write(&node->log, BD_LOG_DEBUG, "a frame to another controller was dropped");
+        bd_log_write(&node->log, BD_LOG_DEBUG, "a frame to a peer was dropped");
 }
 
 /* To all controllers that understand it; the others learn of it from the records, as we would. */
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -1,5 +1,6 @@
 /* The thread that alone owns the core. It drains the commands in batches and hands the effects
  * to the adapters. */
+#include "adapters/admin_server.h"
 #include "adapters/event.h"
 #include "adapters/node.h"
 #include "autoscaling/autoscaling.h"
@@ -309,7 +310,7 @@
     uint32_t all, repeated;
     bd_heartbeat_cache_counts(node->heartbeats, &all, &repeated);
     if (all > 0)
-        bd_log_write(&node->log, BD_LOG_INFO, "reports: %u, %u of them as the machine's last", all,
+        bd_log_write(&node->log, BD_LOG_INFO, "heartbeats: %u, %u of them unchanged", all,
                      repeated);
     if (!bd_is_zero(node->metrics_since))
         bd_metrics_report(node->metrics, &node->log, bd_between(node->metrics_since, now));
--- a/src/scheduling/cycle.c
+++ b/src/scheduling/cycle.c
@@ -2,7 +2,6 @@
  * time; recovery reads them back. */
 #include "base/metrics.h"
 #include "base/timeutil.h"
-#include "drain/drain.h"
 #include "jobs/jobs.h"
 #include "leadership/commit.h"
 #include "model/core_state.h"
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -74,8 +74,8 @@
             (direct && task->attempt <= core->lead.fenced_attempt))
             continue;
         bd_commands_append(commands, BD_COMMAND_LAUNCH, job->id, i, task->attempt, 0);
-        bd_decision_log_task(core, "start", job, i, task->attempt, machine,
-                             direct ? "via=direct" : "via=answer");
+        bd_decision_log_task(core, "launch_sent", job, i, task->attempt, machine,
+                             direct ? "via=direct" : "via=reply");
         task->flags |= direct ? BD_TASK_FLAG_LAUNCH_SENT | BD_TASK_FLAG_DIRECT_LAUNCH_IN_FLIGHT
                               : BD_TASK_FLAG_LAUNCH_SENT | BD_TASK_FLAG_LAUNCH_IN_REPLY;
         launch = true;
@@ -109,7 +109,8 @@
                                   struct bd_command_list *commands)
 {
     bd_commands_append(commands, BD_COMMAND_HALT, s->job, s->task, s->attempt, 0);
-    bd_decision_log_task(core, "halt", job, s->task, s->attempt, NULL, "why=cancelled via=answer");
+    bd_decision_log_task(core, "halt_sent", job, s->task, s->attempt, NULL,
+                         "why=cancelled via=reply");
 }
 
 /* Halts of what users have cancelled: nobody's leave is needed for these, and the machine need not
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -144,7 +144,7 @@
     if (delegate->nserved < most_machines(core) &&
         len + RECORD_HEAD < core->kv_limits.kv_value_bytes_max)
         return true;
-    bd_log_write(core->log, BD_LOG_ERROR, "a delegate's record is full with %u machines",
+    bd_log_write(core->log, BD_LOG_ERROR, "the delegate record is full with %u machines",
                  delegate->nserved);
     return false;
 }
@@ -264,9 +264,10 @@
     else
         *said = core->now;
     bd_decision_log_note(
-        core, "answer",
-        "machine=%s by=%s session=%llu seq=%llu seen=%llu term=%llu refreshed_s=%.2f",
-        heartbeat->machine, served ? "delegate" : "standby",
+        core, "lease_renewed",
+        "machine=%s by=%s incarnation=%llu heartbeat=%llu token_seen=%llu term=%llu "
+        "refreshed_s=%.2f",
+        heartbeat->machine, served ? "delegate" : "autonomous_zone",
         (unsigned long long)heartbeat->incarnation, (unsigned long long)heartbeat->seq,
         (unsigned long long)heartbeat->fencing_token, (unsigned long long)fencing_token,
         bd_between(core->replica.refreshed_at, core->now));
@@ -331,7 +332,7 @@
     if (status == 400)
         (void)bd_kv_limits_rejected(core, "the delegate's record");
     if (status != 200)
-        bd_log_write(core->log, BD_LOG_INFO, "the delegate's record was not written: status %ld",
+        bd_log_write(core->log, BD_LOG_INFO, "the delegate record was not written: status %ld",
                      status);
     /* a leader's key that was only rewritten is no reason to send the workers round */
     answer_asking(core, status != 200 && status != 409);
@@ -438,7 +439,7 @@
         return delegate->nprobes < delegate->batch && ago < CONSOLIDATE_INTERVAL_S &&
                send_probe(core, heartbeat);
     if (delegate->nprobes > 0) {
-        bd_log_write(core->log, BD_LOG_INFO, "%u workers did reach %s, whom we do not hear",
+        bd_log_write(core->log, BD_LOG_INFO, "%u workers reach %s, which this node does not hear",
                      delegate->nprobes, core->leader_name);
         delegate->batch = delegate->batch * 2 < BD_PROBES ? delegate->batch * 2 : BD_PROBES;
         delegate->nprobes = 0;
@@ -503,7 +504,7 @@
     }
     let_wait(core, request, heartbeat);
     if (delegate->nserved == 1)
-        bd_log_write(core->log, BD_LOG_INFO, "%s is not heard: answers its workers, first %s",
+        bd_log_write(core->log, BD_LOG_INFO, "acts as delegate: %s is not heard; first worker %s",
                      core->leader_name, heartbeat->machine);
     delegate->next_confirm = core->now;
     return true;
--- a/src/workers/delegate_view.c
+++ b/src/workers/delegate_view.c
@@ -76,7 +76,7 @@
     /* it may have heard us meanwhile, and what the key says of it be over */
     if (first || bd_between(s->named, core->now) > AGAIN_S) {
         s->named = core->now;
-        bd_log_write(core->log, BD_LOG_INFO, "%s answers for us needlessly: %s came here", s->key,
+        bd_log_write(core->log, BD_LOG_INFO, "delegate %s is not needed: %s reports here", s->key,
                      machine->id);
         core->lead.token_raise_wanted = true;
     }
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -47,8 +47,7 @@
     machine->error_job = job;
     if (machine->errors >= FAILING_ERRORS && !machine->quarantined) {
         machine->quarantined = true;
-        bd_log_write(core->log, BD_LOG_INFO, "%s fails its tasks and is taken out of use",
-                     machine->id);
+        bd_log_write(core->log, BD_LOG_INFO, "%s is quarantined: its tasks fail", machine->id);
     }
 }
 
@@ -95,7 +94,7 @@
     if (late < SLOW_TASKS)
         return;
     machine->quarantined = true;
-    bd_log_write(core->log, BD_LOG_INFO, "%s runs %u tasks far too slowly and is taken out of use",
+    bd_log_write(core->log, BD_LOG_INFO, "%s is quarantined: it runs %u tasks far too slowly",
                  machine->id, late);
 }
 
@@ -180,14 +179,14 @@
         }
         /* no intent names it, yet it runs: holding it here is what keeps it from running twice */
         bd_task_assign(core, job, s->task, machine, s->attempt, BD_TASK_CONFIRMED);
-        bd_decision_log_task(core, "adopt", job, s->task, s->attempt, machine,
-                             "why=shown_without_intent");
+        bd_decision_log_task(core, "task_reconciled", job, s->task, s->attempt, machine,
+                             "why=reported_without_intent");
         if (job->state != BD_JOB_ACTIVE)
             task->flags |= BD_TASK_FLAG_STOP_REQUESTED | BD_TASK_FLAG_FORCED_STOP;
     }
     if (task->state == BD_TASK_UNKNOWN)
-        bd_decision_log_task(core, "adopt", job, s->task, s->attempt, machine,
-                             "why=intent_and_report");
+        bd_decision_log_task(core, "task_reconciled", job, s->task, s->attempt, machine,
+                             "why=intent_and_heartbeat");
     uint8_t flags = task->flags;
     if (s->execution == BD_EXECUTION_RUNNING &&
         (task->execution != BD_EXECUTION_RUNNING || task->state != BD_TASK_CONFIRMED)) {
@@ -337,8 +336,8 @@
 {
     if (machine->answered && (machine->answered_seen || !machine->fenced))
         return;
-    bd_decision_log_machine(core, "answer", machine,
-                            machine->fenced ? "by=leader evidence=yes" : "by=leader evidence=no");
+    bd_decision_log_machine(core, "lease_renewed", machine,
+                            machine->fenced ? "by=leader fenced=yes" : "by=leader fenced=no");
     machine->answered = true;
     machine->answered_seen = machine->fenced;
 }
@@ -499,7 +498,7 @@
  * its next check-in. */
 static void direct_not_sent(struct bd_core *core, struct bd_machine *machine, bool launch)
 {
-    bd_decision_log_machine(core, "unsent", machine, launch ? "launch=1" : "launch=0");
+    bd_decision_log_machine(core, "command_expired", machine, launch ? "launch=1" : "launch=0");
     if (launch && machine->late_launch_token == 0)
         exclude_late_launches(machine);
     machine->direct_not_before = bd_add(core->now, core->settings->heartbeat_interval);
--- a/src/workers/lease_expiry.c
+++ b/src/workers/lease_expiry.c
@@ -27,7 +27,7 @@
          */
         if (machine->delegated || bd_before(core->delegates.read_at, machine->lease_expires_at))
             continue;
-        bd_log_write(core->log, BD_LOG_INFO, "%s: lease over, %u tasks lost", machine->id,
+        bd_log_write(core->log, BD_LOG_INFO, "%s: lease expired, %u tasks lost", machine->id,
                      machine->nreservations);
         machine->expired_incarnation = machine->incarnation;
         machine->fenced = false;
--- a/tests/audit.c
+++ b/tests/audit.c
@@ -44,37 +44,40 @@
 {
     static const uint32_t tasks[] = {0, 1, 2, 5, 7, 8};
     for (size_t i = 0; i < sizeof tasks / sizeof *tasks; i++)
-        bd_decision_log_task(core, "start", job, tasks[i], 77, machine, "via=direct");
+        bd_decision_log_task(core, "launch_sent", job, tasks[i], 77, machine, "via=direct");
     check("a line waits for more tasks", *written(fd) == '\0');
-    bd_decision_log_task(core, "start", job, 9, 78, machine, "via=direct");
+    bd_decision_log_task(core, "launch_sent", job, 9, 78, machine, "via=direct");
     check("another attempt begins a line",
-          strstr(written(fd), "event=start job=job-1 attempt=77 task=0-2,5,7-8 machine=vm-1 "
-                              "via=direct session=3 seq=9 seen=41 term=44\n") != NULL);
+          strstr(written(fd),
+                 "event=launch_sent job=job-1 attempt=77 task=0-2,5,7-8 machine=vm-1 "
+                 "via=direct incarnation=3 heartbeat=9 token_seen=41 term=44\n") != NULL);
     (void)bd_effects_take(core);
     check("what allowed an effect is written before it is taken",
           strstr(written(fd), "attempt=78 task=9 ") != NULL);
     for (uint32_t i = 0; i < 400; i += 2)
-        bd_decision_log_task(core, "start", job, i, 79, machine, "");
+        bd_decision_log_task(core, "launch_sent", job, i, 79, machine, "");
     bd_decision_log_flush(core);
     const char *text = written(fd);
     check("no task is left out of a long list", strstr(text, "task=0,2,4,") != NULL &&
                                                     strstr(text, ",398 machine") != NULL &&
-                                                    lines_with(text, "event=start") > 1);
+                                                    lines_with(text, "event=launch_sent") > 1);
 }
 
 static void rate(struct bd_core *core, struct timespec now, int fd)
 {
     bd_core_set_clock(core, bd_add(now, bd_secs(100)), 1100);
     for (int i = 0; i < 5000; i++)
-        bd_decision_log_note(core, "answer", "n=%d", i);
-    check("no more lines at once than the bound", lines_with(written(fd), "event=answer") == 400);
+        bd_decision_log_note(core, "lease_renewed", "n=%d", i);
+    check("no more lines at once than the bound",
+          lines_with(written(fd), "event=lease_renewed") == 400);
     bd_core_set_clock(core, bd_add(now, bd_secs(100.5)), 1100.5);
-    bd_decision_log_note(core, "answer", "n=early");
+    bd_decision_log_note(core, "lease_renewed", "n=early");
     check("after that, no line before a second's are free", *written(fd) == '\0');
-    bd_decision_log_term(core, "lead", "term=7");
-    check("who leads is always written", strstr(written(fd), "event=lead term=7\n") != NULL);
+    bd_decision_log_term(core, "term_acquired", "term=7");
+    check("who leads is always written",
+          strstr(written(fd), "event=term_acquired term=7\n") != NULL);
     bd_core_set_clock(core, bd_add(now, bd_secs(101.1)), 1101.1);
-    bd_decision_log_note(core, "answer", "n=last");
+    bd_decision_log_note(core, "lease_renewed", "n=last");
     check("how many were left out is said",
           strstr(written(fd), "event=suppressed lines=4601\n") != NULL);
 }
@@ -99,8 +102,8 @@
     ranges(core, &job, &machine, fds[0]);
     rate(core, now, fds[0]);
     log.level = BD_LOG_ERROR;
-    bd_decision_log_task(core, "start", &job, 0, 1, &machine, "");
-    bd_decision_log_note(core, "lead", "term=1");
+    bd_decision_log_task(core, "launch_sent", &job, 0, 1, &machine, "");
+    bd_decision_log_note(core, "term_acquired", "term=1");
     bd_decision_log_flush(core);
     check("nothing is written below info", *written(fds[0]) == '\0');
     bd_core_free(core);
