--- a/src/base/metrics.c
+++ b/src/base/metrics.c
@@ -26,7 +26,7 @@
     "cloud",     "direct-command", "peer-status", "forward"};
 static const char *const timing_names[BD_TIMINGS] = {
     "queue", "heartbeat", "status-read", "submission", "cancellation",
-    "cycle", "commit",    "start",       "failover",   "direct"};
+    "cycle", "commit",    "start",       "failover",   "direct-command"};
 
 static gsl_histogram *new_histogram(void)
 {
