--- a/src/core/core.c
+++ b/src/core/core.c
@@ -7,6 +7,7 @@
 #include "leadership/commit.h"
 #include "leadership/leadership.h"
 #include "model/catalog.h"
+#include "model/disruption_ledger.h"
 #include "model/effect.h"
 #include "model/kv_limits.h"
 #include "model/leadership_state.h"
@@ -27,8 +28,11 @@
     bd_kv_limits_init(core);
     for (int i = 0; i < settings->nzones; i++)
         (void)bd_zone_index(core, settings->zones[i]);
-    if (settings->draining)
+    const struct bd_drain_rules *rules = settings->draining;
+    if (rules) {
+        core->ledger = bd_ledger_new(settings, rules->budgets, rules->nbudgets);
         core->drains = bd_drains_new(settings);
+    }
     return core;
 }
 
@@ -54,7 +58,9 @@
     struct bd_job *job, *jt;
     struct bd_machine *machine, *mt;
     bd_drains_free(core->drains);
+    bd_ledger_free(core->ledger);
     core->drains = NULL;
+    core->ledger = NULL;
     HASH_ITER(hh, core->jobs, job, jt)
     {
         HASH_DEL(core->jobs, job);
--- a/src/drain/candidate.c
+++ b/src/drain/candidate.c
@@ -2,6 +2,7 @@
  * Part of the pure core. */
 #include "drain/drain_internal.h"
 #include "model/core_state.h"
+#include "model/disruption_ledger.h"
 #include "model/machine.h"
 #include "model/resources.h"
 #include "model/task.h"
@@ -74,7 +75,7 @@
 {
     for (uint32_t i = 0; i < candidate->nneeds; i++) {
         struct bd_need *need = &candidate->needs[i];
-        uint32_t most = bd_budget_allowed(&core->drains->ledger.budgets[need->budget]);
+        uint32_t most = bd_budget_allowed(&core->ledger->budgets[need->budget]);
         if (need->tasks > most && need->largest <= most)
             need->tasks = most;
     }
--- a/src/drain/drain.c
+++ b/src/drain/drain.c
@@ -6,6 +6,7 @@
 #include "drain/drain_internal.h"
 #include "leadership/leadership.h"
 #include "model/core_state.h"
+#include "model/disruption_ledger.h"
 #include "model/task.h"
 #include "model/task_state.h"
 #include <stdio.h>
@@ -22,12 +23,6 @@
     if (!drains)
         return NULL;
     drains->rules = settings->draining;
-    drains->cordoned = roaring_bitmap_create();
-    drains->kept = roaring_bitmap_create();
-    drains->scaling_in = roaring_bitmap_create();
-    if (!drains->cordoned || !drains->kept || !drains->scaling_in)
-        abort();
-    bd_ledger_init(&drains->ledger, settings);
     return drains;
 }
 
@@ -36,10 +31,6 @@
     if (!drains)
         return;
     bd_drains_forget(drains);
-    bd_ledger_free(&drains->ledger);
-    roaring_bitmap_free(drains->cordoned);
-    roaring_bitmap_free(drains->kept);
-    roaring_bitmap_free(drains->scaling_in);
     free(drains->owners);
     free(drains);
 }
@@ -73,17 +64,29 @@
 
 bool bd_drain_cordoned(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return core->drains && roaring_bitmap_contains(core->drains->cordoned, machine->index);
+    (void)core;
+    return machine->cordoned;
 }
 
 bool bd_drain_keeps(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return core->drains && roaring_bitmap_contains(core->drains->kept, machine->index);
+    (void)core;
+    return machine->kept_for_drain;
 }
 
 bool bd_drain_returns(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return core->drains && roaring_bitmap_contains(core->drains->scaling_in, machine->index);
+    (void)core;
+    return machine->scale_in_for_drain;
+}
+
+static void clear_machines(struct bd_core *core)
+{
+    for (uint32_t i = 0; i < core->nmachines; i++) {
+        core->by_index[i]->cordoned = false;
+        core->by_index[i]->kept_for_drain = false;
+        core->by_index[i]->scale_in_for_drain = false;
+    }
 }
 
 /* ---- entries ---- */
@@ -226,17 +229,18 @@
     struct bd_machine *replacement =
         *m->replacement ? bd_drain_machine_named(core, m->replacement) : NULL;
     if (replacement)
-        roaring_bitmap_add(drains->kept, replacement->index);
+        replacement->kept_for_drain = true;
     if (!machine || machine->gone)
         return;
-    bool first = roaring_bitmap_add_checked(drains->cordoned, machine->index);
+    bool first = !machine->cordoned;
+    machine->cordoned = true;
     if (first)
         drains->owners[machine->index] = m;
     bool back = drain->record.mode == BD_DRAIN_RETIRE
                     ? m->stage == BD_STAGE_EMPTY && m->recorded == BD_STAGE_EMPTY
                     : m->stage == BD_STAGE_REPLACED && m->recorded == BD_STAGE_REPLACED;
     if (first && back)
-        roaring_bitmap_add(drains->scaling_in, machine->index);
+        machine->scale_in_for_drain = true;
 }
 
 /* Of two drains that cover a machine the first by name drives it, the other shows the same. */
@@ -265,9 +269,7 @@
 static void cordon(struct bd_core *core)
 {
     struct bd_drains *drains = core->drains;
-    roaring_bitmap_clear(drains->cordoned);
-    roaring_bitmap_clear(drains->kept);
-    roaring_bitmap_clear(drains->scaling_in);
+    clear_machines(core);
     free(drains->owners);
     drains->nowners = core->nmachines;
     drains->owners = calloc(core->nmachines + 1, sizeof *drains->owners);
@@ -310,7 +312,7 @@
 
 static void say_budgets(const struct bd_core *core)
 {
-    const struct bd_ledger *ledger = &core->drains->ledger;
+    const struct bd_ledger *ledger = core->ledger;
     for (uint32_t i = 0; i < ledger->nbudgets; i++) {
         const struct bd_budget *budget = &ledger->budgets[i];
         if (budget->up + budget->down > 0)
@@ -377,14 +379,16 @@
     core->drains->steps = 0;
     bd_ledger_leadership_acquired(core);
     bd_drains_forget(core->drains);
+    clear_machines(core);
 }
 
 void bd_drain_leadership_lost(struct bd_core *core)
 {
     if (!core->drains)
         return;
-    bd_ledger_clear(&core->drains->ledger);
+    bd_ledger_clear(core->ledger);
     bd_drains_forget(core->drains);
+    clear_machines(core);
 }
 
 bool bd_drain_look(const struct bd_core *core, const char *name, const char *machine,
@@ -414,7 +418,7 @@
         return false;
     for (uint32_t i = 0; i < candidate.nneeds; i++)
         if (candidate.needs[i].tasks >
-            bd_budget_left(&core->drains->ledger.budgets[candidate.needs[i].budget]))
+            bd_budget_left(&core->ledger->budgets[candidate.needs[i].budget]))
             return false;
     return true;
 }
--- a/src/drain/drain.h
+++ b/src/drain/drain.h
@@ -2,7 +2,6 @@
  * of its tasks down at once by our doing than it declared. The one header of the package.
  *
  *   rules.c       the operators' declarations
- *   ledger.c      which tasks are down, by team and class: the one count that all disruption uses
  *   record.c      a drain's records in the state service
  *   request.c     what an administrator asks for, judged
  *   candidate.c   what emptying a machine would take: tasks by budget, and room
@@ -18,6 +17,7 @@
 #ifndef BD_DRAIN_H
 #define BD_DRAIN_H
 #include "brambledoor/settings.h"
+#include "model/disruption_ledger.h"
 #include "wire/wire.h"
 #include <jansson.h>
 #include <stdbool.h>
@@ -34,14 +34,6 @@
 
 enum bd_drain_planner { BD_PLANNER_GREEDY, BD_PLANNER_SOLVER };
 
-/* The most tasks of a team, or of one class of it, that may be down by disruption at once. */
-struct bd_budget_rule {
-    char team[BD_NAME];      /* empty: of every team that has no rule of its own */
-    char job_class[BD_NAME]; /* empty: all of the team's tasks */
-    bool per_cent;           /* of the tasks that are to run; rounded down, at least one */
-    double amount;
-};
-
 /* Machines that administrators may name by a label; empty fields match all. */
 struct bd_selection {
     char label[BD_NAME], type[BD_NAME], zone[BD_NAME];
@@ -188,7 +180,7 @@
                                   const struct bd_cloud_machine *listed, size_t n,
                                   struct bd_drain_refusal *no);
 
-/* ---- the leader's part (drain.c, ledger.c, steps.c, replacement.c) ---- */
+/* ---- the leader's part (drain.c, steps.c, replacement.c) ---- */
 
 struct bd_drains;
 struct bd_drains *bd_drains_new(const struct bd_settings *settings);
@@ -232,12 +224,4 @@
 void bd_drain_demand(struct bd_core *core, void (*want)(void *arg, const struct bd_spec *spec),
                      void *arg);
 
-/* The ledger: a task's state has changed; a job is over or not ours to lead any more. */
-void bd_ledger_task(struct bd_core *core, struct bd_job *job, uint32_t i);
-void bd_ledger_forget(struct bd_core *core, const struct bd_job *job);
-/* Tasks of the team (or of its class, if that has a budget of its own) that are down, and those
- * that are up; for tests and the log. */
-void bd_ledger_count(const struct bd_core *core, const char *team, const char *job_class,
-                     uint32_t *down, uint32_t *up);
-
 #endif
--- a/src/drain/drain_internal.h
+++ b/src/drain/drain_internal.h
@@ -12,48 +12,6 @@
 #include <roaring/roaring.h>
 #include <uthash.h>
 
-/* ---- ledger.c ---- */
-
-/* What may be down of a team, or of one class of it, and what is. */
-struct bd_budget {
-    int team;
-    const struct bd_budget_rule *rule;
-    uint32_t up, down;
-    uint32_t silent; /* of those that are up: on machines whose reports are late */
-};
-
-#define BD_BUDGETS_A_JOB 2 /* its team's, and its class's */
-
-/* One job's tasks, as far as they were ever seen running. */
-struct bd_ledger_job {
-    UT_hash_handle hh;
-    const struct bd_job *job;
-    roaring_bitmap_t *up, *down;
-    uint32_t budgets[BD_BUDGETS_A_JOB];
-    uint32_t nbudgets;
-};
-
-struct bd_ledger {
-    struct bd_budget *budgets;
-    uint32_t nbudgets;
-    struct bd_ledger_job *jobs; /* hash by the job's address */
-};
-
-void bd_ledger_init(struct bd_ledger *ledger, const struct bd_settings *settings);
-void bd_ledger_clear(struct bd_ledger *ledger);
-void bd_ledger_free(struct bd_ledger *ledger);
-/* After a takeover: all that is not seen running counts as down. */
-void bd_ledger_leadership_acquired(struct bd_core *core);
-/* Counts anew what is silent. */
-void bd_ledger_silent(struct bd_core *core);
-/* How many tasks may be down at all, and how many more may go down by our own doing. */
-uint32_t bd_budget_allowed(const struct bd_budget *budget);
-uint32_t bd_budget_left(const struct bd_budget *budget);
-bool bd_ledger_is_up(const struct bd_ledger *ledger, const struct bd_job *job, uint32_t task);
-/* The job's entry; NULL: its team has no budget. */
-struct bd_ledger_job *bd_ledger_job_of(struct bd_core *core, const struct bd_job *job);
-const char *bd_budget_team(const struct bd_core *core, const struct bd_budget *budget);
-
 /* ---- candidate.c ---- */
 
 /* Tasks that a step would stop, by budget. */
@@ -154,10 +112,8 @@
 struct bd_drains {
     const struct bd_drain_rules *rules;
     bool apart[BD_MAX_ZONES][BD_MAX_ZONES];
-    struct bd_ledger ledger;
-    struct bd_drain *drains;                        /* hash by name */
-    roaring_bitmap_t *cordoned, *kept, *scaling_in; /* machines by index */
-    struct bd_drain_machine **owners;               /* by machine: whose entry drives it */
+    struct bd_drain *drains;          /* hash by name */
+    struct bd_drain_machine **owners; /* by machine: whose entry drives it */
     uint32_t nowners;
     bool want_sets;
     struct timespec leadership_acquired, next_tick, next_summary, hold_until;
--- a/src/drain/durable.c
+++ b/src/drain/durable.c
@@ -32,9 +32,6 @@
         HASH_DEL(drains->drains, drain);
         free_drain(drain);
     }
-    roaring_bitmap_clear(drains->cordoned);
-    roaring_bitmap_clear(drains->kept);
-    roaring_bitmap_clear(drains->scaling_in);
     drains->nowners = 0;
     drains->want_sets = true;
 }
--- a/src/drain/plan.c
+++ b/src/drain/plan.c
@@ -9,6 +9,7 @@
 #include "leadership/leadership.h"
 #include "model/catalog.h"
 #include "model/core_state.h"
+#include "model/disruption_ledger.h"
 #include "model/machine.h"
 #include "model/peers.h"
 #include "model/task.h"
@@ -45,7 +46,7 @@
     const struct bd_ledger_job *entry = bd_ledger_job_of(core, ref->job);
     uint32_t falls = bd_candidate_falls(core, ref->job, ref->task);
     for (uint32_t i = 0; falls > 0 && i < entry->nbudgets; i++) {
-        const struct bd_budget *budget = &core->drains->ledger.budgets[entry->budgets[i]];
+        const struct bd_budget *budget = &core->ledger->budgets[entry->budgets[i]];
         if (falls > bd_budget_left(budget)) {
             *team = bd_budget_team(core, budget);
             return false;
@@ -191,9 +192,7 @@
 
 static const char *team_of(const struct bd_core *core, enum bd_drain_wait wait, uint32_t budget)
 {
-    return wait == BD_DRAIN_WAIT_BUDGET
-               ? bd_budget_team(core, &core->drains->ledger.budgets[budget])
-               : "";
+    return wait == BD_DRAIN_WAIT_BUDGET ? bd_budget_team(core, &core->ledger->budgets[budget]) : "";
 }
 
 /* Takes the entry among the candidates, or says what it waits for. */
@@ -312,14 +311,14 @@
     if (!steps_now(&choice))
         return;
     pair_zones(core);
-    choice.left = budgets_left(&drains->ledger);
+    choice.left = budgets_left(core->ledger);
     choice.candidates = calloc(CANDIDATES_MAX, sizeof *choice.candidates);
     if (!choice.candidates)
         abort();
     bd_bins_fill(core, &choice.bins);
     choice.problem.candidates = choice.candidates;
     choice.problem.left = choice.left;
-    choice.problem.nbudgets = drains->ledger.nbudgets;
+    choice.problem.nbudgets = core->ledger->nbudgets;
     choice.problem.capacity = bd_bins_total(&choice.bins);
     choice.problem.apart = (const bool(*)[BD_MAX_ZONES])drains->apart;
     gather_candidates(&choice);
--- a/src/drain/replacement.c
+++ b/src/drain/replacement.c
@@ -6,6 +6,7 @@
 #include "drain/drain.h"
 #include "drain/drain_internal.h"
 #include "model/core_state.h"
+#include "model/disruption_ledger.h"
 #include "model/machine.h"
 #include "wire/wire.h"
 #include <stdio.h>
@@ -48,11 +49,11 @@
         return false;
     const struct bd_machine *machine = bd_drain_machine_named(core, m->replacement);
     for (uint32_t k = 0; k < machine->nreservations; k++)
-        if (bd_ledger_is_up(&core->drains->ledger, machine->reservations[k].job,
+        if (bd_ledger_is_up(core->ledger, machine->reservations[k].job,
                             machine->reservations[k].task))
             return true;
     /* there may be nothing for it to do: all that was moved runs */
-    return nothing_is_down(&core->drains->ledger);
+    return nothing_is_down(core->ledger);
 }
 
 /* ---- those that came to nothing ---- */
--- a/src/jobs/replica.c
+++ b/src/jobs/replica.c
@@ -2,12 +2,12 @@
  * in memory. Part of the pure core. */
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
-#include "drain/drain.h"
 #include "jobs/jobs.h"
 #include "jobs/jobs_internal.h"
 #include "model/catalog.h"
 #include "model/core_state.h"
 #include "model/decision_log.h"
+#include "model/disruption_ledger.h"
 #include "model/effect.h"
 #include "model/leadership_state.h"
 #include "model/replica_state.h"
--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -9,6 +9,7 @@
 #include "model/catalog.h"
 #include "model/core_state.h"
 #include "model/decision_log.h"
+#include "model/disruption_ledger.h"
 #include "model/kv_limits.h"
 #include "model/leadership_state.h"
 #include "model/machine.h"
--- a/src/model/core_state.h
+++ b/src/model/core_state.h
@@ -20,6 +20,7 @@
 #include "wire/wire.h"
 
 struct bd_drains;
+struct bd_ledger;
 struct bd_metrics;
 
 struct bd_core {
@@ -57,6 +58,7 @@
     struct timespec leader_seen;
     struct bd_leadership lead;
     struct bd_cloud_view cloud;
+    struct bd_ledger *ledger; /* NULL: draining is off */
     struct bd_drains *drains; /* NULL: draining is off */
 
     struct bd_effect *first, *last;
--- a/src/drain/ledger.c
+++ b/src/model/disruption_ledger.c
@@ -1,12 +1,4 @@
-/* The ledger of disruption: which tasks are down, counted by team and class from what the tasks
- * really do. A task is down from the moment it may be stopped, or is lost, until its next attempt
- * is seen running. Deaths, notices, failures, preemption, the autoscaler's moves and drains all
- * count; only what is voluntary asks first. Part of the pure core.
- *
- * What a new leader cannot know counts as down: an earlier leader's command may still be on its
- * way until the machine's report shows that it has seen our term. */
-#include "drain/drain.h"
-#include "drain/drain_internal.h"
+#include "model/disruption_ledger.h"
 #include "model/catalog.h"
 #include "model/core_state.h"
 #include "model/leadership_state.h"
@@ -17,11 +9,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-static const struct bd_budget_rule *rule_of(const struct bd_drain_rules *rules, const char *team)
+static const struct bd_budget_rule *rule_of_team(const struct bd_budget_rule *rules,
+                                                 uint32_t nrules, const char *team)
 {
     const struct bd_budget_rule *of_all = NULL;
-    for (uint32_t i = 0; i < rules->nbudgets; i++) {
-        const struct bd_budget_rule *rule = &rules->budgets[i];
+    for (uint32_t i = 0; i < nrules; i++) {
+        const struct bd_budget_rule *rule = &rules[i];
         if (*rule->job_class)
             continue;
         if (strcmp(rule->team, team) == 0)
@@ -41,20 +34,26 @@
 }
 
 /* A budget a team first, in the teams' order, then those of classes. */
-void bd_ledger_init(struct bd_ledger *ledger, const struct bd_settings *settings)
+struct bd_ledger *bd_ledger_new(const struct bd_settings *settings,
+                                const struct bd_budget_rule *rules, uint32_t nrules)
 {
-    const struct bd_drain_rules *rules = settings->draining;
-    ledger->budgets =
-        calloc((size_t)settings->nteams + rules->nbudgets + 1, sizeof *ledger->budgets);
+    struct bd_ledger *ledger = calloc(1, sizeof *ledger);
+    if (!ledger)
+        abort();
+    ledger->budgets = calloc((size_t)settings->nteams + nrules + 1, sizeof *ledger->budgets);
     if (!ledger->budgets)
         abort();
-    for (int i = 0; i < settings->nteams; i++)
-        ledger->budgets[ledger->nbudgets++] =
-            (struct bd_budget){.team = i, .rule = rule_of(rules, settings->teams[i].name)};
-    for (uint32_t i = 0; i < rules->nbudgets; i++)
-        if (*rules->budgets[i].job_class)
-            ledger->budgets[ledger->nbudgets++] = (struct bd_budget){
-                .team = team_index(settings, rules->budgets[i].team), .rule = &rules->budgets[i]};
+    for (int i = 0; i < settings->nteams; i++) {
+        const struct bd_budget_rule *rule = rule_of_team(rules, nrules, settings->teams[i].name);
+        ledger->budgets[ledger->nbudgets++] = (struct bd_budget){.team = i, .rule = rule};
+    }
+    for (uint32_t i = 0; i < nrules; i++) {
+        if (!*rules[i].job_class)
+            continue;
+        int team = team_index(settings, rules[i].team);
+        ledger->budgets[ledger->nbudgets++] = (struct bd_budget){.team = team, .rule = &rules[i]};
+    }
+    return ledger;
 }
 
 static void drop_job(struct bd_ledger *ledger, struct bd_ledger_job *entry)
@@ -82,11 +81,14 @@
 
 void bd_ledger_free(struct bd_ledger *ledger)
 {
+    if (!ledger)
+        return;
     bd_ledger_clear(ledger);
     free(ledger->budgets);
+    free(ledger);
 }
 
-static struct bd_ledger_job *find(const struct bd_ledger *ledger, const struct bd_job *job)
+static struct bd_ledger_job *find_job(const struct bd_ledger *ledger, const struct bd_job *job)
 {
     struct bd_ledger_job *entry = NULL;
     HASH_FIND_PTR(ledger->jobs, &job, entry);
@@ -95,8 +97,8 @@
 
 struct bd_ledger_job *bd_ledger_job_of(struct bd_core *core, const struct bd_job *job)
 {
-    struct bd_ledger *ledger = &core->drains->ledger;
-    struct bd_ledger_job *entry = find(ledger, job);
+    struct bd_ledger *ledger = core->ledger;
+    struct bd_ledger_job *entry = find_job(ledger, job);
     if (entry || !job->has_spec || job->spec.team < 0)
         return entry;
     entry = calloc(1, sizeof *entry);
@@ -165,13 +167,13 @@
 
 void bd_ledger_task(struct bd_core *core, struct bd_job *job, uint32_t i)
 {
-    if (!core->drains || core->role != BD_LEADER)
+    if (!core->ledger || core->role != BD_LEADER)
         return;
     if (job->state != BD_JOB_ACTIVE) { /* its user ended it: that is no disruption */
         bd_ledger_forget(core, job);
         return;
     }
-    struct bd_ledger *ledger = &core->drains->ledger;
+    struct bd_ledger *ledger = core->ledger;
     const struct bd_task *task = &job->tasks[i];
     struct bd_ledger_job *entry = bd_ledger_job_of(core, job);
     if (!entry)
@@ -186,11 +188,11 @@
 
 void bd_ledger_forget(struct bd_core *core, const struct bd_job *job)
 {
-    if (!core->drains)
+    if (!core->ledger)
         return;
-    struct bd_ledger_job *entry = find(&core->drains->ledger, job);
+    struct bd_ledger_job *entry = find_job(core->ledger, job);
     if (entry)
-        drop_job(&core->drains->ledger, entry);
+        drop_job(core->ledger, entry);
 }
 
 /* Whether an earlier leader may have started the job. The intents of tasks that were lost are
@@ -204,7 +206,7 @@
 
 void bd_ledger_leadership_acquired(struct bd_core *core)
 {
-    struct bd_ledger *ledger = &core->drains->ledger;
+    struct bd_ledger *ledger = core->ledger;
     bd_ledger_clear(ledger);
     for (struct bd_job *job = core->jobs; job; job = job->hh.next) {
         if (job->state != BD_JOB_ACTIVE || !job->tasks || !may_have_run(job))
@@ -218,14 +220,14 @@
 
 bool bd_ledger_is_up(const struct bd_ledger *ledger, const struct bd_job *job, uint32_t task)
 {
-    const struct bd_ledger_job *entry = find(ledger, job);
+    const struct bd_ledger_job *entry = find_job(ledger, job);
     return entry && roaring_bitmap_contains(entry->up, task);
 }
 
 static void silent_tasks(struct bd_ledger *ledger, const struct bd_machine *machine)
 {
     for (uint32_t k = 0; k < machine->nreservations; k++) {
-        const struct bd_ledger_job *entry = find(ledger, machine->reservations[k].job);
+        const struct bd_ledger_job *entry = find_job(ledger, machine->reservations[k].job);
         if (!entry || !roaring_bitmap_contains(entry->up, machine->reservations[k].task))
             continue;
         for (uint32_t i = 0; i < entry->nbudgets; i++)
@@ -236,7 +238,7 @@
 /* A machine whose report is late may be dead: what runs there is not known to run. */
 void bd_ledger_silent(struct bd_core *core)
 {
-    struct bd_ledger *ledger = &core->drains->ledger;
+    struct bd_ledger *ledger = core->ledger;
     for (uint32_t i = 0; i < ledger->nbudgets; i++)
         ledger->budgets[i].silent = 0;
     for (uint32_t i = 0; i < core->nmachines; i++) {
@@ -271,8 +273,8 @@
                      uint32_t *down, uint32_t *up)
 {
     *down = *up = 0;
-    for (uint32_t i = 0; core->drains && i < core->drains->ledger.nbudgets; i++) {
-        const struct bd_budget *budget = &core->drains->ledger.budgets[i];
+    for (uint32_t i = 0; core->ledger && i < core->ledger->nbudgets; i++) {
+        const struct bd_budget *budget = &core->ledger->budgets[i];
         if (strcmp(bd_budget_team(core, budget), team) != 0 ||
             strcmp(budget->rule->job_class, job_class) != 0)
             continue;
--- a/src/model/machine.c
+++ b/src/model/machine.c
@@ -1,6 +1,5 @@
 #include "model/machine.h"
 #include "base/timeutil.h"
-#include "drain/drain.h"
 #include "model/core_state.h"
 #include <stdio.h>
 #include <stdlib.h>
@@ -67,7 +66,7 @@
 {
     return machine->type >= 0 && machine->zone >= 0 && core->types[machine->type].known &&
            machine->fenced && !machine->gone && !machine->scaling_in && !machine->failed &&
-           !machine->quarantined && machine->notice_left < 0 && !bd_drain_cordoned(core, machine) &&
+           !machine->quarantined && machine->notice_left < 0 && !machine->cordoned &&
            (!machine->outbound_partition || core->lead.outbound_partition_is_ours) &&
            !late(core, machine->heard) &&
            /* one that answers directly while its check-ins reach nobody loses all with its lease */
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -56,6 +56,9 @@
     int delegate;               /* whose: an index into the core's delegates */
     struct timespec redirected; /* when it was last sent to its own zone's controller */
     bool direct;                /* its last report came from itself, not by another controller */
+    bool cordoned;              /* a drain keeps new work off it; */
+    bool kept_for_drain;        /* ... keeps it although it is idle; */
+    bool scale_in_for_drain;    /* ... has it go back now */
     bool consolidating;         /* being emptied, so that a dear machine is free again */
     bool quarantined, headroom; /* spare: kept for work that is expected */
 };
--- a/src/model/task_state.c
+++ b/src/model/task_state.c
@@ -1,8 +1,8 @@
 /* How a task's state changes, with the sums over jobs, machines and teams that go with it. */
 #include "model/task_state.h"
-#include "drain/drain.h"
 #include "model/core_state.h"
 #include "model/decision_log.h"
+#include "model/disruption_ledger.h"
 #include "model/leadership_state.h"
 #include "model/machine.h"
 #include "model/task.h"
--- a/tests/drain_profile.c
+++ b/tests/drain_profile.c
@@ -33,6 +33,7 @@
 #include <stdlib.h>
 #include <string.h>
 #include <time.h>
+#include "model/disruption_ledger.h"
 
 #define REPLICAS 10  /* on a machine at first */
 #define JOB_TASKS 40 /* replicas of a service */
--- a/tests/layers.sh
+++ b/tests/layers.sh
@@ -7,16 +7,12 @@
 
 # Includes that run upwards for now, each with its reason. This list may only shrink.
 allowed=$(sed -e 's/ *#.*//' -e '/^$/d' <<'LIST' | sort
-src/model/task_state.c drain/drain.h           # the ledger of disruption counts each task's change
 src/model/task_state.c workers/commands.h      # a stop is sent at once; deferred it would come later
-src/model/machine.c drain/drain.h              # a cordoned machine is not usable
-src/jobs/replica.c drain/drain.h               # the ledger forgets a job that ended
 src/leadership/leadership.c drain/drain.h      # a lost term ends the drains' view in the same step
 src/leadership/commit.c drain/drain.h          # the leader's transaction carries the drains' records
 src/leadership/commit.c workers/workers.h      # ... and names the delegates that are not needed
 src/leadership/commit_outcome.c drain/drain.h  # ... whose fate the drains are told
 src/leadership/commit_outcome.c workers/commands.h # a committed launch is sent at once
-src/workers/heartbeats.c drain/drain.h         # the ledger counts what a heartbeat shows
 src/autoscaling/autoscaler.c drain/drain.h     # demand and keeping of drained machines
 src/autoscaling/consolidation.c drain/drain.h  # moves ask the budgets first
 src/autoscaling/provisioning.c drain/drain.h   # a replacement's request is answered here
--- a/tests/scenario_drain.c
+++ b/tests/scenario_drain.c
@@ -16,6 +16,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
+#include "model/disruption_ledger.h"
 
 void play_draining(struct play *p)
 {
