--- /dev/null
+++ b/src/runtime/controller.c
@@ -0,0 +1,114 @@
+/* Makes a controller of its parts and starts their threads, which live as long as the process. */
+#include "brambledoor/controller.h"
+#include "adapters/admin_server.h"
+#include "adapters/node.h"
+#include "base/http.h"
+#include "base/metrics.h"
+#include "base/queue.h"
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
+#include "core/core.h"
+#include "drain/drain.h"
+#include "runtime/controller_internal.h"
+#include "wire/heartbeat_cache.h"
+#include <stdlib.h>
+#include <sys/random.h>
+
+#define EVENT_QUEUE_CAPACITY 4096
+#define LEADER_TXN_QUEUE_CAPACITY 16
+#define USER_TXN_QUEUE_CAPACITY 64
+#define CLOUD_QUEUE_CAPACITY 64
+#define READER_QUEUE_CAPACITY 4
+#define LEADER_TTL_SHARE 0.2       /* of the workers' lease, so that a failover fits into one */
+#define LEADER_TTL_MIN_S 2.0       /* several slow answers of the key-value store fit in */
+#define LEADER_TTL_MAX_S 2.5       /* a failover does not take long */
+#define HEARTBEAT_CACHE_SHARE 0.08 /* of the memory */
+#define BYTES_PER_MB 1048576.0
+
+static void derive_leader_ttl(struct bd_settings *settings)
+{
+    if (!bd_is_zero(settings->leader_ttl))
+        return;
+    double ttl = bd_to_secs(settings->lease) * LEADER_TTL_SHARE;
+    if (ttl < LEADER_TTL_MIN_S)
+        ttl = LEADER_TTL_MIN_S;
+    if (ttl > LEADER_TTL_MAX_S)
+        ttl = LEADER_TTL_MAX_S;
+    settings->leader_ttl = bd_secs(ttl);
+}
+
+struct bd_node *bd_controller_new(const struct bd_settings *settings, enum bd_log_level level)
+{
+    struct bd_node *node = calloc(1, sizeof *node);
+    if (!node)
+        return NULL;
+    node->settings = *settings;
+    derive_leader_ttl(&node->settings);
+    node->log = (struct bd_log){level, node->settings.node};
+    return node;
+}
+
+static int init_queues(struct bd_node *node)
+{
+    if (bd_queue_init(&node->events, EVENT_QUEUE_CAPACITY) != 0 ||
+        bd_queue_init(&node->to_commit, LEADER_TXN_QUEUE_CAPACITY) != 0 ||
+        bd_queue_init(&node->to_users, USER_TXN_QUEUE_CAPACITY) != 0 ||
+        bd_queue_init(&node->to_cloud, CLOUD_QUEUE_CAPACITY) != 0 ||
+        bd_queue_init(&node->reader_wake, READER_QUEUE_CAPACITY) != 0)
+        return -1;
+    return 0;
+}
+
+static uint64_t random_seed(void)
+{
+    uint64_t seed = 0;
+    if (getrandom(&seed, sizeof seed, GRND_NONBLOCK) != (ssize_t)sizeof seed)
+        seed = (uint64_t)bd_now().tv_nsec << 20;
+    return seed >> 1;
+}
+
+static int init_core(struct bd_node *node)
+{
+    double cache_bytes = node->settings.ram_mb * HEARTBEAT_CACHE_SHARE * BYTES_PER_MB;
+    node->metrics = bd_metrics_new();
+    node->core = bd_core_new(&node->settings, &node->log);
+    node->heartbeats = bd_heartbeat_cache_new((size_t)cache_bytes);
+    if (!node->core || !node->metrics || !node->heartbeats)
+        return -1;
+    node->core->metrics = node->metrics;
+    bd_core_seed(node->core, random_seed());
+    bd_controller_set_clock(node);
+    return 0;
+}
+
+static int start_clients(struct bd_node *node)
+{
+    if (bd_kv_client_start(node) != 0 || bd_cloud_start(node) != 0 ||
+        bd_worker_client_start(node) != 0 || bd_election_start(node) != 0 ||
+        bd_transport_start(node) != 0)
+        return -1;
+    return 0;
+}
+
+static int start_servers(struct bd_node *node)
+{
+    const char *addr = node->settings.api_addr;
+    if (bd_api_start(node) == 0) {
+        if (bd_admin_start(node) == 0)
+            return 0;
+        addr = node->settings.draining->admin_addr;
+    }
+    bd_log_write(&node->log, BD_LOG_ERROR, "cannot listen on %s", addr);
+    return -1;
+}
+
+int bd_controller_start(struct bd_node *node)
+{
+    if (bd_http_start() != 0 || init_queues(node) != 0 || init_core(node) != 0 ||
+        start_clients(node) != 0 || start_servers(node) != 0) {
+        bd_log_write(&node->log, BD_LOG_ERROR, "cannot start");
+        return -1;
+    }
+    bd_log_write(&node->log, BD_LOG_INFO, "started, version %s", BD_VERSION);
+    return 0;
+}
--- a/src/runtime/effect_dispatch.c
+++ b/src/runtime/effect_dispatch.c
@@ -1,8 +1,5 @@
-/* Hands the core's effects to the adapters. Owner thread only. */
 #include "runtime/effect_dispatch.h"
 #include "adapters/node.h"
-#include "base/http.h"
-#include "base/metrics.h"
 #include "base/queue.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
@@ -12,118 +9,162 @@
 #include "model/effect.h"
 #include "model/leadership_state.h"
 #include "wire/frame.h"
-#include "wire/heartbeat_cache.h"
-#include <limits.h>
 #include <stdio.h>
-#include <stdlib.h>
 #include <string.h>
-#include <sys/random.h>
 
-static void give(struct bd_node *node, struct bd_queue *queue, struct bd_effect *effect)
+#define QUEUE_FULL_PAUSE_S 0.05
+#define HTTP_SERVICE_UNAVAILABLE 503
+#define BUSY_RETRY_S 1
+
+/* Waits while the adapter's queue is full: the effect must not be lost. */
+static void queue_effect(struct bd_node *node, struct bd_queue *queue, struct bd_effect *effect)
 {
     while (!bd_queue_put(queue, effect)) {
         bd_log_write(&node->log, BD_LOG_ERROR, "an adapter's queue is full");
-        bd_pause(0.05);
+        bd_pause(QUEUE_FULL_PAUSE_S);
     }
 }
 
-/* Towards another controller: a report to the leader, or the answer to one. */
-static void pass_on(struct bd_node *node, const struct bd_effect *effect)
+/* A heartbeat to the leader, or the reply to one. */
+static void send_to_peer(struct bd_node *node, const struct bd_effect *effect)
 {
-    struct bd_frame f;
-    f.type = effect->kind == BD_EFFECT_FORWARD_HEARTBEAT ? BD_FRAME_HEARTBEAT : BD_FRAME_ANSWER;
-    snprintf(f.name, sizeof f.name, "%s", node->settings.node);
-    f.id = effect->forward_id;
-    f.status = (uint16_t)effect->status;
-    f.text = effect->body;
-    f.len = effect->body ? (uint32_t)strlen(effect->body) : 0;
-    f.count = 0;
-    if (!bd_transport_send(node, effect->peer, &f))
+    struct bd_frame frame;
+    frame.type = effect->kind == BD_EFFECT_FORWARD_HEARTBEAT ? BD_FRAME_HEARTBEAT : BD_FRAME_ANSWER;
+    snprintf(frame.name, sizeof frame.name, "%s", node->settings.node);
+    frame.id = effect->forward_id;
+    frame.status = (uint16_t)effect->status;
+    frame.text = effect->body;
+    frame.len = effect->body ? (uint32_t)strlen(effect->body) : 0;
+    frame.count = 0;
+    if (!bd_transport_send(node, effect->peer, &frame))
         bd_log_write(&node->log, BD_LOG_DEBUG, "a frame to a peer was dropped");
 }
 
-/* To all controllers that understand it; the others learn of it from the records, as we would. */
-static void tell_cancelled(struct bd_node *node, const char *id)
+/* To all peers that understand it; the others learn of it from the records, as we would. */
+static void announce_cancellation(struct bd_node *node, const char *job_id)
 {
-    struct bd_frame f;
-    f.type = BD_FRAME_CANCELLED;
-    f.text = id;
-    f.len = (uint32_t)strlen(id);
-    f.count = 0;
+    struct bd_frame frame;
+    frame.type = BD_FRAME_CANCELLED;
+    frame.text = job_id;
+    frame.len = (uint32_t)strlen(job_id);
+    frame.count = 0;
     for (int i = 0; i < node->settings.npeers; i++)
         if (node->core->peers[i].flags & BD_PEER_READS_CANCELLATIONS)
-            (void)bd_transport_send(node, i, &f);
+            (void)bd_transport_send(node, i, &frame);
+}
+
+static void reply(struct bd_node *node, struct bd_effect *effect)
+{
+    bd_api_reply(node, effect->request, effect->status, effect->body, effect->retry_after);
+    effect->body = NULL;
+    bd_effect_free(effect);
+}
+
+static void step_down(struct bd_node *node, struct bd_effect *effect)
+{
+    atomic_store(&node->resign, effect->status == BD_STEP_DOWN_RESIGNED);
+    atomic_store(&node->step_down, true);
+    bd_effect_free(effect);
+}
+
+static void request_read_barrier(struct bd_node *node, struct bd_effect *effect)
+{
+    atomic_store(&node->want_barrier, true);
+    (void)bd_queue_put(&node->reader_wake, node);
+    bd_effect_free(effect);
+}
+
+static void look_up_job(struct bd_node *node, struct bd_effect *effect)
+{
+    if (bd_queue_put(&node->to_users, effect))
+        return;
+    bd_replica_lookup_completed(node->core, effect->request, effect->key, effect->status, 0, NULL);
+    bd_effect_free(effect);
 }
 
+static void commit_for_user(struct bd_node *node, struct bd_effect *effect)
+{
+    if (bd_queue_put(&node->to_users, effect))
+        return;
+    bd_api_reply(node, effect->request, HTTP_SERVICE_UNAVAILABLE, strdup("{\"error\":\"busy\"}"),
+                 BUSY_RETRY_S);
+    bd_effect_free(effect);
+}
+
+/* Takes the effect over. */
 static void perform(struct bd_node *node, struct bd_effect *effect)
 {
     switch (effect->kind) {
     case BD_EFFECT_REPLY:
-        bd_api_reply(node, effect->request, effect->status, effect->body, effect->retry_after);
-        effect->body = NULL;
+        reply(node, effect);
         break;
     case BD_EFFECT_READ_BARRIER:
-        atomic_store(&node->want_barrier, true);
-        (void)bd_queue_put(&node->reader_wake, node);
+        request_read_barrier(node, effect);
         break;
     case BD_EFFECT_ANNOUNCE_CANCELLATION:
-        tell_cancelled(node, effect->key);
+        announce_cancellation(node, effect->key);
+        bd_effect_free(effect);
         break;
     case BD_EFFECT_STEP_DOWN:
-        atomic_store(&node->resign, effect->status == BD_STEP_DOWN_RESIGNED);
-        atomic_store(&node->step_down, true);
+        step_down(node, effect);
         break;
     case BD_EFFECT_FORWARD_HEARTBEAT:
     case BD_EFFECT_FORWARD_REPLY:
-        pass_on(node, effect);
+        send_to_peer(node, effect);
+        bd_effect_free(effect);
         break;
     case BD_EFFECT_DELEGATE_TXN:
-        give(node, &node->to_users, effect);
-        return;
+        queue_effect(node, &node->to_users, effect);
+        break;
     case BD_EFFECT_JOB_LOOKUP:
-        if (bd_queue_put(&node->to_users, effect))
-            return;
-        bd_replica_lookup_completed(node->core, effect->request, effect->key, effect->status, 0,
-                                    NULL);
+        look_up_job(node, effect);
         break;
     case BD_EFFECT_USER_TXN:
-        if (bd_queue_put(&node->to_users, effect))
-            return;
-        bd_api_reply(node, effect->request, 503, strdup("{\"error\":\"busy\"}"), 1);
+        commit_for_user(node, effect);
         break;
     case BD_EFFECT_LEADER_TXN:
         node->commit_sent = node->core->now;
-        give(node, &node->to_commit, effect);
-        return;
+        queue_effect(node, &node->to_commit, effect);
+        break;
     case BD_EFFECT_DIRECT_COMMAND:
         bd_worker_client_send(node, effect);
-        return;
+        break;
     case BD_EFFECT_SCALE_OUT:
     case BD_EFFECT_SCALE_IN:
-        give(node, &node->to_cloud, effect);
-        return;
+        queue_effect(node, &node->to_cloud, effect);
+        break;
     }
-    bd_effect_free(effect);
+}
+
+static bool goes_to_peers(const struct bd_effect *effect)
+{
+    return effect->kind == BD_EFFECT_FORWARD_HEARTBEAT || effect->kind == BD_EFFECT_FORWARD_REPLY ||
+           effect->kind == BD_EFFECT_ANNOUNCE_CANCELLATION;
+}
+
+/* What the adapters' threads need to know of the core. */
+static void publish_state(struct bd_node *node)
+{
+    const struct bd_core *core = node->core;
+    atomic_store(&node->leading, core->role == BD_LEADER);
+    atomic_store(&node->store_revision, core->replica.store_revision);
+    atomic_store(&node->want_drain_sets, bd_drain_wants_sets(core));
+    atomic_store(&node->up, bd_leadership_healthy(core));
+    atomic_store(&node->types_known, core->types_known);
 }
 
 void bd_effects_perform(struct bd_node *node)
 {
-    bool sends = false; /* to other controllers */
+    bool flush = false;
     struct bd_effect *effect = bd_effects_take(node->core);
     while (effect) {
         struct bd_effect *next = effect->next;
-        sends = sends || effect->kind == BD_EFFECT_FORWARD_HEARTBEAT ||
-                effect->kind == BD_EFFECT_FORWARD_REPLY ||
-                effect->kind == BD_EFFECT_ANNOUNCE_CANCELLATION;
+        flush = flush || goes_to_peers(effect);
         perform(node, effect);
-        effect =
-            next ? next : bd_effects_take(node->core); /* one that failed may have others follow */
+        /* one that could not be queued may have others follow */
+        effect = next ? next : bd_effects_take(node->core);
     }
-    if (sends)
+    if (flush)
         bd_transport_flush(node);
-    atomic_store(&node->leading, node->core->role == BD_LEADER);
-    atomic_store(&node->store_revision, node->core->replica.store_revision);
-    atomic_store(&node->want_drain_sets, bd_drain_wants_sets(node->core));
-    atomic_store(&node->up, bd_leadership_healthy(node->core));
-    atomic_store(&node->types_known, node->core->types_known);
-}
+    publish_state(node);
+}
--- /dev/null
+++ b/src/runtime/peer_status.c
@@ -0,0 +1,81 @@
+#include "runtime/peer_status.h"
+#include "adapters/node.h"
+#include "base/timeutil.h"
+#include "model/leadership_state.h"
+#include "wire/frame.h"
+#include "wire/wire.h"
+#include "workers/workers.h"
+#include <stdlib.h>
+#include <string.h>
+
+#define STATUS_INTERVAL_S 0.3
+#define KV_FRESH_S 1.0 /* an answer of the store that is younger shows that it is reached */
+#define AGE_MAX_S 1e6  /* of an answer; whatever is older counts as UNKNOWN_AGE_MS */
+#define UNKNOWN_AGE_MS 1000000000u
+#define PROGRESS_CAPACITY 64u
+
+static void add_progress(struct bd_node *node, const struct bd_job *job)
+{
+    if (node->nprogress == node->cap_progress) {
+        uint32_t capacity = node->cap_progress ? node->cap_progress * 2 : PROGRESS_CAPACITY;
+        struct bd_progress *grown = realloc(node->progress, capacity * sizeof *grown);
+        if (!grown)
+            return;
+        node->progress = grown;
+        node->cap_progress = capacity;
+    }
+    struct bd_progress *progress = &node->progress[node->nprogress++];
+    memcpy(progress->id, job->id, sizeof progress->id);
+    progress->done = job->ndone;
+    progress->running = job->nrunning;
+}
+
+static uint8_t status_flags(const struct bd_node *node, double kv_age_s)
+{
+    const struct bd_core *core = node->core;
+    bool leads = core->role == BD_LEADER;
+    unsigned flags = BD_PEER_KNOWS_DAG | BD_PEER_READS_CANCELLATIONS;
+    if (leads)
+        flags |= BD_PEER_LEADS;
+    if (leads && core->lead.inbound_partition)
+        flags |= BD_PEER_INBOUND_PARTITION;
+    if (node->settings.draining)
+        flags |= BD_PEER_KNOWS_DRAINS;
+    if (bd_forward_hears_leader(core))
+        flags |= BD_PEER_HEARS_LEADER;
+    if (kv_age_s < KV_FRESH_S && core->replica.ready)
+        flags |= BD_PEER_KV_REACHABLE;
+    if (bd_autonomous_zone_active(core))
+        flags |= BD_PEER_KV_LOST;
+    return (uint8_t)flags;
+}
+
+/* The leader's counts, which the other controllers show to users. */
+static void collect_progress(struct bd_node *node)
+{
+    struct bd_job *job, *next;
+    node->nprogress = 0;
+    if (node->core->role != BD_LEADER)
+        return;
+    HASH_ITER(hh, node->core->jobs, job, next)
+    {
+        if (job->state == BD_JOB_ACTIVE && job->tasks && (job->ndone || job->nrunning))
+            add_progress(node, job);
+    }
+}
+
+void bd_peer_status_update(struct bd_node *node)
+{
+    const struct bd_core *core = node->core;
+    if (bd_before(core->now, node->next_status))
+        return;
+    node->next_status = bd_add(core->now, bd_secs(STATUS_INTERVAL_S));
+    double kv_age_s = bd_between(core->replica.refreshed_at, core->now);
+    (void)pthread_mutex_lock(&node->status_lock);
+    node->status.term = core->role == BD_LEADER ? core->lead.term : 0;
+    node->status.flags = status_flags(node, kv_age_s);
+    node->status.at_ms = (uint64_t)(core->wall * 1000);
+    node->status.age_ms = kv_age_s > AGE_MAX_S ? UNKNOWN_AGE_MS : (uint32_t)(kv_age_s * 1000);
+    collect_progress(node);
+    (void)pthread_mutex_unlock(&node->status_lock);
+}
