--- /dev/null
+++ b/src/workers/direct_commands.c
@@ -0,0 +1,139 @@
+/* Commands that are sent to a worker directly, ahead of its next heartbeat, and their completion.
+ * One is in flight to a machine at a time. A machine that does not answer is left to its heartbeats
+ * for a growing pause, and a zone whose machines do not answer is tried only now and then. */
+#include "base/metrics.h"
+#include "base/timeutil.h"
+#include "leadership/leadership.h"
+#include "model/catalog.h"
+#include "model/core_state.h"
+#include "model/decision_log.h"
+#include "model/effect.h"
+#include "model/leadership_state.h"
+#include "model/machine.h"
+#include "model/task.h"
+#include "wire/wire.h"
+#include "workers/commands.h"
+#include "workers/workers.h"
+#include "workers/workers_internal.h"
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#define PAUSE_DOUBLINGS_MAX 4u   /* of the heartbeat interval */
+#define ZONE_FAILURES_TO_OPEN 4u /* direct commands without an answer, in a row, of one zone */
+#define ZONE_RETRY_S 4.0
+
+/* The zone's circuit breaker, for one that is cut off from us: each try would occupy a sender until
+ * it times out. One command is let through per retry interval. */
+static bool is_circuit_open(struct bd_core *core, const struct bd_machine *machine)
+{
+    if (machine->zone < 0 || core->cloud.direct[machine->zone].fails < ZONE_FAILURES_TO_OPEN)
+        return false;
+    if (bd_before(core->now, core->cloud.direct[machine->zone].until))
+        return true;
+    core->cloud.direct[machine->zone].until = bd_add(core->now, bd_secs(ZONE_RETRY_S));
+    return false;
+}
+
+static bool may_send(struct bd_core *core, const struct bd_machine *machine)
+{
+    return !machine->direct_in_flight && !bd_before(core->now, machine->direct_not_before) &&
+           machine->fenced && !machine->gone && *machine->addr && bd_leadership_lease_valid(core) &&
+           !bd_overdue(core, machine) && !is_circuit_open(core, machine);
+}
+
+void bd_commands_send_direct(struct bd_core *core, struct bd_machine *machine)
+{
+    struct bd_command_list commands = {0};
+    if (!may_send(core, machine))
+        return;
+    bd_commands_add_halts(machine, &commands);
+    bool launch = bd_commands_add_launches(core, machine, &commands, BD_COMMAND_DIRECT);
+    if (commands.count == 0)
+        return;
+    struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_DIRECT_COMMAND);
+    effect->machine = machine->index;
+    effect->fencing_token = core->lead.term;
+    effect->launch = launch;
+    effect->until = bd_command_deadline(core, launch);
+    snprintf(effect->addr, sizeof effect->addr, "%s", machine->addr);
+    effect->body =
+        bd_wire_commands(core->lead.term, machine->incarnation, commands.items, commands.count);
+    machine->direct_in_flight = true;
+    machine->direct_sent_at = core->now;
+    free(commands.items);
+}
+
+/* The machine did not answer. Nothing new is launched there until a heartbeat shows that replies
+ * reach it. */
+static void back_off(struct bd_core *core, struct bd_machine *machine)
+{
+    double pause_s = bd_to_secs(core->settings->heartbeat_interval);
+    for (uint32_t i = 0; i < machine->direct_failures && i < PAUSE_DOUBLINGS_MAX; i++)
+        pause_s *= 2;
+    machine->direct_failures++;
+    if (machine->zone >= 0)
+        core->cloud.direct[machine->zone].fails++;
+    machine->outbound_partition = true;
+    machine->direct_not_before = bd_add(core->now, bd_secs(pause_s));
+}
+
+static void reset_failures(struct bd_core *core, struct bd_machine *machine)
+{
+    machine->direct_failures = 0;
+    machine->outbound_partition = false;
+    if (machine->zone >= 0)
+        core->cloud.direct[machine->zone].fails = 0;
+}
+
+/* Nothing of the command is on its way, and the machine is not to blame: its commands come with the
+ * reply to its next heartbeat. */
+static void command_not_sent(struct bd_core *core, struct bd_machine *machine, bool launch)
+{
+    bd_decision_log_machine(core, "command_expired", machine, launch ? "launch=1" : "launch=0");
+    if (launch && machine->late_launch_token == 0)
+        bd_machine_exclude_late_launches(machine);
+    machine->direct_not_before = bd_add(core->now, core->settings->heartbeat_interval);
+}
+
+static void command_answered(struct bd_core *core, struct bd_machine *machine, bool launch,
+                             const struct bd_heartbeat *heartbeat)
+{
+    struct bd_command_list commands = {0};
+    reset_failures(core, machine);
+    if (strcmp(heartbeat->machine, machine->id) != 0) {
+        back_off(core, machine); /* the address serves another machine now */
+        return;
+    }
+    if (launch && machine->late_launch_token == 0)
+        bd_machine_exclude_late_launches(machine); /* answered: nothing of it is on its way */
+    if (machine->gone)
+        return;
+    (void)bd_heartbeat_apply(core, machine, heartbeat, &commands);
+    free(commands.items); /* they arise again from the next heartbeat */
+    if (machine->nreservations)
+        bd_commands_send_direct(core, machine);
+}
+
+void bd_worker_direct_command_completed(struct bd_core *core, uint32_t machine_index,
+                                        uint64_t fencing_token, bool launch, long status,
+                                        const struct bd_heartbeat *heartbeat)
+{
+    struct bd_machine *machine = bd_machine_of(core, machine_index);
+    if (core->role != BD_LEADER || !machine || fencing_token < core->lead.base_term)
+        return;
+    machine->direct_in_flight = false;
+    bd_metrics_time(core->metrics, BD_TIMING_DIRECT,
+                    bd_between(machine->direct_sent_at, core->now));
+    if (status == BD_DIRECT_NOT_SENT) {
+        command_not_sent(core, machine, launch);
+        return;
+    }
+    if (heartbeat && (status == 200 || status == 409)) {
+        command_answered(core, machine, launch, heartbeat);
+        return;
+    }
+    back_off(core, machine);
+    if (launch && fencing_token > machine->late_launch_token)
+        machine->late_launch_token = fencing_token;
+}
--- a/src/workers/forwarding.c
+++ b/src/workers/forwarding.c
@@ -23,8 +23,6 @@
 #define BACK_HOLDS_S 40.0 /* then it is tried again */
 #define FORWARDS_MIN 512  /* more where there are more sockets, of which each holds one */
 #define INBOUND_PARTITION_S 60.0
-#define INBOUND_PARTITION_SHARE 0.6 /* of the machines heard before */
-#define INBOUND_PARTITION_MIN 3u
 
 /* The leader's number among the peers if it is heard, or -1. */
 static int leader_peer(const struct bd_core *core)
@@ -300,21 +298,3 @@
         machine->redirected = core->now;
     return found;
 }
-
-/* As leader: whether most of the machines that reported to us directly are silent at once. Machines
- * do not fail together like that; more likely it is we who are cut off from them. */
-void bd_forward_listen(struct bd_core *core)
-{
-    uint32_t known = 0, silent = 0;
-    double late = 1.5 * bd_to_secs(core->settings->heartbeat_interval) + 0.5;
-    for (uint32_t i = 0; i < core->nmachines; i++) {
-        const struct bd_machine *machine = core->by_index[i];
-        double ago = bd_between(machine->heard, core->now);
-        if (machine->gone || !machine->direct || ago > late + bd_to_secs(core->settings->lease))
-            continue;
-        known++;
-        silent += ago > late;
-    }
-    core->lead.inbound_partition =
-        known >= INBOUND_PARTITION_MIN && silent >= INBOUND_PARTITION_SHARE * known;
-}
--- /dev/null
+++ b/src/workers/heartbeat_tasks.c
@@ -0,0 +1,227 @@
+/* Reconciliation of one heartbeat with the leader's records: which tasks it confirms, which have
+ * exited, which are not there and which must not be. */
+#include "base/timeutil.h"
+#include "drain/drain.h"
+#include "model/catalog.h"
+#include "model/core_state.h"
+#include "model/decision_log.h"
+#include "model/leadership_state.h"
+#include "model/machine.h"
+#include "model/task.h"
+#include "model/task_state.h"
+#include "wire/wire.h"
+#include "workers/commands.h"
+#include "workers/workers.h"
+#include "workers/workers_internal.h"
+
+static bool is_current_attempt(const struct bd_machine *machine, const struct bd_task *task,
+                               uint64_t attempt)
+{
+    return task->machine == machine->index && task->attempt == attempt &&
+           task->state != BD_TASK_PLANNED && task->state != BD_TASK_PENDING;
+}
+
+/* The job of a reported task, if its tasks are tracked and the task is one of them; else NULL. */
+static struct bd_job *find_tracked_job(struct bd_core *core,
+                                       const struct bd_reported_task *reported)
+{
+    struct bd_job *job = bd_job_find(core, reported->job);
+    return job && job->tasks && reported->task < job->ntasks ? job : NULL;
+}
+
+/* A direct launch that was answered may still arrive once more, as a late copy. The worker ignores
+ * it while it remembers the attempt, or once it has seen a higher fencing token: until then, what a
+ * token's direct launches may have carried must not be forgotten. */
+static void forget_attempt(struct bd_core *core, const struct bd_heartbeat *heartbeat,
+                           const struct bd_reported_task *reported,
+                           struct bd_command_list *commands)
+{
+    if (reported->attempt <= core->lead.fenced_attempt &&
+        heartbeat->fencing_token >= core->lead.term)
+        bd_commands_append(commands, BD_COMMAND_FORGET, reported->job, reported->task,
+                           reported->attempt, 0);
+    else if (core->lead.withheld++ == 0)
+        core->lead.withheld_at = core->now;
+}
+
+static void halt_attempt(const struct bd_reported_task *reported, struct bd_command_list *commands)
+{
+    bd_commands_append(commands, BD_COMMAND_HALT, reported->job, reported->task, reported->attempt,
+                       0);
+}
+
+static void record_run(const struct bd_core *core, struct bd_job *job, const struct bd_task *task)
+{
+    if (!task->started_at)
+        return;
+    uint32_t run_tenths_s = bd_tenths(core->now) - task->started_at;
+    job->longest_run = run_tenths_s > job->longest_run ? run_tenths_s : job->longest_run;
+    job->runs++;
+}
+
+static void reconcile_completed_task(struct bd_core *core, struct bd_machine *machine,
+                                     struct bd_job *job, const struct bd_heartbeat *heartbeat,
+                                     const struct bd_reported_task *reported,
+                                     struct bd_command_list *commands)
+{
+    struct bd_task *task = &job->tasks[reported->task];
+    /* earlier attempts are reported until they are forgotten, and say nothing of the machine now */
+    if (is_current_attempt(machine, task, reported->attempt)) {
+        machine->errors = 0;
+        if (task->flags & BD_TASK_FLAG_DIRECT_LAUNCH_IN_FLIGHT) {
+            task->flags |= BD_TASK_FLAG_EXITED;
+            return;
+        }
+        record_run(core, job, task);
+    }
+    bd_task_done(core, job, reported->task);
+    if (task->flags & BD_TASK_FLAG_RECEIPT_COMMITTED)
+        forget_attempt(core, heartbeat, reported, commands);
+}
+
+static void reconcile_exited_task(struct bd_core *core, struct bd_machine *machine,
+                                  struct bd_job *job, const struct bd_heartbeat *heartbeat,
+                                  const struct bd_reported_task *reported,
+                                  struct bd_command_list *commands)
+{
+    struct bd_task *task = &job->tasks[reported->task];
+    if (reported->exit_reason == BD_EXIT_DONE && job->state == BD_JOB_ACTIVE) {
+        reconcile_completed_task(core, machine, job, heartbeat, reported, commands);
+        return;
+    }
+    if (is_current_attempt(machine, task, reported->attempt)) {
+        /* a late copy of the launch would start a forgotten attempt again */
+        if (task->flags & BD_TASK_FLAG_DIRECT_LAUNCH_IN_FLIGHT) {
+            task->flags |= BD_TASK_FLAG_EXITED;
+            return;
+        }
+        bd_machine_record_exit(core, machine, job, reported->exit_reason);
+        bd_task_release(core, job, reported->task, BD_RELEASE_EXITED);
+    }
+    forget_attempt(core, heartbeat, reported, commands);
+}
+
+/* No intent names the attempt, yet it runs: with its reservation here the task cannot be started a
+ * second time. */
+static void adopt_attempt(struct bd_core *core, struct bd_machine *machine, struct bd_job *job,
+                          const struct bd_reported_task *reported)
+{
+    bd_task_assign(core, job, reported->task, machine, reported->attempt, BD_TASK_CONFIRMED);
+    bd_decision_log_task(core, "task_reconciled", job, reported->task, reported->attempt, machine,
+                         "why=reported_without_intent");
+    if (job->state != BD_JOB_ACTIVE)
+        job->tasks[reported->task].flags |= BD_TASK_FLAG_STOP_REQUESTED | BD_TASK_FLAG_FORCED_STOP;
+}
+
+static void record_start(struct bd_core *core, struct bd_machine *machine, struct bd_job *job,
+                         struct bd_task *task)
+{
+    /* one reconciled after a failover began earlier, at a time that is not known */
+    bool is_start_known = task->state == BD_TASK_LAUNCHING || task->state == BD_TASK_CONFIRMED;
+    job->last_started_at = core->now;
+    bd_remember_image(core, machine, &job->spec, true);
+    task->started_at = is_start_known ? bd_tenths(core->now) : 0;
+}
+
+static void confirm_task(struct bd_core *core, struct bd_job *job,
+                         const struct bd_reported_task *reported)
+{
+    struct bd_task *task = &job->tasks[reported->task];
+    uint8_t flags = task->flags;
+    /* by way of pending, so that the sums see the new execution state */
+    bd_task_set(core, job, reported->task, BD_TASK_PENDING);
+    task->execution = (uint8_t)reported->execution;
+    bd_task_set(core, job, reported->task, BD_TASK_CONFIRMED);
+    task->flags = flags | BD_TASK_FLAG_LAUNCH_SENT;
+    bd_ledger_task(core, job, reported->task);
+}
+
+static void reconcile_running_task(struct bd_core *core, struct bd_machine *machine,
+                                   struct bd_job *job, const struct bd_reported_task *reported,
+                                   struct bd_command_list *commands)
+{
+    struct bd_task *task = &job->tasks[reported->task];
+    if (!is_current_attempt(machine, task, reported->attempt)) {
+        if (task->state != BD_TASK_PENDING) { /* it runs elsewhere, or is done */
+            halt_attempt(reported, commands);
+            return;
+        }
+        adopt_attempt(core, machine, job, reported);
+    }
+    if (task->state == BD_TASK_UNKNOWN)
+        bd_decision_log_task(core, "task_reconciled", job, reported->task, reported->attempt,
+                             machine, "why=intent_and_heartbeat");
+    if (reported->execution == BD_EXECUTION_RUNNING &&
+        (task->execution != BD_EXECUTION_RUNNING || task->state != BD_TASK_CONFIRMED))
+        record_start(core, machine, job, task);
+    confirm_task(core, job, reported);
+}
+
+static void mark_reported_tasks(struct bd_core *core, const struct bd_machine *machine,
+                                const struct bd_heartbeat *heartbeat)
+{
+    for (size_t i = 0; i < heartbeat->n; i++) {
+        const struct bd_reported_task *reported = &heartbeat->tasks[i];
+        struct bd_job *job = find_tracked_job(core, reported);
+        if (job && is_current_attempt(machine, &job->tasks[reported->task], reported->attempt))
+            job->tasks[reported->task].flags |= BD_TASK_FLAG_IN_HEARTBEAT;
+    }
+}
+
+/* Whether a task that the heartbeat does not show may still start, or be launched again. */
+static bool may_still_start(const struct bd_task *task)
+{
+    if (task->state == BD_TASK_PLANNED ||
+        task->flags & (BD_TASK_FLAG_DIRECT_LAUNCH_IN_FLIGHT | BD_TASK_FLAG_LAUNCH_IN_REPLY))
+        return true;
+    return task->state == BD_TASK_LAUNCHING && !(task->flags & BD_TASK_FLAG_STOP_REQUESTED);
+}
+
+/* Releases the machine's reservations whose tasks the heartbeat does not show. */
+static void release_unreported_tasks(struct bd_core *core, struct bd_machine *machine)
+{
+    uint32_t i = 0;
+    while (i < machine->nreservations) {
+        struct bd_job *job = machine->reservations[i].job;
+        uint32_t index = machine->reservations[i].task;
+        struct bd_task *task = &job->tasks[index];
+        bool is_reported = task->flags & BD_TASK_FLAG_IN_HEARTBEAT;
+        task->flags &= (uint8_t)~BD_TASK_FLAG_IN_HEARTBEAT;
+        if (is_reported || may_still_start(task)) {
+            i++;
+            continue;
+        }
+        bd_task_release(core, job, index, BD_RELEASE_NOT_REPORTED);
+        i = 0; /* more may have gone with it, such as others of a gang */
+    }
+}
+
+/* A task that is not tracked here: of a job that ended, or that our records do not have. */
+static void reconcile_untracked_task(struct bd_core *core, const struct bd_heartbeat *heartbeat,
+                                     const struct bd_reported_task *reported,
+                                     struct bd_command_list *commands)
+{
+    const struct bd_job *job = bd_job_find(core, reported->job);
+    if (reported->execution != BD_EXECUTION_EXITED)
+        halt_attempt(reported, commands);
+    else if (job && job->state == BD_JOB_DONE)
+        forget_attempt(core, heartbeat, reported, commands);
+}
+
+void bd_heartbeat_reconcile_tasks(struct bd_core *core, struct bd_machine *machine,
+                                  const struct bd_heartbeat *heartbeat,
+                                  struct bd_command_list *commands)
+{
+    mark_reported_tasks(core, machine, heartbeat);
+    release_unreported_tasks(core, machine);
+    for (size_t i = 0; i < heartbeat->n; i++) {
+        const struct bd_reported_task *reported = &heartbeat->tasks[i];
+        struct bd_job *job = find_tracked_job(core, reported);
+        if (!job)
+            reconcile_untracked_task(core, heartbeat, reported, commands);
+        else if (reported->execution == BD_EXECUTION_EXITED)
+            reconcile_exited_task(core, machine, job, heartbeat, reported, commands);
+        else
+            reconcile_running_task(core, machine, job, reported, commands);
+    }
+}
--- /dev/null
+++ b/src/workers/machine_health.c
@@ -0,0 +1,110 @@
+/* The health of machines, judged by how their tasks run: a machine whose tasks fail, or run far too
+ * slowly, is quarantined. A job whose tasks fail everywhere is retried with a growing pause, and no
+ * machine is blamed for it. */
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
+#include "model/core_state.h"
+#include "model/machine.h"
+#include "model/task.h"
+#include "model/task_state.h"
+#include "workers/workers.h"
+#include "workers/workers_internal.h"
+
+#define QUARANTINE_FAILURES 3u /* in a row */
+#define PROVEN_JOB_FAILURES 2u /* that one failure counts for, if the job runs elsewhere */
+#define REFUSAL_PAUSE_S 3.0    /* without launches on a machine that refused one */
+#define RETRY_PAUSE_MIN_S 1.0  /* of a job whose tasks fail; doubled with each failure */
+#define RETRY_PAUSE_MAX_S 30.0
+
+#define SLOW_TASKS_MIN 2u /* of a machine */
+#define SLOW_FINISHED_RUNS_MIN 4u
+#define SLOW_RUN_FACTOR 1.6         /* of the job's longest finished run, */
+#define SLOW_RUN_EXTRA_TENTHS_S 50u /* ... and so much more */
+#define SLOW_HEARD_INTERVALS 3.0    /* heard without a gap before a machine is judged */
+
+static void record_task_failure(struct bd_core *core, struct bd_machine *machine,
+                                struct bd_job *job)
+{
+    bool runs_elsewhere = job->ndone > 0 || job->nrunning > 0;
+    if (runs_elsewhere)
+        machine->errors += PROVEN_JOB_FAILURES;
+    else if (machine->error_job != job)
+        machine->errors++;
+    machine->error_job = job;
+    if (machine->errors >= QUARANTINE_FAILURES && !machine->quarantined) {
+        machine->quarantined = true;
+        bd_log_write(core->log, BD_LOG_INFO, "%s is quarantined: its tasks fail", machine->id);
+    }
+}
+
+static void back_off_failing_job(struct bd_core *core, const struct bd_machine *machine,
+                                 struct bd_job *job)
+{
+    job->errors++;
+    if (machine->quarantined || job->ndone > 0)
+        return;
+    double pause_s = RETRY_PAUSE_MIN_S;
+    for (uint32_t failure = 2; failure < job->errors && pause_s < RETRY_PAUSE_MAX_S; failure++)
+        pause_s *= 2;
+    pause_s = pause_s < RETRY_PAUSE_MAX_S ? pause_s : RETRY_PAUSE_MAX_S;
+    job->hold_until = bd_add(core->now, bd_secs(pause_s));
+}
+
+void bd_machine_record_exit(struct bd_core *core, struct bd_machine *machine, struct bd_job *job,
+                            enum bd_exit_reason reason)
+{
+    if (reason == BD_EXIT_ERROR) {
+        record_task_failure(core, machine, job);
+        back_off_failing_job(core, machine, job);
+    } else if (reason == BD_EXIT_NO_CAPACITY || reason == BD_EXIT_BUSY) {
+        machine->refuse_until = bd_add(core->now, bd_secs(REFUSAL_PAUSE_S));
+    } else if (reason == BD_EXIT_UNKNOWN) {
+        job->hold_until = bd_add(core->now, bd_secs(RETRY_PAUSE_MIN_S));
+    }
+}
+
+/* Whether the task runs, and enough others of its job have finished to compare it with: the first
+ * that finish are the short ones. */
+static bool has_comparable_runs(const struct bd_job *job, const struct bd_task *task)
+{
+    return task->state == BD_TASK_CONFIRMED && task->execution == BD_EXECUTION_RUNNING &&
+           task->started_at && !(task->flags & BD_TASK_FLAG_EXITED) &&
+           job->spec.kind == BD_JOB_ARRAY && job->runs >= SLOW_FINISHED_RUNS_MIN &&
+           2 * job->runs >= job->ntasks;
+}
+
+/* Whether the task runs far longer than the finished ones of its job. Its run counts up to the last
+ * heartbeat: on a machine that is not heard it may have ended since. */
+static bool is_slow_task(const struct bd_core *core, const struct bd_machine *machine,
+                         const struct bd_job *job, const struct bd_task *task)
+{
+    if (!has_comparable_runs(job, task))
+        return false;
+    struct timespec started = bd_secs(task->started_at / 10.0);
+    uint32_t run_tenths_s = bd_tenths(bd_max(machine->heard, started)) - task->started_at;
+    if (run_tenths_s <= SLOW_RUN_FACTOR * job->longest_run + SLOW_RUN_EXTRA_TENTHS_S)
+        return false;
+    bd_log_write(core->log, BD_LOG_DEBUG, "%s on %s runs for %.1f s, of %u others none over %.1f s",
+                 job->id, machine->id, run_tenths_s / 10.0, job->runs, job->longest_run / 10.0);
+    return true;
+}
+
+void bd_machine_detect_slow(struct bd_core *core, struct bd_machine *machine)
+{
+    uint32_t slow = 0;
+    if (machine->gone || machine->quarantined || !machine->fenced)
+        return;
+    /* a heartbeat that was delayed shows tasks running that ended long ago */
+    if (bd_between(machine->steady, machine->heard) <
+        SLOW_HEARD_INTERVALS * bd_to_secs(core->settings->heartbeat_interval))
+        return;
+    for (uint32_t i = 0; i < machine->nreservations; i++) {
+        const struct bd_job *job = machine->reservations[i].job;
+        slow += is_slow_task(core, machine, job, &job->tasks[machine->reservations[i].task]);
+    }
+    if (slow < SLOW_TASKS_MIN)
+        return;
+    machine->quarantined = true;
+    bd_log_write(core->log, BD_LOG_INFO, "%s is quarantined: it runs %u tasks far too slowly",
+                 machine->id, slow);
+}
--- /dev/null
+++ b/src/workers/partition_detection.c
@@ -0,0 +1,61 @@
+/* Asymmetric partitions, as the leader detects them. Outbound: heartbeats arrive, but our replies
+ * and direct commands do not. Inbound: heartbeats of most workers do not arrive. Where very many
+ * machines are affected at once, it is rather our own link than theirs. */
+#include "base/timeutil.h"
+#include "model/core_state.h"
+#include "model/leadership_state.h"
+#include "model/machine.h"
+#include "workers/workers.h"
+#include "workers/workers_internal.h"
+
+#define MISROUTED_MAX 2u                  /* then a machine is taken not to receive replies */
+#define OUTBOUND_PARTITION_SHARE 0.34     /* of the machines */
+#define INBOUND_PARTITION_SHARE 0.6       /* of the machines heard before */
+#define INBOUND_PARTITION_MACHINES_MIN 3u /* fewer may well fail together */
+#define LATE_INTERVALS 1.5                /* without a heartbeat, */
+#define LATE_EXTRA_S 0.5                  /* ... and so much more, is late */
+
+void bd_machine_detect_outbound_partition(struct bd_machine *machine,
+                                          const struct bd_heartbeat *heartbeat, int via)
+{
+    bool is_next = heartbeat->incarnation == machine->incarnation && machine->asked_seq &&
+                   heartbeat->seq == machine->asked_seq + 1;
+    if (is_next && via == machine->via) {
+        machine->outbound_partition = false;
+        machine->misrouted = 0;
+    } else if (is_next) {
+        machine->outbound_partition =
+            machine->outbound_partition || ++machine->misrouted >= MISROUTED_MAX;
+    }
+    machine->via = via;
+}
+
+void bd_machines_detect_outbound_partition(struct bd_core *core)
+{
+    uint32_t known = 0, partitioned = 0;
+    for (uint32_t i = 0; i < core->nmachines; i++) {
+        const struct bd_machine *machine = core->by_index[i];
+        if (machine->gone || !machine->fenced)
+            continue;
+        known++;
+        partitioned += machine->outbound_partition;
+    }
+    core->lead.outbound_partition_is_ours = partitioned > OUTBOUND_PARTITION_SHARE * known;
+}
+
+void bd_forward_listen(struct bd_core *core)
+{
+    uint32_t known = 0, silent = 0;
+    double late_s = LATE_INTERVALS * bd_to_secs(core->settings->heartbeat_interval) + LATE_EXTRA_S;
+    for (uint32_t i = 0; i < core->nmachines; i++) {
+        const struct bd_machine *machine = core->by_index[i];
+        double silent_s = bd_between(machine->heard, core->now);
+        if (machine->gone || !machine->direct ||
+            silent_s > late_s + bd_to_secs(core->settings->lease))
+            continue;
+        known++;
+        silent += silent_s > late_s;
+    }
+    core->lead.inbound_partition =
+        known >= INBOUND_PARTITION_MACHINES_MIN && silent >= INBOUND_PARTITION_SHARE * known;
+}
--- a/src/workers/workers.h
+++ b/src/workers/workers.h
@@ -8,7 +8,7 @@
 #define BD_WORKERS_H
 #include "model/core_state.h"
 
-/* ---- heartbeats (heartbeats.c) ---- */
+/* ---- heartbeats (heartbeats.c, direct_commands.c) ---- */
 
 /* body: the heartbeat as it came, forwarded if the leader is elsewhere. */
 void bd_worker_heartbeat_received(struct bd_core *core, void *request,
@@ -19,13 +19,20 @@
                                    const struct bd_heartbeat *heartbeat, const char *body,
                                    size_t len);
 /* status: HTTP's, 0 without an answer, or BD_DIRECT_NOT_SENT. */
-void bd_worker_direct_command_completed(struct bd_core *core, uint32_t machine,
+void bd_worker_direct_command_completed(struct bd_core *core, uint32_t machine_index,
                                         uint64_t fencing_token, bool launch, long status,
                                         const struct bd_heartbeat *heartbeat);
+
+/* ---- health, partitions and leases of machines (machine_health.c, partition_detection.c,
+ * lease_expiry.c) ---- */
+
 /* Quarantines a machine whose tasks run far longer than their jobs' others. */
 void bd_machine_detect_slow(struct bd_core *core, struct bd_machine *machine);
-/* Whether so many machines seem not to hear us that it is rather we who are cut off. */
+/* As leader: whether so many machines do not receive our replies that our own link is to blame. */
 void bd_machines_detect_outbound_partition(struct bd_core *core);
+/* As leader: whether most of the machines that reported to us directly are silent at once. They do
+ * not fail together; more likely we are cut off from them. */
+void bd_forward_listen(struct bd_core *core);
 /* Releases what machines with expired leases held. */
 void bd_workers_expire_leases(struct bd_core *core);
 
@@ -35,8 +42,6 @@
 void bd_forward_reply_received(struct bd_core *core, uint64_t id, int status, const char *body,
                                size_t len);
 bool bd_forward_hears_leader(const struct bd_core *core);
-/* As leader: whether most workers are silent to us. */
-void bd_forward_listen(struct bd_core *core);
 void bd_forward_tick(struct bd_core *core);
 void bd_forward_end(struct bd_core *core);
 void bd_heartbeat_free(struct bd_heartbeat *heartbeat);
--- a/tests/layers.sh
+++ b/tests/layers.sh
@@ -16,7 +16,7 @@
 src/leadership/commit.c workers/workers.h      # ... and names the delegates that are not needed
 src/leadership/commit_outcome.c drain/drain.h  # ... whose fate the drains are told
 src/leadership/commit_outcome.c workers/commands.h # a committed launch is sent at once
-src/workers/heartbeats.c drain/drain.h         # the ledger counts what a heartbeat shows
+src/workers/heartbeat_tasks.c drain/drain.h    # the ledger counts what a heartbeat shows
 src/autoscaling/autoscaler.c drain/drain.h     # demand and keeping of drained machines
 src/autoscaling/consolidation.c drain/drain.h  # moves ask the budgets first
 src/autoscaling/provisioning.c drain/drain.h   # a replacement's request is answered here
