--- a/src/model/forwarding_state.h
+++ b/src/model/forwarding_state.h
@@ -1,13 +1,14 @@
-/* Workers' reports on their way to the leader through us. */
+/* Workers' heartbeats that this controller forwards to the leader, and the workers that it
+ * redirected there. Changed by src/workers/. */
 #ifndef BD_FORWARDING_STATE_H
 #define BD_FORWARDING_STATE_H
 #include "wire/wire.h"
 #include <time.h>
 #include <uthash.h>
 
-#define BD_SENT_AWAY 8192
+#define BD_REDIRECTED_WORKERS_MAX 8192
 
-/* a report that waits for the leader's answer */
+/* A heartbeat that was forwarded and awaits the leader's reply. */
 struct bd_forward {
     uint64_t id;
     void *request;
@@ -16,19 +17,20 @@
     struct bd_forward *next;
 };
 
-struct bd_away { /* a worker that we sent to the leader; beyond BD_SENT_AWAY the oldest go */
-    UT_hash_handle hh;
+/* A worker that was redirected to the leader; beyond the maximum the oldest are forgotten. */
+struct bd_redirected_worker {
+    UT_hash_handle hh; /* by id */
     char id[BD_LABEL];
     struct timespec at;
-    bool back; /* it came back: its reports are passed on */
+    bool has_returned; /* its heartbeats are forwarded */
 };
 
-/* Owned by forwarding.c. */
 struct bd_forwarding {
     struct bd_forward *waiting;
     uint64_t last_id;
-    struct bd_away *sent_away;
-    struct timespec
-        inbound_partition_until; /* the leader's workers are better passed on than sent to it */
+    struct bd_redirected_worker *redirected;
+    /* The leader does not hear its workers: until then heartbeats are better forwarded than their
+     * workers redirected. */
+    struct timespec inbound_partition_until;
 };
 #endif
--- a/src/workers/autonomous_zone.c
+++ b/src/workers/autonomous_zone.c
@@ -1,35 +1,33 @@
-/* Standing by: a follower whose whole zone is cut off from everything, the state service too, goes
- * on answering the workers of its zone, as a leader in its grace does. Without that all work there
- * would end one lease after the cut, though nothing is wrong inside.
+/* Autonomous zones: a follower whose whole zone is cut off from everything, also from the key-value
+ * store, goes on renewing the leases of the workers in its zone, as a leader does at the end of its
+ * term. Otherwise all work there would end one lease after the cut, though nothing is wrong inside.
  *
  * What makes it safe: while it is in touch, each follower writes the time of day into its own
- * record, conditional on the leader's key. It stands by from STANDBY_AFTER_S after the sending of
- * the last write that may have been carried out (its answer may be lost), for at most the grace
- * after the last that surely was: a cancellation that it cannot see still ends in time. The leader
- * reads these records with the delegates'. A controller whose newest one is old may be standing by:
- * while two of a zone may (or its only one), no lease there counts as over before the last moment
- * at which they can have answered, and a whole lease. A record that is applied late carries its own
- * time. A follower stands by only if another of its zone says, by a frame of this moment, that it
+ * liveness record, conditional on the leader's key. Its zone may be autonomous from
+ * AUTONOMOUS_AFTER_S after it sent the last write that may have been carried out (the response may
+ * be lost), until the end of the renewal window after the last one that surely was: a cancellation
+ * that it cannot see still ends in time. The leader reads these records with the delegates'. A
+ * controller whose newest record is old may be autonomous: while two controllers of a zone may be
+ * (or its only one), no lease there counts as expired before the last moment at which they can have
+ * renewed it, and a whole lease after that. A record that is applied late carries its own time. A
+ * follower renews only if another controller of its zone says, in a status of this moment, that it
  * is cut off too: so one that crashes, or is cut off alone, delays nothing. */
 #include "base/timeutil.h"
 #include "leadership/leadership.h"
 #include "model/core_state.h"
-#include "model/leadership_state.h"
+#include "model/machine.h"
 #include "model/peers.h"
 #include "wire/frame.h"
 #include "workers/workers.h"
 #include "workers/workers_internal.h"
 #include <string.h>
 
-/* named defaults */
-#define STICKY_S 3.0      /* a controller may be heard as cut off so long after it is back */
-#define FRAME_FRESH_S 2.0 /* what another says of itself holds so long */
-#define CLOCKS_S 0.3      /* for the leader's reckoning, beside the clocks' error */
+#define AUTONOMOUS_AFTER_S 3.0   /* without a response of the key-value store */
+#define AUTONOMOUS_MEMORY_S 3.0  /* that another's status may say so after it is in touch again */
+#define PEER_STATUS_FRESH_S 2.0  /* what another controller says of itself holds so long */
+#define CLOCK_MARGIN_EXTRA_S 0.3 /* of the leader, beside the clocks' error */
 
-static double clocks(const struct bd_core *core)
-{
-    return 2 * bd_to_secs(core->settings->clock_error) + CLOCKS_S;
-}
+/* ---- as follower ---- */
 
 void bd_liveness_written(struct bd_core *core, struct timespec sent)
 {
@@ -43,36 +41,35 @@
 
 bool bd_autonomous_zone_active(const struct bd_core *core)
 {
-    /* a record that was written while its answer was lost shows the leader that we are in touch: it
-     * would count with no answers of ours */
-    return core->role == BD_FOLLOWER &&
-           bd_between(bd_max(core->confirmed, core->liveness_sent), core->now) > AUTONOMOUS_AFTER_S;
+    /* a record that was written, though the response was lost, shows the leader that we are in
+     * touch: it would not allow for renewals of ours */
+    struct timespec last = bd_max(core->confirmed, core->liveness_sent);
+    return core->role == BD_FOLLOWER && bd_between(last, core->now) > AUTONOMOUS_AFTER_S;
 }
 
-/* Whether a controller of our zone is cut off as we are; one that is alone in its zone asks nobody.
- */
-static bool zone_agrees(const struct bd_core *core)
+/* Whether another controller of our zone is cut off too; one that is alone in its zone needs no
+ * other. */
+static bool is_cut_confirmed(const struct bd_core *core)
 {
-    bool alone = true;
-    double late = FRAME_FRESH_S + 2 * bd_to_secs(core->settings->clock_error);
+    bool is_alone = true;
+    double late_s = PEER_STATUS_FRESH_S + 2 * bd_to_secs(core->settings->clock_error);
     for (int i = 0; i < core->settings->npeers; i++) {
         if (!bd_peer_is_local(core, i))
             continue;
-        alone = false;
-        if (core->peers[i].flags & BD_PEER_KV_LOST && bd_peer_heard(core, i, FRAME_FRESH_S) &&
-            core->wall - core->peers[i].status_sent_wall_s < late)
+        is_alone = false;
+        if (core->peers[i].flags & BD_PEER_KV_LOST && bd_peer_heard(core, i, PEER_STATUS_FRESH_S) &&
+            core->wall - core->peers[i].status_sent_wall_s < late_s)
             return true;
     }
-    return alone;
+    return is_alone;
 }
 
-static bool zone_of_ours(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
+static bool is_of_our_zone(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
 {
     return strcmp(heartbeat->zone, core->settings->zone) == 0;
 }
 
-/* The grace, from the last sign of the state service. */
-static bool in_time(const struct bd_core *core)
+static bool is_within_renewal_window(const struct bd_core *core)
 {
     return bd_may_renew_leases(core) && bd_within_renewal_window(core, core->confirmed);
 }
@@ -80,69 +77,84 @@
 bool bd_autonomous_zone_may_reply(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
 {
     return core->last_term && core->replica.ready && bd_autonomous_zone_active(core) &&
-           !bd_forward_hears_leader(core) && in_time(core) && zone_of_ours(core, heartbeat) &&
-           zone_agrees(core);
+           !bd_forward_hears_leader(core) && is_within_renewal_window(core) &&
+           is_of_our_zone(core, heartbeat) && is_cut_confirmed(core);
 }
 
-/* Whether it is worth while to let a worker wait: the cut may just have begun. */
-bool bd_autonomous_zone_is_local(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
+bool bd_autonomous_zone_may_begin(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
 {
-    return core->role == BD_FOLLOWER && core->last_term && in_time(core) &&
-           zone_of_ours(core, heartbeat) && !bd_forward_hears_leader(core) &&
-           bd_between(core->confirmed, core->now) < AUTONOMOUS_AFTER_S + FRAME_FRESH_S;
+    return core->role == BD_FOLLOWER && core->last_term && is_within_renewal_window(core) &&
+           is_of_our_zone(core, heartbeat) && !bd_forward_hears_leader(core) &&
+           bd_between(core->confirmed, core->now) < AUTONOMOUS_AFTER_S + PEER_STATUS_FRESH_S;
 }
 
-/* ---- the leader's view ---- */
+/* ---- as leader ---- */
 
-void bd_autonomous_zone_liveness_record(struct bd_core *core, const char *node, double at)
+void bd_autonomous_zone_liveness_record(struct bd_core *core, const char *node, double wall_s)
 {
     for (int i = 0; i < core->settings->npeers; i++)
-        if (strcmp(core->settings->peers[i].name, node) == 0 && at > core->peers[i].contact)
-            core->peers[i].contact = at;
-}
-
-/* Seconds from now until the controller can answer nobody any more, standing by; below 0: it does
- * not stand by, or not any more. One without a record may have had one that we have not seen. */
-static double answers_for(struct bd_core *core, int peer)
-{
-    double age = core->wall - core->peers[peer].contact;
-    if (age > AUTONOMOUS_AFTER_S - clocks(core))
-        core->peers[peer].maybe_autonomous_until = bd_add(core->now, bd_secs(STICKY_S));
-    if (!bd_before(core->now, core->peers[peer].maybe_autonomous_until))
-        return -1;
-    return bd_renewal_window_s(core->settings) - age + clocks(core);
-}
-
-/* As leader, before leases are looked at: for each zone until when workers there may have been
- * answered by controllers that stand by; zero: they are not. */
-void bd_autonomous_zone_leases(struct bd_core *core, struct timespec *until)
-{
-    for (int z = 0; z < core->nzones; z++) {
-        int here = 0, suspects = 0;
-        double longest = -1;
-        for (int i = 0; i < core->settings->npeers; i++) {
-            if (strcmp(core->settings->peers[i].zone, core->zones[z]) != 0)
-                continue;
-            double s = answers_for(core, i);
-            here++;
-            suspects += bd_before(core->now, core->peers[i].maybe_autonomous_until);
-            longest = s > longest ? s : longest;
-        }
-        here += strcmp(core->settings->zone, core->zones[z]) == 0;
-        bool may = suspects >= 2 || (here == 1 && suspects == 1);
-        until[z] = may && longest > 0 ? core->now : (struct timespec){0, 0};
+        if (strcmp(core->settings->peers[i].name, node) == 0 && wall_s > core->peers[i].contact)
+            core->peers[i].contact = wall_s;
+}
+
+static double clock_margin_s(const struct bd_core *core)
+{
+    return 2 * bd_to_secs(core->settings->clock_error) + CLOCK_MARGIN_EXTRA_S;
+}
+
+static double liveness_age_s(const struct bd_core *core, int peer)
+{
+    return core->wall - core->peers[peer].contact;
+}
+
+/* Whether the controller may be cut off from the store. One without a record may have had one that
+ * we did not see. */
+static bool may_be_autonomous(struct bd_core *core, int peer)
+{
+    struct bd_peer_view *view = &core->peers[peer];
+    if (liveness_age_s(core, peer) > AUTONOMOUS_AFTER_S - clock_margin_s(core))
+        view->maybe_autonomous_until = bd_add(core->now, bd_secs(AUTONOMOUS_MEMORY_S));
+    return bd_before(core->now, view->maybe_autonomous_until);
+}
+
+/* Seconds until the controller can surely renew no more leases. */
+static double renewal_left_s(const struct bd_core *core, int peer)
+{
+    return bd_renewal_window_s(core->settings) - liveness_age_s(core, peer) + clock_margin_s(core);
+}
+
+/* Whether controllers of the zone may be renewing leases on their own now. */
+static bool may_zone_be_autonomous(struct bd_core *core, const char *zone)
+{
+    int controllers = strcmp(core->settings->zone, zone) == 0 ? 1 : 0;
+    int suspects = 0;
+    bool may_renew = false;
+    for (int i = 0; i < core->settings->npeers; i++) {
+        if (strcmp(core->settings->peers[i].zone, zone) != 0)
+            continue;
+        controllers++;
+        if (!may_be_autonomous(core, i))
+            continue;
+        suspects++;
+        may_renew |= renewal_left_s(core, i) > 0;
     }
+    return may_renew && (suspects >= 2 || (controllers == 1 && suspects == 1));
+}
+
+void bd_autonomous_zones_detect(struct bd_core *core, bool *may_be_autonomous_by_zone)
+{
+    for (int zone = 0; zone < core->nzones; zone++)
+        may_be_autonomous_by_zone[zone] = may_zone_be_autonomous(core, core->zones[zone]);
 }
 
-/* Until when the machine may have been answered; one whose zone is not known may be in any. */
-struct timespec bd_autonomous_zone_lease_until(const struct bd_core *core,
-                                               const struct bd_machine *machine,
-                                               const struct timespec *until)
+bool bd_autonomous_zone_may_have_renewed(const struct bd_core *core,
+                                         const struct bd_machine *machine,
+                                         const bool *may_be_autonomous_by_zone)
 {
-    struct timespec last = {0, 0};
     if (machine->zone >= 0)
-        return until[machine->zone];
-    for (int z = 0; z < core->nzones; z++)
-        last = bd_max(last, until[z]);
-    return last;
+        return may_be_autonomous_by_zone[machine->zone];
+    for (int zone = 0; zone < core->nzones; zone++)
+        if (may_be_autonomous_by_zone[zone])
+            return true;
+    return false;
 }
--- a/src/workers/delegate_view.c
+++ b/src/workers/delegate_view.c
@@ -1,124 +1,171 @@
-/* The leader's view of the delegates' records. Part of the pure core. */
+/* The leader's view of the delegates' records: which machines a delegate may have answered, and
+ * which delegates are not needed. */
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "leadership/leadership.h"
 #include "model/core_state.h"
+#include "model/delegate_state.h"
 #include "model/leadership_state.h"
 #include "model/machine.h"
-#include "wire/frame.h"
 #include "wire/wire.h"
 #include "workers/workers.h"
 #include "workers/workers_internal.h"
 #include <stdio.h>
 #include <string.h>
 
-#define AWAY_S 30.0 /* a dismissed delegate is named so long in the leader's key */
-#define AGAIN_S 8.0 /* then the key is rewritten, if its workers still come here */
-#define STALE_S 5.0
-#define GAP_S 2.5 /* between refreshes: shorter than keep_s, so that none can slip through */
+#define DISMISSAL_S 30.0       /* a dismissed delegate is named so long in the leader's key */
+#define DISMISSAL_REPEAT_S 8.0 /* then the key is rewritten, if its workers still come here */
+#define RECORD_STALE_S 5.0     /* without a change, when a delegate writes twice a second */
+#define READ_GAP_MAX_S 2.5     /* shorter than a machine stays in a record: no read misses one */
 
-/* ---- the leader's view ---- */
-
-static struct bd_delegate_seen *seen_of(struct bd_core *core, const char *key)
+static struct bd_delegate_record *find_or_add_record(struct bd_delegate_view *view, const char *key)
 {
-    for (int i = 0; i < core->delegates.count; i++)
-        if (strcmp(core->delegates.seen[i].key, key) == 0)
-            return &core->delegates.seen[i];
-    if (core->delegates.count == (int)(sizeof core->delegates.seen / sizeof *core->delegates.seen))
+    for (int i = 0; i < view->count; i++)
+        if (strcmp(view->records[i].key, key) == 0)
+            return &view->records[i];
+    if (view->count == (int)(sizeof view->records / sizeof *view->records))
         return NULL;
-    struct bd_delegate_seen *s = &core->delegates.seen[core->delegates.count++];
-    memset(s, 0, sizeof *s);
-    snprintf(s->key, sizeof s->key, "%s", key);
-    return s;
+    struct bd_delegate_record *record = &view->records[view->count++];
+    memset(record, 0, sizeof *record);
+    snprintf(record->key, sizeof record->key, "%s", key);
+    return record;
 }
 
-static void read_record(struct bd_core *core, const struct bd_change *ch)
+/* ---- reading ---- */
+
+static void read_liveness_record(struct bd_core *core, const char *node, size_t node_length,
+                                 json_t *value)
 {
-    json_t *v;
-    size_t i;
-    const char *tail = strchr(ch->key + 2, '/');
-    if (tail && strcmp(tail, "/at") == 0) {
-        char node[BD_LABEL];
-        snprintf(node, sizeof node, "%.*s", (int)(tail - ch->key - 2), ch->key + 2);
-        bd_autonomous_zone_liveness_record(core, node,
-                                           json_number_value(json_object_get(ch->value, "at")));
+    char name[BD_LABEL];
+    snprintf(name, sizeof name, "%.*s", (int)node_length, node);
+    bd_autonomous_zone_liveness_record(core, name, json_number_value(json_object_get(value, "at")));
+}
+
+/* record: NULL if there are more than the view can hold. */
+static void mark_delegated(struct bd_core *core, const char *id,
+                           const struct bd_delegate_record *record)
+{
+    struct bd_machine *machine = NULL;
+    HASH_FIND_STR(core->machines, id, machine);
+    if (!machine)
         return;
+    machine->delegated = true;
+    if (record)
+        machine->delegate = (int)(record - core->delegates.records);
+}
+
+static void read_delegate_record(struct bd_core *core, const struct bd_change *change)
+{
+    struct bd_delegate_view *view = &core->delegates;
+    const char *key = change->key + strlen(BD_NODE_RECORD_PREFIX);
+    struct bd_delegate_record *record = find_or_add_record(view, key);
+    json_t *name;
+    size_t i;
+    if (record && change->revision != record->revision) {
+        record->revision = change->revision;
+        record->changed_at = core->now;
     }
-    struct bd_delegate_seen *s = seen_of(core, ch->key + 2);
-    if (s && ch->revision != s->revision) {
-        s->revision = ch->revision;
-        s->changed = core->now;
-    }
-    if (s && bd_between(s->changed, core->now) > STALE_S)
-        snprintf(core->delegates.stale, sizeof core->delegates.stale, "%s", ch->key);
-    json_array_foreach(json_object_get(ch->value, "m"), i, v)
+    if (record && bd_between(record->changed_at, core->now) > RECORD_STALE_S)
+        snprintf(view->stale, sizeof view->stale, "%s", change->key);
+    json_array_foreach(json_object_get(change->value, "m"), i, name)
     {
-        struct bd_machine *machine = NULL;
-        const char *id = json_string_value(v);
-        if (id)
-            HASH_FIND_STR(core->machines, id, machine);
-        if (machine)
-            machine->delegated = true;
-        if (machine && s)
-            machine->delegate = (int)(s - core->delegates.seen);
+        if (json_string_value(name))
+            mark_delegated(core, json_string_value(name), record);
     }
 }
 
-/* A worker out of a delegate's record reports to the leader itself: the two controllers do not hear
- * each other, but the workers are not cut off. The delegate is told so by the leader's key, which
- * it looks at; its workers then come. */
-void bd_delegate_not_needed(struct bd_core *core, const struct bd_machine *machine)
+/* A controller writes NODE/at for its liveness, and NODE or NODE/PART as a delegate. */
+static void read_record(struct bd_core *core, const struct bd_change *change)
 {
-    if (machine->delegate >= core->delegates.count)
-        return;
-    struct bd_delegate_seen *s = &core->delegates.seen[machine->delegate];
-    bool first = bd_is_zero(s->dismissed) || bd_between(s->dismissed, core->now) > AWAY_S;
-    /* it may have heard us meanwhile, and what the key says of it be over */
-    if (first || bd_between(s->named, core->now) > AGAIN_S) {
-        s->named = core->now;
-        bd_log_write(core->log, BD_LOG_INFO, "delegate %s is not needed: %s reports here", s->key,
-                     machine->id);
-        core->lead.token_raise_wanted = true;
+    const char *node = change->key + strlen(BD_NODE_RECORD_PREFIX);
+    const char *slash = strchr(node, '/');
+    if (slash && strcmp(slash, "/at") == 0)
+        read_liveness_record(core, node, (size_t)(slash - node), change->value);
+    else
+        read_delegate_record(core, change);
+}
+
+static void extend_lease(struct bd_machine *machine, struct timespec until)
+{
+    machine->lease_expires_at = bd_max(machine->lease_expires_at, until);
+}
+
+/* Machines of the last read may have been answered until now, and a little longer. So may any, if
+ * that read was too long ago. */
+static void extend_leases_of_last_read(struct bd_core *core, struct timespec sent,
+                                       struct timespec until)
+{
+    bool has_gap = bd_between(core->delegates.read_at, sent) > READ_GAP_MAX_S;
+    for (uint32_t i = 0; i < core->nmachines; i++) {
+        struct bd_machine *machine = core->by_index[i];
+        if (machine->delegated || has_gap)
+            extend_lease(machine, until);
+        machine->delegated = false;
     }
-    s->dismissed = core->now;
 }
 
-/* For the leader's key; the caller owns the list. */
-json_t *bd_delegates_dismissed(const struct bd_core *core)
+static void extend_leases_of_delegated(struct bd_core *core, struct timespec until)
 {
-    json_t *list = json_array();
-    for (int i = 0; i < core->delegates.count; i++)
-        if (!bd_is_zero(core->delegates.seen[i].dismissed) &&
-            bd_between(core->delegates.seen[i].dismissed, core->now) < AWAY_S)
-            (void)json_array_append_new(list,
-                                        json_stringn(core->delegates.seen[i].key,
-                                                     strcspn(core->delegates.seen[i].key, "/")));
-    return list;
+    for (uint32_t i = 0; i < core->nmachines; i++)
+        if (core->by_index[i]->delegated)
+            extend_lease(core->by_index[i], until);
 }
 
 void bd_delegate_records_read(struct bd_core *core, json_t *pairs, struct timespec sent)
 {
-    struct bd_change ch;
-    json_t *v;
+    struct bd_change change;
+    json_t *pair;
     size_t i;
     if (core->role != BD_LEADER)
         return;
-    bool gap = bd_between(core->delegates.read_at, sent) > GAP_S;
-    struct timespec end = bd_lease_expiry(core, bd_add(core->now, bd_secs(BD_DELEGATE_FRESH_S)));
-    for (uint32_t k = 0; k < core->nmachines; k++) {
-        struct bd_machine *machine = core->by_index[k];
-        if (machine->delegated ||
-            gap) /* it may have been answered until now, and a little longer */
-            machine->lease_expires_at = bd_max(machine->lease_expires_at, end);
-        machine->delegated = false;
-    }
-    json_array_foreach(pairs, i, v)
+    struct timespec answered_until = bd_add(core->now, bd_secs(BD_DELEGATE_FRESH_S));
+    struct timespec lease_until = bd_lease_expiry(core, answered_until);
+    extend_leases_of_last_read(core, sent, lease_until);
+    json_array_foreach(pairs, i, pair)
     {
-        if (bd_wire_change(v, &ch) && strncmp(ch.key, "p/", 2) == 0)
-            read_record(core, &ch);
+        if (bd_wire_change(pair, &change) &&
+            strncmp(change.key, BD_NODE_RECORD_PREFIX, strlen(BD_NODE_RECORD_PREFIX)) == 0)
+            read_record(core, &change);
     }
-    for (uint32_t k = 0; k < core->nmachines; k++)
-        if (core->by_index[k]->delegated)
-            core->by_index[k]->lease_expires_at = bd_max(core->by_index[k]->lease_expires_at, end);
+    extend_leases_of_delegated(core, lease_until);
     core->delegates.read_at = sent;
-}
+}
+
+/* ---- dismissing ---- */
+
+static bool is_dismissal_announced(const struct bd_core *core,
+                                   const struct bd_delegate_record *record)
+{
+    return !bd_is_zero(record->dismissed_at) &&
+           bd_between(record->dismissed_at, core->now) <= DISMISSAL_S;
+}
+
+void bd_delegate_not_needed(struct bd_core *core, const struct bd_machine *machine)
+{
+    if (machine->delegate >= core->delegates.count)
+        return;
+    struct bd_delegate_record *record = &core->delegates.records[machine->delegate];
+    /* the delegate may have heard us meanwhile, which ends a dismissal: so it is repeated */
+    if (!is_dismissal_announced(core, record) ||
+        bd_between(record->announced_at, core->now) > DISMISSAL_REPEAT_S) {
+        record->announced_at = core->now;
+        bd_log_write(core->log, BD_LOG_INFO, "delegate %s is not needed: %s reports here",
+                     record->key, machine->id);
+        core->lead.token_raise_wanted = true;
+    }
+    record->dismissed_at = core->now;
+}
+
+json_t *bd_delegates_dismissed(const struct bd_core *core)
+{
+    json_t *names = json_array();
+    for (int i = 0; i < core->delegates.count; i++) {
+        const struct bd_delegate_record *record = &core->delegates.records[i];
+        if (bd_is_zero(record->dismissed_at) ||
+            bd_between(record->dismissed_at, core->now) >= DISMISSAL_S)
+            continue;
+        size_t node_length = strcspn(record->key, "/");
+        (void)json_array_append_new(names, json_stringn(record->key, node_length));
+    }
+    return names;
+}
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -153,7 +153,7 @@
         return;
     }
     bool is_direct = via == BD_VIA_NO_PEER;
-    int peer = is_direct ? bd_forward_redirect(core, machine, heartbeat) : -1;
+    int peer = is_direct ? bd_redirect_zone_peer(core, machine, heartbeat) : -1;
     if (peer >= 0) {
         bd_effect_reply(core, request, 421, bd_wire_redirect(core->settings->peers[peer].name), 0);
         return;
@@ -174,32 +174,29 @@
     if (core->role == BD_FOLLOWER && (bd_forward_heartbeat(core, request, heartbeat, body, len) ||
                                       bd_delegate_heartbeat(core, request, heartbeat)))
         return;
-    bd_forward_away(core, request, heartbeat);
+    bd_redirect_to_leader(core, request, heartbeat);
 }
 
-static int find_peer(const struct bd_core *core, const char *name)
+static void receive_from_peer(struct bd_core *core, int peer, uint64_t id,
+                              const struct bd_heartbeat *heartbeat, const char *body, size_t len)
 {
-    for (int i = 0; i < core->settings->npeers; i++)
-        if (strcmp(core->settings->peers[i].name, name) == 0)
-            return i;
-    return -1;
-}
-
-void bd_worker_heartbeat_forwarded(struct bd_core *core, const char *peer, uint64_t id,
-                                   const struct bd_heartbeat *heartbeat, const char *body,
-                                   size_t len)
-{
-    int index = find_peer(core, peer);
-    if (index < 0)
-        return;
     struct bd_remote *request = calloc(1, sizeof *request);
     if (!request)
         abort();
     request->remote = true;
-    request->peer = index;
+    request->peer = peer;
     request->id = id;
     if (bd_leadership_may_reply(core))
-        receive_as_leader(core, request, heartbeat, index);
+        receive_as_leader(core, request, heartbeat, peer);
     else if (!bd_forward_relay(core, request, heartbeat, body, len))
         bd_effect_reply(core, request, 421, bd_wire_redirect(""), 0);
 }
+
+void bd_worker_heartbeat_forwarded(struct bd_core *core, const char *peer, uint64_t id,
+                                   const struct bd_heartbeat *heartbeat, const char *body,
+                                   size_t len)
+{
+    for (int i = 0; i < core->settings->npeers; i++)
+        if (strcmp(core->settings->peers[i].name, peer) == 0)
+            receive_from_peer(core, i, id, heartbeat, body, len);
+}
--- a/src/workers/lease_expiry.c
+++ b/src/workers/lease_expiry.c
@@ -1,4 +1,5 @@
-/* When a worker's lease has surely expired, all that it held is released. */
+/* Expiry of workers' leases: once a lease has surely expired, all that its machine held is
+ * released. */
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "brambledoor/settings.h"
@@ -9,29 +10,38 @@
 #include "workers/workers.h"
 #include "workers/workers_internal.h"
 
+#define RECHECK_S 1.0 /* after an expiry, for planned tasks that were not released */
+
+/* A delegate may have renewed the lease unless a read of the records that began after its end shows
+ * that none did. */
+static bool has_expired(const struct bd_core *core, const struct bd_machine *machine)
+{
+    return !bd_before(core->now, machine->lease_expires_at) && !machine->delegated &&
+           !bd_before(core->delegates.read_at, machine->lease_expires_at);
+}
+
+static void expire_lease(struct bd_core *core, struct bd_machine *machine)
+{
+    bd_log_write(core->log, BD_LOG_INFO, "%s: lease expired, %u tasks lost", machine->id,
+                 machine->nreservations);
+    machine->expired_incarnation = machine->incarnation;
+    machine->fenced = false;
+    bd_machine_lease_expired(core, machine, BD_RELEASE_LEASE_EXPIRED);
+    machine->lease_expires_at = bd_add(core->now, bd_secs(RECHECK_S));
+}
+
 void bd_workers_expire_leases(struct bd_core *core)
 {
-    struct timespec until[BD_MAX_ZONES];
-    bd_autonomous_zone_leases(core, until);
+    bool may_be_autonomous_by_zone[BD_MAX_ZONES];
+    bd_autonomous_zones_detect(core, may_be_autonomous_by_zone);
     for (uint32_t i = 0; i < core->nmachines; i++) {
         struct bd_machine *machine = core->by_index[i];
         if (machine->gone || machine->nreservations == 0)
             continue;
-        struct timespec answered = bd_autonomous_zone_lease_until(core, machine, until);
-        if (!bd_is_zero(answered)) /* a controller of its cut zone may have answered it */
+        if (bd_autonomous_zone_may_have_renewed(core, machine, may_be_autonomous_by_zone))
             machine->lease_expires_at =
-                bd_max(machine->lease_expires_at, bd_lease_expiry(core, answered));
-        if (bd_before(core->now, machine->lease_expires_at))
-            continue;
-        /* a delegate may have answered it: a refresh begun after the lease's end must not show it
-         */
-        if (machine->delegated || bd_before(core->delegates.read_at, machine->lease_expires_at))
-            continue;
-        bd_log_write(core->log, BD_LOG_INFO, "%s: lease expired, %u tasks lost", machine->id,
-                     machine->nreservations);
-        machine->expired_incarnation = machine->incarnation;
-        machine->fenced = false;
-        bd_machine_lease_expired(core, machine, BD_RELEASE_LEASE_EXPIRED);
-        machine->lease_expires_at = bd_add(core->now, bd_secs(1.0)); /* plans that stayed, if any */
+                bd_max(machine->lease_expires_at, bd_lease_expiry(core, core->now));
+        if (has_expired(core, machine))
+            expire_lease(core, machine);
     }
 }
--- /dev/null
+++ b/src/workers/worker_redirects.c
@@ -0,0 +1,120 @@
+/* Redirects of workers: a follower sends them to the leader, and remembers whom, to tell those that
+ * cannot reach it; the leader sends them to a controller of their own zone. */
+#include "base/timeutil.h"
+#include "leadership/leadership.h"
+#include "model/core_state.h"
+#include "model/effect.h"
+#include "model/forwarding_state.h"
+#include "model/machine.h"
+#include "wire/wire.h"
+#include "workers/workers.h"
+#include "workers/workers_internal.h"
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#define ZONE_REDIRECT_INTERVAL_S 8.0 /* between redirects of a worker to its zone's controller */
+#define RETURN_S 12.0          /* a worker timed out at the leader, and perhaps at another node */
+#define RETURNED_MEMORY_S 40.0 /* then the leader is tried again */
+
+/* ---- as follower ---- */
+
+bool bd_redirect_has_returned(struct bd_core *core, const char *machine)
+{
+    struct bd_redirected_worker *worker = NULL;
+    HASH_FIND_STR(core->forwarding.redirected, machine, worker);
+    if (!worker)
+        return false;
+    double limit_s = worker->has_returned ? RETURNED_MEMORY_S : RETURN_S;
+    if (bd_between(worker->at, core->now) > limit_s) {
+        HASH_DEL(core->forwarding.redirected, worker);
+        free(worker);
+        return false;
+    }
+    if (!worker->has_returned)
+        worker->at = core->now;
+    worker->has_returned = true;
+    return true;
+}
+
+/* Takes the worker's entry out of the table, or the oldest if the table is full, or makes one. The
+ * table is in the order of insertion. */
+static struct bd_redirected_worker *take_entry(struct bd_forwarding *forwarding,
+                                               const char *machine)
+{
+    struct bd_redirected_worker *worker = NULL;
+    HASH_FIND_STR(forwarding->redirected, machine, worker);
+    if (!worker && HASH_COUNT(forwarding->redirected) >= BD_REDIRECTED_WORKERS_MAX)
+        worker = forwarding->redirected;
+    if (worker)
+        HASH_DEL(forwarding->redirected, worker);
+    else
+        worker = malloc(sizeof *worker);
+    if (!worker)
+        abort();
+    return worker;
+}
+
+static void remember_redirect(struct bd_core *core, const char *machine)
+{
+    struct bd_redirected_worker *worker = take_entry(&core->forwarding, machine);
+    memset(worker, 0, sizeof *worker);
+    snprintf(worker->id, sizeof worker->id, "%s", machine);
+    worker->at = core->now;
+    HASH_ADD_STR(core->forwarding.redirected, id, worker);
+}
+
+void bd_redirect_to_leader(struct bd_core *core, void *request,
+                           const struct bd_heartbeat *heartbeat)
+{
+    bool is_known = bd_forward_other_leads(core);
+    if (is_known)
+        remember_redirect(core, heartbeat->machine);
+    bd_effect_reply(core, request, 421, bd_wire_redirect(is_known ? core->leader_name : ""), 0);
+}
+
+void bd_forward_end(struct bd_core *core)
+{
+    struct bd_redirected_worker *worker, *next;
+    HASH_ITER(hh, core->forwarding.redirected, worker, next)
+    {
+        HASH_DEL(core->forwarding.redirected, worker);
+        free(worker);
+    }
+}
+
+/* ---- as leader ---- */
+
+/* Workers of our own zone go to its other controllers only while another zone is cut off: if we
+ * fail, all workers that were with us try the next nodes in turn, and those beyond the cut let them
+ * time out. */
+static bool may_redirect(const struct bd_core *core, const struct bd_machine *machine,
+                         const char *zone)
+{
+    bool was_redirected_lately =
+        !bd_is_zero(machine->redirected) &&
+        bd_between(machine->redirected, core->now) < ZONE_REDIRECT_INTERVAL_S;
+    bool is_served_best_here =
+        strcmp(zone, core->settings->zone) == 0 && !bd_forward_is_zone_silent(core);
+    return !is_served_best_here && bd_leadership_lease_valid(core) && !was_redirected_lately;
+}
+
+int bd_redirect_zone_peer(struct bd_core *core, struct bd_machine *machine,
+                          const struct bd_heartbeat *heartbeat)
+{
+    int found = -1;
+    uint32_t candidates = 0;
+    if (!may_redirect(core, machine, heartbeat->zone))
+        return -1;
+    for (int i = 0; i < core->settings->npeers; i++) {
+        if (strcmp(core->settings->peers[i].zone, heartbeat->zone) != 0 ||
+            !bd_forward_can_relay(core, i))
+            continue;
+        candidates++;
+        if (found < 0 || machine->index % candidates == 0)
+            found = i;
+    }
+    if (found >= 0)
+        machine->redirected = core->now;
+    return found;
+}
--- a/src/workers/workers.h
+++ b/src/workers/workers.h
@@ -36,30 +36,38 @@
 /* Releases what machines with expired leases held. */
 void bd_workers_expire_leases(struct bd_core *core);
 
-/* ---- forwarding (forwarding.c) ---- */
+/* ---- forwarding (forwarding.c, worker_redirects.c) ---- */
 
 /* The leader's reply to a heartbeat that we forwarded. */
 void bd_forward_reply_received(struct bd_core *core, uint64_t id, int status, const char *body,
                                size_t len);
+/* Whether we heard the leader, another controller, of late. */
 bool bd_forward_hears_leader(const struct bd_core *core);
+/* Gives up forwarded heartbeats that the leader has not replied to in time. */
 void bd_forward_tick(struct bd_core *core);
+/* Frees what is known of redirected workers. */
 void bd_forward_end(struct bd_core *core);
+/* Frees a heartbeat and its tasks. */
 void bd_heartbeat_free(struct bd_heartbeat *heartbeat);
 
-/* ---- delegates (delegate.c, delegate_view.c) ---- */
+/* ---- delegates (delegate.c, delegate_record.c, delegate_probes.c, delegate_view.c) ---- */
 
+/* As follower: settles heartbeats that wait, and writes our record when it is due. */
 void bd_delegate_tick(struct bd_core *core);
-/* The leader's key names those delegates that it needs no more. */
+/* The leader's key was read. dismissed: it names us among the delegates that are not needed;
+ * revision: the key's; sent: when the read was sent. */
 void bd_delegate_dismissed(struct bd_core *core, bool dismissed, uint64_t revision,
                            struct timespec sent);
-/* The delegates that the leader needs no more, for its key. The caller owns the list. */
+/* As leader: the names of delegates that are not needed, for our key. The caller owns the list. */
 json_t *bd_delegates_dismissed(const struct bd_core *core);
+/* Ends our part as a delegate, as when we lead: heartbeats that wait are answered or redirected. */
 void bd_delegate_end(struct bd_core *core);
 /* Forgets all machines that we answered for the leader. */
 void bd_delegate_forget(struct bd_core *core);
-/* As leader: the delegates' records were read. */
+/* As leader: the controllers' records were read. pairs: borrowed; sent: when the read was sent. */
 void bd_delegate_records_read(struct bd_core *core, json_t *pairs, struct timespec sent);
-/* As follower: the outcome of writing our own record. */
+/* As follower: the outcome of writing our own record, or of reading its revision (status 0, and
+ * revision_known). status: HTTP's, 0 without a response; sent: when the request was sent. */
 void bd_delegate_txn_completed(struct bd_core *core, long status, uint64_t store_revision,
                                struct timespec sent, bool revision_known);
 
