--- a/src/workers/autonomous_zone.c
+++ b/src/workers/autonomous_zone.c
@@ -23,8 +23,8 @@
 #include <string.h>
 
 #define AUTONOMOUS_AFTER_S 3.0   /* without a response of the key-value store */
-#define AUTONOMOUS_MEMORY_S 3.0  /* that another's status may say so after it is in touch again */
-#define PEER_STATUS_FRESH_S 2.0  /* what another controller says of itself holds so long */
+#define AUTONOMOUS_MEMORY_S 3.0  /* a controller may still be heard as cut off */
+#define PEER_STATUS_FRESH_S 2.0  /* what another controller says of itself is valid so long */
 #define CLOCK_MARGIN_EXTRA_S 0.3 /* of the leader, beside the clocks' error */
 
 /* ---- as follower ---- */
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -3,12 +3,12 @@
  * survives.
  *
  * What makes it safe: a delegate writes the machines that it answers into its own record,
- * conditional on the leader's key, before it answers them. It writes the record again every
- * WRITE_INTERVAL_S and stops BD_DELEGATE_FRESH_S after the last write that succeeded was sent. A
- * machine stays in the record for a while after its last heartbeat (retention_s). The leader reads
- * all records; no lease counts as expired while the newest read shows the machine, nor before a
- * read that began after the lease's end. The leader deletes the record of a delegate that does not
- * confirm it any more. A delegate sends no commands but halts of cancelled jobs.
+ * conditional on the leader's key, before it answers them. It writes the record again at a short
+ * interval, and stops BD_DELEGATE_FRESH_S after the last write that succeeded was sent. A machine
+ * stays in the record for a while after its last heartbeat (see delegate_record.c). The leader
+ * reads all records; no lease counts as expired while the newest read shows the machine, nor before
+ * a read that began after the lease's end. The leader deletes the record of a delegate that does
+ * not confirm it any more. A delegate sends no commands but halts of cancelled jobs.
  *
  * While nobody leads, the record is conditional on the leader's key being absent, and replies carry
  * the last term's fencing token: a new leader allows for such replies until BD_DELEGATE_FRESH_S
@@ -260,8 +260,8 @@
         bd_log_write(core->log, BD_LOG_INFO, "the delegate record was not written: status %ld",
                      status);
     /* a conflict may mean no more than that the leader's key was rewritten */
-    bool is_lost = status != 200 && status != 409;
-    settle_all_waiting(core, is_lost ? REDIRECT_UNCONFIRMED : KEEP_UNCONFIRMED);
+    bool may_still_serve = status == 200 || status == 409;
+    settle_all_waiting(core, may_still_serve ? KEEP_UNCONFIRMED : REDIRECT_UNCONFIRMED);
     if (delegate->asking)
         delegate->next_write =
             status == 200 ? core->now : bd_add(core->now, bd_secs(WRITE_RETRY_S));
--- a/src/workers/forwarding.c
+++ b/src/workers/forwarding.c
@@ -3,7 +3,6 @@
  * that goes on answering them (see delegate.c), instead of trying nodes that they cannot reach
  * while their leases expire. */
 #include "base/timeutil.h"
-#include "leadership/leadership.h"
 #include "model/core_state.h"
 #include "model/effect.h"
 #include "model/forwarding_state.h"
--- a/src/workers/heartbeat_tasks.c
+++ b/src/workers/heartbeat_tasks.c
@@ -1,6 +1,5 @@
 /* Reconciliation of one heartbeat with the leader's records: which tasks it confirms, which have
  * exited, which are not there and which must not be. */
-#include "base/timeutil.h"
 #include "drain/drain.h"
 #include "model/catalog.h"
 #include "model/core_state.h"
@@ -54,8 +53,8 @@
 {
     if (!task->started_at)
         return;
-    uint32_t run_tenths_s = bd_tenths(core->now) - task->started_at;
-    job->longest_run = run_tenths_s > job->longest_run ? run_tenths_s : job->longest_run;
+    uint32_t run_tenths = bd_tenths(core->now) - task->started_at;
+    job->longest_run = run_tenths > job->longest_run ? run_tenths : job->longest_run;
     job->runs++;
 }
 
--- a/src/workers/machine_health.c
+++ b/src/workers/machine_health.c
@@ -18,9 +18,9 @@
 
 #define SLOW_TASKS_MIN 2u /* of a machine */
 #define SLOW_FINISHED_RUNS_MIN 4u
-#define SLOW_RUN_FACTOR 1.6         /* of the job's longest finished run, */
-#define SLOW_RUN_EXTRA_TENTHS_S 50u /* ... and so much more */
-#define SLOW_HEARD_INTERVALS 3.0    /* heard without a gap before a machine is judged */
+#define SLOW_RUN_FACTOR 1.6       /* of the job's longest finished run, */
+#define SLOW_RUN_EXTRA_TENTHS 50u /* ... and so much more */
+#define SLOW_HEARD_INTERVALS 3.0  /* heard without a gap before a machine is judged */
 
 static void record_task_failure(struct bd_core *core, struct bd_machine *machine,
                                 struct bd_job *job)
@@ -81,11 +81,11 @@
     if (!has_comparable_runs(job, task))
         return false;
     struct timespec started = bd_secs(task->started_at / 10.0);
-    uint32_t run_tenths_s = bd_tenths(bd_max(machine->heard, started)) - task->started_at;
-    if (run_tenths_s <= SLOW_RUN_FACTOR * job->longest_run + SLOW_RUN_EXTRA_TENTHS_S)
+    uint32_t run_tenths = bd_tenths(bd_max(machine->heard, started)) - task->started_at;
+    if (run_tenths <= SLOW_RUN_FACTOR * job->longest_run + SLOW_RUN_EXTRA_TENTHS)
         return false;
     bd_log_write(core->log, BD_LOG_DEBUG, "%s on %s runs for %.1f s, of %u others none over %.1f s",
-                 job->id, machine->id, run_tenths_s / 10.0, job->runs, job->longest_run / 10.0);
+                 job->id, machine->id, run_tenths / 10.0, job->runs, job->longest_run / 10.0);
     return true;
 }
 
--- a/src/workers/partition_detection.c
+++ b/src/workers/partition_detection.c
@@ -8,7 +8,7 @@
 #include "workers/workers.h"
 #include "workers/workers_internal.h"
 
-#define MISROUTED_MAX 2u                  /* then a machine is taken not to receive replies */
+#define UNHEARD_REPLIES_MAX 2u            /* then a machine is taken not to receive replies */
 #define OUTBOUND_PARTITION_SHARE 0.34     /* of the machines */
 #define INBOUND_PARTITION_SHARE 0.6       /* of the machines heard before */
 #define INBOUND_PARTITION_MACHINES_MIN 3u /* fewer may well fail together */
@@ -25,7 +25,7 @@
         machine->misrouted = 0;
     } else if (is_next) {
         machine->outbound_partition =
-            machine->outbound_partition || ++machine->misrouted >= MISROUTED_MAX;
+            machine->outbound_partition || ++machine->misrouted >= UNHEARD_REPLIES_MAX;
     }
     machine->via = via;
 }
--- a/src/workers/workers.h
+++ b/src/workers/workers.h
@@ -10,15 +10,20 @@
 
 /* ---- heartbeats (heartbeats.c, direct_commands.c) ---- */
 
-/* body: the heartbeat as it came, forwarded if the leader is elsewhere. */
+/* A worker sent a heartbeat here itself. request: the effect of the reply carries it, now or later;
+ * heartbeat, body: borrowed. body: the heartbeat as it came, to be forwarded if the leader is
+ * elsewhere. */
 void bd_worker_heartbeat_received(struct bd_core *core, void *request,
                                   const struct bd_heartbeat *heartbeat, const char *body,
                                   size_t len);
-/* A heartbeat that a peer forwarded to us. */
+/* A peer forwarded a worker's heartbeat to us. peer: its name; id: the peer's number for it, which
+ * the reply names. */
 void bd_worker_heartbeat_forwarded(struct bd_core *core, const char *peer, uint64_t id,
                                    const struct bd_heartbeat *heartbeat, const char *body,
                                    size_t len);
-/* status: HTTP's, 0 without an answer, or BD_DIRECT_NOT_SENT. */
+/* As leader: a direct command was answered, failed, or was not sent. launch: launches were among
+ * its commands; status: HTTP's, 0 without a response, or BD_DIRECT_NOT_SENT; heartbeat: the
+ * machine's response, borrowed, or NULL. */
 void bd_worker_direct_command_completed(struct bd_core *core, uint32_t machine_index,
                                         uint64_t fencing_token, bool launch, long status,
                                         const struct bd_heartbeat *heartbeat);
@@ -26,22 +31,23 @@
 /* ---- health, partitions and leases of machines (machine_health.c, partition_detection.c,
  * lease_expiry.c) ---- */
 
-/* Quarantines a machine whose tasks run far longer than their jobs' others. */
+/* As leader: quarantines the machine if several of its tasks run far longer than any others of
+ * their jobs. */
 void bd_machine_detect_slow(struct bd_core *core, struct bd_machine *machine);
 /* As leader: whether so many machines do not receive our replies that our own link is to blame. */
 void bd_machines_detect_outbound_partition(struct bd_core *core);
 /* As leader: whether most of the machines that reported to us directly are silent at once. They do
  * not fail together; more likely we are cut off from them. */
 void bd_forward_listen(struct bd_core *core);
-/* Releases what machines with expired leases held. */
+/* As leader: releases what machines with expired leases held. */
 void bd_workers_expire_leases(struct bd_core *core);
 
 /* ---- forwarding (forwarding.c, worker_redirects.c) ---- */
 
-/* The leader's reply to a heartbeat that we forwarded. */
+/* The leader replied to a heartbeat that we forwarded as number id. body: borrowed. */
 void bd_forward_reply_received(struct bd_core *core, uint64_t id, int status, const char *body,
                                size_t len);
-/* Whether we heard the leader, another controller, of late. */
+/* Whether another controller leads and we have heard it lately. */
 bool bd_forward_hears_leader(const struct bd_core *core);
 /* Gives up forwarded heartbeats that the leader has not replied to in time. */
 void bd_forward_tick(struct bd_core *core);
@@ -75,7 +81,8 @@
 
 /* Whether we have lost the key-value store for so long that our zone may be autonomous. */
 bool bd_autonomous_zone_active(const struct bd_core *core);
-/* Our own liveness record is about to be sent; it was written. */
+/* Our own liveness record is about to be sent, at that moment. */
 void bd_liveness_sent(struct bd_core *core, struct timespec sent);
+/* The liveness record that was sent at that moment was written. */
 void bd_liveness_written(struct bd_core *core, struct timespec sent);
 #endif
--- a/src/workers/workers_internal.h
+++ b/src/workers/workers_internal.h
@@ -2,8 +2,6 @@
  * autonomous zones, and the parts of a delegate. */
 #ifndef BD_WORKERS_INTERNAL_H
 #define BD_WORKERS_INTERNAL_H
-#include "leadership/leadership.h"
-#include "model/peers.h"
 #include "workers/workers.h"
 
 struct bd_command_list;
