--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -49,7 +49,7 @@
 static bool is_leader_silent(const struct bd_core *core)
 {
     int leader = bd_leader_index(core);
-    return leader >= 0 && bd_between(core->peers[leader].heard, core->now) > LEADER_SILENT_S;
+    return leader >= 0 && bd_between(core->peers[leader].heard, core->now) > BD_PEER_SILENT_S;
 }
 
 /* Whether the last leader's key is gone and no other controller has taken the lead. */
@@ -103,7 +103,7 @@
         if (bd_peer_is_local(core, i) && i != bd_leader_index(core) &&
             core->peers[i].flags & BD_PEER_KV_REACHABLE &&
             !(core->peers[i].flags & BD_PEER_HEARS_LEADER) &&
-            bd_peer_heard(core, i, LEADER_SILENT_S))
+            bd_peer_heard(core, i, BD_PEER_SILENT_S))
             return true;
     return false;
 }
--- a/src/workers/forwarding.c
+++ b/src/workers/forwarding.c
@@ -24,7 +24,7 @@
 static int heard_leader(const struct bd_core *core)
 {
     int leader = bd_leader_index(core);
-    return leader >= 0 && bd_peer_heard(core, leader, LEADER_SILENT_S) ? leader : -1;
+    return leader >= 0 && bd_peer_heard(core, leader, BD_PEER_SILENT_S) ? leader : -1;
 }
 
 bool bd_forward_hears_leader(const struct bd_core *core)
@@ -41,7 +41,7 @@
 {
     for (int i = 0; i < core->settings->npeers; i++)
         if (strcmp(core->settings->peers[i].zone, zone) == 0 &&
-            bd_peer_heard(core, i, LEADER_SILENT_S))
+            bd_peer_heard(core, i, BD_PEER_SILENT_S))
             return true;
     return false;
 }
@@ -59,7 +59,7 @@
 {
     return core->peers[peer].flags & BD_PEER_KV_REACHABLE &&
            core->peers[peer].flags & BD_PEER_HEARS_LEADER &&
-           bd_between(core->peers[peer].heard, core->now) <= LEADER_SILENT_S;
+           bd_between(core->peers[peer].heard, core->now) <= BD_PEER_SILENT_S;
 }
 
 /* A controller that hears the leader whom we do not hear, one of our own zone first; or -1. */
--- a/src/workers/workers_internal.h
+++ b/src/workers/workers_internal.h
@@ -12,7 +12,7 @@
 /* A controller's records in the key-value store: this and its name. */
 #define BD_NODE_RECORD_PREFIX "p/"
 
-#define LEADER_SILENT_S 1.3 /* without a status: the controller may be cut off */
+#define BD_PEER_SILENT_S 1.3 /* without a status: the peer may be cut off from us */
 
 /* ---- heartbeats (heartbeats.c, heartbeat_tasks.c) ---- */
 
