--- a/src/workers/autonomous_zone.c
+++ b/src/workers/autonomous_zone.c
@@ -107,9 +107,9 @@
     return core->wall - core->peers[peer].contact;
 }
 
-/* Whether the controller may be cut off from the store. One without a record may have had one that
- * we did not see. */
-static bool may_be_autonomous(struct bd_core *core, int peer)
+/* Brings up to date until when the controller may be cut off from the store. True: it may be now.
+ * One without a record may have had one that we did not see. */
+static bool update_suspicion(struct bd_core *core, int peer)
 {
     struct bd_peer_view *view = &core->peers[peer];
     if (liveness_age_s(core, peer) > AUTONOMOUS_AFTER_S - clock_margin_s(core))
@@ -123,8 +123,8 @@
     return bd_renewal_window_s(core->settings) - liveness_age_s(core, peer) + clock_margin_s(core);
 }
 
-/* Whether controllers of the zone may be renewing leases on their own now. */
-static bool may_zone_be_autonomous(struct bd_core *core, const char *zone)
+/* True: controllers of the zone may be renewing leases on their own now. */
+static bool detect_autonomous_zone(struct bd_core *core, const char *zone)
 {
     int controllers = strcmp(core->settings->zone, zone) == 0 ? 1 : 0;
     int suspects = 0;
@@ -133,7 +133,7 @@
         if (strcmp(core->settings->peers[i].zone, zone) != 0)
             continue;
         controllers++;
-        if (!may_be_autonomous(core, i))
+        if (!update_suspicion(core, i))
             continue;
         suspects++;
         may_renew |= renewal_left_s(core, i) > 0;
@@ -144,7 +144,7 @@
 void bd_autonomous_zones_detect(struct bd_core *core, bool *may_be_autonomous_by_zone)
 {
     for (int zone = 0; zone < core->nzones; zone++)
-        may_be_autonomous_by_zone[zone] = may_zone_be_autonomous(core, core->zones[zone]);
+        may_be_autonomous_by_zone[zone] = detect_autonomous_zone(core, core->zones[zone]);
 }
 
 bool bd_autonomous_zone_may_have_renewed(const struct bd_core *core,
--- a/src/workers/delegate_record.c
+++ b/src/workers/delegate_record.c
@@ -63,18 +63,10 @@
     return by_parts < by_txn ? by_parts : by_txn;
 }
 
-static bool has_capacity_for(struct bd_core *core, const char *id)
+static bool has_capacity_for(const struct bd_core *core, const char *id)
 {
-    struct bd_delegate *delegate = &core->delegate;
-    size_t length = strlen(id);
-    if (length > delegate->longest_id_length)
-        delegate->longest_id_length = length;
-    if (delegate->nserved < machines_max(core) &&
-        length + PART_OVERHEAD_BYTES < core->kv_limits.kv_value_bytes_max)
-        return true;
-    bd_log_write(core->log, BD_LOG_ERROR, "the delegate record is full with %u machines",
-                 delegate->nserved);
-    return false;
+    return core->delegate.nserved < machines_max(core) &&
+           strlen(id) + PART_OVERHEAD_BYTES < core->kv_limits.kv_value_bytes_max;
 }
 
 /* ---- the machines ---- */
@@ -90,8 +82,15 @@
 {
     struct bd_delegate *delegate = &core->delegate;
     struct bd_served_machine *machine = bd_delegate_find(core, id);
-    if (machine || !has_capacity_for(core, id))
+    if (machine)
         return machine;
+    if (strlen(id) > delegate->longest_id_length)
+        delegate->longest_id_length = strlen(id);
+    if (!has_capacity_for(core, id)) {
+        bd_log_write(core->log, BD_LOG_ERROR, "the delegate record is full with %u machines",
+                     delegate->nserved);
+        return NULL;
+    }
     machine = calloc(1, sizeof *machine);
     if (!machine)
         return NULL;
--- a/src/workers/direct_commands.c
+++ b/src/workers/direct_commands.c
@@ -22,28 +22,28 @@
 #define ZONE_RETRY_S 4.0
 
 /* The zone's circuit breaker, for one that is cut off from us: each try would occupy a sender until
- * it times out. One command is let through per retry interval. */
-static bool is_circuit_open(struct bd_core *core, const struct bd_machine *machine)
+ * it times out. Admits one command per retry interval while it is open. */
+static bool admit_to_zone(struct bd_core *core, const struct bd_machine *machine)
 {
     if (machine->zone < 0 || core->cloud.direct[machine->zone].fails < ZONE_FAILURES_TO_OPEN)
-        return false;
-    if (bd_before(core->now, core->cloud.direct[machine->zone].until))
         return true;
+    if (bd_before(core->now, core->cloud.direct[machine->zone].until))
+        return false;
     core->cloud.direct[machine->zone].until = bd_add(core->now, bd_secs(ZONE_RETRY_S));
-    return false;
+    return true;
 }
 
-static bool may_send(struct bd_core *core, const struct bd_machine *machine)
+static bool can_be_sent(const struct bd_core *core, const struct bd_machine *machine)
 {
     return !machine->direct_in_flight && !bd_before(core->now, machine->direct_not_before) &&
            machine->fenced && !machine->gone && *machine->addr && bd_leadership_lease_valid(core) &&
-           !bd_overdue(core, machine) && !is_circuit_open(core, machine);
+           !bd_overdue(core, machine);
 }
 
 void bd_commands_send_direct(struct bd_core *core, struct bd_machine *machine)
 {
     struct bd_command_list commands = {0};
-    if (!may_send(core, machine))
+    if (!can_be_sent(core, machine) || !admit_to_zone(core, machine))
         return;
     bd_commands_add_halts(machine, &commands);
     bool launch = bd_commands_add_launches(core, machine, &commands, BD_COMMAND_DIRECT);
--- a/src/workers/forwarding.c
+++ b/src/workers/forwarding.c
@@ -140,13 +140,14 @@
 
 /* ---- which heartbeats are forwarded ---- */
 
-/* Whether the heartbeat is better forwarded than its worker redirected to the leader: the worker is
+/* True: the heartbeat is better forwarded than its worker redirected to the leader: the worker is
  * of our zone, or has tried the leader in vain, or the leader says that it does not hear workers.
  */
-static bool is_forwarded(struct bd_core *core, const struct bd_heartbeat *heartbeat, int leader)
+static bool decide_forwarding(struct bd_core *core, const struct bd_heartbeat *heartbeat,
+                              int leader)
 {
     struct bd_forwarding *forwarding = &core->forwarding;
-    if (bd_redirect_has_returned(core, heartbeat->machine))
+    if (bd_redirect_record_return(core, heartbeat->machine))
         return true;
     if (core->peers[leader].flags & BD_PEER_INBOUND_PARTITION)
         forwarding->inbound_partition_until =
@@ -161,7 +162,7 @@
                           const char *body, size_t len)
 {
     int peer = heard_leader(core);
-    if (peer >= 0 && !is_forwarded(core, heartbeat, peer))
+    if (peer >= 0 && !decide_forwarding(core, heartbeat, peer))
         return false;
     /* where two zones are cut off from each other, a third one may be in touch with both */
     if (peer < 0 && bd_forward_other_leads(core))
--- a/src/workers/worker_redirects.c
+++ b/src/workers/worker_redirects.c
@@ -19,7 +19,7 @@
 
 /* ---- as follower ---- */
 
-bool bd_redirect_has_returned(struct bd_core *core, const char *machine)
+bool bd_redirect_record_return(struct bd_core *core, const char *machine)
 {
     struct bd_redirected_worker *worker = NULL;
     HASH_FIND_STR(core->forwarding.redirected, machine, worker);
--- a/src/workers/workers_internal.h
+++ b/src/workers/workers_internal.h
@@ -60,9 +60,9 @@
 /* As follower: replies with a redirect to the leader, where one is known. */
 void bd_redirect_to_leader(struct bd_core *core, void *request,
                            const struct bd_heartbeat *heartbeat);
-/* As follower: whether the worker came back soon after it was redirected to the leader, which it
- * cannot reach. It would go back and forth until its lease expires. */
-bool bd_redirect_has_returned(struct bd_core *core, const char *machine);
+/* As follower: the worker sent a heartbeat here. True: it came back soon after it was redirected to
+ * the leader, which it cannot reach; it would go back and forth until its lease expires. */
+bool bd_redirect_record_return(struct bd_core *core, const char *machine);
 /* As leader: the controller of the machine's own zone that it should be redirected to; -1: none. */
 int bd_redirect_zone_peer(struct bd_core *core, struct bd_machine *machine,
                           const struct bd_heartbeat *heartbeat);
