--- a/src/workers/workers.h
+++ b/src/workers/workers.h
@@ -8,53 +8,72 @@
 #define BD_WORKERS_H
 #include "model/core_state.h"
 
-/* ---- heartbeats (heartbeats.c) ---- */
+/* ---- heartbeats (heartbeats.c, direct_commands.c) ---- */
 
-/* body: the heartbeat as it came, forwarded if the leader is elsewhere. */
+/* A worker sent a heartbeat here itself. request: the effect of the reply carries it, now or later;
+ * heartbeat, body: borrowed. body: the heartbeat as it came, to be forwarded if the leader is
+ * elsewhere. */
 void bd_worker_heartbeat_received(struct bd_core *core, void *request,
                                   const struct bd_heartbeat *heartbeat, const char *body,
                                   size_t len);
-/* A heartbeat that a peer forwarded to us. */
+/* A peer forwarded a worker's heartbeat to us. peer: its name; id: the peer's number for it, which
+ * the reply names. */
 void bd_worker_heartbeat_forwarded(struct bd_core *core, const char *peer, uint64_t id,
                                    const struct bd_heartbeat *heartbeat, const char *body,
                                    size_t len);
-/* status: HTTP's, 0 without an answer, or BD_DIRECT_NOT_SENT. */
-void bd_worker_direct_command_completed(struct bd_core *core, uint32_t machine,
+/* As leader: a direct command was answered, failed, or was not sent. launch: launches were among
+ * its commands; status: HTTP's, 0 without a response, or BD_DIRECT_NOT_SENT; heartbeat: the
+ * machine's response, borrowed, or NULL. */
+void bd_worker_direct_command_completed(struct bd_core *core, uint32_t machine_index,
                                         uint64_t fencing_token, bool launch, long status,
                                         const struct bd_heartbeat *heartbeat);
-/* Quarantines a machine whose tasks run far longer than their jobs' others. */
+
+/* ---- health, partitions and leases of machines (machine_health.c, partition_detection.c,
+ * lease_expiry.c) ---- */
+
+/* As leader: quarantines the machine if several of its tasks run far longer than any others of
+ * their jobs. */
 void bd_machine_detect_slow(struct bd_core *core, struct bd_machine *machine);
-/* Whether so many machines seem not to hear us that it is rather we who are cut off. */
+/* As leader: whether so many machines do not receive our replies that our own link is to blame. */
 void bd_machines_detect_outbound_partition(struct bd_core *core);
-/* Releases what machines with expired leases held. */
+/* As leader: whether most of the machines that reported to us directly are silent at once. They do
+ * not fail together; more likely we are cut off from them. */
+void bd_forward_listen(struct bd_core *core);
+/* As leader: releases what machines with expired leases held. */
 void bd_workers_expire_leases(struct bd_core *core);
 
-/* ---- forwarding (forwarding.c) ---- */
+/* ---- forwarding (forwarding.c, worker_redirects.c) ---- */
 
-/* The leader's reply to a heartbeat that we forwarded. */
+/* The leader replied to a heartbeat that we forwarded as number id. body: borrowed. */
 void bd_forward_reply_received(struct bd_core *core, uint64_t id, int status, const char *body,
                                size_t len);
+/* Whether another controller leads and we have heard it lately. */
 bool bd_forward_hears_leader(const struct bd_core *core);
-/* As leader: whether most workers are silent to us. */
-void bd_forward_listen(struct bd_core *core);
+/* Gives up forwarded heartbeats that the leader has not replied to in time. */
 void bd_forward_tick(struct bd_core *core);
+/* Frees what is known of redirected workers. */
 void bd_forward_end(struct bd_core *core);
+/* Frees a heartbeat and its tasks. */
 void bd_heartbeat_free(struct bd_heartbeat *heartbeat);
 
-/* ---- delegates (delegate.c, delegate_view.c) ---- */
+/* ---- delegates (delegate.c, delegate_record.c, delegate_probes.c, delegate_view.c) ---- */
 
+/* As follower: settles heartbeats that wait, and writes our record when it is due. */
 void bd_delegate_tick(struct bd_core *core);
-/* The leader's key names those delegates that it needs no more. */
+/* The leader's key was read. dismissed: it names us among the delegates that are not needed;
+ * revision: the key's; sent: when the read was sent. */
 void bd_delegate_dismissed(struct bd_core *core, bool dismissed, uint64_t revision,
                            struct timespec sent);
-/* The delegates that the leader needs no more, for its key. The caller owns the list. */
+/* As leader: the names of delegates that are not needed, for our key. The caller owns the list. */
 json_t *bd_delegates_dismissed(const struct bd_core *core);
+/* Ends our part as a delegate, as when we lead: heartbeats that wait are answered or redirected. */
 void bd_delegate_end(struct bd_core *core);
 /* Forgets all machines that we answered for the leader. */
 void bd_delegate_forget(struct bd_core *core);
-/* As leader: the delegates' records were read. */
+/* As leader: the controllers' records were read. pairs: borrowed; sent: when the read was sent. */
 void bd_delegate_records_read(struct bd_core *core, json_t *pairs, struct timespec sent);
-/* As follower: the outcome of writing our own record. */
+/* As follower: the outcome of writing our own record, or of reading its revision (status 0, and
+ * revision_known). status: HTTP's, 0 without a response; sent: when the request was sent. */
 void bd_delegate_txn_completed(struct bd_core *core, long status, uint64_t store_revision,
                                struct timespec sent, bool revision_known);
 
@@ -62,7 +81,8 @@
 
 /* Whether we have lost the key-value store for so long that our zone may be autonomous. */
 bool bd_autonomous_zone_active(const struct bd_core *core);
-/* Our own liveness record is about to be sent; it was written. */
+/* Our own liveness record is about to be sent, at that moment. */
 void bd_liveness_sent(struct bd_core *core, struct timespec sent);
+/* The liveness record that was sent at that moment was written. */
 void bd_liveness_written(struct bd_core *core, struct timespec sent);
 #endif
