--- a/src/adapters/admin_server.c
+++ b/src/adapters/admin_server.c
@@ -1,9 +1,7 @@
-/* The administration resources, HTTP and JSON on an address of their own. Requests are few and may
- * take seconds (the cloud's list is long), so each connection has a thread that blocks; beyond a
- * few at once the answer is 503. */
 #include "adapters/admin_server.h"
 #include "adapters/admin_store.h"
 #include "adapters/node.h"
+#include "base/address.h"
 #include "base/http.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
@@ -16,17 +14,16 @@
 #include <string.h>
 
 #define PATH_DRAINS "/admin/v1/drains"
-#define BODY_MAX 65536u
+#define BODY_BYTES_MAX 65536u
 #define CONNECTIONS_MAX 8u
-#define WORKING_MAX 3 /* requests at once; a connection more is answered 503 */
-#define IDLE_S 30u
+#define REQUESTS_MAX 3 /* at once; more are answered 503 */
+#define CONNECTION_IDLE_S 30u
 #define STACK_BYTES 262144u
-#define RETRY_S 1
 
 struct admin_server {
     struct bd_node *node;
     struct MHD_Daemon *daemon;
-    atomic_int working;
+    atomic_int requests; /* being answered */
 };
 
 struct admin_request {
@@ -71,7 +68,7 @@
     return true;
 }
 
-static bool known_verb(const char *text, enum bd_drain_verb *verb)
+static bool parse_verb(const char *text, enum bd_drain_verb *verb)
 {
     static const char *const verbs[] = {"pause", "resume", "cancel"};
     for (int i = 0; i < 3; i++) {
@@ -97,7 +94,7 @@
         return post ? bd_admin_create(store, request->body ? request->body : "", request->len)
                     : bd_admin_refuse(MHD_HTTP_METHOD_NOT_ALLOWED, "", "wrong method");
     }
-    if (!split_path(url, name, sizeof name, &tail) || (*tail && !known_verb(tail, &verb)))
+    if (!split_path(url, name, sizeof name, &tail) || (*tail && !parse_verb(tail, &verb)))
         return bd_admin_refuse(MHD_HTTP_NOT_FOUND, "", "no such path");
     if (!*tail)
         return get ? bd_admin_show(store, name)
@@ -106,8 +103,9 @@
                 : bd_admin_refuse(MHD_HTTP_METHOD_NOT_ALLOWED, "", "wrong method");
 }
 
-static struct bd_admin_answer work(struct admin_server *server, const struct admin_request *request,
-                                   const char *method, const char *url)
+static struct bd_admin_answer answer_request(struct admin_server *server,
+                                             const struct admin_request *request,
+                                             const char *method, const char *url)
 {
     struct bd_admin_answer answer = bd_admin_refuse(MHD_HTTP_SERVICE_UNAVAILABLE, "", "busy");
     if (request->too_large) {
@@ -115,20 +113,20 @@
         return bd_admin_refuse(MHD_HTTP_CONTENT_TOO_LARGE, "body", "over 64 KiB");
     }
     struct bd_admin_store store = {server->node, NULL};
-    if (atomic_fetch_add(&server->working, 1) < WORKING_MAX)
+    if (atomic_fetch_add(&server->requests, 1) < REQUESTS_MAX)
         store.http = bd_http_new(1, NULL);
     if (store.http) {
         json_decref(answer.body);
         answer = route(&store, request, method, url);
         bd_http_free(store.http);
     }
-    atomic_fetch_sub(&server->working, 1);
+    atomic_fetch_sub(&server->requests, 1);
     return answer;
 }
 
-static void take_body(struct admin_request *request, const char *data, size_t size)
+static void receive_body(struct admin_request *request, const char *data, size_t size)
 {
-    if (request->too_large || request->len + size > BODY_MAX) {
+    if (request->too_large || request->len + size > BODY_BYTES_MAX) {
         request->too_large = true;
         return;
     }
@@ -150,15 +148,15 @@
         return *context ? MHD_YES : MHD_NO;
     }
     if (*size > 0) {
-        take_body(*context, data, *size);
+        receive_body(*context, data, *size);
         *size = 0;
         return MHD_YES;
     }
-    return send_answer(connection, work(arg, *context, method, url));
+    return send_answer(connection, answer_request(arg, *context, method, url));
 }
 
-static void completed(void *arg, struct MHD_Connection *connection, void **context,
-                      enum MHD_RequestTerminationCode code)
+static void request_completed(void *arg, struct MHD_Connection *connection, void **context,
+                              enum MHD_RequestTerminationCode code)
 {
     struct admin_request *request = *context;
     (void)arg;
@@ -172,22 +170,22 @@
 
 int bd_admin_start(struct bd_node *node)
 {
-    struct sockaddr_in addr;
+    struct sockaddr_in address;
     const struct bd_drain_rules *rules = node->settings.draining;
     if (!rules || !*rules->admin_addr)
         return 0;
     struct admin_server *server = calloc(1, sizeof *server);
-    if (!server || !bd_parse_addr(rules->admin_addr, &addr)) {
+    if (!server || !bd_address_parse(rules->admin_addr, &address)) {
         free(server);
         return -1;
     }
     server->node = node;
     server->daemon = MHD_start_daemon(
         MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD, 0, NULL, NULL, handle,
-        server, MHD_OPTION_SOCK_ADDR, (struct sockaddr *)&addr, MHD_OPTION_CONNECTION_LIMIT,
-        CONNECTIONS_MAX, MHD_OPTION_CONNECTION_TIMEOUT, IDLE_S, MHD_OPTION_NOTIFY_COMPLETED,
-        completed, server, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u, MHD_OPTION_THREAD_STACK_SIZE,
-        (size_t)STACK_BYTES, MHD_OPTION_END);
+        server, MHD_OPTION_SOCK_ADDR, (struct sockaddr *)&address, MHD_OPTION_CONNECTION_LIMIT,
+        CONNECTIONS_MAX, MHD_OPTION_CONNECTION_TIMEOUT, CONNECTION_IDLE_S,
+        MHD_OPTION_NOTIFY_COMPLETED, request_completed, server, MHD_OPTION_LISTENING_ADDRESS_REUSE,
+        1u, MHD_OPTION_THREAD_STACK_SIZE, (size_t)STACK_BYTES, MHD_OPTION_END);
     if (!server->daemon) {
         free(server);
         return -1;
--- a/src/adapters/admin_server.h
+++ b/src/adapters/admin_server.h
@@ -1,4 +1,5 @@
-/* The administration resources: HTTP on an address of their own. */
+/* The administration resources: HTTP and JSON on an address of their own. Requests are few and may
+ * take seconds (the cloud's list is long), so each connection has a thread that blocks. */
 #ifndef BD_ADMIN_SERVER_H
 #define BD_ADMIN_SERVER_H
 
--- a/src/adapters/api_server.c
+++ b/src/adapters/api_server.c
@@ -1,11 +1,10 @@
-/* HTTP for users, workers and health checks, on libmicrohttpd: one polling thread, and a
- * connection is suspended while the owner decides. A thread for each connection would not fit
- * the machine's memory. */
+#include "adapters/api_server.h"
 #include "adapters/event.h"
 #include "adapters/node.h"
+#include "adapters/worker_client.h"
+#include "base/address.h"
 #include "base/metrics.h"
 #include "base/timeutil.h"
-#include "brambledoor/settings.h"
 #include "wire/wire.h"
 #include <arpa/inet.h>
 #include <microhttpd.h>
@@ -13,60 +12,72 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define BODY_MAX 65536u
-#define POOL_BYTES 6144u /* memory a connection keeps */
-#define IDLE_S 120u
-#define BODY_SHARE 0.15   /* of the memory: bodies that are being received or decided */
-#define PENDING_MIN 512   /* requests that wait for the owner, or half as many as sockets; */
-#define PENDING_USERS 0.6 /* ... beyond this share workers' reports only */
-#define BACKLOG 1024u     /* all workers come at once when all controllers are back together */
+#define BODY_BYTES_MAX 65536u
+#define BODY_GROWTH_BYTES 1024u
+#define CONNECTION_POOL_BYTES 6144u
+#define CONNECTION_IDLE_S 120u
+#define CONNECTIONS_MIN 8
+#define BODY_MEMORY_SHARE 0.15 /* of the memory: bodies that are being received or decided */
+#define BYTES_PER_MB 1048576.0
+#define PENDING_MIN 512 /* requests that wait for the owner, or half as many as sockets; */
+#define PENDING_SHARE_OF_USERS 0.6 /* ... beyond this share workers' heartbeats only */
+#define LISTEN_BACKLOG 1024u /* all workers come at once when all controllers are back together */
+#define STACK_BYTES 131072
+#define BUSY_RETRY_S 1
 
+/* One request. The polling thread owns it; while it is suspended, the owner thread does. */
 struct request {
-    bool remote; /* never: see struct bd_remote */
-    struct MHD_Connection *conn;
-    char *buf;
-    size_t len, cap;
-    size_t sent; /* bytes of the answer's body */
-    bool too_large, too_much, asked, answered, health;
-    int status, retry_after;
+    bool is_from_peer; /* always false: see struct bd_remote, which begins alike */
+    struct MHD_Connection *connection;
     char *body;
-    enum bd_event_kind kind; /* once it was asked */
-    struct timespec since;
+    size_t body_len, body_capacity;
+    bool body_too_large, out_of_memory, is_health_check;
+    bool is_posted, is_decided;
+    enum bd_event_kind kind; /* once it is posted */
+    struct timespec posted_at;
+    int reply_status, retry_after;
+    char *reply_body;
+    size_t reply_len;
 };
 
 struct bd_api_server {
     struct MHD_Daemon *daemon;
-    atomic_int pending;
-    size_t held, most_held; /* bytes of bodies, used by the polling thread only */
+    atomic_int pending;                /* requests that wait for the owner */
+    size_t body_bytes, body_bytes_max; /* of all requests; polling thread only */
 };
 
-static enum MHD_Result send_now(struct MHD_Connection *conn, int status, char *body, int retry)
+/* ---- replies ---- */
+
+/* Takes the body over. */
+static enum MHD_Result send_reply(struct MHD_Connection *connection, int status, char *body,
+                                  int retry_after)
 {
-    char text[16];
-    struct MHD_Response *r =
+    char seconds[16];
+    struct MHD_Response *response =
         MHD_create_response_from_buffer(body ? strlen(body) : 0, body, MHD_RESPMEM_MUST_FREE);
-    if (!r) {
+    if (!response) {
         free(body);
         return MHD_NO;
     }
-    (void)MHD_add_response_header(r, "Content-Type", "application/json");
-    if (retry > 0) {
-        snprintf(text, sizeof text, "%d", retry);
-        (void)MHD_add_response_header(r, "Retry-After", text);
+    (void)MHD_add_response_header(response, "Content-Type", "application/json");
+    if (retry_after > 0) {
+        snprintf(seconds, sizeof seconds, "%d", retry_after);
+        (void)MHD_add_response_header(response, "Retry-After", seconds);
     }
     /* the next try goes through the load balancer again, perhaps to a node that can */
     if (status == MHD_HTTP_SERVICE_UNAVAILABLE)
-        (void)MHD_add_response_header(r, "Connection", "close");
-    enum MHD_Result rc = MHD_queue_response(conn, (unsigned)status, r);
-    MHD_destroy_response(r);
-    return rc;
+        (void)MHD_add_response_header(response, "Connection", "close");
+    enum MHD_Result result = MHD_queue_response(connection, (unsigned)status, response);
+    MHD_destroy_response(response);
+    return result;
 }
 
-static enum MHD_Result say(struct MHD_Connection *conn, int status, const char *why, int retry)
+static enum MHD_Result send_error(struct MHD_Connection *connection, int status, const char *why,
+                                  int retry_after)
 {
-    char buf[128];
-    snprintf(buf, sizeof buf, "{\"error\":\"%s\"}", why);
-    return send_now(conn, status, strdup(buf), retry);
+    char body[128];
+    snprintf(body, sizeof body, "{\"error\":\"%s\"}", why);
+    return send_reply(connection, status, strdup(body), retry_after);
 }
 
 static enum bd_timing timing_of(enum bd_event_kind kind)
@@ -80,225 +91,270 @@
 
 void bd_api_reply(struct bd_node *node, void *request, int status, char *body, int retry_after)
 {
-    struct request *r = request;
-    bd_metrics_time(node->metrics, timing_of(r->kind), bd_between(r->since, bd_now()));
-    r->status = status;
-    r->body = body;
-    r->retry_after = retry_after;
-    r->answered = true;
+    struct request *decided = request;
+    bd_metrics_time(node->metrics, timing_of(decided->kind),
+                    bd_between(decided->posted_at, bd_now()));
+    decided->reply_status = status;
+    decided->reply_body = body;
+    decided->retry_after = retry_after;
+    decided->is_decided = true;
     atomic_fetch_sub(&node->api_server->pending, 1);
-    MHD_resume_connection(r->conn);
+    MHD_resume_connection(decided->connection);
+}
+
+static enum MHD_Result send_decision(struct request *request)
+{
+    char *body = request->reply_body;
+    request->reply_body = NULL;
+    request->reply_len = body ? strlen(body) : 0;
+    return send_reply(request->connection, request->reply_status, body, request->retry_after);
 }
 
-/* Many large bodies at once would not fit the memory: beyond a part of it they are not kept, and
- * the request gets 503. */
-static bool take_body(struct bd_api_server *api_server, struct request *r, const char *data,
-                      size_t size)
+/* ---- bodies ---- */
+
+static bool grow_body(struct request *request, size_t size)
 {
-    if (r->too_large || r->len + size > BODY_MAX) {
-        r->too_large = true;
+    if (request->body_len + size <= request->body_capacity)
         return true;
-    }
-    if (r->too_much || api_server->held + size > api_server->most_held) {
-        r->too_much = true;
+    size_t capacity = request->body_len + size + BODY_GROWTH_BYTES;
+    char *grown = realloc(request->body, capacity);
+    if (!grown)
+        return false;
+    request->body = grown;
+    request->body_capacity = capacity;
+    return true;
+}
+
+/* Keeps a part of the body, unless it is too large or all bodies together are. False: no memory. */
+static bool receive_body(struct bd_api_server *server, struct request *request, const char *data,
+                         size_t size)
+{
+    if (request->body_too_large || request->body_len + size > BODY_BYTES_MAX) {
+        request->body_too_large = true;
         return true;
     }
-    api_server->held += size;
-    if (r->len + size > r->cap) {
-        size_t cap = r->len + size + 1024;
-        char *grown = realloc(r->buf, cap);
-        if (!grown)
-            return false;
-        r->buf = grown;
-        r->cap = cap;
+    if (request->out_of_memory || server->body_bytes + size > server->body_bytes_max) {
+        request->out_of_memory = true;
+        return true;
     }
-    memcpy(r->buf + r->len, data, size);
-    r->len += size;
+    server->body_bytes += size;
+    if (!grow_body(request, size))
+        return false;
+    memcpy(request->body + request->body_len, data, size);
+    request->body_len += size;
     return true;
 }
 
-/* The id between the jobs' path and the tail into name; true if both match. */
-static bool job_path(const char *url, const char *tail, char *name, size_t cap)
+/* ---- routing ---- */
+
+/* Where a request goes: an event of a kind, for the job that is named, or an error. */
+struct route {
+    int error; /* HTTP's status; 0: none */
+    enum bd_event_kind kind;
+    char job_id[BD_LABEL];
+};
+
+/* The id between the jobs' path and the tail; false: the path is not of that form. */
+static bool parse_job_path(const char *url, const char *tail, char *job_id, size_t capacity)
 {
     const char *prefix = BD_PATH_JOBS "/";
-    size_t p = strlen(prefix), t = strlen(tail), u = strlen(url);
-    if (strncmp(url, prefix, p) != 0 || u <= p + t || strcmp(url + u - t, tail) != 0 ||
-        u - p - t >= cap)
+    size_t prefix_len = strlen(prefix), tail_len = strlen(tail), len = strlen(url);
+    if (strncmp(url, prefix, prefix_len) != 0 || len <= prefix_len + tail_len)
+        return false;
+    size_t id_len = len - prefix_len - tail_len;
+    if (strcmp(url + len - tail_len, tail) != 0 || id_len >= capacity)
         return false;
-    memcpy(name, url + p, u - p - t);
-    name[u - p - t] = '\0';
-    return strchr(name, '/') == NULL;
+    memcpy(job_id, url + prefix_len, id_len);
+    job_id[id_len] = '\0';
+    return strchr(job_id, '/') == NULL;
+}
+
+static struct route find_route(const char *method, const char *url)
+{
+    struct route route = {.error = 0};
+    const char *allowed = "POST";
+    if (strcmp(url, BD_PATH_HEARTBEAT) == 0) {
+        route.kind = BD_EVENT_HEARTBEAT;
+    } else if (strcmp(url, BD_PATH_JOBS) == 0) {
+        route.kind = BD_EVENT_USER_SUBMIT;
+    } else if (parse_job_path(url, BD_PATH_CANCEL, route.job_id, sizeof route.job_id)) {
+        route.kind = BD_EVENT_USER_CANCEL;
+    } else if (parse_job_path(url, "", route.job_id, sizeof route.job_id)) {
+        route.kind = BD_EVENT_USER_STATUS;
+        allowed = "GET";
+    } else {
+        route.error = MHD_HTTP_NOT_FOUND;
+        return route;
+    }
+    if (strcmp(method, allowed) != 0)
+        route.error = MHD_HTTP_METHOD_NOT_ALLOWED;
+    return route;
 }
 
-static int route(const char *method, const char *url, char *name, size_t cap)
+/* Users are refused before workers: a user asks again, a lease expires. */
+static bool has_capacity(const struct bd_node *node, enum bd_event_kind kind)
 {
-    bool get = strcmp(method, "GET") == 0, post = strcmp(method, "POST") == 0;
-    if (strcmp(url, BD_PATH_HEARTBEAT) == 0)
-        return post ? BD_EVENT_HEARTBEAT : -405;
-    if (strcmp(url, BD_PATH_JOBS) == 0)
-        return post ? BD_EVENT_USER_SUBMIT : -405;
-    if (job_path(url, BD_PATH_CANCEL, name, cap))
-        return post ? BD_EVENT_USER_CANCEL : -405;
-    if (job_path(url, "", name, cap))
-        return get ? BD_EVENT_USER_STATUS : -405;
-    return -404;
+    int pending_max = node->settings.max_sockets / 2;
+    if (pending_max < PENDING_MIN)
+        pending_max = PENDING_MIN;
+    if (kind != BD_EVENT_HEARTBEAT)
+        pending_max = (int)(PENDING_SHARE_OF_USERS * pending_max);
+    return atomic_load(&node->api_server->pending) < pending_max;
 }
 
-static enum MHD_Result ask_core(struct bd_node *node, struct request *r, int kind, const char *name)
+static enum MHD_Result post_to_owner(struct bd_node *node, struct request *request,
+                                     const struct route *route)
 {
-    struct bd_event *event = bd_event_new((enum bd_event_kind)kind);
-    event->request = r;
-    event->text = r->buf ? r->buf : strdup("");
-    event->len = r->len;
-    r->buf = NULL;
-    snprintf(event->name, sizeof event->name, "%s", name);
-    r->asked = true;
-    r->kind = event->kind;
-    r->since = bd_now();
+    struct bd_event *event = bd_event_new(route->kind);
+    event->request = request;
+    event->text = request->body ? request->body : strdup("");
+    event->len = request->body_len;
+    request->body = NULL;
+    snprintf(event->name, sizeof event->name, "%s", route->job_id);
+    request->is_posted = true;
+    request->kind = event->kind;
+    request->posted_at = bd_now();
     atomic_fetch_add(&node->api_server->pending, 1);
-    MHD_suspend_connection(r->conn);
+    MHD_suspend_connection(request->connection);
     bd_event_post(node, event);
     return MHD_YES;
 }
 
-/* Users are refused before workers: a user asks again, a lease runs out. */
-static bool room_for(const struct bd_node *node, int kind)
+static enum MHD_Result reply_health(const struct bd_node *node, struct request *request,
+                                    const char *method)
 {
-    int most = node->settings.max_sockets / 2;
-    most = most < PENDING_MIN ? PENDING_MIN : most;
-    if (kind != BD_EVENT_HEARTBEAT)
-        most = (int)(PENDING_USERS * most);
-    return atomic_load(&node->api_server->pending) < most;
+    request->is_health_check = true;
+    if (strcmp(method, "GET") != 0)
+        return send_error(request->connection, MHD_HTTP_METHOD_NOT_ALLOWED, "wrong method", 0);
+    if (!atomic_load(&node->up))
+        return send_error(request->connection, MHD_HTTP_SERVICE_UNAVAILABLE, "not ready",
+                          BUSY_RETRY_S);
+    return send_reply(request->connection, MHD_HTTP_OK, strdup("{\"up\":true}"), 0);
 }
 
-static enum MHD_Result decide(struct bd_node *node, struct request *r, const char *method,
-                              const char *url)
+static enum MHD_Result handle_request(struct bd_node *node, struct request *request,
+                                      const char *method, const char *url)
 {
-    char name[BD_LABEL] = "";
-    if (strcmp(url, BD_PATH_HEALTH) == 0) {
-        r->health = true;
-        if (strcmp(method, "GET") != 0)
-            return say(r->conn, 405, "wrong method", 0);
-        return atomic_load(&node->up) ? send_now(r->conn, 200, strdup("{\"up\":true}"), 0)
-                                      : say(r->conn, 503, "not ready", 1);
-    }
-    int kind = route(method, url, name, sizeof name);
-    if (kind == -404)
-        return say(r->conn, 404, "no such path", 0);
-    if (kind == -405)
-        return say(r->conn, 405, "wrong method", 0);
-    if (r->too_large)
-        return say(r->conn, 413, "body over 64 KiB", 0);
-    if (r->too_much || !room_for(node, kind))
-        return say(r->conn, 503, "busy", 1);
-    return ask_core(node, r, kind, name);
+    struct MHD_Connection *connection = request->connection;
+    if (strcmp(url, BD_PATH_HEALTH) == 0)
+        return reply_health(node, request, method);
+    struct route route = find_route(method, url);
+    if (route.error == MHD_HTTP_NOT_FOUND)
+        return send_error(connection, route.error, "no such path", 0);
+    if (route.error)
+        return send_error(connection, route.error, "wrong method", 0);
+    if (request->body_too_large)
+        return send_error(connection, MHD_HTTP_CONTENT_TOO_LARGE, "body over 64 KiB", 0);
+    if (request->out_of_memory || !has_capacity(node, route.kind))
+        return send_error(connection, MHD_HTTP_SERVICE_UNAVAILABLE, "busy", BUSY_RETRY_S);
+    return post_to_owner(node, request, &route);
 }
 
-static enum MHD_Result handle(void *arg, struct MHD_Connection *conn, const char *url,
+/* ---- libmicrohttpd's callbacks, on the polling thread ---- */
+
+/* Called when the headers are there, for each part of the body, after it, and once more after the
+ * connection was resumed. */
+static enum MHD_Result handle(void *arg, struct MHD_Connection *connection, const char *url,
                               const char *method, const char *version, const char *data,
-                              size_t *size, void **ctx)
+                              size_t *size, void **context)
 {
+    struct bd_node *node = arg;
+    struct request *request = *context;
     (void)version;
-    struct request *r = *ctx;
-    if (!r) {
-        r = calloc(1, sizeof *r);
-        if (!r)
+    if (!request) {
+        request = calloc(1, sizeof *request);
+        if (!request)
             return MHD_NO;
-        r->conn = conn;
-        *ctx = r;
+        request->connection = connection;
+        *context = request;
         return MHD_YES;
     }
     if (*size > 0) {
-        bool ok = take_body(((struct bd_node *)arg)->api_server, r, data, *size);
+        bool received = receive_body(node->api_server, request, data, *size);
         *size = 0;
-        return ok ? MHD_YES : MHD_NO;
-    }
-    if (r->answered) {
-        char *body = r->body;
-        r->body = NULL;
-        r->sent = body ? strlen(body) : 0;
-        return send_now(conn, r->status, body, r->retry_after);
+        return received ? MHD_YES : MHD_NO;
     }
-    if (r->asked)
+    if (request->is_decided)
+        return send_decision(request);
+    if (request->is_posted)
         return MHD_YES;
-    return decide(arg, r, method, url);
+    return handle_request(node, request, method, url);
 }
 
-static enum bd_traffic traffic_of(const struct request *r)
+static enum bd_traffic traffic_of(const struct request *request)
 {
-    static const struct {
-        enum bd_event_kind kind;
-        enum bd_traffic traffic;
-    } known[] = {{BD_EVENT_HEARTBEAT, BD_TRAFFIC_HEARTBEAT},
-                 {BD_EVENT_USER_STATUS, BD_TRAFFIC_STATUS_READ},
-                 {BD_EVENT_USER_SUBMIT, BD_TRAFFIC_SUBMISSION},
-                 {BD_EVENT_USER_CANCEL, BD_TRAFFIC_CANCELLATION}};
-    for (size_t i = 0; r->asked && i < sizeof known / sizeof known[0]; i++)
-        if (known[i].kind == r->kind)
-            return known[i].traffic;
-    return r->health ? BD_TRAFFIC_HEALTH : BD_TRAFFIC_INVALID;
+    if (!request->is_posted)
+        return request->is_health_check ? BD_TRAFFIC_HEALTH : BD_TRAFFIC_INVALID;
+    switch (request->kind) {
+    case BD_EVENT_HEARTBEAT:
+        return BD_TRAFFIC_HEARTBEAT;
+    case BD_EVENT_USER_STATUS:
+        return BD_TRAFFIC_STATUS_READ;
+    case BD_EVENT_USER_SUBMIT:
+        return BD_TRAFFIC_SUBMISSION;
+    case BD_EVENT_USER_CANCEL:
+        return BD_TRAFFIC_CANCELLATION;
+    default:
+        return BD_TRAFFIC_INVALID;
+    }
 }
 
-/* Connections of users and workers look alike before they ask: all are counted as check-ins'. */
-static void connection_changed(void *arg, struct MHD_Connection *conn, void **ctx,
+/* Connections of users and workers look alike before they ask: all are counted as heartbeats'. */
+static void connection_changed(void *arg, struct MHD_Connection *connection, void **context,
                                enum MHD_ConnectionNotificationCode code)
 {
     struct bd_node *node = arg;
-    (void)conn;
-    (void)ctx;
+    (void)connection;
+    (void)context;
     if (code == MHD_CONNECTION_NOTIFY_STARTED)
         bd_count_connections(bd_metrics_counter(node->metrics, BD_TRAFFIC_HEARTBEAT), 1);
 }
 
-static void completed(void *arg, struct MHD_Connection *conn, void **ctx,
-                      enum MHD_RequestTerminationCode code)
+static void request_completed(void *arg, struct MHD_Connection *connection, void **context,
+                              enum MHD_RequestTerminationCode code)
 {
     struct bd_node *node = arg;
-    (void)conn;
+    struct request *request = *context;
+    (void)connection;
     (void)code;
-    struct request *r = *ctx;
-    if (!r)
+    if (!request)
         return;
-    node->api_server->held -= r->len;
-    bd_count_message(bd_metrics_counter(node->metrics, traffic_of(r)), r->sent, r->len);
-    free(r->buf);
-    free(r->body);
-    free(r);
-    *ctx = NULL;
+    node->api_server->body_bytes -= request->body_len;
+    bd_count_message(bd_metrics_counter(node->metrics, traffic_of(request)), request->reply_len,
+                     request->body_len);
+    free(request->body);
+    free(request->reply_body);
+    free(request);
+    *context = NULL;
 }
 
-bool bd_parse_addr(const char *text, struct sockaddr_in *out)
+/* ---- start ---- */
+
+static unsigned connections_max(const struct bd_settings *settings)
 {
-    char host[BD_NAME];
-    const char *colon = strrchr(text, ':');
-    if (!colon || (size_t)(colon - text) >= sizeof host)
-        return false;
-    memcpy(host, text, (size_t)(colon - text));
-    host[colon - text] = '\0';
-    memset(out, 0, sizeof *out);
-    out->sin_family = AF_INET;
-    out->sin_port = htons((uint16_t)strtoul(colon + 1, NULL, 10));
-    return inet_pton(AF_INET, host, &out->sin_addr) == 1;
+    int own = BD_SOCKETS_OWN + bd_worker_client_sockets(settings);
+    int left = settings->max_sockets - own;
+    return (unsigned)(left > CONNECTIONS_MIN ? left : CONNECTIONS_MIN);
 }
 
 int bd_api_start(struct bd_node *node)
 {
-    struct sockaddr_in addr;
-    if (!bd_parse_addr(node->settings.api_addr, &addr))
+    struct sockaddr_in address;
+    if (!bd_address_parse(node->settings.api_addr, &address))
         return -1;
-    node->api_server = calloc(1, sizeof *node->api_server);
-    if (!node->api_server)
+    struct bd_api_server *server = calloc(1, sizeof *server);
+    if (!server)
         return -1;
-    node->api_server->most_held = (size_t)(node->settings.ram_mb * BODY_SHARE * 1048576.0);
-    int own = BD_SOCKETS_OWN + bd_worker_client_sockets(&node->settings);
-    int most = node->settings.max_sockets - own;
-    node->api_server->daemon = MHD_start_daemon(
+    node->api_server = server;
+    server->body_bytes_max = (size_t)(node->settings.ram_mb * BODY_MEMORY_SHARE * BYTES_PER_MB);
+    server->daemon = MHD_start_daemon(
         MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, handle, node,
-        MHD_OPTION_SOCK_ADDR, (struct sockaddr *)&addr, MHD_OPTION_CONNECTION_LIMIT,
-        (unsigned)(most > 8 ? most : 8), MHD_OPTION_CONNECTION_TIMEOUT, IDLE_S,
-        MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)POOL_BYTES, MHD_OPTION_NOTIFY_COMPLETED,
-        completed, node, MHD_OPTION_NOTIFY_CONNECTION, connection_changed, node,
-        MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u, MHD_OPTION_LISTEN_BACKLOG_SIZE, BACKLOG,
-        MHD_OPTION_THREAD_STACK_SIZE, (size_t)131072, MHD_OPTION_END);
-    return node->api_server->daemon ? 0 : -1;
+        MHD_OPTION_SOCK_ADDR, (struct sockaddr *)&address, MHD_OPTION_CONNECTION_LIMIT,
+        connections_max(&node->settings), MHD_OPTION_CONNECTION_TIMEOUT, CONNECTION_IDLE_S,
+        MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_POOL_BYTES,
+        MHD_OPTION_NOTIFY_COMPLETED, request_completed, node, MHD_OPTION_NOTIFY_CONNECTION,
+        connection_changed, node, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u,
+        MHD_OPTION_LISTEN_BACKLOG_SIZE, LISTEN_BACKLOG, MHD_OPTION_THREAD_STACK_SIZE,
+        (size_t)STACK_BYTES, MHD_OPTION_END);
+    return server->daemon ? 0 : -1;
 }
--- a/src/adapters/node.h
+++ b/src/adapters/node.h
@@ -1,4 +1,6 @@
-/* One running controller: the owner thread and the adapters around it. */
+/* One running controller: the owner thread and the adapters around it.
+ *
+ * Made and started by runtime/controller.c; it lives as long as the process. */
 #ifndef BD_NODE_H
 #define BD_NODE_H
 #include "adapters/event.h"
@@ -17,50 +19,47 @@
 struct bd_heartbeat_cache;
 
 struct bd_node {
-    struct bd_settings settings;
+    struct bd_settings settings; /* constant once it runs */
     struct bd_log log;
-    struct bd_queue events, to_commit, to_users, to_cloud;
-    struct bd_api_server *api_server;
+    struct bd_metrics *metrics;
+
+    /* ---- owner thread only ---- */
     struct bd_core *core;
-    /* what adapters need to know of the owner's state */
-    atomic_bool leading, want_barrier, types_known, step_down, up, page_out;
-    atomic_bool resign;          /* with step_down: the grant is to be ended */
+    struct bd_heartbeat_cache *heartbeats;
+    struct bd_event *pending_acquisition; /* a term that waits for the replica */
+    struct timespec next_metrics, metrics_since, next_status;
+    struct timespec commit_sent; /* when the leader's transaction was handed to its thread */
+
+    /* ---- queues between the threads ---- */
+    struct bd_queue events;                        /* to the owner thread */
+    struct bd_queue to_commit, to_users, to_cloud; /* effects, to the adapters' threads */
+    struct bd_queue reader_wake;                   /* wakes the replica's reader */
+
+    /* ---- what the owner thread publishes, and what adapters tell each other ---- */
+    atomic_bool leading, up, types_known;
+    atomic_bool want_barrier;    /* a read waits for a refresh that is sent from now on */
     atomic_bool want_drain_sets; /* the records of drains' machines are to be read */
+    atomic_bool step_down;       /* the term is over */
+    atomic_bool resign;          /* with step_down: the grant is to be ended */
+    atomic_bool page_out;        /* a page of the jobs' list waits for the owner */
     atomic_bool reads_refused;   /* the newest refresh of the records was not served */
     atomic_ullong store_revision;
-    struct bd_queue reader_wake;
-    struct bd_peer_link *links[BD_MAX_PEERS];
-    struct bd_metrics *metrics;
+
+    /* ---- adapters ---- */
+    struct bd_api_server *api_server;
     struct bd_worker_client *worker_client;
-    struct bd_heartbeat_cache *heartbeats;
-    struct timespec next_metrics, metrics_since, commit_sent;
-    struct bd_event *pending_acquisition;
-    /* what the other controllers are told of us */
-    pthread_mutex_t status_lock;
+    struct bd_peer_link *links[BD_MAX_PEERS];
+
+    /* ---- what peers are told of us: written by the owner, read by the status thread ---- */
+    pthread_mutex_t status_lock; /* of all below */
     struct bd_frame status;
     struct bd_progress *progress;
     uint32_t nprogress, cap_progress;
-    struct timespec next_status;
 };
 
-int bd_api_start(struct bd_node *node);
-void bd_api_reply(struct bd_node *node, void *request, int status, char *body, int retry_after);
+/* Sockets for our own connections beside those to workers: to peers, key-value store and cloud. */
+#define BD_SOCKETS_OWN 64
+
 int bd_kv_client_start(struct bd_node *node);
 int bd_election_start(struct bd_node *node);
-int bd_cloud_start(struct bd_node *node);
-/* sockets for our own connections, beside those to workers: other controllers, state service, cloud
- */
-#define BD_SOCKETS_OWN 64
-int bd_worker_client_start(struct bd_node *node);
-/* A direct command; takes the effect over. The answer comes as BD_EVENT_DIRECT_COMMAND_COMPLETED.
- */
-void bd_worker_client_send(struct bd_node *node, struct bd_effect *effect);
-/* sockets that it may hold */
-int bd_worker_client_sockets(const struct bd_settings *settings);
-int bd_transport_start(struct bd_node *node);
-/* A frame for a peer, sent with the next flush. False: dropped, nothing will come back. */
-bool bd_transport_send(struct bd_node *node, int peer, const struct bd_frame *frame);
-void bd_transport_flush(struct bd_node *node);
-struct sockaddr_in;
-bool bd_parse_addr(const char *text, struct sockaddr_in *out);
 #endif
--- /dev/null
+++ b/src/adapters/peer_traffic.h
@@ -0,0 +1,12 @@
+/* Which kind of traffic a frame counts as. */
+#ifndef BD_PEER_TRAFFIC_H
+#define BD_PEER_TRAFFIC_H
+#include "base/metrics.h"
+#include "wire/frame.h"
+
+static inline enum bd_traffic bd_frame_traffic(const struct bd_frame *frame)
+{
+    bool is_status = frame->type == BD_FRAME_STATUS || frame->type == BD_FRAME_PROGRESS;
+    return is_status ? BD_TRAFFIC_PEER_STATUS : BD_TRAFFIC_FORWARD;
+}
+#endif
--- a/src/adapters/peer_transport.c
+++ b/src/adapters/peer_transport.c
@@ -1,13 +1,8 @@
-/* Connections between controllers. Each controller opens one to every other and writes its frames
- * to it; it reads frames from those that the others opened.
- *
- * Threads: one accepts connections and reads frames, one sends heartbeats to all peers, and one for
- * each peer opens connections. Whoever has a frame for a peer appends it to the peer's outbox; the
- * owner thread writes all outboxes once after a batch of commands, without blocking, so that frames
- * that belong together share a packet and no other thread need wake up. No rule rests on what
- * passes here; it only makes failures shorter. */
 #include "adapters/peer_transport.h"
 #include "adapters/node.h"
+#include "adapters/peer_listener.h"
+#include "adapters/peer_traffic.h"
+#include "base/address.h"
 #include "base/metrics.h"
 #include "base/queue.h"
 #include "base/thread.h"
@@ -23,24 +18,24 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* named defaults */
 #define PEER_STATUS_INTERVAL_S 0.4
-#define PROGRESS_S 1.2 /* between heartbeats that carry the jobs' counts, which are for display */
-#define CONNECT_S 0.5
-#define STALLED_S 0.5    /* a connection that takes no bytes for so long is closed */
-#define CONNECTION_S 4.0 /* the life of a connection: see connect_run */
-#define OUTBOX_MIN 4096u
-#define OUTBOX_MAX 524288u /* more is dropped; whoever waits has a deadline */
+#define PROGRESS_INTERVAL_S 1.2 /* of the jobs' counts, which are for display */
+#define CONNECT_TIMEOUT_S 0.5
+#define STALLED_TIMEOUT_S 0.5 /* a connection that takes no bytes for so long is closed */
+#define CONNECTION_LIFE_S 4.0 /* see connect_run */
+#define OUTBOX_BYTES_MIN 4096u
+#define STACK_BYTES 131072
+#define OUTBOX_BYTES_MAX 524288u /* more is dropped; whoever waits has a deadline */
 
-/* ---- connections to the others ---- */
+/* ---- outboxes ---- */
 
 struct bd_peer_link {
-    struct bd_node *n;
+    struct bd_node *node;
     int peer;
     struct bd_queue connector; /* wakes the thread that connects */
     pthread_mutex_t lock;      /* of all below */
     int fd;                    /* -1: not connected */
-    size_t len, cap;           /* bytes in the outbox that were not sent; its room */
+    size_t len, cap;           /* bytes in the outbox that were not sent; their capacity */
     struct timespec stalled;   /* since when it takes none of them; zero: it does */
     unsigned char *outbox;
 };
@@ -53,17 +48,17 @@
     link->fd = -1;
     link->len = link->cap = 0;
     link->stalled = (struct timespec){0, 0};
-    free(link->outbox); /* a burst's room is given back */
+    free(link->outbox); /* a burst's memory is given back */
     link->outbox = NULL;
 }
 
 /* Sends what the connection takes at once. The caller holds the lock. */
-static void flush_link(struct bd_peer_link *link, enum bd_traffic kind)
+static void flush_outbox(struct bd_peer_link *link, enum bd_traffic kind)
 {
     if (link->fd < 0 || link->len == 0)
         return;
     ssize_t sent = send(link->fd, link->outbox, link->len, MSG_DONTWAIT | MSG_NOSIGNAL);
-    bd_count_write(bd_metrics_counter(link->n->metrics, kind));
+    bd_count_write(bd_metrics_counter(link->node->metrics, kind));
     if (sent > 0) {
         link->len -= (size_t)sent;
         memmove(link->outbox, link->outbox + sent, link->len);
@@ -74,37 +69,38 @@
     bool busy = sent < 0 && (errno == EAGAIN || errno == EINTR);
     if (busy && bd_is_zero(link->stalled))
         link->stalled = now;
-    if (busy && bd_between(link->stalled, now) < STALLED_S)
+    if (busy && bd_between(link->stalled, now) < STALLED_TIMEOUT_S)
         return;
     disconnect(link);
     (void)bd_queue_put(&link->connector, link);
 }
 
-/* Room for `more` bytes in the outbox. */
-static bool reserve(struct bd_peer_link *link, size_t more)
+/* Makes space for `more` bytes in the outbox. */
+static bool reserve_outbox(struct bd_peer_link *link, size_t more)
 {
-    size_t cap = link->cap ? link->cap : OUTBOX_MIN;
-    while (cap < link->len + more)
-        cap *= 2;
-    if (cap > OUTBOX_MAX)
+    size_t capacity = link->cap ? link->cap : OUTBOX_BYTES_MIN;
+    while (capacity < link->len + more)
+        capacity *= 2;
+    if (capacity > OUTBOX_BYTES_MAX)
         return false;
-    unsigned char *grown = cap > link->cap ? realloc(link->outbox, cap) : link->outbox;
+    unsigned char *grown = capacity > link->cap ? realloc(link->outbox, capacity) : link->outbox;
     if (!grown)
         return false;
     link->outbox = grown;
-    link->cap = cap;
+    link->cap = capacity;
     return true;
 }
 
-/* False: there is no room or no connection, and the frame is dropped. The caller holds the lock. */
-static bool append(struct bd_peer_link *link, const struct bd_frame *frame)
+/* False: there is no space or no connection, and the frame is dropped. The caller holds the lock.
+ */
+static bool append_frame(struct bd_peer_link *link, const struct bd_frame *frame)
 {
-    if (link->fd < 0 || !reserve(link, bd_frame_bytes(frame)))
+    if (link->fd < 0 || !reserve_outbox(link, bd_frame_bytes(frame)))
         return false;
     size_t len = bd_frame_write(frame, link->outbox + link->len, link->cap - link->len);
     link->len += len;
     if (len > 0)
-        bd_count_message(bd_metrics_counter(link->n->metrics, bd_frame_traffic(frame)), len, 0);
+        bd_count_message(bd_metrics_counter(link->node->metrics, bd_frame_traffic(frame)), len, 0);
     return len > 0;
 }
 
@@ -112,9 +108,9 @@
 {
     struct bd_peer_link *link = node->links[peer];
     (void)pthread_mutex_lock(&link->lock);
-    bool ok = append(link, frame);
+    bool appended = append_frame(link, frame);
     (void)pthread_mutex_unlock(&link->lock);
-    return ok;
+    return appended;
 }
 
 void bd_transport_flush(struct bd_node *node)
@@ -122,30 +118,30 @@
     for (int i = 0; i < node->settings.npeers; i++) {
         struct bd_peer_link *link = node->links[i];
         (void)pthread_mutex_lock(&link->lock);
-        flush_link(link, BD_TRAFFIC_FORWARD);
+        flush_outbox(link, BD_TRAFFIC_FORWARD);
         (void)pthread_mutex_unlock(&link->lock);
     }
 }
 
-/* ---- heartbeats ---- */
+/* ---- peer status ---- */
 
 /* The jobs' counts, as many frames as they take. The caller holds the link's lock. */
-static void append_progress(struct bd_peer_link *link, struct bd_frame *f)
+static void append_progress(struct bd_peer_link *link, struct bd_frame *frame)
 {
-    struct bd_node *node = link->n;
+    struct bd_node *node = link->node;
     uint32_t from = 0;
     bool more = true;
     while (more) {
         (void)pthread_mutex_lock(&node->status_lock);
-        memset(f, 0, sizeof *f);
-        f->type = BD_FRAME_PROGRESS;
-        while (f->count < BD_FRAME_JOBS && from + f->count < node->nprogress) {
-            f->jobs[f->count] = node->progress[from + f->count];
-            f->count++;
+        memset(frame, 0, sizeof *frame);
+        frame->type = BD_FRAME_PROGRESS;
+        while (frame->count < BD_FRAME_JOBS && from + frame->count < node->nprogress) {
+            frame->jobs[frame->count] = node->progress[from + frame->count];
+            frame->count++;
         }
         (void)pthread_mutex_unlock(&node->status_lock);
-        more = f->count > 0 && append(link, f);
-        from += f->count;
+        more = frame->count > 0 && append_frame(link, frame);
+        from += frame->count;
     }
 }
 
@@ -157,31 +153,31 @@
     (void)pthread_mutex_unlock(&node->status_lock);
 }
 
-static void send_heartbeat(struct bd_peer_link *link, struct bd_frame *frame, bool progress)
+static void send_status(struct bd_peer_link *link, struct bd_frame *frame, bool progress)
 {
     (void)pthread_mutex_lock(&link->lock);
     if (link->fd >= 0) {
-        read_status(link->n, frame);
-        (void)append(link, frame);
+        read_status(link->node, frame);
+        (void)append_frame(link, frame);
         if (progress)
             append_progress(link, frame);
-        flush_link(link, BD_TRAFFIC_PEER_STATUS);
+        flush_outbox(link, BD_TRAFFIC_PEER_STATUS);
     }
     (void)pthread_mutex_unlock(&link->lock);
 }
 
-static void *heartbeat_run(void *arg)
+static void *status_run(void *arg)
 {
     struct bd_node *node = arg;
     struct timespec next_progress = bd_now();
-    struct bd_frame *f = calloc(1, sizeof *f);
-    while (f) {
+    struct bd_frame *frame = calloc(1, sizeof *frame);
+    while (frame) {
         struct timespec now = bd_now();
         bool progress = bd_before(next_progress, now);
         if (progress)
-            next_progress = bd_add(now, bd_secs(PROGRESS_S));
+            next_progress = bd_add(now, bd_secs(PROGRESS_INTERVAL_S));
         for (int i = 0; i < node->settings.npeers; i++)
-            send_heartbeat(node->links[i], f, progress);
+            send_status(node->links[i], frame, progress);
         bd_pause(PEER_STATUS_INTERVAL_S);
     }
     return NULL;
@@ -189,23 +185,24 @@
 
 /* ---- connecting ---- */
 
-static bool set_timeouts(int fd, double s)
+static bool set_send_timeout(int fd, double seconds)
 {
-    struct timespec t = bd_secs(s);
-    struct timeval tv = {t.tv_sec, t.tv_nsec / 1000};
-    return setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &tv, sizeof tv) == 0;
+    struct timespec span = bd_secs(seconds);
+    struct timeval timeout = {span.tv_sec, span.tv_nsec / 1000};
+    return setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof timeout) == 0;
 }
 
 static int open_connection(const char *addr)
 {
-    struct sockaddr_in to;
-    if (!bd_parse_addr(addr, &to))
+    struct sockaddr_in address;
+    if (!bd_address_parse(addr, &address))
         return -1;
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     if (fd < 0)
         return -1;
     /* the send timeout bounds the connection attempt */
-    if (!set_timeouts(fd, CONNECT_S) || connect(fd, (struct sockaddr *)&to, sizeof to) != 0) {
+    if (!set_send_timeout(fd, CONNECT_TIMEOUT_S) ||
+        connect(fd, (struct sockaddr *)&address, sizeof address) != 0) {
         (void)close(fd);
         return -1;
     }
@@ -218,12 +215,12 @@
 {
     (void)pthread_mutex_lock(&link->lock);
     bool first = link->fd < 0 && fd >= 0;
-    flush_link(link, BD_TRAFFIC_FORWARD);
+    flush_outbox(link, BD_TRAFFIC_FORWARD);
     disconnect(link);
     link->fd = fd;
     (void)pthread_mutex_unlock(&link->lock);
     if (fd >= 0)
-        bd_count_connections(bd_metrics_counter(link->n->metrics, BD_TRAFFIC_PEER_STATUS), 1);
+        bd_count_connections(bd_metrics_counter(link->node->metrics, BD_TRAFFIC_PEER_STATUS), 1);
     return first;
 }
 
@@ -232,15 +229,15 @@
 static void *connect_run(void *arg)
 {
     struct bd_peer_link *link = arg;
-    struct bd_frame *f = calloc(1, sizeof *f);
-    while (f) {
+    struct bd_frame *frame = calloc(1, sizeof *frame);
+    while (frame) {
         void *broken;
-        int fd = open_connection(link->n->settings.peers[link->peer].addr);
+        int fd = open_connection(link->node->settings.peers[link->peer].addr);
         if (replace_connection(link, fd))
-            send_heartbeat(link, f, false);
+            send_status(link, frame, false);
         struct timespec opened = bd_now();
-        double life = fd >= 0 ? CONNECTION_S : PEER_STATUS_INTERVAL_S;
-        (void)bd_queue_take(&link->connector, &broken, 1, bd_add(opened, bd_secs(life)));
+        double life_s = fd >= 0 ? CONNECTION_LIFE_S : PEER_STATUS_INTERVAL_S;
+        (void)bd_queue_take(&link->connector, &broken, 1, bd_add(opened, bd_secs(life_s)));
         /* one that breaks at once is not opened without end */
         double open_s = bd_between(opened, bd_now());
         if (open_s < PEER_STATUS_INTERVAL_S)
@@ -251,17 +248,17 @@
 
 static struct bd_peer_link *new_link(struct bd_node *node, int peer)
 {
-    struct bd_peer_link *k = calloc(1, sizeof *k);
-    if (!k)
+    struct bd_peer_link *link = calloc(1, sizeof *link);
+    if (!link)
         return NULL;
-    k->n = node;
-    k->peer = peer;
-    k->fd = -1;
-    if (bd_queue_init(&k->connector, 1) != 0 || pthread_mutex_init(&k->lock, NULL) != 0) {
-        free(k);
+    link->node = node;
+    link->peer = peer;
+    link->fd = -1;
+    if (bd_queue_init(&link->connector, 1) != 0 || pthread_mutex_init(&link->lock, NULL) != 0) {
+        free(link);
         return NULL;
     }
-    return k;
+    return link;
 }
 
 int bd_transport_start(struct bd_node *node)
@@ -275,8 +272,8 @@
         if (!node->links[i])
             return -1;
     }
-    int rc = bd_peer_listener_start(node);
-    for (int i = 0; i < node->settings.npeers && rc == 0; i++)
-        rc = bd_thread_start(connect_run, node->links[i], STACK_BYTES);
-    return rc == 0 ? bd_thread_start(heartbeat_run, node, STACK_BYTES) : rc;
+    int result = bd_peer_listener_start(node);
+    for (int i = 0; i < node->settings.npeers && result == 0; i++)
+        result = bd_thread_start(connect_run, node->links[i], STACK_BYTES);
+    return result == 0 ? bd_thread_start(status_run, node, STACK_BYTES) : result;
 }
--- /dev/null
+++ b/src/base/address.c
@@ -0,0 +1,21 @@
+#include "base/address.h"
+#include <arpa/inet.h>
+#include <netinet/in.h>
+#include <stdlib.h>
+#include <string.h>
+
+#define HOST_BYTES 64
+
+bool bd_address_parse(const char *text, struct sockaddr_in *out)
+{
+    char host[HOST_BYTES];
+    const char *colon = strrchr(text, ':');
+    if (!colon || (size_t)(colon - text) >= sizeof host)
+        return false;
+    memcpy(host, text, (size_t)(colon - text));
+    host[colon - text] = '\0';
+    memset(out, 0, sizeof *out);
+    out->sin_family = AF_INET;
+    out->sin_port = htons((uint16_t)strtoul(colon + 1, NULL, 10));
+    return inet_pton(AF_INET, host, &out->sin_addr) == 1;
+}
--- a/src/runtime/controller.c
+++ b/src/runtime/controller.c
@@ -1,7 +1,11 @@
 /* Makes a controller of its parts and starts their threads, which live as long as the process. */
 #include "brambledoor/controller.h"
 #include "adapters/admin_server.h"
+#include "adapters/api_server.h"
+#include "adapters/cloud_client.h"
 #include "adapters/node.h"
+#include "adapters/peer_transport.h"
+#include "adapters/worker_client.h"
 #include "base/http.h"
 #include "base/metrics.h"
 #include "base/queue.h"
--- a/src/runtime/effect_dispatch.c
+++ b/src/runtime/effect_dispatch.c
@@ -1,5 +1,8 @@
 #include "runtime/effect_dispatch.h"
+#include "adapters/api_server.h"
 #include "adapters/node.h"
+#include "adapters/peer_transport.h"
+#include "adapters/worker_client.h"
 #include "base/queue.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
--- a/src/runtime/event_apply.c
+++ b/src/runtime/event_apply.c
@@ -1,4 +1,5 @@
 #include "runtime/event_apply.h"
+#include "adapters/api_server.h"
 #include "adapters/event.h"
 #include "adapters/node.h"
 #include "autoscaling/autoscaling.h"
--- a/tests/direct_commands.c
+++ b/tests/direct_commands.c
@@ -3,6 +3,7 @@
  * told so, and nothing holds up what comes after it. */
 #include "adapters/event.h"
 #include "adapters/node.h"
+#include "adapters/worker_client.h"
 #include "base/http.h"
 #include "base/metrics.h"
 #include "base/queue.h"
--- a/tests/drain_profile.c
+++ b/tests/drain_profile.c
@@ -23,6 +23,7 @@
 #include "drain/drain_internal.h"
 #include "jobs/jobs.h"
 #include "leadership/leadership.h"
+#include "model/disruption_ledger.h"
 #include "model/effect.h"
 #include "model/leadership_state.h"
 #include "model/task.h"
@@ -33,7 +34,6 @@
 #include <stdlib.h>
 #include <string.h>
 #include <time.h>
-#include "model/disruption_ledger.h"
 
 #define REPLICAS 10  /* on a machine at first */
 #define JOB_TASKS 40 /* replicas of a service */
--- a/tests/scenario_drain.c
+++ b/tests/scenario_drain.c
@@ -6,6 +6,7 @@
 #include "drain/drain.h"
 #include "jobs/jobs.h"
 #include "leadership/leadership.h"
+#include "model/disruption_ledger.h"
 #include "model/effect.h"
 #include "model/leadership_state.h"
 #include "model/task.h"
@@ -16,7 +17,6 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "model/disruption_ledger.h"
 
 void play_draining(struct play *p)
 {
