--- a/src/leadership/commit.h
+++ b/src/leadership/commit.h
@@ -1,21 +1,26 @@
-/* The one leader transaction under way: what it holds, and its bounds. */
+/* The leader's transaction: one at a time, made of a scheduling cycle's plan, receipts, and the
+ * records of jobs that ended.
+ *
+ * Works on core->lead.commit. Called by scheduling/, which makes that struct and fills its plan,
+ * and by core/ when it frees a core. What the store answered comes to bd_leader_txn_completed in
+ * leadership.h. */
 #ifndef BD_COMMIT_H
 #define BD_COMMIT_H
 #include "model/core_state.h"
-#include "model/task_state.h"
-#include "wire/wire.h"
+#include <stddef.h>
+#include <stdint.h>
 
 #define BD_TASK_BYTES 7u /* of a task's number in an intent record */
-#define BD_HEX_DIGITS "0123456789abcdef"
 
-/* Bytes of a job's tasks on one machine in an intent record, without the tasks' numbers. */
+/* Bytes that one machine's tasks of a job take in an intent record, without the tasks' numbers. */
 size_t bd_group_bytes(const struct bd_job *job, const struct bd_machine *machine);
-/* Intent records that a transaction may hold now. */
+/* Intent records that a transaction may hold now, at least 1. The rest is left for receipts. */
 uint32_t bd_cycle_intent_records(const struct bd_core *core);
-/* Builds the transaction of a cycle from its plan and emits it. */
+/* Builds the transaction of core->lead.commit and emits it; frees the commit if there is nothing to
+ * write. Planned launches that fit no intent record are released. */
 void bd_cycle_commit(struct bd_core *core);
+/* NULL is allowed. */
 void bd_commit_free(struct bd_commit *commit);
-/* Takes over the intents of a record that was written. */
-void bd_intent_record_keep(struct bd_core *core, const char *key, struct bd_intent *e, uint32_t n);
+/* Drops the term's view of the committed intent records. */
 void bd_intent_records_free(struct bd_core *core);
 #endif
--- /dev/null
+++ b/src/leadership/intent_record.c
@@ -0,0 +1,171 @@
+/* Intent records: which launches a term has committed. A new leader reads them to know what may run
+ * where. Part of the pure core. */
+#include "leadership/commit.h"
+#include "leadership/leadership_internal.h"
+#include "model/catalog.h"
+#include "model/core_state.h"
+#include "model/kv_limits.h"
+#include "model/machine.h"
+#include "model/task.h"
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#define GROUP_SYNTAX_BYTES 36u /* brackets, quotes, and an attempt's digits */
+
+size_t bd_group_bytes(const struct bd_job *job, const struct bd_machine *machine)
+{
+    return strlen(job->id) + strlen(machine->id) + GROUP_SYNTAX_BYTES;
+}
+
+/* ---- the record's value: {"e": [[job, attempt, machine, [task, ...]], ...]} ---- */
+
+static bool is_same_group(const struct bd_intent *a, const struct bd_intent *b)
+{
+    return a->job == b->job && a->machine == b->machine && a->attempt == b->attempt;
+}
+
+/* Appends the group of the first intent, with as many of its tasks as fit; returns how many. */
+static uint32_t append_group(struct bd_core *core, json_t *groups, const struct bd_intent *intents,
+                             uint32_t n, double *bytes_left)
+{
+    const struct bd_machine *machine = bd_machine_of(core, intents->machine);
+    json_t *tasks = json_array();
+    uint32_t count = 0;
+    *bytes_left -= (double)(machine ? bd_group_bytes(intents->job, machine) : BD_LABEL);
+    while (count < n && is_same_group(&intents[count], intents) && *bytes_left >= BD_TASK_BYTES) {
+        json_array_append_new(tasks, json_integer(intents[count].task));
+        *bytes_left -= BD_TASK_BYTES;
+        count++;
+    }
+    if (count == 0) {
+        json_decref(tasks);
+        return 0;
+    }
+    json_array_append_new(groups,
+                          json_pack("[s,I,s,o]", intents->job->id, (json_int_t)intents->attempt,
+                                    machine ? machine->id : "?", tasks));
+    return count;
+}
+
+json_t *bd_intent_record_value(struct bd_core *core, const struct bd_intent *intents, uint32_t *n)
+{
+    json_t *groups = json_array();
+    double bytes_left = BD_VALUE_SHARE * (double)core->kv_limits.kv_value_bytes_max;
+    uint32_t written = 0, count = 1;
+    while (written < *n && count > 0) {
+        count = append_group(core, groups, intents + written, *n - written, &bytes_left);
+        written += count;
+    }
+    *n = written;
+    return json_pack("{s:o}", "e", groups);
+}
+
+/* ---- records of earlier terms ---- */
+
+struct intent_list {
+    struct bd_intent *items;
+    uint32_t n;
+};
+
+static void intent_list_reserve(struct intent_list *list, size_t more)
+{
+    struct bd_intent *grown = realloc(list->items, (list->n + more + 1) * sizeof *grown);
+    if (!grown)
+        abort();
+    list->items = grown;
+}
+
+static void load_group(struct bd_core *core, json_t *group, struct intent_list *list)
+{
+    const char *id = json_string_value(json_array_get(group, 0));
+    struct bd_job *job = bd_job_find(core, id ? id : "");
+    uint64_t attempt = (uint64_t)json_integer_value(json_array_get(group, 1));
+    const char *machine_id = json_string_value(json_array_get(group, 2));
+    json_t *tasks = json_array_get(group, 3), *number;
+    size_t i;
+    if (!job || !job->tasks || !machine_id)
+        return;
+    intent_list_reserve(list, json_array_size(tasks));
+    const struct bd_machine *machine = bd_machine_get(core, machine_id);
+    json_array_foreach(tasks, i, number)
+    {
+        uint32_t task = (uint32_t)json_integer_value(number);
+        if (task >= job->ntasks)
+            continue;
+        list->items[list->n++] = (struct bd_intent){job, task, machine->index, attempt};
+        if (attempt > job->tasks[task].attempt)
+            job->tasks[task].attempt = attempt;
+    }
+}
+
+void bd_intent_record_load(struct bd_core *core, const char *key, json_t *value)
+{
+    struct intent_list list = {0};
+    json_t *group;
+    size_t i;
+    json_array_foreach(json_object_get(value, "e"), i, group)
+    {
+        load_group(core, group, &list);
+    }
+    bd_intent_record_add(core, key, list.items, list.n);
+}
+
+/* ---- the term's view of what is committed ---- */
+
+static void reserve_record(struct bd_leadership *lead)
+{
+    if (lead->nintent_records < lead->cap_intent_records)
+        return;
+    uint32_t cap = lead->cap_intent_records ? lead->cap_intent_records * 2 : 64;
+    struct bd_intent_record *grown = realloc(lead->intent_records, cap * sizeof *grown);
+    if (!grown)
+        abort();
+    lead->intent_records = grown;
+    lead->cap_intent_records = cap;
+}
+
+void bd_intent_record_add(struct bd_core *core, const char *key, struct bd_intent *intents,
+                          uint32_t n)
+{
+    reserve_record(&core->lead);
+    struct bd_intent_record *record = &core->lead.intent_records[core->lead.nintent_records++];
+    memset(record, 0, sizeof *record);
+    snprintf(record->key, sizeof record->key, "%s", key);
+    record->e = intents;
+    record->n = n;
+}
+
+void bd_intent_record_remove(struct bd_core *core, const char *key)
+{
+    struct bd_leadership *lead = &core->lead;
+    for (uint32_t i = 0; i < lead->nintent_records; i++) {
+        if (strcmp(lead->intent_records[i].key, key) != 0)
+            continue;
+        free(lead->intent_records[i].e);
+        lead->intent_records[i] = lead->intent_records[--lead->nintent_records];
+        return;
+    }
+}
+
+bool bd_intent_record_is_needed(const struct bd_intent_record *record)
+{
+    for (uint32_t i = 0; i < record->n; i++) {
+        const struct bd_intent *intent = &record->e[i];
+        if (!intent->job->tasks)
+            continue;
+        const struct bd_task *task = &intent->job->tasks[intent->task];
+        if (task->attempt == intent->attempt && task->machine == intent->machine)
+            return true;
+    }
+    return false;
+}
+
+void bd_intent_records_free(struct bd_core *core)
+{
+    for (uint32_t i = 0; i < core->lead.nintent_records; i++)
+        free(core->lead.intent_records[i].e);
+    free(core->lead.intent_records);
+    core->lead.intent_records = NULL;
+    core->lead.nintent_records = core->lead.cap_intent_records = 0;
+}
--- a/src/leadership/reconciliation.c
+++ b/src/leadership/reconciliation.c
@@ -1,148 +1,42 @@
-/* A new leader: earlier terms' receipts and intents, and what they say of each task. Part of the
- * pure core. */
-#include "base/metrics.h"
+/* Failover to us: a new term takes in earlier terms' receipts and intents, and marks each task that
+ * may run as unknown until heartbeats show it. Part of the pure core. */
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
-#include "leadership/commit.h"
 #include "leadership/leadership.h"
-#include "model/catalog.h"
+#include "leadership/leadership_internal.h"
 #include "model/core_state.h"
 #include "model/decision_log.h"
-#include "model/leadership_state.h"
 #include "model/machine.h"
 #include "model/task.h"
 #include "model/task_state.h"
 #include "wire/wire.h"
 #include <stdio.h>
-#include <stdlib.h>
-#include <string.h>
-
-static const char hex[] = BD_HEX_DIGITS;
-
-static void load_receipt(struct bd_core *core, const char *key, json_t *value)
-{
-    char id[BD_ID];
-    uint32_t chunk = 0;
-    if (strncmp(key, "r/", 2) != 0 || !bd_wire_task_name(key + 2, id, &chunk))
-        return;
-    struct bd_job *job = bd_job_find(core, id);
-    const char *text = json_string_value(json_object_get(value, "b"));
-    if (!job || !text || chunk >= 64)
-        return;
-    job->receipt_chunks |= 1ull << chunk;
-    if (!job->tasks)
-        return;
-    for (uint32_t i = 0; text[i]; i++) {
-        const char *p = strchr(hex, text[i]);
-        for (uint32_t bit = 0; p && bit < 4; bit++) {
-            uint32_t task = chunk * BD_RECEIPT_CHUNK_TASKS + (i / 2) * 8 + (i % 2 ? bit : bit + 4);
-            if (!((p - hex) >> bit & 1) || task >= job->ntasks)
-                continue;
-            if (job->tasks[task].state != BD_TASK_DONE)
-                bd_task_set(core, job, task, BD_TASK_DONE);
-            job->tasks[task].flags |= BD_TASK_FLAG_RECEIPT_COMMITTED;
-        }
-    }
-    if (job->ndone == job->ntasks)
-        job->dirty = true;
-}
-
-static void load_group(struct bd_core *core, json_t *g, struct bd_intent **e, uint32_t *n)
-{
-    struct bd_job *job = bd_job_find(core, json_string_value(json_array_get(g, 0))
-                                               ? json_string_value(json_array_get(g, 0))
-                                               : "");
-    uint64_t attempt = (uint64_t)json_integer_value(json_array_get(g, 1));
-    const char *machine = json_string_value(json_array_get(g, 2));
-    json_t *tasks = json_array_get(g, 3), *v;
-    size_t i;
-    if (!job || !job->tasks || !machine)
-        return;
-    struct bd_intent *grown = realloc(*e, (*n + json_array_size(tasks) + 1) * sizeof *grown);
-    if (!grown)
-        abort();
-    *e = grown;
-    struct bd_machine *m = bd_machine_get(core, machine);
-    json_array_foreach(tasks, i, v)
-    {
-        uint32_t task = (uint32_t)json_integer_value(v);
-        if (task >= job->ntasks)
-            continue;
-        (*e)[(*n)++] = (struct bd_intent){job, task, m->index, attempt};
-        if (attempt > job->tasks[task].attempt)
-            job->tasks[task].attempt = attempt;
-    }
-}
-
-static void load_intents(struct bd_core *core, json_t *pairs)
-{
-    struct bd_change ch;
-    json_t *v, *g;
-    size_t i, k;
-    json_array_foreach(pairs, i, v)
-    {
-        struct bd_intent *e = NULL;
-        uint32_t n = 0;
-        if (!bd_wire_change(v, &ch))
-            continue;
-        json_array_foreach(json_object_get(ch.value, "e"), k, g)
-        {
-            load_group(core, g, &e, &n);
-        }
-        bd_intent_record_keep(core, ch.key, e, n);
-    }
-}
-
-/* Only the newest intent of a task counts: it was written after all earlier ones were excluded. */
-static void classify(struct bd_core *core)
-{
-    uint32_t unknown = 0;
-    for (uint32_t r = 0; r < core->lead.nintent_records; r++) {
-        char intent[BD_LABEL + 8];
-        snprintf(intent, sizeof intent, "intent=%s", core->lead.intent_records[r].key);
-        for (uint32_t k = 0; k < core->lead.intent_records[r].n; k++) {
-            struct bd_intent *e = &core->lead.intent_records[r].e[k];
-            struct bd_task *task = &e->job->tasks[e->task];
-            struct bd_machine *machine = bd_machine_of(core, e->machine);
-            if (task->state != BD_TASK_PENDING || task->attempt != e->attempt || !machine)
-                continue;
-            bd_task_assign(core, e->job, e->task, machine, e->attempt, BD_TASK_UNKNOWN);
-            task->flags |= BD_TASK_FLAG_LAUNCH_SENT;
-            bd_decision_log_task(core, "task_unknown", e->job, e->task, e->attempt, machine,
-                                 intent);
-            if (e->job->state != BD_JOB_ACTIVE)
-                task->flags |= BD_TASK_FLAG_STOP_REQUESTED | BD_TASK_FLAG_FORCED_STOP;
-            unknown++;
-        }
-    }
-    bd_log_write(core->log, BD_LOG_INFO, "term %llu: %u intent records, %u tasks to reconcile",
-                 (unsigned long long)core->lead.base_term, core->lead.nintent_records, unknown);
-}
 
 void bd_leadership_begin_term(struct bd_core *core, const struct bd_acquisition *acquisition)
 {
+    struct bd_leadership *lead = &core->lead;
     core->role = BD_LEADER;
-    core->lead.base_term = core->lead.term = acquisition->term;
-    core->lead.grant = acquisition->grant;
-    core->lead.counter = 0;
+    lead->base_term = lead->term = acquisition->term;
+    lead->grant = acquisition->grant;
+    lead->counter = 0;
     /* earlier terms' launches carried lower tokens */
-    core->lead.fenced_attempt = acquisition->term << 20;
-    core->lead.withheld = 0;
-    core->lead.cycle_number = 0;
-    core->lead.request_n = 0;
-    core->lead.sequence_revision = acquisition->sequence_revision;
-    core->lead.sequence = acquisition->sequence;
-    core->lead.inventory_read = false;
-    snprintf(core->lead.nonce, sizeof core->lead.nonce, "%s", acquisition->nonce);
+    lead->fenced_attempt = acquisition->term << BD_ATTEMPT_TERM_SHIFT;
+    lead->withheld = 0;
+    lead->last_intent_record = 0;
+    lead->request_n = 0;
+    lead->sequence_revision = acquisition->sequence_revision;
+    lead->sequence = acquisition->sequence;
+    lead->inventory_read = false;
+    snprintf(lead->nonce, sizeof lead->nonce, "%s", acquisition->nonce);
 }
 
 /* An earlier leader within its renewal window, or a delegate of one, may have answered until then.
  */
 static void bound_earlier_leases(struct bd_core *core)
 {
-    double rest = bd_renewal_window_s(core->settings) - bd_to_secs(core->settings->leader_ttl);
-    rest = rest > BD_DELEGATE_FRESH_S ? rest : BD_DELEGATE_FRESH_S;
-    core->lead.earlier_leases_expire_at = bd_lease_expiry(core, bd_add(core->now, bd_secs(rest)));
+    double rest_s = bd_renewal_window_s(core->settings) - bd_to_secs(core->settings->leader_ttl);
+    rest_s = rest_s > BD_DELEGATE_FRESH_S ? rest_s : BD_DELEGATE_FRESH_S;
+    core->lead.earlier_leases_expire_at = bd_lease_expiry(core, bd_add(core->now, bd_secs(rest_s)));
 }
 
 static void start_tracking_jobs(struct bd_core *core)
@@ -157,19 +51,52 @@
     }
 }
 
-static void load_receipts(struct bd_core *core, json_t *receipts)
+/* Calls load with the key and value of each well-formed pair. */
+static void load_pairs(struct bd_core *core, json_t *pairs,
+                       void (*load)(struct bd_core *core, const char *key, json_t *value))
 {
     struct bd_change change;
-    json_t *v;
+    json_t *pair;
     size_t i;
-    json_array_foreach(receipts, i, v)
+    json_array_foreach(pairs, i, pair)
     {
-        if (bd_wire_change(v, &change))
-            load_receipt(core, change.key, change.value);
+        if (bd_wire_change(pair, &change))
+            load(core, change.key, change.value);
+    }
+}
+
+/* Whether the intent's attempt may run. Only a task's newest intent counts: it was written after
+ * all earlier ones were excluded. */
+static bool mark_unknown(struct bd_core *core, const struct bd_intent *intent, const char *key)
+{
+    struct bd_job *job = intent->job;
+    struct bd_task *task = &job->tasks[intent->task];
+    struct bd_machine *machine = bd_machine_of(core, intent->machine);
+    char detail[BD_LABEL + 8];
+    if (task->state != BD_TASK_PENDING || task->attempt != intent->attempt || !machine)
+        return false;
+    bd_task_assign(core, job, intent->task, machine, intent->attempt, BD_TASK_UNKNOWN);
+    task->flags |= BD_TASK_FLAG_LAUNCH_SENT;
+    snprintf(detail, sizeof detail, "intent=%s", key);
+    bd_decision_log_task(core, "task_unknown", job, intent->task, intent->attempt, machine, detail);
+    if (job->state != BD_JOB_ACTIVE)
+        task->flags |= BD_TASK_FLAG_STOP_REQUESTED | BD_TASK_FLAG_FORCED_STOP;
+    return true;
+}
+
+static void mark_unknown_tasks(struct bd_core *core)
+{
+    uint32_t unknown = 0;
+    for (uint32_t i = 0; i < core->lead.nintent_records; i++) {
+        const struct bd_intent_record *record = &core->lead.intent_records[i];
+        for (uint32_t k = 0; k < record->n; k++)
+            unknown += mark_unknown(core, &record->e[k], record->key);
     }
+    bd_log_write(core->log, BD_LOG_INFO, "term %llu: %u intent records, %u tasks to reconcile",
+                 (unsigned long long)core->lead.base_term, core->lead.nintent_records, unknown);
 }
 
-static void log_term(struct bd_core *core, const struct bd_acquisition *acquisition)
+static void log_term_acquired(struct bd_core *core, const struct bd_acquisition *acquisition)
 {
     bd_decision_log_term(
         core, "term_acquired",
@@ -188,15 +115,15 @@
     core->delegates.read_at = core->now;
     bound_earlier_leases(core);
     start_tracking_jobs(core);
-    load_receipts(core, acquisition->receipts);
-    load_intents(core, acquisition->intents);
-    classify(core);
-    log_term(core, acquisition);
+    load_pairs(core, acquisition->receipts, bd_receipt_load);
+    load_pairs(core, acquisition->intents, bd_intent_record_load);
+    mark_unknown_tasks(core);
+    log_term_acquired(core, acquisition);
 }
 
 void bd_leadership_start_serving(struct bd_core *core, const struct bd_acquisition *acquisition)
 {
-    core->lead.valid_until = core->lead.renewed = acquisition->renewed;
+    core->lead.lease_valid_until = core->lead.renewal_sent_at = acquisition->renewed;
     bd_leadership_renewed(core, acquisition->grant, acquisition->renewed);
     core->lead.cycle_wanted = true;
 }
