--- a/src/adapters/election.c
+++ b/src/adapters/election.c
@@ -1,5 +1,6 @@
-/* Election by one versioned lease: the key `leader` on a grant of the state service. The revision
- * of the key at acquisition is the term. */
+/* The election's thread: follows the leader's key, or leads and renews the lease. */
+#include "adapters/election.h"
+#include "adapters/election_internal.h"
 #include "adapters/event.h"
 #include "adapters/kv_client.h"
 #include "adapters/node.h"
@@ -11,344 +12,191 @@
 #include "brambledoor/log.h"
 #include "wire/wire.h"
 #include <gsl/gsl_rng.h>
+#include <stdatomic.h>
 #include <stdio.h>
 #include <stdlib.h>
-#include <string.h>
-#include <sys/random.h>
 
-/* named defaults */
-#define REFRESH_S 0.3
-#define RENEWS 6.0 /* renewals in a grant's life */
-#define SAME_MOMENT_S 0.05
-#define LIVENESS_S 0.8 /* between a follower's records of being in touch: see autonomous_zone.c */
+#define FOLLOW_INTERVAL_S 0.3
+#define FOLLOW_JITTER_MIN 0.7 /* shares of the interval */
+#define FOLLOW_JITTER_RANGE 0.6
+#define LOAD_RETRY_S 0.1
+#define RENEWALS_PER_TTL 6.0
+#define CALLS_PER_TTL 3
+#define THREAD_STACK_BYTES 131072
 
-struct candidate {
-    /* the leader as the owner was last told */
-    char told_name[BD_LABEL];
-    uint64_t told_revision;
-    bool told_away;
-    struct bd_node *n;
-    struct bd_http *h;
-    gsl_rng *rng;
-    char nonce[BD_LABEL];
-    uint64_t grant;
-    struct timespec granted, liveness_at;
-    bool leading;
-    double ttl;
-};
-
-static double call_s(const struct candidate *self)
-{
-    return self->ttl / 3;
-}
-
-static bool get_grant(struct candidate *self)
-{
-    json_t *o = NULL;
-    char *body = bd_wire_ttl(self->ttl);
-    self->granted = bd_now();
-    long status = bd_kv_call(self->n, self->h, "POST", BD_PATH_GRANTS, body, call_s(self), &o);
-    free(body);
-    self->grant = status == 200 ? bd_wire_grant(o) : 0;
-    json_decref(o);
-    return self->grant != 0;
-}
-
-enum view { VIEW_UNKNOWN, VIEW_FREE, VIEW_OURS, VIEW_BEFORE_US, VIEW_OTHER };
-
-/* Whether the leader's key names us among the delegates that it needs no more. */
-static bool sent_away(const struct candidate *self, json_t *value)
+double bd_election_timeout_s(const struct bd_candidate *candidate)
 {
-    json_t *v;
-    size_t i;
-    json_array_foreach(json_object_get(value, "away"), i, v)
-    {
-        const char *name = json_string_value(v);
-        if (name && strcmp(name, self->n->settings.node) == 0)
-            return true;
-    }
-    return false;
+    return candidate->ttl_s / CALLS_PER_TTL;
 }
 
-static void tell_leader(struct candidate *self, const char *name, uint64_t revision,
-                        struct timespec sent, bool away)
-{
-    struct bd_event *event = bd_event_new(BD_EVENT_LEADER_OBSERVED);
-    snprintf(event->name, sizeof event->name, "%s", name);
-    event->number = revision;
-    event->sent = sent;
-    event->flag = away;
-    bool news = revision != self->told_revision || away != self->told_away ||
-                strcmp(name, self->told_name) != 0;
-    snprintf(self->told_name, sizeof self->told_name, "%s", name);
-    self->told_revision = revision;
-    self->told_away = away;
-    if (news)
-        bd_event_post(self->n, event);
-    else
-        bd_event_post_quietly(self->n, event);
-}
+/* ---- acquiring leadership ---- */
 
-/* Who holds the lease now; the revision of the key into *revision. */
-static enum view see(struct candidate *self, uint64_t *revision)
+static bool load_sequence(struct bd_candidate *candidate, struct bd_acquisition *acquisition)
 {
-    json_t *o = NULL;
-    struct bd_change ch;
+    json_t *answer = NULL;
+    struct bd_change pair;
     uint64_t grant;
-    enum view v = VIEW_UNKNOWN;
-    struct timespec sent = bd_now();
-    long status =
-        bd_kv_call(self->n, self->h, "GET", BD_PATH_KEYS "/leader", NULL, call_s(self), &o);
-    if (status == 404)
-        v = VIEW_FREE;
-    if (status == 200 && bd_wire_pair(o, &ch, &grant)) {
-        const char *node = json_string_value(json_object_get(ch.value, "node"));
-        const char *nonce = json_string_value(json_object_get(ch.value, "nonce"));
-        *revision = ch.revision;
-        v = VIEW_OTHER;
-        if (node && strcmp(node, self->n->settings.node) == 0)
-            v = nonce && strcmp(nonce, self->nonce) == 0 ? VIEW_OURS : VIEW_BEFORE_US;
-        if (node)
-            tell_leader(self, node, ch.revision, sent, sent_away(self, ch.value));
-    }
-    if (v == VIEW_FREE)
-        tell_leader(self, "", 0, sent, false);
-    json_decref(o);
-    return v;
-}
-
-static void fresh_nonce(struct candidate *self)
-{
-    unsigned char raw[8] = {0};
-    if (getrandom(raw, sizeof raw, GRND_NONBLOCK) != (ssize_t)sizeof raw) {
-        for (size_t i = 0; i < sizeof raw; i++)
-            raw[i] = (unsigned char)gsl_rng_uniform_int(self->rng, 256);
-    }
-    struct timespec t = bd_now();
-    int len = snprintf(self->nonce, sizeof self->nonce, "%lld-", (long long)t.tv_nsec);
-    for (size_t i = 0; i < sizeof raw; i++)
-        len += snprintf(self->nonce + len, sizeof self->nonce - (size_t)len, "%02x", raw[i]);
-}
-
-/* Takes the lease if it is free (revision 0) or was our own former process's. The term, or 0. */
-static uint64_t acquire(struct candidate *self, uint64_t revision)
-{
-    struct bd_txn t;
-    json_t *o = NULL;
-    uint64_t term = 0;
-    fresh_nonce(self);
-    if (!get_grant(self) || !bd_txn_begin(&t))
-        return 0;
-    bd_txn_compare(&t, "leader", revision);
-    bd_txn_put(&t, "leader",
-               json_pack("{s:s,s:s}", "node", self->n->settings.node, "nonce", self->nonce),
-               self->grant);
-    char *body = bd_txn_finish(&t);
-    long status = bd_kv_call(self->n, self->h, "POST", BD_PATH_COMMIT, body, call_s(self), &o);
-    free(body);
-    if (status == 200)
-        term = bd_wire_store_revision(o);
-    json_decref(o);
-    if (status != 200 && status != 409 && status != 400) {
-        uint64_t now = 0;
-        if (see(self, &now) == VIEW_OURS)
-            term = now;
-    }
-    return term;
+    long status = bd_kv_call(candidate->node, candidate->http, "GET", BD_PATH_KEYS "/w", NULL,
+                             bd_election_timeout_s(candidate), &answer);
+    if (status == BD_KV_OK && bd_wire_pair(answer, &pair, &grant))
+        acquisition->sequence_revision = pair.revision;
+    json_decref(answer);
+    return status == BD_KV_OK || status == BD_KV_NOT_FOUND;
 }
 
-/* True if the grant still lives, 0 if it is over, -1 if not known. */
-static int renew(struct candidate *self)
+static bool load_receipts(struct bd_candidate *candidate, struct bd_acquisition *acquisition)
 {
-    char path[64];
-    json_t *o = NULL;
-    struct timespec sent = bd_now();
-    snprintf(path, sizeof path, BD_PATH_GRANTS "/%llu" BD_PATH_RENEW,
-             (unsigned long long)self->grant);
-    long status = bd_kv_call(self->n, self->h, "POST", path, "{}", call_s(self), &o);
-    json_decref(o);
-    if (status == 404)
-        return 0;
-    if (status != 200)
-        return -1;
-    self->granted = sent;
-    struct bd_event *event = bd_event_new(BD_EVENT_LEASE_RENEWED);
-    event->number = self->grant;
-    event->sent = sent;
-    bd_event_post(self->n, event);
-    return 1;
+    acquisition->receipts = bd_kv_list(candidate->node, candidate->http, "r/");
+    return acquisition->receipts != NULL;
 }
 
-static bool read_sequence(struct candidate *self, struct bd_acquisition *g)
+static bool load_intents(struct bd_candidate *candidate, struct bd_acquisition *acquisition)
 {
-    json_t *o = NULL;
-    struct bd_change ch;
-    uint64_t grant;
-    long status = bd_kv_call(self->n, self->h, "GET", BD_PATH_KEYS "/w", NULL, call_s(self), &o);
-    if (status == 200 && bd_wire_pair(o, &ch, &grant))
-        g->sequence_revision = ch.revision;
-    json_decref(o);
-    return status == 200 || status == 404;
+    acquisition->intents = bd_kv_list(candidate->node, candidate->http, "i/");
+    return acquisition->intents != NULL;
 }
 
-/* Reads what earlier terms left. The grant is renewed between the steps. */
-static bool load(struct candidate *self, struct bd_acquisition *g)
+/* Reads what earlier terms left, renewing the grant in between. False: the grant has expired. */
+static bool load_earlier_terms(struct bd_candidate *candidate, struct bd_acquisition *acquisition)
 {
-    for (int step = 0; step < 3;) {
-        bool ok = false;
-        if (step == 0)
-            ok = read_sequence(self, g);
-        else if (step == 1)
-            ok = (g->receipts = bd_kv_list(self->n, self->h, "r/")) != NULL;
-        else
-            ok = (g->intents = bd_kv_list(self->n, self->h, "i/")) != NULL;
-        step += ok;
-        if (renew(self) == 0)
+    static bool (*const loads[])(struct bd_candidate *, struct bd_acquisition *) = {
+        load_sequence, load_receipts, load_intents};
+    size_t loaded = 0;
+    while (loaded < sizeof loads / sizeof loads[0]) {
+        bool ok = loads[loaded](candidate, acquisition);
+        loaded += ok;
+        if (bd_lease_renew(candidate) == BD_GRANT_EXPIRED)
             return false;
         if (!ok)
-            bd_pause(0.1);
+            bd_pause(LOAD_RETRY_S);
     }
     return true;
 }
 
-static void lost(struct candidate *self)
+static void acquire_leadership(struct bd_candidate *candidate, uint64_t revision)
 {
-    self->leading = false;
-    bd_event_post(self->n, bd_event_new(BD_EVENT_LEADERSHIP_LOST));
-}
-
-static void take_lead(struct candidate *self, uint64_t revision)
-{
-    uint64_t term = acquire(self, revision);
+    uint64_t term = bd_lease_acquire(candidate, revision);
     if (term == 0)
         return;
-    bd_log_write(&self->n->log, BD_LOG_INFO, "leadership acquired, term %llu",
+    bd_log_write(&candidate->node->log, BD_LOG_INFO, "leadership acquired, term %llu",
                  (unsigned long long)term);
     struct bd_event *event = bd_event_new(BD_EVENT_LEADERSHIP_ACQUIRED);
-    event->sent = self->granted;
+    event->sent = candidate->grant_renewed_at;
     event->gain.term = term;
-    event->gain.grant = self->grant;
-    snprintf(event->name, sizeof event->name, "%s", self->nonce);
-    if (!load(self, &event->gain)) {
+    event->gain.grant = candidate->grant;
+    snprintf(event->name, sizeof event->name, "%s", candidate->nonce);
+    if (!load_earlier_terms(candidate, &event->gain)) {
         bd_event_free(event);
         return;
     }
-    event->gain.renewed = self->granted;
-    atomic_store(&self->n->step_down, false);
-    self->leading = true;
-    bd_event_post(self->n, event);
-    (void)bd_queue_put(&self->n->reader_wake, self);
+    event->gain.renewed = candidate->grant_renewed_at;
+    atomic_store(&candidate->node->step_down, false);
+    candidate->leading = true;
+    bd_event_post(candidate->node, event);
+    (void)bd_queue_put(&candidate->node->reader_wake, candidate);
 }
 
-static void tell_liveness(struct candidate *self, enum bd_event_kind kind, struct timespec sent)
-{
-    struct bd_event *event = bd_event_new(kind);
-    event->sent = sent;
-    bd_event_post_quietly(self->n, event); /* it holds its own time */
-}
+/* ---- the thread ---- */
 
-/* Says in the state service that we are in touch with it, under the leader whose key we saw. */
-static void write_liveness(struct candidate *self, uint64_t revision)
+/* One that cannot read the records could not launch anything: it leaves the lease to others. */
+static void follow_once(struct bd_candidate *candidate)
 {
-    struct bd_txn t;
-    char key[BD_LABEL + 8];
-    json_t *o = NULL;
-    struct timespec wall = {0, 0}, sent = bd_now();
-    if (bd_between(self->liveness_at, sent) < LIVENESS_S ||
-        clock_gettime(CLOCK_REALTIME, &wall) != 0)
-        return;
-    /* both clocks must name the same moment: a process may stand still in between */
-    if (bd_between(sent, bd_now()) > SAME_MOMENT_S || !bd_txn_begin(&t))
+    uint64_t revision = 0;
+    enum bd_lease_view view = bd_lease_observe(candidate, &revision);
+    bool can_lead = !atomic_load(&candidate->node->reads_refused);
+    if (view == BD_LEASE_OTHER)
+        bd_liveness_write(candidate, revision);
+    else if (view != BD_LEASE_UNKNOWN && can_lead)
+        acquire_leadership(candidate, view == BD_LEASE_FREE ? 0 : revision);
+    if (candidate->leading)
         return;
-    self->liveness_at = sent;
-    snprintf(key, sizeof key, "p/%.60s/at", self->n->settings.node);
-    bd_txn_compare(&t, "leader", revision);
-    bd_txn_put(&t, key, json_pack("{s:f}", "at", bd_to_secs(wall)), 0);
-    char *body = bd_txn_finish(&t);
-    tell_liveness(self, BD_EVENT_LIVENESS_SENT, sent);
-    long status = bd_kv_call(self->n, self->h, "POST", BD_PATH_COMMIT, body, call_s(self), &o);
-    free(body);
-    json_decref(o);
-    if (status == 200)
-        tell_liveness(self, BD_EVENT_LIVENESS_WRITTEN, sent);
+    /* uneven, so that candidates do not collide for ever */
+    double jitter = FOLLOW_JITTER_MIN + FOLLOW_JITTER_RANGE * gsl_rng_uniform(candidate->rng);
+    bd_pause(FOLLOW_INTERVAL_S * jitter);
 }
 
-/* Ends a grant that would otherwise keep others from leading until it runs out. Nothing rests on
- * the answer: it is not renewed any more. */
-static void end_grant(struct candidate *self)
+/* The owner thread has ended the term already. */
+static void step_down(struct bd_candidate *candidate)
 {
-    char path[64];
-    json_t *o = NULL;
-    snprintf(path, sizeof path, BD_PATH_GRANTS "/%llu", (unsigned long long)self->grant);
-    (void)bd_kv_call(self->n, self->h, "DELETE", path, NULL, call_s(self), &o);
-    json_decref(o);
-    self->grant = 0;
+    candidate->leading = false;
+    if (atomic_exchange(&candidate->node->resign, false))
+        bd_lease_end(candidate);
 }
 
-/* One that cannot read the records could not start anything: it leaves the lease to others. */
-static void follow_once(struct candidate *self)
+static void lose_leadership(struct bd_candidate *candidate)
 {
     uint64_t revision = 0;
-    enum view v = see(self, &revision);
-    bool can_lead = !atomic_load(&self->n->reads_refused);
-    if (v == VIEW_OTHER)
-        write_liveness(self, revision);
-    if (v == VIEW_FREE && can_lead)
-        take_lead(self, 0);
-    else if ((v == VIEW_BEFORE_US || v == VIEW_OURS) && can_lead)
-        take_lead(self, revision);
-    if (!self->leading) /* uneven, so that nodes do not collide for ever */
-        bd_pause(REFRESH_S * (0.7 + 0.6 * gsl_rng_uniform(self->rng)));
+    enum bd_lease_view view = bd_lease_observe(candidate, &revision);
+    bd_log_write(&candidate->node->log, BD_LOG_INFO, "the grant has expired, view %d", (int)view);
+    candidate->leading = false;
+    bd_event_post(candidate->node, bd_event_new(BD_EVENT_LEADERSHIP_LOST));
 }
 
-static void lead_once(struct candidate *self)
+static void lead_once(struct bd_candidate *candidate)
 {
-    uint64_t revision = 0;
-    if (atomic_exchange(&self->n->step_down, false)) {
-        self->leading = false;
-        if (atomic_exchange(&self->n->resign, false))
-            end_grant(self);
+    if (atomic_exchange(&candidate->node->step_down, false)) {
+        step_down(candidate);
         return;
     }
-    if (renew(self) == 0) {
-        enum view v = see(self, &revision);
-        bd_log_write(&self->n->log, BD_LOG_INFO, "the grant has expired, view %d", (int)v);
-        lost(self);
+    if (bd_lease_renew(candidate) == BD_GRANT_EXPIRED) {
+        lose_leadership(candidate);
         return;
     }
-    bd_pause(self->ttl / RENEWS);
+    bd_pause(candidate->ttl_s / RENEWALS_PER_TTL);
 }
 
-static void *run(void *arg)
+static void *run_election(void *arg)
 {
-    struct candidate *self = arg;
+    struct bd_candidate *candidate = arg;
     for (;;) {
-        if (self->leading)
-            lead_once(self);
+        if (candidate->leading)
+            lead_once(candidate);
         else
-            follow_once(self);
+            follow_once(candidate);
     }
     return NULL;
 }
 
-int bd_election_start(struct bd_node *node)
+static unsigned long seed_of(const char *node_name)
 {
-    struct candidate *s = calloc(1, sizeof *s);
-    if (!s)
-        return -1;
-    s->n = node;
-    s->h = bd_http_new(1, bd_metrics_counter(node->metrics, BD_TRAFFIC_ELECTION));
-    s->rng = gsl_rng_alloc(gsl_rng_taus2);
-    if (!s->h || !s->rng) {
-        bd_http_free(s->h);
-        gsl_rng_free(s->rng);
-        free(s);
-        return -1;
-    }
     unsigned long seed = (unsigned long)bd_now().tv_nsec;
-    for (const char *p = node->settings.node; *p; p++)
+    for (const char *p = node_name; *p; p++)
         seed = seed * 31 + (unsigned char)*p;
-    gsl_rng_set(s->rng, seed);
-    s->ttl = bd_to_secs(node->settings.leader_ttl);
-    return bd_thread_start(run, s, 131072);
+    return seed;
+}
+
+static void candidate_free(struct bd_candidate *candidate)
+{
+    bd_http_free(candidate->http);
+    gsl_rng_free(candidate->rng);
+    free(candidate);
+}
+
+/* NULL: no memory. */
+static struct bd_candidate *candidate_new(struct bd_node *node)
+{
+    struct bd_candidate *candidate = calloc(1, sizeof *candidate);
+    if (!candidate)
+        return NULL;
+    candidate->node = node;
+    candidate->ttl_s = bd_to_secs(node->settings.leader_ttl);
+    candidate->http = bd_http_new(1, bd_metrics_counter(node->metrics, BD_TRAFFIC_ELECTION));
+    candidate->rng = gsl_rng_alloc(gsl_rng_taus2);
+    if (!candidate->http || !candidate->rng) {
+        candidate_free(candidate);
+        return NULL;
+    }
+    gsl_rng_set(candidate->rng, seed_of(node->settings.node));
+    return candidate;
+}
+
+int bd_election_start(struct bd_node *node)
+{
+    struct bd_candidate *candidate = candidate_new(node);
+    if (!candidate)
+        return -1;
+    int failed = bd_thread_start(run_election, candidate, THREAD_STACK_BYTES);
+    if (failed)
+        candidate_free(candidate);
+    return failed;
 }
--- /dev/null
+++ b/src/adapters/election_lease.c
@@ -0,0 +1,181 @@
+/* The election's lease: the leader's key, and the grant that it is written on. */
+#include "adapters/election_internal.h"
+#include "adapters/event.h"
+#include "adapters/kv_client.h"
+#include "adapters/node.h"
+#include "base/timeutil.h"
+#include "wire/wire.h"
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+#include <sys/random.h>
+
+#define PATH_BYTES 64
+
+static long call_store(const struct bd_candidate *candidate, const char *method, const char *path,
+                       const char *body, json_t **answer)
+{
+    return bd_kv_call(candidate->node, candidate->http, method, path, body,
+                      bd_election_timeout_s(candidate), answer);
+}
+
+/* ---- observing ---- */
+
+/* Whether the leader's key names us among the delegates that it does not need any more. */
+static bool dismisses_us(const struct bd_candidate *candidate, json_t *leader)
+{
+    json_t *entry;
+    size_t i;
+    json_array_foreach(json_object_get(leader, "away"), i, entry)
+    {
+        const char *name = json_string_value(entry);
+        if (name && strcmp(name, candidate->node->settings.node) == 0)
+            return true;
+    }
+    return false;
+}
+
+/* The owner thread is woken only by what it does not know yet. */
+static void post_leader(struct bd_candidate *candidate, const struct bd_posted_leader *leader,
+                        struct timespec sent)
+{
+    const struct bd_posted_leader *posted = &candidate->posted;
+    bool has_news = leader->revision != posted->revision ||
+                    leader->dismisses_us != posted->dismisses_us ||
+                    strcmp(leader->name, posted->name) != 0;
+    struct bd_event *event = bd_event_new(BD_EVENT_LEADER_OBSERVED);
+    snprintf(event->name, sizeof event->name, "%s", leader->name);
+    event->number = leader->revision;
+    event->sent = sent;
+    event->flag = leader->dismisses_us;
+    candidate->posted = *leader;
+    if (has_news)
+        bd_event_post(candidate->node, event);
+    else
+        bd_event_post_quietly(candidate->node, event);
+}
+
+/* The lease by the key's value, which names the leader's node and the acquisition's nonce. */
+static enum bd_lease_view judge_holder(struct bd_candidate *candidate, const struct bd_change *pair,
+                                       struct timespec sent)
+{
+    const char *node = json_string_value(json_object_get(pair->value, "node"));
+    const char *nonce = json_string_value(json_object_get(pair->value, "nonce"));
+    if (!node)
+        return BD_LEASE_OTHER;
+    struct bd_posted_leader leader = {.revision = pair->revision,
+                                      .dismisses_us = dismisses_us(candidate, pair->value)};
+    snprintf(leader.name, sizeof leader.name, "%s", node);
+    post_leader(candidate, &leader, sent);
+    if (strcmp(node, candidate->node->settings.node) != 0)
+        return BD_LEASE_OTHER;
+    bool is_this_process = nonce && strcmp(nonce, candidate->nonce) == 0;
+    return is_this_process ? BD_LEASE_OURS : BD_LEASE_OURS_BEFORE_RESTART;
+}
+
+enum bd_lease_view bd_lease_observe(struct bd_candidate *candidate, uint64_t *revision)
+{
+    json_t *answer = NULL;
+    struct bd_change pair;
+    uint64_t grant;
+    enum bd_lease_view view = BD_LEASE_UNKNOWN;
+    struct timespec sent = bd_now();
+    long status = call_store(candidate, "GET", BD_PATH_KEYS "/leader", NULL, &answer);
+    if (status == BD_KV_NOT_FOUND) {
+        const struct bd_posted_leader nobody = {0};
+        view = BD_LEASE_FREE;
+        post_leader(candidate, &nobody, sent);
+    } else if (status == BD_KV_OK && bd_wire_pair(answer, &pair, &grant)) {
+        *revision = pair.revision;
+        view = judge_holder(candidate, &pair, sent);
+    }
+    json_decref(answer);
+    return view;
+}
+
+/* ---- acquiring ---- */
+
+static bool make_grant(struct bd_candidate *candidate)
+{
+    json_t *answer = NULL;
+    char *body = bd_wire_ttl(candidate->ttl_s);
+    candidate->grant_renewed_at = bd_now();
+    long status = call_store(candidate, "POST", BD_PATH_GRANTS, body, &answer);
+    free(body);
+    candidate->grant = status == BD_KV_OK ? bd_wire_grant(answer) : 0;
+    json_decref(answer);
+    return candidate->grant != 0;
+}
+
+static void make_nonce(struct bd_candidate *candidate)
+{
+    unsigned char raw[8] = {0};
+    if (getrandom(raw, sizeof raw, GRND_NONBLOCK) != (ssize_t)sizeof raw) {
+        for (size_t i = 0; i < sizeof raw; i++)
+            raw[i] = (unsigned char)gsl_rng_uniform_int(candidate->rng, 256);
+    }
+    char *nonce = candidate->nonce;
+    const size_t cap = sizeof candidate->nonce;
+    int len = snprintf(nonce, cap, "%lld-", (long long)bd_now().tv_nsec);
+    for (size_t i = 0; i < sizeof raw; i++)
+        len += snprintf(nonce + len, cap - (size_t)len, "%02x", raw[i]);
+}
+
+uint64_t bd_lease_acquire(struct bd_candidate *candidate, uint64_t revision)
+{
+    struct bd_txn txn;
+    json_t *answer = NULL;
+    uint64_t term = 0;
+    make_nonce(candidate);
+    if (!make_grant(candidate) || !bd_txn_begin(&txn))
+        return 0;
+    bd_txn_compare(&txn, "leader", revision);
+    bd_txn_put(
+        &txn, "leader",
+        json_pack("{s:s,s:s}", "node", candidate->node->settings.node, "nonce", candidate->nonce),
+        candidate->grant);
+    char *body = bd_txn_finish(&txn);
+    long status = call_store(candidate, "POST", BD_PATH_COMMIT, body, &answer);
+    free(body);
+    if (status == BD_KV_OK)
+        term = bd_wire_store_revision(answer);
+    json_decref(answer);
+    if (status == BD_KV_OK || status == BD_KV_CONFLICT || status == BD_KV_REJECTED)
+        return term;
+    /* without an answer, the key itself shows whether it was written */
+    uint64_t seen = 0;
+    return bd_lease_observe(candidate, &seen) == BD_LEASE_OURS ? seen : 0;
+}
+
+/* ---- renewing ---- */
+
+enum bd_grant_state bd_lease_renew(struct bd_candidate *candidate)
+{
+    char path[PATH_BYTES];
+    json_t *answer = NULL;
+    struct timespec sent = bd_now();
+    snprintf(path, sizeof path, BD_PATH_GRANTS "/%llu" BD_PATH_RENEW,
+             (unsigned long long)candidate->grant);
+    long status = call_store(candidate, "POST", path, "{}", &answer);
+    json_decref(answer);
+    if (status == BD_KV_NOT_FOUND)
+        return BD_GRANT_EXPIRED;
+    if (status != BD_KV_OK)
+        return BD_GRANT_UNKNOWN;
+    candidate->grant_renewed_at = sent;
+    struct bd_event *event = bd_event_new(BD_EVENT_LEASE_RENEWED);
+    event->number = candidate->grant;
+    event->sent = sent;
+    bd_event_post(candidate->node, event);
+    return BD_GRANT_RENEWED;
+}
+
+void bd_lease_end(struct bd_candidate *candidate)
+{
+    char path[PATH_BYTES];
+    json_t *answer = NULL;
+    snprintf(path, sizeof path, BD_PATH_GRANTS "/%llu", (unsigned long long)candidate->grant);
+    (void)call_store(candidate, "DELETE", path, NULL, &answer);
+    json_decref(answer);
+    candidate->grant = 0;
+}
--- /dev/null
+++ b/src/adapters/election_liveness.c
@@ -0,0 +1,64 @@
+/* Liveness records: a follower's proof in the store that it is in touch with it, `p/NODE/at`. */
+#include "adapters/election_internal.h"
+#include "adapters/event.h"
+#include "adapters/kv_client.h"
+#include "adapters/node.h"
+#include "base/timeutil.h"
+#include "wire/wire.h"
+#include <stdio.h>
+#include <stdlib.h>
+
+#define LIVENESS_INTERVAL_S 0.8
+#define CLOCKS_APART_MAX_S 0.05 /* between the readings of the two clocks */
+#define KEY_BYTES (BD_LABEL + 8)
+
+/* The owner thread is not woken: what matters is when the record was sent. */
+static void post_liveness(const struct bd_candidate *candidate, enum bd_event_kind kind,
+                          struct timespec sent)
+{
+    struct bd_event *event = bd_event_new(kind);
+    event->sent = sent;
+    bd_event_post_quietly(candidate->node, event);
+}
+
+/* Reads both clocks at one moment. False: no clock, or the process stood still in between. */
+static bool read_clocks(struct timespec *steady, struct timespec *wall)
+{
+    *steady = bd_now();
+    return clock_gettime(CLOCK_REALTIME, wall) == 0 &&
+           bd_between(*steady, bd_now()) <= CLOCKS_APART_MAX_S;
+}
+
+/* The record's transaction, which holds only under the leader that we saw. NULL: no memory. */
+static char *liveness_txn(const struct bd_candidate *candidate, uint64_t leader_revision,
+                          struct timespec wall)
+{
+    struct bd_txn txn;
+    char key[KEY_BYTES];
+    if (!bd_txn_begin(&txn))
+        return NULL;
+    snprintf(key, sizeof key, "p/%.60s/at", candidate->node->settings.node);
+    bd_txn_compare(&txn, "leader", leader_revision);
+    bd_txn_put(&txn, key, json_pack("{s:f}", "at", bd_to_secs(wall)), 0);
+    return bd_txn_finish(&txn);
+}
+
+void bd_liveness_write(struct bd_candidate *candidate, uint64_t leader_revision)
+{
+    struct timespec sent, wall;
+    json_t *answer = NULL;
+    if (bd_between(candidate->liveness_sent_at, bd_now()) < LIVENESS_INTERVAL_S ||
+        !read_clocks(&sent, &wall))
+        return;
+    char *body = liveness_txn(candidate, leader_revision, wall);
+    if (!body)
+        return;
+    candidate->liveness_sent_at = sent;
+    post_liveness(candidate, BD_EVENT_LIVENESS_SENT, sent);
+    long status = bd_kv_call(candidate->node, candidate->http, "POST", BD_PATH_COMMIT, body,
+                             bd_election_timeout_s(candidate), &answer);
+    free(body);
+    json_decref(answer);
+    if (status == BD_KV_OK)
+        post_liveness(candidate, BD_EVENT_LIVENESS_WRITTEN, sent);
+}
--- /dev/null
+++ b/src/adapters/kv_reader.c
@@ -0,0 +1,183 @@
+/* The thread that keeps the replica of the jobs' records fresh: a list of all at first, then their
+ * changes. For a leader it reads the delegates' and the drains' records too. */
+#include "adapters/event.h"
+#include "adapters/kv_client.h"
+#include "adapters/kv_client_internal.h"
+#include "adapters/node.h"
+#include "base/http.h"
+#include "base/metrics.h"
+#include "base/queue.h"
+#include "base/timeutil.h"
+#include "drain/drain.h"
+#include "wire/wire.h"
+#include <stdatomic.h>
+#include <stdio.h>
+
+#define REFRESH_INTERVAL_S 0.2      /* when no read waits for a barrier */
+#define REFRESH_INTERVAL_MIN_S 0.04 /* ... and when some do */
+#define DELEGATES_INTERVAL_S 0.7
+#define DRAINS_INTERVAL_S 1.0
+#define PAGE_POLL_S 0.005  /* while the owner thread takes a page in */
+#define LIST_SETTLE_S 0.02 /* until the owner has set store_revision after the last page */
+#define KEY_BYTES 256
+
+/* The thread's own state. */
+struct reader {
+    struct bd_node *node;
+    struct bd_http *http;
+    uint64_t revision; /* changes up to it were read */
+    bool must_list;    /* no changes can be read before all records are */
+    struct timespec next_delegates, next_drains;
+};
+
+/* Hands one page, which it takes over, to the owner thread and waits until it is taken in: two
+ * pages of the many job records need not be in memory at once. */
+static void post_page(struct bd_node *node, json_t *page, uint64_t store_revision,
+                      struct timespec sent, bool is_last)
+{
+    bool ignored;
+    struct bd_event *event = bd_event_new(BD_EVENT_REPLICA_LISTED);
+    event->json = json_incref(bd_wire_pairs(page, &ignored));
+    event->store_revision = store_revision;
+    event->sent = sent;
+    event->flag = is_last;
+    json_decref(page);
+    atomic_store(&node->page_out, true);
+    bd_event_post(node, event);
+    while (atomic_load(&node->page_out))
+        bd_pause(PAGE_POLL_S);
+}
+
+/* The whole list counts as read when its first page was: changes since then are read again. */
+static void list_jobs(const struct reader *reader)
+{
+    uint64_t store_revision = 0;
+    struct timespec sent = bd_now();
+    char after[KEY_BYTES] = "";
+    bool more = true;
+    while (more) {
+        json_t *page =
+            bd_kv_list_page(reader->node, reader->http, "j/", after, sizeof after, &more);
+        if (!page) {
+            bd_pause(BD_KV_RETRY_S);
+            return;
+        }
+        if (store_revision == 0)
+            store_revision = bd_wire_store_revision(page);
+        post_page(reader->node, page, store_revision, sent, !more);
+    }
+}
+
+static void list_again(struct reader *reader)
+{
+    list_jobs(reader);
+    bd_pause(LIST_SETTLE_S);
+    reader->revision = atomic_load(&reader->node->store_revision);
+    reader->must_list = reader->revision == 0;
+}
+
+/* Reads the changes since the last call. */
+static void refresh(struct reader *reader)
+{
+    struct bd_node *node = reader->node;
+    char path[96];
+    struct bd_event *event = bd_event_new(BD_EVENT_REPLICA_REFRESHED);
+    event->flag = atomic_exchange(&node->want_barrier, false);
+    event->after = reader->revision;
+    event->sent = bd_now();
+    snprintf(path, sizeof path, BD_PATH_REFRESH "j/&after=%llu&waitMs=0",
+             (unsigned long long)reader->revision);
+    long status = bd_kv_call(node, reader->http, "GET", path, NULL, BD_KV_TIMEOUT_S, &event->json);
+    bool has_news = event->flag || status != BD_KV_OK;
+    bool is_refused = status != BD_KV_OK && status != BD_KV_COMPACTED;
+    event->ok = status == BD_KV_OK;
+    atomic_store(&node->reads_refused, is_refused);
+    if (event->ok) {
+        event->store_revision = bd_wire_store_revision(event->json);
+        has_news = has_news || json_array_size(bd_wire_log(event->json)) > 0;
+        if (event->store_revision > reader->revision)
+            reader->revision = event->store_revision;
+    }
+    reader->must_list = status == BD_KV_COMPACTED;
+    if (has_news)
+        bd_event_post(node, event);
+    else
+        bd_event_post_quietly(node, event); /* what matters of it is when it was sent */
+    if (is_refused)
+        bd_pause(BD_KV_RETRY_S);
+}
+
+static void read_delegates(const struct reader *reader)
+{
+    struct bd_event *event = bd_event_new(BD_EVENT_DELEGATE_RECORDS);
+    event->sent = bd_now();
+    event->json = bd_kv_list(reader->node, reader->http, "p/");
+    if (event->json)
+        bd_event_post(reader->node, event);
+    else
+        bd_event_free(event);
+}
+
+/* The drains' own records are few and read each time, their machines' only where they are not known
+ * yet: after them, so that the machines of all that were listed are there. */
+static void read_drains(const struct reader *reader)
+{
+    struct bd_event *event = bd_event_new(BD_EVENT_DRAIN_RECORDS);
+    event->json = bd_kv_list(reader->node, reader->http, BD_DRAIN_KEY);
+    if (event->json && atomic_load(&reader->node->want_drain_sets))
+        event->sets = bd_kv_list(reader->node, reader->http, BD_DRAIN_SET);
+    if (event->json)
+        bd_event_post(reader->node, event);
+    else
+        bd_event_free(event);
+}
+
+/* Whether the time has come; if so, the next one is an interval from now. */
+static bool is_due(struct timespec *next, double interval_s)
+{
+    if (!bd_before(*next, bd_now()))
+        return false;
+    *next = bd_add(bd_now(), bd_secs(interval_s));
+    return true;
+}
+
+static void read_leader_records(struct reader *reader)
+{
+    struct bd_node *node = reader->node;
+    if (atomic_load(&node->leading) && is_due(&reader->next_delegates, DELEGATES_INTERVAL_S))
+        read_delegates(reader);
+    if (node->settings.draining && atomic_load(&node->leading) &&
+        is_due(&reader->next_drains, DRAINS_INTERVAL_S))
+        read_drains(reader);
+}
+
+/* Until the next refresh is due, or reads wait for a barrier; one wake-up where that is enough. */
+static void wait_for_refresh(struct bd_node *node)
+{
+    void *woken;
+    struct timespec earliest = bd_add(bd_now(), bd_secs(REFRESH_INTERVAL_MIN_S));
+    struct timespec latest = bd_add(earliest, bd_secs(REFRESH_INTERVAL_S));
+    if (!atomic_load(&node->want_barrier))
+        (void)bd_queue_take(&node->reader_wake, &woken, 1, latest);
+    double early_s = bd_between(bd_now(), earliest);
+    if (early_s > 0)
+        bd_pause(early_s);
+}
+
+void *bd_kv_reader_run(void *arg)
+{
+    struct bd_node *node = arg;
+    struct reader reader = {.node = node, .must_list = true};
+    reader.http = bd_http_new(1, bd_metrics_counter(node->metrics, BD_TRAFFIC_FOLLOW));
+    reader.next_delegates = reader.next_drains = bd_now();
+    while (reader.http) {
+        if (reader.must_list) {
+            list_again(&reader);
+            continue;
+        }
+        refresh(&reader);
+        read_leader_records(&reader);
+        wait_for_refresh(node);
+    }
+    return NULL;
+}
--- /dev/null
+++ b/src/adapters/kv_user_writer.c
@@ -0,0 +1,121 @@
+/* The threads that commit users' transactions and the delegate's record, and look up jobs that are
+ * not in memory. */
+#include "adapters/event.h"
+#include "adapters/kv_client.h"
+#include "adapters/kv_client_internal.h"
+#include "adapters/node.h"
+#include "base/http.h"
+#include "base/metrics.h"
+#include "base/timeutil.h"
+#include "model/effect.h"
+#include "wire/wire.h"
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#define USER_TIMEOUT_S 2.5
+#define PATH_BYTES 128
+
+/* Reads the revision of the delegate's record; 0: there is none. */
+static void read_delegate_revision(struct bd_node *node, struct bd_http *http, const char *key,
+                                   struct bd_event *event)
+{
+    char path[PATH_BYTES];
+    json_t *answer = NULL;
+    struct bd_change pair;
+    uint64_t grant;
+    snprintf(path, sizeof path, BD_PATH_KEYS "/%s", key);
+    long status = bd_kv_call(node, http, "GET", path, NULL, BD_KV_TIMEOUT_S, &answer);
+    bool is_found = status == BD_KV_OK && bd_wire_pair(answer, &pair, &grant);
+    event->flag = is_found || status == BD_KV_NOT_FOUND;
+    event->store_revision = is_found ? pair.revision : 0;
+    json_decref(answer);
+}
+
+static void write_delegate(struct bd_node *node, struct bd_http *http, const char *body,
+                           struct bd_event *event)
+{
+    json_t *answer = NULL;
+    event->status = bd_kv_call(node, http, "POST", BD_PATH_COMMIT, body, BD_KV_TIMEOUT_S, &answer);
+    event->store_revision = bd_wire_store_revision(answer);
+    event->flag = event->status == BD_KV_OK;
+    json_decref(answer);
+}
+
+/* An effect without a body asks for the record's revision only. */
+static void serve_delegate(struct bd_node *node, struct bd_http *http,
+                           const struct bd_effect *effect)
+{
+    struct bd_event *event = bd_event_new(BD_EVENT_DELEGATE_TXN_COMPLETED);
+    event->sent = bd_now();
+    if (effect->body)
+        write_delegate(node, http, effect->body, event);
+    else
+        read_delegate_revision(node, http, effect->key, event);
+    bd_event_post(node, event);
+}
+
+/* Commits a transaction a line, what a record needs before the record itself, until one fails. */
+static void commit_lines(struct bd_node *node, struct bd_http *http, char *lines,
+                         struct bd_event *event)
+{
+    char *rest = NULL;
+    event->status = BD_KV_OK;
+    for (char *line = strtok_r(lines, "\n", &rest); line && event->status == BD_KV_OK;
+         line = strtok_r(NULL, "\n", &rest)) {
+        json_t *answer = NULL;
+        event->status =
+            bd_kv_call(node, http, "POST", BD_PATH_COMMIT, line, USER_TIMEOUT_S, &answer);
+        event->store_revision = bd_wire_store_revision(answer);
+        json_decref(answer);
+    }
+}
+
+/* What a user's request needs to go on when its call is completed. */
+static void set_request(struct bd_event *event, const struct bd_effect *effect)
+{
+    event->request = effect->request;
+    event->purpose = effect->status;
+    snprintf(event->name, sizeof event->name, "%s", effect->key);
+}
+
+static void commit_user(struct bd_node *node, struct bd_http *http, struct bd_effect *effect)
+{
+    struct bd_event *event = bd_event_new(BD_EVENT_USER_TXN_COMPLETED);
+    char *lines = strdup(effect->body);
+    event->status = BD_KV_NO_ANSWER;
+    if (lines)
+        commit_lines(node, http, lines, event);
+    free(lines);
+    set_request(event, effect);
+    event->text = effect->body;
+    effect->body = NULL;
+    bd_event_post(node, event);
+}
+
+static void look_up_job(struct bd_node *node, struct bd_http *http, const struct bd_effect *effect)
+{
+    struct bd_event *event = bd_event_new(BD_EVENT_JOB_LOOKUP_COMPLETED);
+    char path[PATH_BYTES];
+    snprintf(path, sizeof path, BD_PATH_KEYS "/j/%s", effect->key);
+    event->status = bd_kv_call(node, http, "GET", path, NULL, BD_KV_TIMEOUT_S, &event->json);
+    set_request(event, effect);
+    bd_event_post(node, event);
+}
+
+static void serve(struct bd_node *node, struct bd_http *http, struct bd_effect *effect)
+{
+    if (effect->kind == BD_EFFECT_DELEGATE_TXN)
+        serve_delegate(node, http, effect);
+    else if (effect->kind == BD_EFFECT_JOB_LOOKUP)
+        look_up_job(node, http, effect);
+    else
+        commit_user(node, http, effect);
+}
+
+void *bd_kv_user_writer_run(void *arg)
+{
+    struct bd_node *node = arg;
+    bd_kv_serve_queue(node, &node->to_users, BD_TRAFFIC_USER, serve);
+    return NULL;
+}
--- a/src/adapters/node.h
+++ b/src/adapters/node.h
@@ -45,8 +45,6 @@
 
 int bd_api_start(struct bd_node *node);
 void bd_api_reply(struct bd_node *node, void *request, int status, char *body, int retry_after);
-int bd_kv_client_start(struct bd_node *node);
-int bd_election_start(struct bd_node *node);
 int bd_cloud_start(struct bd_node *node);
 /* sockets for our own connections, beside those to workers: other controllers, state service, cloud
  */
--- a/src/model/leadership_state.h
+++ b/src/model/leadership_state.h
@@ -114,7 +114,7 @@
 
     bool inventory_read;             /* the cloud's list was read in this term; autoscaling/ */
     uint64_t request_n;              /* provisioning requests of the term; autoscaling/ */
-    bool classes_said;               /* the limit of headroom's job classes is logged; ... */
+    bool classes_said;               /* the limit of headroom's classes was logged; autoscaling/ */
     bool inbound_partition;          /* most workers are silent; workers/ */
     bool outbound_partition_is_ours; /* too many workers seem not to receive us; workers/ */
 };
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -1,7 +1,9 @@
 /* The thread that alone owns the core. It drains the commands in batches and hands the effects
  * to the adapters. */
 #include "adapters/admin_server.h"
+#include "adapters/election.h"
 #include "adapters/event.h"
+#include "adapters/kv_client.h"
 #include "adapters/node.h"
 #include "autoscaling/autoscaling.h"
 #include "base/http.h"
