--- a/src/adapters/election_liveness.c
+++ b/src/adapters/election_liveness.c
@@ -29,7 +29,7 @@
            bd_between(*steady, bd_now()) <= CLOCKS_APART_MAX_S;
 }
 
-/* The record's transaction, which holds only under the leader that we saw. NULL: no memory. */
+/* The record's transaction, which applies only under the leader that we saw. NULL: no memory. */
 static char *liveness_txn(const struct bd_candidate *candidate, uint64_t leader_revision,
                           struct timespec wall)
 {
--- a/src/adapters/kv_client.c
+++ b/src/adapters/kv_client.c
@@ -17,11 +17,10 @@
 #define PAGE_PAIRS "1000"
 #define URL_BYTES 640
 #define PATH_BYTES 512
-#define KEY_BYTES 256
 #define QUEUE_WAIT_S 5.0 /* one wait for an effect; it is repeated */
 
-long bd_kv_call(struct bd_node *node, struct bd_http *http, const char *method, const char *path,
-                const char *body, double timeout_s, json_t **out)
+long bd_kv_call(const struct bd_node *node, struct bd_http *http, const char *method,
+                const char *path, const char *body, double timeout_s, json_t **out)
 {
     char url[URL_BYTES];
     struct bd_http_response response;
@@ -35,8 +34,8 @@
     return status;
 }
 
-json_t *bd_kv_list_page(struct bd_node *node, struct bd_http *http, const char *prefix, char *after,
-                        size_t after_cap, bool *more)
+json_t *bd_kv_list_page(const struct bd_node *node, struct bd_http *http, const char *prefix,
+                        char *after, size_t after_cap, bool *more)
 {
     char path[PATH_BYTES];
     json_t *page = NULL;
@@ -57,10 +56,10 @@
     return page;
 }
 
-json_t *bd_kv_list(struct bd_node *node, struct bd_http *http, const char *prefix)
+json_t *bd_kv_list(const struct bd_node *node, struct bd_http *http, const char *prefix)
 {
     json_t *all = json_array();
-    char after[KEY_BYTES] = "";
+    char after[BD_KV_KEY_BYTES] = "";
     bool more = true;
     while (more) {
         bool ignored;
--- a/src/adapters/kv_client.h
+++ b/src/adapters/kv_client.h
@@ -2,7 +2,7 @@
  * read the jobs' records, commit the leader's transactions, and serve users.
  *
  * Owns no state but each thread's HTTP connection; what the owner thread and the threads share
- * stands in struct bd_node. Started by the runtime; the calls are used by the election and by the
+ * is in struct bd_node. Started by the runtime; the calls are used by the election and by the
  * drains' administration too. */
 #ifndef BD_KV_CLIENT_H
 #define BD_KV_CLIENT_H
@@ -26,11 +26,11 @@
 /* One blocking request. path: with its query; body: NULL for none; timeout_s: in seconds. Returns
  * an enum bd_kv_status or another HTTP status. *out is the answer's JSON for any status, or NULL;
  * the caller releases it. */
-long bd_kv_call(struct bd_node *node, struct bd_http *http, const char *method, const char *path,
-                const char *body, double timeout_s, json_t **out);
+long bd_kv_call(const struct bd_node *node, struct bd_http *http, const char *method,
+                const char *path, const char *body, double timeout_s, json_t **out);
 /* All pairs with the prefix, read in pages: for lists that fit the memory. NULL: a call failed. The
  * caller releases it. */
-json_t *bd_kv_list(struct bd_node *node, struct bd_http *http, const char *prefix);
+json_t *bd_kv_list(const struct bd_node *node, struct bd_http *http, const char *prefix);
 
 /* Starts the client's threads, once. Non-zero: a thread could not be started. */
 int bd_kv_client_start(struct bd_node *node);
--- a/src/adapters/kv_client_internal.h
+++ b/src/adapters/kv_client_internal.h
@@ -13,13 +13,14 @@
 struct bd_node;
 struct bd_queue;
 
+#define BD_KV_KEY_BYTES 256 /* of a key that a list goes on after */
 #define BD_KV_TIMEOUT_S 1.5
 #define BD_KV_RETRY_S 0.25 /* between a call that failed and the next */
 
 /* One page of the prefix's pairs after the key `after`, which becomes the page's last key. *more:
  * whether another page follows. NULL: failed. The caller releases it. */
-json_t *bd_kv_list_page(struct bd_node *node, struct bd_http *http, const char *prefix, char *after,
-                        size_t after_cap, bool *more);
+json_t *bd_kv_list_page(const struct bd_node *node, struct bd_http *http, const char *prefix,
+                        char *after, size_t after_cap, bool *more);
 
 /* Serves the queue's effects one by one, and frees each, on a connection of its own whose traffic
  * is counted as that kind. Returns only if there can be no connection. */
--- a/src/adapters/kv_reader.c
+++ b/src/adapters/kv_reader.c
@@ -17,9 +17,8 @@
 #define REFRESH_INTERVAL_MIN_S 0.04 /* ... and when some do */
 #define DELEGATES_INTERVAL_S 0.7
 #define DRAINS_INTERVAL_S 1.0
-#define PAGE_POLL_S 0.005  /* while the owner thread takes a page in */
+#define PAGE_POLL_S 0.005  /* while the owner thread applies a page */
 #define LIST_SETTLE_S 0.02 /* until the owner has set store_revision after the last page */
-#define KEY_BYTES 256
 
 /* The thread's own state. */
 struct reader {
@@ -53,7 +52,7 @@
 {
     uint64_t store_revision = 0;
     struct timespec sent = bd_now();
-    char after[KEY_BYTES] = "";
+    char after[BD_KV_KEY_BYTES] = "";
     bool more = true;
     while (more) {
         json_t *page =
--- a/src/leadership/commit.c
+++ b/src/leadership/commit.c
@@ -53,7 +53,7 @@
     bd_txn_builder_count(builder, 1, 0, core->kv_limits.kv_value_bytes_max);
 }
 
-/* Adds the plan's intents; returns how many of them the records hold. */
+/* Adds the plan's intents; returns how many of them fit the records. */
 static uint32_t add_intents(struct bd_core *core, struct bd_txn_builder *builder)
 {
     struct bd_commit *commit = core->lead.commit;
@@ -63,25 +63,25 @@
             bd_txn_builder_compare_job(builder, commit->plan[i].job);
         compared = commit->plan[i].job;
     }
-    uint32_t held = 0;
-    while (held < commit->nplan && commit->nintent_slices < bd_cycle_intent_records(core)) {
-        add_intent_record(core, builder, held);
-        held += commit->intent_slices[commit->nintent_slices - 1].n;
+    uint32_t written = 0;
+    while (written < commit->nplan && commit->nintent_slices < bd_cycle_intent_records(core)) {
+        add_intent_record(core, builder, written);
+        written += commit->intent_slices[commit->nintent_slices - 1].n;
     }
-    return held;
+    return written;
 }
 
 /* Releases the planned launches from here on: a later cycle places them again. */
-static void release_plan_from(struct bd_core *core, uint32_t held)
+static void release_plan_from(struct bd_core *core, uint32_t first)
 {
     struct bd_commit *commit = core->lead.commit;
-    for (uint32_t i = held; i < commit->nplan; i++)
+    for (uint32_t i = first; i < commit->nplan; i++)
         bd_task_release(core, commit->plan[i].job, commit->plan[i].task,
                         BD_RELEASE_INTENT_NOT_COMMITTED);
-    if (held < commit->nplan)
+    if (first < commit->nplan)
         bd_log_write(core->log, BD_LOG_ERROR, "%u launches did not fit the intent records",
-                     commit->nplan - held);
-    commit->nplan = held;
+                     commit->nplan - first);
+    commit->nplan = first;
 }
 
 /* ---- jobs that ended, and receipts ---- */
@@ -128,7 +128,7 @@
     size_t bytes = bd_receipt_value_bytes(job, chunk);
     if (!bd_txn_builder_fits(builder, 1, 1, bytes + RECEIPT_TXN_BYTES))
         return false;
-    /* beyond a value's limit, which may have fallen: the job's done record will say it */
+    /* beyond a value's limit, which may have fallen: the job's done record will cover the chunk */
     if (bytes > core->kv_limits.kv_value_bytes_max)
         return true;
     struct bd_receipt *grown = realloc(commit->receipts, (commit->nreceipts + 1) * sizeof *grown);
--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -75,7 +75,7 @@
     bd_intent_record_add(core, slice->key, intents, slice->n);
 }
 
-/* All launches are marked before the first is sent, so that one command can hold several. */
+/* All launches are marked before the first is sent, so that one command can carry several. */
 static void launch_plan(struct bd_core *core, const struct bd_commit *commit)
 {
     for (uint32_t i = 0; i < commit->nplan; i++)
@@ -142,10 +142,10 @@
 {
     struct bd_job *job = key && strncmp(key, "j/", 2) == 0 ? bd_job_find(core, key + 2) : NULL;
     if (job)
-        job->stale = true; /* the change itself comes with the next refresh */
+        job->stale = true; /* the next refresh brings the change itself */
 }
 
-/* Its sequence number is not used again: a number stands for one content only. */
+/* Its sequence number is not used again: a number identifies one content only. */
 static void revert_commit(struct bd_core *core, const struct bd_commit *commit, json_t *failed)
 {
     json_t *key;
--- a/src/leadership/leadership.c
+++ b/src/leadership/leadership.c
@@ -1,4 +1,4 @@
-/* The leader's term: how long its lease stands, and what ends it. Part of the pure core. */
+/* The leader's term: how long its lease is valid, and what ends it. Part of the pure core. */
 #include "leadership/leadership.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
--- a/src/leadership/leadership.h
+++ b/src/leadership/leadership.h
@@ -3,7 +3,7 @@
  * leader's transaction.
  *
  *   leadership.c      the term's lease, and what ends a term
- *   peer_status.c     what the other controllers say of themselves
+ *   peer_status.c     the other controllers' statuses, and what follows for who leads
  *   reconciliation.c  the beginning of a term: earlier terms' records are taken in
  *   commit.c          the leader's transaction, built with txn_builder.c
  *   commit_garbage.c  ... and the deletions that go with it
@@ -13,7 +13,7 @@
  *   lease_renewal.c   the renewal window, and until when commands may be sent
  *
  * Owns core->lead, core->role, and what is known of the leader and the peers. Called by the runtime
- * for what the election, the key-value store and the peers report, by core/ at each step, and by
+ * for what the election, the key-value store and the peers bring, by core/ at each step, and by
  * workers/ and scheduling/ for what a leader may do now. All of it is part of the pure core and
  * runs on the owner thread; moments are of the steady clock unless a name says wall. */
 #ifndef BD_LEADERSHIP_H
--- a/src/leadership/leadership_internal.h
+++ b/src/leadership/leadership_internal.h
@@ -1,5 +1,6 @@
-/* What the files of leadership/ share with each other: the peers' word on who leads, the leader's
- * transaction while it is built, and the two kinds of records that only the leader writes. */
+/* What the files of leadership/ share with each other: what the peers show of who leads, the
+ * leader's transaction while it is built, and the two kinds of records that only the leader writes.
+ */
 #ifndef BD_LEADERSHIP_INTERNAL_H
 #define BD_LEADERSHIP_INTERNAL_H
 #include "model/core_state.h"
--- a/src/leadership/lease_renewal.c
+++ b/src/leadership/lease_renewal.c
@@ -1,6 +1,6 @@
 /* How long heartbeats may be answered, and so workers' leases renewed, on what is known of
  * cancellations. Whoever answers (a leader with or just past its own lease, a delegate, a
- * controller of an autonomous zone; directly or forwarded) keeps to one bound:
+ * controller of an autonomous zone; directly or forwarded) observes one bound:
  *
  *   A cancellation that our records do not show was confirmed after the newest refresh that was
  * answered was *sent*: at t > seen. An answer is given until seen + window at the latest. The lease
--- a/src/leadership/peer_status.c
+++ b/src/leadership/peer_status.c
@@ -1,4 +1,4 @@
-/* What the other controllers say of themselves, and what follows for who leads. Part of the pure
+/* The statuses of the other controllers, and what follows for who leads. Part of the pure
  * core. */
 #include "base/timeutil.h"
 #include "leadership/leadership.h"
--- a/src/leadership/txn_builder.c
+++ b/src/leadership/txn_builder.c
@@ -1,5 +1,5 @@
-/* The leader's transaction while it is built: what it holds, held against the store's limits. Part
- * of the pure core. */
+/* The leader's transaction while it is built: its contents, measured against the store's limits.
+ * Part of the pure core. */
 #include "leadership/leadership_internal.h"
 #include "wire/wire.h"
 #include <stdio.h>
--- a/src/model/leadership_state.h
+++ b/src/model/leadership_state.h
@@ -1,4 +1,4 @@
-/* The leader's term, its scheduling cycles and its transaction, as the core holds them.
+/* The leader's term, its scheduling cycles and its transaction, as part of the core's state.
  *
  * Part of struct bd_core and so of the owner thread. Changed by src/leadership/, and where a
  * field's comment names it by another folder; read by all. */
@@ -32,7 +32,7 @@
     BD_TXN_CONFLICT, /* not applied: a comparison failed, or the write rate was exceeded too long */
     BD_TXN_REJECTED, /* not applied: malformed or beyond a limit of the store (400) */
     BD_TXN_DEPOSED,  /* the term is over: another leads, or the grant has expired */
-    BD_TXN_UNKNOWN   /* no answer that tells: to be sent again. Stays within the client */
+    BD_TXN_UNKNOWN   /* no answer shows it: to be sent again. Never leaves the client */
 };
 
 /* An acquired term with what earlier terms left in the store. Borrowed by the core for one step. */
@@ -74,7 +74,7 @@
     uint32_t nreceipts;
     struct bd_job *done[BD_CYCLE_JOBS_MAX];
     uint32_t ndone;
-    struct bd_job *cancelled[BD_CYCLE_JOBS_MAX]; /* by a parent: their records come to say so */
+    struct bd_job *cancelled[BD_CYCLE_JOBS_MAX]; /* by a parent: their records are to show it */
     uint32_t ncancelled;
     struct bd_intent_slice intent_slices[BD_CYCLE_INTENT_RECORDS_MAX];
     uint32_t nintent_slices;
