--- a/src/adapters/node.h
+++ b/src/adapters/node.h
@@ -60,6 +60,4 @@
 /* Sockets for our own connections beside those to workers: to peers, key-value store and cloud. */
 #define BD_SOCKETS_OWN 64
 
-int bd_kv_client_start(struct bd_node *node);
-int bd_election_start(struct bd_node *node);
 #endif
--- a/src/runtime/controller.c
+++ b/src/runtime/controller.c
@@ -3,6 +3,8 @@
 #include "adapters/admin_server.h"
 #include "adapters/api_server.h"
 #include "adapters/cloud_client.h"
+#include "adapters/election.h"
+#include "adapters/kv_client.h"
 #include "adapters/node.h"
 #include "adapters/peer_transport.h"
 #include "adapters/worker_client.h"
--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -1,6 +1,7 @@
 /* The real program, three times, over loopback against the fake servers: quiet work, bad requests,
  * killed nodes, an outage of the state service and answers that are cut off. */
 #include "adapters/node.h"
+#include "base/address.h"
 #include "base/timeutil.h"
 #include "loopback_nodes.h"
 #include <arpa/inet.h>
@@ -100,7 +101,7 @@
     struct sockaddr_in to;
     struct timeval limit = {3, 0};
     int fd = socket(AF_INET, SOCK_STREAM, 0);
-    bool sent = fd >= 0 && bd_parse_addr(t->addr[0], &to) &&
+    bool sent = fd >= 0 && bd_address_parse(t->addr[0], &to) &&
                 setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit) == 0 &&
                 connect(fd, (struct sockaddr *)&to, sizeof to) == 0 &&
                 send(fd, text, strlen(text), 0) == (ssize_t)strlen(text);
@@ -486,7 +487,7 @@
     struct sockaddr_in to;
     char text[1024];
     const char *body = nodes_job(i % 2 ? "job-80" : "job-81", "sweep", 2);
-    if (c->fd[i] < 0 && bd_parse_addr(t->addr[node], &to)) {
+    if (c->fd[i] < 0 && bd_address_parse(t->addr[node], &to)) {
         c->fd[i] = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
         if (c->fd[i] >= 0 && connect(c->fd[i], (struct sockaddr *)&to, sizeof to) != 0) {
             (void)close(c->fd[i]);
@@ -679,7 +680,7 @@
     int open = 0;
     for (int i = 0; i < MEMORY_CONNECTIONS; i++) {
         fd[i] = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-        open += fd[i] >= 0 && bd_parse_addr(t->addr[leader], &to) &&
+        open += fd[i] >= 0 && bd_address_parse(t->addr[leader], &to) &&
                 connect(fd[i], (struct sockaddr *)&to, sizeof to) == 0 &&
                 send(fd[i], text, strlen(text), MSG_NOSIGNAL) > 0;
     }
@@ -707,7 +708,7 @@
     struct sockaddr_in a;
     snprintf(path, sizeof path, "127.0.0.1:%d", t->base + 10 + NODES - 1);
     int ear = socket(AF_INET, SOCK_STREAM, 0), one = 1;
-    if (ear < 0 || !bd_parse_addr(path, &a) ||
+    if (ear < 0 || !bd_address_parse(path, &a) ||
         setsockopt(ear, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one) != 0 ||
         bind(ear, (struct sockaddr *)&a, sizeof a) != 0 || listen(ear, 4) != 0)
         return 2;
--- a/tests/loopback_nodes.c
+++ b/tests/loopback_nodes.c
@@ -1,6 +1,7 @@
 /* Three real controllers over loopback, for the tests that use them. */
 #include "loopback_nodes.h"
 #include "adapters/node.h"
+#include "base/address.h"
 #include "base/http.h"
 #include "base/timeutil.h"
 #include <arpa/inet.h>
@@ -171,7 +172,8 @@
         struct sockaddr_in at;
         snprintf(text, sizeof text, "127.0.0.1:%d", base + PORTS_EACH - 1);
         int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-        if (fd >= 0 && bd_parse_addr(text, &at) && bind(fd, (struct sockaddr *)&at, sizeof at) == 0)
+        if (fd >= 0 && bd_address_parse(text, &at) &&
+            bind(fd, (struct sockaddr *)&at, sizeof at) == 0)
             return base;
         if (fd >= 0)
             (void)close(fd);
