--- a/src/adapters/api_server.c
+++ b/src/adapters/api_server.c
@@ -206,11 +206,11 @@
                                      const struct route *route)
 {
     struct bd_event *event = bd_event_new(route->kind);
-    event->request = request;
-    event->text = request->body ? request->body : strdup("");
-    event->len = request->body_len;
+    event->user.request = request;
+    event->user.text = request->body ? request->body : strdup("");
+    event->user.len = request->body_len;
     request->body = NULL;
-    snprintf(event->name, sizeof event->name, "%s", route->job_id);
+    snprintf(event->user.job_id, sizeof event->user.job_id, "%s", route->job_id);
     request->is_posted = true;
     request->kind = event->kind;
     request->posted_at = bd_now();
--- a/src/adapters/cloud_client.c
+++ b/src/adapters/cloud_client.c
@@ -91,11 +91,11 @@
     }
     client->failures = 0;
     struct bd_event *event = bd_event_new(BD_EVENT_MACHINE_TYPES);
-    event->data = malloc((size_t)n * sizeof *client->types);
-    if (!event->data)
+    event->types.n = (size_t)n;
+    event->types.types = malloc(event->types.n * sizeof *client->types);
+    if (!event->types.types)
         abort();
-    memcpy(event->data, client->types, (size_t)n * sizeof *client->types);
-    event->n = (size_t)n;
+    memcpy(event->types.types, client->types, event->types.n * sizeof *client->types);
     bd_event_post(client->node, event);
     double pause = atomic_load(&client->node->leading) ? TYPES_INTERVAL_S : TYPES_IDLE_INTERVAL_S;
     client->next_types = bd_add(bd_now(), bd_secs(pause));
@@ -141,10 +141,10 @@
     struct bd_event *event = bd_event_new(BD_EVENT_INVENTORY);
     struct bd_cloud_machine *all = NULL;
     bool more = true;
-    event->sent = bd_now();
+    event->inventory.sent = bd_now();
     while (more) {
         wait_for_rate(client);
-        if (bd_cloud_list_page(client->node, client->http, &all, &event->n, &more) == 200)
+        if (bd_cloud_list_page(client->node, client->http, &all, &event->inventory.n, &more) == 200)
             continue;
         free(all);
         bd_event_free(event);
@@ -152,7 +152,7 @@
         return;
     }
     client->failures = 0;
-    event->data = all;
+    event->inventory.machines = all;
     bd_event_post(client->node, event);
     client->next_list = bd_add(bd_now(), bd_secs(client->list_interval_s));
 }
@@ -161,19 +161,20 @@
 static void scale_out(struct cloud_client *client, struct bd_effect *effect)
 {
     struct bd_event *event = bd_event_new(BD_EVENT_SCALE_OUT_COMPLETED);
-    snprintf(event->name, sizeof event->name, "%s", effect->key);
+    snprintf(event->scaling.request, sizeof event->scaling.request, "%s", effect->key);
     for (int i = 0; i < SCALE_OUT_TRIES_MAX; i++) {
         json_t *o = NULL;
-        event->status = call_at_rate(client, "POST", BD_PATH_MACHINES, effect->body, &o);
-        bool outage = event->status == 503 && bd_wire_cloud_outage(o);
-        if (event->status == 200) {
+        event->scaling.status = call_at_rate(client, "POST", BD_PATH_MACHINES, effect->body, &o);
+        bool outage = event->scaling.status == 503 && bd_wire_cloud_outage(o);
+        if (event->scaling.status == 200) {
             char(*names)[BD_LABEL] = calloc(SCALE_OUT_MACHINES_MAX, sizeof *names);
             int n = names ? bd_wire_machine_names(o, names, SCALE_OUT_MACHINES_MAX) : -1;
-            event->data = names;
-            event->n = n > 0 ? (size_t)n : 0;
+            event->scaling.machines = names;
+            event->scaling.n = n > 0 ? (size_t)n : 0;
         }
         json_decref(o);
-        if (event->status == 200 || event->status == 400 || (event->status == 503 && !outage))
+        if (event->scaling.status == 200 || event->scaling.status == 400 ||
+            (event->scaling.status == 503 && !outage))
             break;
         if (!atomic_load(&client->node->leading))
             break;
@@ -186,13 +187,13 @@
 {
     struct bd_event *event = bd_event_new(BD_EVENT_SCALE_IN_COMPLETED);
     json_t *o = NULL;
-    event->status = call_at_rate(client, "POST", BD_PATH_RETURN, effect->body, &o);
+    event->scaling.status = call_at_rate(client, "POST", BD_PATH_RETURN, effect->body, &o);
     json_decref(o);
     json_t *sent = json_loads(effect->body, 0, NULL);
     char(*names)[BD_LABEL] = calloc(SCALE_IN_MACHINES_MAX, sizeof *names);
     int n = names ? bd_wire_machine_names(sent, names, SCALE_IN_MACHINES_MAX) : -1;
-    event->data = names;
-    event->n = n > 0 ? (size_t)n : 0;
+    event->scaling.machines = names;
+    event->scaling.n = n > 0 ? (size_t)n : 0;
     json_decref(sent);
     bd_event_post(client->node, event);
 }
--- a/src/adapters/election.c
+++ b/src/adapters/election.c
@@ -81,15 +81,15 @@
     bd_log_write(&candidate->node->log, BD_LOG_INFO, "leadership acquired, term %llu",
                  (unsigned long long)term);
     struct bd_event *event = bd_event_new(BD_EVENT_LEADERSHIP_ACQUIRED);
-    event->sent = candidate->grant_renewed_at;
-    event->gain.term = term;
-    event->gain.grant = candidate->grant;
-    snprintf(event->name, sizeof event->name, "%s", candidate->nonce);
-    if (!load_earlier_terms(candidate, &event->gain)) {
+    event->acquired.acquired_at = candidate->grant_renewed_at;
+    event->acquired.acquisition.term = term;
+    event->acquired.acquisition.grant = candidate->grant;
+    snprintf(event->acquired.nonce, sizeof event->acquired.nonce, "%s", candidate->nonce);
+    if (!load_earlier_terms(candidate, &event->acquired.acquisition)) {
         bd_event_free(event);
         return;
     }
-    event->gain.renewed = candidate->grant_renewed_at;
+    event->acquired.acquisition.renewed = candidate->grant_renewed_at;
     atomic_store(&candidate->node->step_down, false);
     candidate->leading = true;
     bd_event_post(candidate->node, event);
--- a/src/adapters/election_lease.c
+++ b/src/adapters/election_lease.c
@@ -44,10 +44,10 @@
                     leader->dismisses_us != posted->dismisses_us ||
                     strcmp(leader->name, posted->name) != 0;
     struct bd_event *event = bd_event_new(BD_EVENT_LEADER_OBSERVED);
-    snprintf(event->name, sizeof event->name, "%s", leader->name);
-    event->number = leader->revision;
-    event->sent = sent;
-    event->flag = leader->dismisses_us;
+    snprintf(event->leader.name, sizeof event->leader.name, "%s", leader->name);
+    event->leader.revision = leader->revision;
+    event->leader.sent = sent;
+    event->leader.dismisses_us = leader->dismisses_us;
     candidate->posted = *leader;
     if (has_news)
         bd_event_post(candidate->node, event);
@@ -164,8 +164,8 @@
         return BD_GRANT_UNKNOWN;
     candidate->grant_renewed_at = sent;
     struct bd_event *event = bd_event_new(BD_EVENT_LEASE_RENEWED);
-    event->number = candidate->grant;
-    event->sent = sent;
+    event->renewed.grant = candidate->grant;
+    event->renewed.sent = sent;
     bd_event_post(candidate->node, event);
     return BD_GRANT_RENEWED;
 }
--- a/src/adapters/election_liveness.c
+++ b/src/adapters/election_liveness.c
@@ -17,7 +17,7 @@
                           struct timespec sent)
 {
     struct bd_event *event = bd_event_new(kind);
-    event->sent = sent;
+    event->liveness.sent = sent;
     bd_event_post_quietly(candidate->node, event);
 }
 
--- a/src/adapters/event.c
+++ b/src/adapters/event.c
@@ -13,14 +13,68 @@
     return event;
 }
 
+/* What the events of the key-value store hold. */
+static void free_store_payload(struct bd_event *event)
+{
+    switch (event->kind) {
+    case BD_EVENT_USER_TXN_COMPLETED:
+        free(event->user_txn.body);
+        break;
+    case BD_EVENT_JOB_LOOKUP_COMPLETED:
+        json_decref(event->job_lookup.answer);
+        break;
+    case BD_EVENT_LEADER_TXN_COMPLETED:
+        json_decref(event->leader_txn.answer);
+        break;
+    case BD_EVENT_REPLICA_REFRESHED:
+        json_decref(event->refresh.answer);
+        break;
+    case BD_EVENT_REPLICA_LISTED:
+        json_decref(event->page.pairs);
+        break;
+    case BD_EVENT_DELEGATE_RECORDS:
+    case BD_EVENT_DRAIN_RECORDS:
+        json_decref(event->records.records);
+        json_decref(event->records.sets);
+        break;
+    case BD_EVENT_LEADERSHIP_ACQUIRED:
+        json_decref(event->acquired.acquisition.receipts);
+        json_decref(event->acquired.acquisition.intents);
+        break;
+    default:
+        break;
+    }
+}
+
 void bd_event_free(struct bd_event *event)
 {
-    free(event->text);
-    free(event->data);
-    json_decref(event->json);
-    json_decref(event->sets);
-    json_decref(event->gain.receipts);
-    json_decref(event->gain.intents);
+    switch (event->kind) {
+    case BD_EVENT_USER_SUBMIT:
+    case BD_EVENT_USER_STATUS:
+    case BD_EVENT_USER_CANCEL:
+    case BD_EVENT_HEARTBEAT:
+        free(event->user.text);
+        break;
+    case BD_EVENT_DIRECT_COMMAND_COMPLETED:
+        free(event->direct_command.text);
+        break;
+    case BD_EVENT_MACHINE_TYPES:
+        free(event->types.types);
+        break;
+    case BD_EVENT_INVENTORY:
+        free(event->inventory.machines);
+        break;
+    case BD_EVENT_SCALE_OUT_COMPLETED:
+    case BD_EVENT_SCALE_IN_COMPLETED:
+        free(event->scaling.machines);
+        break;
+    case BD_EVENT_PEER_FRAME:
+        free(event->peer_frame.frame);
+        free(event->peer_frame.text);
+        break;
+    default:
+        free_store_payload(event);
+    }
     free(event);
 }
 
--- a/src/adapters/event.h
+++ b/src/adapters/event.h
@@ -8,6 +8,7 @@
 #include <stdint.h>
 #include <time.h>
 
+struct bd_frame;
 struct bd_node;
 
 enum bd_event_kind {
@@ -38,27 +39,161 @@
     BD_EVENT_KV_RATE_EXCEEDED
 };
 
-/* One event. The queue owns it once it is posted, the owner thread once it is taken. */
-struct bd_event {
-    enum bd_event_kind kind;
-    void *request;
-    char *text;
+/* A request of a user, or a worker's heartbeat. */
+struct bd_event_request {
+    void *request; /* the API server's; replied to through bd_api_reply */
+    char *text;    /* the body: a submission, a heartbeat */
     size_t len;
-    char name[BD_LABEL];
-    long status;
-    enum bd_txn_outcome outcome; /* COMMITTED */
-    int purpose;                 /* as the effect's status said how it was asked */
-    bool ok;                     /* FOLLOWED: it was answered */
-    uint64_t store_revision, after, number, term;
+    char job_id[BD_LABEL]; /* status and cancellation */
+};
+
+/* The outcome of a user's transaction. */
+struct bd_event_user_txn {
+    void *request;
+    char job_id[BD_LABEL];
+    char *body;  /* the transaction as it was sent */
+    int purpose; /* as in the effect */
+    long status; /* the store's; 0: no answer */
+    uint64_t store_revision;
+};
+
+/* One job's record was looked up. */
+struct bd_event_job_lookup {
+    void *request;
+    char job_id[BD_LABEL];
+    int purpose; /* as in the effect */
+    long status; /* the store's; 0: no answer */
+    json_t *answer;
+};
+
+/* The outcome of the leader's transaction. */
+struct bd_event_leader_txn {
+    uint64_t term, sequence; /* which transaction */
+    enum bd_txn_outcome outcome;
+    uint64_t store_revision;
+    json_t *answer; /* of a conflict: names the keys that were compared in vain */
+};
+
+/* The outcome of writing our delegate's record, or of reading its revision. */
+struct bd_event_delegate_txn {
     struct timespec sent;
-    struct timespec queued; /* when it was handed to the owner; zero: quietly, it may wait */
-    bool flag;
+    long status; /* the store's; 0: none, or only the revision was asked for */
+    uint64_t store_revision;
+    bool is_revision_known;
+};
+
+/* The changes of the jobs' records since a revision. */
+struct bd_event_refresh {
+    struct timespec sent;
+    uint64_t after, store_revision;
+    bool is_barrier; /* reads that waited before it was sent may be answered */
+    bool ok;         /* the store answered it */
+    json_t *answer;
+};
+
+/* A page of the list of all jobs' records. */
+struct bd_event_page {
+    struct timespec sent; /* when the first page was asked for */
+    uint64_t store_revision;
+    bool is_last;
+    json_t *pairs;
+};
+
+/* The delegates' records, or the drains' with their machines'. */
+struct bd_event_records {
+    struct timespec sent;
+    json_t *records;
+    json_t *sets; /* drains: their machines' records, or NULL */
+};
+
+/* The leader's key as it was read. */
+struct bd_event_leader {
+    char name[BD_LABEL]; /* empty: nobody leads */
+    uint64_t revision;
+    struct timespec sent;
+    bool dismisses_us; /* as delegate */
+};
+
+/* We acquired the lease. */
+struct bd_event_acquired {
+    char nonce[BD_LABEL];
+    struct timespec acquired_at;
+    struct bd_acquisition acquisition;
+};
+
+/* Our grant was renewed. */
+struct bd_event_renewed {
+    uint64_t grant;
+    struct timespec sent;
+};
+
+/* Our liveness record is about to be sent, or was written. */
+struct bd_event_liveness {
+    struct timespec sent;
+};
+
+/* The outcome of a direct command. */
+struct bd_event_direct_command {
     uint32_t machine;
-    json_t *json;
-    json_t *sets; /* DRAINS: their machines' records, or NULL */
-    void *data;   /* one block, by kind */
+    uint64_t fencing_token;
+    bool launch; /* launches were among the commands */
+    long status; /* HTTP's; 0: no answer; BD_DIRECT_NOT_SENT */
+    char *text;  /* the worker's heartbeat, or NULL */
+    size_t len;
+};
+
+struct bd_event_types {
+    struct bd_type_text *types;
     size_t n;
-    struct bd_acquisition gain;
+};
+
+/* The cloud's inventory. */
+struct bd_event_inventory {
+    struct timespec sent;
+    struct bd_cloud_machine *machines;
+    size_t n;
+};
+
+/* The outcome of scale out or scale in. */
+struct bd_event_scaling {
+    char request[BD_LABEL]; /* scale out: its name */
+    long status;            /* the cloud's; 0: no answer */
+    char (*machines)[BD_LABEL];
+    size_t n;
+};
+
+/* A frame of a peer. */
+struct bd_event_peer_frame {
+    struct timespec received;
+    struct bd_frame *frame; /* without its text */
+    char *text;             /* terminated, or NULL */
+    size_t len;
+};
+
+/* One event. The queue owns it once it is posted, the owner thread once it is taken; it owns all
+ * that it points to but requests. */
+struct bd_event {
+    enum bd_event_kind kind;
+    struct timespec queued; /* when it was posted; zero: quietly, it may wait */
+    union {
+        struct bd_event_request user; /* USER_SUBMIT, USER_STATUS, USER_CANCEL, HEARTBEAT */
+        struct bd_event_user_txn user_txn;
+        struct bd_event_job_lookup job_lookup;
+        struct bd_event_leader_txn leader_txn;
+        struct bd_event_delegate_txn delegate_txn;
+        struct bd_event_refresh refresh;
+        struct bd_event_page page;
+        struct bd_event_records records; /* DELEGATE_RECORDS, DRAIN_RECORDS */
+        struct bd_event_leader leader;
+        struct bd_event_acquired acquired;
+        struct bd_event_renewed renewed;
+        struct bd_event_liveness liveness; /* LIVENESS_SENT, LIVENESS_WRITTEN */
+        struct bd_event_direct_command direct_command;
+        struct bd_event_types types;
+        struct bd_event_inventory inventory;
+        struct bd_event_scaling scaling; /* SCALE_OUT_COMPLETED, SCALE_IN_COMPLETED */
+        struct bd_event_peer_frame peer_frame;
+    };
 };
 
 /* Never NULL. */
--- a/src/adapters/kv_leader_writer.c
+++ b/src/adapters/kv_leader_writer.c
@@ -57,7 +57,7 @@
         view = SEQUENCE_BEHIND;
     if (status == BD_KV_OK && bd_wire_pair(answer, &pair, &grant)) {
         view = is_sequence_of(pair.value, attempt->effect) ? SEQUENCE_SHOWS_IT : SEQUENCE_BEHIND;
-        attempt->event->store_revision = pair.revision;
+        attempt->event->leader_txn.store_revision = pair.revision;
     }
     json_decref(answer);
     return view;
@@ -98,8 +98,8 @@
         outcome = outcome_by_sequence(attempt, BD_TXN_DEPOSED);
     else if (contains(failed, "leader"))
         outcome = BD_TXN_DEPOSED;
-    json_decref(attempt->event->json);
-    attempt->event->json = json_incref(answer);
+    json_decref(attempt->event->leader_txn.answer);
+    attempt->event->leader_txn.answer = json_incref(answer);
     return outcome;
 }
 
@@ -146,7 +146,7 @@
                              attempt->effect->body, BD_KV_TIMEOUT_S, &answer);
     switch (status) {
     case BD_KV_OK:
-        attempt->event->store_revision = bd_wire_store_revision(answer);
+        attempt->event->leader_txn.store_revision = bd_wire_store_revision(answer);
         outcome = BD_TXN_COMMITTED;
         break;
     case BD_KV_CONFLICT:
@@ -166,11 +166,11 @@
 {
     struct bd_event *event = bd_event_new(BD_EVENT_LEADER_TXN_COMPLETED);
     struct attempt attempt = {.node = node, .http = http, .effect = effect, .event = event};
-    event->number = effect->sequence;
-    event->term = strtoull(effect->key, NULL, 10);
+    event->leader_txn.sequence = effect->sequence;
+    event->leader_txn.term = strtoull(effect->key, NULL, 10);
     do
-        event->outcome = send_once(&attempt);
-    while (event->outcome == BD_TXN_UNKNOWN);
+        event->leader_txn.outcome = send_once(&attempt);
+    while (event->leader_txn.outcome == BD_TXN_UNKNOWN);
     bd_event_post(node, event);
 }
 
--- a/src/adapters/kv_reader.c
+++ b/src/adapters/kv_reader.c
@@ -36,10 +36,10 @@
 {
     bool ignored;
     struct bd_event *event = bd_event_new(BD_EVENT_REPLICA_LISTED);
-    event->json = json_incref(bd_wire_pairs(page, &ignored));
-    event->store_revision = store_revision;
-    event->sent = sent;
-    event->flag = is_last;
+    event->page.pairs = json_incref(bd_wire_pairs(page, &ignored));
+    event->page.store_revision = store_revision;
+    event->page.sent = sent;
+    event->page.is_last = is_last;
     json_decref(page);
     atomic_store(&node->page_out, true);
     bd_event_post(node, event);
@@ -81,21 +81,22 @@
     struct bd_node *node = reader->node;
     char path[96];
     struct bd_event *event = bd_event_new(BD_EVENT_REPLICA_REFRESHED);
-    event->flag = atomic_exchange(&node->want_barrier, false);
-    event->after = reader->revision;
-    event->sent = bd_now();
+    event->refresh.is_barrier = atomic_exchange(&node->want_barrier, false);
+    event->refresh.after = reader->revision;
+    event->refresh.sent = bd_now();
     snprintf(path, sizeof path, BD_PATH_REFRESH "j/&after=%llu&waitMs=0",
              (unsigned long long)reader->revision);
-    long status = bd_kv_call(node, reader->http, "GET", path, NULL, BD_KV_TIMEOUT_S, &event->json);
-    bool has_news = event->flag || status != BD_KV_OK;
+    long status =
+        bd_kv_call(node, reader->http, "GET", path, NULL, BD_KV_TIMEOUT_S, &event->refresh.answer);
+    bool has_news = event->refresh.is_barrier || status != BD_KV_OK;
     bool is_refused = status != BD_KV_OK && status != BD_KV_COMPACTED;
-    event->ok = status == BD_KV_OK;
+    event->refresh.ok = status == BD_KV_OK;
     atomic_store(&node->reads_refused, is_refused);
-    if (event->ok) {
-        event->store_revision = bd_wire_store_revision(event->json);
-        has_news = has_news || json_array_size(bd_wire_log(event->json)) > 0;
-        if (event->store_revision > reader->revision)
-            reader->revision = event->store_revision;
+    if (event->refresh.ok) {
+        event->refresh.store_revision = bd_wire_store_revision(event->refresh.answer);
+        has_news = has_news || json_array_size(bd_wire_log(event->refresh.answer)) > 0;
+        if (event->refresh.store_revision > reader->revision)
+            reader->revision = event->refresh.store_revision;
     }
     reader->must_list = status == BD_KV_COMPACTED;
     if (has_news)
@@ -109,9 +110,9 @@
 static void read_delegates(const struct reader *reader)
 {
     struct bd_event *event = bd_event_new(BD_EVENT_DELEGATE_RECORDS);
-    event->sent = bd_now();
-    event->json = bd_kv_list(reader->node, reader->http, "p/");
-    if (event->json)
+    event->records.sent = bd_now();
+    event->records.records = bd_kv_list(reader->node, reader->http, "p/");
+    if (event->records.records)
         bd_event_post(reader->node, event);
     else
         bd_event_free(event);
@@ -122,10 +123,10 @@
 static void read_drains(const struct reader *reader)
 {
     struct bd_event *event = bd_event_new(BD_EVENT_DRAIN_RECORDS);
-    event->json = bd_kv_list(reader->node, reader->http, BD_DRAIN_KEY);
-    if (event->json && atomic_load(&reader->node->want_drain_sets))
-        event->sets = bd_kv_list(reader->node, reader->http, BD_DRAIN_SET);
-    if (event->json)
+    event->records.records = bd_kv_list(reader->node, reader->http, BD_DRAIN_KEY);
+    if (event->records.records && atomic_load(&reader->node->want_drain_sets))
+        event->records.sets = bd_kv_list(reader->node, reader->http, BD_DRAIN_SET);
+    if (event->records.records)
         bd_event_post(reader->node, event);
     else
         bd_event_free(event);
--- a/src/adapters/kv_user_writer.c
+++ b/src/adapters/kv_user_writer.c
@@ -27,8 +27,8 @@
     snprintf(path, sizeof path, BD_PATH_KEYS "/%s", key);
     long status = bd_kv_call(node, http, "GET", path, NULL, BD_KV_TIMEOUT_S, &answer);
     bool is_found = status == BD_KV_OK && bd_wire_pair(answer, &pair, &grant);
-    event->flag = is_found || status == BD_KV_NOT_FOUND;
-    event->store_revision = is_found ? pair.revision : 0;
+    event->delegate_txn.is_revision_known = is_found || status == BD_KV_NOT_FOUND;
+    event->delegate_txn.store_revision = is_found ? pair.revision : 0;
     json_decref(answer);
 }
 
@@ -36,9 +36,10 @@
                            struct bd_event *event)
 {
     json_t *answer = NULL;
-    event->status = bd_kv_call(node, http, "POST", BD_PATH_COMMIT, body, BD_KV_TIMEOUT_S, &answer);
-    event->store_revision = bd_wire_store_revision(answer);
-    event->flag = event->status == BD_KV_OK;
+    event->delegate_txn.status =
+        bd_kv_call(node, http, "POST", BD_PATH_COMMIT, body, BD_KV_TIMEOUT_S, &answer);
+    event->delegate_txn.store_revision = bd_wire_store_revision(answer);
+    event->delegate_txn.is_revision_known = event->delegate_txn.status == BD_KV_OK;
     json_decref(answer);
 }
 
@@ -47,7 +48,7 @@
                            const struct bd_effect *effect)
 {
     struct bd_event *event = bd_event_new(BD_EVENT_DELEGATE_TXN_COMPLETED);
-    event->sent = bd_now();
+    event->delegate_txn.sent = bd_now();
     if (effect->body)
         write_delegate(node, http, effect->body, event);
     else
@@ -60,35 +61,29 @@
                          struct bd_event *event)
 {
     char *rest = NULL;
-    event->status = BD_KV_OK;
-    for (char *line = strtok_r(lines, "\n", &rest); line && event->status == BD_KV_OK;
+    event->user_txn.status = BD_KV_OK;
+    for (char *line = strtok_r(lines, "\n", &rest); line && event->user_txn.status == BD_KV_OK;
          line = strtok_r(NULL, "\n", &rest)) {
         json_t *answer = NULL;
-        event->status =
+        event->user_txn.status =
             bd_kv_call(node, http, "POST", BD_PATH_COMMIT, line, USER_TIMEOUT_S, &answer);
-        event->store_revision = bd_wire_store_revision(answer);
+        event->user_txn.store_revision = bd_wire_store_revision(answer);
         json_decref(answer);
     }
 }
 
-/* What a user's request needs to go on when its call is completed. */
-static void set_request(struct bd_event *event, const struct bd_effect *effect)
-{
-    event->request = effect->request;
-    event->purpose = effect->status;
-    snprintf(event->name, sizeof event->name, "%s", effect->key);
-}
-
 static void commit_user(struct bd_node *node, struct bd_http *http, struct bd_effect *effect)
 {
     struct bd_event *event = bd_event_new(BD_EVENT_USER_TXN_COMPLETED);
     char *lines = strdup(effect->body);
-    event->status = BD_KV_NO_ANSWER;
+    event->user_txn.status = BD_KV_NO_ANSWER;
     if (lines)
         commit_lines(node, http, lines, event);
     free(lines);
-    set_request(event, effect);
-    event->text = effect->body;
+    event->user_txn.request = effect->request;
+    event->user_txn.purpose = effect->status;
+    snprintf(event->user_txn.job_id, sizeof event->user_txn.job_id, "%s", effect->key);
+    event->user_txn.body = effect->body;
     effect->body = NULL;
     bd_event_post(node, event);
 }
@@ -98,8 +93,11 @@
     struct bd_event *event = bd_event_new(BD_EVENT_JOB_LOOKUP_COMPLETED);
     char path[PATH_BYTES];
     snprintf(path, sizeof path, BD_PATH_KEYS "/j/%s", effect->key);
-    event->status = bd_kv_call(node, http, "GET", path, NULL, BD_KV_TIMEOUT_S, &event->json);
-    set_request(event, effect);
+    event->job_lookup.status =
+        bd_kv_call(node, http, "GET", path, NULL, BD_KV_TIMEOUT_S, &event->job_lookup.answer);
+    event->job_lookup.request = effect->request;
+    event->job_lookup.purpose = effect->status;
+    snprintf(event->job_lookup.job_id, sizeof event->job_lookup.job_id, "%s", effect->key);
     bd_event_post(node, event);
 }
 
--- a/src/adapters/peer_listener.c
+++ b/src/adapters/peer_listener.c
@@ -75,14 +75,14 @@
 {
     struct bd_event *event = bd_event_new(BD_EVENT_PEER_FRAME);
     size_t size = offsetof(struct bd_frame, jobs) + frame->count * sizeof frame->jobs[0];
-    event->data = malloc(size); /* without the space for jobs that it does not name */
-    if (!event->data)
+    event->peer_frame.frame = malloc(size); /* without the space for jobs that it does not name */
+    if (!event->peer_frame.frame)
         abort();
-    memcpy(event->data, frame, size);
-    event->sent = connection->heard;
+    memcpy(event->peer_frame.frame, frame, size);
+    event->peer_frame.received = connection->heard;
     if (frame->text) {
-        event->text = strndup(frame->text, frame->len);
-        event->len = frame->len;
+        event->peer_frame.text = strndup(frame->text, frame->len);
+        event->peer_frame.len = frame->len;
     }
     bool quiet = is_unchanged_status(connection, frame);
     if (!(quiet ? bd_queue_put_quietly(&node->events, event) : bd_queue_put(&node->events, event)))
--- a/src/adapters/worker_client.c
+++ b/src/adapters/worker_client.c
@@ -70,15 +70,15 @@
     snprintf(url, sizeof url, "http://%s" BD_PATH_COMMANDS, effect->addr);
     if (bd_before(bd_now(), effect->until)) {
         bd_http_call(http, "POST", url, effect->body, ANSWER_TIMEOUT_S, &response);
-        event->status = response.status;
-        event->text = response.body;
-        event->len = response.len;
+        event->direct_command.status = response.status;
+        event->direct_command.text = response.body;
+        event->direct_command.len = response.len;
     } else {
-        event->status = BD_DIRECT_NOT_SENT;
+        event->direct_command.status = BD_DIRECT_NOT_SENT;
     }
-    event->machine = effect->machine;
-    event->number = effect->fencing_token;
-    event->flag = effect->launch;
+    event->direct_command.machine = effect->machine;
+    event->direct_command.fencing_token = effect->fencing_token;
+    event->direct_command.launch = effect->launch;
     bd_effect_free(effect);
     bd_event_post(sender->node, event);
 }
--- a/src/runtime/event_apply.c
+++ b/src/runtime/event_apply.c
@@ -34,19 +34,20 @@
 
 static void apply_replica_refreshed(struct bd_node *node, const struct bd_event *event)
 {
-    if (event->ok)
-        apply_changes(node->core, bd_wire_log(event->json));
-    bd_replica_refreshed(node->core, event->after, event->store_revision, event->sent, event->flag,
-                         event->ok);
+    const struct bd_event_refresh *refresh = &event->refresh;
+    if (refresh->ok)
+        apply_changes(node->core, bd_wire_log(refresh->answer));
+    bd_replica_refreshed(node->core, refresh->after, refresh->store_revision, refresh->sent,
+                         refresh->is_barrier, refresh->ok);
 }
 
 static void apply_replica_listed(struct bd_node *node, const struct bd_event *event)
 {
-    bool last_page = event->flag;
-    apply_changes(node->core, event->json);
+    const struct bd_event_page *page = &event->page;
+    apply_changes(node->core, page->pairs);
     bd_replica_evict(node->core);
-    if (last_page)
-        bd_replica_listed(node->core, event->store_revision, event->sent);
+    if (page->is_last)
+        bd_replica_listed(node->core, page->store_revision, page->sent);
     atomic_store(&node->page_out, false);
 }
 
@@ -54,11 +55,12 @@
 {
     struct bd_change change;
     uint64_t grant;
-    long status = event->status;
-    if (status == HTTP_OK && !bd_wire_pair(event->json, &change, &grant))
+    const struct bd_event_job_lookup *lookup = &event->job_lookup;
+    long status = lookup->status;
+    if (status == HTTP_OK && !bd_wire_pair(lookup->answer, &change, &grant))
         status = 0;
-    bd_replica_lookup_completed(node->core, event->request, event->name, event->purpose, status,
-                                status == HTTP_OK ? &change : NULL);
+    bd_replica_lookup_completed(node->core, lookup->request, lookup->job_id, lookup->purpose,
+                                status, status == HTTP_OK ? &change : NULL);
 }
 
 static void apply_leader_txn(struct bd_node *node, const struct bd_event *event)
@@ -66,29 +68,32 @@
     struct bd_core *core = node->core;
     bd_metrics_time(node->metrics, BD_TIMING_COMMIT, bd_between(node->commit_sent, core->now));
     /* the outcome of an earlier term's transaction says nothing about ours */
-    if (event->term == core->lead.base_term && event->number == core->lead.sequence)
-        bd_leader_txn_completed(core, event->outcome, event->store_revision,
-                                bd_wire_failed(event->json));
+    const struct bd_event_leader_txn *txn = &event->leader_txn;
+    if (txn->term == core->lead.base_term && txn->sequence == core->lead.sequence)
+        bd_leader_txn_completed(core, txn->outcome, txn->store_revision,
+                                bd_wire_failed(txn->answer));
 }
 
 static void apply_heartbeat(struct bd_node *node, const struct bd_event *event)
 {
+    const struct bd_event_request *received = &event->user;
     const struct bd_heartbeat *heartbeat =
-        bd_heartbeat_cache_read(node->heartbeats, event->text, event->len);
+        bd_heartbeat_cache_read(node->heartbeats, received->text, received->len);
     if (heartbeat)
-        bd_worker_heartbeat_received(node->core, event->request, heartbeat, event->text,
-                                     event->len);
+        bd_worker_heartbeat_received(node->core, received->request, heartbeat, received->text,
+                                     received->len);
     else
-        bd_api_reply(node, event->request, HTTP_BAD_REQUEST,
+        bd_api_reply(node, received->request, HTTP_BAD_REQUEST,
                      strdup("{\"error\":\"malformed report\"}"), 0);
 }
 
 static void apply_direct_command(struct bd_node *node, const struct bd_event *event)
 {
+    const struct bd_event_direct_command *command = &event->direct_command;
     const struct bd_heartbeat *heartbeat =
-        bd_heartbeat_cache_read(node->heartbeats, event->text, event->len);
-    bd_worker_direct_command_completed(node->core, event->machine, event->number, event->flag,
-                                       event->status, heartbeat);
+        bd_heartbeat_cache_read(node->heartbeats, command->text, command->len);
+    bd_worker_direct_command_completed(node->core, command->machine, command->fencing_token,
+                                       command->launch, command->status, heartbeat);
 }
 
 static void apply_forwarded_heartbeat(struct bd_node *node, const struct bd_frame *frame,
@@ -111,20 +116,21 @@
 static void apply_peer_frame(struct bd_node *node, const struct bd_event *event)
 {
     struct bd_core *core = node->core;
-    const struct bd_frame *frame = event->data;
+    const struct bd_event_peer_frame *received = &event->peer_frame;
+    const struct bd_frame *frame = received->frame;
     switch (frame->type) {
     case BD_FRAME_STATUS:
-        apply_peer_status(core, frame, event->sent);
+        apply_peer_status(core, frame, received->received);
         break;
     case BD_FRAME_HEARTBEAT:
-        apply_forwarded_heartbeat(node, frame, event->text, event->len);
+        apply_forwarded_heartbeat(node, frame, received->text, received->len);
         break;
     case BD_FRAME_ANSWER:
-        bd_forward_reply_received(core, frame->id, frame->status, event->text, event->len);
+        bd_forward_reply_received(core, frame->id, frame->status, received->text, received->len);
         break;
     case BD_FRAME_CANCELLED:
-        if (event->len < BD_ID)
-            bd_job_cancellation_received(core, event->text);
+        if (received->len < BD_ID)
+            bd_job_cancellation_received(core, received->text);
         break;
     case BD_FRAME_PROGRESS:
         break;
@@ -136,9 +142,10 @@
 
 static void apply_leader_observed(struct bd_node *node, const struct bd_event *event)
 {
-    bool dismissed = event->flag;
+    const struct bd_event_leader *leader = &event->leader;
     if (node->core->role == BD_FOLLOWER && !node->pending_acquisition)
-        bd_core_leader_observed(node->core, event->name, event->number, event->sent, dismissed);
+        bd_core_leader_observed(node->core, leader->name, leader->revision, leader->sent,
+                                leader->dismisses_us);
 }
 
 /* Events of workers, peers and the cloud. */
@@ -156,16 +163,19 @@
         apply_peer_frame(node, event);
         break;
     case BD_EVENT_MACHINE_TYPES:
-        bd_inventory_types(core, event->data, (int)event->n);
+        bd_inventory_types(core, event->types.types, (int)event->types.n);
         break;
     case BD_EVENT_INVENTORY:
-        bd_inventory_machines(core, event->data, event->n, event->sent);
+        bd_inventory_machines(core, event->inventory.machines, event->inventory.n,
+                              event->inventory.sent);
         break;
     case BD_EVENT_SCALE_OUT_COMPLETED:
-        bd_scale_out_completed(core, event->name, event->status, event->data, (int)event->n);
+        bd_scale_out_completed(core, event->scaling.request, event->scaling.status,
+                               event->scaling.machines, (int)event->scaling.n);
         break;
     case BD_EVENT_SCALE_IN_COMPLETED:
-        bd_scale_in_completed(core, event->data, (int)event->n, event->status == HTTP_OK);
+        bd_scale_in_completed(core, event->scaling.machines, (int)event->scaling.n,
+                              event->scaling.status == HTTP_OK);
         break;
     default:
         break;
@@ -181,13 +191,13 @@
         apply_leader_observed(node, event);
         break;
     case BD_EVENT_LIVENESS_SENT:
-        bd_liveness_sent(core, event->sent);
+        bd_liveness_sent(core, event->liveness.sent);
         break;
     case BD_EVENT_LIVENESS_WRITTEN:
-        bd_liveness_written(core, event->sent);
+        bd_liveness_written(core, event->liveness.sent);
         break;
     case BD_EVENT_LEASE_RENEWED:
-        bd_leadership_renewed(core, event->number, event->sent);
+        bd_leadership_renewed(core, event->renewed.grant, event->renewed.sent);
         break;
     case BD_EVENT_LEADERSHIP_LOST:
         bd_leadership_lost(core);
@@ -203,15 +213,17 @@
     struct bd_core *core = node->core;
     switch (event->kind) {
     case BD_EVENT_USER_TXN_COMPLETED:
-        bd_user_txn_completed(core, event->request, event->name, event->text, event->purpose,
-                              event->status, event->store_revision);
+        bd_user_txn_completed(core, event->user_txn.request, event->user_txn.job_id,
+                              event->user_txn.body, event->user_txn.purpose, event->user_txn.status,
+                              event->user_txn.store_revision);
         break;
     case BD_EVENT_LEADER_TXN_COMPLETED:
         apply_leader_txn(node, event);
         break;
     case BD_EVENT_DELEGATE_TXN_COMPLETED:
-        bd_delegate_txn_completed(core, event->status, event->store_revision, event->sent,
-                                  event->flag);
+        bd_delegate_txn_completed(core, event->delegate_txn.status,
+                                  event->delegate_txn.store_revision, event->delegate_txn.sent,
+                                  event->delegate_txn.is_revision_known);
         break;
     case BD_EVENT_KV_RATE_EXCEEDED:
         bd_kv_rate_exceeded(core);
@@ -226,10 +238,10 @@
         apply_job_lookup(node, event);
         break;
     case BD_EVENT_DELEGATE_RECORDS:
-        bd_delegate_records_read(core, event->json, event->sent);
+        bd_delegate_records_read(core, event->records.records, event->records.sent);
         break;
     case BD_EVENT_DRAIN_RECORDS:
-        bd_drain_records(core, event->json, event->sets);
+        bd_drain_records(core, event->records.records, event->records.sets);
         break;
     default:
         apply_leadership_event(node, event);
@@ -240,13 +252,13 @@
 {
     switch (event->kind) {
     case BD_EVENT_USER_SUBMIT:
-        bd_user_submit(node->core, event->request, event->text, event->len);
+        bd_user_submit(node->core, event->user.request, event->user.text, event->user.len);
         break;
     case BD_EVENT_USER_STATUS:
-        bd_user_status(node->core, event->request, event->name);
+        bd_user_status(node->core, event->user.request, event->user.job_id);
         break;
     case BD_EVENT_USER_CANCEL:
-        bd_user_cancel(node->core, event->request, event->name);
+        bd_user_cancel(node->core, event->user.request, event->user.job_id);
         break;
     default:
         apply_store_event(node, event);
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -29,12 +29,13 @@
 {
     struct bd_event *event = node->pending_acquisition;
     if (!event || !node->core->replica.ready ||
-        node->core->replica.store_revision < event->gain.term)
+        node->core->replica.store_revision < event->acquired.acquisition.term)
         return;
     node->pending_acquisition = NULL;
-    event->gain.nonce = event->name;
-    bd_core_leadership_acquired(node->core, &event->gain);
-    bd_metrics_time(node->metrics, BD_TIMING_FAILOVER, bd_between(event->sent, bd_now()));
+    event->acquired.acquisition.nonce = event->acquired.nonce;
+    bd_core_leadership_acquired(node->core, &event->acquired.acquisition);
+    bd_metrics_time(node->metrics, BD_TIMING_FAILOVER,
+                    bd_between(event->acquired.acquired_at, bd_now()));
     bd_event_free(event);
 }
 
--- a/tests/direct_commands.c
+++ b/tests/direct_commands.c
@@ -102,7 +102,7 @@
             continue;
         struct bd_event *told = item;
         got++;
-        *not_sent += told->status == BD_DIRECT_NOT_SENT;
+        *not_sent += told->direct_command.status == BD_DIRECT_NOT_SENT;
         bd_event_free(told);
     }
     return got;
