--- /dev/null
+++ b/src/jobs/admission_record.c
@@ -0,0 +1,142 @@
+/* What the acceptance of a job writes: its record, and where a value does not hold the names of its
+ * parents, parts with those names (j/JOB/HASH/N), which are committed before the record that
+ * counts.
+ *
+ * The parts' keys hold a hash of the names: a retry by another controller writes the same parts,
+ * and a submission that differs does not overwrite them. */
+#include "jobs/jobs_internal.h"
+#include "model/core_state.h"
+#include "model/kv_limits.h"
+#include "wire/wire.h"
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#define PARTS_TXN_BYTES_MAX 50000u /* of one transaction that writes parts */
+#define PART_OVERHEAD_BYTES 32     /* of a part's value besides its names */
+#define NAME_OVERHEAD_BYTES 3      /* quotes and comma */
+
+/* Transactions as text, one a line. */
+struct txn_lines {
+    char *text; /* NULL: none yet */
+    size_t len;
+};
+
+/* Takes the line over. */
+static void append_line(struct txn_lines *lines, char *line)
+{
+    size_t len = strlen(line);
+    char *grown = realloc(lines->text, lines->len + len + 2);
+    if (!grown)
+        abort();
+    memcpy(grown + lines->len, line, len);
+    grown[lines->len + len] = '\n';
+    grown[lines->len + len + 1] = '\0';
+    lines->text = grown;
+    lines->len += len + 1;
+    free(line);
+}
+
+static double usable_value_bytes(const struct bd_core *core)
+{
+    return BD_VALUE_SHARE * (double)core->kv_limits.kv_value_bytes_max;
+}
+
+static bool fits_value(const struct bd_core *core, const json_t *value)
+{
+    return (double)bd_wire_bytes(value) <= usable_value_bytes(core);
+}
+
+static json_t *build_record(struct bd_admission *admission, bool with_names)
+{
+    admission->record.parents.names = with_names ? admission->parents : NULL;
+    return bd_wire_record(&admission->record);
+}
+
+/* The names from *next on that fit one value; moves *next behind them. The caller owns the list. */
+static json_t *take_names_for_part(const struct bd_core *core, const json_t *parents, size_t *next)
+{
+    double free_bytes = usable_value_bytes(core) - PART_OVERHEAD_BYTES;
+    json_t *names = json_array();
+    for (; *next < json_array_size(parents); ++*next) {
+        json_t *name = json_array_get(parents, *next);
+        free_bytes -= (double)json_string_length(name) + NAME_OVERHEAD_BYTES;
+        if (free_bytes <= 0)
+            break;
+        json_array_append(names, name);
+    }
+    return names;
+}
+
+static void put_part(const struct bd_core *core, struct bd_admission *admission, struct bd_txn *txn,
+                     size_t *next)
+{
+    struct bd_record_parents *parents = &admission->record.parents;
+    char key[2 * BD_LABEL];
+    snprintf(key, sizeof key, "j/%s/%s/%u", admission->id, parents->of, parents->parts++);
+    json_t *names = take_names_for_part(core, admission->parents, next);
+    bd_txn_put(txn, key, bd_wire_parents_part(names), 0);
+}
+
+/* Appends a transaction with the parts for the names from *next on. False: a value holds no name.
+ */
+static bool append_parts_txn(const struct bd_core *core, struct bd_admission *admission,
+                             size_t *next, struct txn_lines *lines)
+{
+    const struct bd_kv_limits *limits = &core->kv_limits;
+    size_t count = json_array_size(admission->parents), bytes = 0;
+    struct bd_txn txn;
+    char key[BD_LABEL];
+    bool progress = true;
+    snprintf(key, sizeof key, "j/%s", admission->id);
+    if (!bd_txn_begin(&txn))
+        abort();
+    bd_txn_compare(&txn, key, 0); /* once the job is accepted its parts are not needed any more */
+    for (size_t ops = 0; progress && *next < count && ops < limits->kv_txn_ops_max &&
+                         bytes + limits->kv_value_bytes_max < PARTS_TXN_BYTES_MAX;
+         ops++) {
+        size_t first = *next;
+        put_part(core, admission, &txn, next);
+        progress = *next > first;
+        bytes += limits->kv_value_bytes_max;
+    }
+    append_line(lines, bd_txn_finish(&txn));
+    return progress;
+}
+
+/* Appends the transactions that write all parts. False: there are too many, or a name is too long.
+ */
+static bool append_all_parts(const struct bd_core *core, struct bd_admission *admission,
+                             struct txn_lines *lines)
+{
+    struct bd_record_parents *parents = &admission->record.parents;
+    size_t next = 0, count = json_array_size(admission->parents);
+    snprintf(parents->of, sizeof parents->of, "%016llx",
+             (unsigned long long)bd_wire_names_hash(admission->parents));
+    while (next < count)
+        if (!append_parts_txn(core, admission, &next, lines))
+            return false;
+    return parents->parts <= BD_PARENT_PARTS_MAX;
+}
+
+char *bd_admission_txns(const struct bd_core *core, struct bd_admission *admission)
+{
+    struct txn_lines lines = {0};
+    json_t *record = build_record(admission, true);
+    if (fits_value(core, record))
+        return bd_record_txn(admission->id, 0, record);
+    json_decref(record);
+    record = NULL;
+    if (!admission->parents || !append_all_parts(core, admission, &lines))
+        goto too_large;
+    record = build_record(admission, false);
+    if (!fits_value(core, record))
+        goto too_large;
+    append_line(&lines, bd_record_txn(admission->id, 0, record));
+    return lines.text;
+
+too_large:
+    json_decref(record);
+    free(lines.text);
+    return NULL;
+}
--- /dev/null
+++ b/src/jobs/pending_reads.c
@@ -0,0 +1,127 @@
+/* Reads that the replica cannot answer at once: they wait for a read barrier, and where final
+ * records have been evicted, for a look-up of the record itself. */
+#include "base/timeutil.h"
+#include "jobs/jobs.h"
+#include "jobs/jobs_internal.h"
+#include "model/catalog.h"
+#include "model/core_state.h"
+#include "model/effect.h"
+#include "model/replica_state.h"
+#include "wire/wire.h"
+#include <stdio.h>
+#include <stdlib.h>
+
+struct bd_pending_read *bd_read_after_barrier(struct bd_core *core, void *request, const char *id,
+                                              enum bd_read_purpose purpose)
+{
+    struct bd_pending_read *read = calloc(1, sizeof *read);
+    if (!read)
+        abort();
+    read->request = request;
+    read->purpose = purpose;
+    snprintf(read->id, sizeof read->id, "%s", id);
+    read->next = core->replica.waiting;
+    core->replica.waiting = read;
+    return read;
+}
+
+void bd_job_lookup_emit(struct bd_core *core, void *request, const char *id,
+                        enum bd_read_purpose purpose)
+{
+    struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_JOB_LOOKUP);
+    effect->request = request;
+    effect->status = (int)purpose;
+    snprintf(effect->key, sizeof effect->key, "%s", id);
+}
+
+/* There is no such job. */
+static void reply_absent(struct bd_core *core, void *request, enum bd_read_purpose purpose)
+{
+    if (purpose == BD_READ_INVALID_SUBMISSION)
+        bd_effect_reply_error(core, request, 400, "malformed", 0);
+    else if (purpose == BD_READ_IMPOSSIBLE_SUBMISSION)
+        bd_effect_reply_error(core, request, 422, "can never run", 0);
+    else
+        bd_effect_reply_error(core, request, 404, "no such job", 0);
+}
+
+static void answer_with_job(struct bd_core *core, void *request, enum bd_read_purpose purpose,
+                            const struct bd_job *job)
+{
+    if (purpose == BD_READ_CANCEL && job->state == BD_JOB_ACTIVE)
+        bd_user_cancel_emit(core, request, job);
+    else
+        bd_user_reply_status(core, request, job);
+}
+
+/* Answers a read from the replica behind its barrier. */
+static void answer_read(struct bd_core *core, const struct bd_pending_read *read)
+{
+    const struct bd_job *job = bd_job_find(core, read->id);
+    if (read->accept && !job) {
+        bd_admission_resume(core, read->accept);
+        return;
+    }
+    bd_admission_drop(read->accept);
+    if (job)
+        answer_with_job(core, read->request, read->purpose, job);
+    else if (core->replica.evicted)
+        bd_job_lookup_emit(core, read->request, read->id, read->purpose);
+    else
+        reply_absent(core, read->request, read->purpose);
+}
+
+static void fail_read(struct bd_core *core, const struct bd_pending_read *read)
+{
+    bd_admission_drop(read->accept);
+    bd_user_reply_kv_unreachable(core, read->request, BD_KV_OUTAGE_RETRY_S);
+}
+
+static void complete_barrier(struct bd_core *core, bool ok)
+{
+    struct bd_pending_read *read = core->replica.asked;
+    core->replica.barrier_out = false;
+    core->replica.asked = NULL;
+    while (read) {
+        struct bd_pending_read *next = read->next;
+        if (ok)
+            answer_read(core, read);
+        else
+            fail_read(core, read);
+        free(read);
+        read = next;
+    }
+}
+
+void bd_replica_refreshed(struct bd_core *core, uint64_t after, uint64_t store_revision,
+                          struct timespec sent, bool barrier, bool ok)
+{
+    struct bd_replica *replica = &core->replica;
+    bool without_gap = after <= replica->store_revision;
+    if (ok && without_gap && store_revision > replica->store_revision)
+        replica->store_revision = store_revision;
+    if (ok)
+        replica->refreshed_at = bd_max(replica->refreshed_at, sent);
+    if (barrier)
+        complete_barrier(core, ok);
+}
+
+void bd_replica_lookup_completed(struct bd_core *core, void *request, const char *id, int purpose,
+                                 long status, const struct bd_change *change)
+{
+    enum bd_read_purpose read_purpose = (enum bd_read_purpose)purpose;
+    if (status == 200)
+        bd_replica_apply(core, change);
+    if (read_purpose == BD_READ_PARENT)
+        return;
+    const struct bd_job *job = bd_job_find(core, id);
+    bool is_unreadable = status == 200 && !job;
+    if (read_purpose == BD_READ_ADMISSION)
+        bd_admission_lookup_completed(core, request, is_unreadable ? 0 : status);
+    else if (status == 200 && job)
+        answer_with_job(core, request, read_purpose, job);
+    else if (status == 404)
+        reply_absent(core, request, read_purpose);
+    else
+        bd_user_reply_kv_unreachable(core, request, BD_KV_OUTAGE_RETRY_S);
+}
--- /dev/null
+++ b/src/jobs/replica_eviction.c
@@ -0,0 +1,82 @@
+/* Which final records stay in memory: the younger ones, and those that something else points to. */
+#include "jobs/jobs.h"
+#include "model/core_state.h"
+#include "model/leadership_state.h"
+#include "model/replica_state.h"
+#include <math.h>
+#include <stdlib.h>
+
+#define JOBS_MEMORY_SHARE 0.12  /* of the memory setting */
+#define JOBS_MIN 100            /* are always allowed */
+#define EVICTABLE_AFTER_S 600.0 /* users ask about younger ones */
+#define BYTES_PER_MB 1048576.0
+
+static uint32_t jobs_max(const struct bd_core *core)
+{
+    double bytes = core->settings->ram_mb * BYTES_PER_MB * JOBS_MEMORY_SHARE;
+    double jobs = bytes / sizeof(struct bd_job);
+    return jobs < JOBS_MIN ? JOBS_MIN : (uint32_t)jobs;
+}
+
+static void pin_intent_records(struct bd_core *core)
+{
+    for (uint32_t i = 0; i < core->lead.nintent_records; i++) {
+        const struct bd_intent_record *record = &core->lead.intent_records[i];
+        for (uint32_t k = 0; k < record->n; k++)
+            record->e[k].job->pinned = true;
+    }
+}
+
+static void pin_commit(const struct bd_commit *commit)
+{
+    for (uint32_t i = 0; i < commit->nplan; i++)
+        commit->plan[i].job->pinned = true;
+    for (uint32_t i = 0; i < commit->nreceipts; i++)
+        commit->receipts[i].job->pinned = true;
+    for (uint32_t i = 0; i < commit->ndone; i++)
+        commit->done[i]->pinned = true;
+    for (uint32_t i = 0; i < commit->ncancelled; i++)
+        commit->cancelled[i]->pinned = true;
+}
+
+/* Marks the jobs that something else points to. */
+static void pin_jobs(struct bd_core *core)
+{
+    for (struct bd_job *job = core->jobs; job; job = job->hh.next)
+        job->pinned = job->state == BD_JOB_ACTIVE || job->tasks || job->receipt_chunks ||
+                      job->cancelled_by_parent;
+    pin_intent_records(core);
+    if (core->lead.commit)
+        pin_commit(core->lead.commit);
+}
+
+/* By its end: a job that was cancelled just now may still run, and be asked about, however long ago
+ * it was submitted. */
+static bool is_evictable(const struct bd_core *core, const struct bd_job *job)
+{
+    return !job->pinned && core->wall - fmax(job->at, job->end) >= EVICTABLE_AFTER_S;
+}
+
+static void evict(struct bd_core *core, struct bd_job *job)
+{
+    HASH_DEL(core->jobs, job);
+    json_decref(job->record_spec);
+    free(job);
+    core->replica.evicted = true;
+}
+
+void bd_replica_evict(struct bd_core *core)
+{
+    struct bd_job *job, *next;
+    uint32_t max = jobs_max(core);
+    if (HASH_COUNT(core->jobs) <= max)
+        return;
+    pin_jobs(core);
+    HASH_ITER(hh, core->jobs, job, next)
+    {
+        if (HASH_COUNT(core->jobs) <= max)
+            return;
+        if (is_evictable(core, job))
+            evict(core, job);
+    }
+}
--- /dev/null
+++ b/src/jobs/submission_feasibility.c
@@ -0,0 +1,60 @@
+/* Whether a submitted job could ever run: machine types, zones and the team's quota. */
+#include "brambledoor/settings.h"
+#include "jobs/jobs_internal.h"
+#include "model/catalog.h"
+#include "model/core_state.h"
+#include "wire/wire.h"
+#include <string.h>
+
+#define ROUNDING 1e-9 /* of amounts that were read as decimal numbers */
+
+static bool fits_type(const struct bd_type *type, const struct bd_spec_text *spec, int zone)
+{
+    return type->known && spec->cpus <= type->cpus + ROUNDING &&
+           spec->gpus <= type->gpus + ROUNDING && spec->mem <= type->mem + ROUNDING &&
+           (zone < 0 || (type->zones >> zone & 1));
+}
+
+static bool exceeds_quota(double quota, double amount)
+{
+    return quota > 0 && amount > quota + ROUNDING;
+}
+
+static bool allows_type(const struct bd_spec_text *spec, const char *label)
+{
+    for (int i = 0; i < spec->ntypes; i++)
+        if (strcmp(spec->types[i], label) == 0)
+            return true;
+    return spec->ntypes < 0;
+}
+
+/* The zones, as bits, in which the job's tasks could run. */
+static uint32_t feasible_zones(const struct bd_core *core, const struct bd_spec_text *spec)
+{
+    uint32_t zones = 0;
+    int only = bd_zone_find(core, spec->zone);
+    if (*spec->zone && only < 0)
+        return 0;
+    for (int i = 0; i < core->ntypes; i++) {
+        const struct bd_type *type = &core->types[i];
+        if (allows_type(spec, type->label) && fits_type(type, spec, only))
+            zones |= type->zones & (only < 0 ? UINT32_MAX : 1u << only);
+    }
+    return zones;
+}
+
+bool bd_submission_is_feasible(const struct bd_core *core, const struct bd_spec_text *spec)
+{
+    int team = bd_team_index(core, spec->team);
+    if (team < 0)
+        return false;
+    const struct bd_team_quota *quota = &core->settings->teams[team];
+    double tasks_at_once = spec->kind == BD_JOB_ARRAY ? 1 : spec->tasks;
+    if (exceeds_quota(quota->cpus_quota, spec->cpus * tasks_at_once) ||
+        exceeds_quota(quota->gpus_quota, spec->gpus * tasks_at_once))
+        return false;
+    uint32_t zones = feasible_zones(core, spec);
+    bool single_zone = spec->same_zone || (zones & (zones - 1)) == 0;
+    bool needs_several_zones = spec->kind != BD_JOB_ARRAY && spec->tasks > 1 && spec->spread_zones;
+    return zones != 0 && !(needs_several_zones && single_zone);
+}
--- a/src/jobs/user_requests.c
+++ b/src/jobs/user_requests.c
@@ -1,4 +1,4 @@
-/* Users' requests: polls and cancellations. Part of the pure core. */
+/* Users' requests about known jobs: status and cancellation. */
 #include "base/timeutil.h"
 #include "jobs/jobs.h"
 #include "jobs/jobs_internal.h"
@@ -7,77 +7,91 @@
 #include "model/effect.h"
 #include "model/leadership_state.h"
 #include "model/replica_state.h"
-#include "wire/frame.h"
 #include "wire/wire.h"
-#include <math.h>
-#include <stdio.h>
 #include <string.h>
 
-void bd_user_reply_status(struct bd_core *core, void *request, const struct bd_job *job)
+#define KV_REACHABLE_S 2.0 /* since the newest refresh that was answered */
+
+static const char *state_name(const struct bd_job *job, uint32_t running)
 {
-    const char *state = "pending";
-    uint32_t done = job->ndone, run = job->nrunning;
-    if (core->role != BD_LEADER) {
-        done = job->shown_done;
-        run = job->shown_running;
+    switch (job->state) {
+    case BD_JOB_CANCELLED:
+        return "cancelled";
+    case BD_JOB_DONE:
+        return "done";
+    default:
+        return running > 0 ? "running" : "pending";
     }
-    if (job->state == BD_JOB_CANCELLED)
-        state = "cancelled";
-    else if (job->state == BD_JOB_DONE)
-        state = "done";
-    else if (run > 0)
-        state = "running";
+}
+
+void bd_user_reply_status(struct bd_core *core, void *request, const struct bd_job *job)
+{
+    bool leads = core->role == BD_LEADER;
+    uint32_t done = leads ? job->ndone : job->shown_done;
+    uint32_t running = leads ? job->nrunning : job->shown_running;
     if (job->state != BD_JOB_ACTIVE)
-        run = 0;
+        running = 0;
     if (job->state == BD_JOB_DONE)
         done = job->ntasks;
-    bd_effect_reply(core, request, 200, bd_wire_state(job->id, state, done, run), 0);
+    bd_effect_reply(core, request, 200,
+                    bd_wire_state(job->id, state_name(job, running), done, running), 0);
+}
+
+void bd_user_reply_kv_unreachable(struct bd_core *core, void *request, int retry_after_s)
+{
+    bd_effect_reply_error(core, request, 503, "state service not reached", retry_after_s);
 }
 
-/* Whether the state service answered lately: without it nothing can be accepted, and the user is
- * told so at once. */
 bool bd_kv_reachable(const struct bd_core *core)
 {
-    return core->replica.ready && bd_between(core->replica.refreshed_at, core->now) < 2.0;
+    return core->replica.ready &&
+           bd_between(core->replica.refreshed_at, core->now) < KV_REACHABLE_S;
 }
 
-void bd_user_status(struct bd_core *core, void *request, const char *id)
+static bool is_valid_id(const char *id)
+{
+    return bd_wire_job_id(id) && strlen(id) < BD_ID - 1;
+}
+
+/* Replies if the request needs neither a read barrier nor a transaction. True: it did. */
+static bool reply_at_once(struct bd_core *core, void *request, const char *id,
+                          const struct bd_job *job)
 {
-    struct bd_job *job = bd_job_find(core, id);
     if (job && job->state != BD_JOB_ACTIVE)
         bd_user_reply_status(core, request, job);
-    else if (!bd_wire_job_id(id) || strlen(id) >= BD_ID - 1)
+    else if (!is_valid_id(id))
         bd_effect_reply_error(core, request, 404, "no such job", 0);
     else if (!bd_kv_reachable(core))
-        bd_effect_reply_error(core, request, 503, "state service not reached", OUTAGE_RETRY_S);
+        bd_user_reply_kv_unreachable(core, request, BD_KV_OUTAGE_RETRY_S);
     else
-        bd_read_after_barrier(core, request, id, BD_READ_STATUS);
+        return false;
+    return true;
 }
 
-/* Without what only placing needs: it is no larger than what was accepted, and fits limits that are
- * lower now. */
-json_t *bd_cancelled_record(const struct bd_job *job)
+void bd_user_status(struct bd_core *core, void *request, const char *id)
 {
-    struct bd_record r = {.state = BD_JOB_CANCELLED, .tasks = job->ntasks, .at = job->at};
-    json_t *o = bd_wire_record(&r);
-    if (o && job->record_spec)
-        json_object_set_new(o, "job", bd_wire_ended_spec(job->record_spec));
-    return o;
+    if (!reply_at_once(core, request, id, bd_job_find(core, id)))
+        bd_read_after_barrier(core, request, id, BD_READ_STATUS);
 }
 
 void bd_user_cancel(struct bd_core *core, void *request, const char *id)
 {
     struct bd_job *job = bd_job_find(core, id);
-    if (job && job->state != BD_JOB_ACTIVE) {
-        bd_user_reply_status(core, request, job);
-    } else if (!bd_wire_job_id(id) || strlen(id) >= BD_ID - 1) {
-        bd_effect_reply_error(core, request, 404, "no such job", 0);
-    } else if (!bd_kv_reachable(core)) {
-        bd_effect_reply_error(core, request, 503, "state service not reached", OUTAGE_RETRY_S);
-    } else if (job) {
-        bd_user_txn_emit(core, request, id, job->revision, bd_cancelled_record(job),
-                         BD_READ_CANCEL);
-    } else { /* perhaps accepted by another node a moment ago */
+    if (reply_at_once(core, request, id, job))
+        return;
+    if (job)
+        bd_user_cancel_emit(core, request, job);
+    else /* perhaps another controller has just accepted it */
         bd_read_after_barrier(core, request, id, BD_READ_CANCEL);
-    }
-}
+}
+
+/* Without what only placement needs: it is no longer than what was accepted, so that it fits limits
+ * that have been lowered since. */
+json_t *bd_cancelled_record(const struct bd_job *job)
+{
+    struct bd_record record = {.state = BD_JOB_CANCELLED, .tasks = job->ntasks, .at = job->at};
+    json_t *json = bd_wire_record(&record);
+    if (json && job->record_spec)
+        json_object_set_new(json, "job", bd_wire_ended_spec(job->record_spec));
+    return json;
+}
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -1,4 +1,4 @@
-/* Jobs, as every controller knows them and as the leader serves them. */
+/* Jobs, as every controller knows them and as the leader schedules them. */
 #ifndef BD_JOB_H
 #define BD_JOB_H
 #include "model/task.h"
@@ -9,56 +9,66 @@
 struct bd_dependency_edge;
 struct bd_parent_job;
 
+/* What a job asks for, its names resolved by the catalog. Amounts are those of one task: cores,
+ * accelerators, GB. */
 struct bd_spec {
-    int job_class, team, image, zone; /* zone -1: any */
-    uint32_t types;                   /* bits of allowed types, all set for any */
+    int job_class, team, image, zone; /* team -1: not known; zone -1: any */
+    uint32_t types;                   /* bits of the allowed machine types */
     bool any_type;
     enum bd_job_kind kind;
     enum bd_priority priority;
-    double cpus, gpus, mem, image_gb, estimate, checkpoint_interval_s, checkpoint_save_s,
-        deadline_s;
+    double cpus, gpus, mem, image_gb;
+    double estimate; /* seconds that a task runs, by the user's estimate */
+    double checkpoint_interval_s, checkpoint_save_s, deadline_s; /* deadline < 0: none */
     bool same_zone, spread_zones, spot;
 };
 
+/* A job. Its record is applied by src/jobs/; its tasks are changed by task_state.c. */
 struct bd_job {
     UT_hash_handle hh;
     char id[BD_ID];
-    uint64_t revision;
+    uint64_t revision; /* of its record */
     enum bd_job_state state;
-    bool stale; /* a transaction saw another revision; wait for the change itself */
+    bool stale; /* a transaction saw another revision: nothing is written before it is read */
     bool dirty; /* has receipts to commit */
-    uint32_t ntasks, ndone, npending, nplaced, nrunning, shown_done, shown_running;
-    uint64_t receipt_chunks; /* bits of chunks committed */
-    uint32_t dirty_chunks;
-    double at;
-    struct timespec next_force;    /* when something may be stopped for it again */
-    struct timespec backoff_until; /* nothing is written of it before: see kv_limits.c */
+    uint32_t ntasks, ndone, npending, nplaced, nrunning;
+    uint32_t shown_done, shown_running; /* counts for users while no task is tracked */
+    uint64_t receipt_chunks;            /* bits of the chunks that are committed */
+    uint32_t dirty_chunks;              /* bits of the chunks to commit */
+    double at;                          /* time of day of its submission */
+    struct timespec next_force;         /* earliest time of the next preemption for it */
+    struct timespec backoff_until;      /* nothing is written of it before: see kv_limits.c */
     struct timespec hold_until, last_placed_at, last_started_at;
-    uint32_t restarts;                     /* tasks that lost a place they had */
-    struct timespec cancellation_heard_at; /* when another controller said that it is cancelled */
-    bool started;                          /* some start of it was committed in this term */
+    uint32_t restarts;                     /* tasks that lost their reservation after a launch */
+    struct timespec cancellation_heard_at; /* announced by another controller; 0: not */
+    bool started;                          /* a start of it was committed in this term */
     uint32_t errors;
-    uint32_t runs, longest_run; /* finished tasks seen from begin to end, and tenths of a second */
+    uint32_t runs, longest_run; /* tasks seen from start to end, and tenths of a second */
     struct bd_spec spec;
-    bool has_spec, within_guaranteed_share, pinned;
-    /* what it waits for, see dependency_graph.c */
-    struct bd_dependency_edge *parent_edges;
-    uint32_t nparent_edges, nopen_parents; /* it is ready when none is open */
-    struct bd_parent_job *parent;          /* who waits for it */
-    uint32_t parts; /* of its needs, some of which have not been seen; 0: complete */
-    char parts_of[BD_HASH];
-    bool in_dag;               /* it waits, or waited, for others: its due time is minded */
-    bool cancelled_by_parent;  /* cancelled because a job before it is: its record does not say so
-                                  yet */
-    double ready, end;         /* by the time of day: when it could begin; when it was done */
-    enum bd_priority priority; /* the highest among it and all that need it */
-    double finish_by; /* when it must be done for all of them to be in time; infinite: no matter */
-    struct bd_job *todo;
+    bool has_spec, within_guaranteed_share;
+    bool pinned; /* something else points to it: not evicted */
+
+    /* its place in the dependency graph, see dependency_graph.c */
+    struct bd_dependency_edge *parent_edges; /* owned array: those that it waits for */
+    uint32_t nparent_edges;
+    uint32_t nopen_parents;          /* it is ready when none is open */
+    struct bd_parent_job *as_parent; /* its entry as a parent; NULL: nobody waits for it */
+    uint32_t parent_parts;           /* of its list of parents, not all read; 0: complete */
+    char parent_parts_hash[BD_HASH];
+    bool in_dag;               /* it has or had parents: its deadline counts */
+    bool cancelled_by_parent;  /* its own record does not say so yet */
+    double ready, end;         /* time of day: when it could start; when it was done */
+    enum bd_priority priority; /* the highest among its own and its dependents' */
+    double finish_by;          /* time of day by which it must be done for its own and its
+                                  dependents' deadlines; infinite: none */
+    struct bd_job *next_work;  /* in a work list of the graph's functions */
+
     int job_class;         /* -1: not known */
-    json_t *record_spec;   /* the record's own text of the job, kept for rewriting */
-    struct bd_task *tasks; /* only while leading */
+    json_t *record_spec;   /* the job as its record has it, kept for rewriting */
+    struct bd_task *tasks; /* owned; only while leading */
 };
 
+/* A task that holds resources of a machine. */
 struct bd_reservation {
     struct bd_job *job;
     uint32_t task;
--- a/src/model/replica_state.h
+++ b/src/model/replica_state.h
@@ -1,6 +1,5 @@
-/* The jobs' records in memory, and the reads that wait for a read barrier. Changed by src/jobs/
- * only.
- */
+/* The replica of the jobs' records, and the reads that wait for a read barrier. Changed by
+ * src/jobs/, which owns it, and by the core's step, which starts the barrier. */
 #ifndef BD_REPLICA_STATE_H
 #define BD_REPLICA_STATE_H
 #include "wire/wire.h"
@@ -10,33 +9,34 @@
 
 struct bd_admission;
 
-/* What a read behind a barrier, or a user's transaction, was made for. */
+/* What a read behind a barrier, a look-up, or a user's transaction is for. */
 enum bd_read_purpose {
-    BD_READ_STATUS,
+    BD_READ_STATUS, /* also a submission's transaction */
     BD_READ_CANCEL,
     BD_READ_INVALID_SUBMISSION,
     BD_READ_IMPOSSIBLE_SUBMISSION,
-    BD_READ_ADMISSION, /* a submission that names jobs which are not in memory */
-    BD_READ_PARENT     /* nobody: a record that a job waits for */
+    BD_READ_ADMISSION, /* a submission whose parents are not all in memory */
+    BD_READ_PARENT     /* the graph: nobody waits for a reply */
 };
 
-struct bd_pending_read { /* a poll that waits for a read barrier */
+/* A user's request that waits for a read barrier. */
+struct bd_pending_read {
     void *request;
     char id[BD_ID];
     enum bd_read_purpose purpose;
-    struct bd_admission *accept;
+    struct bd_admission *accept; /* owned; NULL: no submission */
     struct bd_pending_read *next;
 };
 
-/* The jobs' records in memory. Owned by replica.c. */
+/* The state of the replica; the records themselves are core->jobs. */
 struct bd_replica {
-    uint64_t store_revision;
-    bool ready;
-    bool evicted; /* some old final records are not in memory any more */
+    uint64_t store_revision; /* up to which all changes have been applied */
+    bool ready;              /* all records have been listed once */
+    bool evicted;            /* some old final records are not in memory any more */
     struct timespec next_evict;
-    struct timespec refreshed_at; /* when the newest refresh that was answered was sent */
-    struct bd_pending_read *waiting,
-        *asked; /* questions that wait for a read barrier; for the one under way */
-    bool barrier_out;
+    struct timespec refreshed_at;    /* when the newest refresh that was answered was sent */
+    struct bd_pending_read *waiting; /* reads for the next read barrier */
+    struct bd_pending_read *asked;   /* reads for the barrier in flight */
+    bool barrier_out;                /* a barrier is in flight */
 };
 #endif
