--- a/src/model/decision_log.c
+++ b/src/model/decision_log.c
@@ -8,199 +8,237 @@
 #include <stdio.h>
 #include <string.h>
 
-/* named defaults */
-#define LINES_A_SECOND 40.0
-#define LINES_AT_ONCE 400.0 /* a takeover of some hundred machines */
-
-static const char *const ends[] = {[BD_RELEASE_INTENT_NOT_COMMITTED] = "not_committed",
-                                   [BD_RELEASE_LAUNCH_NOT_SENT] = "not_sent",
-                                   [BD_RELEASE_EXITED] = "exited",
-                                   [BD_RELEASE_NOT_REPORTED] = "not_reported",
-                                   [BD_RELEASE_NEW_INCARNATION] = "new_incarnation",
-                                   [BD_RELEASE_LEASE_EXPIRED] = "lease_expired",
-                                   [BD_RELEASE_MACHINE_GONE] = "machine_gone",
-                                   [BD_RELEASE_MACHINE_FAILED] = "machine_failed",
-                                   [BD_RELEASE_MOVED] = "moved",
-                                   [BD_RELEASE_DONE] = "done"};
-static const char *const stops[] = {
+#define LINES_PER_S 40.0
+#define LINES_BURST 400.0 /* a failover with some hundred machines */
+#define LINE_BYTES 384
+#define DETAILS_BYTES 64
+#define RANGE_BYTES 32 /* of one range of tasks, with its comma */
+
+static const char *const release_names[] = {[BD_RELEASE_INTENT_NOT_COMMITTED] = "not_committed",
+                                            [BD_RELEASE_LAUNCH_NOT_SENT] = "not_sent",
+                                            [BD_RELEASE_EXITED] = "exited",
+                                            [BD_RELEASE_NOT_REPORTED] = "not_reported",
+                                            [BD_RELEASE_NEW_INCARNATION] = "new_incarnation",
+                                            [BD_RELEASE_LEASE_EXPIRED] = "lease_expired",
+                                            [BD_RELEASE_MACHINE_GONE] = "machine_gone",
+                                            [BD_RELEASE_MACHINE_FAILED] = "machine_failed",
+                                            [BD_RELEASE_MOVED] = "moved",
+                                            [BD_RELEASE_DONE] = "done"};
+static const char *const stop_names[] = {
     [BD_STOP_CANCELLED] = "cancelled",       [BD_STOP_PREEMPTED] = "preempted",
     [BD_STOP_CONSOLIDATED] = "consolidated", [BD_STOP_DRAINED] = "drained",
     [BD_STOP_EVACUATED] = "evacuated",       [BD_STOP_GANG] = "gang"};
-static const char *const states[] = {"pending",   "planned", "launching",
-                                     "confirmed", "unknown", "done"};
+static const char *const state_names[] = {
+    [BD_TASK_PENDING] = "pending",     [BD_TASK_PLANNED] = "planned",
+    [BD_TASK_LAUNCHING] = "launching", [BD_TASK_CONFIRMED] = "confirmed",
+    [BD_TASK_UNKNOWN] = "unknown",     [BD_TASK_DONE] = "done"};
 
-static bool wanted(const struct bd_core *core)
+static bool is_enabled(const struct bd_core *core)
 {
     return core->log && core->log->level >= BD_LOG_INFO;
 }
 
-static void write_line(struct bd_core *core, const char *text)
+/* ---- the rate ---- */
+
+static void refill_lines(struct bd_decision_log *decision_log, struct timespec now)
+{
+    double lines = decision_log->lines + LINES_PER_S * bd_between(decision_log->lines_at, now);
+    decision_log->lines = lines > LINES_BURST ? LINES_BURST : lines;
+    decision_log->lines_at = now;
+}
+
+/* Takes one line from the rate's budget; a line that it does not allow is counted. After a
+ * suppression it waits for a second's lines, so that whole runs of lines are written or none. */
+static bool may_write_line(struct bd_core *core)
 {
     struct bd_decision_log *decision_log = &core->decision_log;
-    decision_log->lines += LINES_A_SECOND * bd_between(decision_log->lines_at, core->now);
-    decision_log->lines = decision_log->lines > LINES_AT_ONCE ? LINES_AT_ONCE : decision_log->lines;
-    decision_log->lines_at = core->now;
-    /* once it is used up, not line by line: a second's lines at a time */
-    double enough = decision_log->suppressed > 0 ? LINES_A_SECOND : 1;
-    if (decision_log->lines < enough) {
+    refill_lines(decision_log, core->now);
+    double wanted = decision_log->suppressed > 0 ? LINES_PER_S : 1;
+    if (decision_log->lines < wanted) {
         decision_log->suppressed++;
-        return;
+        return false;
     }
     if (decision_log->suppressed > 0)
         bd_log_write(core->log, BD_LOG_INFO, "event=suppressed lines=%u", decision_log->suppressed);
     decision_log->suppressed = 0;
     decision_log->lines--;
-    bd_log_write(core->log, BD_LOG_INFO, "%s", text);
+    return true;
 }
 
-/* The open range behind those that are closed. False: there is no room for it. */
+/* ---- tasks that share a line ---- */
+
+/* Appends the open range to the closed ones. False: there is no space for it. */
 static bool close_range(struct bd_decision_log *decision_log)
 {
-    size_t len = strlen(decision_log->ranges), capacity = sizeof decision_log->ranges - len;
-    const char *comma = len > 0 ? "," : "";
-    int n = decision_log->from == decision_log->to
-                ? snprintf(decision_log->ranges + len, capacity, "%s%u", comma, decision_log->from)
-                : snprintf(decision_log->ranges + len, capacity, "%s%u-%u", comma,
-                           decision_log->from, decision_log->to);
-    if (n >= 0 && (size_t)n < capacity)
+    size_t used = strlen(decision_log->ranges), size = sizeof decision_log->ranges - used;
+    char *end = decision_log->ranges + used;
+    const char *comma = used > 0 ? "," : "";
+    int len = decision_log->from == decision_log->to
+                  ? snprintf(end, size, "%s%u", comma, decision_log->from)
+                  : snprintf(end, size, "%s%u-%u", comma, decision_log->from, decision_log->to);
+    if (len >= 0 && (size_t)len < size)
         return true;
-    decision_log->ranges[len] = '\0';
+    *end = '\0';
     return false;
 }
 
 void bd_decision_log_flush(struct bd_core *core)
 {
     struct bd_decision_log *decision_log = &core->decision_log;
-    char line[sizeof decision_log->head + sizeof decision_log->tail + sizeof decision_log->ranges +
-              16];
     if (!decision_log->open)
         return;
     decision_log->open = false;
+    if (!may_write_line(core))
+        return;
     (void)close_range(decision_log);
-    snprintf(line, sizeof line, "%s task=%s %s", decision_log->head, decision_log->ranges,
-             decision_log->tail);
-    write_line(core, line);
+    bd_log_write(core->log, BD_LOG_INFO, "%s task=%s %s", decision_log->head, decision_log->ranges,
+                 decision_log->tail);
 }
 
-/* Adds the task to the line that is being gathered, if all else is the same. */
-static bool joins(struct bd_decision_log *decision_log, const char *head, const char *tail,
-                  uint32_t task)
+static bool continues_line(const struct bd_decision_log *decision_log, const char *head,
+                           const char *tail)
+{
+    return decision_log->open && strcmp(decision_log->head, head) == 0 &&
+           strcmp(decision_log->tail, tail) == 0;
+}
+
+/* Adds the task to the open line. False: there is no space for it. */
+static bool add_task(struct bd_decision_log *decision_log, uint32_t task)
 {
-    if (!decision_log->open || strcmp(decision_log->head, head) != 0 ||
-        strcmp(decision_log->tail, tail) != 0)
-        return false;
     if (task == decision_log->to + 1) {
         decision_log->to = task;
         return true;
     }
-    if (strlen(decision_log->ranges) + 32 > sizeof decision_log->ranges ||
+    if (strlen(decision_log->ranges) + RANGE_BYTES > sizeof decision_log->ranges ||
         !close_range(decision_log))
         return false;
     decision_log->from = decision_log->to = task;
     return true;
 }
 
-/* What is known of the machine: its session, the number of its newest report, the highest token
- * that it has seen; and the token by which we lead. */
-static void evidence(const struct bd_core *core, const struct bd_machine *machine, const char *why,
-                     char *out, size_t cap)
+static void open_line(struct bd_decision_log *decision_log, const char *head, const char *tail,
+                      uint32_t task)
+{
+    snprintf(decision_log->head, sizeof decision_log->head, "%s", head);
+    snprintf(decision_log->tail, sizeof decision_log->tail, "%s", tail);
+    decision_log->ranges[0] = '\0';
+    decision_log->from = decision_log->to = task;
+    decision_log->open = true;
+}
+
+/* ---- evidence ---- */
+
+void bd_decision_log_evidence(char *out, size_t size, uint64_t incarnation, uint64_t heartbeat,
+                              uint64_t token_seen, uint64_t term)
+{
+    snprintf(out, size, "incarnation=%llu heartbeat=%llu token_seen=%llu term=%llu",
+             (unsigned long long)incarnation, (unsigned long long)heartbeat,
+             (unsigned long long)token_seen, (unsigned long long)term);
+}
+
+/* The end of a line: the machine, the details, and what is known of the machine. */
+static void format_tail(const struct bd_core *core, const struct bd_machine *machine,
+                        const char *details, char *out, size_t size)
 {
-    const char *space = why && *why ? " " : "";
-    if (machine)
-        snprintf(out, cap,
-                 "machine=%s %s%sincarnation=%llu heartbeat=%llu token_seen=%llu term=%llu",
-                 machine->id, why ? why : "", space, (unsigned long long)machine->incarnation,
-                 (unsigned long long)machine->seq, (unsigned long long)machine->fencing_token,
-                 (unsigned long long)core->lead.term);
-    else
-        snprintf(out, cap, "machine=- %s%sterm=%llu", why ? why : "", space,
-                 (unsigned long long)core->lead.term);
+    const char *text = details ? details : "", *space = *text ? " " : "";
+    uint64_t term = core->lead.term;
+    if (!machine) {
+        snprintf(out, size, "machine=- %s%sterm=%llu", text, space, (unsigned long long)term);
+        return;
+    }
+    char evidence[BD_DECISION_LOG_EVIDENCE_BYTES];
+    bd_decision_log_evidence(evidence, sizeof evidence, machine->incarnation, machine->seq,
+                             machine->fencing_token, term);
+    snprintf(out, size, "machine=%s %s%s%s", machine->id, text, space, evidence);
 }
 
+/* ---- events ---- */
+
 void bd_decision_log_task(struct bd_core *core, const char *event, const struct bd_job *job,
                           uint32_t task, uint64_t attempt, const struct bd_machine *machine,
-                          const char *why)
+                          const char *details)
 {
     struct bd_decision_log *decision_log = &core->decision_log;
     char head[sizeof decision_log->head], tail[sizeof decision_log->tail];
-    if (!wanted(core))
+    if (!is_enabled(core))
         return;
     snprintf(head, sizeof head, "event=%s job=%s attempt=%llu", event, job->id,
              (unsigned long long)attempt);
-    evidence(core, machine, why, tail, sizeof tail);
-    if (joins(decision_log, head, tail, task))
+    format_tail(core, machine, details, tail, sizeof tail);
+    if (continues_line(decision_log, head, tail) && add_task(decision_log, task))
         return;
     bd_decision_log_flush(core);
-    memcpy(decision_log->head, head, sizeof head);
-    memcpy(decision_log->tail, tail, sizeof tail);
-    decision_log->ranges[0] = '\0';
-    decision_log->from = decision_log->to = task;
-    decision_log->open = true;
+    open_line(decision_log, head, tail, task);
 }
 
 void bd_decision_log_machine(struct bd_core *core, const char *event,
-                             const struct bd_machine *machine, const char *why)
+                             const struct bd_machine *machine, const char *details)
 {
-    char line[384], tail[256];
-    if (!wanted(core))
+    char tail[sizeof core->decision_log.tail];
+    if (!is_enabled(core))
         return;
     bd_decision_log_flush(core);
-    evidence(core, machine, why, tail, sizeof tail);
-    snprintf(line, sizeof line, "event=%s %s", event, tail);
-    write_line(core, line);
+    if (!may_write_line(core))
+        return;
+    format_tail(core, machine, details, tail, sizeof tail);
+    bd_log_write(core->log, BD_LOG_INFO, "event=%s %s", event, tail);
 }
 
-/* `always`: beyond the rate too. */
-static void note(struct bd_core *core, bool always, const char *event, const char *fmt, va_list ap)
+static void write_event(const struct bd_core *core, const char *event, const char *format,
+                        va_list arguments)
 {
-    char line[384];
-    if (!wanted(core))
-        return;
-    bd_decision_log_flush(core);
-    int n = snprintf(line, sizeof line, "event=%s ", event);
-    (void)vsnprintf(line + n, sizeof line - (size_t)n, fmt, ap);
-    if (always)
-        bd_log_write(core->log, BD_LOG_INFO, "%s", line);
-    else
-        write_line(core, line);
+    char line[LINE_BYTES];
+    int len = snprintf(line, sizeof line, "event=%s ", event);
+    (void)vsnprintf(line + len, sizeof line - (size_t)len, format, arguments);
+    bd_log_write(core->log, BD_LOG_INFO, "%s", line);
 }
 
-void bd_decision_log_note(struct bd_core *core, const char *event, const char *fmt, ...)
+void bd_decision_log_note(struct bd_core *core, const char *event, const char *format, ...)
 {
-    va_list ap;
-    va_start(ap, fmt);
-    note(core, false, event, fmt, ap);
-    va_end(ap);
+    va_list arguments;
+    if (!is_enabled(core))
+        return;
+    bd_decision_log_flush(core);
+    if (!may_write_line(core))
+        return;
+    va_start(arguments, format);
+    write_event(core, event, format, arguments);
+    va_end(arguments);
 }
 
-void bd_decision_log_term(struct bd_core *core, const char *event, const char *fmt, ...)
+void bd_decision_log_term(struct bd_core *core, const char *event, const char *format, ...)
 {
-    va_list ap;
-    va_start(ap, fmt);
-    note(core, true, event, fmt, ap);
-    va_end(ap);
+    va_list arguments;
+    if (!is_enabled(core))
+        return;
+    bd_decision_log_flush(core);
+    va_start(arguments, format);
+    write_event(core, event, format, arguments);
+    va_end(arguments);
 }
 
-void bd_decision_log_release(struct bd_core *core, const struct bd_job *job, uint32_t task,
-                             enum bd_release_reason why)
+void bd_decision_log_release(struct bd_core *core, const struct bd_job *job, uint32_t index,
+                             enum bd_release_reason reason)
 {
-    const struct bd_task *held = &job->tasks[task];
-    char text[64];
-    if (!wanted(core))
+    const struct bd_task *task = &job->tasks[index];
+    char details[DETAILS_BYTES];
+    if (!is_enabled(core))
         return;
-    snprintf(text, sizeof text, "why=%s state=%s", ends[why], states[held->state]);
-    bd_decision_log_task(core, "reservation_released", job, task, held->attempt,
-                         bd_machine_of(core, held->machine), text);
+    snprintf(details, sizeof details, "why=%s state=%s", release_names[reason],
+             state_names[task->state]);
+    bd_decision_log_task(core, "reservation_released", job, index, task->attempt,
+                         bd_machine_of(core, task->machine), details);
 }
 
-void bd_decision_log_stop(struct bd_core *core, const struct bd_job *job, uint32_t task,
-                          enum bd_stop_reason why, bool force)
+void bd_decision_log_stop(struct bd_core *core, const struct bd_job *job, uint32_t index,
+                          enum bd_stop_reason reason, bool force)
 {
-    const struct bd_task *held = &job->tasks[task];
-    char text[64];
-    if (!wanted(core))
+    const struct bd_task *task = &job->tasks[index];
+    char details[DETAILS_BYTES];
+    if (!is_enabled(core))
         return;
-    snprintf(text, sizeof text, "why=%s force=%d state=%s", stops[why], force, states[held->state]);
-    bd_decision_log_task(core, "stop_requested", job, task, held->attempt,
-                         bd_machine_of(core, held->machine), text);
+    snprintf(details, sizeof details, "why=%s force=%d state=%s", stop_names[reason], force,
+             state_names[task->state]);
+    bd_decision_log_task(core, "stop_requested", job, index, task->attempt,
+                         bd_machine_of(core, task->machine), details);
 }
--- a/src/model/effect.c
+++ b/src/model/effect.c
@@ -5,51 +5,63 @@
 #include <stdlib.h>
 #include <string.h>
 
+#define ERROR_BODY_BYTES 160
+
 struct bd_effect *bd_effect_emit(struct bd_core *core, enum bd_effect_kind kind)
 {
-    struct bd_effect *e = calloc(1, sizeof *e);
-    if (!e)
-        abort(); /* out of memory: the supervisor restarts us, the state service has it all */
-    e->kind = kind;
+    struct bd_effect *effect = calloc(1, sizeof *effect);
+    if (!effect)
+        abort();
+    effect->kind = kind;
     if (core->last)
-        core->last->next = e;
+        core->last->next = effect;
     else
-        core->first = e;
-    core->last = e;
-    return e;
+        core->first = effect;
+    core->last = effect;
+    return effect;
+}
+
+/* Takes the remote request over. */
+static struct bd_effect *emit_forward_reply(struct bd_core *core, struct bd_remote *remote)
+{
+    struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_FORWARD_REPLY);
+    effect->peer = remote->peer;
+    effect->forward_id = remote->id;
+    free(remote);
+    return effect;
 }
 
-void bd_effect_reply(struct bd_core *core, void *request, int status, char *body, int retry_after)
+static struct bd_effect *emit_local_reply(struct bd_core *core, void *request)
 {
-    struct bd_remote *q = request;
-    bool remote = q && q->remote;
-    struct bd_effect *effect =
-        bd_effect_emit(core, remote ? BD_EFFECT_FORWARD_REPLY : BD_EFFECT_REPLY);
-    effect->request = remote ? NULL : request;
-    if (remote) {
-        effect->peer = q->peer;
-        effect->forward_id = q->id;
-        free(q);
-    }
+    struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_REPLY);
+    effect->request = request;
+    return effect;
+}
+
+void bd_effect_reply(struct bd_core *core, void *request, int status, char *body, int retry_after_s)
+{
+    struct bd_remote *remote = request;
+    struct bd_effect *effect = remote && remote->remote ? emit_forward_reply(core, remote)
+                                                        : emit_local_reply(core, request);
     effect->status = status;
     effect->body = body;
-    effect->retry_after = retry_after;
+    effect->retry_after = retry_after_s;
 }
 
 void bd_effect_reply_error(struct bd_core *core, void *request, int status, const char *why,
-                           int retry_after)
+                           int retry_after_s)
 {
-    char buf[160];
-    snprintf(buf, sizeof buf, "{\"error\":\"%s\"}", why);
-    bd_effect_reply(core, request, status, strdup(buf), retry_after);
+    char body[ERROR_BODY_BYTES];
+    snprintf(body, sizeof body, "{\"error\":\"%s\"}", why);
+    bd_effect_reply(core, request, status, strdup(body), retry_after_s);
 }
 
 struct bd_effect *bd_effects_take(struct bd_core *core)
 {
-    bd_decision_log_flush(core); /* what allowed them is in the log before they are carried out */
-    struct bd_effect *effect = core->first;
+    bd_decision_log_flush(core); /* the decisions are logged before they are carried out */
+    struct bd_effect *effects = core->first;
     core->first = core->last = NULL;
-    return effect;
+    return effects;
 }
 
 void bd_effect_free(struct bd_effect *effect)
--- a/src/model/effect.h
+++ b/src/model/effect.h
@@ -1,14 +1,17 @@
-/* What the core wants done, for the adapters. */
+/* Effects: what the core wants done by the adapters, in the order in which it was decided.
+ *
+ * Owns the list core->first..last. Emitted by all of the core, taken and carried out by the
+ * runtime. */
 #ifndef BD_EFFECT_H
 #define BD_EFFECT_H
 #include "wire/wire.h"
 
-/* What a request is to the core: the API server's own, or one that another controller passed on.
+/* What a request is to the core: the API server's own, or one that another controller forwarded.
  * Both begin alike, so that a reply finds its way. */
 struct bd_remote {
     bool remote;
-    int peer;
-    uint64_t id;
+    int peer;    /* that forwarded it */
+    uint64_t id; /* by which that peer knows it */
 };
 
 enum bd_effect_kind {
@@ -19,53 +22,56 @@
     BD_EFFECT_SCALE_OUT,
     BD_EFFECT_SCALE_IN,
     BD_EFFECT_READ_BARRIER,
-    BD_EFFECT_STEP_DOWN, /* the term is over; status: BD_LOST_... */
+    BD_EFFECT_STEP_DOWN, /* the term is over; status: enum bd_step_down_reason */
     BD_EFFECT_DELEGATE_TXN,
-    BD_EFFECT_JOB_LOOKUP, /* one job's record: request, key is the id, status is how it was asked */
-    BD_EFFECT_FORWARD_HEARTBEAT,    /* a report to the leader */
-    BD_EFFECT_FORWARD_REPLY,        /* the answer to a forwarded one */
+    BD_EFFECT_JOB_LOOKUP,           /* reads one job's record: key is its id */
+    BD_EFFECT_FORWARD_HEARTBEAT,    /* to the leader */
+    BD_EFFECT_FORWARD_REPLY,        /* to the peer that forwarded the heartbeat */
     BD_EFFECT_ANNOUNCE_CANCELLATION /* a cancellation was confirmed: key is the job's id */
 };
 
-enum {
+enum bd_step_down_reason {
     BD_STEP_DOWN_LEASE_LOST,
-    BD_STEP_DOWN_RESIGNED
-}; /* given up: the grant still lives and is to be ended */
+    BD_STEP_DOWN_RESIGNED /* the grant is still valid and is to be ended */
+};
 
-/* Instead of a direct command's HTTP status: it was still in our own queue when the right to it was
- * over, and was not sent. Nothing of it is on its way. */
+/* Instead of a direct command's HTTP status: it was still queued here when its deadline passed, and
+ * was not sent. */
 #define BD_DIRECT_NOT_SENT (-1L)
 
+/* Which fields are set depends on the kind; those of the kinds in brackets. */
 struct bd_effect {
     enum bd_effect_kind kind;
-    void *request;   /* REPLY, USER_COMMIT */
-    int status;      /* REPLY; USER_COMMIT, LOOKUP: how it was asked */
-    int retry_after; /* REPLY: 0 none */
-    char key[BD_LABEL];
-    char *body;
-    char addr[BD_LABEL];    /* DO */
-    uint64_t fencing_token; /* DO */
-    struct timespec until;  /* DO: by our steady clock; later the right to it may be over */
-    uint32_t machine;       /* DO */
-    bool launch;            /* DO: launches are among the commands */
-    uint64_t sequence;      /* COMMIT; key is the term */
-    uint64_t forward_id;    /* FORWARD, ANSWER */
-    int peer;               /* FORWARD, ANSWER: to whom */
+    void *request;          /* [REPLY, USER_TXN, JOB_LOOKUP] */
+    int status;             /* [REPLY] HTTP status; [USER_TXN, JOB_LOOKUP] enum
+                               bd_read_purpose; [STEP_DOWN] enum bd_step_down_reason */
+    int retry_after;        /* [REPLY] seconds; 0: none */
+    char key[BD_LABEL];     /* [LEADER_TXN] the term; see the other kinds */
+    char *body;             /* owned; NULL: none */
+    char addr[BD_LABEL];    /* [DIRECT_COMMAND] */
+    uint64_t fencing_token; /* [DIRECT_COMMAND] */
+    struct timespec until;  /* [DIRECT_COMMAND] deadline for sending, by our steady clock */
+    uint32_t machine;       /* [DIRECT_COMMAND] */
+    bool launch;            /* [DIRECT_COMMAND] launches are among the commands */
+    uint64_t sequence;      /* [LEADER_TXN] */
+    uint64_t forward_id;    /* [FORWARD_HEARTBEAT, FORWARD_REPLY] */
+    int peer;               /* [FORWARD_HEARTBEAT, FORWARD_REPLY] the receiver */
     struct bd_effect *next;
 };
 
 struct bd_core;
 
-/* Appends an effect to those that the core asks for. The caller fills it in. Never NULL: without
- * memory the process ends, and the key-value store has all that matters. */
+/* Appends an effect, which the caller fills in; the core owns it until it is taken. Never NULL:
+ * without memory the process ends, and the key-value store has all that matters. */
 struct bd_effect *bd_effect_emit(struct bd_core *core, enum bd_effect_kind kind);
-/* Replies to a request of a user, a worker or a peer. Takes the body over; retry_after in seconds,
- * 0: none. */
-void bd_effect_reply(struct bd_core *core, void *request, int status, char *body, int retry_after);
-/* ... with {"error": WHY}. */
+/* Replies to a request of a user, a worker or a peer. Takes body over. retry_after_s: 0 for none.
+ */
+void bd_effect_reply(struct bd_core *core, void *request, int status, char *body,
+                     int retry_after_s);
+/* Replies with {"error": WHY}. */
 void bd_effect_reply_error(struct bd_core *core, void *request, int status, const char *why,
-                           int retry_after);
-/* Takes the list of effects that were emitted; the caller frees each. */
+                           int retry_after_s);
+/* Takes the list of all effects that were emitted. The caller frees each. */
 struct bd_effect *bd_effects_take(struct bd_core *core);
 void bd_effect_free(struct bd_effect *effect);
 #endif
--- a/src/model/resources.c
+++ b/src/model/resources.c
@@ -2,8 +2,6 @@
 #include "model/core_state.h"
 #include <math.h>
 
-#define ROUNDING 1e-6 /* of sums of amounts */
-
 struct bd_resources bd_machine_free(const struct bd_core *core, const struct bd_machine *machine)
 {
     const struct bd_type *type = &core->types[machine->type];
@@ -11,24 +9,26 @@
                                  type->mem - machine->mem};
 }
 
-void bd_resources_add(struct bd_resources *capacity, const struct bd_spec *spec, double sign)
+void bd_resources_add(struct bd_resources *resources, const struct bd_spec *spec, double factor)
 {
-    capacity->cpus += sign * spec->cpus;
-    capacity->gpus += sign * spec->gpus;
-    capacity->mem += sign * spec->mem;
+    resources->cpus += factor * spec->cpus;
+    resources->gpus += factor * spec->gpus;
+    resources->mem += factor * spec->mem;
 }
 
-uint32_t bd_amount_fits(double have, double need, uint32_t most)
+uint32_t bd_amount_fits(double available, double need, uint32_t max)
 {
     if (need <= 0)
-        return most;
-    double n = floor((have + ROUNDING) / need);
-    return n <= 0 ? 0 : n < most ? (uint32_t)n : most;
+        return max;
+    double count = floor((available + BD_RESOURCE_ROUNDING) / need);
+    if (count <= 0)
+        return 0;
+    return count < max ? (uint32_t)count : max;
 }
 
-uint32_t bd_resources_fit(struct bd_resources capacity, const struct bd_spec *spec, uint32_t most)
+uint32_t bd_resources_fit(struct bd_resources resources, const struct bd_spec *spec, uint32_t max)
 {
-    most = bd_amount_fits(capacity.cpus, spec->cpus, most);
-    most = bd_amount_fits(capacity.gpus, spec->gpus, most);
-    return bd_amount_fits(capacity.mem, spec->mem, most);
+    uint32_t count = bd_amount_fits(resources.cpus, spec->cpus, max);
+    count = bd_amount_fits(resources.gpus, spec->gpus, count);
+    return bd_amount_fits(resources.mem, spec->mem, count);
 }
--- a/src/model/resources.h
+++ b/src/model/resources.h
@@ -1,4 +1,5 @@
-/* Amounts of a machine's resources: what is left, and how many tasks fit into it. */
+/* Amounts of resources: what is free on a machine, and how many tasks fit into it (bin packing).
+ * Pure functions; called by scheduling, autoscaling and the drains. */
 #ifndef BD_RESOURCES_H
 #define BD_RESOURCES_H
 #include "model/job.h"
@@ -6,17 +7,19 @@
 
 struct bd_core;
 
-/* cores, accelerators and GB */
+#define BD_RESOURCE_ROUNDING 1e-6 /* of sums of amounts, which are compared with this margin */
+
+/* cores, accelerators and GB of memory */
 struct bd_resources {
     double cpus, gpus, mem;
 };
 
-/* What no task holds of the machine, whose type is known. */
+/* What no task has reserved of the machine, whose type must be known. */
 struct bd_resources bd_machine_free(const struct bd_core *core, const struct bd_machine *machine);
-/* Adds what one task takes, `sign` times. */
-void bd_resources_add(struct bd_resources *capacity, const struct bd_spec *spec, double sign);
-/* How many tasks fit, up to `most`. */
-uint32_t bd_resources_fit(struct bd_resources capacity, const struct bd_spec *spec, uint32_t most);
-/* The same for one amount; what needs nothing of it fits `most` times. */
-uint32_t bd_amount_fits(double have, double need, uint32_t most);
+/* Adds the resources of one task of the job, multiplied by factor. */
+void bd_resources_add(struct bd_resources *resources, const struct bd_spec *spec, double factor);
+/* How many tasks of the job fit, at most max. */
+uint32_t bd_resources_fit(struct bd_resources resources, const struct bd_spec *spec, uint32_t max);
+/* How often `need` fits into `available`, at most max; a need of nothing fits max times. */
+uint32_t bd_amount_fits(double available, double need, uint32_t max);
 #endif
