--- /dev/null
+++ b/src/model/reservation.c
@@ -0,0 +1,91 @@
+#include "model/reservation.h"
+#include "model/core_state.h"
+#include "model/machine.h"
+#include "model/task.h"
+#include <stdlib.h>
+
+#define CAPACITY_FIRST 8 /* of a machine's list of reservations, which doubles */
+
+bool bd_task_has_reservation(const struct bd_task *task)
+{
+    return task->machine != BD_NO_MACHINE;
+}
+
+static void add_team_use(struct bd_core *core, const struct bd_spec *spec, double factor)
+{
+    if (spec->team < 0)
+        return;
+    core->team_cpus[spec->team] += factor * spec->cpus;
+    core->team_gpus[spec->team] += factor * spec->gpus;
+}
+
+static void add_machine_use(struct bd_machine *machine, const struct bd_spec *spec, double factor)
+{
+    bool ends_by_itself = spec->kind != BD_JOB_SERVICE && spec->gpus <= 0; /* before long */
+    machine->cpus += factor * spec->cpus;
+    machine->gpus += factor * spec->gpus;
+    machine->mem += factor * spec->mem;
+    if (ends_by_itself)
+        return;
+    machine->pinned_cpus += factor * spec->cpus;
+    machine->pinned_gpus += factor * spec->gpus;
+    machine->pinned_mem += factor * spec->mem;
+}
+
+/* So that rounding errors of the sums do not add up. */
+static void reset_machine_use(struct bd_machine *machine)
+{
+    machine->cpus = machine->gpus = machine->mem = 0;
+    machine->pinned_cpus = machine->pinned_gpus = machine->pinned_mem = 0;
+}
+
+static void grow_list(struct bd_machine *machine)
+{
+    uint32_t capacity = machine->cap ? machine->cap * 2 : CAPACITY_FIRST;
+    struct bd_reservation *grown =
+        realloc(machine->reservations, capacity * sizeof *machine->reservations);
+    if (!grown)
+        abort();
+    machine->reservations = grown;
+    machine->cap = capacity;
+}
+
+static void remove_from_list(struct bd_machine *machine, const struct bd_job *job, uint32_t index)
+{
+    for (uint32_t i = 0; i < machine->nreservations; i++) {
+        const struct bd_reservation *reservation = &machine->reservations[i];
+        if (reservation->job == job && reservation->task == index) {
+            machine->reservations[i] = machine->reservations[--machine->nreservations];
+            return;
+        }
+    }
+}
+
+void bd_reservation_add(struct bd_core *core, struct bd_job *job, uint32_t index,
+                        struct bd_machine *machine)
+{
+    job->tasks[index].machine = machine->index;
+    if (machine->nreservations == machine->cap)
+        grow_list(machine);
+    machine->reservations[machine->nreservations++] = (struct bd_reservation){job, index};
+    add_machine_use(machine, &job->spec, 1);
+    add_team_use(core, &job->spec, 1);
+}
+
+void bd_reservation_remove(struct bd_core *core, struct bd_job *job, uint32_t index)
+{
+    struct bd_task *task = &job->tasks[index];
+    if (!bd_task_has_reservation(task))
+        return;
+    struct bd_machine *machine = bd_machine_of(core, task->machine);
+    task->machine = BD_NO_MACHINE;
+    add_team_use(core, &job->spec, -1);
+    if (!machine)
+        return;
+    remove_from_list(machine, job, index);
+    add_machine_use(machine, &job->spec, -1);
+    if (machine->nreservations == 0) {
+        reset_machine_use(machine);
+        machine->idle_since = core->now;
+    }
+}
--- a/src/model/task_state.c
+++ b/src/model/task_state.c
@@ -1,46 +1,24 @@
-/* How a task's state changes, with the sums over jobs, machines and teams that go with it. */
 #include "model/task_state.h"
 #include "drain/drain.h"
 #include "model/core_state.h"
 #include "model/decision_log.h"
 #include "model/leadership_state.h"
 #include "model/machine.h"
+#include "model/reservation.h"
 #include "model/task.h"
 #include "wire/wire.h"
 #include "workers/commands.h"
-#include <math.h>
-#include <stdio.h>
 #include <stdlib.h>
 
-uint32_t bd_tenths(struct timespec t)
-{
-    return (uint32_t)((uint64_t)t.tv_sec * 10 + (uint64_t)t.tv_nsec / 100000000u) | 1u;
-}
-
-static bool has_reservation(const struct bd_task *task)
-{
-    return task->machine != BD_NO_MACHINE;
-}
+#define NS_PER_TENTH 100000000u
 
-static void team_use(struct bd_core *core, const struct bd_spec *spec, double sign)
+uint32_t bd_tenths(struct timespec instant)
 {
-    if (spec->team < 0)
-        return;
-    core->team_cpus[spec->team] += sign * spec->cpus;
-    core->team_gpus[spec->team] += sign * spec->gpus;
+    uint64_t tenths = (uint64_t)instant.tv_sec * 10 + (uint64_t)instant.tv_nsec / NS_PER_TENTH;
+    return (uint32_t)tenths | 1u;
 }
 
-static void machine_use(struct bd_machine *machine, const struct bd_spec *spec, double sign)
-{
-    machine->cpus += sign * spec->cpus;
-    machine->gpus += sign * spec->gpus;
-    machine->mem += sign * spec->mem;
-    if (spec->kind != BD_JOB_SERVICE && spec->gpus <= 0)
-        return; /* ends by itself before long */
-    machine->pinned_cpus += sign * spec->cpus;
-    machine->pinned_gpus += sign * spec->gpus;
-    machine->pinned_mem += sign * spec->mem;
-}
+/* ---- tracking ---- */
 
 bool bd_job_start_tracking(struct bd_core *core, struct bd_job *job)
 {
@@ -72,94 +50,63 @@
     job->dirty_chunks = 0;
 }
 
-static void count(struct bd_job *job, const struct bd_task *task, int d)
+/* ---- state and counts ---- */
+
+static bool is_running(const struct bd_task *task)
+{
+    return task->state == BD_TASK_CONFIRMED && (task->execution == BD_EXECUTION_RUNNING ||
+                                                task->execution == BD_EXECUTION_CHECKPOINTING);
+}
+
+static uint32_t *count_for_state(struct bd_job *job, uint8_t state)
 {
-    switch (task->state) {
+    switch (state) {
     case BD_TASK_PENDING:
-        job->npending += (uint32_t)d;
-        break;
+        return &job->npending;
     case BD_TASK_DONE:
-        job->ndone += (uint32_t)d;
-        break;
+        return &job->ndone;
     default:
-        job->nplaced += (uint32_t)d;
+        return &job->nplaced;
     }
-    if (task->state == BD_TASK_CONFIRMED &&
-        (task->execution == BD_EXECUTION_RUNNING || task->execution == BD_EXECUTION_CHECKPOINTING))
-        job->nrunning += (uint32_t)d;
 }
 
-void bd_task_set(struct bd_core *core, struct bd_job *job, uint32_t i, enum bd_task_state st)
+void bd_task_set(struct bd_core *core, struct bd_job *job, uint32_t index, enum bd_task_state state)
 {
+    struct bd_task *task = &job->tasks[index];
     (void)core;
-    count(job, &job->tasks[i], -1);
-    job->tasks[i].state = (uint8_t)st;
-    count(job, &job->tasks[i], 1);
+    --*count_for_state(job, task->state);
+    job->nrunning -= is_running(task);
+    task->state = (uint8_t)state;
+    ++*count_for_state(job, task->state);
+    job->nrunning += is_running(task);
 }
 
-static void add_reservation(struct bd_machine *machine, struct bd_job *job, uint32_t i)
-{
-    if (machine->nreservations == machine->cap) {
-        uint32_t cap = machine->cap ? machine->cap * 2 : 8;
-        struct bd_reservation *r = realloc(machine->reservations, cap * sizeof *r);
-        if (!r)
-            abort();
-        machine->reservations = r;
-        machine->cap = cap;
-    }
-    machine->reservations[machine->nreservations++] = (struct bd_reservation){job, i};
-}
+/* ---- assignment and release ---- */
 
-static void remove_reservation(struct bd_machine *machine, const struct bd_job *job, uint32_t i)
+/* Clears what is known of an attempt. */
+static void clear_attempt(struct bd_task *task)
 {
-    for (uint32_t k = 0; k < machine->nreservations; k++) {
-        if (machine->reservations[k].job == job && machine->reservations[k].task == i) {
-            machine->reservations[k] = machine->reservations[--machine->nreservations];
-            return;
-        }
-    }
+    task->flags = 0;
+    task->execution = BD_EXECUTION_FETCHING;
 }
 
-void bd_task_assign(struct bd_core *core, struct bd_job *job, uint32_t i,
-                    struct bd_machine *machine, uint64_t attempt, enum bd_task_state st)
+void bd_task_assign(struct bd_core *core, struct bd_job *job, uint32_t index,
+                    struct bd_machine *machine, uint64_t attempt, enum bd_task_state state)
 {
-    struct bd_task *task = &job->tasks[i];
-    if (has_reservation(task))
-        bd_task_release(core, job, i, BD_RELEASE_MOVED);
-    task->machine = machine->index;
+    struct bd_task *task = &job->tasks[index];
+    if (bd_task_has_reservation(task))
+        bd_task_release(core, job, index, BD_RELEASE_MOVED);
     task->attempt = attempt;
-    task->flags = 0;
     task->started_at = 0;
-    task->execution = BD_EXECUTION_FETCHING;
-    bd_task_set(core, job, i, st);
+    clear_attempt(task);
+    bd_task_set(core, job, index, state);
     job->last_placed_at = core->now;
-    add_reservation(machine, job, i);
-    machine_use(machine, &job->spec, 1);
-    if (st != BD_TASK_PLANNED) /* a plan that comes to nothing fetches nothing */
+    bd_reservation_add(core, job, index, machine);
+    if (state != BD_TASK_PLANNED) /* a plan may not be committed, and then fetches nothing */
         bd_remember_image(core, machine, &job->spec, true);
-    team_use(core, &job->spec, 1);
-}
-
-static void release_reservation(struct bd_core *core, struct bd_job *job, uint32_t i)
-{
-    struct bd_task *task = &job->tasks[i];
-    struct bd_machine *machine = bd_machine_of(core, task->machine);
-    if (!has_reservation(task))
-        return;
-    task->machine = BD_NO_MACHINE;
-    team_use(core, &job->spec, -1);
-    if (!machine)
-        return;
-    remove_reservation(machine, job, i);
-    machine_use(machine, &job->spec, -1);
-    if (machine->nreservations == 0) {
-        machine->cpus = machine->gpus = machine->mem = 0;
-        machine->pinned_cpus = machine->pinned_gpus = machine->pinned_mem = 0;
-        machine->idle_since = core->now;
-    }
 }
 
-static bool stoppable(const struct bd_task *task)
+static bool may_be_stopped(const struct bd_task *task)
 {
     return (task->state == BD_TASK_LAUNCHING || task->state == BD_TASK_CONFIRMED ||
             task->state == BD_TASK_UNKNOWN) &&
@@ -167,107 +114,120 @@
 }
 
 /* A gang that lost a member cannot go on: the rest is stopped, and the whole is placed again. */
-static void gang_member_gone(struct bd_core *core, struct bd_job *job)
+static void stop_rest_of_gang(struct bd_core *core, struct bd_job *job)
 {
     for (uint32_t i = 0; i < job->ntasks; i++) {
-        if (!stoppable(&job->tasks[i]))
+        if (!may_be_stopped(&job->tasks[i]))
             continue;
         bd_task_stop(core, job, i, BD_STOP_GANG, false); /* and with it all others */
         return;
     }
 }
 
-void bd_task_release(struct bd_core *core, struct bd_job *job, uint32_t i,
-                     enum bd_release_reason why)
+void bd_task_release(struct bd_core *core, struct bd_job *job, uint32_t index,
+                     enum bd_release_reason reason)
 {
-    struct bd_task *task = &job->tasks[i];
+    struct bd_task *task = &job->tasks[index];
     bool was_sent = task->state != BD_TASK_PLANNED && task->state != BD_TASK_PENDING;
-    if (was_sent)
-        bd_decision_log_release(core, job, i, why);
-    job->restarts += was_sent;
-    release_reservation(core, job, i);
+    if (was_sent) {
+        bd_decision_log_release(core, job, index, reason);
+        job->restarts++;
+    }
+    bd_reservation_remove(core, job, index);
     if (task->state == BD_TASK_DONE)
         return;
-    task->flags = 0;
-    task->execution = BD_EXECUTION_FETCHING;
-    bd_task_set(core, job, i, BD_TASK_PENDING);
-    bd_ledger_task(core, job, i);
+    clear_attempt(task);
+    bd_task_set(core, job, index, BD_TASK_PENDING);
+    bd_ledger_task(core, job, index);
     core->lead.cycle_wanted = true;
-    if (job->spec.kind == BD_JOB_GANG && job->ntasks > 1 && was_sent && job->nplaced > 0)
-        gang_member_gone(core, job);
+    bool is_gang = job->spec.kind == BD_JOB_GANG && job->ntasks > 1;
+    if (is_gang && was_sent && job->nplaced > 0)
+        stop_rest_of_gang(core, job);
 }
 
-static void one_done(struct bd_core *core, struct bd_job *job, uint32_t i)
+/* ---- completion ---- */
+
+static void complete_task(struct bd_core *core, struct bd_job *job, uint32_t index)
 {
-    if (job->tasks[i].state == BD_TASK_DONE)
+    if (job->tasks[index].state == BD_TASK_DONE)
         return;
-    bd_decision_log_release(core, job, i, BD_RELEASE_DONE);
-    release_reservation(core, job, i);
-    job->tasks[i].flags = 0;
-    bd_task_set(core, job, i, BD_TASK_DONE);
-    bd_ledger_task(core, job, i);
+    bd_decision_log_release(core, job, index, BD_RELEASE_DONE);
+    bd_reservation_remove(core, job, index);
+    job->tasks[index].flags = 0;
+    bd_task_set(core, job, index, BD_TASK_DONE);
+    bd_ledger_task(core, job, index);
     job->dirty = true;
-    job->dirty_chunks |= 1u << (i / BD_RECEIPT_CHUNK_TASKS);
+    job->dirty_chunks |= 1u << (index / BD_RECEIPT_CHUNK_TASKS);
     core->lead.cycle_wanted = true;
 }
 
-void bd_task_done(struct bd_core *core, struct bd_job *job, uint32_t i)
+void bd_task_done(struct bd_core *core, struct bd_job *job, uint32_t index)
 {
     if (job->spec.kind != BD_JOB_GANG) {
-        one_done(core, job, i);
+        complete_task(core, job, index);
         return;
     }
     /* the tasks of a gang complete together */
-    for (uint32_t k = 0; k < job->ntasks; k++)
-        one_done(core, job, k);
+    for (uint32_t i = 0; i < job->ntasks; i++)
+        complete_task(core, job, i);
 }
 
-static void stop_one(struct bd_core *core, struct bd_job *job, uint32_t i, enum bd_stop_reason why,
-                     bool force)
+/* ---- stop ---- */
+
+static void log_stop(struct bd_core *core, const struct bd_job *job, uint32_t index,
+                     enum bd_stop_reason reason, bool force)
 {
-    struct bd_task *task = &job->tasks[i];
+    uint8_t flags = job->tasks[index].flags;
+    bool is_new = !(flags & BD_TASK_FLAG_STOP_REQUESTED);
+    bool is_newly_forced = force && !(flags & BD_TASK_FLAG_FORCED_STOP);
+    if (is_new || is_newly_forced)
+        bd_decision_log_stop(core, job, index, reason, force);
+}
+
+static void stop_task(struct bd_core *core, struct bd_job *job, uint32_t index,
+                      enum bd_stop_reason reason, bool force)
+{
+    struct bd_task *task = &job->tasks[index];
     struct bd_machine *machine = bd_machine_of(core, task->machine);
-    if (!(task->flags & BD_TASK_FLAG_STOP_REQUESTED) ||
-        (force && !(task->flags & BD_TASK_FLAG_FORCED_STOP)))
-        bd_decision_log_stop(core, job, i, why, force);
+    log_stop(core, job, index, reason, force);
     if (force)
         task->flags |= BD_TASK_FLAG_FORCED_STOP;
     task->flags |= BD_TASK_FLAG_STOP_REQUESTED;
-    bd_ledger_task(core, job, i);
-    if (task->state == BD_TASK_LAUNCHING && !(task->flags & BD_TASK_FLAG_LAUNCH_SENT))
-        bd_task_release(core, job, i,
-                        BD_RELEASE_LAUNCH_NOT_SENT); /* nothing was ever sent: nothing can start */
+    bd_ledger_task(core, job, index);
+    bool cannot_start =
+        task->state == BD_TASK_LAUNCHING && !(task->flags & BD_TASK_FLAG_LAUNCH_SENT);
+    if (cannot_start)
+        bd_task_release(core, job, index, BD_RELEASE_LAUNCH_NOT_SENT);
     else if (machine)
         bd_commands_send_direct(core, machine);
 }
 
-/* A gang saves only if all its members are told within a short time: they are stopped together. */
-void bd_task_stop(struct bd_core *core, struct bd_job *job, uint32_t i, enum bd_stop_reason why,
-                  bool force)
+/* A gang can save a checkpoint only if all its members are stopped within a short time. */
+void bd_task_stop(struct bd_core *core, struct bd_job *job, uint32_t index,
+                  enum bd_stop_reason reason, bool force)
 {
-    stop_one(core, job, i, why, force);
+    stop_task(core, job, index, reason, force);
     if (job->spec.kind != BD_JOB_GANG)
         return;
-    for (uint32_t k = 0; k < job->ntasks; k++)
-        if (stoppable(&job->tasks[k]))
-            stop_one(core, job, k, why, force);
+    for (uint32_t i = 0; i < job->ntasks; i++)
+        if (may_be_stopped(&job->tasks[i]))
+            stop_task(core, job, i, reason, force);
 }
 
-/* Everything the machine's last session had is gone. */
+/* ---- machines that are lost ---- */
+
 void bd_machine_lease_expired(struct bd_core *core, struct bd_machine *machine,
-                              enum bd_release_reason why)
+                              enum bd_release_reason reason)
 {
-    uint32_t k = 0;
-    while (k < machine->nreservations) {
-        struct bd_reservation r = machine->reservations[k];
-        struct bd_task *task = &r.job->tasks[r.task];
-        /* a plan was not sent: it stays with its transaction */
-        if (task->state == BD_TASK_PLANNED) {
-            k++;
+    uint32_t i = 0;
+    while (i < machine->nreservations) {
+        struct bd_reservation reservation = machine->reservations[i];
+        if (reservation.job->tasks[reservation.task].state == BD_TASK_PLANNED) {
+            i++;
             continue;
         }
-        bd_task_release(core, r.job, r.task, why);
-        k = 0; /* freeing one may move the others */
+        bd_task_release(core, reservation.job, reservation.task, reason);
+        i = 0; /* a release may move or remove others */
     }
     machine->late_launch_token = 0;
 }
