--- a/src/model/catalog.c
+++ b/src/model/catalog.c
@@ -6,29 +6,29 @@
 #include <stdlib.h>
 #include <string.h>
 
-void bd_names_free(struct bd_names **t)
+void bd_names_free(struct bd_names **table)
 {
-    struct bd_names *n, *tmp;
-    HASH_ITER(hh, *t, n, tmp)
+    struct bd_names *entry, *next;
+    HASH_ITER(hh, *table, entry, next)
     {
-        HASH_DEL(*t, n);
-        free(n);
+        HASH_DEL(*table, entry);
+        free(entry);
     }
 }
 
 int bd_intern(struct bd_names **table, const char *name)
 {
-    struct bd_names *n = NULL;
-    HASH_FIND_STR(*table, name, n);
-    if (n)
-        return n->index;
-    n = calloc(1, sizeof *n);
-    if (!n)
+    struct bd_names *entry = NULL;
+    HASH_FIND_STR(*table, name, entry);
+    if (entry)
+        return entry->index;
+    entry = calloc(1, sizeof *entry);
+    if (!entry)
         abort();
-    snprintf(n->name, sizeof n->name, "%s", name);
-    n->index = (int)HASH_COUNT(*table);
-    HASH_ADD_STR(*table, name, n);
-    return n->index;
+    snprintf(entry->name, sizeof entry->name, "%s", name);
+    entry->index = (int)HASH_COUNT(*table);
+    HASH_ADD_STR(*table, name, entry);
+    return entry->index;
 }
 
 int bd_type_index(struct bd_core *core, const char *label)
@@ -76,42 +76,53 @@
     return job;
 }
 
-void bd_spec_resolve(struct bd_core *core, const struct bd_spec_text *t, struct bd_spec *s)
+/* Zone and machine types. A zone that the table has no place for must not mean any zone: then no
+ * type is allowed. */
+static void resolve_placement(struct bd_core *core, const struct bd_spec_text *text,
+                              struct bd_spec *spec)
 {
-    memset(s, 0, sizeof *s);
-    s->job_class = bd_intern(&core->classes, t->job_class);
-    s->team = bd_team_index(core, t->team);
-    s->image = bd_intern(&core->images, t->image);
-    s->zone = *t->zone ? bd_zone_index(core, t->zone) : -1;
-    bool nowhere = *t->zone && s->zone < 0; /* a zone too many must not mean any zone */
-    s->any_type = t->ntypes < 0 && !nowhere;
-    for (int i = 0; i < t->ntypes && !nowhere; i++) {
-        int k = bd_type_index(core, t->types[i]);
-        if (k >= 0)
-            s->types |= 1u << k;
+    spec->zone = *text->zone ? bd_zone_index(core, text->zone) : -1;
+    bool is_nowhere = *text->zone && spec->zone < 0;
+    if (is_nowhere)
+        return;
+    spec->any_type = text->ntypes < 0;
+    for (int i = 0; i < text->ntypes; i++) {
+        int type = bd_type_index(core, text->types[i]);
+        if (type >= 0)
+            spec->types |= 1u << type;
     }
-    s->kind = t->kind;
-    s->priority = t->priority;
-    s->cpus = t->cpus;
-    s->gpus = t->gpus;
-    s->mem = t->mem;
-    s->image_gb = t->image_gb;
-    s->estimate = t->estimate;
-    s->checkpoint_interval_s = t->checkpoint_interval_s;
-    s->checkpoint_save_s = t->checkpoint_save_s;
-    s->deadline_s = t->deadline_s;
-    s->same_zone = t->same_zone;
-    s->spread_zones = t->spread_zones;
-    s->spot = t->spot;
 }
 
-const char *bd_class_name(const struct bd_core *core, int id)
+void bd_spec_resolve(struct bd_core *core, const struct bd_spec_text *text, struct bd_spec *spec)
 {
-    struct bd_names *n, *t;
-    HASH_ITER(hh, core->classes, n, t)
+    *spec = (struct bd_spec){
+        .job_class = bd_intern(&core->classes, text->job_class),
+        .team = bd_team_index(core, text->team),
+        .image = bd_intern(&core->images, text->image),
+        .kind = text->kind,
+        .priority = text->priority,
+        .cpus = text->cpus,
+        .gpus = text->gpus,
+        .mem = text->mem,
+        .image_gb = text->image_gb,
+        .estimate = text->estimate,
+        .checkpoint_interval_s = text->checkpoint_interval_s,
+        .checkpoint_save_s = text->checkpoint_save_s,
+        .deadline_s = text->deadline_s,
+        .same_zone = text->same_zone,
+        .spread_zones = text->spread_zones,
+        .spot = text->spot,
+    };
+    resolve_placement(core, text, spec);
+}
+
+const char *bd_class_name(const struct bd_core *core, int index)
+{
+    struct bd_names *entry, *next;
+    HASH_ITER(hh, core->classes, entry, next)
     {
-        if (n->index == id)
-            return n->name;
+        if (entry->index == index)
+            return entry->name;
     }
     return "";
 }
--- a/src/model/catalog.h
+++ b/src/model/catalog.h
@@ -1,4 +1,6 @@
-/* Names and their numbers: types, zones, teams, classes, images, and jobs by their id. */
+/* Names and their numbers: machine types, zones, teams, job classes, images; and jobs by id.
+ *
+ * Owns the core's tables of names (images, classes, types, zones). Called by all of the core. */
 #ifndef BD_CATALOG_H
 #define BD_CATALOG_H
 #include "wire/wire.h"
@@ -8,6 +10,7 @@
 struct bd_job;
 struct bd_spec;
 
+/* A table of names, hashed by name; numbers count from 0. */
 struct bd_names {
     UT_hash_handle hh;
     int index;
@@ -25,10 +28,10 @@
 int bd_zone_index(struct bd_core *core, const char *name);
 /* The team's number in the settings; -1: not known. */
 int bd_team_index(const struct bd_core *core, const char *name);
-/* The name of a class of jobs by its number. */
-const char *bd_class_name(const struct bd_core *core, int id);
-/* NULL: not known. */
+/* The name of a job class by its number; empty: not known. */
+const char *bd_class_name(const struct bd_core *core, int index);
+/* The job in memory; NULL: not known. */
 struct bd_job *bd_job_find(struct bd_core *core, const char *id);
-/* Looks up the names in a job's text. */
-void bd_spec_resolve(struct bd_core *core, const struct bd_spec_text *t, struct bd_spec *spec);
+/* Resolves the names in a job's text; new ones are added to the tables. */
+void bd_spec_resolve(struct bd_core *core, const struct bd_spec_text *text, struct bd_spec *spec);
 #endif
--- a/src/model/machine.c
+++ b/src/model/machine.c
@@ -6,70 +6,98 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LATE_HEARTBEATS 1.4 /* report intervals, which vary by a quarter, and what delays one */
-#define LATE_EXTRA_S 1.5
-#define LATE_MIN_S 5.5 /* one controller that lets it hang */
+#define MACHINES_CAPACITY_FIRST 64 /* of the list by index, which doubles */
+#define LEASE_MARGIN_S 0.2         /* beyond the clocks' drift */
+
+/* A heartbeat is overdue after so many intervals, which vary by a quarter, and a delay. */
+#define OVERDUE_INTERVALS 1.4
+#define OVERDUE_EXTRA_S 1.5
+#define OVERDUE_MIN_S 5.5 /* longer than a heartbeat that hangs at one controller */
 
 struct bd_machine *bd_machine_of(struct bd_core *core, uint32_t index)
 {
     return index < core->nmachines ? core->by_index[index] : NULL;
 }
 
-struct bd_machine *bd_machine_get(struct bd_core *core, const char *id)
+static void append_by_index(struct bd_core *core, struct bd_machine *machine)
 {
-    struct bd_machine *m = NULL;
-    HASH_FIND_STR(core->machines, id, m);
-    if (m)
-        return m;
-    m = calloc(1, sizeof *m);
-    if (!m)
-        abort();
     if (core->nmachines == core->cap_machines) {
-        uint32_t cap = core->cap_machines ? core->cap_machines * 2 : 64;
-        struct bd_machine **b = realloc(core->by_index, cap * sizeof(struct bd_machine *));
-        if (!b)
+        uint32_t capacity = core->cap_machines ? core->cap_machines * 2 : MACHINES_CAPACITY_FIRST;
+        struct bd_machine **grown = realloc(core->by_index, capacity * sizeof(struct bd_machine *));
+        if (!grown)
             abort();
-        core->by_index = b;
-        core->cap_machines = cap;
+        core->by_index = grown;
+        core->cap_machines = capacity;
     }
-    snprintf(m->id, sizeof m->id, "%s", id);
-    m->index = core->nmachines;
-    m->type = m->zone = m->via = -1;
-    m->notice_left = -1;
-    m->known_at = m->idle_since = core->now;
-    /* it may have been renewed by an earlier term that we cannot see */
-    m->lease_expires_at = core->lead.earlier_leases_expire_at;
-    core->by_index[core->nmachines++] = m;
-    HASH_ADD_STR(core->machines, id, m);
-    return m;
+    machine->index = core->nmachines;
+    core->by_index[core->nmachines++] = machine;
+}
+
+static struct bd_machine *add_machine(struct bd_core *core, const char *id)
+{
+    struct bd_machine *machine = calloc(1, sizeof *machine);
+    if (!machine)
+        abort();
+    snprintf(machine->id, sizeof machine->id, "%s", id);
+    machine->type = machine->zone = machine->via = -1;
+    machine->notice_left = -1;
+    machine->known_at = machine->idle_since = core->now;
+    /* an earlier term may have renewed it without our knowledge */
+    machine->lease_expires_at = core->lead.earlier_leases_expire_at;
+    append_by_index(core, machine);
+    HASH_ADD_STR(core->machines, id, machine);
+    return machine;
+}
+
+struct bd_machine *bd_machine_get(struct bd_core *core, const char *id)
+{
+    struct bd_machine *machine = NULL;
+    HASH_FIND_STR(core->machines, id, machine);
+    return machine ? machine : add_machine(core, id);
 }
 
 struct timespec bd_lease_expiry(const struct bd_core *core, struct timespec answered)
 {
-    double lease = bd_to_secs(core->settings->lease) * (1 + BD_CLOCK_DRIFT) + 0.2;
-    return bd_add(answered, bd_secs(lease));
+    double lease_s = bd_to_secs(core->settings->lease);
+    return bd_add(answered, bd_secs(lease_s * (1 + BD_CLOCK_DRIFT) + LEASE_MARGIN_S));
 }
 
-static bool late(const struct bd_core *core, struct timespec last)
+/* Whether a heartbeat is overdue if the last one came at that moment. */
+static bool is_overdue_since(const struct bd_core *core, struct timespec last)
 {
-    double s = LATE_HEARTBEATS * bd_to_secs(core->settings->heartbeat_interval) + LATE_EXTRA_S;
-    return bd_between(last, core->now) > (s > LATE_MIN_S ? s : LATE_MIN_S);
+    double interval_s = bd_to_secs(core->settings->heartbeat_interval);
+    double limit_s = OVERDUE_INTERVALS * interval_s + OVERDUE_EXTRA_S;
+    if (limit_s < OVERDUE_MIN_S)
+        limit_s = OVERDUE_MIN_S;
+    return bd_between(last, core->now) > limit_s;
 }
 
-/* Whether its report is late: it hangs, or goes round looking for a controller. Direct commands
- * would hold up a sender each. */
 bool bd_overdue(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return late(core, machine->heard);
+    return is_overdue_since(core, machine->heard);
+}
+
+static bool has_known_type(const struct bd_core *core, const struct bd_machine *machine)
+{
+    return machine->type >= 0 && core->types[machine->type].known;
+}
+
+static bool is_in_service(const struct bd_core *core, const struct bd_machine *machine)
+{
+    return machine->fenced && !machine->gone && !machine->scaling_in && !machine->failed &&
+           !machine->quarantined && machine->notice_left < 0 && !bd_drain_cordoned(core, machine);
+}
+
+static bool is_reachable(const struct bd_core *core, const struct bd_machine *machine)
+{
+    return (!machine->outbound_partition || core->lead.outbound_partition_is_ours) &&
+           !is_overdue_since(core, machine->heard) &&
+           /* one that answers directly while no heartbeat arrives loses all with its lease */
+           !is_overdue_since(core, machine->asked);
 }
 
 bool bd_machine_usable(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return machine->type >= 0 && machine->zone >= 0 && core->types[machine->type].known &&
-           machine->fenced && !machine->gone && !machine->scaling_in && !machine->failed &&
-           !machine->quarantined && machine->notice_left < 0 && !bd_drain_cordoned(core, machine) &&
-           (!machine->outbound_partition || core->lead.outbound_partition_is_ours) &&
-           !late(core, machine->heard) &&
-           /* one that answers directly while its check-ins reach nobody loses all with its lease */
-           !late(core, machine->asked) && bd_before(machine->refuse_until, core->now);
+    return has_known_type(core, machine) && machine->zone >= 0 && is_in_service(core, machine) &&
+           is_reachable(core, machine) && bd_before(machine->refuse_until, core->now);
 }
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -1,4 +1,9 @@
-/* Machine types, and machines as the leader knows them. */
+/* Machine types, and machines as the leader knows them: identity, lease, connection, reservations,
+ * images.
+ *
+ * Each field is changed by the part that its comment names, or else by src/workers/ from
+ * heartbeats; reservations and sums by reservation.c, images by machine_images.c. Read by all
+ * leader's folders. */
 #ifndef BD_MACHINE_H
 #define BD_MACHINE_H
 #include "model/job.h"
@@ -6,11 +11,22 @@
 
 #define BD_IMAGES 40 /* that a machine is known to have; older ones are fetched again */
 
+/* Amounts are cores, accelerators and GB. */
 struct bd_type {
     char label[BD_LABEL];
-    bool known;
-    double cpus, gpus, mem, cache_gb, fetch, price, spot_price, boot;
-    uint32_t zones;
+    bool known; /* the cloud has described it */
+    double cpus, gpus, mem, cache_gb;
+    double fetch;             /* GB a second */
+    double price, spot_price; /* an hour */
+    double boot;              /* seconds */
+    uint32_t zones;           /* bits of the zones that offer it */
+};
+
+/* An image in a machine's cache, or on its way there. */
+struct bd_held_image {
+    int image;
+    double gb;
+    struct timespec ready; /* when it is there, by the type's rate */
 };
 
 struct bd_machine {
@@ -18,67 +34,76 @@
     char id[BD_LABEL], addr[BD_LABEL];
     uint32_t index;
     int type, zone; /* -1: not known yet */
-    bool spot, in_inventory, failed, fenced, gone, scaling_in;
+    bool spot, in_inventory, failed;
+    bool fenced; /* its newest heartbeat has seen a fencing token of our term */
+    bool gone, scaling_in;
+
+    /* its newest heartbeat */
     uint64_t incarnation, seq, expired_incarnation;
-    uint64_t fencing_token;  /* the highest that it has seen, by its newest report */
-    bool answered;           /* in this term, */
-    bool answered_seen;      /* ... since it has seen it: for the evidence log */
-    uint64_t asked_seq;      /* of its newest check-in: what is not newer is a copy */
-    int via;                 /* the controller that the check-in came to: a peer's number, or -1 */
+    uint64_t fencing_token;  /* the highest that it has seen */
+    bool answered;           /* in this term */
+    bool answered_seen;      /* ... since it has seen it: for the decision log */
+    uint64_t asked_seq;      /* of the newest that came to be answered: others are copies */
+    int via;                 /* the controller that it came to: a peer's index, or -1 */
     uint32_t misrouted;      /* times in a row that it went elsewhere although it was answered */
-    bool outbound_partition; /* seems not to hear what it is told */
+    bool outbound_partition; /* replies and commands seem not to reach it */
+
     struct timespec age_known, scale_in_not_before;
-    struct timespec lease_expires_at; /* from here on nothing of the last session runs */
-    struct timespec steady;           /* since then it has been heard without a gap */
-    struct timespec heard, known_at, idle_since, refuse_until;
-    struct timespec asked; /* its newest check-in: a direct answer is heard, but renews nothing */
-    double age_at_known;
-    double notice_left;       /* < 0: none */
+    struct timespec lease_expires_at; /* later nothing of the last incarnation runs */
+    struct timespec steady;           /* since then heartbeats came without a gap */
+    struct timespec heard, known_at, idle_since;
+    struct timespec refuse_until; /* no launch before: it refused one */
+    struct timespec asked;        /* newest heartbeat; direct replies count for `heard` alone */
+    double age_at_known;          /* seconds, at age_known */
+    double notice_left;           /* seconds until the cloud takes it; < 0: no notice */
+
     bool direct_in_flight;    /* one direct command at a time */
     uint32_t direct_failures; /* without an answer, in a row */
     struct timespec direct_not_before;
-    uint64_t late_launch_token; /* highest token of a direct launch without an answer, 0: none */
+    uint64_t late_launch_token; /* highest token of a direct launch without an answer; 0: none */
     struct timespec direct_sent_at;
-    struct bd_reservation *reservations;
+
+    struct bd_reservation *reservations; /* owned */
     uint32_t nreservations, cap;
-    double cpus, gpus, mem;                      /* in use */
-    double pinned_cpus, pinned_gpus, pinned_mem; /* by services and GPU tasks */
-    struct bd_held_image {                       /* the most recently used first */
-        int image;
-        double gb;
-        struct timespec ready; /* when it is there, by the type's rate */
-    } images[BD_IMAGES];
+    double cpus, gpus, mem;                      /* reserved */
+    double pinned_cpus, pinned_gpus, pinned_mem; /* of that by services and GPU tasks */
+
+    struct bd_held_image images[BD_IMAGES]; /* the most recently used first */
     int nimages;
-    struct timespec fetched_by; /* when all that it fetches is there */
-    uint32_t errors;            /* failed tasks in a row, of different jobs */
+    struct timespec fetched_by; /* when all images that it fetches are there */
+
+    uint32_t errors; /* failed tasks in a row, of different jobs */
     struct bd_job *error_job;
-    bool delegated;             /* in a delegate's record at the last refresh, */
+    bool delegated;             /* in a delegate's record at the last refresh */
     int delegate;               /* whose: an index into the core's delegates */
     struct timespec redirected; /* when it was last sent to its own zone's controller */
-    bool direct;                /* its last report came from itself, not by another controller */
-    bool consolidating;         /* being emptied, so that a dear machine is free again */
-    bool quarantined, headroom; /* spare: kept for work that is expected */
+    bool direct;                /* its last heartbeat came from itself, not by a controller */
+    bool consolidating;         /* its tasks move, so that an expensive machine can be scaled in */
+    bool quarantined;
+    bool headroom; /* kept for expected work */
 };
 
 struct bd_core;
 
-/* The machine by its number; NULL: none. */
+/* The machine by its index; NULL: none. */
 struct bd_machine *bd_machine_of(struct bd_core *core, uint32_t index);
-/* The machine by its id, made if it is new. Never NULL. */
+/* The machine by its id, added if it is new. Never NULL. */
 struct bd_machine *bd_machine_get(struct bd_core *core, const char *id);
-/* When a lease that was renewed at that moment has surely expired. */
+/* When a lease that was renewed at that moment has expired by every clock. */
 struct timespec bd_lease_expiry(const struct bd_core *core, struct timespec answered);
-/* Whether its heartbeat is late: it hangs, or looks for a controller. */
+/* Whether its heartbeat is overdue: it hangs, or looks for a controller. A direct command would
+ * block a sender until its timeout. */
 bool bd_overdue(const struct bd_core *core, const struct bd_machine *machine);
 /* Whether new work may be placed on it. */
 bool bd_machine_usable(const struct bd_core *core, const struct bd_machine *machine);
 
 /* Whether the machine holds the image, or fetches it. */
 bool bd_has_image(const struct bd_machine *machine, int image);
-/* Seconds until the image of such a task would be there; infinite: not known. */
+/* Seconds until the image of the job would be there: 0 if it is; infinite if not known. */
 double bd_fetch_s(const struct bd_core *core, const struct bd_machine *machine,
                   const struct bd_spec *spec);
-/* The image is used, or will be; `there`: a task was seen to run from it. */
+/* Moves the image to the front of those most recently used. there: a task ran from it, so that it
+ * has been fetched; else it is being fetched from now on. */
 void bd_remember_image(struct bd_core *core, struct bd_machine *machine, const struct bd_spec *spec,
                        bool there);
 #endif
--- a/src/model/machine_images.c
+++ b/src/model/machine_images.c
@@ -1,72 +1,100 @@
+/* The images that a machine is known to have: a list of those most recently used, which the
+ * machine's cache holds as far as its size allows. */
 #include "base/timeutil.h"
 #include "model/core_state.h"
 #include "model/machine.h"
 #include <math.h>
 #include <string.h>
 
-static const struct bd_held_image *held_image(const struct bd_machine *machine, int image)
+static const struct bd_held_image *find_image(const struct bd_machine *machine, int image)
 {
-    for (int k = 0; k < machine->nimages; k++)
-        if (machine->images[k].image == image)
-            return &machine->images[k];
+    for (int i = 0; i < machine->nimages; i++)
+        if (machine->images[i].image == image)
+            return &machine->images[i];
     return NULL;
 }
 
 bool bd_has_image(const struct bd_machine *machine, int image)
 {
-    return held_image(machine, image) != NULL;
+    return find_image(machine, image) != NULL;
 }
 
-static double still_s(const struct bd_core *core, struct timespec ready)
+static double seconds_until(const struct bd_core *core, struct timespec instant)
 {
-    return bd_before(core->now, ready) ? bd_between(core->now, ready) : 0;
+    return bd_before(core->now, instant) ? bd_between(core->now, instant) : 0;
 }
 
-/* How long until the task's image is there: nothing where it lies already; where other images are
- * on their way it comes after them, or as slowly as if it did. */
+/* NULL: known only by the intents of an earlier term. */
+static const struct bd_type *known_type(const struct bd_core *core,
+                                        const struct bd_machine *machine)
+{
+    if (machine->type < 0 || !core->types[machine->type].known)
+        return NULL;
+    return &core->types[machine->type];
+}
+
+/* Behind the images that are being fetched; or together with them, which takes as long. */
 double bd_fetch_s(const struct bd_core *core, const struct bd_machine *machine,
                   const struct bd_spec *spec)
 {
-    const struct bd_held_image *h = held_image(machine, spec->image);
-    if (h)
-        return still_s(core, h->ready);
-    if (machine->type < 0 ||
-        !core->types[machine->type].known) /* known by an earlier term's intents alone */
+    const struct bd_held_image *held = find_image(machine, spec->image);
+    if (held)
+        return seconds_until(core, held->ready);
+    const struct bd_type *type = known_type(core, machine);
+    if (!type)
         return INFINITY;
-    return still_s(core, machine->fetched_by) + spec->image_gb / core->types[machine->type].fetch;
+    return seconds_until(core, machine->fetched_by) + spec->image_gb / type->fetch;
 }
 
-/* The least recently used go if all do not fit the machine. */
-static void drop_old_images(const struct bd_core *core, struct bd_machine *machine)
+/* Removes the least recently used images if all do not fit the machine's cache. */
+static void remove_old_images(const struct bd_core *core, struct bd_machine *machine)
 {
-    double gb = 0;
-    if (machine->type < 0 || !core->types[machine->type].known)
+    const struct bd_type *type = known_type(core, machine);
+    double total_gb = 0;
+    if (!type)
         return;
-    for (int k = 0; k < machine->nimages; k++) {
-        gb += machine->images[k].gb;
-        if (k > 0 && gb > core->types[machine->type].cache_gb)
-            machine->nimages = k;
+    for (int i = 0; i < machine->nimages; i++) {
+        total_gb += machine->images[i].gb;
+        if (i > 0 && total_gb > type->cache_gb)
+            machine->nimages = i;
     }
 }
 
-/* The image is used, or will be; `there`: a task was seen to run from it. */
+static bool has_fetch_rate(const struct bd_core *core, const struct bd_machine *machine)
+{
+    return machine->type >= 0 && core->types[machine->type].fetch > 0;
+}
+
+static struct bd_held_image new_image(const struct bd_core *core, struct bd_machine *machine,
+                                      const struct bd_spec *spec, bool there)
+{
+    struct bd_held_image image = {spec->image, spec->image_gb, core->now};
+    if (!there && has_fetch_rate(core, machine)) {
+        image.ready = bd_add(core->now, bd_secs(bd_fetch_s(core, machine, spec)));
+        machine->fetched_by = image.ready;
+    }
+    return image;
+}
+
+/* Makes room for an image at the front: the entry at `index` is overwritten. */
+static void move_to_front(struct bd_machine *machine, int index, struct bd_held_image image)
+{
+    memmove(machine->images + 1, machine->images, (size_t)index * sizeof *machine->images);
+    machine->images[0] = image;
+}
+
 void bd_remember_image(struct bd_core *core, struct bd_machine *machine, const struct bd_spec *spec,
                        bool there)
 {
-    const struct bd_held_image *known = held_image(machine, spec->image);
-    struct bd_held_image h = {spec->image, spec->image_gb, core->now};
-    int k = known ? (int)(known - machine->images) : machine->nimages;
-    if (known)
-        h = *known;
-    else if (!there && machine->type >= 0 && core->types[machine->type].fetch > 0)
-        h.ready = machine->fetched_by = bd_add(core->now, bd_secs(bd_fetch_s(core, machine, spec)));
+    const struct bd_held_image *held = find_image(machine, spec->image);
+    struct bd_held_image image = held ? *held : new_image(core, machine, spec, there);
+    int index = held ? (int)(held - machine->images) : machine->nimages;
     if (there)
-        h.ready = core->now;
-    if (k == BD_IMAGES)
-        k--;
-    else if (!known)
+        image.ready = core->now;
+    if (index == BD_IMAGES)
+        index--; /* in place of the least recently used */
+    else if (!held)
         machine->nimages++;
-    memmove(machine->images + 1, machine->images, (size_t)k * sizeof *machine->images);
-    machine->images[0] = h;
-    drop_old_images(core, machine);
+    move_to_front(machine, index, image);
+    remove_old_images(core, machine);
 }
--- a/src/model/peers.c
+++ b/src/model/peers.c
@@ -3,7 +3,7 @@
 #include "model/core_state.h"
 #include <string.h>
 
-#define STATUS_FRESH_S 3.0 /* a peer's status tells its version for so long */
+#define STATUS_VALID_S 3.0 /* a peer's status shows its version for so long */
 
 bool bd_peer_heard(const struct bd_core *core, int peer, double within_s)
 {
@@ -17,10 +17,12 @@
 
 bool bd_peer_lacks_feature(const struct bd_core *core, uint8_t flag)
 {
-    for (int i = 0; i < core->settings->npeers; i++)
-        if (bd_peer_heard(core, i, STATUS_FRESH_S) && !bd_is_zero(core->peers[i].heard) &&
-            !(core->peers[i].flags & flag))
+    for (int i = 0; i < core->settings->npeers; i++) {
+        const struct bd_peer_view *peer = &core->peers[i];
+        bool is_known = !bd_is_zero(peer->heard) && bd_peer_heard(core, i, STATUS_VALID_S);
+        if (is_known && !(peer->flags & flag))
             return true;
+    }
     return false;
 }
 
