--- a/src/model/core_state.h
+++ b/src/model/core_state.h
@@ -1,4 +1,5 @@
-/* The state of one controller, made of the parts' states. Owner thread only.
+/* The state of one controller's core, made of the parts' states. Used by the owner thread only, so
+ * that nothing in it is locked.
  *
  * Each part is changed by the functions of the folder that its header names, and read by all. */
 #ifndef BD_CORE_STATE_H
@@ -25,40 +26,41 @@
 struct bd_core {
     const struct bd_settings *settings;
     const struct bd_log *log;
-    struct bd_metrics *metrics; /* NULL: nothing is timed */
-    struct timespec now;
-    double wall;
+    struct bd_metrics *metrics; /* NULL: nothing is measured */
+    struct timespec now;        /* steady clock at this step */
+    double wall;                /* time of day at this step, in seconds */
 
-    struct bd_job *jobs; /* hash by id */
-    struct bd_machine *machines;
-    struct bd_machine **by_index;
+    struct bd_job *jobs;          /* owned; hash by id */
+    struct bd_machine *machines;  /* owned; hash by id */
+    struct bd_machine **by_index; /* the same, by index */
     uint32_t nmachines, cap_machines;
     struct bd_names *images, *classes;
     struct bd_type types[BD_MAX_TYPES];
     int ntypes;
     char zones[BD_MAX_ZONES][BD_LABEL];
     int nzones;
-    bool types_known;
-    double team_cpus[BD_MAX_TEAMS], team_gpus[BD_MAX_TEAMS]; /* in use, by team */
+    bool types_known;                                        /* the cloud has described them */
+    double team_cpus[BD_MAX_TEAMS], team_gpus[BD_MAX_TEAMS]; /* reserved, by team */
 
     struct bd_replica replica;
     struct bd_dependency_graph graph;
     struct bd_kv_limits kv_limits;
     struct bd_peer_view peers[BD_MAX_PEERS]; /* in the settings' order */
-    struct timespec confirmed; /* when our own last liveness record that was written was sent, */
-    struct timespec liveness_sent; /* ... and the last one that may have been */
-    struct bd_delegate delegate;   /* as follower: what we answer for the leader */
+    struct timespec confirmed;     /* when our newest committed liveness record was sent */
+    struct timespec liveness_sent; /* ... and the newest that may have been committed */
+    struct bd_delegate delegate;   /* as follower: what we renew for the leader */
     struct bd_delegate_view delegates;
     struct bd_forwarding forwarding;
     struct bd_decision_log decision_log;
     enum bd_role role;
     char leader_name[BD_LABEL];
-    uint64_t leader_term, last_term; /* 0 while nobody leads; the last that was not 0 */
+    uint64_t leader_term; /* 0: no leader */
+    uint64_t last_term;   /* the last leader_term that was not 0 */
     struct timespec leader_seen;
     struct bd_leadership lead;
     struct bd_cloud_view cloud;
     struct bd_drains *drains; /* NULL: draining is off */
 
-    struct bd_effect *first, *last;
+    struct bd_effect *first, *last; /* owned: effects that were emitted, see effect.h */
 };
 #endif
--- a/src/model/peer_state.h
+++ b/src/model/peer_state.h
@@ -5,13 +5,15 @@
 #include <stdint.h>
 #include <time.h>
 
-/* Another controller. */
 struct bd_peer_view {
-    struct timespec heard, kv_seen_at;
-    uint64_t term;
-    uint8_t flags;
-    double status_sent_wall_s;              /* when it said so, by its time of day */
-    double contact;                         /* as leader: its newest record, by its time of day */
-    struct timespec maybe_autonomous_until; /* as leader: it may be standing by */
+    /* its newest status */
+    struct timespec heard;
+    struct timespec kv_seen_at; /* when it last read the key-value store, by our steady clock */
+    uint64_t term;              /* its own if it leads, else 0 */
+    uint8_t flags;              /* BD_PEER_... */
+    double status_sent_wall_s;  /* when it was sent, by the peer's time of day */
+    /* as leader */
+    double contact; /* its newest liveness record, by the peer's time of day */
+    struct timespec maybe_autonomous_until; /* until then it may renew leases on its own */
 };
 #endif
