--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -5,8 +5,8 @@
  * with the key-value store's answers, by the core's step, and by the leader's folders, which read
  * jobs.
  *
- * `request` is always a handle that the caller gave with a user's request: either the API server's
- * or a bd_remote of another controller. Each request gets exactly one reply, as an effect. */
+ * `request` is the caller's handle of a user's request, which only bd_effect_reply looks into. Each
+ * request gets exactly one reply, as an effect. */
 #ifndef BD_JOBS_H
 #define BD_JOBS_H
 #include "model/core_state.h"
@@ -19,11 +19,11 @@
 void bd_user_status(struct bd_core *core, void *request, const char *id);
 /* Cancels a job; the reply follows the commit. A final job gets its status. */
 void bd_user_cancel(struct bd_core *core, void *request, const char *id);
-/* Completes a user's transaction. body and purpose (enum bd_read_purpose) are those of the effect.
+/* Completes a user's transaction. body and purpose are those of the effect.
  * status: 200 committed at store_revision, 409 a condition failed, 400 rejected as malformed,
  * others: outcome unknown. */
 void bd_user_txn_completed(struct bd_core *core, void *request, const char *id, const char *body,
-                           int purpose, long status, uint64_t store_revision);
+                           enum bd_read_purpose purpose, long status, uint64_t store_revision);
 
 /* ---- replica (replica.c, replica_eviction.c, pending_reads.c) ---- */
 
@@ -31,8 +31,8 @@
  * newer. */
 void bd_replica_apply(struct bd_core *core, const struct bd_change *change);
 /* Completes a refresh that asked for changes after `after` and was sent at `sent`; its changes have
- * been applied. barrier: it was the read barrier, whose reads are answered now. ok: it succeeded.
- */
+ * been applied. barrier: it was the read barrier, whose reads are answered now. ok: it
+ * succeeded. */
 void bd_replica_refreshed(struct bd_core *core, uint64_t after, uint64_t store_revision,
                           struct timespec sent, bool barrier, bool ok);
 /* Completes the first listing of all records: the replica is ready from here on. */
@@ -41,8 +41,9 @@
 void bd_replica_evict(struct bd_core *core);
 /* Completes the look-up of one job's record. status: 200 with the record in change, 404 there is
  * none, others: unknown. purpose: that of the effect. */
-void bd_replica_lookup_completed(struct bd_core *core, void *request, const char *id, int purpose,
-                                 long status, const struct bd_change *change);
+void bd_replica_lookup_completed(struct bd_core *core, void *request, const char *id,
+                                 enum bd_read_purpose purpose, long status,
+                                 const struct bd_change *change);
 /* A peer announced that the job's cancellation was confirmed. Until the record shows it, its tasks
  * are stopped and none is started; nothing else depends on the announcement. */
 void bd_job_cancellation_received(struct bd_core *core, const char *id);
--- a/src/jobs/pending_reads.c
+++ b/src/jobs/pending_reads.c
@@ -106,22 +106,22 @@
         complete_barrier(core, ok);
 }
 
-void bd_replica_lookup_completed(struct bd_core *core, void *request, const char *id, int purpose,
-                                 long status, const struct bd_change *change)
+void bd_replica_lookup_completed(struct bd_core *core, void *request, const char *id,
+                                 enum bd_read_purpose purpose, long status,
+                                 const struct bd_change *change)
 {
-    enum bd_read_purpose read_purpose = (enum bd_read_purpose)purpose;
     if (status == 200)
         bd_replica_apply(core, change);
-    if (read_purpose == BD_READ_PARENT)
+    if (purpose == BD_READ_PARENT)
         return;
     const struct bd_job *job = bd_job_find(core, id);
     bool is_unreadable = status == 200 && !job;
-    if (read_purpose == BD_READ_ADMISSION)
+    if (purpose == BD_READ_ADMISSION)
         bd_admission_lookup_completed(core, request, is_unreadable ? 0 : status);
     else if (status == 200 && job)
-        answer_with_job(core, request, read_purpose, job);
+        answer_with_job(core, request, purpose, job);
     else if (status == 404)
-        reply_absent(core, request, read_purpose);
+        reply_absent(core, request, purpose);
     else
         bd_user_reply_kv_unreachable(core, request, BD_KV_OUTAGE_RETRY_S);
 }
--- a/src/jobs/user_txn.c
+++ b/src/jobs/user_txn.c
@@ -105,14 +105,14 @@
 }
 
 void bd_user_txn_completed(struct bd_core *core, void *request, const char *id, const char *body,
-                           int purpose, long status, uint64_t store_revision)
+                           enum bd_read_purpose purpose, long status, uint64_t store_revision)
 {
     if (status == 200) {
-        complete_committed(core, request, id, body, (enum bd_read_purpose)purpose, store_revision);
+        complete_committed(core, request, id, body, purpose, store_revision);
         return;
     }
     if (status == 409) { /* another transaction was first: reads again, then replies what is */
-        (void)bd_read_after_barrier(core, request, id, (enum bd_read_purpose)purpose);
+        (void)bd_read_after_barrier(core, request, id, purpose);
         return;
     }
     if (status == 400) /* the user's retry is sent in smaller transactions */
