--- a/src/model/job.h
+++ b/src/model/job.h
@@ -38,15 +38,18 @@
     double at;                          /* time of day of its submission */
     struct timespec next_force;         /* earliest time of the next preemption for it */
     struct timespec backoff_until;      /* nothing is written of it before: see kv_limits.c */
-    struct timespec hold_until, last_placed_at, last_started_at;
+    struct timespec hold_until;         /* not placed before: its tasks failed or were refused */
+    struct timespec last_placed_at, last_started_at;
     uint32_t restarts;                     /* tasks that lost their reservation after a launch */
     struct timespec cancellation_heard_at; /* announced by another controller; 0: not */
     bool started;                          /* a start of it was committed in this term */
-    uint32_t errors;
-    uint32_t runs, longest_run; /* tasks seen from start to end, and tenths of a second */
+    uint32_t errors;                       /* failed tasks */
+    uint32_t runs;                         /* tasks seen from start to end */
+    uint32_t longest_run;                  /* of them, in tenths of a second */
     struct bd_spec spec;
-    bool has_spec, within_guaranteed_share;
-    bool pinned; /* something else points to it: not evicted */
+    bool has_spec;
+    bool within_guaranteed_share; /* in this scheduling cycle */
+    bool pinned;                  /* something else points to it: not evicted */
 
     /* its place in the dependency graph, see dependency_graph.c */
     struct bd_dependency_edge *parent_edges; /* owned array: those that it waits for */
