--- a/src/core/core.c
+++ b/src/core/core.c
@@ -1,25 +1,30 @@
-/* Users' requests, the replica of job records, and names. */
 #include "core/core.h"
 #include "autoscaling/autoscaling.h"
 #include "base/timeutil.h"
 #include "drain/drain.h"
 #include "jobs/jobs.h"
-#include "leadership/commit.h"
 #include "leadership/leadership.h"
 #include "model/catalog.h"
 #include "model/disruption_ledger.h"
 #include "model/effect.h"
 #include "model/kv_limits.h"
 #include "model/leadership_state.h"
+#include "model/machine.h"
 #include "scheduling/scheduling.h"
-#include "wire/frame.h"
 #include "workers/workers.h"
-#include <math.h>
-#include <stdio.h>
 #include <stdlib.h>
 
+#define EVICT_INTERVAL_S 10.0
+#define LEADER_CHECKS_INTERVAL_S 0.25
+#define AUTOSCALING_INTERVAL_S 1.0
+#define FOLLOWER_STEP_S 1.0         /* longest pause between two steps; */
+#define FOLLOWER_STEP_WAITING_S 0.2 /* ... while workers wait for a reply */
+
+/* ---- making and freeing ---- */
+
 struct bd_core *bd_core_new(const struct bd_settings *settings, const struct bd_log *log)
 {
+    const struct bd_drain_rules *rules = settings->draining;
     struct bd_core *core = calloc(1, sizeof *core);
     if (!core)
         return NULL;
@@ -28,7 +33,6 @@
     bd_kv_limits_init(core);
     for (int i = 0; i < settings->nzones; i++)
         (void)bd_zone_index(core, settings->zones[i]);
-    const struct bd_drain_rules *rules = settings->draining;
     if (rules) {
         core->ledger = bd_ledger_new(settings, rules->budgets, rules->nbudgets);
         core->drains = bd_drains_new(settings);
@@ -41,13 +45,13 @@
     core->forwarding.last_id = seed;
 }
 
-static void free_waits(struct bd_pending_read **list)
+static void free_effects(struct bd_core *core)
 {
-    while (*list) {
-        struct bd_pending_read *w = *list;
-        *list = w->next;
-        bd_admission_drop(w->accept);
-        free(w);
+    struct bd_effect *effect = bd_effects_take(core);
+    while (effect) {
+        struct bd_effect *next = effect->next;
+        bd_effect_free(effect);
+        effect = next;
     }
 }
 
@@ -55,53 +59,17 @@
 {
     if (!core)
         return;
-    struct bd_job *job, *jt;
-    struct bd_machine *machine, *mt;
     bd_drains_free(core->drains);
     bd_ledger_free(core->ledger);
     core->drains = NULL;
     core->ledger = NULL;
-    HASH_ITER(hh, core->jobs, job, jt)
-    {
-        HASH_DEL(core->jobs, job);
-        json_decref(job->record_spec);
-        free(job->parent_edges);
-        free(job->tasks);
-        free(job);
-    }
-    HASH_ITER(hh, core->machines, machine, mt)
-    {
-        HASH_DEL(core->machines, machine);
-        free(machine->reservations);
-        free(machine);
-    }
-    free(core->by_index);
+    bd_jobs_free(core);
+    bd_machines_free(core);
+    bd_leadership_free(core);
+    bd_workers_free(core);
     bd_names_free(&core->images);
     bd_names_free(&core->classes);
-    free_waits(&core->replica.waiting);
-    free_waits(&core->replica.asked);
-    bd_admission_end(core);
-    bd_dag_free(core);
-    bd_intent_records_free(core);
-    bd_commit_free(core->lead.commit);
-    core->last_term = 0; /* nobody waits for a better answer any more */
-    bd_delegate_end(core);
-    while (core->forwarding.waiting) {
-        struct bd_forward *forward = core->forwarding.waiting;
-        core->forwarding.waiting = forward->next;
-        bd_heartbeat_free(forward->heartbeat);
-        if (forward->request && ((struct bd_remote *)forward->request)->remote)
-            free(forward->request); /* the core's own: see bd_worker_heartbeat_forwarded */
-        free(forward);
-    }
-    bd_delegate_forget(core);
-    bd_forward_end(core);
-    struct bd_effect *effect = bd_effects_take(core);
-    while (effect) {
-        struct bd_effect *next = effect->next;
-        bd_effect_free(effect);
-        effect = next;
-    }
+    free_effects(core);
     free(core);
 }
 
@@ -111,56 +79,82 @@
     core->wall = wall;
 }
 
-#define EVICT_INTERVAL_S 10.0
+/* ---- the step ---- */
 
-void bd_core_tick(struct bd_core *core)
+static void evict_records(struct bd_core *core)
 {
-    if (bd_before(core->replica.next_evict, core->now)) {
-        core->replica.next_evict = bd_add(core->now, bd_secs(EVICT_INTERVAL_S));
-        bd_replica_evict(core);
-    }
-    if (!core->replica.barrier_out && core->replica.waiting) {
-        core->replica.asked = core->replica.waiting;
-        core->replica.waiting = NULL;
-        core->replica.barrier_out = true;
-        (void)bd_effect_emit(core, BD_EFFECT_READ_BARRIER);
-    }
-    bd_leadership_step_down(core);
-    bd_dag_tick(core);
-    bd_forward_tick(core);
-    if (core->role != BD_LEADER) {
-        bd_delegate_tick(core);
+    if (!bd_before(core->replica.next_evict, core->now))
         return;
-    }
-    if (bd_before(core->lead.next_tick, core->now)) {
-        core->lead.next_tick = bd_add(core->now, bd_secs(0.25));
-        bd_forward_listen(core);
-        bd_workers_expire_leases(core);
-        bd_fencing_tick(core);
-        bd_machines_detect_outbound_partition(core);
-        bd_leadership_resign_if_reads_fail(core);
-    }
+    core->replica.next_evict = bd_add(core->now, bd_secs(EVICT_INTERVAL_S));
+    bd_replica_evict(core);
+}
+
+/* What a leader checks also once its lease is over, while it may still reply to workers. */
+static void check_fleet(struct bd_core *core)
+{
+    if (!bd_before(core->lead.next_tick, core->now))
+        return;
+    core->lead.next_tick = bd_add(core->now, bd_secs(LEADER_CHECKS_INTERVAL_S));
+    bd_forward_listen(core);
+    bd_workers_expire_leases(core);
+    bd_fencing_tick(core);
+    bd_machines_detect_outbound_partition(core);
+    bd_leadership_resign_if_reads_fail(core);
+}
+
+static void scale_fleet(struct bd_core *core)
+{
+    if (!core->types_known || !bd_before(core->lead.next_autoscaling, core->now))
+        return;
+    core->lead.next_autoscaling = bd_add(core->now, bd_secs(AUTOSCALING_INTERVAL_S));
+    bd_autoscaler_tick(core);
+    core->lead.cycle_wanted = true; /* pauses of jobs run out without an event */
+}
+
+static void lead(struct bd_core *core)
+{
+    check_fleet(core);
     if (!bd_leadership_lease_valid(core))
         return;
     bd_write_budget_refill(core);
     bd_drain_tick(core);
-    if (core->types_known && bd_before(core->lead.next_autoscaling, core->now)) {
-        core->lead.next_autoscaling = bd_add(core->now, bd_secs(1.0));
-        bd_autoscaler_tick(core);
-        core->lead.cycle_wanted = true; /* pauses run out without an event */
-    }
+    scale_fleet(core);
     bd_cycle_run(core);
 }
 
-struct timespec bd_core_next(const struct bd_core *core)
+void bd_core_tick(struct bd_core *core)
 {
-    double s =
-        core->forwarding.waiting || core->delegate.nserved || core->delegate.asking ? 0.2 : 1.0;
+    evict_records(core);
+    bd_pending_reads_start_barrier(core);
+    bd_leadership_step_down(core);
+    bd_dag_tick(core);
+    bd_forward_tick(core);
     if (core->role == BD_LEADER)
-        s = core->lead.cycle_wanted && !core->lead.commit ? BD_CYCLE_INTERVAL_S : 0.25;
-    return bd_add(core->now, bd_secs(s));
+        lead(core);
+    else
+        bd_delegate_tick(core);
+}
+
+static double leader_step_s(const struct bd_core *core)
+{
+    bool cycle_due = core->lead.cycle_wanted && !core->lead.commit;
+    return cycle_due ? BD_CYCLE_INTERVAL_S : LEADER_CHECKS_INTERVAL_S;
+}
+
+static double follower_step_s(const struct bd_core *core)
+{
+    bool workers_wait = core->forwarding.waiting || core->delegate.nserved || core->delegate.asking;
+    return workers_wait ? FOLLOWER_STEP_WAITING_S : FOLLOWER_STEP_S;
 }
 
+struct timespec bd_core_next(const struct bd_core *core)
+{
+    double step_s = core->role == BD_LEADER ? leader_step_s(core) : follower_step_s(core);
+    return bd_add(core->now, bd_secs(step_s));
+}
+
+/* ---- leadership ---- */
+
 void bd_core_leader_observed(struct bd_core *core, const char *name, uint64_t revision,
                              struct timespec sent, bool dismissed)
 {
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -69,13 +69,11 @@
 void bd_dag_update_priorities(struct bd_core *core);
 /* Looks up the records of parents that are not in memory. */
 void bd_dag_tick(struct bd_core *core);
-/* Frees the graph; the jobs' edges are freed with the jobs. */
-void bd_dag_free(struct bd_core *core);
 
-/* ---- admissions in progress (admission.c) ---- */
+/* ---- the step and the end ---- */
 
-/* Frees an admission; NULL is allowed. */
-void bd_admission_drop(struct bd_admission *admission);
-/* Frees all admissions that wait for a look-up. */
-void bd_admission_end(struct bd_core *core);
+/* Asks for a read barrier, if reads wait and none is in flight. */
+void bd_pending_reads_start_barrier(struct bd_core *core);
+/* Frees all jobs, and what waits for them. Nobody is replied to. */
+void bd_jobs_free(struct bd_core *core);
 #endif
--- a/src/jobs/jobs_internal.h
+++ b/src/jobs/jobs_internal.h
@@ -63,4 +63,16 @@
 void bd_dag_add_parents(struct bd_core *core, struct bd_job *job, json_t *names);
 /* Frees the parts that wait for their job's record. */
 void bd_dag_parents_parts_free(struct bd_core *core);
+/* Frees the graph; the jobs' edges are freed with the jobs. */
+void bd_dag_free(struct bd_core *core);
+
+/* ---- admissions in progress (admission.c) ---- */
+
+/* Frees an admission; NULL is allowed. */
+void bd_admission_drop(struct bd_admission *admission);
+/* Frees all admissions that wait for a look-up. */
+void bd_admission_end(struct bd_core *core);
+
+/* Frees the reads that wait for a barrier; nobody is replied to. */
+void bd_pending_reads_free(struct bd_core *core);
 #endif
--- a/src/jobs/pending_reads.c
+++ b/src/jobs/pending_reads.c
@@ -125,3 +125,30 @@
     else
         bd_user_reply_kv_unreachable(core, request, BD_KV_OUTAGE_RETRY_S);
 }
+
+void bd_pending_reads_start_barrier(struct bd_core *core)
+{
+    struct bd_replica *replica = &core->replica;
+    if (replica->barrier_out || !replica->waiting)
+        return;
+    replica->asked = replica->waiting;
+    replica->waiting = NULL;
+    replica->barrier_out = true;
+    (void)bd_effect_emit(core, BD_EFFECT_READ_BARRIER);
+}
+
+static void free_reads(struct bd_pending_read **list)
+{
+    while (*list) {
+        struct bd_pending_read *read = *list;
+        *list = read->next;
+        bd_admission_drop(read->accept);
+        free(read);
+    }
+}
+
+void bd_pending_reads_free(struct bd_core *core)
+{
+    free_reads(&core->replica.waiting);
+    free_reads(&core->replica.asked);
+}
--- a/src/jobs/replica.c
+++ b/src/jobs/replica.c
@@ -157,3 +157,24 @@
     job->cancellation_heard_at = core->now;
     stop_tasks(core, job);
 }
+
+static void free_jobs(struct bd_core *core)
+{
+    struct bd_job *job, *next;
+    HASH_ITER(hh, core->jobs, job, next)
+    {
+        HASH_DEL(core->jobs, job);
+        json_decref(job->record_spec);
+        free(job->parent_edges);
+        free(job->tasks);
+        free(job);
+    }
+}
+
+void bd_jobs_free(struct bd_core *core)
+{
+    free_jobs(core);
+    bd_pending_reads_free(core);
+    bd_admission_end(core);
+    bd_dag_free(core);
+}
--- a/src/leadership/leadership.c
+++ b/src/leadership/leadership.c
@@ -9,6 +9,7 @@
 #include "model/decision_log.h"
 #include "model/effect.h"
 #include "model/leadership_state.h"
+#include "model/machine.h"
 #include "model/task_state.h"
 #include <stdio.h>
 #include <stdlib.h>
@@ -74,20 +75,6 @@
                          bd_between(core->replica.refreshed_at, core->now));
 }
 
-static void free_machines(struct bd_core *core)
-{
-    struct bd_machine *machine, *next;
-    HASH_ITER(hh, core->machines, machine, next)
-    {
-        HASH_DEL(core->machines, machine);
-        free(machine->reservations);
-        free(machine);
-    }
-    free(core->by_index);
-    core->by_index = NULL;
-    core->nmachines = core->cap_machines = 0;
-}
-
 static void free_leader_state(struct bd_core *core)
 {
     struct bd_job *job, *next;
@@ -95,7 +82,7 @@
     {
         bd_job_stop_tracking(job);
     }
-    free_machines(core);
+    bd_machines_free(core);
     bd_intent_records_free(core);
     bd_commit_free(core->lead.commit);
     core->lead.commit = NULL;
@@ -147,3 +134,10 @@
                  "the records cannot be read here but elsewhere: leadership resigned");
     end_term(core, BD_STEP_DOWN_RESIGNED);
 }
+
+void bd_leadership_free(struct bd_core *core)
+{
+    bd_intent_records_free(core);
+    bd_commit_free(core->lead.commit);
+    core->lead.commit = NULL;
+}
--- a/src/leadership/leadership.h
+++ b/src/leadership/leadership.h
@@ -104,4 +104,9 @@
 /* Until when the right by which a direct command was decided holds. The command may wait in a queue
  * behind machines that do not answer; whoever sends it checks this again. */
 struct timespec bd_command_deadline(const struct bd_core *core, bool launch);
+
+/* ---- the end ---- */
+
+/* Frees the term's intent records and the transaction under way. */
+void bd_leadership_free(struct bd_core *core);
 #endif
--- a/src/model/machine.c
+++ b/src/model/machine.c
@@ -100,3 +100,17 @@
     return has_known_type(core, machine) && machine->zone >= 0 && is_in_service(machine) &&
            is_reachable(core, machine) && bd_before(machine->refuse_until, core->now);
 }
+
+void bd_machines_free(struct bd_core *core)
+{
+    struct bd_machine *machine, *next;
+    HASH_ITER(hh, core->machines, machine, next)
+    {
+        HASH_DEL(core->machines, machine);
+        free(machine->reservations);
+        free(machine);
+    }
+    free(core->by_index);
+    core->by_index = NULL;
+    core->nmachines = core->cap_machines = 0;
+}
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -97,6 +97,8 @@
 /* Whether its heartbeat is overdue: it hangs, or looks for a controller. A direct command would
  * block a sender until its timeout. */
 bool bd_overdue(const struct bd_core *core, const struct bd_machine *machine);
+/* Forgets all machines, as at the end of a term. */
+void bd_machines_free(struct bd_core *core);
 /* Whether new work may be placed on it. */
 bool bd_machine_usable(const struct bd_core *core, const struct bd_machine *machine);
 
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -293,3 +293,11 @@
     else if (delegate->asking)
         settle_all_waiting(core, REDIRECT_UNCONFIRMED);
 }
+
+void bd_workers_free(struct bd_core *core)
+{
+    core->last_term = 0; /* nobody waits for a better reply any more */
+    bd_delegate_end(core);
+    bd_forwards_free(core);
+    bd_forward_end(core);
+}
--- a/src/workers/forwarding.c
+++ b/src/workers/forwarding.c
@@ -225,3 +225,15 @@
         free_forward(forward);
     }
 }
+
+void bd_forwards_free(struct bd_core *core)
+{
+    while (core->forwarding.waiting) {
+        struct bd_forward *forward = core->forwarding.waiting;
+        struct bd_remote *remote = forward->request;
+        core->forwarding.waiting = forward->next;
+        if (remote && remote->remote)
+            free(remote); /* the core's own: see bd_worker_heartbeat_forwarded */
+        free_forward(forward);
+    }
+}
--- a/src/workers/workers.h
+++ b/src/workers/workers.h
@@ -51,10 +51,6 @@
 bool bd_forward_hears_leader(const struct bd_core *core);
 /* Gives up forwarded heartbeats that the leader has not replied to in time. */
 void bd_forward_tick(struct bd_core *core);
-/* Frees what is known of redirected workers. */
-void bd_forward_end(struct bd_core *core);
-/* Frees a heartbeat and its tasks. */
-void bd_heartbeat_free(struct bd_heartbeat *heartbeat);
 
 /* ---- delegates (delegate.c, delegate_record.c, delegate_probes.c, delegate_view.c) ---- */
 
@@ -68,8 +64,6 @@
 json_t *bd_delegates_dismissed(const struct bd_core *core);
 /* Ends our part as a delegate, as when we lead: heartbeats that wait are answered or redirected. */
 void bd_delegate_end(struct bd_core *core);
-/* Forgets all machines that we answered for the leader. */
-void bd_delegate_forget(struct bd_core *core);
 /* As leader: the controllers' records were read. pairs: borrowed; sent: when the read was sent. */
 void bd_delegate_records_read(struct bd_core *core, json_t *pairs, struct timespec sent);
 /* As follower: the outcome of writing our own record, or of reading its revision (status 0, and
@@ -85,4 +79,9 @@
 void bd_liveness_sent(struct bd_core *core, struct timespec sent);
 /* The liveness record that was sent at that moment was written. */
 void bd_liveness_written(struct bd_core *core, struct timespec sent);
+
+/* ---- the end ---- */
+
+/* Frees what waits for replies and what is known of other controllers' workers. */
+void bd_workers_free(struct bd_core *core);
 #endif
--- a/src/workers/workers_internal.h
+++ b/src/workers/workers_internal.h
@@ -112,4 +112,13 @@
 
 /* Whether the worker is to be redirected to the leader, to see if it can be reached. */
 bool bd_delegate_probe_leader(struct bd_core *core, const struct bd_heartbeat *heartbeat);
+
+/* Frees what is known of redirected workers. */
+void bd_forward_end(struct bd_core *core);
+/* Frees a heartbeat and its tasks. */
+void bd_heartbeat_free(struct bd_heartbeat *heartbeat);
+/* Forgets all machines that we answered for the leader. */
+void bd_delegate_forget(struct bd_core *core);
+/* Frees the heartbeats that wait for the leader's reply. */
+void bd_forwards_free(struct bd_core *core);
 #endif
