--- a/src/autoscaling/autoscaler.c
+++ b/src/autoscaling/autoscaler.c
@@ -123,7 +123,7 @@
     for (int t = 0; t < core->ntypes; t++) {
         if (!core->types[t].known)
             continue;
-        int n = bd_tasks_a_machine(&core->types[t], spec);
+        int n = bd_tasks_per_machine(&core->types[t], spec);
         if (n < 1)
             continue;
         n = (uint32_t)n < left ? n : (int)left;
@@ -276,7 +276,7 @@
     double lead = core->types[type].boot + k->image_gb / k->jobs / core->types[type].fetch;
     for (int i = 0; i < core->settings->nslos; i++) {
         const struct bd_slo *a = &core->settings->slos[i];
-        double wait = bd_slack(core, k->id, k->estimate / k->jobs, a);
+        double wait = bd_slo_slack(core, k->id, k->estimate / k->jobs, a);
         if (wait < 0 || wait >= lead)
             continue;
         double z = gsl_cdf_ugaussian_Pinv(fmin(0.995, (1 + a->share) / 2));
--- /dev/null
+++ b/src/scheduling/constraints.c
@@ -0,0 +1,58 @@
+/* Where a task may run at all: its machine types, zones and spot machines. */
+#include "model/core_state.h"
+#include "model/machine.h"
+#include "scheduling/placement_internal.h"
+#include "scheduling/scheduling.h"
+#include "wire/wire.h"
+#include <string.h>
+
+bool bd_type_allowed(const struct bd_spec *spec, int type)
+{
+    return spec->any_type || (spec->types >> type & 1);
+}
+
+bool bd_allowed(const struct bd_spec *spec, int type, int zone, bool spot)
+{
+    return bd_type_allowed(spec, type) && (spec->zone < 0 || spec->zone == zone) &&
+           (spec->spot || !spot);
+}
+
+void bd_count_tasks_by_zone(struct bd_core *core, const struct bd_job *job,
+                            uint32_t counts[BD_MAX_ZONES])
+{
+    memset(counts, 0, BD_MAX_ZONES * sizeof *counts);
+    if (!job->spec.same_zone && !job->spec.spread_zones)
+        return;
+    for (uint32_t i = 0; i < job->ntasks; i++) {
+        const struct bd_machine *machine = bd_machine_of(core, job->tasks[i].machine);
+        if (!machine)
+            continue;
+        if (machine->zone >= 0) {
+            counts[machine->zone]++;
+            continue;
+        }
+        /* a machine whose zone is not known may be in any */
+        for (int zone = 0; zone < core->nzones; zone++)
+            counts[zone]++;
+    }
+}
+
+static bool is_in_another_zone(const struct bd_core *core, const uint32_t *counts, int zone)
+{
+    for (int other = 0; other < core->nzones; other++)
+        if (other != zone && counts[other] > 0)
+            return true;
+    return false;
+}
+
+uint32_t bd_zone_allowance(const struct bd_core *core, const struct bd_job *job,
+                           const uint32_t *counts, int zone, uint32_t most)
+{
+    if (job->spec.same_zone && is_in_another_zone(core, counts, zone))
+        return 0;
+    if (!job->spec.spread_zones)
+        return most;
+    uint32_t half = (job->ntasks + 1) / 2;
+    uint32_t left = counts[zone] >= half ? 0 : half - counts[zone];
+    return left < most ? left : most;
+}
--- a/src/scheduling/cost_model.c
+++ b/src/scheduling/cost_model.c
@@ -1,4 +1,5 @@
-/* What a place costs, and how long a job may look for a cheap one before its aims are in danger. */
+/* What a place costs, and how long a job may wait for a cheap one before its objectives are in
+ * danger. */
 #include "brambledoor/settings.h"
 #include "jobs/jobs.h"
 #include "model/catalog.h"
@@ -8,92 +9,106 @@
 #include <math.h>
 #include <string.h>
 
-/* named defaults */
-#define EXPENSIVE_FACTOR 2.5 /* times the cheapest ordinary place for the task */
-#define PATIENCE 1.0         /* of the time that a job can spare */
-#define HOPE_S 20.0          /* with less to spare an aim is not counted on */
-#define YIELD_MIN_S 15.0     /* while GPU work waits for machines */
-#define RUN_FACTOR 1.5       /* a job's slowest task against its owner's guess */
+#define EXPENSIVE_FACTOR 2.5    /* times the cheapest on-demand place for the task */
+#define SLACK_MIN_S 20.0        /* with less to spare an objective is not counted on */
+#define GPU_YIELD_MIN_S 15.0    /* arrays leave expensive places to GPU work that waits, at least */
+#define SLOWEST_TASK_FACTOR 1.5 /* a job's slowest task against the estimate */
+#define ROUNDING 1e-9           /* of a quotient of amounts */
+#define TASKS_MAX 1e6           /* for a task that needs nothing */
 
-int bd_tasks_a_machine(const struct bd_type *type, const struct bd_spec *spec)
+int bd_tasks_per_machine(const struct bd_type *type, const struct bd_spec *spec)
 {
-    double n = 1e6;
+    double n = TASKS_MAX;
     if (spec->cpus > 0)
-        n = fmin(n, floor(type->cpus / spec->cpus + 1e-9));
+        n = fmin(n, floor(type->cpus / spec->cpus + ROUNDING));
     if (spec->gpus > 0)
-        n = fmin(n, floor(type->gpus / spec->gpus + 1e-9));
+        n = fmin(n, floor(type->gpus / spec->gpus + ROUNDING));
     if (spec->mem > 0)
-        n = fmin(n, floor(type->mem / spec->mem + 1e-9));
+        n = fmin(n, floor(type->mem / spec->mem + ROUNDING));
     return (int)n;
 }
 
+/* Of one task on a full machine; infinite: it may not run there. */
 static double place_price(const struct bd_core *core, const struct bd_spec *spec, int type,
                           bool spot)
 {
-    const struct bd_type *t = &core->types[type];
-    int n = t->known ? bd_tasks_a_machine(t, spec) : 0;
+    const struct bd_type *machine_type = &core->types[type];
+    int n = machine_type->known ? bd_tasks_per_machine(machine_type, spec) : 0;
     if (n < 1 || !bd_type_allowed(spec, type) || (spot && !spec->spot))
         return INFINITY;
-    return (spot ? t->spot_price : t->price) / n;
+    return (spot ? machine_type->spot_price : machine_type->price) / n;
 }
 
-/* Whether a place on such a machine costs much more than the cheapest would. */
 bool bd_type_is_expensive(const struct bd_core *core, const struct bd_spec *spec, int type,
                           bool spot)
 {
-    double low = INFINITY;
-    for (int t = 0; t < core->ntypes; t++)
-        low = fmin(low, place_price(core, spec, t, false));
-    return place_price(core, spec, type, spot) > EXPENSIVE_FACTOR * low;
+    double lowest = INFINITY;
+    for (int other = 0; other < core->ntypes; other++)
+        lowest = fmin(lowest, place_price(core, spec, other, false));
+    return place_price(core, spec, type, spot) > EXPENSIVE_FACTOR * lowest;
 }
 
-/* How long a job of the class may wait and still meet the aim; below 0: not this class's aim. */
-double bd_slack(const struct bd_core *core, int job_class, double estimate, const struct bd_slo *a)
+double bd_slo_slack(const struct bd_core *core, int job_class, double estimate,
+                    const struct bd_slo *slo)
 {
-    if (strcmp(a->job_class, bd_class_name(core, job_class)) != 0)
+    if (strcmp(slo->job_class, bd_class_name(core, job_class)) != 0)
         return -1;
-    if (a->kind == BD_SLO_WAIT)
-        return a->within_s;
-    if (a->kind == BD_SLO_FINISHED)
-        return fmax(0, a->within_s - RUN_FACTOR * estimate);
+    if (slo->kind == BD_SLO_WAIT)
+        return slo->within_s;
+    if (slo->kind == BD_SLO_FINISHED)
+        return fmax(0, slo->within_s - SLOWEST_TASK_FACTOR * estimate);
     return -1;
 }
 
-/* Seconds from its submission that the job can wait for a cheap place; a class whose aim for its
- * start leaves no time for a new machine waits for nothing. A job that is too long for the tightest
- * aim for its end goes by the next one. */
-static double patience(const struct bd_core *core, const struct bd_spec *spec)
+/* Seconds until a new machine for the job could begin its first task, at worst. */
+static double provisioning_lead_s(const struct bd_core *core, const struct bd_spec *spec)
 {
-    double tight = INFINITY, loose = 0, lead = 0;
-    bool any = false;
-    for (int t = 0; t < core->ntypes; t++)
-        if (place_price(core, spec, t, false) < INFINITY)
-            lead = fmax(lead, core->types[t].boot + spec->image_gb / core->types[t].fetch);
+    double lead = 0;
+    for (int type = 0; type < core->ntypes; type++)
+        if (place_price(core, spec, type, false) < INFINITY)
+            lead = fmax(lead, core->types[type].boot + spec->image_gb / core->types[type].fetch);
+    return lead;
+}
+
+/* Seconds from its submission that the job can wait for a cheap place. A class whose objective for
+ * its start leaves no time for a new machine waits for nothing; a job that is too long for the
+ * tightest objective for its end goes by the next one. */
+static double cheap_wait_s(const struct bd_core *core, const struct bd_spec *spec)
+{
+    double tightest = INFINITY, loosest = 0, lead = provisioning_lead_s(core, spec);
+    bool has_objective = false;
     for (int i = 0; i < core->settings->nslos; i++) {
-        const struct bd_slo *a = &core->settings->slos[i];
-        double slack = bd_slack(core, spec->job_class, spec->estimate, a), v = slack - lead;
+        const struct bd_slo *slo = &core->settings->slos[i];
+        double slack = bd_slo_slack(core, spec->job_class, spec->estimate, slo);
+        double spare = slack - lead;
         if (slack < 0)
             continue;
-        if (a->kind == BD_SLO_WAIT && v < HOPE_S)
+        if (slo->kind == BD_SLO_WAIT && spare < SLACK_MIN_S)
             return 0;
-        any = true;
-        loose = fmax(loose, v);
-        if (v >= HOPE_S)
-            tight = fmin(tight, v);
+        has_objective = true;
+        loosest = fmax(loosest, spare);
+        if (spare >= SLACK_MIN_S)
+            tightest = fmin(tightest, spare);
     }
-    return any ? PATIENCE * fmin(tight, loose) : 0;
+    return has_objective ? fmin(tightest, loosest) : 0;
+}
+
+/* Whether the job leaves expensive machines to GPU work that waits for them. */
+static bool yields_to_gpu_work(const struct bd_core *core, const struct bd_job *job)
+{
+    return core->cloud.gpu_waiting && job->spec.gpus <= 0 && job->spec.kind == BD_JOB_ARRAY &&
+           job->priority <= BD_PRIORITY_STANDARD;
 }
 
 enum bd_cost_tier bd_cost_tier_of(const struct bd_core *core, const struct bd_job *job)
 {
-    double can = patience(core, &job->spec), waited = core->wall - job->ready;
-    if (isfinite(job->finish_by)) /* what waits for it leaves it no more than that */
-        can = fmin(can, fmax(0, bd_deadline_slack(core, job) - HOPE_S + waited));
-    bool yields = core->cloud.gpu_waiting && job->spec.gpus <= 0 &&
-                  job->spec.kind == BD_JOB_ARRAY && job->priority <= BD_PRIORITY_STANDARD;
-    if (waited >= (yields ? fmax(can, YIELD_MIN_S) : can))
+    double may_wait = cheap_wait_s(core, &job->spec), waited = core->wall - job->ready;
+    if (isfinite(job->finish_by)) /* the jobs that wait for it leave it no more than that */
+        may_wait = fmin(may_wait, fmax(0, bd_deadline_slack(core, job) - SLACK_MIN_S + waited));
+    double until_any = yields_to_gpu_work(core, job) ? fmax(may_wait, GPU_YIELD_MIN_S) : may_wait;
+    if (waited >= until_any)
         return BD_TIER_ANY;
-    return job->spec.spot && waited < can / 2 ? BD_TIER_SPOT : BD_TIER_CHEAP;
+    return job->spec.spot && waited < may_wait / 2 ? BD_TIER_SPOT : BD_TIER_CHEAP;
 }
 
 bool bd_within_cost_tier(const struct bd_core *core, const struct bd_spec *spec,
--- a/src/scheduling/preemption.c
+++ b/src/scheduling/preemption.c
@@ -1,5 +1,5 @@
-/* Which tasks may be stopped to make room, and which are. Part of the pure core. */
-#include "brambledoor/settings.h"
+/* Which tasks may be preempted for a job, what that costs, and doing it. */
+#include "base/timeutil.h"
 #include "model/core_state.h"
 #include "model/machine.h"
 #include "model/resources.h"
@@ -10,74 +10,104 @@
 #include "wire/wire.h"
 #include <math.h>
 
-#define COST_STOPPING 10.0 /* the whole room of a task made by stopping others */
-#define PREEMPT_MAX 32u    /* places made for one job in one round */
+#define PREEMPTION_COST_S 10.0 /* all resources of a task freed by preempting others */
+#define PREEMPTIONS_MAX 32u    /* tasks that one call frees capacity for */
+#define PREEMPTION_RETRY_S 0.5 /* until a job for which nothing was found is tried again */
 
-bool bd_stoppable(const struct bd_job *job, const struct bd_task *task)
+bool bd_preemption_is_due(const struct bd_core *core, const struct bd_job *job)
+{
+    return !bd_before(core->now, job->next_force);
+}
+
+void bd_preemption_back_off(const struct bd_core *core, struct bd_job *job)
+{
+    job->next_force = bd_add(core->now, bd_secs(PREEMPTION_RETRY_S));
+}
+
+/* ---- what may be preempted ---- */
+
+static bool is_preemptible(const struct bd_job *job, const struct bd_task *task)
 {
     return !(task->flags & BD_TASK_FLAG_STOP_REQUESTED) &&
            (task->state == BD_TASK_CONFIRMED || task->state == BD_TASK_LAUNCHING) &&
            job->spec.kind != BD_JOB_SERVICE;
 }
 
-static bool may_stop(const struct bd_job *want, const struct bd_job *job,
-                     const struct bd_task *task)
+/* Whether the task runs beyond its team's guaranteed share on what another team's job is
+ * guaranteed. The few short tasks that others need by a deadline are exempt: there is enough
+ * beside them. */
+static bool may_reclaim(const struct bd_job *wanting, const struct bd_job *job,
+                        const struct bd_task *task)
+{
+    bool is_exempt = isfinite(job->finish_by) && job->priority > wanting->priority;
+    return wanting->within_guaranteed_share && !job->within_guaranteed_share &&
+           wanting->spec.team != job->spec.team && !is_exempt && task->state == BD_TASK_CONFIRMED &&
+           task->execution == BD_EXECUTION_RUNNING;
+}
+
+static bool may_preempt(const struct bd_job *wanting, const struct bd_job *job,
+                        const struct bd_task *task)
 {
-    /* a team's guarantee may take what another team runs beyond its own, but for a few short tasks
-     * that others wait for by a due time: there is enough beside them */
-    bool hurries = isfinite(job->finish_by) && job->priority > want->priority;
-    bool owed = want->within_guaranteed_share && !job->within_guaranteed_share &&
-                want->spec.team != job->spec.team && !hurries && task->state == BD_TASK_CONFIRMED &&
-                task->execution == BD_EXECUTION_RUNNING;
-    return (job->priority < want->priority || owed) && bd_stoppable(job, task);
+    return (job->priority < wanting->priority || may_reclaim(wanting, job, task)) &&
+           is_preemptible(job, task);
 }
 
-static const struct stops *sum_up(struct placement_cycle *r, const struct bd_machine *machine)
+static const struct preemption_summary *summarize(struct placement_cycle *cycle,
+                                                  const struct bd_machine *machine)
 {
-    struct stops *s = &r->stops[machine->index];
-    if (s->stamp == r->nstops)
-        return s;
-    *s = (struct stops){.stamp = r->nstops, .lowest_priority = BD_PRIORITY_PRODUCTION};
-    for (uint32_t k = 0; k < machine->nreservations; k++) {
-        const struct bd_job *job = machine->reservations[k].job;
-        const struct bd_task *task = &job->tasks[machine->reservations[k].task];
-        s->stopping |= (task->flags & BD_TASK_FLAG_STOP_REQUESTED) != 0;
-        if (!bd_stoppable(job, task))
+    struct preemption_summary *summary = &cycle->machines[machine->index].preemption;
+    if (summary->generation == cycle->generation)
+        return summary;
+    *summary = (struct preemption_summary){.generation = cycle->generation,
+                                           .lowest_priority = BD_PRIORITY_PRODUCTION};
+    for (uint32_t i = 0; i < machine->nreservations; i++) {
+        const struct bd_job *job = machine->reservations[i].job;
+        const struct bd_task *task = &job->tasks[machine->reservations[i].task];
+        summary->has_stopping |= (task->flags & BD_TASK_FLAG_STOP_REQUESTED) != 0;
+        if (!is_preemptible(job, task))
             continue;
-        s->any = true;
-        s->lowest_priority =
-            job->priority < s->lowest_priority ? job->priority : s->lowest_priority;
-        s->borrowed |= !job->within_guaranteed_share;
+        summary->has_preemptible = true;
+        if (job->priority < summary->lowest_priority)
+            summary->lowest_priority = job->priority;
+        summary->has_borrowed |= !job->within_guaranteed_share;
     }
-    return s;
-}
-
-/* Room on the machine once what is stopping has gone, and what else could be stopped. */
-static void later_room(struct placement_cycle *r, const struct bd_job *want,
-                       struct bd_machine *machine, struct bd_resources *soon,
-                       struct bd_resources *most)
-{
-    const struct stops *s = sum_up(r, machine);
-    *soon = bd_unclaimed_capacity(r, machine);
-    *most = *soon;
-    bool lower = s->any && s->lowest_priority < want->priority;
-    if (!s->stopping && !lower && !(want->within_guaranteed_share && s->borrowed))
-        return;
-    for (uint32_t k = 0; k < machine->nreservations; k++) {
-        struct bd_job *job = machine->reservations[k].job;
-        struct bd_task *task = &job->tasks[machine->reservations[k].task];
-        if (task->flags & BD_TASK_FLAG_STOP_REQUESTED) {
-            bd_resources_add(soon, &job->spec, 1);
-            bd_resources_add(most, &job->spec, 1);
-        } else if (may_stop(want, job, task)) {
-            bd_resources_add(most, &job->spec, 1);
-        }
+    return summary;
+}
+
+/* Capacity of a machine that is not claimed: once the tasks that are stopping have gone, and with
+ * all that could be preempted for a job. */
+struct freeable_capacity {
+    struct bd_resources after_stops, after_preemption;
+};
+
+static struct freeable_capacity freeable_capacity(struct placement_cycle *cycle,
+                                                  const struct bd_job *wanting,
+                                                  const struct bd_machine *machine)
+{
+    const struct preemption_summary *summary = summarize(cycle, machine);
+    struct bd_resources unclaimed = bd_unclaimed_capacity(cycle, machine);
+    struct freeable_capacity capacity = {unclaimed, unclaimed};
+    bool has_lower = summary->has_preemptible && summary->lowest_priority < wanting->priority;
+    bool has_reclaimable = wanting->within_guaranteed_share && summary->has_borrowed;
+    if (!summary->has_stopping && !has_lower && !has_reclaimable)
+        return capacity;
+    for (uint32_t i = 0; i < machine->nreservations; i++) {
+        const struct bd_job *job = machine->reservations[i].job;
+        const struct bd_task *task = &job->tasks[machine->reservations[i].task];
+        bool is_stopping = task->flags & BD_TASK_FLAG_STOP_REQUESTED;
+        if (is_stopping)
+            bd_resources_add(&capacity.after_stops, &job->spec, 1);
+        if (is_stopping || may_preempt(wanting, job, task))
+            bd_resources_add(&capacity.after_preemption, &job->spec, 1);
     }
+    return capacity;
 }
 
-/* Whether x is less worth keeping than y: the lower rank, then the younger job, which has more time
+/* ---- the victims on a machine ---- */
+
+/* Whether x is preempted before y: the lower priority, then the younger job, which has more time
  * to make up for it, then the newer start. */
-static bool less_valuable(const struct bd_reservation *x, const struct bd_reservation *y)
+static bool is_better_victim(const struct bd_reservation *x, const struct bd_reservation *y)
 {
     const struct bd_job *a = x->job, *b = y->job;
     if (a->priority != b->priority)
@@ -87,112 +117,162 @@
     return a->tasks[x->task].attempt > b->tasks[y->task].attempt;
 }
 
-/* Picks the lowest_priority valuable of what may be stopped. */
-static struct bd_reservation least_valuable(const struct bd_job *want,
-                                            const struct bd_machine *machine)
+/* The task to preempt next; its job is NULL if there is none. */
+static struct bd_reservation choose_victim(const struct bd_job *wanting,
+                                           const struct bd_machine *machine)
 {
-    struct bd_reservation pick = {0};
-    for (uint32_t k = 0; k < machine->nreservations; k++) {
-        struct bd_job *job = machine->reservations[k].job;
-        if (may_stop(want, job, &job->tasks[machine->reservations[k].task]) &&
-            (!pick.job || less_valuable(&machine->reservations[k], &pick)))
-            pick = machine->reservations[k];
+    struct bd_reservation victim = {0};
+    for (uint32_t i = 0; i < machine->nreservations; i++) {
+        const struct bd_reservation *reservation = &machine->reservations[i];
+        const struct bd_job *job = reservation->job;
+        if (may_preempt(wanting, job, &job->tasks[reservation->task]) &&
+            (!victim.job || is_better_victim(reservation, &victim)))
+            victim = *reservation;
     }
-    return pick;
+    return victim;
 }
 
-static void stop_for(struct placement_cycle *r, const struct bd_job *want,
-                     struct bd_machine *machine, struct bd_resources soon)
+static void preempt_on_machine(struct placement_cycle *cycle, const struct bd_job *wanting,
+                               const struct bd_machine *machine, struct bd_resources capacity)
 {
-    while (!bd_resources_fit(soon, &want->spec, 1)) {
-        struct bd_reservation pick = least_valuable(want, machine);
-        if (!pick.job)
+    while (!bd_resources_fit(capacity, &wanting->spec, 1)) {
+        struct bd_reservation victim = choose_victim(wanting, machine);
+        if (!victim.job)
             return;
-        bd_resources_add(&soon, &pick.job->spec, 1);
-        r->nstops++;
-        bd_task_stop(r->core, pick.job, pick.task, BD_STOP_PREEMPTED, false);
+        bd_resources_add(&capacity, &victim.job->spec, 1);
+        cycle->generation++;
+        bd_task_stop(cycle->core, victim.job, victim.task, BD_STOP_PREEMPTED, false);
     }
 }
 
-/* What making room on the machine would cost; infinite where it cannot be made. */
-static double stop_cost(struct placement_cycle *r, const struct bd_job *job,
-                        struct bd_machine *machine, const uint32_t *zones, bool only_cheap)
+/* ---- the machine to preempt on ---- */
+
+/* Where a search for a machine may preempt. */
+struct preemption_search {
+    const uint32_t *zone_counts;
+    enum bd_price_limit price_limit;
+    bool needs_image; /* only on machines that hold the job's image */
+};
+
+static bool is_candidate(const struct placement_cycle *cycle, const struct bd_job *job,
+                         const struct bd_machine *machine, const struct preemption_search *search)
 {
-    struct bd_core *core = r->core;
-    struct bd_resources soon, most;
-    if (!r->open[machine->index] || !bd_zone_open(r, machine) ||
-        !bd_allowed(&job->spec, machine->type, machine->zone, machine->spot) ||
-        (only_cheap && r->expensive[machine->type][machine->spot]) ||
-        !bd_zone_left(core, job, zones, machine->zone, 1))
+    if (!cycle->machines[machine->index].is_schedulable || !bd_zone_is_open(cycle, machine) ||
+        !bd_allowed(&job->spec, machine->type, machine->zone, machine->spot))
+        return false;
+    if (search->price_limit == BD_PRICE_CHEAP &&
+        cycle->weights.is_expensive[machine->type][machine->spot])
+        return false;
+    return bd_zone_allowance(cycle->core, job, search->zone_counts, machine->zone, 1) > 0;
+}
+
+/* What capacity for one task would cost on the machine, in seconds of later start; infinite: it
+ * cannot be had there. */
+static double preemption_cost_s(struct placement_cycle *cycle, const struct bd_job *job,
+                                const struct bd_machine *machine,
+                                const struct preemption_search *search)
+{
+    const struct bd_spec *spec = &job->spec;
+    if (!is_candidate(cycle, job, machine, search))
         return INFINITY;
-    later_room(r, job, machine, &soon, &most);
-    if (!bd_resources_fit(most, &job->spec, 1))
+    struct freeable_capacity capacity = freeable_capacity(cycle, job, machine);
+    if (!bd_resources_fit(capacity.after_preemption, spec, 1))
         return INFINITY;
-    double v = bd_fetch_s(core, machine, &job->spec);
-    double lacking = fmax(0, fmax(job->spec.cpus - soon.cpus, 0) / fmax(job->spec.cpus, 1) +
-                                 fmax(job->spec.gpus - soon.gpus, 0) / fmax(job->spec.gpus, 1));
-    return v + lacking * COST_STOPPING;
+    const struct bd_resources *free = &capacity.after_stops;
+    double fetch = bd_fetch_s(cycle->core, machine, spec);
+    double lacking = fmax(0, fmax(spec->cpus - free->cpus, 0) / fmax(spec->cpus, 1) +
+                                 fmax(spec->gpus - free->gpus, 0) / fmax(spec->gpus, 1));
+    return fetch + lacking * PREEMPTION_COST_S;
+}
+
+static bool is_excluded_by_image(const struct placement_cycle *cycle, const struct bd_job *job,
+                                 const struct bd_machine *machine,
+                                 const struct preemption_search *search)
+{
+    if (search->needs_image && !bd_has_image(machine, job->spec.image))
+        return true;
+    return cycle->only_near_image && !bd_image_is_near(cycle->core, &job->spec, machine);
+}
+
+static void update_costs(struct placement_cycle *cycle, const struct bd_job *job,
+                         const struct preemption_search *search)
+{
+    for (uint32_t i = 0; i < cycle->core->nmachines; i++) {
+        const struct bd_machine *machine = cycle->core->by_index[i];
+        cycle->machines[i].preemption_cost_s = is_excluded_by_image(cycle, job, machine, search)
+                                                   ? INFINITY
+                                                   : preemption_cost_s(cycle, job, machine, search);
+    }
 }
 
-/* What room for one task would cost on each machine. */
-void bd_stop_costs(struct placement_cycle *r, const struct bd_job *job, const uint32_t *zones,
-                   bool only_cheap, bool with_image)
+/* The machine with the lowest cost; NULL: all are infinite. */
+static struct bd_machine *cheapest_machine(const struct placement_cycle *cycle)
 {
-    for (uint32_t i = 0; i < r->core->nmachines; i++) {
-        struct bd_machine *machine = r->core->by_index[i];
-        bool out = (with_image && !bd_has_image(machine, job->spec.image)) ||
-                   (r->quick && !bd_quick_there(r->core, &job->spec, machine));
-        r->cost[i] = out ? INFINITY : stop_cost(r, job, machine, zones, only_cheap);
+    struct bd_machine *cheapest = NULL;
+    double lowest = INFINITY;
+    for (uint32_t i = 0; i < cycle->core->nmachines; i++) {
+        if (cycle->machines[i].preemption_cost_s < lowest) {
+            lowest = cycle->machines[i].preemption_cost_s;
+            cheapest = cycle->core->by_index[i];
+        }
     }
+    return cheapest;
 }
 
-/* Makes room for one task where that costs lowest_priority, and keeps it for the task. False:
- * nowhere. The costs are counted once for all tasks of the job, and again only for the machine that
- * is picked.
- */
-bool bd_vacate(struct placement_cycle *r, struct bd_job *job, uint32_t *zones, bool only_cheap)
+/* Preempts for one task where that costs least, and claims the capacity. The costs are worked out
+ * once for all tasks of a job, and again only for the machine that is picked. False: nowhere. */
+static bool preempt_for_task(struct placement_cycle *cycle, const struct bd_job *job,
+                             const struct preemption_search *search, uint32_t *zone_counts)
 {
     for (;;) {
-        struct bd_resources soon, most;
-        uint32_t pick = 0;
-        for (uint32_t i = 1; i < r->core->nmachines; i++)
-            if (r->cost[i] < r->cost[pick])
-                pick = i;
-        if (r->core->nmachines == 0 || !(r->cost[pick] < INFINITY))
+        struct bd_machine *machine = cheapest_machine(cycle);
+        if (!machine)
             return false;
-        struct bd_machine *machine = r->core->by_index[pick];
-        double v = stop_cost(r, job, machine, zones, only_cheap);
-        if (v > r->cost[pick]) { /* what was taken before has changed it */
-            r->cost[pick] = v;
+        struct cycle_machine *picked = &cycle->machines[machine->index];
+        double cost = preemption_cost_s(cycle, job, machine, search);
+        if (cost > picked->preemption_cost_s) { /* an earlier preemption has changed it */
+            picked->preemption_cost_s = cost;
             continue;
         }
-        later_room(r, job, machine, &soon, &most);
-        stop_for(r, job, machine, soon);
-        bd_resources_add(&r->claimed[pick], &job->spec, 1);
-        zones[machine->zone]++;
-        r->cost[pick] = stop_cost(r, job, machine, zones, only_cheap);
+        struct freeable_capacity capacity = freeable_capacity(cycle, job, machine);
+        preempt_on_machine(cycle, job, machine, capacity.after_stops);
+        bd_resources_add(&picked->claimed, &job->spec, 1);
+        zone_counts[machine->zone]++;
+        picked->preemption_cost_s = preemption_cost_s(cycle, job, machine, search);
         return true;
     }
 }
 
-/* Makes room for up to n tasks; returns for how many room is made or on its way. */
-uint32_t bd_preempt(struct placement_cycle *r, struct bd_job *job, uint32_t n, bool only_cheap)
+static uint32_t preempt_for_tasks(struct placement_cycle *cycle, struct bd_job *job, uint32_t n,
+                                  enum bd_price_limit price_limit, bool needs_image)
+{
+    uint32_t zone_counts[BD_MAX_ZONES], freed = 0;
+    struct preemption_search search = {zone_counts, price_limit, needs_image};
+    bd_count_tasks_by_zone(cycle->core, job, zone_counts);
+    update_costs(cycle, job, &search);
+    n = n < PREEMPTIONS_MAX ? n : PREEMPTIONS_MAX;
+    while (freed < n && preempt_for_task(cycle, job, &search, zone_counts))
+        freed++;
+    return freed;
+}
+
+uint32_t bd_preempt(struct placement_cycle *cycle, struct bd_job *job, uint32_t n,
+                    enum bd_price_limit price_limit)
 {
-    uint32_t zones[BD_MAX_ZONES], made = 0;
-    bd_zone_counts(r->core, job, zones);
-    bd_stop_costs(r, job, zones, only_cheap, false);
-    n = n < PREEMPT_MAX ? n : PREEMPT_MAX;
-    while (made < n && bd_vacate(r, job, zones, only_cheap))
-        made++;
-    return made;
+    return preempt_for_tasks(cycle, job, n, price_limit, false);
 }
 
-/* Stops nothing unless all that the gang lacks can be had; false: it cannot. */
-bool bd_preempt_gang(struct placement_cycle *r, struct bd_job *job, uint32_t lacking)
+bool bd_preempt_beside_image(struct placement_cycle *cycle, struct bd_job *job)
 {
-    uint32_t zones[BD_MAX_ZONES], can = 0;
-    bd_zone_counts(r->core, job, zones);
-    for (uint32_t i = 0; i < r->core->nmachines && can < lacking; i++)
-        can += stop_cost(r, job, r->core->by_index[i], zones, false) < INFINITY;
-    return can >= lacking && bd_preempt(r, job, lacking, false) > 0;
-}
+    return preempt_for_tasks(cycle, job, 1, BD_PRICE_ANY, true) > 0;
+}
+
+bool bd_preempt_for_gang(struct placement_cycle *cycle, struct bd_job *job, uint32_t lacking)
+{
+    uint32_t zone_counts[BD_MAX_ZONES], possible = 0;
+    struct preemption_search search = {zone_counts, BD_PRICE_ANY, false};
+    bd_count_tasks_by_zone(cycle->core, job, zone_counts);
+    for (uint32_t i = 0; i < cycle->core->nmachines && possible < lacking; i++)
+        possible += preemption_cost_s(cycle, job, cycle->core->by_index[i], &search) < INFINITY;
+    return possible >= lacking && bd_preempt(cycle, job, lacking, BD_PRICE_ANY) > 0;
+}
