--- a/src/autoscaling/autoscaling.h
+++ b/src/autoscaling/autoscaling.h
@@ -8,12 +8,30 @@
 #include "model/core_state.h"
 #include "wire/wire.h"
 
+/* Evacuates machines, and asks the cloud for what is needed and to take back what is not. As
+ * leader. */
 void bd_autoscaler_tick(struct bd_core *core);
-void bd_inventory_types(struct bd_core *core, const struct bd_type_text *t, int n);
-/* asked: when the list was asked for. */
-void bd_inventory_machines(struct bd_core *core, const struct bd_cloud_machine *l, size_t n,
+
+/* ---- inventory (inventory.c) ---- */
+
+/* The cloud's n machine types were read. */
+void bd_inventory_types(struct bd_core *core, const struct bd_type_text *types, int n);
+/* The cloud's list of n machines was read; it was asked for at the moment `asked`. */
+void bd_inventory_machines(struct bd_core *core, const struct bd_cloud_machine *machines, size_t n,
                            struct timespec asked);
+
+/* ---- provisioning (provisioning.c) ---- */
+
+struct bd_pool *bd_pool_of(struct bd_core *core, int type, int zone, bool spot);
+/* Asks the cloud for machines. Returns the request's name, which core->cloud owns, or NULL: too
+ * many requests are open. */
+const char *bd_provision_request(struct bd_core *core, int type, int zone, bool spot, int count);
+/* The cloud answered a request, with n machines. status: HTTP's. */
 void bd_scale_out_completed(struct bd_core *core, const char *request, long status,
                             char (*names)[BD_LABEL], int n);
+
+/* ---- scale in (scale_in.c) ---- */
+
+/* The cloud took n machines back; not ok: whether it did is not known. */
 void bd_scale_in_completed(struct bd_core *core, char (*names)[BD_LABEL], int n, bool ok);
 #endif
--- /dev/null
+++ b/src/autoscaling/boot.c
@@ -0,0 +1,35 @@
+/* How long a new machine may take to boot. */
+#include "autoscaling/autoscaler_internal.h"
+#include "base/timeutil.h"
+#include "model/core_state.h"
+#include "model/machine.h"
+
+/* times the type's usual boot time, */
+#define BOOT_EXPECTED_FACTOR 1.6 /* until it is no longer counted on */
+#define BOOT_TIMEOUT_FACTOR 2.5  /* until it is given up */
+#define BOOT_MARGIN_S 12.0       /* ... and so much more */
+
+static bool is_booting(const struct bd_core *core, const struct bd_machine *machine)
+{
+    return !machine->gone && !machine->scaling_in && !machine->failed && !machine->incarnation &&
+           machine->type >= 0 && machine->zone >= 0 && core->types[machine->type].known;
+}
+
+static double machine_age_s(const struct bd_core *core, const struct bd_machine *machine)
+{
+    return machine->age_at_known + bd_between(machine->age_known, core->now);
+}
+
+bool bd_boot_is_expected(const struct bd_core *core, const struct bd_machine *machine)
+{
+    return is_booting(core, machine) &&
+           machine_age_s(core, machine) <
+               BOOT_EXPECTED_FACTOR * core->types[machine->type].boot + BOOT_MARGIN_S;
+}
+
+bool bd_boot_has_timed_out(const struct bd_core *core, const struct bd_machine *machine)
+{
+    return is_booting(core, machine) &&
+           machine_age_s(core, machine) >
+               BOOT_TIMEOUT_FACTOR * core->types[machine->type].boot + BOOT_MARGIN_S;
+}
--- /dev/null
+++ b/src/autoscaling/evacuation.c
@@ -0,0 +1,38 @@
+/* Evacuation: tasks leave a machine that the cloud takes back, or that fails its tasks. */
+#include "autoscaling/autoscaler_internal.h"
+#include "model/core_state.h"
+#include "model/machine.h"
+#include "model/task.h"
+#include "model/task_state.h"
+#include "wire/wire.h"
+#include "workers/workers.h"
+
+/* Where the cloud takes the machine back, only tasks that can save a checkpoint gain by a stop. */
+static bool should_evacuate(const struct bd_machine *machine, const struct bd_reservation *from)
+{
+    const struct bd_task *task = &from->job->tasks[from->task];
+    return (task->state == BD_TASK_CONFIRMED || task->state == BD_TASK_LAUNCHING) &&
+           !(task->flags & BD_TASK_FLAG_STOP_REQUESTED) &&
+           (from->job->spec.checkpoint_interval_s > 0 || machine->quarantined);
+}
+
+static void evacuate_machine(struct bd_core *core, const struct bd_machine *machine)
+{
+    for (uint32_t i = machine->nreservations; i > 0; i--) {
+        if (i > machine->nreservations) /* a stop may release several */
+            continue;
+        struct bd_reservation reservation = machine->reservations[i - 1];
+        if (should_evacuate(machine, &reservation))
+            bd_task_stop(core, reservation.job, reservation.task, BD_STOP_EVACUATED, false);
+    }
+}
+
+void bd_evacuate_machines(struct bd_core *core)
+{
+    for (uint32_t i = 0; i < core->nmachines; i++) {
+        struct bd_machine *machine = core->by_index[i];
+        bd_machine_detect_slow(core, machine);
+        if (!machine->gone && (machine->notice_left >= 0 || machine->quarantined))
+            evacuate_machine(core, machine);
+    }
+}
--- /dev/null
+++ b/src/autoscaling/fleet_summary.c
@@ -0,0 +1,66 @@
+/* A log line for each type of machine, on demand and spot: how many are up, and what for. */
+#include "autoscaling/autoscaler_internal.h"
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
+#include "model/core_state.h"
+#include "model/machine.h"
+#include "wire/wire.h"
+
+#define INTERVAL_S 20.0
+
+/* What a machine is used for, the most valuable first. */
+enum machine_use { USE_BOOTING, USE_GPU, USE_SERVICES, USE_ARRAYS, USE_IDLE, USES };
+
+static enum machine_use use_of_task(const struct bd_spec *spec)
+{
+    if (spec->gpus > 0)
+        return USE_GPU;
+    return spec->kind == BD_JOB_SERVICE ? USE_SERVICES : USE_ARRAYS;
+}
+
+static enum machine_use use_of_machine(const struct bd_machine *machine)
+{
+    enum machine_use use = machine->incarnation ? USE_IDLE : USE_BOOTING;
+    for (uint32_t i = 0; i < machine->nreservations; i++) {
+        enum machine_use task_use = use_of_task(&machine->reservations[i].job->spec);
+        if (use == USE_BOOTING || task_use < use)
+            use = task_use;
+    }
+    return use;
+}
+
+static void log_type(struct bd_core *core, int type, bool spot)
+{
+    const struct bd_type *machine_type = &core->types[type];
+    uint32_t n[USES] = {0}, up = 0;
+    double cpus = 0, gpus = 0;
+    for (uint32_t i = 0; i < core->nmachines; i++) {
+        const struct bd_machine *machine = core->by_index[i];
+        if (machine->gone || machine->type != type || machine->spot != spot)
+            continue;
+        n[use_of_machine(machine)]++;
+        up += machine->incarnation != 0;
+        cpus += machine->cpus;
+        gpus += machine->gpus;
+    }
+    if (up + n[USE_BOOTING] == 0)
+        return;
+    bd_log_write(
+        core->log, BD_LOG_INFO,
+        "fleet %s%s: %u up, %u coming, %u idle; %u with gpu work, %u with services, %u with "
+        "arrays; in use %.0f of %.0f cpus, %.0f of %.0f gpus",
+        machine_type->label, spot ? " (spot)" : "", up, n[USE_BOOTING], n[USE_IDLE], n[USE_GPU],
+        n[USE_SERVICES], n[USE_ARRAYS], cpus, up * machine_type->cpus, gpus,
+        up * machine_type->gpus);
+}
+
+void bd_log_fleet_summary(struct bd_core *core)
+{
+    if (bd_before(core->now, core->lead.next_summary))
+        return;
+    core->lead.next_summary = bd_add(core->now, bd_secs(INTERVAL_S));
+    for (int type = 0; type < core->ntypes; type++) {
+        log_type(core, type, false);
+        log_type(core, type, true);
+    }
+}
--- a/src/autoscaling/inventory.c
+++ b/src/autoscaling/inventory.c
@@ -1,83 +1,97 @@
-/* The cloud's machine types and its list of machines. Part of the pure core. */
-#include "autoscaling/autoscaler_internal.h"
+/* The cloud's inventory: its machine types, and its list of machines. */
 #include "autoscaling/autoscaling.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
+#include "brambledoor/settings.h"
 #include "model/catalog.h"
 #include "model/core_state.h"
-#include "model/leadership_state.h"
 #include "model/machine.h"
 #include "model/task.h"
 #include "model/task_state.h"
 #include "wire/wire.h"
-#include <gsl/gsl_cdf.h>
-#include <math.h>
 #include <stdio.h>
 
-void bd_inventory_types(struct bd_core *core, const struct bd_type_text *t, int n)
+#define LIST_LAG_FACTOR 2.0   /* times the list's usual lag */
+#define LIST_LAG_MARGIN_S 1.0 /* ... and so much more, until what is missing is gone */
+
+/* ---- machine types ---- */
+
+static uint32_t zones_of_type(struct bd_core *core, const struct bd_type_text *text)
 {
-    for (int i = 0; i < n; i++) {
-        int k = bd_type_index(core, t[i].label);
-        if (k < 0) {
-            bd_log_write(core->log, BD_LOG_ERROR, "machine type %s is one too many", t[i].label);
-            continue;
-        }
-        struct bd_type *d = &core->types[k];
-        d->known = true;
-        d->cpus = t[i].cpus;
-        d->gpus = t[i].gpus;
-        d->mem = t[i].mem;
-        d->cache_gb = t[i].cache_gb;
-        d->fetch = t[i].fetch;
-        d->price = t[i].price;
-        d->spot_price = t[i].spot_price;
-        d->boot = t[i].boot;
-        d->zones = 0;
-        for (int z = 0; z < t[i].nzones; z++) {
-            int zi = bd_zone_index(core, t[i].zones[z]);
-            if (zi >= 0)
-                d->zones |= 1u << zi;
-        }
+    uint32_t zones = 0;
+    for (int i = 0; i < text->nzones; i++) {
+        int zone = bd_zone_index(core, text->zones[i]);
+        if (zone >= 0)
+            zones |= 1u << zone;
     }
+    return zones;
+}
+
+static void update_type(struct bd_core *core, const struct bd_type_text *text)
+{
+    int index = bd_type_index(core, text->label);
+    if (index < 0) {
+        bd_log_write(core->log, BD_LOG_ERROR, "machine type %s is one too many", text->label);
+        return;
+    }
+    struct bd_type *type = &core->types[index];
+    type->known = true;
+    type->cpus = text->cpus;
+    type->gpus = text->gpus;
+    type->mem = text->mem;
+    type->cache_gb = text->cache_gb;
+    type->fetch = text->fetch;
+    type->price = text->price;
+    type->spot_price = text->spot_price;
+    type->boot = text->boot;
+    type->zones = zones_of_type(core, text);
+}
+
+void bd_inventory_types(struct bd_core *core, const struct bd_type_text *types, int n)
+{
+    for (int i = 0; i < n; i++)
+        update_type(core, &types[i]);
     if (n > 0)
         core->types_known = true;
 }
 
-/* ---- the list ---- */
+/* ---- machines ---- */
 
-static void take_listed(struct bd_core *core, const struct bd_cloud_machine *l)
+static void update_machine(struct bd_core *core, const struct bd_cloud_machine *entry)
 {
-    struct bd_machine *machine = bd_machine_get(core, l->id);
+    struct bd_machine *machine = bd_machine_get(core, entry->id);
     if (machine->gone)
         return;
     machine->in_inventory = true;
-    machine->type = bd_type_index(core, l->type);
-    machine->zone = bd_zone_index(core, l->zone);
-    machine->spot = l->spot;
-    machine->age_at_known = l->age;
+    machine->type = bd_type_index(core, entry->type);
+    machine->zone = bd_zone_index(core, entry->zone);
+    machine->spot = entry->spot;
+    machine->age_at_known = entry->age;
     machine->age_known = core->now;
     if (!*machine->addr)
-        snprintf(machine->addr, sizeof machine->addr, "%s", l->addr);
-    if (l->state == BD_MACHINE_FAILED && !machine->failed) {
+        snprintf(machine->addr, sizeof machine->addr, "%s", entry->addr);
+    if (entry->state == BD_MACHINE_FAILED && !machine->failed) {
         machine->failed = true;
         bd_log_write(core->log, BD_LOG_INFO, "%s failed", machine->id);
         bd_machine_lease_expired(core, machine, BD_RELEASE_MACHINE_FAILED);
     }
 }
 
-/* A machine that existed at some moment and is missing from a list of a later moment is gone. */
-static void take_missing(struct bd_core *core, struct bd_machine *machine, struct timespec asked)
+/* A machine that existed at some moment and is missing from a list of a later moment is gone. Lists
+ * lag, so that the later moment must be late enough. */
+static void remove_if_missing(struct bd_core *core, struct bd_machine *machine,
+                              struct timespec asked)
 {
-    double lag = 2 * bd_to_secs(core->settings->list_lag) + 1.0;
+    double lag_s = LIST_LAG_FACTOR * bd_to_secs(core->settings->list_lag) + LIST_LAG_MARGIN_S;
     struct timespec existed = bd_max(machine->heard, machine->known_at);
-    if (machine->gone || machine->in_inventory || bd_between(existed, asked) < lag)
+    if (machine->gone || machine->in_inventory || bd_between(existed, asked) < lag_s)
         return;
     bd_log_write(core->log, BD_LOG_INFO, "%s is gone from the inventory, %u tasks lost",
                  machine->id, machine->nreservations);
     bd_machine_gone(core, machine);
 }
 
-void bd_inventory_machines(struct bd_core *core, const struct bd_cloud_machine *l, size_t n,
+void bd_inventory_machines(struct bd_core *core, const struct bd_cloud_machine *machines, size_t n,
                            struct timespec asked)
 {
     if (core->role != BD_LEADER)
@@ -85,8 +99,8 @@
     for (uint32_t i = 0; i < core->nmachines; i++)
         core->by_index[i]->in_inventory = false;
     for (size_t i = 0; i < n; i++)
-        take_listed(core, &l[i]);
+        update_machine(core, &machines[i]);
     for (uint32_t i = 0; i < core->nmachines; i++)
-        take_missing(core, core->by_index[i], asked);
+        remove_if_missing(core, core->by_index[i], asked);
     core->lead.inventory_read = true;
-}
+}
--- a/src/autoscaling/provisioning.c
+++ b/src/autoscaling/provisioning.c
@@ -1,5 +1,5 @@
-/* Requests to the cloud: one at a time for each pool, with backoff where there is no capacity. Part
- * of the pure core. */
+/* Requests to the cloud for machines: one at a time for each pool, with backoff where there is no
+ * capacity. */
 #include "autoscaling/autoscaler_internal.h"
 #include "autoscaling/autoscaling.h"
 #include "base/timeutil.h"
@@ -7,108 +7,137 @@
 #include "drain/drain.h"
 #include "model/core_state.h"
 #include "model/effect.h"
-#include "model/leadership_state.h"
 #include "model/machine.h"
-#include "model/task_state.h"
 #include "wire/wire.h"
-#include <gsl/gsl_cdf.h>
 #include <math.h>
 #include <stdio.h>
 #include <string.h>
 
-/* named defaults */
 #define BACKOFF_FIRST_S 10.0
 #define BACKOFF_MAX_S 60.0
-#define PROVISION_MAX 50
+#define REQUEST_MACHINES_MAX 50 /* in one request */
+#define DEMAND_REQUESTS_MAX 3   /* with so many open, none is made for demand */
 
-/* ---- provisioning requests ---- */
+/* ---- pools ---- */
 
 struct bd_pool *bd_pool_of(struct bd_core *core, int type, int zone, bool spot)
 {
     return &core->cloud.pools[type][zone][spot ? 1 : 0];
 }
 
-void bd_pool_back_off(struct bd_core *core, struct bd_pool *k)
+static void back_off(const struct bd_core *core, struct bd_pool *pool)
 {
-    k->backoff = k->backoff <= 0 ? BACKOFF_FIRST_S : fmin(k->backoff * 2, BACKOFF_MAX_S);
-    k->refuse_until = bd_add(core->now, bd_secs(k->backoff));
+    pool->backoff = pool->backoff <= 0 ? BACKOFF_FIRST_S : fmin(pool->backoff * 2, BACKOFF_MAX_S);
+    pool->refuse_until = bd_add(core->now, bd_secs(pool->backoff));
 }
 
-void bd_scale_out_completed(struct bd_core *core, const char *request, long status,
-                            char (*names)[BD_LABEL], int n)
+/* ---- requests ---- */
+
+const char *bd_provision_request(struct bd_core *core, int type, int zone, bool spot, int count)
 {
-    int k = 0;
-    while (k < core->cloud.nprovision_requests &&
-           strcmp(core->cloud.provision_requests[k].request, request) != 0)
-        k++;
-    if (core->role != BD_LEADER || k == core->cloud.nprovision_requests)
-        return;
-    struct bd_provision_request_state r = core->cloud.provision_requests[k];
-    core->cloud.provision_requests[k] =
-        core->cloud.provision_requests[--core->cloud.nprovision_requests];
-    struct bd_pool *mk = bd_pool_of(core, r.type, r.zone, r.spot);
-    mk->asked = false;
-    core->lead.next_autoscaling = core->now; /* what was not filled is sought elsewhere at once */
-    if (status != 200 || n < r.count)
-        bd_pool_back_off(core, mk);
-    else
-        mk->backoff = 0;
-    for (int i = 0; status == 200 && i < n; i++) {
-        struct bd_machine *machine = bd_machine_get(core, names[i]);
-        if (machine->gone)
+    struct bd_cloud_view *cloud = &core->cloud;
+    if (cloud->nprovision_requests == BD_PROVISION_REQUESTS_MAX)
+        return NULL;
+    struct bd_provision_request_state *state =
+        &cloud->provision_requests[cloud->nprovision_requests++];
+    *state = (struct bd_provision_request_state){
+        .type = type,
+        .zone = zone,
+        .count = count < REQUEST_MACHINES_MAX ? count : REQUEST_MACHINES_MAX,
+        .spot = spot,
+        .sent = core->now};
+    /* never used again: the term is ours alone, and so is the number within it */
+    snprintf(state->request, sizeof state->request, "r-%llu-%llu",
+             (unsigned long long)core->lead.base_term, (unsigned long long)++core->lead.request_n);
+    bd_pool_of(core, type, zone, spot)->asked = true;
+    struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_SCALE_OUT);
+    snprintf(effect->key, sizeof effect->key, "%s", state->request);
+    effect->body = bd_wire_provision(state->request, core->types[type].label, core->zones[zone],
+                                     spot, state->count);
+    return state->request;
+}
+
+static bool is_same_pool(const struct bd_capacity_bin *a, const struct bd_capacity_bin *b)
+{
+    return a->type == b->type && a->zone == b->zone && a->spot == b->spot;
+}
+
+/* How many machines of the bin's pool are wanted; they are not any more. */
+static int take_wanted(struct bd_demand *demand, const struct bd_capacity_bin *like)
+{
+    int count = 0;
+    for (int i = 0; i < demand->nbins; i++) {
+        struct bd_capacity_bin *bin = &demand->bins[i];
+        if (!bin->is_wanted || !is_same_pool(bin, like))
             continue;
-        machine->type = r.type;
-        machine->zone = r.zone;
-        machine->spot = r.spot;
-        machine->age_at_known = bd_between(r.sent, core->now);
-        machine->age_known = core->now;
+        bin->is_wanted = false;
+        count++;
     }
-    bd_drain_provisioned(core, request, names, status == 200 ? n : 0);
-    bd_log_write(core->log, BD_LOG_INFO, "scale out by %d %s in %s%s: status %ld, %d machines",
-                 r.count, core->types[r.type].label, core->zones[r.zone], r.spot ? " (spot)" : "",
-                 status, n);
+    return count;
 }
 
-void bd_scale_in_completed(struct bd_core *core, char (*names)[BD_LABEL], int n, bool ok)
+void bd_provision_for_demand(struct bd_demand *demand)
 {
-    if (core->role != BD_LEADER)
-        return;
-    for (int i = 0; i < n; i++) {
-        struct bd_machine *machine = NULL;
-        HASH_FIND_STR(core->machines, names[i], machine);
-        if (!machine)
+    struct bd_core *core = demand->core;
+    for (int i = 0; i < demand->nbins; i++) {
+        const struct bd_capacity_bin *bin = &demand->bins[i];
+        if (core->cloud.nprovision_requests >= DEMAND_REQUESTS_MAX)
+            return;
+        /* the answer to an open request will show what the pool has */
+        if (!bin->is_wanted || bd_pool_of(core, bin->type, bin->zone, bin->spot)->asked)
             continue;
-        if (ok) {
-            if (machine->type >= 0 && machine->zone >= 0)
-                bd_pool_of(core, machine->type, machine->zone, machine->spot)->refuse_until =
-                    core->now;
-            bd_machine_gone(core, machine);
-        } else { /* it may be gone all the same: it is not used again, and asked for again */
-            machine->scale_in_not_before = bd_add(core->now, bd_secs(3.0));
-        }
+        int count = take_wanted(demand, bin);
+        (void)bd_provision_request(core, bin->type, bin->zone, bin->spot, count);
     }
 }
 
-const char *bd_provision_request(struct bd_core *core, int type, int zone, bool spot, int count)
+/* ---- answers ---- */
+
+/* Takes the request off the list of the open ones. False: it is not there. */
+static bool take_request(struct bd_cloud_view *cloud, const char *request,
+                         struct bd_provision_request_state *out)
 {
-    if (core->cloud.nprovision_requests ==
-        (int)(sizeof core->cloud.provision_requests / sizeof *core->cloud.provision_requests))
-        return NULL;
-    struct bd_provision_request_state *r =
-        &core->cloud.provision_requests[core->cloud.nprovision_requests++];
-    memset(r, 0, sizeof *r);
-    /* never used again: the term is ours alone, and so is the number within it */
-    snprintf(r->request, sizeof r->request, "r-%llu-%llu", (unsigned long long)core->lead.base_term,
-             (unsigned long long)++core->lead.request_n);
-    bd_pool_of(core, type, zone, spot)->asked = true;
-    r->type = type;
-    r->zone = zone;
-    r->spot = spot;
-    r->count = count < PROVISION_MAX ? count : PROVISION_MAX;
-    r->sent = core->now;
-    struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_SCALE_OUT);
-    snprintf(effect->key, sizeof effect->key, "%s", r->request);
-    effect->body =
-        bd_wire_provision(r->request, core->types[type].label, core->zones[zone], spot, r->count);
-    return r->request;
-}
+    for (int i = 0; i < cloud->nprovision_requests; i++) {
+        if (strcmp(cloud->provision_requests[i].request, request) != 0)
+            continue;
+        *out = cloud->provision_requests[i];
+        cloud->provision_requests[i] = cloud->provision_requests[--cloud->nprovision_requests];
+        return true;
+    }
+    return false;
+}
+
+static void add_machine(struct bd_core *core, const char *name,
+                        const struct bd_provision_request_state *request)
+{
+    struct bd_machine *machine = bd_machine_get(core, name);
+    if (machine->gone)
+        return;
+    machine->type = request->type;
+    machine->zone = request->zone;
+    machine->spot = request->spot;
+    machine->age_at_known = bd_between(request->sent, core->now);
+    machine->age_known = core->now;
+}
+
+void bd_scale_out_completed(struct bd_core *core, const char *request, long status,
+                            char (*names)[BD_LABEL], int n)
+{
+    struct bd_provision_request_state state;
+    if (core->role != BD_LEADER || !take_request(&core->cloud, request, &state))
+        return;
+    bool is_granted = status == 200;
+    struct bd_pool *pool = bd_pool_of(core, state.type, state.zone, state.spot);
+    pool->asked = false;
+    core->lead.next_autoscaling = core->now; /* what was not filled is sought elsewhere at once */
+    if (!is_granted || n < state.count)
+        back_off(core, pool);
+    else
+        pool->backoff = 0;
+    for (int i = 0; is_granted && i < n; i++)
+        add_machine(core, names[i], &state);
+    bd_drain_provisioned(core, request, names, is_granted ? n : 0);
+    bd_log_write(core->log, BD_LOG_INFO, "scale out by %d %s in %s%s: status %ld, %d machines",
+                 state.count, core->types[state.type].label, core->zones[state.zone],
+                 state.spot ? " (spot)" : "", status, n);
+}
--- /dev/null
+++ b/src/autoscaling/scale_in.c
@@ -0,0 +1,95 @@
+/* Scale in: which machines go back to the cloud. */
+#include "autoscaling/autoscaler_internal.h"
+#include "autoscaling/autoscaling.h"
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
+#include "brambledoor/settings.h"
+#include "model/core_state.h"
+#include "model/effect.h"
+#include "model/machine.h"
+#include "model/task_state.h"
+#include "wire/wire.h"
+#include <stdio.h>
+
+#define REQUEST_MACHINES_MAX 100  /* in one request */
+#define SILENT_MARGIN_S 15.0      /* after its lease an unheard machine is given up */
+#define RETRY_S 6.0               /* until a request without an answer is repeated */
+#define RETRY_AFTER_FAILURE_S 3.0 /* ... and one that failed */
+
+/* Whether it was up, and has not been heard since its lease ended. */
+static bool is_dead(const struct bd_core *core, const struct bd_machine *machine)
+{
+    return machine->incarnation && !machine->fenced &&
+           bd_between(machine->heard, core->now) >
+               bd_to_secs(core->settings->lease) + SILENT_MARGIN_S;
+}
+
+/* A machine is kept idle for about as long as getting it again would take. */
+static bool has_idled_out(const struct bd_core *core, const struct bd_machine *machine)
+{
+    return !machine->headroom && bd_between(machine->idle_since, core->now) >
+                                     core->settings->idle_boots * core->types[machine->type].boot;
+}
+
+static bool wants_scale_in(const struct bd_core *core, const struct bd_machine *machine)
+{
+    if (machine->gone || bd_before(core->now, machine->scale_in_not_before))
+        return false;
+    if (machine->scaling_in || machine->failed)
+        return true;
+    if (machine->nreservations > 0)
+        return false;
+    if (bd_boot_has_timed_out(core, machine) || is_dead(core, machine))
+        return true;
+    if (!machine->fenced)
+        return false;
+    enum bd_scale_in_policy policy = bd_scale_in_policy_of(core, machine);
+    if (policy != BD_SCALE_IN_WHEN_IDLE)
+        return policy == BD_SCALE_IN_NOW;
+    return machine->quarantined || machine->notice_left >= 0 || has_idled_out(core, machine);
+}
+
+void bd_scale_in(struct bd_core *core)
+{
+    char names[REQUEST_MACHINES_MAX][BD_LABEL];
+    int n = 0;
+    for (uint32_t i = 0; i < core->nmachines && n < REQUEST_MACHINES_MAX; i++) {
+        struct bd_machine *machine = core->by_index[i];
+        if (!wants_scale_in(core, machine))
+            continue;
+        machine->scaling_in = true;
+        machine->scale_in_not_before = bd_add(core->now, bd_secs(RETRY_S));
+        snprintf(names[n++], BD_LABEL, "%s", machine->id);
+        bd_log_write(core->log, BD_LOG_INFO, "%s is scaled in%s", machine->id,
+                     machine->quarantined ? " (faulty)" : "");
+    }
+    if (n == 0)
+        return;
+    struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_SCALE_IN);
+    effect->body = bd_wire_return(names, n);
+}
+
+/* A machine that went back leaves capacity in its pool. */
+static void open_pool(struct bd_core *core, const struct bd_machine *machine)
+{
+    if (machine->type >= 0 && machine->zone >= 0)
+        bd_pool_of(core, machine->type, machine->zone, machine->spot)->refuse_until = core->now;
+}
+
+void bd_scale_in_completed(struct bd_core *core, char (*names)[BD_LABEL], int n, bool ok)
+{
+    if (core->role != BD_LEADER)
+        return;
+    for (int i = 0; i < n; i++) {
+        struct bd_machine *machine = NULL;
+        HASH_FIND_STR(core->machines, names[i], machine);
+        if (!machine)
+            continue;
+        if (ok) {
+            open_pool(core, machine);
+            bd_machine_gone(core, machine);
+        } else { /* it may be gone all the same: it gets no work, and is asked for again */
+            machine->scale_in_not_before = bd_add(core->now, bd_secs(RETRY_AFTER_FAILURE_S));
+        }
+    }
+}
--- a/src/model/autoscaling_state.h
+++ b/src/model/autoscaling_state.h
@@ -1,40 +1,41 @@
-/* What the leader asks of the cloud. */
+/* What the leader asks of the cloud, and what it knows of the cloud's capacity.
+ *
+ * Owned by autoscaling/, but for the demand for GPUs, which scheduling/ works out, and `direct`,
+ * which workers/ keeps. */
 #ifndef BD_AUTOSCALING_STATE_H
 #define BD_AUTOSCALING_STATE_H
 #include "brambledoor/settings.h"
 #include "model/job.h"
 #include "wire/wire.h"
 
-#define BD_PROVISION_REQUESTS_MAX                                                                  \
-    64 /* requests to the cloud that are not settled; no more are made */
+#define BD_PROVISION_REQUESTS_MAX 64 /* without an answer; no more are made */
 
-struct bd_provision_request_state { /* one request to the cloud, from its first sending to its
-                                     * machines' listing
-                                     */
+/* One request to the cloud, until it is answered. */
+struct bd_provision_request_state {
     char request[BD_LABEL];
     int type, zone, count;
-    bool spot, answered;
+    bool spot;
     struct timespec sent;
 };
 
-struct bd_pool { /* one type, zone and kind */
-    struct timespec refuse_until;
-    double backoff;
-    bool asked; /* a request is under way */
+/* One pool of the cloud: a machine type in a zone, on demand or spot. */
+struct bd_pool {
+    struct timespec refuse_until; /* no request is made before */
+    double backoff;               /* seconds; 0: the last request was filled */
+    bool asked;                   /* a request is under way */
 };
 
-/* Owned by the autoscaler's parts; `direct` by commands.c and heartbeats.c. */
 struct bd_cloud_view {
-    double moves_s; /* that replicas may be away for moves, */
-    struct timespec moves_at;
+    double move_budget_s;           /* replica-seconds that consolidation may spend on moves, */
+    struct timespec move_budget_at; /* ... by then */
     struct bd_provision_request_state provision_requests[BD_PROVISION_REQUESTS_MAX];
     int nprovision_requests;
-    bool gpu_waiting;                           /* some live job's GPU tasks have no place */
-    struct bd_spec gpu_wanted[BD_MAX_TYPES][2]; /* by type and spot: a live job's GPU task */
+    bool has_pending_gpu_work; /* some unfinished job's GPU tasks have no place */
+    struct bd_spec largest_gpu_task[BD_MAX_TYPES][2]; /* by type and spot; gpus 0: none */
     struct { /* by zone: direct commands without an answer, in a row */
         uint32_t fails;
-        struct timespec until;
+        struct timespec until; /* no probe before */
     } direct[BD_MAX_ZONES];
-    struct bd_pool pools[BD_MAX_TYPES][BD_MAX_ZONES][2];
+    struct bd_pool pools[BD_MAX_TYPES][BD_MAX_ZONES][2]; /* by type, zone and spot */
 };
 #endif
--- a/src/scheduling/cost_model.c
+++ b/src/scheduling/cost_model.c
@@ -96,8 +96,8 @@
 /* Whether the job leaves expensive machines to GPU work that waits for them. */
 static bool yields_to_gpu_work(const struct bd_core *core, const struct bd_job *job)
 {
-    return core->cloud.gpu_waiting && job->spec.gpus <= 0 && job->spec.kind == BD_JOB_ARRAY &&
-           job->priority <= BD_PRIORITY_STANDARD;
+    return core->cloud.has_pending_gpu_work && job->spec.gpus <= 0 &&
+           job->spec.kind == BD_JOB_ARRAY && job->priority <= BD_PRIORITY_STANDARD;
 }
 
 enum bd_cost_tier bd_cost_tier_of(const struct bd_core *core, const struct bd_job *job)
--- a/src/scheduling/gpu_capacity.c
+++ b/src/scheduling/gpu_capacity.c
@@ -18,7 +18,7 @@
 {
     return bd_type_allowed(spec, type) && (spec->spot || !spot) &&
            spec->gpus <= core->types[type].gpus &&
-           spec->gpus >= core->cloud.gpu_wanted[type][spot].gpus;
+           spec->gpus >= core->cloud.largest_gpu_task[type][spot].gpus;
 }
 
 static void add_gpu_demand(struct bd_core *core, const struct bd_spec *spec)
@@ -26,18 +26,19 @@
     for (int type = 0; type < core->ntypes; type++)
         for (int spot = 0; spot < 2; spot++)
             if (is_largest_gpu_task(core, spec, type, spot))
-                core->cloud.gpu_wanted[type][spot] = *spec;
+                core->cloud.largest_gpu_task[type][spot] = *spec;
 }
 
 void bd_gpu_demand_update(struct bd_core *core, struct bd_job **jobs, uint32_t njobs)
 {
-    memset(core->cloud.gpu_wanted, 0, sizeof core->cloud.gpu_wanted);
-    core->cloud.gpu_waiting = false;
+    memset(core->cloud.largest_gpu_task, 0, sizeof core->cloud.largest_gpu_task);
+    core->cloud.has_pending_gpu_work = false;
     for (uint32_t i = 0; i < njobs; i++) {
         const struct bd_spec *spec = &jobs[i]->spec;
         if (spec->gpus <= 0)
             continue;
-        core->cloud.gpu_waiting |= jobs[i]->npending > 0 && bd_free_quota(core, spec, 1) > 0;
+        core->cloud.has_pending_gpu_work |=
+            jobs[i]->npending > 0 && bd_free_quota(core, spec, 1) > 0;
         add_gpu_demand(core, spec);
     }
 }
@@ -47,7 +48,7 @@
 uint32_t bd_tasks_beside_gpu_work(const struct bd_core *core, const struct bd_spec *spec,
                                   const struct bd_machine *machine, uint32_t most)
 {
-    const struct bd_spec *gpu_task = &core->cloud.gpu_wanted[machine->type][machine->spot];
+    const struct bd_spec *gpu_task = &core->cloud.largest_gpu_task[machine->type][machine->spot];
     const struct bd_type *type = &core->types[machine->type];
     if (spec->gpus > 0 || gpu_task->gpus <= 0)
         return most;
@@ -65,6 +66,6 @@
 bool bd_gpu_use_is_known(const struct bd_core *core, const struct bd_machine *machine)
 {
     return core->types[machine->type].gpus <= 0 ||
-           core->cloud.gpu_wanted[machine->type][machine->spot].gpus > 0 ||
+           core->cloud.largest_gpu_task[machine->type][machine->spot].gpus > 0 ||
            machine->pinned_cpus > 0;
 }
--- a/src/scheduling/placement_internal.h
+++ b/src/scheduling/placement_internal.h
@@ -76,7 +76,7 @@
 
 /* ---- gpu_capacity.c ---- */
 
-/* Works out core->cloud.gpu_wanted and gpu_waiting from the unfinished jobs. */
+/* Works out core->cloud.largest_gpu_task and gpu_waiting from the unfinished jobs. */
 void bd_gpu_demand_update(struct bd_core *core, struct bd_job **jobs, uint32_t njobs);
 /* How many such tasks may go to the machine, up to `most`, without taking capacity that a GPU task
  * could use. */
