--- a/src/autoscaling/demand.c
+++ b/src/autoscaling/demand.c
@@ -128,25 +128,22 @@
 
 /* ---- the cheapest pool ---- */
 
-static bool pool_is_open(const struct bd_core *core, const struct bd_spec *spec,
-                         enum bd_cost_tier cost_tier, const struct bd_pool_choice *pool)
+static bool pool_is_open(const struct bd_core *core, const struct bd_spec *spec, int type, int zone,
+                         bool spot)
 {
-    const struct bd_pool *known = &core->cloud.pools[pool->type][pool->zone][pool->spot];
-    return core->types[pool->type].zones >> pool->zone & 1 &&
-           bd_allowed(spec, pool->type, pool->zone, pool->spot) &&
-           bd_within_cost_tier(core, spec, cost_tier, pool->type, pool->spot) &&
-           !bd_before(core->now, known->refuse_until);
+    return core->types[type].zones >> zone & 1 && bd_allowed(spec, type, zone, spot) &&
+           !bd_before(core->now, core->cloud.pools[type][zone][spot].refuse_until);
 }
 
 /* Of one task, where a machine of the pool runs n of them. */
-static double pool_price(const struct bd_demand *demand, const struct bd_spec *spec,
-                         const struct bd_pool_choice *pool, int n)
+static double pool_price(const struct bd_demand *demand, const struct bd_spec *spec, int type,
+                         int zone, bool spot, int n)
 {
-    const struct bd_type *type = &demand->core->types[pool->type];
-    double price = (pool->spot ? type->spot_price : type->price) / n;
-    if (spec->spot && !pool->spot)
+    const struct bd_type *machine_type = &demand->core->types[type];
+    double price = (spot ? machine_type->spot_price : machine_type->price) / n;
+    if (spec->spot && !spot)
         price *= ON_DEMAND_PRICE_FACTOR;
-    price *= 1 + ZONE_PRICE_FACTOR * demand->machines_in_zone[pool->zone];
+    price *= 1 + ZONE_PRICE_FACTOR * demand->machines_in_zone[zone];
     return price;
 }
 
@@ -167,16 +164,21 @@
 {
     const struct bd_core *core = demand->core;
     double lowest = INFINITY;
+    bool is_in_tier[BD_MAX_TYPES][2];
+    bd_find_types_in_cost_tier(core, spec, cost_tier, is_in_tier);
     for (int type = 0; type < core->ntypes; type++) {
         int per_machine = tasks_per_machine(core, spec, type, n);
-        for (int at = 0; per_machine > 0 && at < 2 * core->nzones; at++) {
-            struct bd_pool_choice pool = {type, at / 2, at % 2 == 1};
-            if (!pool_is_open(core, spec, cost_tier, &pool))
-                continue;
-            double price = pool_price(demand, spec, &pool, per_machine);
-            if (price < lowest - PRICE_ROUNDING) {
-                lowest = price;
-                *out = pool;
+        if (per_machine == 0)
+            continue;
+        for (int zone = 0; zone < core->nzones; zone++) {
+            for (int spot = 0; spot < 2; spot++) {
+                if (!is_in_tier[type][spot] || !pool_is_open(core, spec, type, zone, spot))
+                    continue;
+                double price = pool_price(demand, spec, type, zone, spot, per_machine);
+                if (price < lowest - PRICE_ROUNDING) {
+                    lowest = price;
+                    *out = (struct bd_pool_choice){type, zone, spot};
+                }
             }
         }
     }
@@ -188,17 +190,15 @@
 static uint32_t pack_into_bins(struct bd_demand *demand, const struct bd_spec *spec, uint32_t n,
                                enum bd_cost_tier cost_tier)
 {
-    bool is_in_tier[BD_MAX_TYPES][2] = {{false}};
-    for (int type = 0; type < demand->core->ntypes; type++)
-        for (int spot = 0; spot < 2; spot++)
-            is_in_tier[type][spot] = bd_within_cost_tier(demand->core, spec, cost_tier, type, spot);
+    bool is_in_tier[BD_MAX_TYPES][2];
+    bd_find_types_in_cost_tier(demand->core, spec, cost_tier, is_in_tier);
     for (int i = 0; i < demand->nbins && n > 0; i++) {
         struct bd_capacity_bin *bin = &demand->bins[i];
-        if (!is_in_tier[bin->type][bin->spot] || !bd_allowed(spec, bin->type, bin->zone, bin->spot))
+        if (!is_in_tier[bin->type][bin->spot] || !bin_fits(bin, spec) ||
+            !bd_allowed(spec, bin->type, bin->zone, bin->spot))
             continue;
-        uint32_t taken = fill_bin(bin, spec, n);
-        n -= taken;
-        if (taken > 0 && bin->machine)
+        n -= fill_bin(bin, spec, n);
+        if (bin->machine)
             bin->machine->headroom = true;
     }
     return n;
--- a/src/scheduling/constraints.c
+++ b/src/scheduling/constraints.c
@@ -1,4 +1,4 @@
-/* Where a task may run at all: its machine types, zones and spot machines. */
+/* Constraints on zones: all tasks of a job in the same one, or spread over them. */
 #include "model/core_state.h"
 #include "model/machine.h"
 #include "scheduling/placement_internal.h"
@@ -6,17 +6,6 @@
 #include "wire/wire.h"
 #include <string.h>
 
-bool bd_type_allowed(const struct bd_spec *spec, int type)
-{
-    return spec->any_type || (spec->types >> type & 1);
-}
-
-bool bd_allowed(const struct bd_spec *spec, int type, int zone, bool spot)
-{
-    return bd_type_allowed(spec, type) && (spec->zone < 0 || spec->zone == zone) &&
-           (spec->spot || !spot);
-}
-
 void bd_count_tasks_by_zone(struct bd_core *core, const struct bd_job *job,
                             uint32_t counts[BD_MAX_ZONES])
 {
--- a/src/scheduling/cost_model.c
+++ b/src/scheduling/cost_model.c
@@ -39,13 +39,28 @@
     return (spot ? machine_type->spot_price : machine_type->price) / n;
 }
 
+/* A place that costs more is expensive. */
+static double expensive_above(const struct bd_core *core, const struct bd_spec *spec)
+{
+    double lowest = INFINITY;
+    for (int type = 0; type < core->ntypes; type++)
+        lowest = fmin(lowest, place_price(core, spec, type, false));
+    return EXPENSIVE_FACTOR * lowest;
+}
+
 bool bd_type_is_expensive(const struct bd_core *core, const struct bd_spec *spec, int type,
                           bool spot)
 {
-    double lowest = INFINITY;
-    for (int other = 0; other < core->ntypes; other++)
-        lowest = fmin(lowest, place_price(core, spec, other, false));
-    return place_price(core, spec, type, spot) > EXPENSIVE_FACTOR * lowest;
+    return place_price(core, spec, type, spot) > expensive_above(core, spec);
+}
+
+void bd_find_expensive_types(const struct bd_core *core, const struct bd_spec *spec,
+                             bool is_expensive[BD_MAX_TYPES][2])
+{
+    double limit = expensive_above(core, spec);
+    for (int type = 0; type < core->ntypes; type++)
+        for (int spot = 0; spot < 2; spot++)
+            is_expensive[type][spot] = place_price(core, spec, type, spot) > limit;
 }
 
 double bd_slo_slack(const struct bd_core *core, int job_class, double estimate,
@@ -111,12 +126,14 @@
     return job->spec.spot && waited < may_wait / 2 ? BD_TIER_SPOT : BD_TIER_CHEAP;
 }
 
-bool bd_within_cost_tier(const struct bd_core *core, const struct bd_spec *spec,
-                         enum bd_cost_tier cost_tier, int type, bool spot)
+void bd_find_types_in_cost_tier(const struct bd_core *core, const struct bd_spec *spec,
+                                enum bd_cost_tier cost_tier, bool is_in_tier[BD_MAX_TYPES][2])
 {
-    if (cost_tier == BD_TIER_ANY)
-        return true;
-    if (cost_tier == BD_TIER_SPOT && !spot)
-        return false;
-    return !bd_type_is_expensive(core, spec, type, spot);
+    bool is_expensive[BD_MAX_TYPES][2] = {{false}};
+    if (cost_tier != BD_TIER_ANY)
+        bd_find_expensive_types(core, spec, is_expensive);
+    for (int type = 0; type < core->ntypes; type++)
+        for (int spot = 0; spot < 2; spot++)
+            is_in_tier[type][spot] =
+                !is_expensive[type][spot] && (spot || cost_tier != BD_TIER_SPOT);
 }
--- a/src/scheduling/machine_choice.c
+++ b/src/scheduling/machine_choice.c
@@ -77,9 +77,7 @@
     if (isfinite(job->finish_by))
         apply_deadline(cycle, job);
     apply_objectives(cycle, spec);
-    for (int type = 0; type < cycle->core->ntypes; type++)
-        for (int spot = 0; spot < 2; spot++)
-            weights->is_expensive[type][spot] = bd_type_is_expensive(cycle->core, spec, type, spot);
+    bd_find_expensive_types(cycle->core, spec, weights->is_expensive);
 }
 
 /* ---- cost of a machine ---- */
@@ -132,15 +130,13 @@
     return !cycle->only_near_image || bd_image_is_near(cycle->core, spec, machine);
 }
 
-/* The cost of one task of the job there; infinite: it may not go there. */
+/* The cost of one task of the job on the candidate; infinite: it may not go there. */
 static double machine_cost_s(const struct placement_cycle *cycle, const struct bd_job *job,
                              const struct bd_machine *machine, const uint32_t *zone_counts,
                              enum bd_price_limit price_limit, enum bd_gpu_capacity gpu_capacity)
 {
     const struct bd_core *core = cycle->core;
     const struct bd_spec *spec = &job->spec;
-    if (!is_candidate(cycle, spec, machine))
-        return INFINITY;
     struct bd_resources capacity = bd_unclaimed_capacity(cycle, machine);
     if (!bd_resources_fit(capacity, spec, 1) ||
         !bd_zone_allowance(core, job, zone_counts, machine->zone, 1))
@@ -168,6 +164,8 @@
     double lowest = INFINITY;
     for (uint32_t i = 0; i < cycle->core->nmachines; i++) {
         struct bd_machine *machine = cycle->core->by_index[i];
+        if (!is_candidate(cycle, &job->spec, machine))
+            continue;
         double cost = machine_cost_s(cycle, job, machine, zone_counts, price_limit, gpu_capacity);
         if (cost < lowest) {
             lowest = cost;
--- a/src/scheduling/preemption.c
+++ b/src/scheduling/preemption.c
@@ -163,6 +163,10 @@
     if (search->price_limit == BD_PRICE_CHEAP &&
         cycle->weights.is_expensive[machine->type][machine->spot])
         return false;
+    if (search->needs_image && !bd_has_image(machine, job->spec.image))
+        return false;
+    if (cycle->only_near_image && !bd_image_is_near(cycle->core, &job->spec, machine))
+        return false;
     return bd_zone_allowance(cycle->core, job, search->zone_counts, machine->zone, 1) > 0;
 }
 
@@ -185,24 +189,12 @@
     return fetch + lacking * PREEMPTION_COST_S;
 }
 
-static bool is_excluded_by_image(const struct placement_cycle *cycle, const struct bd_job *job,
-                                 const struct bd_machine *machine,
-                                 const struct preemption_search *search)
-{
-    if (search->needs_image && !bd_has_image(machine, job->spec.image))
-        return true;
-    return cycle->only_near_image && !bd_image_is_near(cycle->core, &job->spec, machine);
-}
-
 static void update_costs(struct placement_cycle *cycle, const struct bd_job *job,
                          const struct preemption_search *search)
 {
-    for (uint32_t i = 0; i < cycle->core->nmachines; i++) {
-        const struct bd_machine *machine = cycle->core->by_index[i];
-        cycle->machines[i].preemption_cost_s = is_excluded_by_image(cycle, job, machine, search)
-                                                   ? INFINITY
-                                                   : preemption_cost_s(cycle, job, machine, search);
-    }
+    for (uint32_t i = 0; i < cycle->core->nmachines; i++)
+        cycle->machines[i].preemption_cost_s =
+            preemption_cost_s(cycle, job, cycle->core->by_index[i], search);
 }
 
 /* The machine with the lowest cost; NULL: all are infinite. */
--- a/src/scheduling/scheduling.h
+++ b/src/scheduling/scheduling.h
@@ -15,12 +15,20 @@
 /* Seconds between two cycles while tasks are pending, at least. */
 #define BD_CYCLE_INTERVAL_S 0.05
 
-/* ---- constraints (constraints.c) ---- */
+/* ---- constraints ---- */
 
 /* Whether a task of the job may run on machines of the type at all. */
-bool bd_type_allowed(const struct bd_spec *spec, int type);
+static inline bool bd_type_allowed(const struct bd_spec *spec, int type)
+{
+    return spec->any_type || (spec->types >> type & 1);
+}
+
 /* ... on machines of the type in the zone, on spot ones if `spot`. */
-bool bd_allowed(const struct bd_spec *spec, int type, int zone, bool spot);
+static inline bool bd_allowed(const struct bd_spec *spec, int type, int zone, bool spot)
+{
+    return bd_type_allowed(spec, type) && (spec->zone < 0 || spec->zone == zone) &&
+           (spec->spot || !spot);
+}
 
 /* ---- quotas (quotas.c) ---- */
 
@@ -45,13 +53,16 @@
 /* Whether a place on such a machine costs much more than the cheapest on-demand place. */
 bool bd_type_is_expensive(const struct bd_core *core, const struct bd_spec *spec, int type,
                           bool spot);
+/* ... for each type, on demand and spot. */
+void bd_find_expensive_types(const struct bd_core *core, const struct bd_spec *spec,
+                             bool is_expensive[BD_MAX_TYPES][2]);
 /* Seconds that a job of the class may wait and still meet the objective, with an estimated run time
  * in seconds; below 0: the objective is another class's. */
 double bd_slo_slack(const struct bd_core *core, int job_class, double estimate,
                     const struct bd_slo *slo);
 /* Which machines the job may take now. */
 enum bd_cost_tier bd_cost_tier_of(const struct bd_core *core, const struct bd_job *job);
-/* Whether the tier includes such machines. */
-bool bd_within_cost_tier(const struct bd_core *core, const struct bd_spec *spec,
-                         enum bd_cost_tier cost_tier, int type, bool spot);
+/* Whether the tier includes machines of each type, on demand and spot. */
+void bd_find_types_in_cost_tier(const struct bd_core *core, const struct bd_spec *spec,
+                                enum bd_cost_tier cost_tier, bool is_in_tier[BD_MAX_TYPES][2]);
 #endif
