--- a/src/autoscaling/boot.c
+++ b/src/autoscaling/boot.c
@@ -11,7 +11,7 @@
 
 static bool is_booting(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return !machine->gone && !machine->scaling_in && !machine->failed && !machine->incarnation &&
+    return !machine->incarnation && !machine->gone && !machine->scaling_in && !machine->failed &&
            machine->type >= 0 && machine->zone >= 0 && core->types[machine->type].known;
 }
 
--- a/src/autoscaling/demand.c
+++ b/src/autoscaling/demand.c
@@ -112,7 +112,7 @@
     for (uint32_t i = 0; i < core->nmachines; i++) {
         struct bd_machine *machine = core->by_index[i];
         bool is_idle = machine->nreservations == 0;
-        if (!bd_machine_usable(core, machine) || is_idle != (use == MACHINE_IDLE))
+        if (is_idle != (use == MACHINE_IDLE) || !bd_machine_usable(core, machine))
             continue;
         struct bd_capacity_bin *bin = add_bin(demand, machine->type, machine->zone, machine->spot);
         bin->machine = machine;
