--- a/src/autoscaling/autoscaler.c
+++ b/src/autoscaling/autoscaler.c
@@ -1,16 +1,15 @@
 /* The autoscaler's tick: what is needed of the cloud, and what goes back. */
-#include "autoscaling/autoscaler_internal.h"
 #include "autoscaling/autoscaling.h"
+#include "autoscaling/autoscaling_internal.h"
 #include "drain/drain.h"
 #include "model/core_state.h"
 #include "scheduling/scheduling.h"
 
-enum bd_scale_in_policy bd_scale_in_policy_of(const struct bd_core *core,
-                                              const struct bd_machine *machine)
+enum bd_scale_in_policy bd_scale_in_policy_of(const struct bd_machine *machine)
 {
-    if (bd_drain_cordoned(core, machine))
-        return bd_drain_returns(core, machine) ? BD_SCALE_IN_NOW : BD_SCALE_IN_NEVER;
-    return bd_drain_keeps(core, machine) ? BD_SCALE_IN_NEVER : BD_SCALE_IN_WHEN_IDLE;
+    if (machine->cordoned)
+        return machine->scale_in_for_drain ? BD_SCALE_IN_NOW : BD_SCALE_IN_NEVER;
+    return machine->kept_for_drain ? BD_SCALE_IN_NEVER : BD_SCALE_IN_WHEN_IDLE;
 }
 
 static void add_drained_task(void *demand, const struct bd_spec *spec)
--- a/src/autoscaling/autoscaler_internal.h
+++ b/src/autoscaling/autoscaling_internal.h
@@ -1,7 +1,8 @@
 /* Shared by the files of autoscaling/ only. */
-#ifndef BD_AUTOSCALER_INTERNAL_H
-#define BD_AUTOSCALER_INTERNAL_H
+#ifndef BD_AUTOSCALING_INTERNAL_H
+#define BD_AUTOSCALING_INTERNAL_H
 #include "autoscaling/autoscaling.h"
+#include "brambledoor/settings.h"
 #include "model/core_state.h"
 #include "model/resources.h"
 #include "scheduling/scheduling.h"
@@ -68,8 +69,7 @@
 enum bd_scale_in_policy { BD_SCALE_IN_NEVER, BD_SCALE_IN_NOW, BD_SCALE_IN_WHEN_IDLE };
 
 /* By drains (autoscaler.c). */
-enum bd_scale_in_policy bd_scale_in_policy_of(const struct bd_core *core,
-                                              const struct bd_machine *machine);
+enum bd_scale_in_policy bd_scale_in_policy_of(const struct bd_machine *machine);
 /* Gives back the machines that are not needed. */
 void bd_scale_in(struct bd_core *core);
 
--- a/src/autoscaling/boot.c
+++ b/src/autoscaling/boot.c
@@ -1,5 +1,5 @@
 /* How long a new machine may take to boot. */
-#include "autoscaling/autoscaler_internal.h"
+#include "autoscaling/autoscaling_internal.h"
 #include "base/timeutil.h"
 #include "model/core_state.h"
 #include "model/machine.h"
--- a/src/autoscaling/consolidation.c
+++ b/src/autoscaling/consolidation.c
@@ -1,6 +1,6 @@
 /* Consolidation: moves services off expensive machines, so that these become free for GPU work or
  * are scaled in. */
-#include "autoscaling/autoscaler_internal.h"
+#include "autoscaling/autoscaling_internal.h"
 #include "autoscaling/move_targets.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
--- a/src/autoscaling/demand.c
+++ b/src/autoscaling/demand.c
@@ -1,7 +1,7 @@
 /* Demand: packs tasks into the capacity that is there or coming, and then into machines of the
  * cheapest pools, which are to be requested. */
-#include "autoscaling/autoscaler_internal.h"
 #include "autoscaling/autoscaling.h"
+#include "autoscaling/autoscaling_internal.h"
 #include "base/timeutil.h"
 #include "brambledoor/settings.h"
 #include "model/core_state.h"
--- a/src/autoscaling/evacuation.c
+++ b/src/autoscaling/evacuation.c
@@ -1,5 +1,5 @@
 /* Evacuation: tasks leave a machine that the cloud takes back, or that fails its tasks. */
-#include "autoscaling/autoscaler_internal.h"
+#include "autoscaling/autoscaling_internal.h"
 #include "model/core_state.h"
 #include "model/machine.h"
 #include "model/task.h"
--- a/src/autoscaling/fleet_summary.c
+++ b/src/autoscaling/fleet_summary.c
@@ -1,5 +1,5 @@
 /* A log line for each type of machine, on demand and spot: how many are up, and what for. */
-#include "autoscaling/autoscaler_internal.h"
+#include "autoscaling/autoscaling_internal.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "model/core_state.h"
--- a/src/autoscaling/headroom.c
+++ b/src/autoscaling/headroom.c
@@ -1,6 +1,6 @@
 /* Headroom: capacity for the tasks that are expected before a new machine could serve them, from
  * the service-level objectives and the arrivals of each class of jobs. */
-#include "autoscaling/autoscaler_internal.h"
+#include "autoscaling/autoscaling_internal.h"
 #include "brambledoor/log.h"
 #include "brambledoor/settings.h"
 #include "jobs/jobs.h"
--- a/src/autoscaling/inventory.c
+++ b/src/autoscaling/inventory.c
@@ -5,6 +5,7 @@
 #include "brambledoor/settings.h"
 #include "model/catalog.h"
 #include "model/core_state.h"
+#include "model/leadership_state.h"
 #include "model/machine.h"
 #include "model/task.h"
 #include "model/task_state.h"
--- a/src/autoscaling/provisioning.c
+++ b/src/autoscaling/provisioning.c
@@ -1,12 +1,14 @@
 /* Requests to the cloud for machines: one at a time for each pool, with backoff where there is no
  * capacity. */
-#include "autoscaling/autoscaler_internal.h"
 #include "autoscaling/autoscaling.h"
+#include "autoscaling/autoscaling_internal.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "drain/drain.h"
+#include "model/autoscaling_state.h"
 #include "model/core_state.h"
 #include "model/effect.h"
+#include "model/leadership_state.h"
 #include "model/machine.h"
 #include "wire/wire.h"
 #include <math.h>
--- a/src/autoscaling/scale_in.c
+++ b/src/autoscaling/scale_in.c
@@ -1,11 +1,12 @@
 /* Scale in: which machines go back to the cloud. */
-#include "autoscaling/autoscaler_internal.h"
 #include "autoscaling/autoscaling.h"
+#include "autoscaling/autoscaling_internal.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "brambledoor/settings.h"
 #include "model/core_state.h"
 #include "model/effect.h"
+#include "model/leadership_state.h"
 #include "model/machine.h"
 #include "model/task_state.h"
 #include "wire/wire.h"
@@ -43,7 +44,7 @@
         return true;
     if (!machine->fenced)
         return false;
-    enum bd_scale_in_policy policy = bd_scale_in_policy_of(core, machine);
+    enum bd_scale_in_policy policy = bd_scale_in_policy_of(machine);
     if (policy != BD_SCALE_IN_WHEN_IDLE)
         return policy == BD_SCALE_IN_NOW;
     return machine->quarantined || machine->notice_left >= 0 || has_idled_out(core, machine);
--- a/src/drain/replacement.c
+++ b/src/drain/replacement.c
@@ -1,6 +1,6 @@
 /* New machines for those that are replaced: one of the same type, where the old one is, or
  * elsewhere if none comes. Part of the pure core. */
-#include "autoscaling/autoscaler_internal.h"
+#include "autoscaling/autoscaling.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "drain/drain.h"
--- a/src/scheduling/constraints.c
+++ b/src/scheduling/constraints.c
@@ -1,8 +1,9 @@
 /* Constraints on zones: all tasks of a job in the same one, or spread over them. */
+#include "brambledoor/settings.h"
 #include "model/core_state.h"
 #include "model/machine.h"
-#include "scheduling/placement_internal.h"
 #include "scheduling/scheduling.h"
+#include "scheduling/scheduling_internal.h"
 #include "wire/wire.h"
 #include <string.h>
 
--- a/src/scheduling/cycle.c
+++ b/src/scheduling/cycle.c
@@ -5,8 +5,8 @@
 #include "leadership/commit.h"
 #include "model/core_state.h"
 #include "model/job.h"
-#include "scheduling/placement_internal.h"
 #include "scheduling/scheduling.h"
+#include "scheduling/scheduling_internal.h"
 #include "wire/wire.h"
 #include <math.h>
 #include <stdlib.h>
--- a/src/scheduling/gang_placement.c
+++ b/src/scheduling/gang_placement.c
@@ -1,7 +1,7 @@
 /* Gangs: all tasks are placed in one cycle, or none. */
 #include "model/core_state.h"
 #include "model/resources.h"
-#include "scheduling/placement_internal.h"
+#include "scheduling/scheduling_internal.h"
 #include "wire/wire.h"
 
 #define CLAIM_AFTER_S 10.0 /* a gang that has waited so long claims capacity, and preempts */
--- a/src/scheduling/gpu_capacity.c
+++ b/src/scheduling/gpu_capacity.c
@@ -5,8 +5,8 @@
 #include "model/core_state.h"
 #include "model/machine.h"
 #include "model/resources.h"
-#include "scheduling/placement_internal.h"
 #include "scheduling/scheduling.h"
+#include "scheduling/scheduling_internal.h"
 #include "wire/wire.h"
 #include <string.h>
 
--- a/src/scheduling/job_order.c
+++ b/src/scheduling/job_order.c
@@ -2,8 +2,9 @@
 #include "brambledoor/settings.h"
 #include "jobs/jobs.h"
 #include "model/core_state.h"
-#include "scheduling/placement_internal.h"
+#include "model/resources.h"
 #include "scheduling/scheduling.h"
+#include "scheduling/scheduling_internal.h"
 #include "wire/wire.h"
 #include <stdlib.h>
 #include <string.h>
@@ -47,9 +48,9 @@
         gpus[team] += unfinished * job->spec.gpus;
         bool has_claim =
             (share->cpus > 0 && job->spec.cpus > 0) || (share->gpus > 0 && job->spec.gpus > 0);
-        job->within_guaranteed_share = has_claim &&
-                                       (share->cpus <= 0 || cpus[team] <= share->cpus + EPS) &&
-                                       (share->gpus <= 0 || gpus[team] <= share->gpus + EPS);
+        job->within_guaranteed_share =
+            has_claim && (share->cpus <= 0 || cpus[team] <= share->cpus + BD_RESOURCE_ROUNDING) &&
+            (share->gpus <= 0 || gpus[team] <= share->gpus + BD_RESOURCE_ROUNDING);
     }
 }
 
--- a/src/scheduling/placement.c
+++ b/src/scheduling/placement.c
@@ -6,8 +6,8 @@
 #include "model/core_state.h"
 #include "model/kv_limits.h"
 #include "model/machine.h"
-#include "scheduling/placement_internal.h"
 #include "scheduling/scheduling.h"
+#include "scheduling/scheduling_internal.h"
 #include "wire/wire.h"
 #include <stdlib.h>
 
--- a/src/scheduling/plan.c
+++ b/src/scheduling/plan.c
@@ -1,13 +1,14 @@
 /* The cycle's plan: which pending tasks go to which machine, within the bounds of the intent
  * records. Like tasks of a job are placed as a group. */
+#include "brambledoor/settings.h"
 #include "leadership/commit.h"
 #include "model/core_state.h"
 #include "model/machine.h"
 #include "model/resources.h"
 #include "model/task.h"
 #include "model/task_state.h"
-#include "scheduling/placement_internal.h"
 #include "scheduling/scheduling.h"
+#include "scheduling/scheduling_internal.h"
 #include "wire/wire.h"
 #include <stdlib.h>
 
--- a/src/scheduling/preemption.c
+++ b/src/scheduling/preemption.c
@@ -1,12 +1,13 @@
 /* Which tasks may be preempted for a job, what that costs, and doing it. */
 #include "base/timeutil.h"
+#include "brambledoor/settings.h"
 #include "model/core_state.h"
 #include "model/machine.h"
 #include "model/resources.h"
 #include "model/task.h"
 #include "model/task_state.h"
-#include "scheduling/placement_internal.h"
 #include "scheduling/scheduling.h"
+#include "scheduling/scheduling_internal.h"
 #include "wire/wire.h"
 #include <math.h>
 
--- a/src/scheduling/quotas.c
+++ b/src/scheduling/quotas.c
@@ -2,8 +2,8 @@
 #include "brambledoor/settings.h"
 #include "model/core_state.h"
 #include "model/resources.h"
-#include "scheduling/placement_internal.h"
 #include "scheduling/scheduling.h"
+#include "scheduling/scheduling_internal.h"
 
 uint32_t bd_team_free_quota(const struct bd_team_quota *team, double cpus, double gpus,
                             const struct bd_spec *spec, uint32_t most)
--- a/src/scheduling/scheduling.h
+++ b/src/scheduling/scheduling.h
@@ -7,6 +7,7 @@
 #ifndef BD_SCHEDULING_H
 #define BD_SCHEDULING_H
 #include "model/core_state.h"
+#include "wire/wire.h"
 
 /* ---- the cycle (cycle.c) ---- */
 
--- a/src/scheduling/placement_internal.h
+++ b/src/scheduling/scheduling_internal.h
@@ -3,15 +3,14 @@
  * bd_cycle_place makes a struct placement_cycle, hands it to every function here and frees it.
  * Placing a task reserves its machine at once and adds an intent to the plan of
  * core->lead.commit. */
-#ifndef BD_PLACEMENT_INTERNAL_H
-#define BD_PLACEMENT_INTERNAL_H
+#ifndef BD_SCHEDULING_INTERNAL_H
+#define BD_SCHEDULING_INTERNAL_H
+#include "brambledoor/settings.h"
 #include "model/core_state.h"
 #include "model/resources.h"
 #include "scheduling/scheduling.h"
 #include "wire/wire.h"
 
-#define EPS 1e-6
-
 /* Which machines a search may take. */
 enum bd_price_limit { BD_PRICE_CHEAP, BD_PRICE_ANY };
 
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -129,14 +129,12 @@
         served->is_logged = true;
     else
         *logged_at = core->now;
-    bd_decision_log_note(
-        core, "lease_renewed",
-        "machine=%s by=%s incarnation=%llu heartbeat=%llu token_seen=%llu term=%llu "
-        "refreshed_s=%.2f",
-        heartbeat->machine, served ? "delegate" : "autonomous_zone",
-        (unsigned long long)heartbeat->incarnation, (unsigned long long)heartbeat->seq,
-        (unsigned long long)heartbeat->fencing_token, (unsigned long long)fencing_token,
-        bd_between(core->replica.refreshed_at, core->now));
+    char evidence[BD_DECISION_LOG_EVIDENCE_BYTES];
+    bd_decision_log_evidence(evidence, sizeof evidence, heartbeat->incarnation, heartbeat->seq,
+                             heartbeat->fencing_token, fencing_token);
+    bd_decision_log_note(core, "lease_renewed", "machine=%s by=%s %s refreshed_s=%.2f",
+                         heartbeat->machine, served ? "delegate" : "autonomous_zone", evidence,
+                         bd_between(core->replica.refreshed_at, core->now));
 }
 
 /* served: the machine's entry in our record; NULL: we reply as an autonomous zone. */
