--- a/src/leadership/reconciliation.c
+++ b/src/leadership/reconciliation.c
@@ -67,19 +67,18 @@
 }
 
 /* Whether the intent's attempt may run. Only a task's newest intent counts: it was written after
- * all earlier ones were excluded. */
-static bool mark_unknown(struct bd_core *core, const struct bd_intent *intent, const char *key)
+ * all earlier ones were excluded. evidence: key=value text for the decision log. */
+static bool mark_unknown(struct bd_core *core, const struct bd_intent *intent, const char *evidence)
 {
     struct bd_job *job = intent->job;
     struct bd_task *task = &job->tasks[intent->task];
     struct bd_machine *machine = bd_machine_of(core, intent->machine);
-    char detail[BD_LABEL + 8];
     if (task->state != BD_TASK_PENDING || task->attempt != intent->attempt || !machine)
         return false;
     bd_task_assign(core, job, intent->task, machine, intent->attempt, BD_TASK_UNKNOWN);
     task->flags |= BD_TASK_FLAG_LAUNCH_SENT;
-    snprintf(detail, sizeof detail, "intent=%s", key);
-    bd_decision_log_task(core, "task_unknown", job, intent->task, intent->attempt, machine, detail);
+    bd_decision_log_task(core, "task_unknown", job, intent->task, intent->attempt, machine,
+                         evidence);
     if (job->state != BD_JOB_ACTIVE)
         task->flags |= BD_TASK_FLAG_STOP_REQUESTED | BD_TASK_FLAG_FORCED_STOP;
     return true;
@@ -90,8 +89,10 @@
     uint32_t unknown = 0;
     for (uint32_t i = 0; i < core->lead.nintent_records; i++) {
         const struct bd_intent_record *record = &core->lead.intent_records[i];
+        char evidence[sizeof record->key + sizeof "intent="];
+        snprintf(evidence, sizeof evidence, "intent=%s", record->key);
         for (uint32_t k = 0; k < record->n; k++)
-            unknown += mark_unknown(core, &record->e[k], record->key);
+            unknown += mark_unknown(core, &record->e[k], evidence);
     }
     bd_log_write(core->log, BD_LOG_INFO, "term %llu: %u intent records, %u tasks to reconcile",
                  (unsigned long long)core->lead.base_term, core->lead.nintent_records, unknown);
--- a/src/model/reservation.c
+++ b/src/model/reservation.c
@@ -7,11 +7,6 @@
 
 #define CAPACITY_FIRST 8 /* of a machine's list of reservations, which doubles */
 
-bool bd_task_has_reservation(const struct bd_task *task)
-{
-    return task->machine != BD_NO_MACHINE;
-}
-
 static void add_team_use(struct bd_core *core, const struct bd_spec *spec, double factor)
 {
     if (spec->team < 0)
