--- a/src/wire/frame.c
+++ b/src/wire/frame.c
@@ -1,208 +1,243 @@
 #include "wire/frame.h"
+#include <stdbool.h>
 #include <string.h>
 
 #define MAGIC 0x42444d31u
 #define VERSION 2u
-#define FIELDS_MAX 128u /* bytes of a frame beside its jobs and its text */
+#define HEADER_BYTES 12u
+#define LENGTH_OFFSET 8u /* of the body's length in the header */
+#define LENGTH_BYTES 4u
+#define FIXED_BYTES_MAX 128u /* of a frame without its jobs and its text */
+#define SHORT_TEXT_MAX 255u  /* bytes, as its length is one byte */
 
-struct out {
-    unsigned char *p;
-    size_t len, cap;
-    int bad;
+/* ---- writing ---- */
+
+/* Fields are appended until one does not fit; from then on nothing is. */
+struct frame_writer {
+    unsigned char *bytes;
+    size_t len, capacity;
+    bool has_failed;
 };
 
-static void put(struct out *o, uint64_t v, size_t bytes)
+static void write_unsigned(struct frame_writer *writer, uint64_t value, size_t bytes)
 {
-    if (o->len + bytes > o->cap) {
-        o->bad = 1;
+    if (writer->len + bytes > writer->capacity) {
+        writer->has_failed = true;
         return;
     }
     for (size_t i = 0; i < bytes; i++)
-        o->p[o->len + i] = (unsigned char)(v >> (8 * (bytes - 1 - i)));
-    o->len += bytes;
+        writer->bytes[writer->len + i] = (unsigned char)(value >> (8 * (bytes - 1 - i)));
+    writer->len += bytes;
 }
 
-static void put_text(struct out *o, const char *s)
+static void write_bytes(struct frame_writer *writer, const char *bytes, size_t len)
 {
-    size_t n = strlen(s);
-    put(o, n, 1);
-    if (n > 255 || o->bad || o->len + n > o->cap) {
-        o->bad = 1;
+    if (writer->has_failed || writer->len + len > writer->capacity) {
+        writer->has_failed = true;
         return;
     }
-    memcpy(o->p + o->len, s, n);
-    o->len += n;
+    memcpy(writer->bytes + writer->len, bytes, len);
+    writer->len += len;
 }
 
-static void put_bytes(struct out *o, const char *s, size_t n)
+static void write_short_text(struct frame_writer *writer, const char *text)
 {
-    put(o, n, 4);
-    if (o->bad || o->len + n > o->cap) {
-        o->bad = 1;
-        return;
+    size_t len = strlen(text);
+    if (len > SHORT_TEXT_MAX)
+        writer->has_failed = true;
+    write_unsigned(writer, len, 1);
+    write_bytes(writer, text, len);
+}
+
+static void write_long_text(struct frame_writer *writer, const char *text, size_t len)
+{
+    write_unsigned(writer, len, LENGTH_BYTES);
+    write_bytes(writer, text, len);
+}
+
+static void write_progress(struct frame_writer *writer, const struct bd_frame *frame)
+{
+    write_unsigned(writer, frame->count, 2);
+    for (unsigned i = 0; i < frame->count; i++) {
+        write_short_text(writer, frame->jobs[i].id);
+        write_unsigned(writer, frame->jobs[i].done, 4);
+        write_unsigned(writer, frame->jobs[i].running, 4);
     }
-    memcpy(o->p + o->len, s, n);
-    o->len += n;
 }
 
-static void put_body(struct out *o, const struct bd_frame *frame)
+static void write_body(struct frame_writer *writer, const struct bd_frame *frame)
 {
     switch (frame->type) {
     case BD_FRAME_STATUS:
-        put_text(o, frame->name);
-        put(o, frame->term, 8);
-        put(o, frame->flags, 1);
-        put(o, frame->age_ms, 4);
-        put(o, frame->at_ms, 8);
+        write_short_text(writer, frame->name);
+        write_unsigned(writer, frame->term, 8);
+        write_unsigned(writer, frame->flags, 1);
+        write_unsigned(writer, frame->age_ms, 4);
+        write_unsigned(writer, frame->at_ms, 8);
         break;
     case BD_FRAME_PROGRESS:
-        put(o, frame->count, 2);
-        for (unsigned i = 0; i < frame->count; i++) {
-            put_text(o, frame->jobs[i].id);
-            put(o, frame->jobs[i].done, 4);
-            put(o, frame->jobs[i].running, 4);
-        }
+        write_progress(writer, frame);
         break;
     case BD_FRAME_HEARTBEAT:
-        put(o, frame->id, 8);
-        put_text(o, frame->name);
-        put_bytes(o, frame->text, frame->len);
+        write_unsigned(writer, frame->id, 8);
+        write_short_text(writer, frame->name);
+        write_long_text(writer, frame->text, frame->len);
         break;
     case BD_FRAME_ANSWER:
-        put(o, frame->id, 8);
-        put(o, frame->status, 2);
-        put_bytes(o, frame->text, frame->len);
+        write_unsigned(writer, frame->id, 8);
+        write_unsigned(writer, frame->status, 2);
+        write_long_text(writer, frame->text, frame->len);
         break;
     case BD_FRAME_CANCELLED:
-        put_bytes(o, frame->text, frame->len);
+        write_long_text(writer, frame->text, frame->len);
         break;
     }
 }
 
 size_t bd_frame_bytes(const struct bd_frame *frame)
 {
-    return BD_FRAME_HEAD + FIELDS_MAX + frame->count * sizeof frame->jobs[0] + frame->len;
+    return HEADER_BYTES + FIXED_BYTES_MAX + frame->count * sizeof frame->jobs[0] + frame->len;
 }
 
 size_t bd_frame_write(const struct bd_frame *frame, unsigned char *buf, size_t cap)
 {
-    struct out o = {buf, 0, cap < BD_FRAME_MAX ? cap : BD_FRAME_MAX, 0};
-    put(&o, MAGIC, 4);
-    put(&o, VERSION, 1);
-    put(&o, frame->type, 1);
-    put(&o, 0, 2);
-    put(&o, 0, 4);
-    put_body(&o, frame);
-    if (o.bad)
+    struct frame_writer writer = {buf, 0, cap < BD_FRAME_MAX ? cap : BD_FRAME_MAX, false};
+    write_unsigned(&writer, MAGIC, 4);
+    write_unsigned(&writer, VERSION, 1);
+    write_unsigned(&writer, frame->type, 1);
+    write_unsigned(&writer, 0, 2);
+    write_unsigned(&writer, 0, LENGTH_BYTES); /* the body's length, set below */
+    write_body(&writer, frame);
+    if (writer.has_failed)
         return 0;
-    struct out head = {buf + 8, 0, 4, 0};
-    put(&head, o.len - BD_FRAME_HEAD, 4);
-    return o.len;
+    struct frame_writer length = {buf + LENGTH_OFFSET, 0, LENGTH_BYTES, false};
+    write_unsigned(&length, writer.len - HEADER_BYTES, LENGTH_BYTES);
+    return writer.len;
 }
 
-struct in {
-    const unsigned char *p;
-    size_t len, at;
-    int bad;
+/* ---- reading ---- */
+
+/* Fields are read until one is not there or not valid; from then on they are zero or empty. */
+struct frame_reader {
+    const unsigned char *bytes;
+    size_t len, position;
+    bool has_failed;
 };
 
-static uint64_t get(struct in *i, size_t bytes)
+static uint64_t read_unsigned(struct frame_reader *reader, size_t bytes)
 {
-    uint64_t v = 0;
-    if (i->at + bytes > i->len) {
-        i->bad = 1;
+    uint64_t value = 0;
+    if (reader->position + bytes > reader->len) {
+        reader->has_failed = true;
         return 0;
     }
-    for (size_t k = 0; k < bytes; k++)
-        v = v << 8 | i->p[i->at + k];
-    i->at += bytes;
-    return v;
+    for (size_t i = 0; i < bytes; i++)
+        value = value << 8 | reader->bytes[reader->position + i];
+    reader->position += bytes;
+    return value;
 }
 
-static void get_text(struct in *i, char *out, size_t cap)
+/* A text of fewer than `size` bytes without a zero byte. */
+static void read_short_text(struct frame_reader *reader, char *out, size_t size)
 {
-    size_t n = (size_t)get(i, 1);
+    size_t len = (size_t)read_unsigned(reader, 1);
+    const unsigned char *text = reader->bytes + reader->position;
     out[0] = '\0';
-    if (i->bad || n >= cap || i->at + n > i->len || memchr(i->p + i->at, 0, n)) {
-        i->bad = 1;
+    if (reader->has_failed || len >= size || len > reader->len - reader->position ||
+        memchr(text, 0, len)) {
+        reader->has_failed = true;
         return;
     }
-    memcpy(out, i->p + i->at, n);
-    out[n] = '\0';
-    i->at += n;
+    memcpy(out, text, len);
+    out[len] = '\0';
+    reader->position += len;
 }
 
-static void read_progress(struct in *i, struct bd_frame *frame)
+static void read_long_text(struct frame_reader *reader, struct bd_frame *frame)
 {
-    frame->count = (uint16_t)get(i, 2);
-    if (frame->count > BD_FRAME_JOBS)
-        i->bad = 1;
-    for (unsigned k = 0; k < frame->count && !i->bad; k++) {
-        get_text(i, frame->jobs[k].id, sizeof frame->jobs[k].id);
-        frame->jobs[k].done = (uint32_t)get(i, 4);
-        frame->jobs[k].running = (uint32_t)get(i, 4);
+    frame->len = (uint32_t)read_unsigned(reader, LENGTH_BYTES);
+    if (reader->has_failed || frame->len > reader->len - reader->position) {
+        reader->has_failed = true;
+        frame->len = 0;
+        return;
     }
+    frame->text = (const char *)reader->bytes + reader->position;
+    reader->position += frame->len;
 }
 
-static void get_bytes(struct in *i, struct bd_frame *frame)
+static void read_progress(struct frame_reader *reader, struct bd_frame *frame)
 {
-    frame->len = (uint32_t)get(i, 4);
-    if (i->bad || frame->len > i->len - i->at) {
-        i->bad = 1;
-        frame->len = 0;
-        return;
+    frame->count = (uint16_t)read_unsigned(reader, 2);
+    if (frame->count > BD_FRAME_JOBS)
+        reader->has_failed = true;
+    for (unsigned i = 0; i < frame->count && !reader->has_failed; i++) {
+        read_short_text(reader, frame->jobs[i].id, sizeof frame->jobs[i].id);
+        frame->jobs[i].done = (uint32_t)read_unsigned(reader, 4);
+        frame->jobs[i].running = (uint32_t)read_unsigned(reader, 4);
     }
-    frame->text = (const char *)i->p + i->at;
-    i->at += frame->len;
 }
 
-static void get_body(struct in *i, struct bd_frame *frame)
+static void read_body(struct frame_reader *reader, struct bd_frame *frame)
 {
     switch (frame->type) {
     case BD_FRAME_STATUS:
-        get_text(i, frame->name, sizeof frame->name);
-        frame->term = get(i, 8);
-        frame->flags = (uint8_t)get(i, 1);
-        frame->age_ms = (uint32_t)get(i, 4);
-        frame->at_ms = get(i, 8);
+        read_short_text(reader, frame->name, sizeof frame->name);
+        frame->term = read_unsigned(reader, 8);
+        frame->flags = (uint8_t)read_unsigned(reader, 1);
+        frame->age_ms = (uint32_t)read_unsigned(reader, 4);
+        frame->at_ms = read_unsigned(reader, 8);
         break;
     case BD_FRAME_PROGRESS:
-        read_progress(i, frame);
+        read_progress(reader, frame);
         break;
     case BD_FRAME_HEARTBEAT:
-        frame->id = get(i, 8);
-        get_text(i, frame->name, sizeof frame->name);
-        get_bytes(i, frame);
+        frame->id = read_unsigned(reader, 8);
+        read_short_text(reader, frame->name, sizeof frame->name);
+        read_long_text(reader, frame);
         break;
     case BD_FRAME_ANSWER:
-        frame->id = get(i, 8);
-        frame->status = (uint16_t)get(i, 2);
-        get_bytes(i, frame);
+        frame->id = read_unsigned(reader, 8);
+        frame->status = (uint16_t)read_unsigned(reader, 2);
+        read_long_text(reader, frame);
         break;
     case BD_FRAME_CANCELLED:
-        get_bytes(i, frame);
+        read_long_text(reader, frame);
         break;
     }
 }
 
-long bd_frame_read(const unsigned char *buf, size_t len, struct bd_frame *f)
+/* False: no header of a frame that this version reads. */
+static bool read_header(const unsigned char *buf, enum bd_frame_type *type, size_t *body_len)
+{
+    struct frame_reader reader = {buf, HEADER_BYTES, 0, false};
+    uint64_t magic = read_unsigned(&reader, 4);
+    uint64_t version = read_unsigned(&reader, 1);
+    uint64_t type_code = read_unsigned(&reader, 1);
+    uint64_t zero = read_unsigned(&reader, 2);
+    *body_len = (size_t)read_unsigned(&reader, LENGTH_BYTES);
+    if (magic != MAGIC || version != VERSION || zero != 0)
+        return false;
+    if (type_code < BD_FRAME_STATUS || type_code > BD_FRAME_CANCELLED)
+        return false;
+    *type = (enum bd_frame_type)type_code;
+    return HEADER_BYTES + *body_len <= BD_FRAME_MAX;
+}
+
+long bd_frame_read(const unsigned char *buf, size_t len, struct bd_frame *frame)
 {
-    struct in head = {buf, len < BD_FRAME_HEAD ? len : BD_FRAME_HEAD, 0, 0};
-    memset(f, 0, sizeof *f);
-    if (len < BD_FRAME_HEAD)
+    size_t body_len = 0;
+    memset(frame, 0, sizeof *frame);
+    if (len < HEADER_BYTES)
         return 0;
-    uint64_t magic = get(&head, 4), version = get(&head, 1), type = get(&head, 1);
-    uint64_t zero = get(&head, 2);
-    size_t body = (size_t)get(&head, 4);
-    if (magic != MAGIC || version != VERSION || zero || body + BD_FRAME_HEAD > BD_FRAME_MAX ||
-        type < BD_FRAME_STATUS || type > BD_FRAME_CANCELLED)
+    enum bd_frame_type type = BD_FRAME_STATUS;
+    if (!read_header(buf, &type, &body_len))
         return -1;
-    if (len < BD_FRAME_HEAD + body)
+    if (len < HEADER_BYTES + body_len)
         return 0;
-    struct in i = {buf + BD_FRAME_HEAD, body, 0, 0};
-    f->type = (enum bd_frame_type)type;
-    get_body(&i, f);
-    if (i.bad || i.at != body)
+    struct frame_reader reader = {buf + HEADER_BYTES, body_len, 0, false};
+    frame->type = type;
+    read_body(&reader, frame);
+    if (reader.has_failed || reader.position != body_len)
         return -1;
-    return (long)(BD_FRAME_HEAD + body);
+    return (long)(HEADER_BYTES + body_len);
 }
--- a/src/wire/frame.h
+++ b/src/wire/frame.h
@@ -1,23 +1,31 @@
-/* What passes between controllers: frames of packed fields, big-endian.
+/* What passes between controllers over their TCP connections: frames of packed fields, big-endian.
  *
- *   magic u32 "BDM1", version u8, type u8, zero u16, length u32 of what follows
- *   status (1):   name (u8 length, bytes), term u64, flags u8, age u32 (ms since the state
- *                 service last answered), at u64 (its time of day in ms)
- *   progress (2): count u16, then per job: id (u8 length, bytes), done u32, running u32
- *   report (3):   id u64, sender's name (u8 length, bytes), a worker's report (u32 length, bytes)
- *   answer (4):   id u64, status u16, the answer to it (u32 length, bytes)
- *   cancelled (5): a job's id (u32 length, bytes); only to peers whose status has
- * BD_PEER_READS_CANCELLATIONS */
+ * A frame is a header of 12 bytes and a body:
+ *
+ *   header: magic u32 "BDM1", version u8 (2), type u8, zero u16, length of the body u32
+ *
+ *   type                     body
+ *   1 peer status            name short, term u64, flags u8, age u32 (ms since the key-value store
+ *                            last answered), time of day u64 (ms)
+ *   2 progress of jobs       count u16, then for each job: id short, done u32, running u32
+ *   3 forwarded heartbeat    id u64, sender's name short, a worker's heartbeat long
+ *   4 reply to a heartbeat   id u64, HTTP status u16, the reply's body long
+ *   5 confirmed cancellation a job's id long; only to peers with BD_PEER_READS_CANCELLATIONS
+ *
+ * where "short" is a text with its length as u8 before it, "long" one with its length as u32.
+ *
+ * Pure functions; the adapters' peer transport and listener call them.
+ */
 #ifndef BD_FRAME_H
 #define BD_FRAME_H
-#include "wire/wire.h"
+#include "wire/wire_limits.h"
 #include <stddef.h>
 #include <stdint.h>
 
-#define BD_FRAME_HEAD 12u
-#define BD_FRAME_MAX 70000u
-#define BD_FRAME_JOBS 96u
+#define BD_FRAME_MAX 70000u /* bytes of a whole frame */
+#define BD_FRAME_JOBS 96u   /* jobs in one progress frame */
 
+/* The values are those on the wire. */
 enum bd_frame_type {
     BD_FRAME_STATUS = 1,
     BD_FRAME_PROGRESS = 2,
@@ -25,42 +33,50 @@
     BD_FRAME_ANSWER = 4,
     BD_FRAME_CANCELLED = 5
 };
+
+/* Bits of a peer status: what a controller is and sees, and which features its version has. A
+ * version that does not know a bit ignores it. */
 enum {
     BD_PEER_LEADS = 1,
-    BD_PEER_KV_REACHABLE = 2,      /* the state service answers it */
-    BD_PEER_INBOUND_PARTITION = 4, /* as leader: most workers are silent to it */
-    BD_PEER_HEARS_LEADER = 8,      /* it hears the leader */
-    BD_PEER_KV_LOST = 16,          /* it has not been in touch with the state service for a while */
-    BD_PEER_KNOWS_DAG =
-        32, /* it knows what a job may wait for; versions before that ignore the bit */
-    BD_PEER_READS_CANCELLATIONS = 64, /* it reads frames of confirmed cancellations; likewise */
-    BD_PEER_KNOWS_DRAINS = 128        /* it drains machines within budgets; likewise */
+    BD_PEER_KV_REACHABLE = 2,         /* the key-value store answers it */
+    BD_PEER_INBOUND_PARTITION = 4,    /* as leader: most workers' heartbeats do not arrive */
+    BD_PEER_HEARS_LEADER = 8,         /* the leader's statuses arrive at it */
+    BD_PEER_KV_LOST = 16,             /* the key-value store has not answered it for a while */
+    BD_PEER_KNOWS_DAG = 32,           /* feature: jobs may have parents */
+    BD_PEER_READS_CANCELLATIONS = 64, /* feature: reads frames of confirmed cancellations */
+    BD_PEER_KNOWS_DRAINS = 128        /* feature: drains machines within disruption budgets */
 };
 
+/* Progress of a job as the leader counts it. */
 struct bd_progress {
     char id[BD_ID];
-    uint32_t done, running;
+    uint32_t done;    /* tasks that have completed */
+    uint32_t running; /* tasks that run now */
 };
 
+/* A frame of any type; its type says which fields are used, the others are zero after a read. */
 struct bd_frame {
     enum bd_frame_type type;
-    char name[BD_LABEL];
-    uint64_t term;
-    uint8_t flags;
-    uint32_t age_ms;
-    uint64_t at_ms;
-    uint64_t id;
-    uint16_t status;
-    const char *text; /* of a frame that was read: inside the buffer, not terminated */
-    uint32_t len;
-    uint16_t count;
-    struct bd_progress jobs[BD_FRAME_JOBS]; /* last, so that a copy may end after the ones used */
+    char name[BD_LABEL]; /* STATUS, HEARTBEAT: the sender */
+    uint64_t term;       /* STATUS: the term in which the sender leads; 0: it does not */
+    uint8_t flags;       /* STATUS: BD_PEER_* */
+    uint32_t age_ms;     /* STATUS: since the key-value store last answered the sender */
+    uint64_t at_ms;      /* STATUS: the sender's time of day, ms since the epoch */
+    uint64_t id;         /* HEARTBEAT: the sender's number for it; ANSWER: the number answered */
+    uint16_t status;     /* ANSWER: HTTP status */
+    const char *text;    /* HEARTBEAT, ANSWER: a body; CANCELLED: a job's id. Borrowed; of a frame
+                          * that was read: inside the buffer, not terminated */
+    uint32_t len;        /* bytes of `text` */
+    uint16_t count;      /* PROGRESS: jobs used */
+    struct bd_progress jobs[BD_FRAME_JOBS]; /* last, so that a copy may end after those used */
 };
 
-/* no fewer bytes than the frame takes */
+/* An upper bound of the bytes that the frame takes when written. */
 size_t bd_frame_bytes(const struct bd_frame *frame);
-/* bytes written, 0 if it does not fit */
+/* Writes the frame into `buf` of `cap` bytes. Returns the bytes written; 0: it does not fit. */
 size_t bd_frame_write(const struct bd_frame *frame, unsigned char *buf, size_t cap);
-/* bytes taken; 0: more is needed; -1: not a frame, the connection must end */
+/* Reads the frame at the start of `buf`. Returns the bytes that it took; 0: it is incomplete, more
+ * bytes are needed; -1: the bytes are no valid frame, the connection must end. `frame` is valid
+ * only where the result is positive, and its text for as long as `buf`. */
 long bd_frame_read(const unsigned char *buf, size_t len, struct bd_frame *frame);
 #endif
--- a/src/wire/heartbeat_cache.c
+++ b/src/wire/heartbeat_cache.c
@@ -1,139 +1,146 @@
 #include "wire/heartbeat_cache.h"
-#include "wire/wire.h"
+#include <jansson.h>
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 #include <uthash.h>
 
-/* A kept report: found by its text before the number, which names the machine and its session. */
+/* A cached heartbeat, found by its head: the text before the sequence number, which names the
+ * machine and its incarnation. */
 struct entry {
     UT_hash_handle hh;
     struct bd_heartbeat heartbeat;
-    size_t bytes; /* of this and all that belongs to it */
-    size_t head, tail_len;
-    const char *tail; /* after the number */
-    char text[];      /* head and tail */
+    size_t bytes; /* of the entry and all that it owns */
+    size_t head_len, tail_len;
+    const char *tail; /* the text after the sequence number, in `text` */
+    char text[];      /* head and tail, without the number between them */
 };
 
 struct bd_heartbeat_cache {
-    struct entry *entries; /* the least recently used first */
-    size_t bytes, most_bytes;
-    struct bd_heartbeat single; /* one that is not kept */
-    bool has_single;
-    uint32_t all, repeated;
+    struct entry *entries; /* in the order of their use, the least recent first */
+    size_t bytes, bytes_max;
+    struct bd_heartbeat uncached; /* the last heartbeat read, if it is not in an entry */
+    bool has_uncached;
+    uint32_t total, hits; /* since they were last asked for */
 };
 
-struct bd_heartbeat_cache *bd_heartbeat_cache_new(size_t most_bytes)
+struct bd_heartbeat_cache *bd_heartbeat_cache_new(size_t bytes_max)
 {
-    struct bd_heartbeat_cache *c = calloc(1, sizeof *c);
-    if (c)
-        c->most_bytes = most_bytes;
-    return c;
+    struct bd_heartbeat_cache *cache = calloc(1, sizeof *cache);
+    if (cache)
+        cache->bytes_max = bytes_max;
+    return cache;
 }
 
-static void drop_entry(struct bd_heartbeat_cache *c, struct entry *e)
+static void free_entry(struct bd_heartbeat_cache *cache, struct entry *entry)
 {
-    HASH_DEL(c->entries, e);
-    c->bytes -= e->bytes;
-    bd_wire_heartbeat_release(&e->heartbeat);
-    free(e);
+    HASH_DEL(cache->entries, entry);
+    cache->bytes -= entry->bytes;
+    bd_wire_heartbeat_release(&entry->heartbeat);
+    free(entry);
 }
 
-static void drop_single(struct bd_heartbeat_cache *c)
+static void release_uncached(struct bd_heartbeat_cache *cache)
 {
-    if (c->has_single)
-        bd_wire_heartbeat_release(&c->single);
-    c->has_single = false;
+    if (cache->has_uncached)
+        bd_wire_heartbeat_release(&cache->uncached);
+    cache->has_uncached = false;
 }
 
-void bd_heartbeat_cache_free(struct bd_heartbeat_cache *c)
+void bd_heartbeat_cache_free(struct bd_heartbeat_cache *cache)
 {
-    struct entry *e, *next;
-    if (!c)
+    struct entry *entry, *next;
+    if (!cache)
         return;
-    HASH_ITER(hh, c->entries, e, next)
+    HASH_ITER(hh, cache->entries, entry, next)
     {
-        drop_entry(c, e);
+        free_entry(cache, entry);
     }
-    drop_single(c);
-    free(c);
+    release_uncached(cache);
+    free(cache);
 }
 
-static struct entry *find(struct bd_heartbeat_cache *c, const char *text, size_t head)
+static struct entry *find_entry(struct bd_heartbeat_cache *cache, const char *text, size_t head_len)
 {
-    struct entry *e = NULL;
-    HASH_FIND(hh, c->entries, text, head, e);
-    return e;
+    struct entry *entry = NULL;
+    HASH_FIND(hh, cache->entries, text, head_len, entry);
+    return entry;
 }
 
-/* Moves the report of `c->single` into a new entry. NULL: it does not fit. */
-static struct entry *keep(struct bd_heartbeat_cache *c, const char *text, size_t len,
-                          const struct bd_heartbeat_number *number)
+/* Moves the heartbeat of `uncached`, read from this text, into a new entry. NULL: it does not fit,
+ * or out of memory; it stays where it is. */
+static struct entry *add_entry(struct bd_heartbeat_cache *cache, const char *text, size_t len,
+                               const struct bd_heartbeat_seq *seq)
 {
-    size_t tail_at = number->at + number->len;
-    size_t size = sizeof(struct entry) + len - number->len;
-    size_t bytes = size + c->single.n * sizeof c->single.tasks[0];
-    if (bytes > c->most_bytes)
+    size_t tail_at = seq->offset + seq->len;
+    size_t size = sizeof(struct entry) + len - seq->len;
+    size_t bytes = size + cache->uncached.n * sizeof cache->uncached.tasks[0];
+    if (bytes > cache->bytes_max)
         return NULL;
-    while (c->entries && c->bytes + bytes > c->most_bytes)
-        drop_entry(c, c->entries);
-    struct entry *e = malloc(size);
-    if (!e)
+    while (cache->entries && cache->bytes + bytes > cache->bytes_max)
+        free_entry(cache, cache->entries);
+    struct entry *entry = malloc(size);
+    if (!entry)
         return NULL;
-    memset(e, 0, sizeof *e);
-    e->heartbeat = c->single;
-    e->bytes = bytes;
-    e->head = number->at;
-    e->tail_len = len - tail_at;
-    memcpy(e->text, text, e->head);
-    memcpy(e->text + e->head, text + tail_at, e->tail_len);
-    e->tail = e->text + e->head;
-    c->has_single = false;
-    c->bytes += bytes;
-    HASH_ADD_KEYPTR(hh, c->entries, e->text, e->head, e);
-    return e;
+    memset(entry, 0, sizeof *entry);
+    entry->heartbeat = cache->uncached;
+    entry->bytes = bytes;
+    entry->head_len = seq->offset;
+    entry->tail_len = len - tail_at;
+    memcpy(entry->text, text, entry->head_len);
+    memcpy(entry->text + entry->head_len, text + tail_at, entry->tail_len);
+    entry->tail = entry->text + entry->head_len;
+    cache->has_uncached = false;
+    cache->bytes += bytes;
+    HASH_ADD_KEYPTR(hh, cache->entries, entry->text, entry->head_len, entry);
+    return entry;
 }
 
-static const struct bd_heartbeat *read_anew(struct bd_heartbeat_cache *c, const char *text,
-                                            size_t len, const struct bd_heartbeat_number *number)
+/* Reads the text's JSON into `uncached`. False: malformed, or out of memory. */
+static bool read_uncached(struct bd_heartbeat_cache *cache, const char *text, size_t len)
 {
-    json_t *o = text ? json_loadb(text, len, 0, NULL) : NULL;
-    bool ok = o && bd_wire_heartbeat(o, &c->single);
-    json_decref(o);
-    c->has_single = ok;
-    if (!ok)
-        return NULL;
-    struct entry *e = NULL;
-    if (number && c->single.seq == number->value)
-        e = keep(c, text, len, number);
-    return e ? &e->heartbeat : &c->single;
+    json_t *body = text ? json_loadb(text, len, 0, NULL) : NULL;
+    cache->has_uncached = body && bd_wire_heartbeat(body, &cache->uncached);
+    json_decref(body);
+    return cache->has_uncached;
 }
 
-const struct bd_heartbeat *bd_heartbeat_cache_read(struct bd_heartbeat_cache *c, const char *text,
-                                                   size_t len)
+/* A hit: the entry becomes the most recently used one and gets the new sequence number. */
+static const struct bd_heartbeat *reuse_entry(struct bd_heartbeat_cache *cache, struct entry *entry,
+                                              uint64_t seq)
 {
-    struct bd_heartbeat_number number;
-    drop_single(c);
-    c->all++;
-    if (!text || !bd_wire_heartbeat_number(text, len, &number))
-        return read_anew(c, text, len, NULL);
-    struct entry *e = find(c, text, number.at);
-    const char *tail = text + number.at + number.len;
-    if (e && e->tail_len == len - number.at - number.len &&
-        memcmp(e->tail, tail, e->tail_len) == 0) {
-        HASH_DEL(c->entries, e); /* to the end: it is the most recently used */
-        HASH_ADD_KEYPTR(hh, c->entries, e->text, e->head, e);
-        e->heartbeat.seq = number.value;
-        c->repeated++;
-        return &e->heartbeat;
-    }
-    if (e)
-        drop_entry(c, e);
-    return read_anew(c, text, len, &number);
+    HASH_DEL(cache->entries, entry);
+    HASH_ADD_KEYPTR(hh, cache->entries, entry->text, entry->head_len, entry);
+    entry->heartbeat.seq = seq;
+    cache->hits++;
+    return &entry->heartbeat;
+}
+
+const struct bd_heartbeat *bd_heartbeat_cache_read(struct bd_heartbeat_cache *cache,
+                                                   const char *text, size_t len)
+{
+    struct bd_heartbeat_seq seq;
+    release_uncached(cache);
+    cache->total++;
+    if (!text || !bd_wire_find_heartbeat_seq(text, len, &seq))
+        return read_uncached(cache, text, len) ? &cache->uncached : NULL;
+    struct entry *entry = find_entry(cache, text, seq.offset);
+    const char *tail = text + seq.offset + seq.len;
+    size_t tail_len = len - seq.offset - seq.len;
+    if (entry && entry->tail_len == tail_len && memcmp(entry->tail, tail, tail_len) == 0)
+        return reuse_entry(cache, entry, seq.value);
+    if (entry)
+        free_entry(cache, entry);
+    if (!read_uncached(cache, text, len))
+        return NULL;
+    entry = cache->uncached.seq == seq.value ? add_entry(cache, text, len, &seq) : NULL;
+    return entry ? &entry->heartbeat : &cache->uncached;
 }
 
-void bd_heartbeat_cache_counts(struct bd_heartbeat_cache *c, uint32_t *all, uint32_t *repeated)
+void bd_heartbeat_cache_counts(struct bd_heartbeat_cache *cache, uint32_t *total, uint32_t *hits)
 {
-    *all = c->all;
-    *repeated = c->repeated;
-    c->all = c->repeated = 0;
+    *total = cache->total;
+    *hits = cache->hits;
+    cache->total = 0;
+    cache->hits = 0;
 }
--- a/src/wire/wire_cloud.c
+++ b/src/wire/wire_cloud.c
@@ -1,126 +1,146 @@
-/* The cloud on the wire: machine types, machines, and requests for them. */
-#include "wire/wire.h"
+#include "wire/wire_cloud.h"
 #include "wire/wire_internal.h"
-#include <math.h>
-#include <stdio.h>
-#include <stdlib.h>
+#include "wire/wire_names.h"
 #include <string.h>
 
-static bool type_of(json_t *o, struct bd_type_text *t)
+/* of a machine type for which the cloud does not say */
+#define FETCH_DEFAULT_GB_PER_S 0.1
+#define BOOT_DEFAULT_S 60.0
+
+static void read_zones(json_t *object, struct bd_type_text *type)
 {
-    memset(t, 0, sizeof *t);
-    if (!bd_wire_label(o, "label", t->label) || !bd_wire_amount(o, "vcpus", &t->cpus) ||
-        !bd_wire_amount(o, "memGb", &t->mem) || !bd_wire_amount(o, "hourly", &t->price))
-        return false;
-    if (!bd_wire_amount(o, "accelerators", &t->gpus))
-        t->gpus = 0;
-    if (!bd_wire_amount(o, "localGb", &t->cache_gb))
-        t->cache_gb = 0;
-    if (!bd_wire_amount(o, "fetchGbPerS", &t->fetch) || t->fetch <= 0)
-        t->fetch = 0.1;
-    if (!bd_wire_amount(o, "marketPrice", &t->spot_price))
-        t->spot_price = t->price;
-    if (!bd_wire_amount(o, "readyS", &t->boot))
-        t->boot = 60;
-    json_t *z = json_object_get(o, "glades"), *v;
+    json_t *zones = json_object_get(object, KEY_ZONES), *zone;
     size_t i;
-    json_array_foreach(z, i, v)
+    json_array_foreach(zones, i, zone)
     {
-        const char *s = json_string_value(v);
-        if (s && strlen(s) < BD_LABEL && t->nzones < 16)
-            strcpy(t->zones[t->nzones++], s);
+        const char *name = json_string_value(zone);
+        if (name && strlen(name) < BD_LABEL && type->nzones < BD_TYPE_ZONES_MAX)
+            strcpy(type->zones[type->nzones++], name);
     }
+}
+
+static bool read_type(json_t *object, struct bd_type_text *out)
+{
+    memset(out, 0, sizeof *out);
+    if (!bd_wire_read_label(object, KEY_TYPE_LABEL, out->label) ||
+        !bd_wire_read_amount(object, KEY_CPUS, &out->cpus) ||
+        !bd_wire_read_amount(object, KEY_MEMORY_GB, &out->mem) ||
+        !bd_wire_read_amount(object, KEY_PRICE, &out->price))
+        return false;
+    if (!bd_wire_read_amount(object, KEY_GPUS, &out->gpus))
+        out->gpus = 0;
+    if (!bd_wire_read_amount(object, KEY_CACHE_GB, &out->cache_gb))
+        out->cache_gb = 0;
+    if (!bd_wire_read_amount(object, KEY_FETCH_GB_PER_S, &out->fetch) || out->fetch <= 0)
+        out->fetch = FETCH_DEFAULT_GB_PER_S;
+    if (!bd_wire_read_amount(object, KEY_SPOT_PRICE, &out->spot_price))
+        out->spot_price = out->price;
+    if (!bd_wire_read_amount(object, KEY_BOOT_S, &out->boot))
+        out->boot = BOOT_DEFAULT_S;
+    read_zones(object, out);
     return true;
 }
 
-int bd_wire_types(json_t *o, struct bd_type_text *out, int max)
+int bd_wire_types(json_t *body, struct bd_type_text *out, int max)
 {
-    json_t *a = json_object_get(o, "breeds"), *v;
+    json_t *types = json_object_get(body, KEY_MACHINE_TYPES), *type;
     size_t i;
-    int n = 0;
-    if (!json_is_array(a))
+    int count = 0;
+    if (!json_is_array(types))
         return -1;
-    json_array_foreach(a, i, v)
+    json_array_foreach(types, i, type)
     {
-        if (n < max && type_of(v, &out[n]))
-            n++;
+        if (count < max && read_type(type, &out[count]))
+            count++;
     }
-    return n;
+    return count;
 }
 
-static bool cloud_machine(json_t *v, struct bd_cloud_machine *m)
+static enum bd_cloud_machine_state parse_machine_state(const char *text)
 {
-    memset(m, 0, sizeof *m);
-    const char *state = json_string_value(json_object_get(v, "mood"));
-    if (!state || !bd_wire_label(v, "id", m->id) || !bd_wire_label(v, "breed", m->type) ||
-        !bd_wire_label(v, "glade", m->zone) || !bd_wire_flag(v, "windfall", &m->spot))
+    if (strcmp(text, "running") == 0)
+        return BD_MACHINE_UP;
+    if (strcmp(text, "failed") == 0)
+        return BD_MACHINE_FAILED;
+    return BD_MACHINE_BOOTING;
+}
+
+static bool read_machine(json_t *object, struct bd_cloud_machine *out)
+{
+    memset(out, 0, sizeof *out);
+    const char *state = json_string_value(json_object_get(object, KEY_STATE));
+    if (!state || !bd_wire_read_label(object, KEY_ID, out->id) ||
+        !bd_wire_read_label(object, KEY_MACHINE_TYPE, out->type) ||
+        !bd_wire_read_label(object, KEY_ZONE, out->zone) ||
+        !bd_wire_read_bool(object, KEY_SPOT, &out->spot))
         return false;
-    if (!bd_wire_label(v, "endpoint", m->addr))
-        m->addr[0] = '\0';
-    if (!bd_wire_amount(v, "heldS", &m->age))
-        m->age = 0;
-    m->state = strcmp(state, "running") == 0  ? BD_MACHINE_UP
-               : strcmp(state, "failed") == 0 ? BD_MACHINE_FAILED
-                                              : BD_MACHINE_BOOTING;
+    if (!bd_wire_read_label(object, KEY_ADDRESS, out->addr))
+        out->addr[0] = '\0';
+    if (!bd_wire_read_amount(object, KEY_MACHINE_AGE_S, &out->age))
+        out->age = 0;
+    out->state = parse_machine_state(state);
     return true;
 }
 
-int bd_wire_machines(json_t *o, struct bd_cloud_machine *out, int max, bool *more)
+int bd_wire_machines(json_t *body, struct bd_cloud_machine *out, int max, bool *more)
 {
-    json_t *a = json_object_get(o, "hearths"), *v;
+    json_t *machines = json_object_get(body, KEY_MACHINES), *machine;
     size_t i;
-    int n = 0;
-    if (!json_is_array(a))
+    int count = 0;
+    if (!json_is_array(machines))
         return -1;
-    *more = json_is_true(json_object_get(o, "more"));
-    json_array_foreach(a, i, v)
+    *more = json_is_true(json_object_get(body, KEY_MORE));
+    json_array_foreach(machines, i, machine)
     {
-        if (n == max || !cloud_machine(v, &out[n]))
+        if (count == max || !read_machine(machine, &out[count]))
             return -1;
-        n++;
+        count++;
     }
-    return n;
+    return count;
+}
+
+/* The object as text; it is consumed. NULL: out of memory. */
+static char *write_text(json_t *object)
+{
+    char *text = json_dumps(object, JSON_COMPACT);
+    json_decref(object);
+    return text;
 }
 
 char *bd_wire_provision(const char *request, const char *type, const char *zone, bool spot,
                         int count)
 {
-    json_t *o = json_pack("{s:s,s:s,s:s,s:b,s:i}", "plea", request, "breed", type, "glade", zone,
-                          "windfall", (int)spot, "howMany", count);
-    char *s = json_dumps(o, JSON_COMPACT);
-    json_decref(o);
-    return s;
+    return write_text(json_pack("{s:s,s:s,s:s,s:b,s:i}", KEY_REQUEST_ID, request, KEY_MACHINE_TYPE,
+                                type, KEY_ZONE, zone, KEY_SPOT, (int)spot, KEY_MACHINE_COUNT,
+                                count));
 }
 
 char *bd_wire_return(char (*names)[BD_LABEL], int n)
 {
-    json_t *a = json_array();
+    json_t *machines = json_array();
     for (int i = 0; i < n; i++)
-        json_array_append_new(a, json_string(names[i]));
-    json_t *o = json_pack("{s:o}", "hearths", a);
-    char *s = json_dumps(o, JSON_COMPACT);
-    json_decref(o);
-    return s;
+        json_array_append_new(machines, json_string(names[i]));
+    return write_text(json_pack("{s:o}", KEY_MACHINES, machines));
 }
 
-int bd_wire_machine_names(json_t *o, char (*names)[BD_LABEL], int max)
+int bd_wire_machine_names(json_t *body, char (*names)[BD_LABEL], int max)
 {
-    json_t *a = json_object_get(o, "hearths"), *v;
+    json_t *machines = json_object_get(body, KEY_MACHINES), *machine;
     size_t i;
-    int n = 0;
-    if (!json_is_array(a))
+    int count = 0;
+    if (!json_is_array(machines))
         return -1;
-    json_array_foreach(a, i, v)
+    json_array_foreach(machines, i, machine)
     {
-        const char *s = json_string_value(v);
-        if (s && strlen(s) < BD_LABEL && n < max)
-            strcpy(names[n++], s);
+        const char *name = json_string_value(machine);
+        if (name && strlen(name) < BD_LABEL && count < max)
+            strcpy(names[count++], name);
     }
-    return n;
+    return count;
 }
 
-bool bd_wire_cloud_outage(json_t *o)
+bool bd_wire_cloud_outage(json_t *body)
 {
-    const char *why = json_string_value(json_object_get(o, "error"));
-    return why && strcmp(why, "trouble") == 0;
-}
+    const char *error = json_string_value(json_object_get(body, KEY_ERROR));
+    return error && strcmp(error, ERROR_CLOUD_OUTAGE) == 0;
+}
--- a/src/wire/wire_internal.h
+++ b/src/wire/wire_internal.h
@@ -1,15 +1,32 @@
-/* Shared by the parts of the wire module: reading single fields. */
+/* Private to wire*.c: reading single fields of a JSON object, and a job's spec.
+ *
+ * The readers return false, and leave `out` as it is, where the field is missing or malformed.
+ */
 #ifndef BD_WIRE_INTERNAL_H
 #define BD_WIRE_INTERNAL_H
-#include "wire/wire.h"
+#include "wire/wire_jobs.h"
+#include "wire/wire_limits.h"
+#include "wire/wire_names.h"
 #include <jansson.h>
+#include <stdbool.h>
+#include <stdint.h>
 
-#define COUNT(a) ((int)(sizeof(a) / sizeof((a)[0])))
+#define COUNT_OF(array) ((int)(sizeof(array) / sizeof((array)[0])))
 
-int bd_wire_index_of(const char *const *names, int n, const char *s);
-bool bd_wire_label(json_t *o, const char *key, char *out);
-bool bd_wire_amount(json_t *o, const char *key, double *out);
-bool bd_wire_flag(json_t *o, const char *key, bool *out);
-bool bd_wire_whole(json_t *o, const char *key, uint64_t *out);
-bool bd_wire_is_null(json_t *v);
+/* A text that is neither empty nor too long. */
+bool bd_wire_read_label(json_t *object, const char *key, char out[BD_LABEL]);
+/* A number from 0 to 1e9. */
+bool bd_wire_read_amount(json_t *object, const char *key, double *out);
+bool bd_wire_read_bool(json_t *object, const char *key, bool *out);
+/* An integer of at least 0. */
+bool bd_wire_read_unsigned(json_t *object, const char *key, uint64_t *out);
+/* The place of a field's text in a table of `count` names; -1: it is not there. */
+int bd_wire_read_enum(json_t *object, const char *key, const char *const *names, int count);
+/* Whether a field is missing or null. */
+bool bd_wire_is_null(json_t *value);
+
+/* Reads a job's spec. NULL, or the name of the field at fault, a constant. */
+const char *bd_wire_read_spec(json_t *object, struct bd_spec_text *out);
+/* A job's spec as a JSON object. NULL: out of memory. */
+json_t *bd_wire_write_spec(const struct bd_spec_text *spec);
 #endif
--- /dev/null
+++ b/src/wire/wire_job_records.c
@@ -0,0 +1,95 @@
+/* Jobs' records in the key-value store, and the parts of long lists of parents. */
+#include "wire/wire_internal.h"
+#include <string.h>
+
+/* in the order of enum bd_job_state */
+static const char *const job_states[] = {"live", "done", "cancelled"};
+
+json_t *bd_wire_parents_part(json_t *names)
+{
+    return json_pack("{s:o}", KEY_PARENTS, names);
+}
+
+json_t *bd_wire_read_part(json_t *value)
+{
+    json_t *names = json_object_get(value, KEY_PARENTS);
+    return json_is_array(names) ? names : NULL;
+}
+
+json_t *bd_wire_ended_spec(json_t *spec)
+{
+    json_t *copy = json_copy(spec);
+    if (copy)
+        json_object_set_new(copy, KEY_MACHINE_TYPES, json_null());
+    return copy;
+}
+
+static void write_parents(json_t *object, const struct bd_record_parents *parents)
+{
+    if (parents->parts) {
+        json_t *parts = json_pack("{s:s,s:i}", KEY_PARTS_HASH, parents->of, KEY_PARTS_COUNT,
+                                  (int)parents->parts);
+        json_object_set_new(object, KEY_RECORD_PARTS, parts);
+    } else if (parents->names) {
+        json_object_set(object, KEY_PARENTS, parents->names);
+    }
+}
+
+json_t *bd_wire_record(const struct bd_record *record)
+{
+    json_t *value =
+        json_pack("{s:s,s:i,s:f}", KEY_RECORD_STATE, job_states[record->state],
+                  KEY_RECORD_TASK_COUNT, (int)record->tasks, KEY_RECORD_SUBMITTED_AT, record->at);
+    if (!value)
+        return NULL;
+    if (record->has_spec)
+        json_object_set_new(value, KEY_RECORD_SPEC, bd_wire_write_spec(&record->spec));
+    else if (*record->spec.job_class) /* the rate at which jobs of a class come rests on it */
+        json_object_set_new(value, KEY_RECORD_JOB_CLASS, json_string(record->spec.job_class));
+    write_parents(value, &record->parents);
+    if (record->end > 0)
+        json_object_set_new(value, KEY_RECORD_ENDED_AT, json_real(record->end));
+    return value;
+}
+
+static void read_parents(json_t *value, struct bd_record_parents *out)
+{
+    json_t *names = json_object_get(value, KEY_PARENTS);
+    json_t *parts = json_object_get(value, KEY_RECORD_PARTS);
+    const char *hash = json_string_value(json_object_get(parts, KEY_PARTS_HASH));
+    uint64_t count = 0;
+    if (names && !json_is_array(names))
+        out->damaged = true;
+    else
+        out->names = names;
+    if (!parts)
+        return;
+    if (!hash || strlen(hash) >= BD_HASH ||
+        !bd_wire_read_unsigned(parts, KEY_PARTS_COUNT, &count) || count < 1 ||
+        count > BD_PARENT_PARTS_MAX) {
+        out->damaged = true;
+        return;
+    }
+    strcpy(out->of, hash);
+    out->parts = (uint32_t)count;
+}
+
+bool bd_wire_read_record(json_t *value, struct bd_record *out)
+{
+    uint64_t tasks = 0;
+    memset(out, 0, sizeof *out);
+    int state = bd_wire_read_enum(value, KEY_RECORD_STATE, job_states, COUNT_OF(job_states));
+    if (state < 0 || !bd_wire_read_unsigned(value, KEY_RECORD_TASK_COUNT, &tasks) || tasks < 1 ||
+        tasks > BD_MAX_TASKS)
+        return false;
+    out->state = (enum bd_job_state)state;
+    out->tasks = (uint32_t)tasks;
+    out->at = json_number_value(json_object_get(value, KEY_RECORD_SUBMITTED_AT));
+    out->end = json_number_value(json_object_get(value, KEY_RECORD_ENDED_AT));
+    read_parents(value, &out->parents);
+    json_t *spec = json_object_get(value, KEY_RECORD_SPEC);
+    out->has_spec = json_is_object(spec) && bd_wire_read_spec(spec, &out->spec) == NULL;
+    if (!out->has_spec && !bd_wire_read_label(value, KEY_RECORD_JOB_CLASS, out->spec.job_class))
+        out->spec.job_class[0] = '\0';
+    return out->has_spec || out->state == BD_JOB_DONE;
+}
--- /dev/null
+++ b/src/wire/wire_jobs.h
@@ -0,0 +1,107 @@
+/* Jobs in the protocols: submissions of users, the replies to them, and the jobs' records in the
+ * key-value store. Admission, the replica and the dependency graph (jobs/) call it. See wire.h for
+ * units and ownership.
+ */
+#ifndef BD_WIRE_JOBS_H
+#define BD_WIRE_JOBS_H
+#include "wire/wire_limits.h"
+#include <jansson.h>
+#include <stdbool.h>
+#include <stdint.h>
+
+enum bd_job_kind {
+    BD_JOB_ARRAY,  /* independent tasks */
+    BD_JOB_GANG,   /* tasks that run only together */
+    BD_JOB_SERVICE /* replicas that run until the job is cancelled */
+};
+/* from the least to the most important */
+enum bd_priority {
+    BD_PRIORITY_IDLE,
+    BD_PRIORITY_STANDARD,
+    BD_PRIORITY_HIGH,
+    BD_PRIORITY_PRODUCTION
+};
+
+/* A job as its user wrote it, names not yet looked up. Amounts are per task. */
+struct bd_spec_text {
+    char
+        job_class[BD_LABEL]; /* jobs of a class behave alike: run times, service-level objectives */
+    char team[BD_LABEL];
+    char image[BD_LABEL];
+    char zone[BD_LABEL]; /* empty: any */
+    char types[BD_MAX_TYPES][BD_LABEL];
+    int ntypes; /* machine types it may run on; -1: any */
+    enum bd_job_kind kind;
+    enum bd_priority priority;
+    uint32_t tasks;               /* 1 to BD_MAX_TASKS */
+    double cpus;                  /* cores */
+    double gpus;                  /* devices */
+    double mem;                   /* GB */
+    double image_gb;              /* GB */
+    double estimate;              /* run time that the user expects, seconds */
+    double checkpoint_interval_s; /* progress between two checkpoints; 0: it makes none */
+    double checkpoint_save_s;     /* that a checkpoint takes when the task is stopped */
+    double deadline_s;            /* from submission to the end that is wanted; < 0: none */
+    bool same_zone;               /* all tasks in one zone */
+    bool spread_zones;            /* tasks spread over zones (anti-affinity) */
+    bool spot;                    /* may run on spot machines */
+};
+
+enum bd_job_state {
+    BD_JOB_ACTIVE, /* accepted, and neither of those below */
+    BD_JOB_DONE,
+    BD_JOB_CANCELLED
+};
+
+/* A job's parents: the ids of the jobs that it waits for. They stand in its record or, where one
+ * value cannot hold them, in parts: keys of their own that are written before the record. */
+struct bd_record_parents {
+    json_t *names;    /* list of ids, borrowed; NULL: none in the record */
+    uint32_t parts;   /* number of parts; 0: none */
+    char of[BD_HASH]; /* hash of the whole list, which names the parts' keys */
+    bool damaged;     /* what the record says of its parents cannot be read */
+};
+
+/* A job's record in the key-value store. */
+struct bd_record {
+    enum bd_job_state state;
+    uint32_t tasks;
+    double at;     /* of the submission, time of day, seconds since the epoch */
+    double end;    /* done: of its last task's end, likewise; 0: not known */
+    bool has_spec; /* else `spec` holds the job's class only, if that */
+    struct bd_spec_text spec;
+    struct bd_record_parents parents;
+};
+
+/* Whether the text is a job's id: "job-" and 1 to 18 digits. NULL is none. */
+bool bd_wire_job_id(const char *id);
+/* Reads a task's name, "JOB/INDEX". False: malformed; `job` may have been overwritten. */
+bool bd_wire_task_name(const char *text, char job[BD_ID], uint32_t *task);
+
+/* Reads a submission. `id` gets the job's id as soon as that was read, else it is empty. NULL, or
+ * the name of the field at fault, a constant. */
+const char *bd_wire_submission(json_t *body, char id[BD_ID], struct bd_spec_text *out);
+/* Reads the parents of a submission. `out` gets a new list of their ids, each once, or NULL if
+ * there are none. False: malformed or out of memory, and `out` is NULL. */
+bool bd_wire_parents(json_t *body, json_t **out);
+
+/* The value of a part that holds these parents; `names` is consumed. NULL: out of memory. */
+json_t *bd_wire_parents_part(json_t *names);
+/* The parents in a part's value, borrowed. NULL: malformed. */
+json_t *bd_wire_read_part(json_t *value);
+
+/* A copy of a job's spec in its record, made as short as it can still be read, for a job that is
+ * cancelled. NULL: out of memory. */
+json_t *bd_wire_ended_spec(json_t *spec);
+/* The value of a job's record. NULL: out of memory. */
+json_t *bd_wire_record(const struct bd_record *record);
+/* Reads a job's record; `out->parents.names` lives as long as `value`. False: malformed, or a job
+ * that is not done has no spec. */
+bool bd_wire_read_record(json_t *value, struct bd_record *out);
+
+/* The reply to a submission that was accepted. */
+char *bd_wire_accepted(const char *id);
+/* The reply to a question for a job's state: its name in the protocol, a constant of the caller,
+ * and the numbers of completed and of running tasks. */
+char *bd_wire_state(const char *id, const char *state, uint32_t done, uint32_t running);
+#endif
--- /dev/null
+++ b/src/wire/wire_store.c
@@ -0,0 +1,144 @@
+#include "wire/wire_store.h"
+#include "wire/wire_internal.h"
+#include "wire/wire_names.h"
+#include <math.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#define MS_PER_S 1000.0
+#define GRANT_BODY_BYTES 48
+
+/* ---- transactions ---- */
+
+bool bd_txn_begin(struct bd_txn *txn)
+{
+    txn->compares = json_array();
+    txn->ops = json_array();
+    return txn->compares && txn->ops;
+}
+
+void bd_txn_compare(struct bd_txn *txn, const char *key, uint64_t revision)
+{
+    json_array_append_new(txn->compares, json_pack("{s:s,s:I}", KEY_STORE_KEY, key, KEY_REVISION,
+                                                   (json_int_t)revision));
+}
+
+void bd_txn_put(struct bd_txn *txn, const char *key, json_t *value, uint64_t grant)
+{
+    json_t *change = json_pack("{s:s,s:o}", KEY_PUT_KEY, key, KEY_VALUE, value);
+    if (change && grant)
+        json_object_set_new(change, KEY_GRANT, json_integer((json_int_t)grant));
+    json_array_append_new(txn->ops, change);
+}
+
+void bd_txn_delete(struct bd_txn *txn, const char *key)
+{
+    json_array_append_new(txn->ops, json_pack("{s:s}", KEY_DELETED_KEY, key));
+}
+
+char *bd_txn_finish(struct bd_txn *txn)
+{
+    json_t *body = json_pack("{s:o,s:o}", KEY_COMPARES, txn->compares, KEY_CHANGES, txn->ops);
+    char *text = json_dumps(body, JSON_COMPACT);
+    json_decref(body);
+    txn->compares = NULL;
+    txn->ops = NULL;
+    return text;
+}
+
+json_t *bd_wire_failed(json_t *body)
+{
+    return json_object_get(body, KEY_FAILED_COMPARES);
+}
+
+/* ---- values and changes ---- */
+
+bool bd_wire_change(json_t *entry, struct bd_change *out)
+{
+    out->value = json_object_get(entry, KEY_VALUE);
+    out->key = json_string_value(json_object_get(entry, KEY_STORE_KEY));
+    if (!out->key)
+        out->key = json_string_value(json_object_get(entry, KEY_PUT_KEY));
+    if (!out->key) {
+        out->key = json_string_value(json_object_get(entry, KEY_DELETED_KEY));
+        out->value = NULL;
+    }
+    return out->key && bd_wire_read_unsigned(entry, KEY_REVISION, &out->revision);
+}
+
+void bd_wire_set_revision(json_t *change, uint64_t revision)
+{
+    json_object_set_new(change, KEY_REVISION, json_integer((json_int_t)revision));
+}
+
+bool bd_wire_pair(json_t *body, struct bd_change *out, uint64_t *grant)
+{
+    *grant = 0;
+    if (!bd_wire_change(body, out) || !out->value)
+        return false;
+    (void)bd_wire_read_unsigned(body, KEY_GRANT, grant);
+    return true;
+}
+
+json_t *bd_wire_pairs(json_t *body, bool *more)
+{
+    *more = json_is_true(json_object_get(body, KEY_MORE));
+    return json_object_get(body, KEY_PAIRS);
+}
+
+json_t *bd_wire_log(json_t *body)
+{
+    return json_object_get(body, KEY_CHANGE_LOG);
+}
+
+uint64_t bd_wire_store_revision(json_t *body)
+{
+    uint64_t revision = 0;
+    return bd_wire_read_unsigned(body, KEY_STORE_REVISION, &revision) ? revision : 0;
+}
+
+size_t bd_wire_bytes(const json_t *value)
+{
+    char *text = json_dumps(value, JSON_COMPACT | JSON_ENCODE_ANY);
+    size_t bytes = text ? strlen(text) : SIZE_MAX;
+    free(text);
+    return bytes;
+}
+
+/* FNV-1a of the texts, with a comma after each */
+uint64_t bd_wire_names_hash(json_t *names)
+{
+    const uint64_t prime = 1099511628211u;
+    uint64_t hash = 1469598103934665603u;
+    json_t *name;
+    size_t i;
+    json_array_foreach(names, i, name)
+    {
+        for (const char *c = json_string_value(name); c && *c; c++)
+            hash = (hash ^ (unsigned char)*c) * prime;
+        hash = (hash ^ ',') * prime;
+    }
+    return hash;
+}
+
+/* ---- grants ---- */
+
+uint64_t bd_wire_grant(json_t *body)
+{
+    uint64_t grant = 0;
+    return bd_wire_read_unsigned(body, KEY_GRANT, &grant) ? grant : 0;
+}
+
+char *bd_wire_ttl(double seconds)
+{
+    char body[GRANT_BODY_BYTES];
+    snprintf(body, sizeof body, "{\"" KEY_GRANT_TTL_MS "\":%ld}", lround(seconds * MS_PER_S));
+    return strdup(body);
+}
+
+bool bd_wire_no_grant(json_t *body)
+{
+    const char *error = json_string_value(json_object_get(body, KEY_ERROR));
+    return error && strcmp(error, ERROR_NO_GRANT) == 0;
+}
--- a/src/wire/wire_workers.c
+++ b/src/wire/wire_workers.c
@@ -1,81 +1,85 @@
-/* Workers on the wire: reports, and the commands they are given. */
-#include "wire/wire.h"
+#include "wire/wire_workers.h"
 #include "wire/wire_internal.h"
-#include <math.h>
+#include "wire/wire_jobs.h"
+#include "wire/wire_names.h"
+#include <stdarg.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-static const char *const subs[] = {"pulling", "gathering", "running", "saving", "exited"};
-static const char *const whys[] = {"",      "done",    "stopped", "peers",  "alone",
-                                   "error", "no_room", "busy",    "unknown"};
-static const char *const verbs[] = {"launch", "halt", "forget"};
+#define SEQ_DIGITS_MAX                                                                             \
+    18 /* 19 could overflow a signed integer, and are left to the JSON parser                      \
+        */
+/* Upper bounds of what the numbers and names of commands take as text. */
+#define COMMANDS_FIXED_BYTES 96
+#define COMMAND_BYTES 128
+#define REDIRECT_BYTES 128
 
-static bool seen_task(json_t *o, struct bd_reported_task *t)
+/* in the order of enum bd_execution_state, enum bd_exit_reason and enum bd_command_verb */
+static const char *const execution_states[] = {"pulling", "gathering", "running", "saving",
+                                               "exited"};
+static const char *const exit_reasons[] = {"",      "done",    "stopped", "peers",  "alone",
+                                           "error", "no_room", "busy",    "unknown"};
+static const char *const command_verbs[] = {"launch", "halt", "forget"};
+
+/* ---- heartbeats ---- */
+
+static bool read_task(json_t *object, struct bd_reported_task *out)
 {
-    memset(t, 0, sizeof *t);
-    if (!bd_wire_task_name(json_string_value(json_object_get(o, "chore")), t->job, &t->task))
+    memset(out, 0, sizeof *out);
+    if (!bd_wire_task_name(json_string_value(json_object_get(object, KEY_TASK)), out->job,
+                           &out->task))
         return false;
     int execution =
-        bd_wire_index_of(subs, COUNT(subs), json_string_value(json_object_get(o, "mood")));
-    if (execution < 0 || !bd_wire_whole(o, "try", &t->attempt))
+        bd_wire_read_enum(object, KEY_STATE, execution_states, COUNT_OF(execution_states));
+    if (execution < 0 || !bd_wire_read_unsigned(object, KEY_ATTEMPT, &out->attempt))
         return false;
-    t->execution = (enum bd_execution_state)execution;
-    int why = bd_wire_index_of(whys, COUNT(whys), json_string_value(json_object_get(o, "cause")));
-    t->exit_reason = why < 0 ? BD_EXIT_NONE : (enum bd_exit_reason)why;
-    t->kept = json_is_true(json_object_get(o, "kept"));
+    out->execution = (enum bd_execution_state)execution;
+    int reason = bd_wire_read_enum(object, KEY_EXIT_REASON, exit_reasons, COUNT_OF(exit_reasons));
+    out->exit_reason = reason < 0 ? BD_EXIT_NONE : (enum bd_exit_reason)reason;
     return true;
 }
 
-bool bd_wire_heartbeat(json_t *o, struct bd_heartbeat *out)
+static bool read_machine(json_t *body, struct bd_heartbeat *out)
 {
-    memset(out, 0, sizeof *out);
-    if (!json_is_object(o) || !bd_wire_label(o, "hearth", out->machine) ||
-        !bd_wire_label(o, "endpoint", out->addr) || !bd_wire_label(o, "breed", out->type) ||
-        !bd_wire_label(o, "glade", out->zone) || !bd_wire_flag(o, "windfall", &out->spot) ||
-        !bd_wire_whole(o, "tenancy", &out->incarnation) || !bd_wire_whole(o, "tally", &out->seq) ||
-        !bd_wire_whole(o, "seal", &out->fencing_token))
+    if (!bd_wire_read_label(body, KEY_MACHINE, out->machine) ||
+        !bd_wire_read_label(body, KEY_ADDRESS, out->addr) ||
+        !bd_wire_read_label(body, KEY_MACHINE_TYPE, out->type) ||
+        !bd_wire_read_label(body, KEY_ZONE, out->zone) ||
+        !bd_wire_read_bool(body, KEY_SPOT, &out->spot) ||
+        !bd_wire_read_unsigned(body, KEY_INCARNATION, &out->incarnation) ||
+        !bd_wire_read_unsigned(body, KEY_HEARTBEAT_SEQ, &out->seq) ||
+        !bd_wire_read_unsigned(body, KEY_FENCING_TOKEN, &out->fencing_token))
         return false;
     out->notice = -1;
-    json_t *w = json_object_get(o, "warningS");
-    if (!bd_wire_is_null(w) && !bd_wire_amount(o, "warningS", &out->notice))
+    return bd_wire_is_null(json_object_get(body, KEY_NOTICE_S)) ||
+           bd_wire_read_amount(body, KEY_NOTICE_S, &out->notice);
+}
+
+static bool read_tasks(json_t *body, struct bd_heartbeat *out)
+{
+    json_t *list = json_object_get(body, KEY_TASKS), *entry;
+    size_t i;
+    if (!json_is_array(list))
         return false;
-    json_t *a = json_object_get(o, "chores"), *v;
-    if (!json_is_array(a))
+    out->tasks = calloc(json_array_size(list) + 1, sizeof *out->tasks);
+    if (!out->tasks)
         return false;
-    out->tasks = calloc(json_array_size(a) + 1, sizeof *out->tasks);
-    size_t i;
-    json_array_foreach(a, i, v)
+    json_array_foreach(list, i, entry)
     {
-        if (!out->tasks || !seen_task(v, &out->tasks[out->n])) {
+        if (!read_task(entry, &out->tasks[out->n])) {
             bd_wire_heartbeat_release(out);
             return false;
         }
         out->n++;
     }
-    return out->tasks != NULL;
+    return true;
 }
 
-/* The name must stand there once only: as a key, since a quote inside a string is escaped. */
-bool bd_wire_heartbeat_number(const char *text, size_t len, struct bd_heartbeat_number *out)
+bool bd_wire_heartbeat(json_t *body, struct bd_heartbeat *out)
 {
-    static const char key[] = "\"tally\":";
-    const size_t key_len = sizeof key - 1, digits_most = 18;
-    const char *end = text + len, *p = memmem(text, len, key, key_len);
-    if (!p || memmem(p + key_len, (size_t)(end - p) - key_len, key, key_len))
-        return false;
-    p += key_len;
-    while (p < end && *p == ' ')
-        p++;
-    out->at = (size_t)(p - text);
-    out->len = 0;
-    out->value = 0;
-    while (p + out->len < end && p[out->len] >= '0' && p[out->len] <= '9' &&
-           out->len <= digits_most)
-        out->value = out->value * 10 + (uint64_t)(p[out->len++] - '0');
-    const char *after = p + out->len;
-    bool whole = after < end && (*after == ',' || *after == '}' || *after == ' ');
-    return out->len > 0 && out->len <= digits_most && (*p != '0' || out->len == 1) && whole;
+    memset(out, 0, sizeof *out);
+    return json_is_object(body) && read_machine(body, out) && read_tasks(body, out);
 }
 
 void bd_wire_heartbeat_release(struct bd_heartbeat *heartbeat)
@@ -85,28 +89,94 @@
     heartbeat->n = 0;
 }
 
-char *bd_wire_commands(uint64_t fencing_token, uint64_t incarnation, const struct bd_command *o,
-                       size_t n)
+/* The end of the key and colon before the sequence number. NULL: they do not stand there exactly
+ * once. Where they do they are a key, since a quote inside a string is escaped. */
+static const char *find_seq_key_end(const char *text, size_t len)
 {
-    size_t cap = 96 + n * 128, len = 0;
-    char *buf = malloc(cap);
-    if (!buf)
+    static const char key[] = "\"" KEY_HEARTBEAT_SEQ "\":";
+    const size_t key_len = sizeof key - 1;
+    const char *found = memmem(text, len, key, key_len);
+    if (!found)
         return NULL;
-    len += (size_t)snprintf(buf, cap, "{\"seal\":%llu,", (unsigned long long)fencing_token);
+    const char *key_end = found + key_len;
+    size_t rest = len - (size_t)(key_end - text);
+    return memmem(key_end, rest, key, key_len) ? NULL : key_end;
+}
+
+bool bd_wire_find_heartbeat_seq(const char *text, size_t len, struct bd_heartbeat_seq *out)
+{
+    const char *end = text + len, *digits = find_seq_key_end(text, len);
+    if (!digits)
+        return false;
+    while (digits < end && *digits == ' ')
+        digits++;
+    const char *after = digits;
+    out->offset = (size_t)(digits - text);
+    out->value = 0;
+    while (after < end && *after >= '0' && *after <= '9' && after - digits <= SEQ_DIGITS_MAX)
+        out->value = out->value * 10 + (uint64_t)(*after++ - '0');
+    out->len = (size_t)(after - digits);
+    if (out->len == 0 || out->len > SEQ_DIGITS_MAX)
+        return false;
+    bool has_leading_zero = *digits == '0' && out->len > 1;
+    bool is_ended = after < end && (*after == ',' || *after == '}' || *after == ' ');
+    return !has_leading_zero && is_ended;
+}
+
+/* ---- replies and commands ---- */
+
+/* A text of at most `capacity` bytes, which suffice for all that is appended. */
+struct text_buffer {
+    char *bytes;
+    size_t len, capacity;
+};
+
+__attribute__((format(printf, 2, 3))) static void append(struct text_buffer *buffer,
+                                                         const char *format, ...)
+{
+    va_list args;
+    va_start(args, format);
+    int len = vsnprintf(buffer->bytes + buffer->len, buffer->capacity - buffer->len, format, args);
+    va_end(args);
+    if (len > 0)
+        buffer->len += (size_t)len;
+}
+
+static void append_command(struct text_buffer *buffer, const struct bd_command *command)
+{
+    append(buffer, "{\"" KEY_COMMAND_VERB "\":\"%s\",\"" KEY_TASK "\":\"%s/%u\"",
+           command_verbs[command->verb], command->job, command->task);
+    append(buffer, ",\"" KEY_ATTEMPT "\":%llu", (unsigned long long)command->attempt);
+    if (command->verb == BD_COMMAND_HALT)
+        append(buffer, ",\"" KEY_STOP_GRACE_S "\":%.3f", command->grace);
+    append(buffer, "}");
+}
+
+char *bd_wire_commands(uint64_t fencing_token, uint64_t incarnation,
+                       const struct bd_command *commands, size_t n)
+{
+    struct text_buffer buffer = {NULL, 0, COMMANDS_FIXED_BYTES + n * COMMAND_BYTES};
+    buffer.bytes = malloc(buffer.capacity);
+    if (!buffer.bytes)
+        return NULL;
+    append(&buffer, "{\"" KEY_FENCING_TOKEN "\":%llu,", (unsigned long long)fencing_token);
     if (incarnation)
-        len += (size_t)snprintf(buf + len, cap - len, "\"tenancy\":%llu,",
-                                (unsigned long long)incarnation);
-    len += (size_t)snprintf(buf + len, cap - len, "\"bids\":[");
+        append(&buffer, "\"" KEY_INCARNATION "\":%llu,", (unsigned long long)incarnation);
+    append(&buffer, "\"" KEY_COMMANDS "\":[");
     for (size_t i = 0; i < n; i++) {
-        /* a line break each: no line of an answer may pass 64 KiB */
-        len += (size_t)snprintf(buf + len, cap - len,
-                                "%s{\"verb\":\"%s\",\"chore\":\"%s/%u\",\"try\":%llu",
-                                i ? ",\n" : "", verbs[o[i].verb], o[i].job, o[i].task,
-                                (unsigned long long)o[i].attempt);
-        if (o[i].verb == BD_COMMAND_HALT)
-            len += (size_t)snprintf(buf + len, cap - len, ",\"mercyS\":%.3f", o[i].grace);
-        len += (size_t)snprintf(buf + len, cap - len, "}");
+        if (i > 0)
+            append(&buffer, ",\n"); /* no line of a reply may be longer than 64 KiB */
+        append_command(&buffer, &commands[i]);
     }
-    snprintf(buf + len, cap - len, "]}");
-    return buf;
-}
+    append(&buffer, "]}");
+    return buffer.bytes;
+}
+
+char *bd_wire_redirect(const char *node)
+{
+    char reply[REDIRECT_BYTES];
+    if (!node || !*node)
+        return strdup("{}");
+    snprintf(reply, sizeof reply, "{\"" KEY_LEADER "\":\"%s\"}", node);
+    return strdup(reply);
+}
