--- a/src/wire/frame.h
+++ b/src/wire/frame.h
@@ -36,7 +36,7 @@
 
 /* Bits of a peer status: what a controller is and sees, and which features its version has. A
  * version that does not know a bit ignores it. */
-enum {
+enum bd_peer_flag {
     BD_PEER_LEADS = 1,
     BD_PEER_KV_REACHABLE = 2,         /* the key-value store answers it */
     BD_PEER_INBOUND_PARTITION = 4,    /* as leader: most workers' heartbeats do not arrive */
@@ -59,7 +59,7 @@
     enum bd_frame_type type;
     char name[BD_LABEL]; /* STATUS, HEARTBEAT: the sender */
     uint64_t term;       /* STATUS: the term in which the sender leads; 0: it does not */
-    uint8_t flags;       /* STATUS: BD_PEER_* */
+    uint8_t flags;       /* STATUS: bits of enum bd_peer_flag */
     uint32_t age_ms;     /* STATUS: since the key-value store last answered the sender */
     uint64_t at_ms;      /* STATUS: the sender's time of day, ms since the epoch */
     uint64_t id;         /* HEARTBEAT: the sender's number for it; ANSWER: the number answered */
--- a/src/wire/wire_cloud.c
+++ b/src/wire/wire_cloud.c
@@ -7,16 +7,20 @@
 #define FETCH_DEFAULT_GB_PER_S 0.1
 #define BOOT_DEFAULT_S 60.0
 
-static void read_zones(json_t *object, struct bd_type_text *type)
+/* Copies at most `max` labels of a list; entries that are none are left out. Returns their number.
+ */
+static int read_labels(json_t *list, char (*out)[BD_LABEL], int max)
 {
-    json_t *zones = json_object_get(object, KEY_ZONES), *zone;
+    json_t *entry;
     size_t i;
-    json_array_foreach(zones, i, zone)
+    int count = 0;
+    json_array_foreach(list, i, entry)
     {
-        const char *name = json_string_value(zone);
-        if (name && strlen(name) < BD_LABEL && type->nzones < BD_TYPE_ZONES_MAX)
-            strcpy(type->zones[type->nzones++], name);
+        const char *label = json_string_value(entry);
+        if (label && strlen(label) < BD_LABEL && count < max)
+            strcpy(out[count++], label);
     }
+    return count;
 }
 
 static bool read_type(json_t *object, struct bd_type_text *out)
@@ -37,7 +41,7 @@
         out->spot_price = out->price;
     if (!bd_wire_read_amount(object, KEY_BOOT_S, &out->boot))
         out->boot = BOOT_DEFAULT_S;
-    read_zones(object, out);
+    out->nzones = read_labels(json_object_get(object, KEY_ZONES), out->zones, BD_TYPE_ZONES_MAX);
     return true;
 }
 
@@ -99,20 +103,12 @@
     return count;
 }
 
-/* The object as text; it is consumed. NULL: out of memory. */
-static char *write_text(json_t *object)
-{
-    char *text = json_dumps(object, JSON_COMPACT);
-    json_decref(object);
-    return text;
-}
-
 char *bd_wire_provision(const char *request, const char *type, const char *zone, bool spot,
                         int count)
 {
-    return write_text(json_pack("{s:s,s:s,s:s,s:b,s:i}", KEY_REQUEST_ID, request, KEY_MACHINE_TYPE,
-                                type, KEY_ZONE, zone, KEY_SPOT, (int)spot, KEY_MACHINE_COUNT,
-                                count));
+    return bd_wire_write_text(json_pack("{s:s,s:s,s:s,s:b,s:i}", KEY_REQUEST_ID, request,
+                                        KEY_MACHINE_TYPE, type, KEY_ZONE, zone, KEY_SPOT, (int)spot,
+                                        KEY_MACHINE_COUNT, count));
 }
 
 char *bd_wire_return(char (*names)[BD_LABEL], int n)
@@ -120,23 +116,13 @@
     json_t *machines = json_array();
     for (int i = 0; i < n; i++)
         json_array_append_new(machines, json_string(names[i]));
-    return write_text(json_pack("{s:o}", KEY_MACHINES, machines));
+    return bd_wire_write_text(json_pack("{s:o}", KEY_MACHINES, machines));
 }
 
 int bd_wire_machine_names(json_t *body, char (*names)[BD_LABEL], int max)
 {
-    json_t *machines = json_object_get(body, KEY_MACHINES), *machine;
-    size_t i;
-    int count = 0;
-    if (!json_is_array(machines))
-        return -1;
-    json_array_foreach(machines, i, machine)
-    {
-        const char *name = json_string_value(machine);
-        if (name && strlen(name) < BD_LABEL && count < max)
-            strcpy(names[count++], name);
-    }
-    return count;
+    json_t *machines = json_object_get(body, KEY_MACHINES);
+    return json_is_array(machines) ? read_labels(machines, names, max) : -1;
 }
 
 bool bd_wire_cloud_outage(json_t *body)
--- a/src/wire/wire_fields.c
+++ b/src/wire/wire_fields.c
@@ -1,4 +1,4 @@
-/* Reading single fields of a JSON object. */
+/* Single fields of a JSON object, and objects as text. */
 #include "wire/wire_internal.h"
 #include <math.h>
 #include <string.h>
@@ -55,3 +55,10 @@
 {
     return !value || json_is_null(value);
 }
+
+char *bd_wire_write_text(json_t *object)
+{
+    char *text = json_dumps(object, JSON_COMPACT);
+    json_decref(object);
+    return text;
+}
--- a/src/wire/wire_internal.h
+++ b/src/wire/wire_internal.h
@@ -1,4 +1,5 @@
-/* Private to wire*.c: reading single fields of a JSON object, and a job's spec.
+/* Private to wire*.c: reading single fields of a JSON object, writing one as text, and a job's
+ * spec.
  *
  * The readers return false, and leave `out` as it is, where the field is missing or malformed.
  */
@@ -25,6 +26,10 @@
 /* Whether a field is missing or null. */
 bool bd_wire_is_null(json_t *value);
 
+/* The object as compact text on the heap; the object is consumed. NULL: out of memory, also if the
+ * object is NULL. */
+char *bd_wire_write_text(json_t *object);
+
 /* Reads a job's spec. NULL, or the name of the field at fault, a constant. */
 const char *bd_wire_read_spec(json_t *object, struct bd_spec_text *out);
 /* A job's spec as a JSON object. NULL: out of memory. */
--- a/src/wire/wire_store.c
+++ b/src/wire/wire_store.c
@@ -40,11 +40,9 @@
 char *bd_txn_finish(struct bd_txn *txn)
 {
     json_t *body = json_pack("{s:o,s:o}", KEY_COMPARES, txn->compares, KEY_CHANGES, txn->ops);
-    char *text = json_dumps(body, JSON_COMPACT);
-    json_decref(body);
     txn->compares = NULL;
     txn->ops = NULL;
-    return text;
+    return bd_wire_write_text(body);
 }
 
 json_t *bd_wire_failed(json_t *body)
