--- a/include/brambledoor/settings.h
+++ b/include/brambledoor/settings.h
@@ -66,7 +66,7 @@
     int nteams;
     struct bd_slo slos[BD_MAX_SLOS];
     int nslos;
-    int nodes; /* controllers of the cluster, this one included */
+    int nodes; /* controllers of the cluster, this one included; validated only */
 
     /* workers */
     struct timespec heartbeat_interval; /* between two heartbeats of a worker */
@@ -79,7 +79,7 @@
 
     /* Limits of the key-value store and of the cloud. Where the file announces a change of the
      * store's, the smaller of what applies now and what is to come. */
-    double kv_requests_per_s;
+    double kv_requests_per_s; /* validated only */
     double kv_writes_per_s;
     double cloud_requests_per_s;
     size_t kv_value_bytes_max;
