--- a/src/drain/drain_internal.h
+++ b/src/drain/drain_internal.h
@@ -1,23 +1,125 @@
-/* Shared by the files of the drain package only. */
+/* What the files of the drain package share: the leader's view of the drains, and one group of
+ * functions for each file. Owner thread only; nobody else includes it but the package's own test.
+ */
 #ifndef BD_DRAIN_INTERNAL_H
 #define BD_DRAIN_INTERNAL_H
-#include "autoscaling/autoscaling.h"
-#include "base/timeutil.h"
 #include "brambledoor/settings.h"
 #include "drain/drain.h"
-#include "leadership/leadership.h"
-#include "model/core_state.h"
 #include "model/resources.h"
-#include "wire/wire.h"
 #include <roaring/roaring.h>
+#include <stdbool.h>
+#include <stdint.h>
+#include <time.h>
 #include <uthash.h>
 
-/* ---- candidate.c ---- */
+struct bd_job;
+
+/* ---- the leader's view ---- */
+
+/* Machines whose stages are in one record. */
+struct bd_drain_part {
+    uint32_t from, n; /* of the drain's machines */
+    bool is_dirty;    /* it is to be written; */
+    bool is_urgent;   /* a stage changed: at once. A change of a wait alone may be delayed */
+    bool in_flight;   /* the transaction in flight holds it */
+    struct timespec written;
+};
+
+struct bd_drain {
+    UT_hash_handle hh; /* by the record's name */
+    struct bd_drain_record record;
+    struct bd_drain_machine *machines;
+    uint32_t nmachines;
+    struct bd_drain_part *parts;
+    bool is_loaded;      /* its machines are known */
+    bool is_damaged;     /* its machines' records cannot be read: it is left alone */
+    bool is_listed;      /* in the newest listing of the records */
+    bool over;           /* all machines are final: its record is to become `done` */
+    bool done_in_flight; /* ... by the transaction in flight */
+    bool is_stale;       /* a newer record may exist: `done` is not written before a listing */
+    uint32_t deleted;    /* records that were deleted after keep_s: its parts, then its own */
+    uint32_t delete_in_flight; /* deletions in the transaction in flight */
+};
+
+struct bd_drains {
+    const struct bd_drain_rules *rules;
+    struct bd_drain *drains;          /* hash by name, in the order of names */
+    struct bd_drain_machine **owners; /* by machine index: the entry that drives the machine */
+    uint32_t nowners;
+    bool zones_conflict[BD_MAX_ZONES][BD_MAX_ZONES];
+    bool wants_sets; /* the machines' records are to be read */
+    struct timespec leadership_acquired, next_tick, next_summary;
+    struct timespec next_write; /* earliest, after a transaction that was not applied */
+    uint32_t steps;             /* requests to machines to stop their tasks, in this term */
+};
+
+/* ---- entry.c: the machines of drains ---- */
+
+/* Visits the machines of all open drains that are not final, in the order of the drains' names. */
+struct bd_drain_iterator {
+    struct bd_drain *drain; /* of the entry that was returned last */
+    uint32_t next;
+};
+struct bd_drain_iterator bd_drain_entries(const struct bd_core *core);
+/* The next entry, or NULL. */
+struct bd_drain_machine *bd_drain_next_entry(struct bd_drain_iterator *iterator);
+
+/* Whether the drain is under way: active or paused, with machines that are not final. */
+bool bd_drain_is_open(const struct bd_drain *drain);
+/* Whether nothing happens to the machine any more. */
+bool bd_drain_entry_is_final(const struct bd_drain_machine *entry);
+/* Whether no task of the machine has been stopped for a step so far. */
+bool bd_drain_entry_awaits_step(const struct bd_drain_machine *entry);
+
+/* A stage, what it waits for, and whose budget. */
+struct bd_entry_state {
+    enum bd_drain_stage stage;
+    enum bd_drain_wait wait;
+    const char *team; /* "": none */
+};
+/* Changes the entry, marks its record to be written, and logs it; nothing if it is the same. */
+void bd_drain_set_entry_state(struct bd_core *core, struct bd_drain *drain,
+                              struct bd_drain_machine *entry, struct bd_entry_state state);
+/* The same for an entry that waits for a step. */
+void bd_drain_set_entry_waiting(struct bd_core *core, struct bd_drain *drain,
+                                struct bd_drain_machine *entry, enum bd_drain_wait wait,
+                                const char *team);
+/* The entry's record is to be written at once. */
+void bd_drain_mark_entry_urgent(struct bd_drain *drain, const struct bd_drain_machine *entry);
+/* The machine if it is known in this term, or NULL. */
+struct bd_machine *bd_drain_find_machine(const struct bd_core *core, const char *id);
+
+/* ---- machine_stage.c ---- */
+
+/* Moves the entry to its next stage if its machine has got there. */
+void bd_drain_advance_entry(struct bd_core *core, struct bd_drain *drain,
+                            struct bd_drain_machine *entry);
+
+/* ---- ownership.c ---- */
+
+/* Sets the machines' flags, and which entry drives which machine. */
+void bd_drain_update_owners(struct bd_core *core);
+/* Copies the owners' stages to the other entries of the same machines. */
+void bd_drain_update_mirrors(struct bd_core *core);
+/* Clears the flags that drains set on machines. */
+void bd_drain_clear_machine_flags(struct bd_core *core);
+/* Whether another drain's entry drives the machine. */
+bool bd_drain_entry_is_mirror(const struct bd_core *core, const struct bd_drain_machine *entry);
+
+/* ---- replacement.c ---- */
+
+/* Requests replacements, and abandons those that did not come up. */
+void bd_replacements_tick(struct bd_core *core);
+bool bd_replacement_is_up(const struct bd_core *core, const struct bd_drain_machine *entry);
+/* Whether the replacement runs tasks, or no task is left that it could run. */
+bool bd_replacement_has_work(const struct bd_core *core, const struct bd_drain_machine *entry);
+
+/* ---- candidate.c: what emptying a machine takes ---- */
 
 /* Tasks that a step would stop, by budget. */
 struct bd_need {
     uint32_t budget, tasks;
-    uint32_t largest; /* of those that can only stop together: a gang, or a task */
+    uint32_t largest; /* number of tasks that can only stop together: a gang, or one task */
 };
 
 #define BD_NEEDS_MAX 64 /* budgets that one machine's tasks draw on */
@@ -29,22 +131,23 @@
     int zone;
     struct bd_need needs[BD_NEEDS_MAX];
     uint32_t nneeds, tasks;
-    struct bd_resources moves; /* what its tasks take, in sum */
+    struct bd_resources moves; /* the sum of its tasks' resources */
 };
 
-/* Fills the candidate's needs. False: they are too many. */
+/* Fills the candidate's needs. False: they are more than BD_NEEDS_MAX. */
 bool bd_candidate_fill(struct bd_core *core, struct bd_candidate *candidate);
-/* A machine with more of a team's tasks than the team ever bears at once is emptied by and by: it
- * then needs the team's whole budget to begin. */
-void bd_candidate_clip(const struct bd_core *core, struct bd_candidate *candidate);
-/* Whether stopping the task would take something down. One that is down but has been launched may
- * run by now: stopping it would keep it down by our doing, so that it counts like one that is up.
- */
-bool bd_candidate_stoppable(const struct bd_job *job, uint32_t i);
-/* How many tasks go down with this one: a gang stops as a whole, wherever its tasks are. */
-uint32_t bd_candidate_falls(struct bd_core *core, const struct bd_job *job, uint32_t task);
-
-/* Free room on the machines that new work may come to. */
+/* Limits each need to what its budget ever allows, unless tasks that stop together exceed it: such
+ * a machine is emptied bit by bit, and needs the whole budget to begin. */
+void bd_candidate_limit_needs(const struct bd_core *core, struct bd_candidate *candidate);
+/* Whether stopping the task takes something down. A task that is being launched may run already,
+ * and counts like one that does. */
+bool bd_drain_can_stop_task(const struct bd_job *job, uint32_t task);
+/* How many tasks stop with this one: a gang stops as a whole, wherever its tasks are. */
+uint32_t bd_drain_count_stopped_with(struct bd_core *core, const struct bd_job *job, uint32_t task);
+
+/* ---- free_capacity.c ---- */
+
+/* Free capacity by machine, of those that new tasks may be placed on. */
 struct bd_bins {
     struct bd_bin {
         struct bd_machine *machine;
@@ -52,110 +155,58 @@
     } * bins;
     uint32_t n;
 };
+/* Allocates the bins; bd_bins_free releases them. */
 void bd_bins_fill(struct bd_core *core, struct bd_bins *bins);
 void bd_bins_free(struct bd_bins *bins);
 struct bd_resources bd_bins_total(const struct bd_bins *bins);
-/* Takes room for all that would move; false: there is not enough, and nothing is taken. */
+/* Takes capacity for all of the candidate's tasks. False: one of them does not fit, and nothing is
+ * taken. */
 bool bd_bins_take(struct bd_bins *bins, const struct bd_candidate *candidate);
 
-/* ---- steps.c, solver.c ---- */
+/* ---- greedy.c, solver.c: the choice of a step's machines ---- */
+
+#define BD_STEP_CANDIDATES_MAX 96u
 
-/* Which machines go next: the candidates, and what limits the choice. */
+/* The candidates, and what limits the choice. */
 struct bd_step_problem {
     const struct bd_candidate *candidates;
     uint32_t n;
-    const uint32_t *left; /* by budget */
+    const uint32_t *left; /* by budget: tasks that may still go down */
     uint32_t nbudgets;
-    uint32_t most; /* machines */
-    struct bd_resources capacity;
-    const bool (*apart)[BD_MAX_ZONES]; /* zones that may not drain together */
-    bool zone_used[BD_MAX_ZONES];      /* a machine of it is in a step */
+    uint32_t max_machines;
+    struct bd_resources capacity; /* free, in sum */
+    const bool (*zones_conflict)[BD_MAX_ZONES];
+    bool zone_used[BD_MAX_ZONES]; /* a machine of the zone is in a step */
 };
 
-/* Why a machine was not chosen. */
+/* What keeps the candidate out of the step; *budget is set with BD_DRAIN_WAIT_BUDGET. */
 enum bd_drain_wait bd_step_obstacle(const struct bd_step_problem *problem,
                                     const struct bd_candidate *candidate, uint32_t *budget);
-/* Sets the numbers of the chosen candidates; the set is empty before. */
-void bd_steps_greedy(const struct bd_step_problem *given, roaring_bitmap_t *chosen);
-/* The same as an integer program; false: given up, out of time or size. */
-bool bd_steps_solve(const struct bd_step_problem *problem, roaring_bitmap_t *chosen);
-/* Takes one candidate into the step. */
+/* Takes the candidate into the step: subtracts what it needs. `left` is the problem's. */
 void bd_step_take(struct bd_step_problem *problem, uint32_t *left,
                   const struct bd_candidate *candidate);
+/* Adds the numbers of the chosen candidates to an empty set. */
+void bd_steps_greedy(const struct bd_step_problem *given, roaring_bitmap_t *chosen);
+/* The same by an integer program. False: no solution within the solver's limits; the set may hold
+ * anything. */
+bool bd_steps_solve(const struct bd_step_problem *problem, roaring_bitmap_t *chosen);
 
-/* ---- drain.c ---- */
-
-struct bd_drain_part { /* machines whose states stand in one record */
-    uint32_t from, n;
-    bool dirty;  /* something is to be written; */
-    bool urgent; /* a stage, at once; a reason to wait may take a while */
-    bool sent;   /* it is in the transaction under way */
-    struct timespec written;
-};
-
-struct bd_drain {
-    UT_hash_handle hh; /* by the record's name */
-    char name[BD_LABEL];
-    struct bd_drain_record record;
-    struct bd_drain_machine *machines;
-    uint32_t nmachines;
-    struct bd_drain_part *parts;
-    bool loaded, damaged; /* its machines are known; their records cannot be read */
-    bool listed;          /* in the newest look at the records */
-    bool over;            /* nothing is left to be done: its record is to say so */
-    bool over_sent;       /* ... in the transaction under way */
-    bool stale; /* its record may not be what we know: nothing is written before the next look */
-    uint32_t dropped; /* parts whose records were dropped, and the drain's own */
-    uint32_t drop_sent;
-};
-
-struct bd_drains {
-    const struct bd_drain_rules *rules;
-    bool apart[BD_MAX_ZONES][BD_MAX_ZONES];
-    struct bd_drain *drains;          /* hash by name */
-    struct bd_drain_machine **owners; /* by machine: whose entry drives it */
-    uint32_t nowners;
-    bool want_sets;
-    struct timespec leadership_acquired, next_tick, next_summary, hold_until;
-    uint32_t steps; /* machines that were told to stop their tasks, in this term */
-};
-
-/* A change of an entry's stage, or of what it waits for and of which team's budget. */
-struct bd_entry_state {
-    enum bd_drain_stage stage;
-    enum bd_drain_wait wait;
-    const char *team; /* "": none */
-};
-void bd_drain_set(struct bd_core *core, struct bd_drain *drain, struct bd_drain_machine *m,
-                  struct bd_entry_state to);
-/* The entry's record is to be written at once. */
-void bd_drain_note(struct bd_drain *drain, const struct bd_drain_machine *m);
-/* Whether the drain's machines are to be cordoned: it was neither called off nor is it over. */
-bool bd_drain_goes_on(const struct bd_drain *drain);
-/* Whether nothing happens to the machine any more. */
-bool bd_drain_final(const struct bd_drain_machine *m);
-/* The machine if it is known by now, or NULL. */
-struct bd_machine *bd_drain_machine_named(struct bd_core *core, const char *id);
-/* Whether another drain's entry drives the machine. */
-bool bd_drain_mirrors(const struct bd_core *core, const struct bd_drain_machine *m);
-
-/* ---- durable.c ---- */
+/* ---- step_plan.c, step_stop.c ---- */
 
-/* Drops all that is known of drains; the records stay. */
-void bd_drains_forget(struct bd_drains *drains);
+/* Chooses the machines of the next step, and sets for all others what they wait for. */
+void bd_drain_plan_step(struct bd_core *core);
+/* Stops the tasks of machines whose step is on record, as far as the budgets still allow it. */
+void bd_drain_execute_step(struct bd_core *core);
 
-/* ---- plan.c ---- */
+/* ---- record_load.c, record_write.c ---- */
 
-/* Tells machines whose step is on record to stop their tasks, where the budgets still allow it. */
-void bd_drain_tell(struct bd_core *core);
-/* Chooses the machines of the next step, and says of all others what they wait for. */
-void bd_drain_plan(struct bd_core *core);
+/* Drops the leader's view; the records stay. */
+void bd_drains_clear(struct bd_drains *drains);
+/* Whether the drain is done or cancelled. */
+bool bd_drain_record_has_ended(const struct bd_drain_record *record);
 
-/* ---- replacement.c ---- */
+/* ---- summary_log.c ---- */
 
-/* Asks for replacements, and drops those that came to nothing. */
-void bd_replacements_tick(struct bd_core *core);
-bool bd_replacement_up(struct bd_core *core, const struct bd_drain_machine *m);
-/* Whether the replacement does what the old machine did, as far as that is to be told. */
-bool bd_replacement_works(struct bd_core *core, const struct bd_drain_machine *m);
+/* Logs the open drains and the budgets, once in a while. */
+void bd_drain_log_summary(struct bd_core *core);
 #endif
--- /dev/null
+++ b/src/drain/drain_request.h
@@ -0,0 +1,36 @@
+/* An administrator's request for a drain: its fields are checked, and the machines that it means
+ * are found. Owns no state; called by the administration adapters. */
+#ifndef BD_DRAIN_REQUEST_H
+#define BD_DRAIN_REQUEST_H
+#include "drain/drain_record.h"
+#include "drain/drain_rules.h"
+#include "wire/wire.h"
+#include <jansson.h>
+#include <stdbool.h>
+#include <stddef.h>
+
+struct bd_drain_request {
+    char name[BD_LABEL];
+    enum bd_drain_mode mode;
+    char type[BD_NAME], zone[BD_NAME], selection[BD_NAME]; /* empty: not given */
+    bool all;         /* confirms a request that means all machines */
+    json_t *machines; /* ids, borrowed from the request's text; NULL: not given */
+};
+
+/* A refusal: an HTTP status, the field that is wrong, and the reason. */
+struct bd_drain_refusal {
+    int status;
+    char field[BD_NAME], why[96];
+};
+
+/* Reads a request. The list of machines is borrowed from it. False with the refusal: 400. */
+bool bd_drain_request_read(json_t *object, struct bd_drain_request *out,
+                           struct bd_drain_refusal *refusal);
+/* The machines that the request means, of the n that the cloud lists: an array of ids that the
+ * caller owns, or NULL with the refusal (404: an unknown machine or selection; 400: no machine, a
+ * machine twice, or all machines without `all`). */
+json_t *bd_drain_request_machines(const struct bd_drain_request *request,
+                                  const struct bd_drain_rules *rules,
+                                  const struct bd_cloud_machine *listed, size_t n,
+                                  struct bd_drain_refusal *refusal);
+#endif
--- a/src/drain/steps.c
+++ b/src/drain/greedy.c
@@ -1,11 +1,24 @@
-/* Which machines go next: the plain choice, cheapest first, and why a machine may not go. Part of
- * the pure core. */
+/* The greedy choice of a step's machines, those with the fewest tasks first, and what keeps a
+ * candidate out of a step. Part of the pure core. */
 #include "brambledoor/settings.h"
-#include "drain/drain.h"
 #include "drain/drain_internal.h"
 #include <stdlib.h>
 #include <string.h>
 
+static bool fits_into(const struct bd_resources *need, const struct bd_resources *capacity)
+{
+    return need->cpus <= capacity->cpus && need->gpus <= capacity->gpus &&
+           need->mem <= capacity->mem;
+}
+
+static bool zone_is_blocked(const struct bd_step_problem *problem, int zone)
+{
+    for (int other = 0; other < BD_MAX_ZONES && zone >= 0; other++)
+        if (problem->zone_used[other] && problem->zones_conflict[zone][other])
+            return true;
+    return false;
+}
+
 enum bd_drain_wait bd_step_obstacle(const struct bd_step_problem *problem,
                                     const struct bd_candidate *candidate, uint32_t *budget)
 {
@@ -14,14 +27,11 @@
         if (candidate->needs[i].tasks > problem->left[*budget])
             return BD_DRAIN_WAIT_BUDGET;
     }
-    if (problem->most == 0)
+    if (problem->max_machines == 0)
         return BD_DRAIN_WAIT_STEP;
-    for (int zone = 0; zone < BD_MAX_ZONES && candidate->zone >= 0; zone++)
-        if (problem->zone_used[zone] && problem->apart[candidate->zone][zone])
-            return BD_DRAIN_WAIT_ZONE;
-    if (candidate->moves.cpus > problem->capacity.cpus ||
-        candidate->moves.gpus > problem->capacity.gpus ||
-        candidate->moves.mem > problem->capacity.mem)
+    if (zone_is_blocked(problem, candidate->zone))
+        return BD_DRAIN_WAIT_ZONE;
+    if (!fits_into(&candidate->moves, &problem->capacity))
         return BD_DRAIN_WAIT_CAPACITY;
     return BD_DRAIN_WAIT_NOTHING;
 }
@@ -31,7 +41,7 @@
 {
     for (uint32_t i = 0; i < candidate->nneeds; i++)
         left[candidate->needs[i].budget] -= candidate->needs[i].tasks;
-    problem->most--;
+    problem->max_machines--;
     if (candidate->zone >= 0)
         problem->zone_used[candidate->zone] = true;
     problem->capacity.cpus -= candidate->moves.cpus;
@@ -39,37 +49,36 @@
     problem->capacity.mem -= candidate->moves.mem;
 }
 
-/* What sorting by cost needs. */
-struct order {
-    uint32_t tasks, number;
+struct sort_key {
+    uint32_t tasks, candidate;
 };
 
-static int fewer_tasks(const void *x, const void *y)
+static int compare_tasks(const void *x, const void *y)
 {
-    const struct order *a = x, *b = y;
+    const struct sort_key *a = x, *b = y;
     if (a->tasks != b->tasks)
         return a->tasks < b->tasks ? -1 : 1;
-    return a->number < b->number ? -1 : a->number > b->number;
+    return a->candidate < b->candidate ? -1 : a->candidate > b->candidate;
 }
 
 void bd_steps_greedy(const struct bd_step_problem *given, roaring_bitmap_t *chosen)
 {
     struct bd_step_problem problem = *given;
     uint32_t *left = calloc(given->nbudgets + 1, sizeof *left), budget = 0;
-    struct order *order = calloc(given->n + 1, sizeof *order);
+    struct sort_key *order = calloc(given->n + 1, sizeof *order);
     if (!left || !order)
         abort();
     memcpy(left, given->left, given->nbudgets * sizeof *left);
     problem.left = left;
     for (uint32_t i = 0; i < given->n; i++)
-        order[i] = (struct order){given->candidates[i].tasks, i};
-    qsort(order, given->n, sizeof *order, fewer_tasks);
-    for (uint32_t i = 0; i < given->n && problem.most > 0; i++) {
-        const struct bd_candidate *candidate = &given->candidates[order[i].number];
+        order[i] = (struct sort_key){given->candidates[i].tasks, i};
+    qsort(order, given->n, sizeof *order, compare_tasks);
+    for (uint32_t i = 0; i < given->n && problem.max_machines > 0; i++) {
+        const struct bd_candidate *candidate = &given->candidates[order[i].candidate];
         if (bd_step_obstacle(&problem, candidate, &budget) != BD_DRAIN_WAIT_NOTHING)
             continue;
         bd_step_take(&problem, left, candidate);
-        roaring_bitmap_add(chosen, order[i].number);
+        roaring_bitmap_add(chosen, order[i].candidate);
     }
     free(order);
     free(left);
--- a/src/drain/record.c
+++ b/src/drain/record.c
@@ -1,31 +1,32 @@
-/* A drain's records in the state service: `d/NAME` says what was asked for and whether it goes on;
- * `e/SET/PART` holds its machines, some a part, with how far they are. Part of the pure core. */
-#include "drain/drain.h"
+/* A drain's records in the key-value store. Part of the pure core. */
+#include "drain/drain_record.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#define VALUE_SHARE 0.9   /* of a value, as counted */
-#define HEAD_BYTES 16u    /* of a part's value */
-#define MACHINE_BYTES 56u /* of a machine in it, beside its names and the team's */
-
-static const char *const stages[BD_STAGES] = {"cordoned", "waiting",  "stopping", "empty",
-                                              "replaced", "returned", "failed"};
-static const char *const waits[BD_DRAIN_WAITS] = {"",
-                                                  "older controller",
-                                                  "resume",
-                                                  "report",
-                                                  "replacement",
-                                                  "tasks to end",
-                                                  "budget",
-                                                  "steps",
-                                                  "zone",
-                                                  "room",
-                                                  "work on the replacement"};
-static const char *const states[] = {"active", "paused", "called off", "done"};
-static const char *const modes[] = {"retire", "replace"};
-
-static int index_in(const char *const *names, int n, const char *name)
+#define VALUE_SHARE 0.9            /* of a value's bytes that a part may be counted to take */
+#define PART_BYTES 16u             /* of a part's value beside its machines */
+#define MACHINE_BYTES 56u          /* of a machine in it beside the names and the team */
+#define REPLACEMENT_EXTRA_BYTES 8u /* that a replacement's id may be longer than the others */
+
+static const char *const stage_names[BD_STAGES] = {"cordoned", "waiting",  "stopping", "empty",
+                                                   "replaced", "returned", "failed"};
+static const char *const wait_names[BD_DRAIN_WAITS] = {"",
+                                                       "older controller",
+                                                       "resume",
+                                                       "report",
+                                                       "replacement",
+                                                       "tasks to end",
+                                                       "budget",
+                                                       "steps",
+                                                       "zone",
+                                                       "room",
+                                                       "work on the replacement"};
+static const char *const state_names[] = {"active", "paused", "called off", "done"};
+static const char *const mode_names[] = {"retire", "replace"};
+
+/* The name's index, or -1. */
+static int find_name(const char *const *names, int n, const char *name)
 {
     for (int i = 0; name && i < n; i++)
         if (strcmp(names[i], name) == 0)
@@ -35,28 +36,28 @@
 
 const char *bd_drain_stage_name(enum bd_drain_stage stage)
 {
-    return stages[stage];
+    return stage_names[stage];
 }
 
 const char *bd_drain_wait_name(enum bd_drain_wait wait)
 {
-    return waits[wait];
+    return wait_names[wait];
 }
 
 const char *bd_drain_state_name(enum bd_drain_state state)
 {
-    return states[state];
+    return state_names[state];
 }
 
 const char *bd_drain_mode_name(enum bd_drain_mode mode)
 {
-    return modes[mode];
+    return mode_names[mode];
 }
 
 json_t *bd_drain_record_value(const struct bd_drain_record *record)
 {
-    return json_pack("{s:s,s:s,s:f,s:f,s:s,s:i,s:i,s:O}", "mode", modes[record->mode], "state",
-                     states[record->state], "at", record->at, "ended", record->ended, "set",
+    return json_pack("{s:s,s:s,s:f,s:f,s:s,s:i,s:i,s:O}", "mode", mode_names[record->mode], "state",
+                     state_names[record->state], "at", record->at, "ended", record->ended, "set",
                      record->set, "parts", (int)record->parts, "machines", (int)record->machines,
                      "asked", record->asked);
 }
@@ -66,8 +67,10 @@
 {
     memset(out, 0, sizeof *out);
     const char *set = json_string_value(json_object_get(value, "set"));
-    int mode = index_in(modes, 2, json_string_value(json_object_get(value, "mode")));
-    int state = index_in(states, 4, json_string_value(json_object_get(value, "state")));
+    int mode = find_name(mode_names, BD_DRAIN_REPLACE + 1,
+                         json_string_value(json_object_get(value, "mode")));
+    int state = find_name(state_names, BD_DRAIN_DONE + 1,
+                          json_string_value(json_object_get(value, "state")));
     json_int_t parts = json_integer_value(json_object_get(value, "parts"));
     json_int_t machines = json_integer_value(json_object_get(value, "machines"));
     if (strlen(name) >= sizeof out->name || !set || strlen(set) >= sizeof out->set || mode < 0 ||
@@ -86,53 +89,55 @@
     return out->asked != NULL;
 }
 
-/* ["vm-1", stage, wait, since, team, replacement]: what is empty at the end is left out */
-static json_t *machine_value(const struct bd_drain_machine *m)
+/* [id, stage, wait, since, team, replacement]; empty texts at the end are left out. */
+static json_t *entry_value(const struct bd_drain_machine *entry)
 {
-    json_t *v =
-        json_pack("[s,s,s,I]", m->id, stages[m->stage], waits[m->wait], (json_int_t)m->since);
-    if (*m->team || *m->replacement)
-        json_array_append_new(v, json_string(m->team));
-    if (*m->replacement)
-        json_array_append_new(v, json_string(m->replacement));
-    return v;
+    json_t *value = json_pack("[s,s,s,I]", entry->id, stage_names[entry->stage],
+                              wait_names[entry->wait], (json_int_t)entry->since);
+    if (*entry->team || *entry->replacement)
+        json_array_append_new(value, json_string(entry->team));
+    if (*entry->replacement)
+        json_array_append_new(value, json_string(entry->replacement));
+    return value;
 }
 
 json_t *bd_drain_part_value(const struct bd_drain_machine *machines, uint32_t n)
 {
     json_t *list = json_array();
     for (uint32_t i = 0; i < n; i++)
-        json_array_append_new(list, machine_value(&machines[i]));
+        json_array_append_new(list, entry_value(&machines[i]));
     return json_pack("{s:o}", "m", list);
 }
 
-static bool text_of(json_t *v, char *out, size_t cap)
+/* Copies a text; a missing one (NULL) is empty. False: it is no text, or too long. */
+static bool copy_text(json_t *value, char *out, size_t cap)
 {
-    const char *s = json_string_value(v);
-    if (v && (!s || strlen(s) >= cap))
+    const char *text = json_string_value(value);
+    if (value && (!text || strlen(text) >= cap))
         return false;
-    snprintf(out, cap, "%s", s ? s : "");
+    snprintf(out, cap, "%s", text ? text : "");
     return true;
 }
 
-static bool machine_read(json_t *v, struct bd_drain_machine *m)
+static bool read_entry(json_t *value, struct bd_drain_machine *entry)
 {
-    memset(m, 0, sizeof *m);
-    int stage = index_in(stages, BD_STAGES, json_string_value(json_array_get(v, 1)));
-    int wait = index_in(waits, BD_DRAIN_WAITS, json_string_value(json_array_get(v, 2)));
-    if (stage < 0 || wait < 0 || !text_of(json_array_get(v, 0), m->id, sizeof m->id) || !*m->id ||
-        !text_of(json_array_get(v, 4), m->team, sizeof m->team) ||
-        !text_of(json_array_get(v, 5), m->replacement, sizeof m->replacement))
+    memset(entry, 0, sizeof *entry);
+    int stage = find_name(stage_names, BD_STAGES, json_string_value(json_array_get(value, 1)));
+    int wait = find_name(wait_names, BD_DRAIN_WAITS, json_string_value(json_array_get(value, 2)));
+    if (stage < 0 || wait < 0 ||
+        !copy_text(json_array_get(value, 0), entry->id, sizeof entry->id) || !*entry->id ||
+        !copy_text(json_array_get(value, 4), entry->team, sizeof entry->team) ||
+        !copy_text(json_array_get(value, 5), entry->replacement, sizeof entry->replacement))
         return false;
-    m->stage = m->recorded = (enum bd_drain_stage)stage;
-    m->wait = (enum bd_drain_wait)wait;
-    m->since = json_number_value(json_array_get(v, 3));
+    entry->stage = entry->recorded_stage = (enum bd_drain_stage)stage;
+    entry->wait = (enum bd_drain_wait)wait;
+    entry->since = json_number_value(json_array_get(value, 3));
     return true;
 }
 
 bool bd_drain_part_read(json_t *value, struct bd_drain_machine **machines, uint32_t *n)
 {
-    json_t *list = json_object_get(value, "m"), *v;
+    json_t *list = json_object_get(value, "m"), *item;
     size_t i;
     if (!json_is_array(list))
         return false;
@@ -141,9 +146,9 @@
     if (!grown)
         abort();
     *machines = grown;
-    json_array_foreach(list, i, v)
+    json_array_foreach(list, i, item)
     {
-        if (!machine_read(v, &grown[*n]))
+        if (!read_entry(item, &grown[*n]))
             return false;
         ++*n;
     }
@@ -153,15 +158,14 @@
 uint32_t bd_drain_part_machines(const struct bd_settings *settings, size_t kv_value_bytes_max,
                                 size_t longest_id)
 {
-    size_t team = 0;
+    size_t longest_team = 0;
     for (int i = 0; i < settings->nteams; i++) {
-        size_t len = strlen(settings->teams[i].name);
-        team = len > team ? len : team;
+        size_t length = strlen(settings->teams[i].name);
+        longest_team = length > longest_team ? length : longest_team;
     }
-    /* a replacement's name may be a few digits longer than ours */
-    size_t each = MACHINE_BYTES + 2 * longest_id + 8 + team;
-    double capacity = VALUE_SHARE * (double)kv_value_bytes_max - HEAD_BYTES;
-    return capacity < (double)each ? 0 : (uint32_t)(capacity / (double)each);
+    size_t machine_bytes = MACHINE_BYTES + 2 * longest_id + REPLACEMENT_EXTRA_BYTES + longest_team;
+    double bytes = VALUE_SHARE * (double)kv_value_bytes_max - PART_BYTES;
+    return bytes < (double)machine_bytes ? 0 : (uint32_t)(bytes / (double)machine_bytes);
 }
 
 void bd_drain_part_key(char *key, size_t cap, const char *set, uint32_t part)
--- /dev/null
+++ b/src/drain/record_write.c
@@ -0,0 +1,153 @@
+/* The drains' records as the leader writes them, with its transactions: those are conditional on
+ * its term and commit sequence. Part of the pure core. */
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
+#include "drain/drain.h"
+#include "drain/drain_internal.h"
+#include "model/core_state.h"
+#include "wire/wire.h"
+#include <stdio.h>
+#include <string.h>
+
+/* After a transaction that was not applied the next ones go without our writes for a while, so
+ * that they cannot hold the leader up. */
+#define REFUSED_DELAY_S 1.0
+#define WAITS_INTERVAL_S 2.0 /* between writes of a part in which only waits have changed */
+
+/* ---- due writes ---- */
+
+static bool part_is_due(const struct bd_core *core, const struct bd_drain_part *part)
+{
+    return part->is_dirty && !part->in_flight &&
+           (part->is_urgent || bd_between(part->written, core->now) > WAITS_INTERVAL_S);
+}
+
+/* False: the limit on values has been lowered below the part's size. It is tried again later: a
+ * transaction that held it would be rejected, with all that the leader starts by it. */
+static bool write_part(struct bd_core *core, struct bd_drain *drain, uint32_t number,
+                       struct bd_drain_write *out)
+{
+    struct bd_drain_part *part = &drain->parts[number];
+    struct bd_drain_machine *machines = drain->machines + part->from;
+    out->value = bd_drain_part_value(machines, part->n);
+    out->bytes = bd_wire_bytes(out->value);
+    part->written = core->now;
+    if (out->bytes > core->kv_limits.kv_value_bytes_max) {
+        bd_log_write(core->log, BD_LOG_ERROR,
+                     "drain %s: a record of %zu bytes is larger than a value may be",
+                     drain->record.name, out->bytes);
+        json_decref(out->value);
+        memset(out, 0, sizeof *out);
+        part->is_urgent = false;
+        return false;
+    }
+    for (uint32_t i = 0; i < part->n; i++)
+        machines[i].in_flight_stage = machines[i].stage;
+    bd_drain_part_key(out->key, sizeof out->key, drain->record.set, number);
+    part->in_flight = true;
+    part->is_dirty = part->is_urgent = false;
+    return true;
+}
+
+static void format_record_key(const struct bd_drain *drain, struct bd_drain_write *out)
+{
+    snprintf(out->key, sizeof out->key, BD_DRAIN_KEY "%s", drain->record.name);
+}
+
+static bool write_done(struct bd_core *core, struct bd_drain *drain, struct bd_drain_write *out)
+{
+    if (!drain->over || drain->done_in_flight || drain->is_stale)
+        return false;
+    struct bd_drain_record record = drain->record;
+    record.state = BD_DRAIN_DONE;
+    record.ended = core->wall;
+    format_record_key(drain, out);
+    out->value = bd_drain_record_value(&record);
+    out->revision = drain->record.revision;
+    out->bytes = core->kv_limits.kv_value_bytes_max;
+    drain->done_in_flight = true;
+    return true;
+}
+
+/* The records of a drain that ended long ago are deleted one by one, its own last. */
+static bool write_deletion(struct bd_core *core, struct bd_drain *drain, struct bd_drain_write *out)
+{
+    if (drain->delete_in_flight > 0 || drain->deleted > drain->record.parts ||
+        core->wall - drain->record.ended < core->drains->rules->keep_s)
+        return false;
+    if (drain->deleted < drain->record.parts)
+        bd_drain_part_key(out->key, sizeof out->key, drain->record.set, drain->deleted);
+    else
+        format_record_key(drain, out);
+    drain->delete_in_flight = 1;
+    return true;
+}
+
+static bool next_write_of(struct bd_core *core, struct bd_drain *drain, struct bd_drain_write *out)
+{
+    if (bd_drain_record_has_ended(&drain->record))
+        return write_deletion(core, drain, out);
+    for (uint32_t i = 0; drain->is_loaded && i < drain->record.parts; i++)
+        if (part_is_due(core, &drain->parts[i]) && write_part(core, drain, i, out))
+            return true;
+    return write_done(core, drain, out);
+}
+
+bool bd_drain_next_write(struct bd_core *core, struct bd_drain_write *out)
+{
+    memset(out, 0, sizeof *out);
+    if (!core->drains || bd_before(core->now, core->drains->next_write))
+        return false;
+    for (struct bd_drain *drain = core->drains->drains; drain; drain = drain->hh.next)
+        if (next_write_of(core, drain, out))
+            return true;
+    return false;
+}
+
+/* ---- outcome ---- */
+
+static void complete_part(struct bd_drain *drain, struct bd_drain_part *part, bool applied)
+{
+    part->in_flight = false;
+    if (!applied) {
+        part->is_dirty = part->is_urgent = true;
+        return;
+    }
+    for (uint32_t i = part->from; i < part->from + part->n; i++)
+        drain->machines[i].recorded_stage = drain->machines[i].in_flight_stage;
+}
+
+static void complete_done(const struct bd_core *core, struct bd_drain *drain, bool applied)
+{
+    drain->done_in_flight = false;
+    if (applied) {
+        drain->record.state = BD_DRAIN_DONE;
+        drain->record.ended = core->wall;
+    } else {
+        drain->is_stale = true; /* an administrator may have written another state */
+    }
+}
+
+static void complete_writes(const struct bd_core *core, struct bd_drain *drain, bool applied)
+{
+    for (uint32_t i = 0; drain->is_loaded && i < drain->record.parts; i++)
+        if (drain->parts[i].in_flight)
+            complete_part(drain, &drain->parts[i], applied);
+    if (drain->done_in_flight)
+        complete_done(core, drain, applied);
+    if (applied)
+        drain->deleted += drain->delete_in_flight;
+    drain->delete_in_flight = 0;
+}
+
+void bd_drain_committed(struct bd_core *core, bool applied)
+{
+    if (!core->drains)
+        return;
+    for (struct bd_drain *drain = core->drains->drains; drain; drain = drain->hh.next)
+        complete_writes(core, drain, applied);
+    if (applied)
+        bd_drain_execute_step(core);
+    else
+        core->drains->next_write = bd_add(core->now, bd_secs(REFUSED_DELAY_S));
+}
--- a/src/drain/replacement.c
+++ b/src/drain/replacement.c
@@ -1,5 +1,5 @@
-/* New machines for those that are replaced: one of the same type, where the old one is, or
- * elsewhere if none comes. Part of the pure core. */
+/* New machines in place of old ones: of the same type, in the same zone, or in others if none
+ * comes. Part of the pure core. */
 #include "autoscaling/autoscaler_internal.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
@@ -13,25 +13,38 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define GROUPS_MAX 16u /* pools that are asked in one look */
-#define GROUP_MAX 50   /* machines of one request */
+#define REQUESTS_MAX 16u        /* provisioning requests of one tick, each to another pool */
+#define REQUEST_MACHINES_MAX 50 /* of one provisioning request */
 
 struct pool {
     int type, zone;
     bool spot;
 };
 
-/* The entries that one request is for. */
-struct group {
+/* A provisioning request, and the entries that it is for. */
+struct request {
     struct pool pool;
-    struct bd_drain_machine *entries[GROUP_MAX];
+    struct bd_drain_machine *entries[REQUEST_MACHINES_MAX];
     int count;
 };
 
-bool bd_replacement_up(struct bd_core *core, const struct bd_drain_machine *m)
+struct request_list {
+    struct request *requests; /* REQUESTS_MAX */
+    uint32_t n;
+};
+
+/* ---- whether a replacement is up ---- */
+
+/* NULL: there is no replacement, or it is not known in this term so far. */
+static struct bd_machine *find_replacement(const struct bd_core *core,
+                                           const struct bd_drain_machine *entry)
+{
+    return *entry->replacement ? bd_drain_find_machine(core, entry->replacement) : NULL;
+}
+
+bool bd_replacement_is_up(const struct bd_core *core, const struct bd_drain_machine *entry)
 {
-    struct bd_machine *machine =
-        *m->replacement ? bd_drain_machine_named(core, m->replacement) : NULL;
+    const struct bd_machine *machine = find_replacement(core, entry);
     return machine && bd_machine_usable(core, machine);
 }
 
@@ -43,177 +56,191 @@
     return true;
 }
 
-bool bd_replacement_works(struct bd_core *core, const struct bd_drain_machine *m)
+bool bd_replacement_has_work(const struct bd_core *core, const struct bd_drain_machine *entry)
 {
-    if (!bd_replacement_up(core, m))
+    const struct bd_machine *machine = find_replacement(core, entry);
+    if (!machine || !bd_machine_usable(core, machine))
         return false;
-    const struct bd_machine *machine = bd_drain_machine_named(core, m->replacement);
-    for (uint32_t k = 0; k < machine->nreservations; k++)
-        if (bd_ledger_is_up(core->ledger, machine->reservations[k].job,
-                            machine->reservations[k].task))
+    for (uint32_t i = 0; i < machine->nreservations; i++) {
+        const struct bd_reservation *reservation = &machine->reservations[i];
+        if (bd_ledger_is_up(core->ledger, reservation->job, reservation->task))
             return true;
-    /* there may be nothing for it to do: all that was moved runs */
+    }
     return nothing_is_down(core->ledger);
 }
 
-/* ---- those that came to nothing ---- */
+/* ---- replacements that did not come up ---- */
 
-static void resign(struct bd_core *core, const struct bd_drain *drain, struct bd_drain_machine *m)
+static void abandon_replacement(const struct bd_core *core, const struct bd_drain *drain,
+                                struct bd_drain_machine *entry)
 {
-    bd_log_write(core->log, BD_LOG_INFO, "drain %s: replacement %s of %s is given up", drain->name,
-                 m->replacement, m->id);
-    m->replacement[0] = '\0';
-    m->tries++;
+    bd_log_write(core->log, BD_LOG_INFO, "drain %s: replacement %s of %s is given up",
+                 drain->record.name, entry->replacement, entry->id);
+    entry->replacement[0] = '\0';
+    entry->failed_replacements++;
 }
 
-static void check(struct bd_core *core, const struct bd_drain *drain, struct bd_drain_machine *m)
+static bool replacement_is_lost(const struct bd_machine *machine)
 {
-    if (!*m->replacement)
+    /* another drain may name the replacement itself */
+    return machine && (machine->gone || machine->failed || machine->quarantined ||
+                       machine->scaling_in || machine->cordoned);
+}
+
+static void check_replacement(struct bd_core *core, const struct bd_drain *drain,
+                              struct bd_drain_machine *entry)
+{
+    if (!*entry->replacement)
         return;
-    if (bd_is_zero(m->asked)) /* an earlier leader asked for it */
-        m->asked = core->now;
-    const struct bd_machine *machine = bd_drain_machine_named(core, m->replacement);
-    /* another drain may cover the replacement itself */
-    bool lost = machine && (machine->gone || machine->failed || machine->quarantined ||
-                            machine->scaling_in || bd_drain_cordoned(core, machine));
-    bool late = bd_between(m->asked, core->now) > core->drains->rules->replace_s &&
-                (!machine || !machine->fenced);
-    if (lost || late)
-        resign(core, drain, m);
+    if (bd_is_zero(entry->replacement_requested_at)) /* an earlier leader requested it */
+        entry->replacement_requested_at = core->now;
+    const struct bd_machine *machine = find_replacement(core, entry);
+    double waited_s = bd_between(entry->replacement_requested_at, core->now);
+    bool is_up = machine && machine->fenced;
+    bool is_late = waited_s > core->drains->rules->replace_s && !is_up;
+    if (is_late || replacement_is_lost(machine))
+        abandon_replacement(core, drain, entry);
 }
 
-/* ---- asking ---- */
+/* ---- requests ---- */
 
-/* Whether the entry is to have a replacement: it drives its machine, and is not that far yet. */
-static bool wanted(const struct bd_core *core, const struct bd_drain *drain,
-                   const struct bd_drain_machine *m)
+/* Whether the entry's machine is to have a replacement that it does not make use of yet. */
+static bool wants_replacement(const struct bd_core *core, const struct bd_drain *drain,
+                              const struct bd_drain_machine *entry)
 {
     return drain->record.mode == BD_DRAIN_REPLACE && drain->record.state == BD_DRAIN_ACTIVE &&
-           !bd_drain_final(m) && m->stage != BD_STAGE_REPLACED && !bd_drain_mirrors(core, m);
+           entry->stage != BD_STAGE_REPLACED && !bd_drain_entry_is_mirror(core, entry);
 }
 
-static uint32_t under_way(const struct bd_core *core)
+/* Replacements that are requested, or have not taken their machine's place. */
+static uint32_t count_pending(const struct bd_core *core)
 {
-    uint32_t n = 0;
-    for (const struct bd_drain *drain = core->drains->drains; drain; drain = drain->hh.next)
-        for (uint32_t i = 0; bd_drain_goes_on(drain) && i < drain->nmachines; i++)
-            n += wanted(core, drain, &drain->machines[i]) &&
-                 (*drain->machines[i].replacement || *drain->machines[i].request);
-    return n;
+    uint32_t pending = 0;
+    struct bd_drain_iterator iterator = bd_drain_entries(core);
+    const struct bd_drain_machine *entry;
+    while ((entry = bd_drain_next_entry(&iterator)))
+        pending += wants_replacement(core, iterator.drain, entry) &&
+                   (*entry->replacement || *entry->provisioning_request);
+    return pending;
 }
 
-static bool open_pool(struct bd_core *core, const struct pool *pool)
+static bool may_request_from(struct bd_core *core, const struct pool *pool)
 {
     const struct bd_pool *known = bd_pool_of(core, pool->type, pool->zone, pool->spot);
     return core->types[pool->type].zones >> pool->zone & 1 && !known->asked &&
            !bd_before(core->now, known->refuse_until);
 }
 
-/* The pool to ask: the machine's own, then other zones, then ordinary machines for a spot one. A
- * replacement that came to nothing moves the beginning on. */
-static bool choose_pool(struct bd_core *core, const struct bd_drain_machine *m,
-                        const struct bd_machine *machine, struct pool *out)
+/* The pool to request from: the machine's own, then other zones, then on-demand machines in place
+ * of a spot machine. Each replacement that failed moves the start by one. */
+static bool choose_pool(struct bd_core *core, const struct bd_drain_machine *entry,
+                        struct pool *out)
 {
-    int kinds = machine->spot ? 2 : 1, ways = core->nzones * kinds;
-    for (int way = 0; way < ways; way++) {
-        int at = (way + (int)m->tries) % ways;
+    const struct bd_machine *machine = entry->machine;
+    int pools = core->nzones * (machine->spot ? 2 : 1);
+    for (int i = 0; i < pools; i++) {
+        int choice = (i + (int)entry->failed_replacements) % pools;
         *out = (struct pool){.type = machine->type,
-                             .zone = (machine->zone + at) % core->nzones,
-                             .spot = machine->spot && at < core->nzones};
-        if (open_pool(core, out))
+                             .zone = (machine->zone + choice) % core->nzones,
+                             .spot = machine->spot && choice < core->nzones};
+        if (may_request_from(core, out))
             return true;
     }
     return false;
 }
 
-static struct group *group_of(struct group *groups, uint32_t *n, const struct pool *pool)
+/* The list's request to the pool, which is new if there is none; NULL: the list is full. */
+static struct request *get_request(struct request_list *list, const struct pool *pool)
 {
-    for (uint32_t i = 0; i < *n; i++)
-        if (groups[i].pool.type == pool->type && groups[i].pool.zone == pool->zone &&
-            groups[i].pool.spot == pool->spot)
-            return &groups[i];
-    if (*n == GROUPS_MAX)
+    for (uint32_t i = 0; i < list->n; i++) {
+        struct request *request = &list->requests[i];
+        if (request->pool.type == pool->type && request->pool.zone == pool->zone &&
+            request->pool.spot == pool->spot)
+            return request;
+    }
+    if (list->n == REQUESTS_MAX)
         return NULL;
-    struct group *group = &groups[(*n)++];
-    group->pool = *pool;
-    group->count = 0;
-    return group;
+    struct request *request = &list->requests[list->n++];
+    request->pool = *pool;
+    request->count = 0;
+    return request;
 }
 
-/* True: it is in a group. */
-static bool join(struct bd_core *core, struct group *groups, uint32_t *n,
-                 struct bd_drain_machine *m)
+/* False: the entry needs no request, or none can be made for it now. */
+static bool add_to_request(struct bd_core *core, struct request_list *list,
+                           struct bd_drain_machine *entry)
 {
-    const struct bd_machine *machine = m->machine;
+    const struct bd_machine *machine = entry->machine;
     struct pool pool;
-    if (!machine || machine->gone || machine->type < 0 || machine->zone < 0 || *m->replacement ||
-        *m->request || !choose_pool(core, m, machine, &pool))
+    if (!machine || machine->gone || machine->type < 0 || machine->zone < 0)
+        return false;
+    if (*entry->replacement || *entry->provisioning_request || !choose_pool(core, entry, &pool))
         return false;
-    struct group *group = group_of(groups, n, &pool);
-    if (!group || group->count == GROUP_MAX)
+    struct request *request = get_request(list, &pool);
+    if (!request || request->count == REQUEST_MACHINES_MAX)
         return false;
-    group->entries[group->count++] = m;
+    request->entries[request->count++] = entry;
     return true;
 }
 
-static void ask(struct bd_core *core, const struct group *group)
+static void send_request(struct bd_core *core, const struct request *request)
 {
-    const char *request = bd_provision_request(core, group->pool.type, group->pool.zone,
-                                               group->pool.spot, group->count);
-    for (int i = 0; request && i < group->count; i++) {
-        snprintf(group->entries[i]->request, sizeof group->entries[i]->request, "%s", request);
-        group->entries[i]->asked = core->now;
+    const char *id = bd_provision_request(core, request->pool.type, request->pool.zone,
+                                          request->pool.spot, request->count);
+    for (int i = 0; id && i < request->count; i++) {
+        struct bd_drain_machine *entry = request->entries[i];
+        snprintf(entry->provisioning_request, sizeof entry->provisioning_request, "%s", id);
+        entry->replacement_requested_at = core->now;
     }
 }
 
 void bd_replacements_tick(struct bd_core *core)
 {
-    uint32_t open = under_way(core), most = core->drains->rules->machines_in_step, n = 0;
-    struct bd_drain *drain, *tmp;
-    struct group *groups = calloc(GROUPS_MAX, sizeof *groups);
-    if (!groups)
+    uint32_t pending = count_pending(core), max = core->drains->rules->machines_in_step;
+    struct request_list list = {.requests = calloc(REQUESTS_MAX, sizeof *list.requests)};
+    if (!list.requests)
         abort();
-    HASH_ITER(hh, core->drains->drains, drain, tmp)
-    {
-        for (uint32_t i = 0; bd_drain_goes_on(drain) && i < drain->nmachines; i++) {
-            struct bd_drain_machine *m = &drain->machines[i];
-            if (!wanted(core, drain, m))
-                continue;
-            check(core, drain, m);
-            if (open < most && core->lead.inventory_read)
-                open += join(core, groups, &n, m);
-        }
+    struct bd_drain_iterator iterator = bd_drain_entries(core);
+    struct bd_drain_machine *entry;
+    while ((entry = bd_drain_next_entry(&iterator))) {
+        if (!wants_replacement(core, iterator.drain, entry))
+            continue;
+        check_replacement(core, iterator.drain, entry);
+        if (pending < max && core->lead.inventory_read)
+            pending += add_to_request(core, &list, entry);
     }
-    for (uint32_t i = 0; i < n; i++)
-        ask(core, &groups[i]);
-    free(groups);
+    for (uint32_t i = 0; i < list.n; i++)
+        send_request(core, &list.requests[i]);
+    free(list.requests);
 }
 
-static void note_replacement(struct bd_core *core, struct bd_drain *drain,
-                             struct bd_drain_machine *m, const char *id)
+/* ---- outcomes ---- */
+
+static void set_replacement(struct bd_core *core, struct bd_drain *drain,
+                            struct bd_drain_machine *entry, const char *id)
 {
-    snprintf(m->replacement, sizeof m->replacement, "%s", id);
-    bd_log_write(core->log, BD_LOG_INFO, "drain %s: %s is to replace %s", drain->name, id, m->id);
-    bd_drain_note(drain, m);
+    snprintf(entry->replacement, sizeof entry->replacement, "%s", id);
+    bd_log_write(core->log, BD_LOG_INFO, "drain %s: %s is to replace %s", drain->record.name, id,
+                 entry->id);
+    bd_drain_mark_entry_urgent(drain, entry);
 }
 
 void bd_drain_provisioned(struct bd_core *core, const char *request, char (*names)[BD_LABEL], int n)
 {
-    struct bd_drain *drain, *tmp;
     int used = 0;
     if (!core->drains)
         return;
-    HASH_ITER(hh, core->drains->drains, drain, tmp)
-    {
-        for (uint32_t i = 0; drain->loaded && i < drain->nmachines; i++) {
-            struct bd_drain_machine *m = &drain->machines[i];
-            if (strcmp(m->request, request) != 0)
+    /* also for drains that were cancelled meanwhile */
+    for (struct bd_drain *drain = core->drains->drains; drain; drain = drain->hh.next) {
+        for (uint32_t i = 0; drain->is_loaded && i < drain->nmachines; i++) {
+            struct bd_drain_machine *entry = &drain->machines[i];
+            if (strcmp(entry->provisioning_request, request) != 0)
                 continue;
-            m->request[0] = '\0';
+            entry->provisioning_request[0] = '\0';
             if (used < n)
-                note_replacement(core, drain, m, names[used++]);
+                set_replacement(core, drain, entry, names[used++]);
             else
-                m->tries++;
+                entry->failed_replacements++;
         }
     }
 }
--- a/src/drain/request.c
+++ b/src/drain/request.c
@@ -1,7 +1,7 @@
-/* What an administrator asks for, judged: the request's fields, and which machines it means. Part
- * of the pure core. */
+/* An administrator's request for a drain: its fields, and which machines it means. Part of the pure
+ * core. */
 #include "brambledoor/settings.h"
-#include "drain/drain.h"
+#include "drain/drain_request.h"
 #include "wire/wire.h"
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,114 +9,127 @@
 
 enum { STATUS_MALFORMED = 400, STATUS_UNKNOWN = 404 };
 
-static bool refuse(struct bd_drain_refusal *no, int status, const char *field, const char *why)
+/* Fills the refusal; returns false, for the caller to return. */
+static bool refuse(struct bd_drain_refusal *refusal, int status, const char *field, const char *why)
 {
-    no->status = status;
-    snprintf(no->field, sizeof no->field, "%s", field);
-    snprintf(no->why, sizeof no->why, "%s", why);
+    refusal->status = status;
+    snprintf(refusal->field, sizeof refusal->field, "%s", field);
+    snprintf(refusal->why, sizeof refusal->why, "%s", why);
     return false;
 }
 
-/* A name goes into keys and paths. */
-static bool is_name(const char *s)
+/* A name becomes part of keys and paths. */
+static bool is_valid_name(const char *name)
 {
-    size_t n =
-        s ? strspn(s, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.") : 0;
-    return n > 0 && n <= BD_DRAIN_NAME_MAX && s[n] == '\0';
+    size_t length =
+        name ? strspn(name, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.")
+             : 0;
+    return length > 0 && length <= BD_DRAIN_NAME_MAX && name[length] == '\0';
 }
 
-/* A field that may be missing or null. */
-static bool optional_text(json_t *o, const char *key, char *out, struct bd_drain_refusal *no)
+/* Reads a text that may be missing or null. */
+static bool read_optional_text(json_t *object, const char *key, char *out,
+                               struct bd_drain_refusal *refusal)
 {
-    json_t *v = json_object_get(o, key);
-    const char *s = json_string_value(v);
+    json_t *value = json_object_get(object, key);
+    const char *text = json_string_value(value);
     out[0] = '\0';
-    if (!v || json_is_null(v))
+    if (!value || json_is_null(value))
         return true;
-    if (!s || !*s || strlen(s) >= BD_NAME)
-        return refuse(no, STATUS_MALFORMED, key, "needs a short text");
-    strcpy(out, s);
+    if (!text || !*text || strlen(text) >= BD_NAME)
+        return refuse(refusal, STATUS_MALFORMED, key, "needs a short text");
+    strcpy(out, text);
     return true;
 }
 
-static bool machine_list(json_t *o, json_t **out, struct bd_drain_refusal *no)
+/* Reads the list of ids, which may be missing or null. */
+static bool read_machine_list(json_t *object, json_t **out, struct bd_drain_refusal *refusal)
 {
-    json_t *list = json_object_get(o, "machines"), *v;
+    json_t *list = json_object_get(object, "machines"), *item;
     size_t i;
     *out = NULL;
     if (!list || json_is_null(list))
         return true;
     if (!json_is_array(list))
-        return refuse(no, STATUS_MALFORMED, "machines", "needs a list of ids");
-    json_array_foreach(list, i, v)
+        return refuse(refusal, STATUS_MALFORMED, "machines", "needs a list of ids");
+    json_array_foreach(list, i, item)
     {
-        const char *s = json_string_value(v);
-        if (!s || !*s || strlen(s) >= BD_LABEL)
-            return refuse(no, STATUS_MALFORMED, "machines", "needs a list of ids");
+        const char *id = json_string_value(item);
+        if (!id || !*id || strlen(id) >= BD_LABEL)
+            return refuse(refusal, STATUS_MALFORMED, "machines", "needs a list of ids");
     }
     *out = list;
     return true;
 }
 
-/* What decides which machines are meant: exactly one way of saying it. */
-static bool one_way(const struct bd_drain_request *r, struct bd_drain_refusal *no)
+/* The machines must be named in exactly one way, or be all. */
+static bool check_selectors(const struct bd_drain_request *request,
+                            struct bd_drain_refusal *refusal)
 {
-    bool filter = *r->type || *r->zone;
-    int ways = (r->machines != NULL) + (*r->selection != '\0') + filter;
-    if (ways > 1)
-        return refuse(no, STATUS_MALFORMED, "machines",
+    bool has_filter = *request->type || *request->zone;
+    bool has_selection = *request->selection != '\0';
+    int selectors = (request->machines != NULL) + has_selection + has_filter;
+    if (selectors > 1)
+        return refuse(refusal, STATUS_MALFORMED, "machines",
                       "name machines, or a selection, or a type and zone: one of them");
-    if (ways == 0 && !r->all)
-        return refuse(no, STATUS_MALFORMED, "machines",
+    if (selectors == 0 && !request->all)
+        return refuse(refusal, STATUS_MALFORMED, "machines",
                       "name machines, a selection, a type or a zone, or say all");
     return true;
 }
 
-static bool known_fields(json_t *o, struct bd_drain_refusal *no)
+static bool is_known_field(const char *name)
 {
     static const char *const fields[] = {"name", "mode",      "machines", "type",
                                          "zone", "selection", "all"};
+    for (size_t i = 0; i < sizeof fields / sizeof fields[0]; i++)
+        if (strcmp(fields[i], name) == 0)
+            return true;
+    return false;
+}
+
+static bool check_field_names(json_t *object, struct bd_drain_refusal *refusal)
+{
     const char *key;
-    json_t *v;
-    json_object_foreach(o, key, v)
+    json_t *value;
+    json_object_foreach(object, key, value)
     {
-        bool known = false;
-        for (size_t i = 0; i < sizeof fields / sizeof fields[0]; i++)
-            known = known || strcmp(fields[i], key) == 0;
-        if (!known)
-            return refuse(no, STATUS_MALFORMED, key, "unknown field");
+        if (!is_known_field(key))
+            return refuse(refusal, STATUS_MALFORMED, key, "unknown field");
     }
     return true;
 }
 
-bool bd_drain_request_read(json_t *o, struct bd_drain_request *out, struct bd_drain_refusal *no)
+bool bd_drain_request_read(json_t *object, struct bd_drain_request *out,
+                           struct bd_drain_refusal *refusal)
 {
     memset(out, 0, sizeof *out);
-    if (!json_is_object(o))
-        return refuse(no, STATUS_MALFORMED, "body", "needs a JSON object");
-    const char *name = json_string_value(json_object_get(o, "name"));
-    const char *mode = json_string_value(json_object_get(o, "mode"));
-    json_t *all = json_object_get(o, "all");
-    if (!is_name(name))
-        return refuse(no, STATUS_MALFORMED, "name",
+    if (!json_is_object(object))
+        return refuse(refusal, STATUS_MALFORMED, "body", "needs a JSON object");
+    const char *name = json_string_value(json_object_get(object, "name"));
+    const char *mode = json_string_value(json_object_get(object, "mode"));
+    json_t *all = json_object_get(object, "all");
+    if (!is_valid_name(name))
+        return refuse(refusal, STATUS_MALFORMED, "name",
                       "needs up to 40 letters, digits, dots, dashes and underscores");
     strcpy(out->name, name);
     if (!mode || (strcmp(mode, "retire") != 0 && strcmp(mode, "replace") != 0))
-        return refuse(no, STATUS_MALFORMED, "mode", "is retire or replace");
+        return refuse(refusal, STATUS_MALFORMED, "mode", "is retire or replace");
     out->mode = strcmp(mode, "retire") == 0 ? BD_DRAIN_RETIRE : BD_DRAIN_REPLACE;
     if (all && !json_is_boolean(all))
-        return refuse(no, STATUS_MALFORMED, "all", "is true or false");
+        return refuse(refusal, STATUS_MALFORMED, "all", "is true or false");
     out->all = json_is_true(all);
-    return known_fields(o, no) && optional_text(o, "type", out->type, no) &&
-           optional_text(o, "zone", out->zone, no) &&
-           optional_text(o, "selection", out->selection, no) &&
-           machine_list(o, &out->machines, no) && one_way(out, no);
+    return check_field_names(object, refusal) &&
+           read_optional_text(object, "type", out->type, refusal) &&
+           read_optional_text(object, "zone", out->zone, refusal) &&
+           read_optional_text(object, "selection", out->selection, refusal) &&
+           read_machine_list(object, &out->machines, refusal) && check_selectors(out, refusal);
 }
 
 /* ---- which machines ---- */
 
-static const struct bd_selection *selection_of(const struct bd_drain_rules *rules,
-                                               const char *label)
+static const struct bd_selection *find_selection(const struct bd_drain_rules *rules,
+                                                 const char *label)
 {
     for (uint32_t i = 0; i < rules->nselections; i++)
         if (strcmp(rules->selections[i].label, label) == 0)
@@ -124,12 +137,12 @@
     return NULL;
 }
 
-static int by_id(const void *x, const void *y)
+static int compare_ids(const void *x, const void *y)
 {
     return strcmp(*(const char *const *)x, *(const char *const *)y);
 }
 
-/* The ids of the list, sorted; the caller frees it. */
+/* The ids of the machines, sorted; the caller frees the array, and the ids are borrowed. */
 static const char **sorted_ids(const struct bd_cloud_machine *listed, size_t n)
 {
     const char **ids = calloc(n + 1, sizeof *ids);
@@ -137,36 +150,39 @@
         abort();
     for (size_t i = 0; i < n; i++)
         ids[i] = listed[i].id;
-    qsort(ids, n, sizeof *ids, by_id);
+    qsort(ids, n, sizeof *ids, compare_ids);
     return ids;
 }
 
-static json_t *named(const struct bd_drain_request *request, const struct bd_cloud_machine *listed,
-                     size_t n, struct bd_drain_refusal *no)
+/* The machines that the request lists, or NULL with the refusal. */
+static json_t *find_listed_machines(const struct bd_drain_request *request,
+                                    const struct bd_cloud_machine *listed, size_t n,
+                                    struct bd_drain_refusal *refusal)
 {
     const char **ids = sorted_ids(listed, n);
-    json_t *v, *found = json_array(), *seen = json_object();
+    json_t *item, *found = json_array(), *seen = json_object();
     size_t i;
-    json_array_foreach(request->machines, i, v)
+    json_array_foreach(request->machines, i, item)
     {
-        const char *id = json_string_value(v);
-        if (!bsearch(&id, ids, n, sizeof *ids, by_id))
-            (void)refuse(no, STATUS_UNKNOWN, id, "no such machine");
+        const char *id = json_string_value(item);
+        if (!bsearch(&id, ids, n, sizeof *ids, compare_ids))
+            (void)refuse(refusal, STATUS_UNKNOWN, id, "no such machine");
         else if (json_object_get(seen, id))
-            (void)refuse(no, STATUS_MALFORMED, "machines", "names a machine twice");
+            (void)refuse(refusal, STATUS_MALFORMED, "machines", "names a machine twice");
         json_object_set_new(seen, id, json_true());
-        json_array_append(found, v);
+        json_array_append(found, item);
     }
     json_decref(seen);
     free(ids);
-    if (no->status == 0)
+    if (refusal->status == 0)
         return found;
     json_decref(found);
     return NULL;
 }
 
-static json_t *matching(const char *type, const char *zone, const struct bd_cloud_machine *listed,
-                        size_t n)
+/* The machines of a type and zone; an empty one matches all. */
+static json_t *find_matching_machines(const char *type, const char *zone,
+                                      const struct bd_cloud_machine *listed, size_t n)
 {
     json_t *found = json_array();
     for (size_t i = 0; i < n; i++)
@@ -179,26 +195,26 @@
 json_t *bd_drain_request_machines(const struct bd_drain_request *request,
                                   const struct bd_drain_rules *rules,
                                   const struct bd_cloud_machine *listed, size_t n,
-                                  struct bd_drain_refusal *no)
+                                  struct bd_drain_refusal *refusal)
 {
     const char *type = request->type, *zone = request->zone;
-    memset(no, 0, sizeof *no);
+    memset(refusal, 0, sizeof *refusal);
     if (*request->selection) {
-        const struct bd_selection *s = selection_of(rules, request->selection);
-        if (!s) {
-            (void)refuse(no, STATUS_UNKNOWN, "selection", "no such selection");
+        const struct bd_selection *selection = find_selection(rules, request->selection);
+        if (!selection) {
+            (void)refuse(refusal, STATUS_UNKNOWN, "selection", "no such selection");
             return NULL;
         }
-        type = s->type;
-        zone = s->zone;
+        type = selection->type;
+        zone = selection->zone;
     }
-    json_t *found =
-        request->machines ? named(request, listed, n, no) : matching(type, zone, listed, n);
+    json_t *found = request->machines ? find_listed_machines(request, listed, n, refusal)
+                                      : find_matching_machines(type, zone, listed, n);
     if (found && json_array_size(found) == 0)
-        (void)refuse(no, STATUS_MALFORMED, "machines", "no machine is meant");
+        (void)refuse(refusal, STATUS_MALFORMED, "machines", "no machine is meant");
     else if (found && json_array_size(found) == n && !request->all)
-        (void)refuse(no, STATUS_MALFORMED, "all", "all machines are meant: say so");
-    if (no->status == 0)
+        (void)refuse(refusal, STATUS_MALFORMED, "all", "all machines are meant: say so");
+    if (refusal->status == 0)
         return found;
     json_decref(found);
     return NULL;
--- a/src/drain/solver.c
+++ b/src/drain/solver.c
@@ -1,82 +1,85 @@
-/* Which machines go next, as an integer program for lp_solve: as many as possible, and of equally
- * many those that stop the fewest tasks, under the budgets, the room, the number of machines in a
- * step and the zones' rule. Bounded in size and in the solver's own steps, not in time, so that
- * the same question always has the same answer. Part of the pure core. */
+/* The choice of a step's machines as an integer program for lp_solve: as many machines as possible,
+ * and of equally many those that stop the fewest tasks, within the budgets, the free capacity, the
+ * size of a step and the conflicts of zones. Limited in size and in the solver's own iterations,
+ * not in time, so that the same problem always has the same solution. Part of the pure core. */
 #include "brambledoor/settings.h"
 #include "drain/drain_internal.h"
 #include <lpsolve/lp_lib.h>
 #include <stdlib.h>
 #include <string.h>
 
-#define CANDIDATES_MAX 96u /* more, and the plain choice is taken */
-#define LOOKS_MAX 20000    /* of the solver at whether to go on */
-#define TASK_COST 1e-4     /* a task that is stopped, beside one machine more */
+#define ABORT_CHECKS_MAX 20000 /* calls of the solver's abort function */
+#define TASK_COST 1e-4         /* of a stopped task, where a machine is worth 1 */
+#define IS_CHOSEN 0.5          /* a variable above it is 1 */
 
-/* One program: columns 1 to n are the candidates, then one a zone whose use is a question. */
+/* Columns 1 to n are the candidates; then comes one for each zone that conflicts with another,
+ * which is 1 if a machine of the zone is in a step. */
 struct program {
     const struct bd_step_problem *problem;
     lprec *lp;
-    int looks;
+    int abort_checks;
     int zone_column[BD_MAX_ZONES]; /* 0: none */
-    REAL *values;                  /* of one row */
-    int *columns;
-    bool ok;
+    REAL *values;                  /* of the row that is being built */
+    int *columns;                  /* ... and its columns */
+    bool ok;                       /* no call of the solver has failed */
 };
 
-static int __WINAPI looked_often(lprec *lp, void *arg)
+static int __WINAPI is_over_limit(lprec *lp, void *arg)
 {
     struct program *program = arg;
     (void)lp;
-    return ++program->looks > LOOKS_MAX;
+    return ++program->abort_checks > ABORT_CHECKS_MAX;
 }
 
-static void row(struct program *program, int count, int purpose, double limit)
+static void add_row(struct program *program, int count, double limit)
 {
     program->ok = program->ok && add_constraintex(program->lp, count, program->values,
-                                                  program->columns, purpose, limit);
+                                                  program->columns, LE, limit);
 }
 
-static void budget_rows(struct program *program)
+/* For each budget: the chosen machines stop no more tasks than are left of it. */
+static void add_budget_rows(struct program *program)
 {
     const struct bd_step_problem *problem = program->problem;
-    for (uint32_t b = 0; b < problem->nbudgets; b++) {
+    for (uint32_t budget = 0; budget < problem->nbudgets; budget++) {
         int count = 0;
         for (uint32_t i = 0; i < problem->n; i++) {
             const struct bd_candidate *candidate = &problem->candidates[i];
             for (uint32_t k = 0; k < candidate->nneeds; k++) {
-                if (candidate->needs[k].budget != b)
+                if (candidate->needs[k].budget != budget)
                     continue;
                 program->columns[count] = (int)i + 1;
                 program->values[count++] = candidate->needs[k].tasks;
             }
         }
         if (count > 0)
-            row(program, count, LE, problem->left[b]);
+            add_row(program, count, problem->left[budget]);
     }
 }
 
-static void room_row(struct program *program, size_t of, double capacity)
+/* For one resource, which stands at the offset in `struct bd_resources`: what moves fits. */
+static void add_capacity_row(struct program *program, size_t offset, double capacity)
 {
     const struct bd_step_problem *problem = program->problem;
     for (uint32_t i = 0; i < problem->n; i++) {
         const char *moves = (const char *)&problem->candidates[i].moves;
         program->columns[i] = (int)i + 1;
-        memcpy(&program->values[i], moves + of, sizeof(double));
+        memcpy(&program->values[i], moves + offset, sizeof(double));
     }
-    row(program, (int)problem->n, LE, capacity);
+    add_row(program, (int)problem->n, capacity);
 }
 
-static void machines_row(struct program *program)
+static void add_machines_row(struct program *program)
 {
     for (uint32_t i = 0; i < program->problem->n; i++) {
         program->columns[i] = (int)i + 1;
         program->values[i] = 1;
     }
-    row(program, (int)program->problem->n, LE, program->problem->most);
+    add_row(program, (int)program->problem->n, program->problem->max_machines);
 }
 
-/* A machine uses its zone, and of two zones that are apart one is used. */
-static void zone_rows(struct program *program)
+/* A chosen machine uses its zone. */
+static void add_zone_use_rows(struct program *program)
 {
     const struct bd_step_problem *problem = program->problem;
     for (uint32_t i = 0; i < problem->n; i++) {
@@ -87,32 +90,39 @@
         program->values[0] = 1;
         program->columns[1] = program->zone_column[zone];
         program->values[1] = -1;
-        row(program, 2, LE, 0);
+        add_row(program, 2, 0);
     }
+}
+
+/* Of two zones that conflict only one is used. */
+static void add_zone_conflict_rows(struct program *program)
+{
+    const struct bd_step_problem *problem = program->problem;
     for (int a = 0; a < BD_MAX_ZONES; a++) {
         for (int b = a + 1; b < BD_MAX_ZONES; b++) {
-            if (!problem->apart[a][b])
+            if (!problem->zones_conflict[a][b])
                 continue;
             program->columns[0] = program->zone_column[a];
             program->columns[1] = program->zone_column[b];
             program->values[0] = program->values[1] = 1;
-            row(program, 2, LE, 1);
+            add_row(program, 2, 1);
         }
     }
 }
 
-static int columns_needed(struct program *program)
+/* Assigns the zones' columns; returns the number of all columns. */
+static int assign_columns(struct program *program)
 {
     const struct bd_step_problem *problem = program->problem;
     int columns = (int)problem->n;
     for (int a = 0; a < BD_MAX_ZONES; a++)
         for (int b = 0; b < BD_MAX_ZONES; b++)
-            if (problem->apart[a][b] && program->zone_column[a] == 0)
+            if (problem->zones_conflict[a][b] && program->zone_column[a] == 0)
                 program->zone_column[a] = ++columns;
     return columns;
 }
 
-static void objective(struct program *program, int columns)
+static void set_objective(struct program *program, int columns)
 {
     const struct bd_step_problem *problem = program->problem;
     for (int i = 1; i <= columns; i++)
@@ -129,30 +139,32 @@
             (void)set_lowbo(program->lp, program->zone_column[zone], 1);
 }
 
-static void build(struct program *program, int columns)
+static void build_program(struct program *program, int columns)
 {
     const struct bd_step_problem *problem = program->problem;
     (void)set_add_rowmode(program->lp, TRUE);
-    budget_rows(program);
-    machines_row(program);
-    room_row(program, offsetof(struct bd_resources, cpus), problem->capacity.cpus);
-    room_row(program, offsetof(struct bd_resources, gpus), problem->capacity.gpus);
-    room_row(program, offsetof(struct bd_resources, mem), problem->capacity.mem);
-    zone_rows(program);
+    add_budget_rows(program);
+    add_machines_row(program);
+    add_capacity_row(program, offsetof(struct bd_resources, cpus), problem->capacity.cpus);
+    add_capacity_row(program, offsetof(struct bd_resources, gpus), problem->capacity.gpus);
+    add_capacity_row(program, offsetof(struct bd_resources, mem), problem->capacity.mem);
+    add_zone_use_rows(program);
+    add_zone_conflict_rows(program);
     (void)set_add_rowmode(program->lp, FALSE);
-    objective(program, columns);
+    set_objective(program, columns);
     set_verbose(program->lp, NEUTRAL);
-    put_abortfunc(program->lp, looked_often, program);
+    put_abortfunc(program->lp, is_over_limit, program);
 }
 
-static bool read_solution(struct program *program, roaring_bitmap_t *chosen)
+/* False: there is no solution, or the solver was aborted. */
+static bool solve_program(struct program *program, roaring_bitmap_t *chosen)
 {
     int status = solve(program->lp);
     REAL *values = NULL;
     if ((status != OPTIMAL && status != SUBOPTIMAL) || !get_ptr_variables(program->lp, &values))
         return false;
     for (uint32_t i = 0; i < program->problem->n; i++)
-        if (values[i] > 0.5)
+        if (values[i] > IS_CHOSEN)
             roaring_bitmap_add(chosen, i);
     return true;
 }
@@ -160,16 +172,16 @@
 bool bd_steps_solve(const struct bd_step_problem *problem, roaring_bitmap_t *chosen)
 {
     struct program program = {.problem = problem, .ok = true};
-    if (problem->n == 0 || problem->n > CANDIDATES_MAX)
+    if (problem->n == 0 || problem->n > BD_STEP_CANDIDATES_MAX)
         return false;
-    int columns = columns_needed(&program);
+    int columns = assign_columns(&program);
     program.lp = make_lp(0, columns);
     program.values = calloc((size_t)columns + 1, sizeof *program.values);
     program.columns = calloc((size_t)columns + 1, sizeof *program.columns);
     if (!program.lp || !program.values || !program.columns)
         abort();
-    build(&program, columns);
-    bool solved = program.ok && read_solution(&program, chosen);
+    build_program(&program, columns);
+    bool solved = program.ok && solve_program(&program, chosen);
     delete_lp(program.lp);
     free(program.values);
     free(program.columns);
--- /dev/null
+++ b/src/drain/step_stop.c
@@ -0,0 +1,105 @@
+/* A step that is on record is executed: the tasks of its machines are stopped, as far as the
+ * disruption budgets allow. The record is written by a transaction that is conditional on the
+ * term, so that a leader that was frozen past its lease stops nothing. Part of the pure core. */
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
+#include "drain/drain_internal.h"
+#include "leadership/leadership.h"
+#include "model/core_state.h"
+#include "model/disruption_ledger.h"
+#include "model/machine.h"
+#include "model/task.h"
+#include "model/task_state.h"
+
+/* The budget that does not allow the task, and what stops with it, to go down now; NULL: all do. */
+static const struct bd_budget *exceeded_budget(struct bd_core *core,
+                                               const struct bd_reservation *reservation)
+{
+    const struct bd_ledger_job *entry = bd_ledger_get_job(core, reservation->job);
+    uint32_t tasks = bd_drain_count_stopped_with(core, reservation->job, reservation->task);
+    for (uint32_t i = 0; tasks > 0 && i < entry->nbudgets; i++) {
+        const struct bd_budget *budget = &core->ledger->budgets[entry->budgets[i]];
+        if (tasks > bd_budget_remaining(budget))
+            return budget;
+    }
+    return NULL;
+}
+
+/* What came of stopping a machine's tasks. */
+struct stop_result {
+    uint32_t stopped;
+    const char *team; /* whose budget kept a task running, the last of them; "": none did */
+};
+
+/* Stops the tasks that the budgets allow; the others follow when those run elsewhere. */
+static struct stop_result stop_tasks(struct bd_core *core, const struct bd_machine *machine)
+{
+    struct stop_result result = {0, ""};
+    for (uint32_t i = machine->nreservations; i > 0; i--) {
+        if (i > machine->nreservations) /* the end of a gang has released several */
+            continue;
+        struct bd_reservation reservation = machine->reservations[i - 1];
+        if (!bd_drain_can_stop_task(reservation.job, reservation.task))
+            continue;
+        const struct bd_budget *exceeded = exceeded_budget(core, &reservation);
+        if (exceeded) {
+            result.team = bd_budget_team_name(core, exceeded);
+            continue;
+        }
+        bd_task_stop(core, reservation.job, reservation.task, BD_STOP_DRAINED, false);
+        result.stopped++;
+    }
+    return result;
+}
+
+/* What keeps the machine's tasks from being stopped, before budgets are asked. */
+static enum bd_drain_wait stop_obstacle(const struct bd_core *core, const struct bd_drain *drain,
+                                        const struct bd_machine *machine)
+{
+    if (!machine || machine->gone || !machine->fenced || bd_overdue(core, machine))
+        return BD_DRAIN_WAIT_HEARTBEAT;
+    if (drain->record.state == BD_DRAIN_PAUSED)
+        return BD_DRAIN_WAIT_PAUSED;
+    return BD_DRAIN_WAIT_NOTHING;
+}
+
+/* A machine may have died between the choice and the record's commit: the budgets are asked again,
+ * with all that was stopped before. An entry whose stop has begun stays in its stage. */
+static void stop_machine(struct bd_core *core, struct bd_drain *drain,
+                         struct bd_drain_machine *entry)
+{
+    bool has_begun = !bd_is_zero(entry->stop_requested_at);
+    enum bd_drain_wait obstacle = stop_obstacle(core, drain, entry->machine);
+    if (obstacle != BD_DRAIN_WAIT_NOTHING) {
+        if (!has_begun)
+            bd_drain_set_entry_waiting(core, drain, entry, obstacle, "");
+        return;
+    }
+    struct stop_result result = stop_tasks(core, entry->machine);
+    if (result.stopped == 0 && *result.team && !has_begun) {
+        bd_drain_set_entry_waiting(core, drain, entry, BD_DRAIN_WAIT_BUDGET, result.team);
+        return;
+    }
+    enum bd_drain_wait wait = *result.team ? BD_DRAIN_WAIT_BUDGET : BD_DRAIN_WAIT_NOTHING;
+    bd_drain_set_entry_state(core, drain, entry,
+                             (struct bd_entry_state){BD_STAGE_STOPPING, wait, result.team});
+    if (result.stopped == 0 && has_begun)
+        return;
+    entry->stop_requested_at = core->now;
+    core->drains->steps++;
+    bd_log_write(core->log, BD_LOG_INFO, "drain %s: %s stops %u tasks", drain->record.name,
+                 entry->id, result.stopped);
+}
+
+void bd_drain_execute_step(struct bd_core *core)
+{
+    if (!bd_leadership_lease_valid(core))
+        return;
+    bd_ledger_update_silent(core);
+    struct bd_drain_iterator iterator = bd_drain_entries(core);
+    struct bd_drain_machine *entry;
+    while ((entry = bd_drain_next_entry(&iterator)))
+        if (entry->stage == BD_STAGE_STOPPING && entry->recorded_stage == BD_STAGE_STOPPING &&
+            !bd_drain_entry_is_mirror(core, entry))
+            stop_machine(core, iterator.drain, entry);
+}
--- a/src/model/disruption_ledger.c
+++ b/src/model/disruption_ledger.c
@@ -95,7 +95,7 @@
     return entry;
 }
 
-struct bd_ledger_job *bd_ledger_job_of(struct bd_core *core, const struct bd_job *job)
+struct bd_ledger_job *bd_ledger_get_job(struct bd_core *core, const struct bd_job *job)
 {
     struct bd_ledger *ledger = core->ledger;
     struct bd_ledger_job *entry = find_job(ledger, job);
@@ -175,7 +175,7 @@
     }
     struct bd_ledger *ledger = core->ledger;
     const struct bd_task *task = &job->tasks[i];
-    struct bd_ledger_job *entry = bd_ledger_job_of(core, job);
+    struct bd_ledger_job *entry = bd_ledger_get_job(core, job);
     if (!entry)
         return;
     if (task->state == BD_TASK_DONE)
@@ -211,7 +211,7 @@
     for (struct bd_job *job = core->jobs; job; job = job->hh.next) {
         if (job->state != BD_JOB_ACTIVE || !job->tasks || !may_have_run(job))
             continue;
-        struct bd_ledger_job *entry = bd_ledger_job_of(core, job);
+        struct bd_ledger_job *entry = bd_ledger_get_job(core, job);
         for (uint32_t i = 0; entry && i < job->ntasks; i++)
             if (job->tasks[i].state != BD_TASK_DONE)
                 set_down(ledger, entry, i);
@@ -236,7 +236,7 @@
 }
 
 /* A machine whose report is late may be dead: what runs there is not known to run. */
-void bd_ledger_silent(struct bd_core *core)
+void bd_ledger_update_silent(struct bd_core *core)
 {
     struct bd_ledger *ledger = core->ledger;
     for (uint32_t i = 0; i < ledger->nbudgets; i++)
@@ -258,13 +258,13 @@
     return share < 1 ? 1 : (uint32_t)share;
 }
 
-uint32_t bd_budget_left(const struct bd_budget *budget)
+uint32_t bd_budget_remaining(const struct bd_budget *budget)
 {
     uint32_t most = bd_budget_allowed(budget), used = budget->down + budget->silent;
     return used < most ? most - used : 0;
 }
 
-const char *bd_budget_team(const struct bd_core *core, const struct bd_budget *budget)
+const char *bd_budget_team_name(const struct bd_core *core, const struct bd_budget *budget)
 {
     return core->settings->teams[budget->team].name;
 }
@@ -275,7 +275,7 @@
     *down = *up = 0;
     for (uint32_t i = 0; core->ledger && i < core->ledger->nbudgets; i++) {
         const struct bd_budget *budget = &core->ledger->budgets[i];
-        if (strcmp(bd_budget_team(core, budget), team) != 0 ||
+        if (strcmp(bd_budget_team_name(core, budget), team) != 0 ||
             strcmp(budget->rule->job_class, job_class) != 0)
             continue;
         *down = budget->down;
--- a/src/model/disruption_ledger.h
+++ b/src/model/disruption_ledger.h
@@ -61,15 +61,15 @@
 /* After a failover: all that is not seen running counts as down. */
 void bd_ledger_leadership_acquired(struct bd_core *core);
 /* Counts anew what is on machines whose heartbeats are late. */
-void bd_ledger_silent(struct bd_core *core);
+void bd_ledger_update_silent(struct bd_core *core);
 
 /* How many tasks may be down at all, and how many more may go down by our own doing. */
 uint32_t bd_budget_allowed(const struct bd_budget *budget);
-uint32_t bd_budget_left(const struct bd_budget *budget);
-const char *bd_budget_team(const struct bd_core *core, const struct bd_budget *budget);
+uint32_t bd_budget_remaining(const struct bd_budget *budget);
+const char *bd_budget_team_name(const struct bd_core *core, const struct bd_budget *budget);
 bool bd_ledger_is_up(const struct bd_ledger *ledger, const struct bd_job *job, uint32_t task);
 /* The job's entry; NULL: its team has no budget. */
-struct bd_ledger_job *bd_ledger_job_of(struct bd_core *core, const struct bd_job *job);
+struct bd_ledger_job *bd_ledger_get_job(struct bd_core *core, const struct bd_job *job);
 /* Tasks of the team (or of its class, if that has a budget of its own) that are down, and those
  * that are up; for tests and the log. */
 void bd_ledger_count(const struct bd_core *core, const char *team, const char *job_class,
