--- a/src/model/disruption_ledger.c
+++ b/src/model/disruption_ledger.c
@@ -9,10 +9,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-static const struct bd_budget_rule *rule_of_team(const struct bd_budget_rule *rules,
-                                                 uint32_t nrules, const char *team)
+/* The team's own rule, or that of all teams without one; NULL: neither is declared. */
+static const struct bd_budget_rule *find_team_rule(const struct bd_budget_rule *rules,
+                                                   uint32_t nrules, const char *team)
 {
-    const struct bd_budget_rule *of_all = NULL;
+    const struct bd_budget_rule *general = NULL;
     for (uint32_t i = 0; i < nrules; i++) {
         const struct bd_budget_rule *rule = &rules[i];
         if (*rule->job_class)
@@ -20,12 +21,12 @@
         if (strcmp(rule->team, team) == 0)
             return rule;
         if (!*rule->team)
-            of_all = rule;
+            general = rule;
     }
-    return of_all;
+    return general;
 }
 
-static int team_index(const struct bd_settings *settings, const char *name)
+static int find_team(const struct bd_settings *settings, const char *name)
 {
     for (int i = 0; i < settings->nteams; i++)
         if (strcmp(settings->teams[i].name, name) == 0)
@@ -33,7 +34,6 @@
     return -1;
 }
 
-/* A budget a team first, in the teams' order, then those of classes. */
 struct bd_ledger *bd_ledger_new(const struct bd_settings *settings,
                                 const struct bd_budget_rule *rules, uint32_t nrules)
 {
@@ -44,19 +44,20 @@
     if (!ledger->budgets)
         abort();
     for (int i = 0; i < settings->nteams; i++) {
-        const struct bd_budget_rule *rule = rule_of_team(rules, nrules, settings->teams[i].name);
+        const struct bd_budget_rule *rule = find_team_rule(rules, nrules, settings->teams[i].name);
         ledger->budgets[ledger->nbudgets++] = (struct bd_budget){.team = i, .rule = rule};
     }
     for (uint32_t i = 0; i < nrules; i++) {
         if (!*rules[i].job_class)
             continue;
-        int team = team_index(settings, rules[i].team);
+        int team = find_team(settings, rules[i].team);
         ledger->budgets[ledger->nbudgets++] = (struct bd_budget){.team = team, .rule = &rules[i]};
     }
     return ledger;
 }
 
-static void drop_job(struct bd_ledger *ledger, struct bd_ledger_job *entry)
+/* Removes the job's entry, and its tasks from the budgets' counts. */
+static void remove_job(struct bd_ledger *ledger, struct bd_ledger_job *entry)
 {
     uint32_t up = (uint32_t)roaring_bitmap_get_cardinality(entry->up);
     uint32_t down = (uint32_t)roaring_bitmap_get_cardinality(entry->down);
@@ -72,10 +73,10 @@
 
 void bd_ledger_clear(struct bd_ledger *ledger)
 {
-    struct bd_ledger_job *entry, *tmp;
-    HASH_ITER(hh, ledger->jobs, entry, tmp)
+    struct bd_ledger_job *entry, *next;
+    HASH_ITER(hh, ledger->jobs, entry, next)
     {
-        drop_job(ledger, entry);
+        remove_job(ledger, entry);
     }
 }
 
@@ -95,13 +96,9 @@
     return entry;
 }
 
-struct bd_ledger_job *bd_ledger_get_job(struct bd_core *core, const struct bd_job *job)
+static struct bd_ledger_job *new_job(const struct bd_job *job)
 {
-    struct bd_ledger *ledger = core->ledger;
-    struct bd_ledger_job *entry = find_job(ledger, job);
-    if (entry || !job->has_spec || job->spec.team < 0)
-        return entry;
-    entry = calloc(1, sizeof *entry);
+    struct bd_ledger_job *entry = calloc(1, sizeof *entry);
     if (!entry)
         abort();
     entry->job = job;
@@ -109,19 +106,38 @@
     entry->down = roaring_bitmap_create();
     if (!entry->up || !entry->down)
         abort();
-    const char *job_class = bd_class_name(core, job->job_class);
-    for (uint32_t i = 0; i < ledger->nbudgets && entry->nbudgets < BD_BUDGETS_A_JOB; i++) {
+    return entry;
+}
+
+/* Finds the budgets that the entry's tasks count for. */
+static void find_budgets(const struct bd_core *core, struct bd_ledger_job *entry)
+{
+    const struct bd_ledger *ledger = core->ledger;
+    const char *job_class = bd_class_name(core, entry->job->job_class);
+    for (uint32_t i = 0; i < ledger->nbudgets && entry->nbudgets < BD_BUDGETS_PER_JOB; i++) {
         const struct bd_budget *budget = &ledger->budgets[i];
-        bool whole_team = !*budget->rule->job_class;
-        if (budget->team == job->spec.team &&
-            (whole_team || strcmp(budget->rule->job_class, job_class) == 0))
+        bool is_whole_team = !*budget->rule->job_class;
+        if (budget->team == entry->job->spec.team &&
+            (is_whole_team || strcmp(budget->rule->job_class, job_class) == 0))
             entry->budgets[entry->nbudgets++] = i;
     }
+}
+
+struct bd_ledger_job *bd_ledger_get_job(struct bd_core *core, const struct bd_job *job)
+{
+    struct bd_ledger *ledger = core->ledger;
+    struct bd_ledger_job *entry = find_job(ledger, job);
+    if (entry || !job->has_spec || job->spec.team < 0)
+        return entry;
+    entry = new_job(job);
+    find_budgets(core, entry);
     HASH_ADD_PTR(ledger->jobs, job, entry);
     return entry;
 }
 
-static void count(struct bd_ledger *ledger, const struct bd_ledger_job *entry, int up, int down)
+/* Adds to the counts of the entry's budgets. */
+static void add_counts(struct bd_ledger *ledger, const struct bd_ledger_job *entry, int up,
+                       int down)
 {
     for (uint32_t i = 0; i < entry->nbudgets; i++) {
         ledger->budgets[entry->budgets[i]].up += (uint32_t)up;
@@ -134,31 +150,32 @@
     if (roaring_bitmap_contains(entry->up, task))
         return;
     roaring_bitmap_add(entry->up, task);
-    count(ledger, entry, 1, roaring_bitmap_remove_checked(entry->down, task) ? -1 : 0);
+    add_counts(ledger, entry, 1, roaring_bitmap_remove_checked(entry->down, task) ? -1 : 0);
 }
 
 static void set_down(struct bd_ledger *ledger, struct bd_ledger_job *entry, uint32_t task)
 {
     if (!roaring_bitmap_add_checked(entry->down, task))
         return;
-    count(ledger, entry, roaring_bitmap_remove_checked(entry->up, task) ? -1 : 0, 1);
+    add_counts(ledger, entry, roaring_bitmap_remove_checked(entry->up, task) ? -1 : 0, 1);
 }
 
-static void set_over(struct bd_ledger *ledger, struct bd_ledger_job *entry, uint32_t task)
+/* A task that has ended counts no more. */
+static void set_done(struct bd_ledger *ledger, struct bd_ledger_job *entry, uint32_t task)
 {
     int up = roaring_bitmap_remove_checked(entry->up, task) ? -1 : 0;
     int down = roaring_bitmap_remove_checked(entry->down, task) ? -1 : 0;
-    count(ledger, entry, up, down);
+    add_counts(ledger, entry, up, down);
 }
 
-static bool runs(const struct bd_task *task)
+static bool is_running(const struct bd_task *task)
 {
     return task->state == BD_TASK_CONFIRMED && task->execution == BD_EXECUTION_RUNNING &&
            !(task->flags & BD_TASK_FLAG_STOP_REQUESTED);
 }
 
-/* Told to stop, while it may be running already. */
-static bool may_stop(const struct bd_task *task)
+/* Whether a stop was requested of a task that may run. */
+static bool is_being_stopped(const struct bd_task *task)
 {
     return task->flags & BD_TASK_FLAG_STOP_REQUESTED &&
            (task->state == BD_TASK_CONFIRMED || task->state == BD_TASK_LAUNCHING ||
@@ -169,7 +186,7 @@
 {
     if (!core->ledger || core->role != BD_LEADER)
         return;
-    if (job->state != BD_JOB_ACTIVE) { /* its user ended it: that is no disruption */
+    if (job->state != BD_JOB_ACTIVE) { /* its end is no disruption */
         bd_ledger_forget(core, job);
         return;
     }
@@ -179,10 +196,10 @@
     if (!entry)
         return;
     if (task->state == BD_TASK_DONE)
-        set_over(ledger, entry, i);
-    else if (runs(task))
+        set_done(ledger, entry, i);
+    else if (is_running(task))
         set_up(ledger, entry, i);
-    else if (may_stop(task) || roaring_bitmap_contains(entry->up, i))
+    else if (is_being_stopped(task) || roaring_bitmap_contains(entry->up, i))
         set_down(ledger, entry, i);
 }
 
@@ -192,12 +209,12 @@
         return;
     struct bd_ledger_job *entry = find_job(core->ledger, job);
     if (entry)
-        drop_job(core->ledger, entry);
+        remove_job(core->ledger, entry);
 }
 
-/* Whether an earlier leader may have started the job. The intents of tasks that were lost are
- * dropped soon, so that their absence says nothing; but an array that waits in line is no
- * disruption, and one of which nothing is left on any machine is taken for that. */
+/* Whether an earlier leader may have started the job. The absence of intents does not show that it
+ * has not: those of lost tasks are deleted soon. But a pending array is no disruption, and an array
+ * without any trace of a task is taken to be pending. */
 static bool may_have_run(const struct bd_job *job)
 {
     return job->spec.kind != BD_JOB_ARRAY || job->nplaced > 0 || job->ndone > 0 ||
@@ -224,18 +241,24 @@
     return entry && roaring_bitmap_contains(entry->up, task);
 }
 
-static void silent_tasks(struct bd_ledger *ledger, const struct bd_machine *machine)
+static void count_silent_tasks(struct bd_ledger *ledger, const struct bd_machine *machine)
 {
-    for (uint32_t k = 0; k < machine->nreservations; k++) {
-        const struct bd_ledger_job *entry = find_job(ledger, machine->reservations[k].job);
-        if (!entry || !roaring_bitmap_contains(entry->up, machine->reservations[k].task))
+    for (uint32_t i = 0; i < machine->nreservations; i++) {
+        const struct bd_reservation *reservation = &machine->reservations[i];
+        const struct bd_ledger_job *entry = find_job(ledger, reservation->job);
+        if (!entry || !roaring_bitmap_contains(entry->up, reservation->task))
             continue;
-        for (uint32_t i = 0; i < entry->nbudgets; i++)
-            ledger->budgets[entry->budgets[i]].silent++;
+        for (uint32_t k = 0; k < entry->nbudgets; k++)
+            ledger->budgets[entry->budgets[k]].silent++;
     }
 }
 
-/* A machine whose report is late may be dead: what runs there is not known to run. */
+/* Whether the machine's tasks are not known to run. */
+static bool may_have_failed(const struct bd_core *core, const struct bd_machine *machine)
+{
+    return !machine->fenced || machine->notice_left >= 0 || bd_overdue(core, machine);
+}
+
 void bd_ledger_update_silent(struct bd_core *core)
 {
     struct bd_ledger *ledger = core->ledger;
@@ -243,9 +266,8 @@
         ledger->budgets[i].silent = 0;
     for (uint32_t i = 0; i < core->nmachines; i++) {
         const struct bd_machine *machine = core->by_index[i];
-        if (!machine->gone && machine->nreservations > 0 &&
-            (!machine->fenced || machine->notice_left >= 0 || bd_overdue(core, machine)))
-            silent_tasks(ledger, machine);
+        if (!machine->gone && machine->nreservations > 0 && may_have_failed(core, machine))
+            count_silent_tasks(ledger, machine);
     }
 }
 
@@ -260,8 +282,8 @@
 
 uint32_t bd_budget_remaining(const struct bd_budget *budget)
 {
-    uint32_t most = bd_budget_allowed(budget), used = budget->down + budget->silent;
-    return used < most ? most - used : 0;
+    uint32_t allowed = bd_budget_allowed(budget), used = budget->down + budget->silent;
+    return used < allowed ? allowed - used : 0;
 }
 
 const char *bd_budget_team_name(const struct bd_core *core, const struct bd_budget *budget)
