--- a/cli/drain_command.c
+++ b/cli/drain_command.c
@@ -1,6 +1,7 @@
 #include "drain_command.h"
 #include "base/http.h"
 #include "base/timeutil.h"
+#include "drain_output.h"
 #include <argp.h>
 #include <jansson.h>
 #include <stdbool.h>
@@ -8,19 +9,37 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PATH_DRAINS "/admin/v1/drains"
-#define ANSWER_S 20.0
-#define WATCH_S 2.0
+#define DRAINS_PATH "/admin/v1/drains"
+#define RESPONSE_TIMEOUT_S 20.0
+#define WATCH_INTERVAL_S 2.0
 #define URL_BYTES 256
 
-/* the man page names them */
-enum exit_status { EXIT_OK = 0, EXIT_REFUSED = 1, EXIT_USAGE = 2, EXIT_UNREACHED = 3 };
+enum exit_status { EXIT_DONE = 0, EXIT_REFUSED = 1, EXIT_USAGE = 2, EXIT_UNREACHED = 3 };
 
 enum option_key { KEY_ALL = 256, KEY_JSON };
 
+/* What is done with a drain. */
+enum verb {
+    VERB_NONE,
+    VERB_LIST,
+    VERB_SHOW,
+    VERB_WATCH,
+    VERB_START,
+    VERB_PAUSE,
+    VERB_RESUME,
+    VERB_CANCEL,
+    VERBS
+};
+
+static const char *const verb_names[VERBS] = {"",      "list",  "show",   "watch",
+                                              "start", "pause", "resume", "cancel"};
+
 struct arguments {
-    const char *admin, *verb, *name;
-    json_t *request; /* of `start` */
+    const char *admin; /* HOST:PORT */
+    const char *word;  /* the verb as given; NULL: missing */
+    enum verb verb;
+    const char *name; /* the drain's; NULL: missing */
+    json_t *request;  /* the body of `start` */
     bool as_json;
 };
 
@@ -45,225 +64,192 @@
     json_array_append_new(list, json_string(id));
 }
 
-static void positional(struct arguments *a, char *arg, struct argp_state *state)
+static enum verb find_verb(const char *name)
 {
-    if (!a->verb)
-        a->verb = arg;
-    else if (!a->name)
-        a->name = arg;
-    else
-        argp_error(state, "too many words");
+    for (int verb = VERB_LIST; verb < VERBS; verb++)
+        if (strcmp(verb_names[verb], name) == 0)
+            return (enum verb)verb;
+    return VERB_NONE;
 }
 
-static bool needs_name(const char *verb)
+static void add_word(struct arguments *arguments, const char *word, struct argp_state *state)
 {
-    return strcmp(verb, "list") != 0;
+    if (!arguments->word) {
+        arguments->word = word;
+        arguments->verb = find_verb(word);
+    } else if (!arguments->name) {
+        arguments->name = word;
+    } else {
+        argp_error(state, "too many words");
+    }
 }
 
-static void check(const struct arguments *a, struct argp_state *state)
+/* argp_error ends the program. */
+static void check_arguments(const struct arguments *arguments, struct argp_state *state)
 {
-    static const char *const verbs[] = {"list",  "show",   "watch", "start",
-                                        "pause", "resume", "cancel"};
-    bool known = false;
-    for (size_t i = 0; a->verb && i < sizeof verbs / sizeof verbs[0]; i++)
-        known = known || strcmp(verbs[i], a->verb) == 0;
-    if (!known)
+    if (arguments->verb == VERB_NONE)
         argp_error(state, "list, show, watch, start, pause, resume or cancel");
-    if (known && needs_name(a->verb) && !a->name)
-        argp_error(state, "%s needs the drain's name", a->verb);
-    if (!a->admin)
+    if (arguments->verb != VERB_LIST && !arguments->name)
+        argp_error(state, "%s needs the drain's name", arguments->word);
+    if (!arguments->admin)
         argp_error(state, "--admin HOST:PORT is needed");
 }
 
-static error_t parse(int key, char *arg, struct argp_state *state)
+static error_t parse_argument(int key, char *value, struct argp_state *state)
 {
-    struct arguments *a = state->input;
+    struct arguments *arguments = state->input;
     switch (key) {
     case 'a':
-        a->admin = arg;
+        arguments->admin = value;
         return 0;
     case KEY_JSON:
-        a->as_json = true;
+        arguments->as_json = true;
         return 0;
     case 'm':
-        json_object_set_new(a->request, "mode", json_string(arg));
+        json_object_set_new(arguments->request, "mode", json_string(value));
         return 0;
     case 'M':
-        add_machine(a->request, arg);
+        add_machine(arguments->request, value);
         return 0;
     case 't':
-        json_object_set_new(a->request, "type", json_string(arg));
+        json_object_set_new(arguments->request, "type", json_string(value));
         return 0;
     case 'z':
-        json_object_set_new(a->request, "zone", json_string(arg));
+        json_object_set_new(arguments->request, "zone", json_string(value));
         return 0;
     case 's':
-        json_object_set_new(a->request, "selection", json_string(arg));
+        json_object_set_new(arguments->request, "selection", json_string(value));
         return 0;
     case KEY_ALL:
-        json_object_set_new(a->request, "all", json_true());
+        json_object_set_new(arguments->request, "all", json_true());
         return 0;
     case ARGP_KEY_ARG:
-        positional(a, arg, state);
+        add_word(arguments, value, state);
         return 0;
     case ARGP_KEY_END:
-        check(a, state);
+        check_arguments(arguments, state);
         return 0;
     default:
         return ARGP_ERR_UNKNOWN;
     }
 }
 
-/* ---- asking ---- */
+/* ---- calls ---- */
+
+/* A controller's response. */
+struct response {
+    long status;  /* of HTTP; 0: none came */
+    json_t *body; /* owned by the response; NULL: none, or no JSON */
+};
 
-static long ask(const struct arguments *a, struct bd_http *http, const char *method,
-                const char *tail, const char *body, json_t **out)
+/* Calls a resource of the drains; tail: the path after theirs; body: NULL for none. */
+static struct response call_drains(const struct arguments *arguments, struct bd_http *http,
+                                   const char *method, const char *tail, const char *body)
 {
     char url[URL_BYTES];
     struct bd_http_response reply;
-    snprintf(url, sizeof url, "http://%s" PATH_DRAINS "%s", a->admin, tail);
-    bd_http_call(http, method, url, body, ANSWER_S, &reply);
-    long status = reply.status;
-    *out = reply.body ? json_loadb(reply.body, reply.len, 0, NULL) : NULL;
+    snprintf(url, sizeof url, "http://%s" DRAINS_PATH "%s", arguments->admin, tail);
+    bd_http_call(http, method, url, body, RESPONSE_TIMEOUT_S, &reply);
+    struct response response = {.status = reply.status};
+    if (reply.body)
+        response.body = json_loadb(reply.body, reply.len, 0, NULL);
     bd_http_response_free(&reply);
-    return status;
-}
-
-static const char *text_of(json_t *o, const char *key)
-{
-    const char *s = json_string_value(json_object_get(o, key));
-    return s ? s : "";
-}
-
-static void print_drain(json_t *drain)
-{
-    printf("%-24s %-8s %-10s %lld machines\n", text_of(drain, "name"), text_of(drain, "mode"),
-           text_of(drain, "state"),
-           (long long)json_integer_value(json_object_get(drain, "machines")));
+    return response;
 }
 
-static void print_entry(json_t *entry, double now)
+static enum exit_status print_response(const struct arguments *arguments,
+                                       const struct response *response)
 {
-    double since = json_number_value(json_object_get(entry, "since"));
-    printf("  %-20s %-9s %6.0f s", text_of(entry, "machine"), text_of(entry, "stage"),
-           now > since ? now - since : 0);
-    if (*text_of(entry, "waits_for"))
-        printf("  waits for %s", text_of(entry, "waits_for"));
-    if (*text_of(entry, "team"))
-        printf(" of %s", text_of(entry, "team"));
-    if (*text_of(entry, "replacement"))
-        printf("  replaced by %s", text_of(entry, "replacement"));
-    printf("\n");
-}
-
-static void print_answer(json_t *o)
-{
-    json_t *list = json_object_get(o, "drains"), *v;
-    struct timespec wall = {0, 0};
-    size_t i;
-    (void)clock_gettime(CLOCK_REALTIME, &wall);
-    if (!list) {
-        print_drain(o);
-        list = json_object_get(o, "entries");
-        json_array_foreach(list, i, v)
-        {
-            print_entry(v, bd_to_secs(wall));
-        }
-        return;
-    }
-    json_array_foreach(list, i, v)
-    {
-        print_drain(v);
+    enum exit_status result = EXIT_DONE;
+    if (response->status != 200 && response->status != 201) {
+        print_refusal(response->status, response->body);
+        bool is_reached = response->status != 0 && response->status < 500;
+        result = is_reached ? EXIT_REFUSED : EXIT_UNREACHED;
+    } else if (arguments->as_json) {
+        (void)json_dumpf(response->body, stdout, JSON_INDENT(1) | JSON_ENCODE_ANY);
+    } else {
+        print_drains(response->body);
     }
+    (void)fflush(stdout);
+    return result;
 }
 
-static int say_refusal(long status, json_t *o)
+/* Calls, prints the response, and frees it. */
+static enum exit_status call_and_print(const struct arguments *arguments, struct bd_http *http,
+                                       const char *method, const char *tail, const char *body)
 {
-    const char *field = text_of(o, "field");
-    if (status == 0)
-        fprintf(stderr, "brambledoor drain: no answer\n");
-    else
-        fprintf(stderr, "brambledoor drain: %ld %s%s%s\n", status, field, *field ? ": " : "",
-                text_of(o, "error"));
-    return status == 0 || status >= 500 ? EXIT_UNREACHED : EXIT_REFUSED;
+    struct response response = call_drains(arguments, http, method, tail, body);
+    enum exit_status result = print_response(arguments, &response);
+    json_decref(response.body);
+    return result;
 }
 
-static int conclude(const struct arguments *a, long status, json_t *o)
+static enum exit_status start_drain(const struct arguments *arguments, struct bd_http *http)
 {
-    int result = EXIT_OK;
-    if (status != 200 && status != 201)
-        result = say_refusal(status, o);
-    else if (a->as_json)
-        (void)json_dumpf(o, stdout, JSON_INDENT(1) | JSON_ENCODE_ANY);
-    else
-        print_answer(o);
-    (void)fflush(stdout);
+    json_object_set_new(arguments->request, "name", json_string(arguments->name));
+    char *body = json_dumps(arguments->request, JSON_COMPACT);
+    enum exit_status result = call_and_print(arguments, http, "POST", "", body);
+    free(body);
     return result;
 }
 
-static int watch(const struct arguments *a, struct bd_http *http, const char *tail)
+/* Prints the drain again and again until it has ended, also while no controller is reached. */
+static enum exit_status watch_drain(const struct arguments *arguments, struct bd_http *http,
+                                    const char *tail)
 {
     for (;;) {
-        json_t *o = NULL;
-        long status = ask(a, http, "GET", tail, NULL, &o);
-        int result = conclude(a, status, o);
-        const char *state = text_of(o, "state");
-        bool over = strcmp(state, "done") == 0 || strcmp(state, "called off") == 0;
-        json_decref(o);
-        if (result == EXIT_REFUSED || over)
+        struct response response = call_drains(arguments, http, "GET", tail, NULL);
+        enum exit_status result = print_response(arguments, &response);
+        const char *state = text_field(response.body, "state");
+        bool has_ended = strcmp(state, "done") == 0 || strcmp(state, "called off") == 0;
+        json_decref(response.body);
+        if (result == EXIT_REFUSED || has_ended)
             return result;
-        bd_pause(WATCH_S);
+        bd_pause(WATCH_INTERVAL_S);
     }
 }
 
-static int run(const struct arguments *a, struct bd_http *http)
+static enum exit_status run_verb(const struct arguments *arguments, struct bd_http *http)
 {
-    char tail[URL_BYTES / 2] = "";
-    char *body = NULL;
-    json_t *o = NULL;
-    bool reads = strcmp(a->verb, "list") == 0 || strcmp(a->verb, "show") == 0;
-    bool starts = strcmp(a->verb, "start") == 0;
-    if (needs_name(a->verb) && !starts)
-        snprintf(tail, sizeof tail, "/%s", a->name);
-    if (strcmp(a->verb, "watch") == 0)
-        return watch(a, http, tail);
-    if (starts) {
-        json_object_set_new(a->request, "name", json_string(a->name));
-        body = json_dumps(a->request, JSON_COMPACT);
-    } else if (!reads) {
-        strncat(tail, "/", sizeof tail - strlen(tail) - 1);
-        strncat(tail, a->verb, sizeof tail - strlen(tail) - 1);
-        body = strdup("{}");
+    char tail[URL_BYTES / 2];
+    switch (arguments->verb) {
+    case VERB_LIST:
+        return call_and_print(arguments, http, "GET", "", NULL);
+    case VERB_START:
+        return start_drain(arguments, http);
+    case VERB_SHOW:
+        snprintf(tail, sizeof tail, "/%s", arguments->name);
+        return call_and_print(arguments, http, "GET", tail, NULL);
+    case VERB_WATCH:
+        snprintf(tail, sizeof tail, "/%s", arguments->name);
+        return watch_drain(arguments, http, tail);
+    default: /* a change of the drain's state */
+        snprintf(tail, sizeof tail, "/%s/%s", arguments->name, arguments->word);
+        return call_and_print(arguments, http, "POST", tail, "{}");
     }
-    long status = ask(a, http, reads ? "GET" : "POST", tail, body, &o);
-    int result = conclude(a, status, o);
-    json_decref(o);
-    free(body);
-    return result;
 }
 
 int drain_command(int argc, char **argv)
 {
     static const struct argp argp = {
-        options,
-        parse,
-        "list | show NAME | watch NAME | start NAME | pause NAME | resume NAME | "
-        "cancel NAME",
-        "Drains machines in steps, within the disruption that each team declared.",
-        0,
-        0,
-        0};
+        .options = options,
+        .parser = parse_argument,
+        .args_doc = "list | show NAME | watch NAME | start NAME | pause NAME | resume NAME | "
+                    "cancel NAME",
+        .doc = "Drains machines in steps, within the disruption that each team declared."};
     char name[] = "brambledoor drain";
-    struct arguments a = {.request = json_object()};
-    argv[0] = name; /* in what argp says */
+    struct arguments arguments = {.request = json_object()};
+    argv[0] = name; /* in argp's messages */
     argp_err_exit_status = EXIT_USAGE;
-    if (argp_parse(&argp, argc, argv, 0, 0, &a) != 0 || bd_http_start() != 0)
-        return EXIT_USAGE;
+    enum exit_status result = EXIT_USAGE;
+    if (argp_parse(&argp, argc, argv, 0, 0, &arguments) != 0 || bd_http_start() != 0)
+        goto free_request;
     struct bd_http *http = bd_http_new(1, NULL);
-    int result = http ? run(&a, http) : EXIT_UNREACHED;
+    result = http ? run_verb(&arguments, http) : EXIT_UNREACHED;
     if (http)
         bd_http_free(http);
     bd_http_end();
-    json_decref(a.request);
-    return result;
+free_request:
+    json_decref(arguments.request);
+    return (int)result;
 }
--- a/cli/main.c
+++ b/cli/main.c
@@ -1,8 +1,10 @@
+/* The program: a controller, or the `drain` command. */
 #include "brambledoor/controller.h"
 #include "brambledoor/log.h"
 #include "brambledoor/settings.h"
 #include "drain_command.h"
 #include <argp.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -20,21 +22,23 @@
     {"check", 'k', 0, 0, "check the settings and exit", 0},
     {0}};
 
-static error_t parse(int key, char *arg, struct argp_state *state)
+enum exit_status { EXIT_DONE = 0, EXIT_FAILED = 1, EXIT_USAGE = 2 };
+
+static error_t parse_argument(int key, char *value, struct argp_state *state)
 {
-    struct arguments *a = state->input;
+    struct arguments *arguments = state->input;
     switch (key) {
     case 'c':
-        a->config = arg;
+        arguments->config = value;
         return 0;
     case 'o':
-        a->operators = arg;
+        arguments->operators = value;
         return 0;
     case 'k':
-        a->check = true;
+        arguments->check = true;
         return 0;
     case ARGP_KEY_END:
-        if (!a->config)
+        if (!arguments->config)
             argp_error(state, "--config FILE is needed");
         return 0;
     default:
@@ -42,36 +46,61 @@
     }
 }
 
-int main(int argc, char **argv)
+/* Reads the settings and the operators' file; prints what is wrong. The caller frees what
+ * settings->draining points to, also after a failure. */
+static bool load_settings(const struct arguments *arguments, struct bd_settings *settings)
+{
+    char error[256];
+    if (bd_settings_load(settings, arguments->config, error, sizeof error) == 0 &&
+        (!arguments->operators ||
+         bd_settings_operator(settings, arguments->operators, error, sizeof error) == 0))
+        return true;
+    fprintf(stderr, "brambledoor: %s\n", error);
+    return false;
+}
+
+/* Makes a controller as the arguments say; *node stays NULL if the settings are only checked, or
+ * after a failure. */
+static enum exit_status create_controller(const struct arguments *arguments, struct bd_node **node)
 {
-    if (argc > 1 && strcmp(argv[1], "drain") == 0)
-        return drain_command(argc - 1, argv + 1);
-    static const struct argp argp = {options, parse, 0, "A cluster scheduler's controller.",
-                                     0,       0,     0};
-    struct arguments a = {0};
-    char err[256];
-    argp_err_exit_status = 2;
-    if (argp_parse(&argp, argc, argv, 0, 0, &a) != 0)
-        return 2;
     struct bd_settings *settings = calloc(1, sizeof *settings);
     if (!settings)
-        return 1;
-    if (bd_settings_load(settings, a.config, err, sizeof err) != 0 ||
-        (a.operators && bd_settings_operator(settings, a.operators, err, sizeof err) != 0)) {
-        fprintf(stderr, "brambledoor: %s\n", err);
-        free(settings->draining);
-        free(settings);
-        return 2;
-    }
-    struct bd_node *node =
-        a.check ? NULL : bd_controller_new(settings, bd_log_level_parse(getenv("LOG_LEVEL")));
-    if (!node) /* else the controller's own copy holds it */
-        free(settings->draining);
+        return EXIT_FAILED;
+    enum exit_status result = EXIT_USAGE;
+    if (!load_settings(arguments, settings))
+        goto free_settings;
+    result = EXIT_DONE;
+    if (arguments->check)
+        goto free_settings;
+    *node = bd_controller_new(settings, bd_log_level_parse(getenv("LOG_LEVEL")));
+    if (*node)
+        settings->draining = NULL; /* the controller's copy of the settings owns it */
+    else
+        result = EXIT_FAILED;
+free_settings:
+    free(settings->draining);
     free(settings);
-    if (a.check)
-        return 0;
-    if (!node || bd_controller_start(node) != 0)
-        return 1;
+    return result;
+}
+
+int main(int argc, char **argv)
+{
+    if (argc > 1 && strcmp(argv[1], "drain") == 0)
+        return drain_command(argc - 1, argv + 1);
+    static const struct argp argp = {.options = options,
+                                     .parser = parse_argument,
+                                     .args_doc = NULL,
+                                     .doc = "A cluster scheduler's controller."};
+    struct arguments arguments = {0};
+    argp_err_exit_status = EXIT_USAGE;
+    if (argp_parse(&argp, argc, argv, 0, 0, &arguments) != 0)
+        return EXIT_USAGE;
+    struct bd_node *node = NULL;
+    enum exit_status result = create_controller(&arguments, &node);
+    if (!node)
+        return (int)result;
+    if (bd_controller_start(node) != 0)
+        return EXIT_FAILED;
     bd_controller_run(node);
-    return 0;
+    return EXIT_DONE;
 }
