--- a/include/brambledoor/settings.h
+++ b/include/brambledoor/settings.h
@@ -28,7 +28,7 @@
     double within_s, share;
 };
 
-struct bd_drain_rules; /* src/drain/drain.h */
+struct bd_drain_rules; /* src/drain/drain_rules.h */
 
 struct bd_settings {
     char node[BD_NAME], zone[BD_NAME], api_addr[BD_NAME], peer_addr[BD_NAME];
--- a/src/drain/drain.h
+++ b/src/drain/drain.h
@@ -2,7 +2,7 @@
  * more of its tasks down at once by our doing than it declared.
  *
  * The face of the package. It owns the leader's view of the drains (`struct bd_drains`), which
- * core/ creates and advances, leadership/ writes and ends, and autoscaling/ asks.
+ * core/ creates and advances, leadership/ writes and ends, and autoscaling/ queries.
  *
  *   drain_rules.h, rules.c      the operators' declarations
  *   drain_record.h, record.c    a drain's records in the key-value store
@@ -16,7 +16,7 @@
  *   greedy.c, solver.c          the choice of a step's machines, in two ways
  *   step_plan.c, step_stop.c    a step is planned, and once it is on record its tasks are stopped
  *   record_load.c, record_write.c  the records as the leader reads and writes them
- *   queries.c                   what other packages ask
+ *   queries.c                   queries of other packages
  *   summary_log.c               the summary in the log
  *
  * All of it belongs to the pure core. docs/draining.md says why it is built this way. Every
--- a/src/drain/drain_record.h
+++ b/src/drain/drain_record.h
@@ -38,16 +38,16 @@
 /* What a machine of a drain waits for. */
 enum bd_drain_wait {
     BD_DRAIN_WAIT_NOTHING,
-    BD_DRAIN_WAIT_OLDER,       /* a controller is running that does not know drains */
-    BD_DRAIN_WAIT_PAUSED,      /* an administrator's `resume` */
-    BD_DRAIN_WAIT_HEARTBEAT,   /* its heartbeat, which is late or was not seen in this term */
-    BD_DRAIN_WAIT_REPLACEMENT, /* a replacement that is up */
-    BD_DRAIN_WAIT_TASKS,       /* tasks that may finish first */
-    BD_DRAIN_WAIT_BUDGET,      /* the disruption budget of the team that is named */
-    BD_DRAIN_WAIT_STEP,        /* a place in a later step */
-    BD_DRAIN_WAIT_ZONE,        /* machines of a conflicting zone that are in a step */
-    BD_DRAIN_WAIT_CAPACITY,    /* free capacity for its tasks elsewhere */
-    BD_DRAIN_WAIT_WORK,        /* its replacement to run tasks */
+    BD_DRAIN_WAIT_OLDER_CONTROLLER, /* a controller is running that does not know drains */
+    BD_DRAIN_WAIT_PAUSED,           /* an administrator's `resume` */
+    BD_DRAIN_WAIT_HEARTBEAT,        /* its heartbeat, which is late or was not seen in this term */
+    BD_DRAIN_WAIT_REPLACEMENT,      /* a replacement that is up */
+    BD_DRAIN_WAIT_TASKS,            /* tasks that may finish first */
+    BD_DRAIN_WAIT_BUDGET,           /* the disruption budget of the team that is named */
+    BD_DRAIN_WAIT_STEP,             /* a place in a later step */
+    BD_DRAIN_WAIT_ZONE,             /* machines of a conflicting zone that are in a step */
+    BD_DRAIN_WAIT_CAPACITY,         /* free capacity for its tasks elsewhere */
+    BD_DRAIN_WAIT_WORK,             /* its replacement to run tasks */
     BD_DRAIN_WAITS
 };
 
--- a/src/drain/drain_rules.h
+++ b/src/drain/drain_rules.h
@@ -18,7 +18,7 @@
 };
 
 /* Machines that administrators may name by a label; an empty type or zone matches all. */
-struct bd_selection {
+struct bd_machine_selection {
     char label[BD_NAME], type[BD_NAME], zone[BD_NAME];
 };
 
@@ -27,8 +27,8 @@
     char one[BD_NAME], other[BD_NAME];
 };
 
-#define BD_BUDGET_RULES 256
-#define BD_SELECTIONS 64
+#define BD_BUDGET_RULES_MAX 256
+#define BD_SELECTIONS_MAX 64
 
 struct bd_drain_rules {
     char admin_addr[BD_NAME]; /* empty: no administration resources on this controller */
@@ -38,9 +38,9 @@
     double replace_s; /* after which a replacement that is not up is abandoned */
     double keep_s;    /* how long the records of a finished drain are kept */
     enum bd_drain_planner planner;
-    struct bd_budget_rule budgets[BD_BUDGET_RULES];
+    struct bd_budget_rule budgets[BD_BUDGET_RULES_MAX];
     uint32_t nbudgets;
-    struct bd_selection selections[BD_SELECTIONS];
+    struct bd_machine_selection selections[BD_SELECTIONS_MAX];
     uint32_t nselections;
     struct bd_zone_conflict zone_conflicts[BD_MAX_ZONES];
     uint32_t nzone_conflicts;
--- a/src/drain/queries.c
+++ b/src/drain/queries.c
@@ -1,4 +1,4 @@
-/* What other packages ask about drains. Part of the pure core. */
+/* Queries of other packages. Part of the pure core. */
 #include "drain/drain.h"
 #include "drain/drain_internal.h"
 #include "model/core_state.h"
--- a/src/drain/record_write.c
+++ b/src/drain/record_write.c
@@ -9,8 +9,8 @@
 #include <stdio.h>
 #include <string.h>
 
-/* After a transaction that was not applied the next ones go without our writes for a while, so
- * that they cannot hold the leader up. */
+/* After a transaction that was not applied the next ones contain no writes of drains for a while,
+ * so that these cannot block the leader's own. */
 #define REFUSED_DELAY_S 1.0
 #define WAITS_INTERVAL_S 2.0 /* between writes of a part in which only waits have changed */
 
--- a/src/drain/request.c
+++ b/src/drain/request.c
@@ -128,8 +128,8 @@
 
 /* ---- which machines ---- */
 
-static const struct bd_selection *find_selection(const struct bd_drain_rules *rules,
-                                                 const char *label)
+static const struct bd_machine_selection *find_selection(const struct bd_drain_rules *rules,
+                                                         const char *label)
 {
     for (uint32_t i = 0; i < rules->nselections; i++)
         if (strcmp(rules->selections[i].label, label) == 0)
@@ -200,7 +200,7 @@
     const char *type = request->type, *zone = request->zone;
     memset(refusal, 0, sizeof *refusal);
     if (*request->selection) {
-        const struct bd_selection *selection = find_selection(rules, request->selection);
+        const struct bd_machine_selection *selection = find_selection(rules, request->selection);
         if (!selection) {
             (void)refuse(refusal, STATUS_UNKNOWN, "selection", "no such selection");
             return NULL;
--- a/src/drain/rules.c
+++ b/src/drain/rules.c
@@ -98,6 +98,14 @@
         report_fault(reader, "down", "needs a number of tasks, or a per cent figure such as 5%");
 }
 
+/* How a fault names a budget. */
+static const char *budget_label(const char *team, const char *job_class)
+{
+    if (*job_class)
+        return job_class;
+    return *team ? team : "teams";
+}
+
 /* Adds a budget without an amount; NULL with a fault. */
 static struct bd_budget_rule *add_budget(struct reader *reader, const char *team,
                                          const char *job_class)
@@ -106,12 +114,8 @@
     for (uint32_t i = 0; i < rules->nbudgets; i++)
         if (strcmp(rules->budgets[i].team, team) == 0 &&
             strcmp(rules->budgets[i].job_class, job_class) == 0)
-            report_fault(reader,
-                         *job_class ? job_class
-                         : *team    ? team
-                                    : "teams",
-                         "is declared twice");
-    if (rules->nbudgets == BD_BUDGET_RULES)
+            report_fault(reader, budget_label(team, job_class), "is declared twice");
+    if (rules->nbudgets == BD_BUDGET_RULES_MAX)
         report_fault(reader, "team", "has too many entries");
     if (reader->has_failed)
         return NULL;
@@ -195,12 +199,13 @@
 {
     const sexp_t *label = entry->list->next;
     if (!label || label->ty != SEXP_VALUE || strlen(label->val) >= BD_NAME ||
-        reader->rules->nselections == BD_SELECTIONS) {
+        reader->rules->nselections == BD_SELECTIONS_MAX) {
         report_fault(reader, "selection",
                      "needs the form (selection LABEL (type T) (zone Z)), 64 at most");
         return;
     }
-    struct bd_selection *selection = &reader->rules->selections[reader->rules->nselections++];
+    struct bd_machine_selection *selection =
+        &reader->rules->selections[reader->rules->nselections++];
     snprintf(selection->label, sizeof selection->label, "%s", label->val);
     for (const sexp_t *field = label->next; field && !reader->has_failed; field = field->next) {
         const char *name = entry_name(reader, field);
--- a/src/drain/step_plan.c
+++ b/src/drain/step_plan.c
@@ -243,7 +243,7 @@
 {
     /* such a controller would, as leader, place tasks on cordoned machines and ignore budgets */
     if (bd_peer_lacks_feature(core, BD_PEER_KNOWS_DRAINS)) {
-        set_all_waiting(core, BD_DRAIN_WAIT_OLDER);
+        set_all_waiting(core, BD_DRAIN_WAIT_OLDER_CONTROLLER);
         return;
     }
     struct step_plan plan = {.core = core};
--- a/src/drain/step_stop.c
+++ b/src/drain/step_stop.c
@@ -52,7 +52,7 @@
     return result;
 }
 
-/* What keeps the machine's tasks from being stopped, before budgets are asked. */
+/* What keeps the machine's tasks from being stopped, before its budgets are checked. */
 static enum bd_drain_wait stop_obstacle(const struct bd_core *core, const struct bd_drain *drain,
                                         const struct bd_machine *machine)
 {
@@ -63,8 +63,8 @@
     return BD_DRAIN_WAIT_NOTHING;
 }
 
-/* A machine may have died between the choice and the record's commit: the budgets are asked again,
- * with all that was stopped before. An entry whose stop has begun stays in its stage. */
+/* A machine may have died between the choice and the record's commit: the budgets are checked
+ * again, with all that was stopped before. An entry whose stop has begun stays in its stage. */
 static void stop_machine(struct bd_core *core, struct bd_drain *drain,
                          struct bd_drain_machine *entry)
 {
--- a/src/model/disruption_ledger.h
+++ b/src/model/disruption_ledger.h
@@ -2,11 +2,12 @@
  *
  * A task is down from the moment it may be stopped, or is lost, until its next attempt is seen
  * running. Deaths, spot notices, failures, preemption, consolidation and drains all count; only
- * voluntary disruption asks the budgets first. What a new leader cannot know counts as down: an
- * earlier leader's command may be on its way until the machine's heartbeat shows our term.
+ * voluntary disruption is checked against the budgets first. What a new leader cannot know counts
+ * as down: an earlier leader's command may be on its way until the machine's heartbeat shows our
+ * term.
  *
  * Owns `struct bd_ledger`, which only its functions change. model/ and workers/ pass it the changes
- * of tasks, drain/ and autoscaling/ ask it, core/ creates it. Kept as leader, and only while
+ * of tasks, drain/ queries it, core/ creates it. Kept as leader, and only while
  * draining is on (core->ledger is NULL otherwise). */
 #ifndef BD_DISRUPTION_LEDGER_H
 #define BD_DISRUPTION_LEDGER_H
