--- a/src/drain/record.c
+++ b/src/drain/record.c
@@ -9,21 +9,38 @@
 #define MACHINE_BYTES 56u          /* of a machine in it beside the names and the team */
 #define REPLACEMENT_EXTRA_BYTES 8u /* that a replacement's id may be longer than the others */
 
-static const char *const stage_names[BD_STAGES] = {"cordoned", "waiting",  "stopping", "empty",
-                                                   "replaced", "returned", "failed"};
-static const char *const wait_names[BD_DRAIN_WAITS] = {"",
-                                                       "older controller",
-                                                       "resume",
-                                                       "report",
-                                                       "replacement",
-                                                       "tasks to end",
-                                                       "budget",
-                                                       "steps",
-                                                       "zone",
-                                                       "room",
-                                                       "work on the replacement"};
-static const char *const state_names[] = {"active", "paused", "called off", "done"};
-static const char *const mode_names[] = {"retire", "replace"};
+/* The names as they are in records and on the wire. */
+static const char *const stage_names[BD_STAGES] = {
+    [BD_STAGE_CORDONED] = "cordoned", [BD_STAGE_WAITING] = "waiting",
+    [BD_STAGE_STOPPING] = "stopping", [BD_STAGE_EMPTY] = "empty",
+    [BD_STAGE_REPLACED] = "replaced", [BD_STAGE_RETURNED] = "returned",
+    [BD_STAGE_FAILED] = "failed",
+};
+static const char *const wait_names[BD_DRAIN_WAITS] = {
+    [BD_DRAIN_WAIT_NOTHING] = "",
+    [BD_DRAIN_WAIT_OLDER_CONTROLLER] = "older controller",
+    [BD_DRAIN_WAIT_PAUSED] = "resume",
+    [BD_DRAIN_WAIT_HEARTBEAT] = "report",
+    [BD_DRAIN_WAIT_REPLACEMENT] = "replacement",
+    [BD_DRAIN_WAIT_TASKS] = "tasks to end",
+    [BD_DRAIN_WAIT_BUDGET] = "budget",
+    [BD_DRAIN_WAIT_STEP] = "steps",
+    [BD_DRAIN_WAIT_ZONE] = "zone",
+    [BD_DRAIN_WAIT_CAPACITY] = "room",
+    [BD_DRAIN_WAIT_WORK] = "work on the replacement",
+};
+static const char *const state_names[] = {
+    [BD_DRAIN_ACTIVE] = "active",
+    [BD_DRAIN_PAUSED] = "paused",
+    [BD_DRAIN_CALLED_OFF] = "called off",
+    [BD_DRAIN_DONE] = "done",
+};
+static const char *const mode_names[] = {
+    [BD_DRAIN_RETIRE] = "retire",
+    [BD_DRAIN_REPLACE] = "replace",
+};
+
+#define NAMES(names) ((int)(sizeof(names) / sizeof *(names)))
 
 /* The name's index, or -1. */
 static int find_name(const char *const *names, int n, const char *name)
@@ -67,9 +84,9 @@
 {
     memset(out, 0, sizeof *out);
     const char *set = json_string_value(json_object_get(value, "set"));
-    int mode = find_name(mode_names, BD_DRAIN_REPLACE + 1,
-                         json_string_value(json_object_get(value, "mode")));
-    int state = find_name(state_names, BD_DRAIN_DONE + 1,
+    int mode =
+        find_name(mode_names, NAMES(mode_names), json_string_value(json_object_get(value, "mode")));
+    int state = find_name(state_names, NAMES(state_names),
                           json_string_value(json_object_get(value, "state")));
     json_int_t parts = json_integer_value(json_object_get(value, "parts"));
     json_int_t machines = json_integer_value(json_object_get(value, "machines"));
@@ -122,8 +139,10 @@
 static bool read_entry(json_t *value, struct bd_drain_machine *entry)
 {
     memset(entry, 0, sizeof *entry);
-    int stage = find_name(stage_names, BD_STAGES, json_string_value(json_array_get(value, 1)));
-    int wait = find_name(wait_names, BD_DRAIN_WAITS, json_string_value(json_array_get(value, 2)));
+    int stage =
+        find_name(stage_names, NAMES(stage_names), json_string_value(json_array_get(value, 1)));
+    int wait =
+        find_name(wait_names, NAMES(wait_names), json_string_value(json_array_get(value, 2)));
     if (stage < 0 || wait < 0 ||
         !copy_text(json_array_get(value, 0), entry->id, sizeof entry->id) || !*entry->id ||
         !copy_text(json_array_get(value, 4), entry->team, sizeof entry->team) ||
--- a/src/drain/request.c
+++ b/src/drain/request.c
@@ -27,6 +27,28 @@
     return length > 0 && length <= BD_DRAIN_NAME_MAX && name[length] == '\0';
 }
 
+static bool read_mode(json_t *object, enum bd_drain_mode *out, struct bd_drain_refusal *refusal)
+{
+    static const enum bd_drain_mode modes[] = {BD_DRAIN_RETIRE, BD_DRAIN_REPLACE};
+    const char *text = json_string_value(json_object_get(object, "mode"));
+    for (size_t i = 0; text && i < sizeof modes / sizeof modes[0]; i++) {
+        if (strcmp(text, bd_drain_mode_name(modes[i])) != 0)
+            continue;
+        *out = modes[i];
+        return true;
+    }
+    return refuse(refusal, STATUS_MALFORMED, "mode", "is retire or replace");
+}
+
+static bool read_all(json_t *object, bool *out, struct bd_drain_refusal *refusal)
+{
+    json_t *value = json_object_get(object, "all");
+    if (value && !json_is_boolean(value))
+        return refuse(refusal, STATUS_MALFORMED, "all", "is true or false");
+    *out = json_is_true(value);
+    return true;
+}
+
 /* Reads a text that may be missing or null. */
 static bool read_optional_text(json_t *object, const char *key, char *out,
                                struct bd_drain_refusal *refusal)
@@ -107,19 +129,12 @@
     if (!json_is_object(object))
         return refuse(refusal, STATUS_MALFORMED, "body", "needs a JSON object");
     const char *name = json_string_value(json_object_get(object, "name"));
-    const char *mode = json_string_value(json_object_get(object, "mode"));
-    json_t *all = json_object_get(object, "all");
     if (!is_valid_name(name))
         return refuse(refusal, STATUS_MALFORMED, "name",
                       "needs up to 40 letters, digits, dots, dashes and underscores");
-    strcpy(out->name, name);
-    if (!mode || (strcmp(mode, "retire") != 0 && strcmp(mode, "replace") != 0))
-        return refuse(refusal, STATUS_MALFORMED, "mode", "is retire or replace");
-    out->mode = strcmp(mode, "retire") == 0 ? BD_DRAIN_RETIRE : BD_DRAIN_REPLACE;
-    if (all && !json_is_boolean(all))
-        return refuse(refusal, STATUS_MALFORMED, "all", "is true or false");
-    out->all = json_is_true(all);
-    return check_field_names(object, refusal) &&
+    snprintf(out->name, sizeof out->name, "%s", name);
+    return read_mode(object, &out->mode, refusal) && read_all(object, &out->all, refusal) &&
+           check_field_names(object, refusal) &&
            read_optional_text(object, "type", out->type, refusal) &&
            read_optional_text(object, "zone", out->zone, refusal) &&
            read_optional_text(object, "selection", out->selection, refusal) &&
