--- a/src/drain/drain.h
+++ b/src/drain/drain.h
@@ -4,7 +4,7 @@
  * The face of the package. It owns the leader's view of the drains (`struct bd_drains`), which
  * core/ creates and advances, leadership/ writes and ends, and autoscaling/ queries.
  *
- *   drain_rules.h, rules.c      the operators' declarations
+ *   drain_rules.h, rules*.c     the operators' declarations
  *   drain_record.h, record.c    a drain's records in the key-value store
  *   drain_request.h, request.c  an administrator's request
  *   drain.c                     creation, and the order of one tick
