--- a/include/brambledoor/settings.h
+++ b/include/brambledoor/settings.h
@@ -48,7 +48,7 @@
     double share;            /* of the jobs that are to meet it, 0 to 1 */
 };
 
-struct bd_drain_rules; /* src/drain/drain.h */
+struct bd_drain_rules; /* src/drain/drain_rules.h */
 
 /* Durations are struct timespec, rates are per second. */
 struct bd_settings {
--- a/src/adapters/admin_store.c
+++ b/src/adapters/admin_store.c
@@ -7,7 +7,12 @@
 #include "adapters/node.h"
 #include "base/timeutil.h"
 #include "drain/drain.h"
+#include "drain/drain_record.h"
+#include "drain/drain_request.h"
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
+#include "wire/wire_paths.h"
+#include "wire/wire_store.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/src/adapters/api_server.c
+++ b/src/adapters/api_server.c
@@ -6,6 +6,8 @@
 #include "base/metrics.h"
 #include "base/timeutil.h"
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
+#include "wire/wire_paths.h"
 #include <arpa/inet.h>
 #include <microhttpd.h>
 #include <stdio.h>
--- a/src/adapters/election.c
+++ b/src/adapters/election.c
@@ -11,6 +11,8 @@
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "wire/wire.h"
+#include "wire/wire_paths.h"
+#include "wire/wire_store.h"
 #include <gsl/gsl_rng.h>
 #include <stdatomic.h>
 #include <stdio.h>
--- a/src/adapters/election_internal.h
+++ b/src/adapters/election_internal.h
@@ -3,6 +3,7 @@
 #ifndef BD_ELECTION_INTERNAL_H
 #define BD_ELECTION_INTERNAL_H
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
 #include <gsl/gsl_rng.h>
 #include <stdbool.h>
 #include <stdint.h>
--- a/src/adapters/election_lease.c
+++ b/src/adapters/election_lease.c
@@ -5,6 +5,8 @@
 #include "adapters/node.h"
 #include "base/timeutil.h"
 #include "wire/wire.h"
+#include "wire/wire_paths.h"
+#include "wire/wire_store.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/src/adapters/event.h
+++ b/src/adapters/event.h
@@ -3,6 +3,7 @@
 #define BD_EVENT_H
 #include "model/leadership_state.h"
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
 #include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
--- a/src/adapters/kv_leader_writer.c
+++ b/src/adapters/kv_leader_writer.c
@@ -14,6 +14,8 @@
 #include "model/effect.h"
 #include "model/leadership_state.h"
 #include "wire/wire.h"
+#include "wire/wire_paths.h"
+#include "wire/wire_store.h"
 #include <stdatomic.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/adapters/kv_reader.c
+++ b/src/adapters/kv_reader.c
@@ -9,7 +9,10 @@
 #include "base/queue.h"
 #include "base/timeutil.h"
 #include "drain/drain.h"
+#include "drain/drain_record.h"
 #include "wire/wire.h"
+#include "wire/wire_paths.h"
+#include "wire/wire_store.h"
 #include <stdatomic.h>
 #include <stdio.h>
 
--- a/src/adapters/kv_user_writer.c
+++ b/src/adapters/kv_user_writer.c
@@ -9,6 +9,8 @@
 #include "base/timeutil.h"
 #include "model/effect.h"
 #include "wire/wire.h"
+#include "wire/wire_paths.h"
+#include "wire/wire_store.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/src/adapters/worker_client.c
+++ b/src/adapters/worker_client.c
@@ -9,6 +9,7 @@
 #include "brambledoor/log.h"
 #include "model/effect.h"
 #include "wire/wire.h"
+#include "wire/wire_paths.h"
 #include <stdio.h>
 #include <stdlib.h>
 
--- a/src/autoscaling/autoscaling.h
+++ b/src/autoscaling/autoscaling.h
@@ -7,6 +7,7 @@
 #define BD_AUTOSCALING_H
 #include "model/core_state.h"
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
 
 /* Evacuates machines, and asks the cloud for what is needed and to take back what is not. As
  * leader. */
--- a/src/autoscaling/consolidation.c
+++ b/src/autoscaling/consolidation.c
@@ -11,6 +11,8 @@
 #include "model/task_state.h"
 #include "scheduling/scheduling.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
+#include "wire/wire_workers.h"
 #include <math.h>
 #include <stdlib.h>
 
--- a/src/autoscaling/demand.c
+++ b/src/autoscaling/demand.c
@@ -9,6 +9,7 @@
 #include "model/resources.h"
 #include "scheduling/scheduling.h"
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
--- a/src/autoscaling/fleet_summary.c
+++ b/src/autoscaling/fleet_summary.c
@@ -5,6 +5,7 @@
 #include "model/core_state.h"
 #include "model/machine.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
 
 #define INTERVAL_S 20.0
 
--- a/src/autoscaling/inventory.c
+++ b/src/autoscaling/inventory.c
@@ -10,6 +10,7 @@
 #include "model/task.h"
 #include "model/task_state.h"
 #include "wire/wire.h"
+#include "wire/wire_cloud.h"
 #include <stdio.h>
 
 #define LIST_LAG_FACTOR 2.0   /* times the list's usual lag */
--- a/src/autoscaling/provisioning.c
+++ b/src/autoscaling/provisioning.c
@@ -11,6 +11,8 @@
 #include "model/leadership_state.h"
 #include "model/machine.h"
 #include "wire/wire.h"
+#include "wire/wire_cloud.h"
+#include "wire/wire_limits.h"
 #include <math.h>
 #include <stdio.h>
 #include <string.h>
--- a/src/autoscaling/scale_in.c
+++ b/src/autoscaling/scale_in.c
@@ -10,6 +10,8 @@
 #include "model/machine.h"
 #include "model/task_state.h"
 #include "wire/wire.h"
+#include "wire/wire_cloud.h"
+#include "wire/wire_limits.h"
 #include <stdio.h>
 
 #define REQUEST_MACHINES_MAX 100  /* in one request */
--- a/src/jobs/admission.c
+++ b/src/jobs/admission.c
@@ -14,6 +14,7 @@
 #include "model/replica_state.h"
 #include "wire/frame.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
 #include <stdio.h>
 #include <stdlib.h>
 
--- a/src/jobs/admission_record.c
+++ b/src/jobs/admission_record.c
@@ -8,6 +8,9 @@
 #include "model/core_state.h"
 #include "model/kv_limits.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
+#include "wire/wire_limits.h"
+#include "wire/wire_store.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/src/jobs/dependency_graph.c
+++ b/src/jobs/dependency_graph.c
@@ -17,6 +17,7 @@
 #include "model/core_state.h"
 #include "model/replica_state.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/jobs/dependency_names.c
+++ b/src/jobs/dependency_names.c
@@ -6,6 +6,8 @@
 #include "model/catalog.h"
 #include "model/core_state.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
+#include "wire/wire_limits.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/src/jobs/dependency_priorities.c
+++ b/src/jobs/dependency_priorities.c
@@ -3,6 +3,7 @@
 #include "jobs/jobs.h"
 #include "model/core_state.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
 #include <math.h>
 
 #define SLOWEST_TASK_FACTOR 1.3 /* a job's slowest task against the user's estimate */
--- a/src/jobs/pending_reads.c
+++ b/src/jobs/pending_reads.c
@@ -8,6 +8,7 @@
 #include "model/effect.h"
 #include "model/replica_state.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
 #include <stdio.h>
 #include <stdlib.h>
 
--- a/src/jobs/replica.c
+++ b/src/jobs/replica.c
@@ -12,6 +12,8 @@
 #include "model/task.h"
 #include "model/task_state.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
+#include "wire/wire_limits.h"
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/jobs/replica_eviction.c
+++ b/src/jobs/replica_eviction.c
@@ -4,6 +4,7 @@
 #include "model/leadership_state.h"
 #include "model/replica_state.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
 #include <math.h>
 #include <stdlib.h>
 
--- a/src/jobs/submission.c
+++ b/src/jobs/submission.c
@@ -9,6 +9,8 @@
 #include "model/effect.h"
 #include "model/replica_state.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
+#include "wire/wire_limits.h"
 #include <stdio.h>
 
 struct submission {
--- a/src/jobs/submission_feasibility.c
+++ b/src/jobs/submission_feasibility.c
@@ -4,6 +4,7 @@
 #include "model/catalog.h"
 #include "model/core_state.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
 #include <string.h>
 
 #define ROUNDING 1e-9 /* of amounts that were read as decimal numbers */
--- a/src/jobs/user_requests.c
+++ b/src/jobs/user_requests.c
@@ -8,6 +8,8 @@
 #include "model/leadership_state.h"
 #include "model/replica_state.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
+#include "wire/wire_limits.h"
 #include <string.h>
 
 #define KV_REACHABLE_S 2.0 /* since the newest refresh that was answered */
--- a/src/leadership/commit.c
+++ b/src/leadership/commit.c
@@ -14,6 +14,9 @@
 #include "model/task.h"
 #include "model/task_state.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
+#include "wire/wire_limits.h"
+#include "wire/wire_store.h"
 #include "workers/workers.h"
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/leadership/commit_garbage.c
+++ b/src/leadership/commit_garbage.c
@@ -6,6 +6,9 @@
 #include "model/leadership_state.h"
 #include "model/task_state.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
+#include "wire/wire_limits.h"
+#include "wire/wire_store.h"
 #include <stdio.h>
 
 #define GC_INTERVAL_S 2.0
--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -17,6 +17,7 @@
 #include "model/task.h"
 #include "model/task_state.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
 #include "workers/commands.h"
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/leadership/intent_record.c
+++ b/src/leadership/intent_record.c
@@ -8,6 +8,7 @@
 #include "model/machine.h"
 #include "model/task.h"
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/src/leadership/receipt.c
+++ b/src/leadership/receipt.c
@@ -7,6 +7,8 @@
 #include "model/task.h"
 #include "model/task_state.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
+#include "wire/wire_limits.h"
 #include <string.h>
 
 #define VALUE_SYNTAX_BYTES 16u /* of {"b":"..."} */
--- a/src/leadership/reconciliation.c
+++ b/src/leadership/reconciliation.c
@@ -11,6 +11,8 @@
 #include "model/task.h"
 #include "model/task_state.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
+#include "wire/wire_store.h"
 #include <stdio.h>
 
 void bd_leadership_begin_term(struct bd_core *core, const struct bd_acquisition *acquisition)
--- a/src/leadership/txn_builder.c
+++ b/src/leadership/txn_builder.c
@@ -2,6 +2,8 @@
  * Part of the pure core. */
 #include "leadership/leadership_internal.h"
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
+#include "wire/wire_store.h"
 #include <stdio.h>
 
 #define TXN_BYTES_MAX 56000u /* of a request's body */
--- a/src/model/autoscaling_state.h
+++ b/src/model/autoscaling_state.h
@@ -7,6 +7,7 @@
 #include "brambledoor/settings.h"
 #include "model/job.h"
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
 
 #define BD_PROVISION_REQUESTS_MAX 64 /* without an answer; no more are made */
 
--- a/src/model/catalog.c
+++ b/src/model/catalog.c
@@ -2,6 +2,7 @@
 #include "brambledoor/settings.h"
 #include "model/core_state.h"
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/src/model/catalog.h
+++ b/src/model/catalog.h
@@ -4,6 +4,7 @@
 #ifndef BD_CATALOG_H
 #define BD_CATALOG_H
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
 #include <uthash.h>
 
 struct bd_core;
--- a/src/model/core_state.h
+++ b/src/model/core_state.h
@@ -19,6 +19,7 @@
 #include "model/peer_state.h"
 #include "model/replica_state.h"
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
 
 struct bd_drains;
 struct bd_ledger;
--- a/src/model/delegate_state.h
+++ b/src/model/delegate_state.h
@@ -4,6 +4,7 @@
 #define BD_DELEGATE_STATE_H
 #include "brambledoor/settings.h"
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
 #include <time.h>
 #include <uthash.h>
 
--- a/src/model/dependency_state.h
+++ b/src/model/dependency_state.h
@@ -4,6 +4,7 @@
 #define BD_DEPENDENCY_STATE_H
 #include "model/job.h"
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
 
 /* A job that others wait for. It is active, or its record has not been read. */
 struct bd_parent_job {
--- a/src/model/effect.h
+++ b/src/model/effect.h
@@ -5,6 +5,7 @@
 #ifndef BD_EFFECT_H
 #define BD_EFFECT_H
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
 
 /* What a request is to the core: the API server's own, or one that another controller forwarded.
  * Both begin alike, so that a reply finds its way. */
--- a/src/model/forwarding_state.h
+++ b/src/model/forwarding_state.h
@@ -3,6 +3,7 @@
 #ifndef BD_FORWARDING_STATE_H
 #define BD_FORWARDING_STATE_H
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
 #include <time.h>
 #include <uthash.h>
 
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -3,6 +3,7 @@
 #define BD_JOB_H
 #include "model/task.h"
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
 #include <time.h>
 #include <uthash.h>
 
--- a/src/model/leadership_state.h
+++ b/src/model/leadership_state.h
@@ -6,6 +6,7 @@
 #define BD_LEADERSHIP_STATE_H
 #include "model/job.h"
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
 #include <stdbool.h>
 #include <stdint.h>
 #include <time.h>
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -8,6 +8,7 @@
 #define BD_MACHINE_H
 #include "model/job.h"
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
 
 #define BD_IMAGES 40 /* that a machine is known to have; older ones are fetched again */
 
--- a/src/model/replica_state.h
+++ b/src/model/replica_state.h
@@ -3,6 +3,7 @@
 #ifndef BD_REPLICA_STATE_H
 #define BD_REPLICA_STATE_H
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
 #include <stdbool.h>
 #include <stdint.h>
 #include <time.h>
--- a/src/model/reservation.c
+++ b/src/model/reservation.c
@@ -3,6 +3,7 @@
 #include "model/machine.h"
 #include "model/task.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
 #include <stdlib.h>
 
 #define CAPACITY_FIRST 8 /* of a machine's list of reservations, which doubles */
--- a/src/model/task_state.c
+++ b/src/model/task_state.c
@@ -7,6 +7,8 @@
 #include "model/reservation.h"
 #include "model/task.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
+#include "wire/wire_workers.h"
 #include "workers/commands.h"
 #include <stdlib.h>
 
--- a/src/runtime/event_apply.c
+++ b/src/runtime/event_apply.c
@@ -14,6 +14,8 @@
 #include "wire/frame.h"
 #include "wire/heartbeat_cache.h"
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
+#include "wire/wire_store.h"
 #include "workers/workers.h"
 #include <string.h>
 
--- a/src/runtime/operators_file.c
+++ b/src/runtime/operators_file.c
@@ -2,6 +2,7 @@
 #include "base/timeutil.h"
 #include "brambledoor/settings.h"
 #include "drain/drain.h"
+#include "drain/drain_rules.h"
 #include "runtime/settings_internal.h"
 #include <math.h>
 #include <sexp.h>
--- a/src/runtime/peer_status.c
+++ b/src/runtime/peer_status.c
@@ -4,6 +4,7 @@
 #include "model/leadership_state.h"
 #include "wire/frame.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
 #include "workers/workers.h"
 #include <stdlib.h>
 #include <string.h>
--- a/src/scheduling/cost_model.c
+++ b/src/scheduling/cost_model.c
@@ -6,6 +6,8 @@
 #include "model/core_state.h"
 #include "scheduling/scheduling.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
+#include "wire/wire_limits.h"
 #include <math.h>
 #include <string.h>
 
--- a/src/scheduling/gang_placement.c
+++ b/src/scheduling/gang_placement.c
@@ -3,6 +3,7 @@
 #include "model/resources.h"
 #include "scheduling/scheduling_internal.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
 
 #define CLAIM_AFTER_S 10.0 /* a gang that has waited so long claims capacity, and preempts */
 
--- a/src/scheduling/gpu_capacity.c
+++ b/src/scheduling/gpu_capacity.c
@@ -8,6 +8,7 @@
 #include "scheduling/scheduling.h"
 #include "scheduling/scheduling_internal.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
 #include <string.h>
 
 #define GPU_TASKS_MAX 64u /* that are counted on one machine */
--- a/src/scheduling/job_order.c
+++ b/src/scheduling/job_order.c
@@ -6,6 +6,7 @@
 #include "scheduling/scheduling.h"
 #include "scheduling/scheduling_internal.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
 #include <stdlib.h>
 #include <string.h>
 
--- a/src/scheduling/machine_choice.c
+++ b/src/scheduling/machine_choice.c
@@ -7,6 +7,7 @@
 #include "scheduling/scheduling.h"
 #include "scheduling/scheduling_internal.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
 #include <math.h>
 
 /* weights of a choice, in seconds of later start */
--- a/src/scheduling/placement.c
+++ b/src/scheduling/placement.c
@@ -9,6 +9,8 @@
 #include "scheduling/scheduling.h"
 #include "scheduling/scheduling_internal.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
+#include "wire/wire_limits.h"
 #include <stdlib.h>
 
 #define FETCH_WORTH_PREEMPTING_S 12.0 /* a longer fetch is worth preempting borrowed capacity */
--- a/src/scheduling/preemption.c
+++ b/src/scheduling/preemption.c
@@ -9,6 +9,8 @@
 #include "scheduling/scheduling.h"
 #include "scheduling/scheduling_internal.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
+#include "wire/wire_workers.h"
 #include <math.h>
 
 #define PREEMPTION_COST_S 10.0 /* all resources of a task freed by preempting others */
--- a/src/scheduling/scheduling.h
+++ b/src/scheduling/scheduling.h
@@ -8,6 +8,7 @@
 #define BD_SCHEDULING_H
 #include "model/core_state.h"
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
 
 /* ---- the cycle (cycle.c) ---- */
 
--- a/src/scheduling/scheduling_internal.h
+++ b/src/scheduling/scheduling_internal.h
@@ -10,6 +10,7 @@
 #include "model/resources.h"
 #include "scheduling/scheduling.h"
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
 
 /* Which machines a search may take. */
 enum bd_price_limit { BD_PRICE_CHEAP, BD_PRICE_ANY };
--- a/src/wire/heartbeat_cache.c
+++ b/src/wire/heartbeat_cache.c
@@ -1,4 +1,5 @@
 #include "wire/heartbeat_cache.h"
+#include "wire/wire_workers.h"
 #include <jansson.h>
 #include <stdbool.h>
 #include <stdlib.h>
--- a/src/wire/wire_cloud.c
+++ b/src/wire/wire_cloud.c
@@ -1,5 +1,6 @@
 #include "wire/wire_cloud.h"
 #include "wire/wire_internal.h"
+#include "wire/wire_limits.h"
 #include "wire/wire_names.h"
 #include <string.h>
 
--- a/src/wire/wire_fields.c
+++ b/src/wire/wire_fields.c
@@ -1,5 +1,6 @@
 /* Single fields of a JSON object, and objects as text. */
 #include "wire/wire_internal.h"
+#include "wire/wire_limits.h"
 #include <math.h>
 #include <string.h>
 
--- a/src/wire/wire_job_records.c
+++ b/src/wire/wire_job_records.c
@@ -1,5 +1,8 @@
 /* Jobs' records in the key-value store, and the parts of long lists of parents. */
 #include "wire/wire_internal.h"
+#include "wire/wire_jobs.h"
+#include "wire/wire_limits.h"
+#include "wire/wire_names.h"
 #include <string.h>
 
 /* in the order of enum bd_job_state */
--- a/src/wire/wire_job_spec.c
+++ b/src/wire/wire_job_spec.c
@@ -1,5 +1,7 @@
 /* A job's spec, in submissions and in records. */
 #include "wire/wire_internal.h"
+#include "wire/wire_limits.h"
+#include "wire/wire_names.h"
 #include <string.h>
 
 /* in the order of enum bd_job_kind and of enum bd_priority */
--- a/src/wire/wire_jobs.c
+++ b/src/wire/wire_jobs.c
@@ -1,6 +1,8 @@
 /* Names of jobs and tasks, submissions, and the replies to users. */
 #include "wire/wire_jobs.h"
 #include "wire/wire_internal.h"
+#include "wire/wire_limits.h"
+#include "wire/wire_names.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -9,6 +9,8 @@
 #include "model/machine.h"
 #include "model/task.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
+#include "wire/wire_workers.h"
 #include "workers/workers_internal.h"
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -25,6 +25,7 @@
 #include "model/peers.h"
 #include "wire/frame.h"
 #include "wire/wire.h"
+#include "wire/wire_workers.h"
 #include "workers/commands.h"
 #include "workers/workers.h"
 #include "workers/workers_internal.h"
--- a/src/workers/delegate_probes.c
+++ b/src/workers/delegate_probes.c
@@ -9,6 +9,7 @@
 #include "model/delegate_state.h"
 #include "model/peers.h"
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
 #include "workers/workers.h"
 #include "workers/workers_internal.h"
 #include <stdio.h>
--- a/src/workers/delegate_record.c
+++ b/src/workers/delegate_record.c
@@ -8,6 +8,8 @@
 #include "model/effect.h"
 #include "model/kv_limits.h"
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
+#include "wire/wire_store.h"
 #include "workers/workers.h"
 #include "workers/workers_internal.h"
 #include <stdio.h>
--- a/src/workers/direct_commands.c
+++ b/src/workers/direct_commands.c
@@ -10,6 +10,7 @@
 #include "model/leadership_state.h"
 #include "model/machine.h"
 #include "wire/wire.h"
+#include "wire/wire_workers.h"
 #include "workers/commands.h"
 #include "workers/workers.h"
 #include "workers/workers_internal.h"
--- a/src/workers/forwarding.c
+++ b/src/workers/forwarding.c
@@ -10,6 +10,7 @@
 #include "model/peers.h"
 #include "wire/frame.h"
 #include "wire/wire.h"
+#include "wire/wire_workers.h"
 #include "workers/workers.h"
 #include "workers/workers_internal.h"
 #include <stdlib.h>
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -11,6 +11,7 @@
 #include "model/task.h"
 #include "model/task_state.h"
 #include "wire/wire.h"
+#include "wire/wire_workers.h"
 #include "workers/commands.h"
 #include "workers/workers.h"
 #include "workers/workers_internal.h"
--- a/src/workers/machine_health.c
+++ b/src/workers/machine_health.c
@@ -8,6 +8,8 @@
 #include "model/task.h"
 #include "model/task_state.h"
 #include "wire/wire.h"
+#include "wire/wire_jobs.h"
+#include "wire/wire_workers.h"
 #include "workers/workers.h"
 #include "workers/workers_internal.h"
 
--- a/src/workers/worker_redirects.c
+++ b/src/workers/worker_redirects.c
@@ -7,6 +7,7 @@
 #include "model/forwarding_state.h"
 #include "model/machine.h"
 #include "wire/wire.h"
+#include "wire/wire_workers.h"
 #include "workers/workers.h"
 #include "workers/workers_internal.h"
 #include <stdio.h>
--- a/tests/drain_profile.c
+++ b/tests/drain_profile.c
@@ -34,6 +34,11 @@
 #include <stdlib.h>
 #include <string.h>
 #include <time.h>
+#include "drain/drain_record.h"
+#include "wire/wire_cloud.h"
+#include "wire/wire_jobs.h"
+#include "wire/wire_limits.h"
+#include "wire/wire_workers.h"
 
 #define REPLICAS 10  /* on a machine at first */
 #define JOB_TASKS 40 /* replicas of a service */
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -22,6 +22,9 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
+#include "wire/wire_jobs.h"
+#include "wire/wire_limits.h"
+#include "wire/wire_workers.h"
 
 #define JOBS 160
 #define STEPS 900
--- a/tests/inputs.c
+++ b/tests/inputs.c
@@ -8,6 +8,10 @@
 #include <stdlib.h>
 #include <string.h>
 #include <unistd.h>
+#include "wire/wire_cloud.h"
+#include "wire/wire_jobs.h"
+#include "wire/wire_limits.h"
+#include "wire/wire_workers.h"
 
 static int faults;
 
--- a/tests/loopback_drain.c
+++ b/tests/loopback_drain.c
@@ -13,6 +13,8 @@
 #include <string.h>
 #include <sys/wait.h>
 #include <unistd.h>
+#include "wire/wire_jobs.h"
+#include "wire/wire_limits.h"
 
 #define SERVICES 10
 #define REPLICAS 4 /* of a service, a CPU each: ten machines of four */
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -30,6 +30,10 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
+#include "wire/wire_jobs.h"
+#include "wire/wire_limits.h"
+#include "wire/wire_store.h"
+#include "wire/wire_workers.h"
 
 #define PEER "node-1"
 #define ZONES 2
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -56,6 +56,10 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
+#include "wire/wire_cloud.h"
+#include "wire/wire_jobs.h"
+#include "wire/wire_limits.h"
+#include "wire/wire_workers.h"
 
 void play_fail(struct play *p, const char *what)
 {
--- a/tests/scenario_drain.c
+++ b/tests/scenario_drain.c
@@ -17,6 +17,12 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
+#include "drain/drain_record.h"
+#include "drain/drain_request.h"
+#include "drain/drain_rules.h"
+#include "wire/wire_cloud.h"
+#include "wire/wire_limits.h"
+#include "wire/wire_workers.h"
 
 void play_draining(struct play *p)
 {
--- a/tests/sim_drain.c
+++ b/tests/sim_drain.c
@@ -7,6 +7,11 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
+#include "drain/drain_record.h"
+#include "drain/drain_rules.h"
+#include "wire/wire_jobs.h"
+#include "wire/wire_limits.h"
+#include "wire/wire_store.h"
 
 #define TEAMS 2
 
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -15,6 +15,11 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
+#include "drain/drain_record.h"
+#include "wire/wire_cloud.h"
+#include "wire/wire_limits.h"
+#include "wire/wire_store.h"
+#include "wire/wire_workers.h"
 
 #define TTL_S 2.0
 
--- a/tests/sim_work.c
+++ b/tests/sim_work.c
@@ -6,6 +6,9 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
+#include "wire/wire_jobs.h"
+#include "wire/wire_limits.h"
+#include "wire/wire_workers.h"
 
 #define GANG_WAIT_S 30.0
 
--- a/tests/simulation.c
+++ b/tests/simulation.c
@@ -39,6 +39,8 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
+#include "drain/drain_record.h"
+#include "wire/wire_jobs.h"
 
 #define STEP_S 0.02
 #define QUIET_S 130.0        /* after the last fault all work is to be served */
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -14,6 +14,7 @@
 #include "wire/wire.h"
 #include <gsl/gsl_rng.h>
 #include <jansson.h>
+#include "wire/wire_limits.h"
 
 #define SIM_NODES 4
 #define SIM_MACHINES 160
