--- a/deploy/draining.sexp
+++ b/deploy/draining.sexp
@@ -4,7 +4,7 @@
 (draining
   ; (admin "127.0.0.1:9090")    ; administration API: an address for each controller; none by default
   (machines-in-step 4)          ; at once; the default is 1
-  (stop-s 60)                   ; a task that was told to stop is killed after this
+  (stop-s 60)                   ; a task that was told to stop is stopped by force after this
   (wait-s 300)                  ; arrays, and gangs without checkpoints, may end by themselves for so long
   (replace-s 300)               ; a replacement that is not up after this is given up
   (keep-s 86400)                ; how long the records of a finished drain are kept
