--- a/tests/drain_profile.c
+++ b/tests/drain_profile.c
@@ -9,6 +9,7 @@
  * - drain-profile check: small sizes of the above, with bounds */
 #include "../src/drain/drain_internal.h"
 #include "brambledoor/log.h"
+#include "numbers.h"
 #include "small.h"
 #if __has_include(<valgrind/callgrind.h>)
 #include <valgrind/callgrind.h>
@@ -114,7 +115,7 @@
         struct bd_heartbeat r;
         struct bd_reported_task tasks[128];
         if (e->kind == BD_EFFECT_DIRECT_COMMAND) {
-            fill(f, (uint32_t)atoi(f->core->by_index[e->machine]->id + 3), &r, tasks);
+            fill(f, (uint32_t)number_of(f->core->by_index[e->machine]->id + 3), &r, tasks);
             bd_worker_direct_command_completed(f->core, e->machine, e->fencing_token, e->launch,
                                                200, &r);
         } else if (e->kind == BD_EFFECT_SCALE_IN) {
@@ -429,11 +430,12 @@
 int main(int argc, char **argv)
 {
     if (argc == 5 && strcmp(argv[1], "fleet") == 0)
-        return drain_fleet((uint32_t)atoi(argv[2]), atof(argv[3]), (uint32_t)atoi(argv[4])) < 0;
+        return drain_fleet((uint32_t)number_of(argv[2]), strtod(argv[3], NULL),
+                           (uint32_t)number_of(argv[4])) < 0;
     if (argc == 4 && strcmp(argv[1], "steps") == 0)
-        return compare_steps((uint32_t)atoi(argv[2]), (uint32_t)atoi(argv[3]));
+        return compare_steps((uint32_t)number_of(argv[2]), (uint32_t)number_of(argv[3]));
     if (argc == 4 && strcmp(argv[1], "ticks") == 0)
-        return ticks((uint32_t)atoi(argv[2]), argv[3]);
+        return ticks((uint32_t)number_of(argv[2]), argv[3]);
     if (argc == 2 && strcmp(argv[1], "check") == 0)
         return drain_fleet(20, 5, 8) < 0 || compare_steps(30, 20) != 0;
     return 2;
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -15,6 +15,7 @@
 #include "leadership/leadership.h"
 #include "model/effect.h"
 #include "model/leadership_state.h"
+#include "numbers.h"
 #include "small.h"
 #include "wire/wire.h"
 #include "workers/workers.h"
@@ -169,7 +170,7 @@
 
 static void check_start(struct world *w, const char *task)
 {
-    int n = atoi(task + strlen("job-"));
+    int n = number_of(task + strlen("job-"));
     char id[32];
     for (int k = 0; k < w->jobs[n].nprerequisites; k++) {
         snprintf(id, sizeof id, "job-%d", w->jobs[n].parents[k]);
@@ -274,7 +275,7 @@
     free(q);
 }
 
-static void refresh(struct world *w, int n, bool all);
+static void refresh(struct world *w, int n, bool ok);
 
 static void direct(struct world *w, int n, struct bd_effect *e)
 {
@@ -670,7 +671,7 @@
 
 int main(int argc, char **argv)
 {
-    int faults = 0, ends = 0, cancels = 0, seeds = argc > 1 ? atoi(argv[1]) : 0;
+    int faults = 0, ends = 0, cancels = 0, seeds = argc > 1 ? number_of(argv[1]) : 0;
     for (int s = 1; s <= seeds; s++)
         faults += play((unsigned long)s, &ends, &cancels);
     faults += large();
--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -3,6 +3,7 @@
 #include "adapters/node.h"
 #include "base/timeutil.h"
 #include "loopback_nodes.h"
+#include "numbers.h"
 #include <arpa/inet.h>
 #include <jansson.h>
 #include <poll.h>
@@ -512,8 +513,8 @@
         recv(c->fd[i], c->got[i] + c->len[i], sizeof c->got[i] - 1 - c->len[i], MSG_DONTWAIT);
     c->len[i] += n > 0 ? (size_t)n : 0;
     c->got[i][c->len[i]] = '\0';
-    int status = 0;
-    if (sscanf(c->got[i], "HTTP/1.1 %d", &status) == 1 && strstr(c->got[i], "}")) {
+    long status = 0;
+    if (number_after(c->got[i], "HTTP/1.1 ", &status) && strstr(c->got[i], "}")) {
         bool good = status == 200 || status == 201 || status == 404;
         c->answered += good;
         c->refused += status == 503 || status == 429;
@@ -621,7 +622,7 @@
     snprintf(path, sizeof path, "/proc/%d/status", (int)t->pid[node]);
     FILE *f = fopen(path, "r");
     while (f && fgets(line, sizeof line, f))
-        if (sscanf(line, "RssAnon: %ld", &kb) == 1)
+        if (number_after(line, "RssAnon:", &kb))
             break;
     if (f)
         (void)fclose(f);
--- a/tests/loopback_drain.c
+++ b/tests/loopback_drain.c
@@ -6,8 +6,11 @@
 #include "base/timeutil.h"
 #include "drain_check.h"
 #include "loopback_nodes.h"
+#include "numbers.h"
 #include "wire/wire.h"
+#include <fcntl.h>
 #include <pthread.h>
+#include <spawn.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -22,6 +25,7 @@
 #define BUDGET_RED 1u
 #define ADMIN_PORT 6 /* after the first of the test's ports, one a node */
 #define DRAIN_S 150.0
+#define COMMAND_WORDS_MAX 15
 
 /* The history, told by the workers' threads. */
 struct history {
@@ -36,9 +40,9 @@
     struct history *h = arg;
     char id[BD_ID];
     uint32_t number;
-    if (!bd_wire_task_name(task, id, &number) || atoi(id + 4) < FIRST_JOB)
+    if (!bd_wire_task_name(task, id, &number) || number_of(id + 4) < FIRST_JOB)
         return;
-    int job = atoi(id + 4) - FIRST_JOB;
+    int job = number_of(id + 4) - FIRST_JOB;
     double now = bd_between(h->began, bd_now());
     (void)pthread_mutex_lock(&h->lock);
     if (event == WORLD_RUNS)
@@ -93,11 +97,27 @@
 /* The exit status of `brambledoor drain ...`. */
 static int command(struct test *t, int node, const char *words)
 {
-    char line[512];
-    snprintf(line, sizeof line, "%s drain --admin 127.0.0.1:%d %s >/dev/null 2>&1", t->program,
-             t->base + ADMIN_PORT + node, words);
-    int status = system(line);
-    return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
+    char address[32], copy[256];
+    char *arguments[COMMAND_WORDS_MAX + 1] = {(char *)t->program, "drain", "--admin", address};
+    size_t count = 4;
+    snprintf(address, sizeof address, "127.0.0.1:%d", t->base + ADMIN_PORT + node);
+    snprintf(copy, sizeof copy, "%s", words);
+    for (char *rest = NULL, *word = strtok_r(copy, " ", &rest); word && count < COMMAND_WORDS_MAX;
+         word = strtok_r(NULL, " ", &rest))
+        arguments[count++] = word;
+    pid_t child = -1;
+    int status = -1;
+    posix_spawn_file_actions_t actions;
+    if (posix_spawn_file_actions_init(&actions) != 0)
+        return -1;
+    bool ready =
+        posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, "/dev/null", O_WRONLY, 0) == 0 &&
+        posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO) == 0 &&
+        posix_spawn(&child, t->program, &actions, NULL, arguments, environ) == 0;
+    (void)posix_spawn_file_actions_destroy(&actions);
+    if (!ready || waitpid(child, &status, 0) != child || !WIFEXITED(status))
+        return -1;
+    return WEXITSTATUS(status);
 }
 
 static bool running(struct test *t, int n, double seconds)
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -263,7 +263,7 @@
         fault(w, "transactions", w->commits, COMMITS_MAX);
     /* few for each machine, however many tasks it starts */
     if (w->commands > 2 * w->machines)
-        fault(w, "direct commands", w->commands, 2 * w->machines);
+        fault(w, "direct commands", w->commands, 2 * (size_t)w->machines);
     if (held + arrays + gangs < 8000)
         fault(w, "tasks not placed", 8000 - held - arrays - gangs, 0);
     return w->faults ? 1 : 0;
@@ -593,7 +593,7 @@
             json_array_append_new(names, json_string(id));
         }
         json_t *pairs = json_pack("[{s:s,s:{s:i,s:o},s:I}]", "k", DELEGATE_NAME, "value", "t", 1,
-                                  "m", names, "mark", (json_int_t)(100 + revision));
+                                  "m", names, "mark", 100 + (json_int_t)revision);
         bd_delegate_records_read(w->c, pairs, w->c->now);
         json_decref(pairs);
         for (uint32_t i = 1; i < w->machines; i += 2)
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -48,6 +48,7 @@
 #include "model/kv_limits.h"
 #include "model/leadership_state.h"
 #include "model/task.h"
+#include "numbers.h"
 #include "scenario_play.h"
 #include "small.h"
 #include "wire/frame.h"
@@ -124,6 +125,38 @@
         behaviour_digest_effect(p->digest, bd_to_secs(p->c->now), 0, e, 0);
 }
 
+/* NAME:ZONE */
+static void add_peer(struct play *p, const char *text)
+{
+    struct bd_peer *peer = &p->settings.peers[p->settings.npeers++];
+    (void)sscanf(text, "%63[^:]:%63s", peer->name, peer->zone);
+}
+
+/* CLASS:SECONDS:SHARE */
+static void add_slo(struct play *p, const char *text)
+{
+    struct bd_slo *slo = &p->settings.slos[p->settings.nslos++];
+    double values[2] = {0};
+    if (numbers_after_name(text, slo->job_class, sizeof slo->job_class, values, 2) != 2)
+        play_fail(p, "aim");
+    slo->within_s = values[0];
+    slo->share = values[1];
+    slo->kind = BD_SLO_WAIT;
+}
+
+/* NAME:CPUS:CPUS_QUOTA:GPUS:GPUS_QUOTA */
+static void add_team(struct play *p, const char *text)
+{
+    struct bd_team_quota *team = &p->settings.teams[p->settings.nteams++];
+    double values[4] = {0};
+    if (numbers_after_name(text, team->name, sizeof team->name, values, 4) != 4)
+        play_fail(p, "team");
+    team->cpus = values[0];
+    team->cpus_quota = values[1];
+    team->gpus = values[2];
+    team->gpus_quota = values[3];
+}
+
 static void cmd_set(struct play *p)
 {
     p->settings.lease = bd_secs(play_num(p, "lease", bd_to_secs(p->settings.lease)));
@@ -135,32 +168,18 @@
     p->settings.kv_value_bytes_max =
         (size_t)play_num(p, "value", (double)p->settings.kv_value_bytes_max);
     p->settings.kv_writes_per_s = play_num(p, "writes", p->settings.kv_writes_per_s);
-    const char *t = play_arg(p, "team"), *peer = play_arg(p, "peer");
-    if (peer) {
-        struct bd_peer *b = &p->settings.peers[p->settings.npeers++];
-        (void)sscanf(peer, "%63[^:]:%63s", b->name, b->zone);
-    }
     char zones[128];
     snprintf(zones, sizeof zones, "%s", play_arg(p, "zones") ? play_arg(p, "zones") : "");
     for (char *s = NULL, *z = strtok_r(zones, ",", &s); z; z = strtok_r(NULL, ",", &s))
         snprintf(p->settings.zones[p->settings.nzones++], BD_NAME, "%s", z);
-    const char *slo = play_arg(p, "aim");
-    if (slo) {
-        struct bd_slo *a = &p->settings.slos[p->settings.nslos++];
-        if (sscanf(slo, "%63[^:]:%lf:%lf", a->job_class, &a->within_s, &a->share) != 3)
-            play_fail(p, "aim");
-        a->kind = BD_SLO_WAIT;
-    }
     if (play_arg(p, "zone"))
         snprintf(p->settings.zone, sizeof p->settings.zone, "%s", play_arg(p, "zone"));
-    if (t) {
-        struct bd_team_quota *l = &p->settings.teams[p->settings.nteams++];
-        char name[BD_NAME];
-        if (sscanf(t, "%63[^:]:%lf:%lf:%lf:%lf", name, &l->cpus, &l->cpus_quota, &l->gpus,
-                   &l->gpus_quota) != 5)
-            play_fail(p, "team");
-        snprintf(l->name, sizeof l->name, "%s", name);
-    }
+    if (play_arg(p, "peer"))
+        add_peer(p, play_arg(p, "peer"));
+    if (play_arg(p, "aim"))
+        add_slo(p, play_arg(p, "aim"));
+    if (play_arg(p, "team"))
+        add_team(p, play_arg(p, "team"));
 }
 
 static void cmd_type(struct play *p)
@@ -281,9 +300,11 @@
     snprintf(key, sizeof key, "j/%s", p->w[1]);
     json_t *names = play_arg(p, "needs") ? names_in(play_arg(p, "needs")) : NULL;
     r.parents.names = names;
+    double parts = 0;
     if (play_arg(p, "parts") &&
-        sscanf(play_arg(p, "parts"), "%15[^:]:%u", r.parents.of, &r.parents.parts) != 2)
+        numbers_after_name(play_arg(p, "parts"), r.parents.of, sizeof r.parents.of, &parts, 1) != 1)
         play_fail(p, "parts");
+    r.parents.parts = (uint32_t)parts;
     r.end = play_num(p, "end", 0);
     json_t *v = bd_wire_record(&r);
     struct bd_change ch = {key, v, (uint64_t)play_num(p, "mark", 1)};
@@ -311,7 +332,7 @@
         } else if (sscanf(p->w[i], "intent=%63[^:]:%63[^:]:%63[^:]:%255s", a, b, m, t) == 4) {
             json_t *tasks = json_array();
             for (char *s = NULL, *v = strtok_r(t, ",", &s); v; v = strtok_r(NULL, ",", &s))
-                json_array_append_new(tasks, json_integer(atoi(v)));
+                json_array_append_new(tasks, json_integer(number_of(v)));
             char key[32];
             snprintf(key, sizeof key, "i/old-%d", i);
             json_t *e = json_pack("[[s,I,s,o]]", a, (json_int_t)attempt(b), m, tasks);
@@ -396,7 +417,7 @@
 
 static void cmd_answered(struct play *p)
 {
-    bd_forward_reply_received(p->c, strtoull(p->w[1], NULL, 10), atoi(p->w[2]),
+    bd_forward_reply_received(p->c, strtoull(p->w[1], NULL, 10), number_of(p->w[2]),
                               p->n > 3 ? p->w[3] : "", p->n > 3 ? strlen(p->w[3]) : 0);
 }
 
@@ -474,9 +495,10 @@
 {
     json_t *pairs = json_array();
     for (int i = 1; i < p->n; i++) {
-        char key[64], names[256];
-        unsigned revision = 0;
-        if (sscanf(p->w[i], "%63[^:]:%u:%255s", key, &revision, names) != 3)
+        char key[64], names[256] = "";
+        double revision = 0;
+        if (numbers_after_name(p->w[i], key, sizeof key, &revision, 1) != 1 ||
+            sscanf(p->w[i], "%*[^:]:%*[^:]:%255s", names) != 1)
             play_fail(p, "delegates");
         json_t *m = json_array();
         for (char *s = NULL, *v = strtok_r(names, ",", &s); v; v = strtok_r(NULL, ",", &s))
@@ -491,7 +513,7 @@
 /* many finished jobs, job-1000000 and on, long ago */
 static void cmd_finals(struct play *p)
 {
-    int n = atoi(p->w[1]);
+    int n = number_of(p->w[1]);
     for (int i = 0; i < n; i++) {
         char key[BD_LABEL];
         snprintf(key, sizeof key, "j/job-%d", 1000000 + i);
@@ -509,7 +531,7 @@
     json_t *v = NULL;
     char key[BD_LABEL];
     snprintf(key, sizeof key, "j/%s", p->w[1]);
-    long status = atol(p->w[3]);
+    long status = strtol(p->w[3], NULL, 10);
     struct bd_record r = {.state = BD_JOB_DONE, .tasks = 1, .at = 1};
     if (p->n > 4 && strcmp(p->w[4], "cancelled") == 0) {
         spec(p, &r.spec);
@@ -517,7 +539,7 @@
         r.state = BD_JOB_CANCELLED;
     }
     struct bd_change ch = {key, v = bd_wire_record(&r), 5};
-    bd_replica_lookup_completed(p->c, NULL, p->w[1], atoi(p->w[2]), status,
+    bd_replica_lookup_completed(p->c, NULL, p->w[1], number_of(p->w[2]), status,
                                 status == 200 ? &ch : NULL);
     json_decref(v);
 }
@@ -531,7 +553,7 @@
     for (int i = 2; i < p->n; i++) {
         char node[64], key[BD_LABEL + 8];
         double seen = 0;
-        if (sscanf(p->w[i], "%63[^:]:%lf", node, &seen) != 2)
+        if (numbers_after_name(p->w[i], node, sizeof node, &seen, 1) != 1)
             play_fail(p, "touched");
         snprintf(key, sizeof key, "p/%s/at", node);
         json_array_append_new(
@@ -553,9 +575,11 @@
 {
     double to = strtod(p->w[1], NULL), at = bd_to_secs(p->c->now) - 100;
     json_t *none = json_array();
-    for (at += 2; at < to; at += 2) {
+    at += 2;
+    while (at < to) {
         bd_core_set_clock(p->c, bd_secs(100 + at), 1000 + at);
         bd_delegate_records_read(p->c, none, p->c->now);
+        at += 2;
     }
     bd_core_set_clock(p->c, bd_secs(100 + to), 1000 + to);
     bd_delegate_records_read(p->c, none, p->c->now);
@@ -566,7 +590,7 @@
 {
     bool known = p->n < 3;
     p->store_revision = p->store_revision < 1000 ? 1000 : p->store_revision + 1;
-    bd_delegate_txn_completed(p->c, atol(p->w[1]), p->store_revision, p->c->now, known);
+    bd_delegate_txn_completed(p->c, strtol(p->w[1], NULL, 10), p->store_revision, p->c->now, known);
 }
 
 static void cmd_committed(struct play *p)
@@ -597,7 +621,8 @@
     }
     *at = e->next;
     p->store_revision = p->store_revision < 1000 ? 1000 : p->store_revision + 1;
-    bd_user_txn_completed(p->c, NULL, e->key, e->body, e->status, atol(p->w[1]), p->store_revision);
+    bd_user_txn_completed(p->c, NULL, e->key, e->body, e->status, strtol(p->w[1], NULL, 10),
+                          p->store_revision);
     bd_effect_free(e);
 }
 
@@ -770,7 +795,7 @@
     else if (strcmp(v, "seed") == 0)
         bd_core_seed(p->c, p->n > 1 ? strtoull(p->w[1], NULL, 10) : 0);
     else if (strcmp(v, "up") == 0) {
-        if (p->n < 2 || bd_leadership_healthy(p->c) != (atoi(p->w[1]) != 0))
+        if (p->n < 2 || bd_leadership_healthy(p->c) != (number_of(p->w[1]) != 0))
             play_fail(p, "up is otherwise");
     } else if (strcmp(v, "ready") == 0)
         bd_replica_listed(p->c, 10, p->c->now);
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -8,6 +8,7 @@
 #include "leadership/leadership.h"
 #include "model/effect.h"
 #include "model/leadership_state.h"
+#include "numbers.h"
 #include "simulation.h"
 #include "wire/frame.h"
 #include "wire/wire.h"
@@ -131,7 +132,7 @@
                           .machine = e->machine,
                           .fencing_token = e->fencing_token,
                           .launch = e->launch};
-    t->worker = atoi(e->addr + 2); /* "w-N" */
+    t->worker = number_of(e->addr + 2); /* "w-N" */
     t->until = e->until;
     struct sim_event *d = wake(s, n, n->senders_stalled - s->now, SIM_DO_SEND);
     d->text = e->body;
--- a/tests/sim_plan.c
+++ b/tests/sim_plan.c
@@ -1,4 +1,5 @@
 #include "sim_plan.h"
+#include "numbers.h"
 #include <gsl/gsl_rng.h>
 #include <math.h>
 #include <stdio.h>
@@ -68,7 +69,8 @@
     p->cancelled = 0.5;
     p->machines = 2 * SIM_PLAN_MACHINES;
     p->fetch = gsl_rng_uniform(r) < 0.5 ? 0.01 : FETCH_S;
-    for (double at = 15; at < 130 && p->n < 80; at += 2 + 12 * gsl_rng_uniform(r)) {
+    double at = 15;
+    while (at < 130 && p->n < 80) {
         struct sim_trouble *t = &p->t[p->n++];
         const char *v = verbs[gsl_rng_uniform_int(r, sizeof verbs / sizeof *verbs)];
         double u = gsl_rng_uniform(r);
@@ -82,6 +84,7 @@
             t->a = 1 + 8 * u;
         else if (strcmp(v, "hang") == 0)
             t->b = 1 + 14 * gsl_rng_uniform(r);
+        at += 2 + 12 * gsl_rng_uniform(r);
     }
     gsl_rng_free(r);
 }
@@ -100,19 +103,21 @@
     p->machines = 2 * SIM_PLAN_MACHINES;
     p->budgets[0] = 1 + (uint32_t)gsl_rng_uniform_int(r, 3);
     p->budgets[1] = 1 + (uint32_t)gsl_rng_uniform_int(r, 3);
-    for (double at = 20; at < 130 && p->n < 60; at += 5 + 30 * gsl_rng_uniform(r)) {
+    double at = 20;
+    while (at < 130 && p->n < 60) {
         struct sim_trouble *t = &p->t[p->n++];
         const char *v = verbs[gsl_rng_uniform_int(r, 5)];
         snprintf(t->verb, sizeof t->verb, "%s", v);
         t->at = at;
         t->a = *v == 'd' ? 1 + floor(10 * gsl_rng_uniform(r)) : 1;
         t->b = gsl_rng_uniform(r) < 0.5;
-        if (*v != 'p')
-            continue;
-        struct sim_trouble *back = &p->t[p->n++];
-        *back = *t;
-        snprintf(back->verb, sizeof back->verb, "resume");
-        back->at = at + 10 * gsl_rng_uniform(r);
+        if (*v == 'p') {
+            struct sim_trouble *back = &p->t[p->n++];
+            *back = *t;
+            snprintf(back->verb, sizeof back->verb, "resume");
+            back->at = at + 10 * gsl_rng_uniform(r);
+        }
+        at += 5 + 30 * gsl_rng_uniform(r);
     }
     gsl_rng_free(r);
 }
@@ -124,6 +129,60 @@
            strcmp(verb, "stall") == 0 || strcmp(verb, "senders") == 0;
 }
 
+/* False: the line names no setting of the day. */
+static bool read_setting(struct sim_plan *p, const char *line)
+{
+    char name[16], rest[128];
+    double values[2] = {0};
+    if (sscanf(line, "%15s %127[^\n]", name, rest) != 2)
+        return false;
+    size_t count = numbers_split(rest, ' ', values, 2);
+    if (count == 0)
+        return false;
+    if (strcmp(name, "small") == 0)
+        p->small = (int)values[0];
+    else if (strcmp(name, "drains") == 0)
+        p->drains = (int)values[0];
+    else if (strcmp(name, "machines") == 0)
+        p->machines = (int)values[0];
+    else if (strcmp(name, "services") == 0)
+        p->services = (int)values[0];
+    else if (strcmp(name, "jobs") == 0)
+        p->jobs = (int)values[0];
+    else if (strcmp(name, "fetch") == 0)
+        p->fetch = values[0];
+    else if (strcmp(name, "cancelled") == 0)
+        p->cancelled = values[0];
+    else if (strcmp(name, "budget") == 0 && count == 2) {
+        p->budgets[0] = (uint32_t)values[0];
+        p->budgets[1] = (uint32_t)values[1];
+    } else
+        return false;
+    return true;
+}
+
+/* `at SECONDS TROUBLE [WHO] NUMBERS`; false: the line is none. */
+static bool read_trouble(struct sim_trouble *t, const char *line)
+{
+    static const char at[] = "at ";
+    char rest[128] = "", amounts[128];
+    double values[2] = {0};
+    if (strncmp(line, at, strlen(at)) != 0)
+        return false;
+    char *end;
+    t->at = strtod(line + strlen(at), &end);
+    if (end == line + strlen(at) || sscanf(end, "%15s %127[^\n]", t->verb, rest) < 1)
+        return false;
+    if (has_who(t->verb)) {
+        bool is_whole = sscanf(rest, "%15s %127[^\n]", t->who, amounts) == 2;
+        return is_whole && numbers_split(amounts, ' ', &t->a, 1) == 1;
+    }
+    size_t count = numbers_split(rest, ' ', values, 2);
+    t->a = values[0];
+    t->b = values[1];
+    return count >= 1;
+}
+
 bool sim_plan_read(struct sim_plan *p, const char *path)
 {
     char line[256];
@@ -132,24 +191,12 @@
     plain(p, 40, 0.25);
     bool good = f != NULL;
     while (f && good && fgets(line, sizeof line, f)) {
-        struct sim_trouble *t = &p->t[p->n];
         at_line++;
         if (line[0] == '#' || line[strspn(line, " \n")] == '\0')
             continue;
-        if (sscanf(line, "small %d", &p->small) == 1 ||
-            sscanf(line, "drains %d", &p->drains) == 1 ||
-            sscanf(line, "machines %d", &p->machines) == 1 ||
-            sscanf(line, "services %d", &p->services) == 1 ||
-            sscanf(line, "budget %u %u", &p->budgets[0], &p->budgets[1]) == 2 ||
-            sscanf(line, "jobs %d", &p->jobs) == 1 || sscanf(line, "fetch %lf", &p->fetch) == 1 ||
-            sscanf(line, "cancelled %lf", &p->cancelled) == 1)
+        if (read_setting(p, line))
             continue;
-        char rest[128] = "";
-        good = p->n < 128 && sscanf(line, "at %lf %15s %127[^\n]", &t->at, t->verb, rest) >= 2;
-        if (good && has_who(t->verb))
-            good = sscanf(rest, "%15s %lf", t->who, &t->a) == 2;
-        else if (good)
-            good = sscanf(rest, "%lf %lf", &t->a, &t->b) >= 1;
+        good = p->n < PLAN_TROUBLES_MAX && read_trouble(&p->t[p->n], line);
         p->n++;
     }
     if (!good)
--- a/tests/sim_plan.h
+++ b/tests/sim_plan.h
@@ -5,6 +5,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+#define PLAN_TROUBLES_MAX 128
 #define SIM_PLAN_MACHINES 6 /* at first, where the day does not say */
 
 struct sim_plan {
@@ -12,7 +13,7 @@
         double at;
         char verb[16], who[16];
         double a, b;
-    } t[128];
+    } t[PLAN_TROUBLES_MAX];
     int n, jobs, machines, services;
     int small, drains;
     uint32_t budgets[2];
--- a/tests/sim_work.c
+++ b/tests/sim_work.c
@@ -1,5 +1,6 @@
 /* Workers, as the protocol has them: sessions, numbers, tokens, leases, gangs that start and end
  * together. What starts or stays here is held against the rules. */
+#include "numbers.h"
 #include "sim_drain.h"
 #include "simulation.h"
 #include "wire/wire.h"
@@ -15,7 +16,7 @@
 
 struct sim_job *sim_job_named(struct sim *s, const char *id)
 {
-    int i = id && strncmp(id, "job-", 4) == 0 ? atoi(id + 4) : -1;
+    int i = id && strncmp(id, "job-", 4) == 0 ? number_of(id + 4) : -1;
     return i >= 0 && i < s->njobs ? &s->jobs[i] : NULL;
 }
 
@@ -329,7 +330,7 @@
     }
     if (e->status == 421) {
         const char *to = json_string_value(json_object_get(o, "steward"));
-        int node = to ? atoi(to + 5) : w->node; /* "node-N" */
+        int node = to ? number_of(to + 5) : w->node; /* "node-N" */
         if (to && node != w->node) {
             w->asking = false;
             w->node = node;
@@ -425,6 +426,21 @@
     return n == s->jobs[job].tasks;
 }
 
+/* Why a task that joins its gang or runs exits now; BD_EXIT_NONE: it goes on. */
+static enum bd_exit_reason reason_to_exit(struct sim *s, const struct sim_slot *t)
+{
+    const struct sim_job *j = &s->jobs[t->job];
+    if (j->done[t->task])
+        return BD_EXIT_DONE;
+    bool is_gang = j->kind == BD_JOB_GANG && j->tasks > 1;
+    bool is_complete = !is_gang || together(s, t->job, t->attempt);
+    if (t->execution == BD_EXECUTION_JOINING_GANG)
+        return !is_complete && s->now >= t->until ? BD_EXIT_GANG_INCOMPLETE : BD_EXIT_NONE;
+    if (!is_complete)
+        return BD_EXIT_GANG_MEMBER_LOST;
+    return j->kind != BD_JOB_SERVICE && s->now >= t->until ? BD_EXIT_DONE : BD_EXIT_NONE;
+}
+
 static void run_slot(struct sim *s, struct sim_worker *w, struct sim_slot *t)
 {
     struct sim_job *j = &s->jobs[t->job];
@@ -440,20 +456,15 @@
         if (w->next_report > s->now + 0.4)
             w->next_report = s->now + 0.4;
     }
-    if ((t->execution == BD_EXECUTION_JOINING_GANG || t->execution == BD_EXECUTION_RUNNING) &&
-        j->done[t->task]) {
-        exits(s, w, t, BD_EXIT_DONE);
-    } else if (t->execution == BD_EXECUTION_JOINING_GANG && together(s, t->job, t->attempt)) {
+    bool joins_gang = t->execution == BD_EXECUTION_JOINING_GANG;
+    if (!joins_gang && t->execution != BD_EXECUTION_RUNNING)
+        return;
+    enum bd_exit_reason reason = reason_to_exit(s, t);
+    if (reason != BD_EXIT_NONE) {
+        exits(s, w, t, reason);
+    } else if (joins_gang && together(s, t->job, t->attempt)) {
         t->execution = BD_EXECUTION_RUNNING;
         t->until = s->now + j->run_s;
-    } else if (t->execution == BD_EXECUTION_JOINING_GANG && s->now >= t->until) {
-        exits(s, w, t, BD_EXIT_GANG_INCOMPLETE);
-    } else if (t->execution == BD_EXECUTION_RUNNING && j->kind == BD_JOB_GANG && j->tasks > 1 &&
-               !together(s, t->job, t->attempt)) {
-        exits(s, w, t, BD_EXIT_GANG_MEMBER_LOST);
-    } else if (t->execution == BD_EXECUTION_RUNNING && j->kind != BD_JOB_SERVICE &&
-               s->now >= t->until) {
-        exits(s, w, t, BD_EXIT_DONE);
     }
 }
 
--- a/tests/simulation.c
+++ b/tests/simulation.c
@@ -30,6 +30,7 @@
 #include "brambledoor/settings.h"
 #include "drain/drain.h"
 #include "leadership/leadership.h"
+#include "numbers.h"
 #include "sim_drain.h"
 #include "sim_plan.h"
 #include "small.h"
@@ -279,7 +280,7 @@
     for (int i = 0; strcmp(who, "leader") == 0 && i < SIM_NODES; i++)
         if (s->nodes[i].core && bd_leadership_lease_valid(s->nodes[i].core))
             return i;
-    return *who >= '0' && *who <= '9' ? atoi(who) : (int)(sim_rnd(s) * SIM_NODES);
+    return *who >= '0' && *who <= '9' ? number_of(who) : (int)(sim_rnd(s) * SIM_NODES);
 }
 
 static void crash(struct sim *s, int i, double back)
