--- /dev/null
+++ b/tests/sim_commit.c
@@ -0,0 +1,73 @@
+/* The simulated leaders' transactions: sent until their outcome is known. */
+#include "leadership/leadership.h"
+#include "model/effect.h"
+#include "model/leadership_state.h"
+#include "sim_node.h"
+#include "simulation.h"
+#include "wire/wire.h"
+#include <stdlib.h>
+#include <string.h>
+
+void sim_commit_send(struct sim *sim, struct sim_node *node)
+{
+    (void)sim_node_call(sim, node, SIM_COMMIT, SIM_FOR_COMMIT, NULL, strdup(node->commit->body),
+                        1.5);
+}
+
+static bool has_key(json_t *failed, const char *key)
+{
+    json_t *item;
+    size_t i;
+    json_array_foreach(failed, i, item)
+    {
+        if (strcmp(json_string_value(item), key) == 0)
+            return true;
+    }
+    return false;
+}
+
+static void complete_commit(struct sim_node *node, enum bd_txn_outcome outcome,
+                            uint64_t store_revision, json_t *answer)
+{
+    struct bd_effect *effect = node->commit;
+    struct bd_core *core = node->core;
+    node->commit = NULL;
+    if (strtoull(effect->key, NULL, 10) == core->lead.base_term &&
+        effect->sequence == core->lead.sequence)
+        bd_leader_txn_completed(core, outcome, store_revision, bd_wire_failed(answer));
+    bd_effect_free(effect);
+}
+
+void sim_commit_answered(struct sim *sim, struct sim_node *node, struct sim_call *call, long status,
+                         json_t *answer)
+{
+    struct bd_change change;
+    uint64_t grant;
+    json_t *failed = bd_wire_failed(answer);
+    if (!node->commit)
+        return;
+    if (call->purpose == SIM_FOR_COMMIT_OUTCOME) {
+        bool ours = status == 200 && bd_wire_pair(answer, &change, &grant) &&
+                    (uint64_t)json_integer_value(json_object_get(change.value, "t")) ==
+                        strtoull(node->commit->key, NULL, 10) &&
+                    (uint64_t)json_integer_value(json_object_get(change.value, "n")) ==
+                        node->commit->sequence;
+        if (ours)
+            complete_commit(node, BD_TXN_COMMITTED, change.revision, NULL);
+        else if (status == 200 || status == 404)
+            complete_commit(node, BD_TXN_DEPOSED, 0, NULL);
+        else
+            (void)sim_node_call(sim, node, SIM_GET, SIM_FOR_COMMIT_OUTCOME, "w", NULL, 1.5);
+    } else if (status == 200) {
+        complete_commit(node, BD_TXN_COMMITTED, bd_wire_store_revision(answer), NULL);
+    } else if (status == 409 && has_key(failed, "w")) {
+        (void)sim_node_call(sim, node, SIM_GET, SIM_FOR_COMMIT_OUTCOME, "w", NULL, 1.5);
+    } else if (status == 409) {
+        complete_commit(node, has_key(failed, "leader") ? BD_TXN_DEPOSED : BD_TXN_CONFLICT, 0,
+                        answer);
+    } else if (status == 400 || !node->leading) {
+        complete_commit(node, BD_TXN_DEPOSED, 0, NULL);
+    } else {
+        sim_node_post(sim, node, 0.25, SIM_ELECTION)->flag = true; /* the same once more */
+    }
+}
--- a/tests/sim_drain.c
+++ b/tests/sim_drain.c
@@ -95,7 +95,7 @@
     if (record.machines > 0) {
         write_set(s, &record, entries);
         write_record(s, &record, key);
-        sim_note(s, "%s: %u machines", record.name, record.machines);
+        sim_trace(s, "%s: %u machines", record.name, record.machines);
         s->ndrains++;
     }
     json_decref(record.asked);
@@ -127,7 +127,7 @@
         record.ended = to == BD_DRAIN_CALLED_OFF ? 1e6 + s->now : 0;
         snprintf(key, sizeof key, BD_DRAIN_KEY "%s", record.name);
         write_record(s, &record, key);
-        sim_note(s, "%s is %s", record.name, bd_drain_state_name(to));
+        sim_trace(s, "%s is %s", record.name, bd_drain_state_name(to));
         return;
     }
 }
@@ -161,8 +161,8 @@
     if (j->asked_cancel > 0)
         return;
     if (!drain_check_stopped(&s->check, s->now, t->job, t->task))
-        sim_broken(s, "budget: %s/%u is stopped on %s, more of team %d are down than %u", j->id,
-                   t->task, w->id, j->team, s->check.budgets[j->team]);
+        sim_violation(s, "budget: %s/%u is stopped on %s, more of team %d are down than %u", j->id,
+                      t->task, w->id, j->team, s->check.budgets[j->team]);
 }
 
 void sim_drain_runs(struct sim *s, const struct sim_slot *t)
--- /dev/null
+++ b/tests/sim_effects.c
@@ -0,0 +1,172 @@
+/* What a simulated controller does with its core's effects: what event_loop.c and the clients do.
+ */
+#include "model/effect.h"
+#include "numbers.h"
+#include "sim_node.h"
+#include "simulation.h"
+#include "wire/frame.h"
+#include "wire/wire.h"
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+static void send_reply(struct sim *sim, struct sim_node *node, struct bd_effect *effect)
+{
+    struct sim_request *request = effect->request;
+    if (!request)
+        return;
+    bool held = !request->user && sim_held_up(sim);
+    struct sim_event *event =
+        sim_node_post(sim, node, sim_delay(sim) + (held ? sim_between(sim, 0.3, 4) : 0),
+                      request->user ? SIM_USER_BACK : SIM_HEARTBEAT_BACK);
+    event->who = request->who;
+    event->number = request->number;
+    event->status = effect->status;
+    event->text = effect->body;
+    effect->body = NULL;
+}
+
+struct sim_event *sim_send_frame(struct sim *sim, struct sim_node *node, int peer,
+                                 enum bd_frame_type type, struct bd_effect *effect)
+{
+    int to = peer + (peer >= (int)(node - sim->nodes)); /* the settings leave ourselves out */
+    struct sim_event *event = sim_node_post(sim, node, sim_delay(sim), SIM_FRAME);
+    struct bd_frame *frame = calloc(1, sizeof *frame);
+    if (!frame)
+        abort();
+    event->who = to;
+    event->epoch = sim->nodes[to].epoch;
+    event->data = frame;
+    frame->type = type;
+    snprintf(frame->name, sizeof frame->name, "%s", node->settings.node);
+    if (effect) {
+        frame->id = effect->forward_id;
+        frame->status = (uint16_t)effect->status;
+        event->text = effect->body;
+        effect->body = NULL;
+    }
+    return event;
+}
+
+/* Into the queue of the controller's own senders, which may be slow to take it out. */
+static void queue_direct_command(struct sim *sim, struct sim_node *node, struct bd_effect *effect)
+{
+    struct sim_direct_command *command = calloc(1, sizeof *command);
+    if (!command)
+        abort();
+    *command = (struct sim_direct_command){.references = 1,
+                                           .machine = effect->machine,
+                                           .fencing_token = effect->fencing_token,
+                                           .launch = effect->launch};
+    command->worker = number_of(effect->addr + 2); /* "w-N" */
+    command->until = effect->until;
+    struct sim_event *event =
+        sim_node_post(sim, node, node->senders_stalled - sim->now, SIM_COMMAND_SEND);
+    event->text = effect->body;
+    event->data = command;
+    effect->body = NULL;
+}
+
+static void call_cloud(struct sim *sim, struct sim_node *node, struct bd_effect *effect)
+{
+    struct sim_event *event = sim_node_post(sim, node, sim_between(sim, 0.1, 0.4), SIM_CLOUD_BACK);
+    event->flag = effect->kind == BD_EFFECT_SCALE_OUT;
+    event->text = effect->body;
+    effect->body = NULL;
+}
+
+static uint64_t requester_of(const struct bd_effect *effect)
+{
+    const struct sim_request *request = effect->request;
+    if (effect->kind != BD_EFFECT_REPLY || !request)
+        return 0;
+    return (request->number << 20 | (uint64_t)request->who << 2 | (uint64_t)request->user << 1 | 1);
+}
+
+/* True: the effect asks for a call of the key-value store, which owns it from now on. */
+static bool call_store(struct sim *sim, struct sim_node *node, struct bd_effect *effect)
+{
+    char key[BD_LABEL + 2];
+    switch (effect->kind) {
+    case BD_EFFECT_USER_TXN:
+        sim_node_call(sim, node, SIM_COMMIT, SIM_FOR_USER, NULL, strdup(effect->body), 2.5)
+            ->effect = effect;
+        return true;
+    case BD_EFFECT_JOB_LOOKUP:
+        snprintf(key, sizeof key, "j/%.60s", effect->key);
+        sim_node_call(sim, node, SIM_GET, SIM_FOR_LOOKUP, key, NULL, 1.5)->effect = effect;
+        return true;
+    case BD_EFFECT_LEADER_TXN:
+        if (node->commit)
+            bd_effect_free(node->commit);
+        node->commit = effect;
+        sim_commit_send(sim, node);
+        return true;
+    default:
+        return false;
+    }
+}
+
+/* The delegate's write; without a body, a look at the revision of its record. */
+static void call_for_delegate(struct sim *sim, struct sim_node *node,
+                              const struct bd_effect *effect)
+{
+    if (effect->body)
+        (void)sim_node_call(sim, node, SIM_COMMIT, SIM_FOR_DELEGATE, NULL, strdup(effect->body),
+                            1.5);
+    else
+        (void)sim_node_call(sim, node, SIM_GET, SIM_FOR_DELEGATE_REVISION, effect->key, NULL, 1.5);
+}
+
+/* On half of the days nothing is announced: the rules hold without it. */
+static void announce_cancellation(struct sim *sim, struct sim_node *node,
+                                  const struct bd_effect *effect)
+{
+    for (int i = 0; sim->seed / 2 % 2 && i < node->settings.npeers; i++)
+        sim_send_frame(sim, node, i, BD_FRAME_CANCELLED, NULL)->text = strdup(effect->key);
+}
+
+void sim_perform_effect(struct sim *sim, struct sim_node *node, struct bd_effect *effect)
+{
+    if (sim->digest)
+        behaviour_digest_effect(sim->digest, sim->now, (int)(node - sim->nodes), effect,
+                                requester_of(effect));
+    if (call_store(sim, node, effect))
+        return;
+    switch (effect->kind) {
+    case BD_EFFECT_REPLY:
+        send_reply(sim, node, effect);
+        break;
+    case BD_EFFECT_READ_BARRIER:
+        node->want_barrier = true;
+        sim_node_post(sim, node, 0.01, SIM_READER);
+        break;
+    case BD_EFFECT_STEP_DOWN:
+        node->step_down = true;
+        if (effect->status == BD_STEP_DOWN_RESIGNED)
+            sim_end_grant(sim, node->grant);
+        break;
+    case BD_EFFECT_ANNOUNCE_CANCELLATION:
+        announce_cancellation(sim, node, effect);
+        break;
+    case BD_EFFECT_FORWARD_HEARTBEAT:
+        (void)sim_send_frame(sim, node, effect->peer, BD_FRAME_HEARTBEAT, effect);
+        break;
+    case BD_EFFECT_FORWARD_REPLY:
+        (void)sim_send_frame(sim, node, effect->peer, BD_FRAME_ANSWER, effect);
+        break;
+    case BD_EFFECT_DELEGATE_TXN:
+        call_for_delegate(sim, node, effect);
+        break;
+    case BD_EFFECT_DIRECT_COMMAND:
+        queue_direct_command(sim, node, effect);
+        break;
+    case BD_EFFECT_SCALE_OUT:
+    case BD_EFFECT_SCALE_IN:
+        call_cloud(sim, node, effect);
+        break;
+    default:
+        break;
+    }
+    bd_effect_free(effect);
+}
--- /dev/null
+++ b/tests/sim_election.c
@@ -0,0 +1,201 @@
+/* The simulated controllers' election: the leader's key, its grant and the renewals. */
+#include "base/timeutil.h"
+#include "core/core.h"
+#include "leadership/leadership.h"
+#include "model/leadership_state.h"
+#include "sim_node.h"
+#include "simulation.h"
+#include "wire/wire.h"
+#include "workers/workers.h"
+#include <stdio.h>
+#include <string.h>
+
+#define TTL_S 2.0
+
+static void post_election(struct sim *sim, struct sim_node *node, double delay)
+{
+    node->election_out = false;
+    sim_node_post(sim, node, delay, SIM_ELECTION);
+}
+
+void sim_election_next(struct sim *sim, struct sim_node *node)
+{
+    if (node->election_out)
+        return;
+    node->election_out = true;
+    if (node->leading && node->step_down)
+        node->leading = false;
+    node->step_down = false;
+    if (node->leading) {
+        struct sim_call *renewal =
+            sim_node_call(sim, node, SIM_RENEW, SIM_FOR_RENEW, NULL, NULL, TTL_S / 3);
+        renewal->number = node->grant;
+        return;
+    }
+    (void)sim_node_call(sim, node, SIM_GET, SIM_FOR_LEADER_KEY, "leader", NULL, TTL_S / 3);
+}
+
+static void request_grant(struct sim *sim, struct sim_node *node, uint64_t revision)
+{
+    snprintf(node->nonce, sizeof node->nonce, "%d-%llu-%llu", (int)(node - sim->nodes),
+             (unsigned long long)node->epoch, (unsigned long long)sim->order);
+    node->granted = sim_node_monotonic(sim, node);
+    struct sim_call *request =
+        sim_node_call(sim, node, SIM_GRANT, SIM_FOR_GRANT, NULL, NULL, TTL_S / 3);
+    request->number = revision;
+}
+
+static void write_liveness(struct sim *sim, struct sim_node *node, uint64_t revision)
+{
+    struct bd_txn txn;
+    char key[BD_LABEL + 8];
+    if (bd_between(node->liveness_at, sim_node_monotonic(sim, node)) < 0.8 || !bd_txn_begin(&txn))
+        return;
+    node->liveness_at = sim_node_monotonic(sim, node);
+    snprintf(key, sizeof key, "p/%.50s/at", node->settings.node);
+    bd_txn_compare(&txn, "leader", revision);
+    bd_txn_put(&txn, key, json_pack("{s:f}", "at", sim_node_wall(sim, node)), 0);
+    bd_liveness_sent(node->core, node->liveness_at);
+    (void)sim_node_call(sim, node, SIM_COMMIT, SIM_FOR_LIVENESS, NULL, bd_txn_finish(&txn),
+                        TTL_S / 3);
+}
+
+static void leader_key_read(struct sim *sim, struct sim_node *node, struct sim_call *call,
+                            long status, json_t *answer)
+{
+    struct bd_change change;
+    uint64_t grant;
+    bool told = node->core->role == BD_FOLLOWER && !node->leadership_acquired;
+    if (status == 404) {
+        if (told)
+            bd_core_leader_observed(node->core, "", 0, call->sent, false);
+        if (node->reads_refused)
+            post_election(sim, node, 0.3);
+        else
+            request_grant(sim, node, 0);
+        return;
+    }
+    if (status == 200 && bd_wire_pair(answer, &change, &grant)) {
+        const char *name = json_string_value(json_object_get(change.value, "node"));
+        bool away = false;
+        json_t *item;
+        size_t i;
+        json_array_foreach(json_object_get(change.value, "away"), i, item)
+        {
+            away = away || strcmp(json_string_value(item), node->settings.node) == 0;
+        }
+        if (told)
+            bd_core_leader_observed(node->core, name, change.revision, call->sent, away);
+        if (strcmp(name, node->settings.node) == 0 && !node->reads_refused) {
+            request_grant(sim, node, change.revision);
+            return;
+        }
+        write_liveness(sim, node, change.revision);
+    }
+    post_election(sim, node, sim_between(sim, 0.2, 0.4));
+}
+
+static void grant_received(struct sim *sim, struct sim_node *node, struct sim_call *call,
+                           long status, json_t *answer)
+{
+    struct bd_txn txn;
+    node->grant = status == 200 ? bd_wire_grant(answer) : 0;
+    if (!node->grant || !bd_txn_begin(&txn)) {
+        post_election(sim, node, 0.3);
+        return;
+    }
+    bd_txn_compare(&txn, "leader", call->number);
+    bd_txn_put(&txn, "leader",
+               json_pack("{s:s,s:s}", "node", node->settings.node, "nonce", node->nonce),
+               node->grant);
+    (void)sim_node_call(sim, node, SIM_COMMIT, SIM_FOR_ACQUISITION, NULL, bd_txn_finish(&txn),
+                        TTL_S / 3);
+}
+
+static void leader_key_written(struct sim *sim, struct sim_node *node, uint64_t term)
+{
+    memset(&node->acquisition, 0, sizeof node->acquisition);
+    node->acquisition.term = term;
+    node->acquisition.grant = node->grant;
+    (void)sim_node_call(sim, node, SIM_GET, SIM_FOR_SEQUENCE, "w", NULL, 1.5);
+}
+
+/* What the last term left is read: its sequence, then the receipts, then the intents. */
+static void acquisition_read(struct sim *sim, struct sim_node *node, const struct sim_call *call,
+                             long status, json_t *answer)
+{
+    struct bd_change change;
+    uint64_t grant;
+    bool ignored;
+    bool is_sequence = call->purpose == SIM_FOR_SEQUENCE;
+    if (status != 200 && !(status == 404 && is_sequence)) {
+        sim_release_acquisition(node); /* the term is given up: the key ends with its grant */
+        post_election(sim, node, 0.3);
+    } else if (is_sequence) {
+        if (status == 200 && bd_wire_pair(answer, &change, &grant))
+            node->acquisition.sequence_revision = change.revision;
+        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_RECEIPTS, "r/", NULL, 1.5);
+    } else if (call->purpose == SIM_FOR_RECEIPTS) {
+        node->acquisition.receipts = json_incref(bd_wire_pairs(answer, &ignored));
+        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_INTENTS, "i/", NULL, 1.5);
+    } else {
+        node->acquisition.intents = json_incref(bd_wire_pairs(answer, &ignored));
+        node->acquisition.renewed = node->granted;
+        node->step_down = false;
+        node->leading = node->leadership_acquired = true;
+        post_election(sim, node, 0);
+    }
+}
+
+void sim_election_answered(struct sim *sim, struct sim_node *node, struct sim_call *call,
+                           long status, json_t *answer)
+{
+    struct bd_change change;
+    uint64_t grant;
+    switch (call->purpose) {
+    case SIM_FOR_LEADER_KEY:
+        leader_key_read(sim, node, call, status, answer);
+        break;
+    case SIM_FOR_GRANT:
+        grant_received(sim, node, call, status, answer);
+        break;
+    case SIM_FOR_ACQUISITION:
+        if (status == 200)
+            leader_key_written(sim, node, bd_wire_store_revision(answer));
+        else if (status == 409 || status == 400)
+            post_election(sim, node, 0.3);
+        else
+            (void)sim_node_call(sim, node, SIM_GET, SIM_FOR_OWN_KEY, "leader", NULL, TTL_S / 3);
+        break;
+    case SIM_FOR_OWN_KEY:
+        if (status == 200 && bd_wire_pair(answer, &change, &grant) &&
+            strcmp(json_string_value(json_object_get(change.value, "nonce")), node->nonce) == 0)
+            leader_key_written(sim, node, change.revision);
+        else
+            post_election(sim, node, 0.3);
+        break;
+    case SIM_FOR_SEQUENCE:
+    case SIM_FOR_RECEIPTS:
+    case SIM_FOR_INTENTS:
+        acquisition_read(sim, node, call, status, answer);
+        break;
+    default:
+        break;
+    }
+}
+
+void sim_election_renewed(struct sim *sim, struct sim_node *node, struct sim_call *call,
+                          long status)
+{
+    if (status == 404) {
+        node->leading = false;
+        sim_release_acquisition(node);
+        node->leadership_acquired = false;
+        bd_leadership_lost(node->core);
+        post_election(sim, node, 0);
+        return;
+    }
+    if (status == 200)
+        bd_leadership_renewed(node->core, call->number, call->sent);
+    post_election(sim, node, TTL_S / 6);
+}
--- /dev/null
+++ b/tests/sim_reader.c
@@ -0,0 +1,95 @@
+/* The simulated controllers' reads of the key-value store: the list of the jobs' records, its
+ * refreshes, and what the leader reads of delegates and drains. */
+#include "drain/drain.h"
+#include "jobs/jobs.h"
+#include "model/leadership_state.h"
+#include "sim_node.h"
+#include "simulation.h"
+#include "wire/wire.h"
+#include "workers/workers.h"
+#include <stdlib.h>
+
+void sim_reader_next(struct sim *sim, struct sim_node *node)
+{
+    if (node->refresh_out)
+        return;
+    node->refresh_out = true;
+    if (node->list_again) {
+        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_LIST, "j/", NULL, 1.5);
+        return;
+    }
+    if (node->core->role == BD_LEADER && sim->now > node->next_delegates) {
+        node->next_delegates = sim->now + 0.7;
+        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_DELEGATES, "p/", NULL, 1.5);
+        return;
+    }
+    if (sim->draining && node->core->role == BD_LEADER && sim->now > node->next_drains) {
+        node->next_drains = sim->now + 1;
+        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_DRAINS, BD_DRAIN_KEY, NULL, 1.5);
+        return;
+    }
+    struct sim_call *refresh =
+        sim_node_call(sim, node, SIM_REFRESH, SIM_FOR_REFRESH, NULL, NULL, 1.5);
+    refresh->number = node->after;
+    refresh->flag = node->want_barrier;
+    node->want_barrier = false;
+}
+
+static void apply_changes(struct sim_node *node, json_t *list)
+{
+    struct bd_change change;
+    json_t *item;
+    size_t i;
+    json_array_foreach(list, i, item)
+    {
+        if (bd_wire_change(item, &change))
+            bd_replica_apply(node->core, &change);
+    }
+}
+
+/* The drains' records, and after them their machines' if those are not known. */
+void sim_drains_listed(struct sim *sim, struct sim_node *node, struct sim_call *call, long status,
+                       json_t *answer)
+{
+    bool ignored, sets = call->purpose == SIM_FOR_DRAIN_SETS;
+    json_t *pairs = status == 200 ? bd_wire_pairs(answer, &ignored) : NULL;
+    if (!sets && pairs && bd_drain_wants_sets(node->core)) {
+        json_decref(node->drains);
+        node->drains = json_incref(pairs);
+        node->refresh_out = true;
+        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_DRAIN_SETS, BD_DRAIN_SET, NULL, 1.5);
+        return;
+    }
+    if (pairs)
+        bd_drain_records(node->core, sets ? node->drains : pairs, sets ? pairs : NULL);
+    sim_node_post(sim, node, status == 200 ? 0.2 : 0.25, SIM_READER);
+}
+
+void sim_reader_answered(struct sim *sim, struct sim_node *node, struct sim_call *call, long status,
+                         json_t *answer)
+{
+    bool ignored;
+    node->refresh_out = false;
+    if (call->purpose == SIM_FOR_LIST && status == 200) {
+        apply_changes(node, bd_wire_pairs(answer, &ignored));
+        bd_replica_listed(node->core, bd_wire_store_revision(answer), call->sent);
+        node->after = node->core->replica.store_revision;
+        node->list_again = false;
+    } else if (call->purpose == SIM_FOR_REFRESH) {
+        node->reads_refused = status != 200;
+        if (status == 200)
+            apply_changes(node, bd_wire_log(answer));
+        bd_replica_refreshed(node->core, call->number, bd_wire_store_revision(answer), call->sent,
+                             call->flag, status == 200);
+        if (status == 200 && bd_wire_store_revision(answer) > node->after)
+            node->after = bd_wire_store_revision(answer);
+    } else if (call->purpose == SIM_FOR_DELEGATES && status == 200) {
+        if (sim->loud && getenv("SIM_DEPUTIES")) {
+            char *text = json_dumps(bd_wire_pairs(answer, &ignored), JSON_COMPACT);
+            sim_trace(sim, "%s sees %s", node->settings.node, text);
+            free(text);
+        }
+        bd_delegate_records_read(node->core, bd_wire_pairs(answer, &ignored), call->sent);
+    }
+    sim_node_post(sim, node, status == 200 ? (node->want_barrier ? 0.04 : 0.2) : 0.25, SIM_READER);
+}
--- /dev/null
+++ b/tests/sim_receive.c
@@ -0,0 +1,245 @@
+/* What arrives at the simulated controllers: frames of peers, heartbeats, users' requests, and the
+ * answers to direct commands and to calls of the cloud. */
+#include "autoscaling/autoscaling.h"
+#include "base/timeutil.h"
+#include "jobs/jobs.h"
+#include "leadership/leadership.h"
+#include "model/effect.h"
+#include "sim_node.h"
+#include "simulation.h"
+#include "wire/frame.h"
+#include "wire/wire.h"
+#include "workers/workers.h"
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#define PROVISIONED_MAX 2 /* in answer to one request */
+#define RETURNED_MAX 128  /* by one request */
+
+static bool peers_apart(const struct sim *sim, int a, int b)
+{
+    return sim->now < sim->peers_cut[a] || sim->now < sim->peers_cut[b] ||
+           (sim->now < sim->zones_cut &&
+            strcmp(sim->nodes[a].settings.zone, sim->nodes[b].settings.zone) != 0);
+}
+
+static bool read_heartbeat(const char *text, struct bd_heartbeat *heartbeat)
+{
+    json_t *json = text ? json_loads(text, 0, NULL) : NULL;
+    bool ok = json && bd_wire_heartbeat(json, heartbeat);
+    json_decref(json);
+    return ok;
+}
+
+/* A cut may deliver late what was sent meanwhile. */
+static bool delay_frame(struct sim *sim, struct sim_event *event)
+{
+    double until = sim->peers_cut[event->node];
+    until = sim->peers_cut[event->who] > until ? sim->peers_cut[event->who] : until;
+    until = sim->zones_cut > until ? sim->zones_cut : until;
+    if (!peers_apart(sim, event->node, event->who) || sim_random(sim) < 0.5)
+        return false;
+    (void)sim_post_again(sim, event, until - sim->now + sim_between(sim, 0.01, 0.3));
+    return true;
+}
+
+void sim_receive_frame(struct sim *sim, struct sim_event *event)
+{
+    if (delay_frame(sim, event))
+        return;
+    struct sim_node *node = &sim->nodes[event->who];
+    struct bd_frame *frame = event->data;
+    struct bd_heartbeat heartbeat;
+    if (node->core && node->epoch == event->epoch && !peers_apart(sim, event->node, event->who)) {
+        sim_node_set_clock(sim, node);
+        if (frame->type == BD_FRAME_STATUS)
+            bd_peer_status_received(node->core, frame->name, frame->term, frame->flags,
+                                    frame->age_ms / 1000.0, (double)frame->at_ms / 1000.0,
+                                    node->core->now);
+        if (frame->type == BD_FRAME_HEARTBEAT && read_heartbeat(event->text, &heartbeat)) {
+            bd_worker_heartbeat_forwarded(node->core, frame->name, frame->id, &heartbeat,
+                                          event->text, strlen(event->text));
+            bd_wire_heartbeat_release(&heartbeat);
+        }
+        if (frame->type == BD_FRAME_CANCELLED)
+            bd_job_cancellation_received(node->core, event->text);
+        if (frame->type == BD_FRAME_ANSWER)
+            bd_forward_reply_received(node->core, frame->id, frame->status, event->text,
+                                      event->text ? strlen(event->text) : 0);
+        sim_node_settle(sim, node);
+    }
+    free(frame);
+}
+
+/* They live until the day's end: a core that ends leaves some unanswered. */
+static struct sim_request *new_request(struct sim *sim, const struct sim_event *event)
+{
+    struct sim_request *request = calloc(1, sizeof *request);
+    if (!request)
+        abort();
+    request->who = event->who;
+    request->number = event->kind == SIM_HEARTBEAT_COPY
+                          ? UINT64_MAX
+                          : event->number; /* nobody hears the answer */
+    request->next = sim->requests;
+    sim->requests = request;
+    return request;
+}
+
+void sim_receive_heartbeat(struct sim *sim, struct sim_event *event)
+{
+    struct sim_node *node = &sim->nodes[event->node];
+    struct bd_heartbeat heartbeat;
+    if (!node->core || !read_heartbeat(event->text, &heartbeat))
+        return;
+    struct sim_request *request = new_request(sim, event);
+    sim_node_set_clock(sim, node);
+    bd_worker_heartbeat_received(node->core, request, &heartbeat, event->text, strlen(event->text));
+    bd_wire_heartbeat_release(&heartbeat);
+    sim_node_settle(sim, node);
+}
+
+/* Taken out of the queue: sent, if the right to it still holds, as worker_client.c asks too. */
+void sim_send_direct_command(struct sim *sim, struct sim_event *event)
+{
+    struct sim_node *node = &sim->nodes[event->node];
+    struct sim_direct_command *command = event->data;
+    if (!node->core || node->epoch != event->epoch) {
+        free(command);
+        return;
+    }
+    if (!bd_before(sim_node_monotonic(sim, node), command->until)) {
+        sim_node_set_clock(sim, node);
+        bd_worker_direct_command_completed(node->core, command->machine, command->fencing_token,
+                                           command->launch, BD_DIRECT_NOT_SENT, NULL);
+        sim_node_settle(sim, node);
+        free(command);
+        return;
+    }
+    command->references = 2;
+    bool held = sim_held_up(sim);
+    struct sim_event *arrival = sim_node_post(
+        sim, node, sim_delay(sim) + (held ? sim_between(sim, 0.5, 6) : 0), SIM_COMMAND_IN);
+    arrival->who = command->worker;
+    arrival->text = event->text;
+    arrival->data = command;
+    event->text = NULL;
+    struct sim_event *timeout = sim_node_post(sim, node, 1.5, SIM_COMMAND_TIMEOUT);
+    timeout->data = command;
+}
+
+void sim_direct_command_ended(struct sim *sim, struct sim_event *event)
+{
+    struct sim_node *node = &sim->nodes[event->node];
+    struct sim_direct_command *command = event->data;
+    struct bd_heartbeat heartbeat;
+    if (!command->over && node->core && node->epoch == event->epoch) {
+        bool ok = event->kind == SIM_COMMAND_BACK && read_heartbeat(event->text, &heartbeat);
+        sim_node_set_clock(sim, node);
+        bd_worker_direct_command_completed(node->core, command->machine, command->fencing_token,
+                                           command->launch, ok ? event->status : 0,
+                                           ok ? &heartbeat : NULL);
+        if (ok)
+            bd_wire_heartbeat_release(&heartbeat);
+        sim_node_settle(sim, node);
+    }
+    command->over = true;
+    if (--command->references == 0)
+        free(command);
+}
+
+void sim_receive_user_request(struct sim *sim, struct sim_event *event)
+{
+    struct sim_node *node = &sim->nodes[event->node];
+    struct sim_job *job = &sim->jobs[event->who];
+    if (!node->core)
+        return;
+    struct sim_request *request = new_request(sim, event);
+    request->user = true;
+    request->verb = (int)event->status;
+    sim_node_set_clock(sim, node);
+    if (event->status == SIM_SUBMIT)
+        bd_user_submit(node->core, request, event->text, strlen(event->text));
+    else if (event->status == SIM_CANCEL)
+        bd_user_cancel(node->core, request, job->id);
+    else
+        bd_user_status(node->core, request, job->id);
+    sim_node_settle(sim, node);
+}
+
+/* Machines come within two seconds, or late. Returns how many, their names in `names`. */
+static int provision(struct sim *sim, json_t *request, char (*names)[BD_LABEL])
+{
+    int wanted = (int)json_integer_value(json_object_get(request, "howMany"));
+    int count = 0;
+    while (count < wanted && count < PROVISIONED_MAX) {
+        const char *zone = json_string_value(json_object_get(request, "glade"));
+        double boot = sim_random(sim) < 0.6 ? sim_between(sim, 0.3, 2) : sim_between(sim, 5, 15);
+        int worker = sim_provision(sim, zone, boot);
+        if (worker < 0)
+            break;
+        snprintf(names[count++], BD_LABEL, "%s", sim->workers[worker].id);
+    }
+    return count;
+}
+
+static void return_machines(struct sim *sim, json_t *request)
+{
+    json_t *item;
+    size_t i;
+    json_array_foreach(json_object_get(request, "hearths"), i, item)
+    {
+        for (int worker = 0; worker < sim->nworkers; worker++)
+            if (strcmp(sim->workers[worker].id, json_string_value(item)) == 0)
+                sim_worker_gone(sim, &sim->workers[worker]);
+    }
+}
+
+void sim_cloud_answered(struct sim *sim, struct sim_event *event)
+{
+    struct sim_node *node = &sim->nodes[event->node];
+    json_t *request = json_loads(event->text, 0, NULL);
+    char names[PROVISIONED_MAX][BD_LABEL];
+    bool is_scale_out = event->flag;
+    int count = 0;
+    if (is_scale_out)
+        count = provision(sim, request, names);
+    else
+        return_machines(sim, request);
+    if (node->core && node->epoch == event->epoch) {
+        sim_node_set_clock(sim, node);
+        if (is_scale_out) {
+            bd_scale_out_completed(node->core, json_string_value(json_object_get(request, "plea")),
+                                   count ? 200 : 503, names, count);
+        } else {
+            char(*returned)[BD_LABEL] = calloc(RETURNED_MAX, sizeof *returned);
+            count = bd_wire_machine_names(request, returned, RETURNED_MAX);
+            bd_scale_in_completed(node->core, returned, count, true);
+            free(returned);
+        }
+        sim_node_settle(sim, node);
+    }
+    json_decref(request);
+}
+
+void sim_list_machines(struct sim *sim, struct sim_node *node)
+{
+    struct bd_cloud_machine *machines = calloc(SIM_MACHINES, sizeof *machines);
+    size_t count = 0;
+    if (!machines)
+        abort();
+    for (int i = 0; i < sim->nworkers; i++) {
+        struct sim_worker *worker = &sim->workers[i];
+        if (worker->gone || sim->now - worker->provisioned_at < 3) /* the list lags */
+            continue;
+        snprintf(machines[count].id, BD_LABEL, "%s", worker->id);
+        snprintf(machines[count].addr, BD_LABEL, "w-%d", i);
+        snprintf(machines[count].type, BD_LABEL, "%s", worker->type);
+        snprintf(machines[count].zone, BD_LABEL, "%s", worker->zone);
+        machines[count].state = sim->now < worker->up_at ? BD_MACHINE_BOOTING : BD_MACHINE_UP;
+        machines[count++].age = sim->now - worker->provisioned_at;
+    }
+    bd_inventory_machines(node->core, machines, count, bd_sub(node->core->now, bd_secs(0.1)));
+    free(machines);
+}
--- a/tests/sim_state.c
+++ b/tests/sim_state.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-void sim_state_tick(struct sim *s)
+void sim_store_tick(struct sim *s)
 {
     for (int i = 0; s->now >= s->outage && i < s->ngrants;) {
         if (s->now < s->grant[i].ends) {
@@ -44,7 +44,7 @@
         struct table_key *k = table_find(&s->table, key);
         const char *state = k ? json_string_value(json_object_get(k->value, "s")) : NULL;
         if (!state || strcmp(state, "live") != 0)
-            sim_broken(s, "intent: %s is %s", key, state ? state : "not there");
+            sim_violation(s, "intent: %s is %s", key, state ? state : "not there");
     }
 }
 
@@ -56,12 +56,13 @@
     json_int_t t0 = w ? json_integer_value(json_object_get(w->value, "t")) : 0;
     json_int_t n0 = w ? json_integer_value(json_object_get(w->value, "n")) : 0;
     if (t < t0 || (t == t0 && n <= n0))
-        sim_broken(s, "written twice: %lld of term %lld after %lld of %lld", (long long)n,
-                   (long long)t, (long long)n0, (long long)t0);
+        sim_violation(s, "written twice: %lld of term %lld after %lld of %lld", (long long)n,
+                      (long long)t, (long long)n0, (long long)t0);
     const char *name =
         leader ? json_string_value(json_object_get(leader->value, "node")) : "nobody";
     if (s->writer >= 0 && strcmp(name, s->nodes[s->writer].settings.node) != 0)
-        sim_broken(s, "deposed: %s writes while %s leads", s->nodes[s->writer].settings.node, name);
+        sim_violation(s, "deposed: %s writes while %s leads", s->nodes[s->writer].settings.node,
+                      name);
 }
 
 static void before_set(void *owner, const char *name, json_t *value)
@@ -72,7 +73,7 @@
         check_sequence(owner, value);
 }
 
-void sim_state_start(struct sim *s)
+void sim_store_start(struct sim *s)
 {
     s->table.owner = s;
     s->table.grant_lives = grant_lives;
@@ -136,7 +137,7 @@
 
 void sim_call_drop(struct sim_call *c)
 {
-    if (--c->reservations > 0)
+    if (--c->references > 0)
         return;
     free(c->body);
     if (c->effect)
@@ -145,53 +146,53 @@
 }
 
 /* The call goes out now; it is answered, or given up after the timeout. */
-void sim_state_call(struct sim *s, struct sim_call *c, double timeout)
+void sim_store_call(struct sim *s, struct sim_call *c, double timeout)
 {
     double there = sim_delay(s) + (s->now < s->slow ? sim_between(s, 0.02, 0.6) : 0);
     bool refused = s->now < s->outage || s->now < s->refuses[c->node] ||
                    (c->op == SIM_REFRESH && s->now < s->blind[c->node]);
     bool write = c->op == SIM_COMMIT && !refused;
-    struct sim_event *e = sim_post(s, there, SIM_STATE_RUN);
+    struct sim_event *e = sim_post(s, there, SIM_STORE_RUN);
     e->call = c;
-    c->reservations++;
+    c->references++;
     e->flag = true; /* its answer arrives */
-    if (write && s->now < s->lost_until && sim_rnd(s) < s->lost_share)
+    if (write && s->now < s->lost_until && sim_random(s) < s->lost_share)
         e->flag = false;
-    if (write && s->now < s->late_until && sim_rnd(s) < s->late_share) {
+    if (write && s->now < s->late_until && sim_random(s) < s->late_share) {
         e->flag = false;
         double late = sim_between(s, 2, 12);
         (void)sim_post_again(s, e, late);
         e->status = -1; /* not now */
-        c->reservations++;
+        c->references++;
     }
-    struct sim_event *g = sim_post(s, timeout, SIM_STATE_GIVEN_UP);
+    struct sim_event *g = sim_post(s, timeout, SIM_STORE_TIMEOUT);
     g->call = c;
-    c->reservations++;
+    c->references++;
 }
 
-void sim_state_event(struct sim *s, struct sim_event *e)
+void sim_store_event(struct sim *s, struct sim_event *e)
 {
     struct sim_call *c = e->call;
     json_t *out = NULL;
-    if (e->kind == SIM_STATE_RUN && e->status != -1) {
+    if (e->kind == SIM_STORE_RUN && e->status != -1) {
         bool refused = s->now < s->outage || s->now < s->refuses[c->node] ||
                        (c->op == SIM_REFRESH && s->now < s->blind[c->node]);
         long status = refused ? 503 : execute(s, c, &out);
         if (e->flag) {
-            struct sim_event *back = sim_post(s, sim_delay(s), SIM_STATE_BACK);
+            struct sim_event *back = sim_post(s, sim_delay(s), SIM_STORE_BACK);
             back->call = c;
             back->status = status;
             back->data = out;
-            c->reservations++;
+            c->references++;
             out = NULL;
         }
-    } else if (e->kind == SIM_STATE_BACK) {
+    } else if (e->kind == SIM_STORE_BACK) {
         out = e->data;
         if (!c->over) {
             c->over = true;
             sim_node_answered(s, c, e->status, out);
         }
-    } else if (e->kind == SIM_STATE_GIVEN_UP && !c->over) {
+    } else if (e->kind == SIM_STORE_TIMEOUT && !c->over) {
         c->over = true;
         sim_node_answered(s, c, 0, NULL);
     }
@@ -199,7 +200,7 @@
     sim_call_drop(c);
 }
 
-void sim_state_free(struct sim *s)
+void sim_store_free(struct sim *s)
 {
     table_free(&s->table);
 }
--- a/tests/sim_work.c
+++ b/tests/sim_work.c
@@ -38,7 +38,7 @@
     w->up_at = w->answered = s->now + boot;
     w->next_report = w->up_at + sim_between(s, 0, 0.5);
     w->incarnation = 1;
-    w->node = (int)(sim_rnd(s) * SIM_NODES);
+    w->node = (int)(sim_random(s) * SIM_NODES);
     return s->nworkers++;
 }
 
@@ -49,8 +49,8 @@
     for (int i = 0; i < s->njobs; i++)
         for (uint32_t k = 0; s->jobs[i].team == team && k < s->jobs[i].tasks; k++)
             if (s->jobs[i].machine[k] >= 0)
-                sim_note(s, "in use: %s/%u on vm-%d, %.0f", s->jobs[i].id, k, s->jobs[i].machine[k],
-                         s->jobs[i].cpus);
+                sim_trace(s, "in use: %s/%u on vm-%d, %.0f", s->jobs[i].id, k,
+                          s->jobs[i].machine[k], s->jobs[i].cpus);
 }
 
 static void on_machine(struct sim *s, struct sim_worker *w, struct sim_slot *t)
@@ -58,16 +58,16 @@
     struct sim_job *j = &s->jobs[t->job];
     int at = (int)(w - s->workers);
     s->starts++;
-    sim_note(s, "%s/%u begins on %s", j->id, t->task, w->id);
+    sim_trace(s, "%s/%u begins on %s", j->id, t->task, w->id);
     if (j->machine[t->task] >= 0)
-        sim_broken(s, "ran_twice: %s/%u starts on %s while on vm-%d", j->id, t->task, w->id,
-                   j->machine[t->task]);
+        sim_violation(s, "ran_twice: %s/%u starts on %s while on vm-%d", j->id, t->task, w->id,
+                      j->machine[t->task]);
     if (j->zone[0] == '"' && strncmp(j->zone + 1, w->zone, strlen(w->zone)) != 0)
-        sim_broken(s, "wrong_place: %s/%u, for zone %s, starts on %s", j->id, t->task, j->zone,
-                   w->id);
+        sim_violation(s, "wrong_place: %s/%u, for zone %s, starts on %s", j->id, t->task, j->zone,
+                      w->id);
     if (j->cancelled_at > 0 && s->now > j->cancelled_at + s->cancel_s)
-        sim_broken(s, "ran_cancelled: %s/%u starts on %s, %.1f s after", j->id, t->task, w->id,
-                   s->now - j->cancelled_at);
+        sim_violation(s, "ran_cancelled: %s/%u starts on %s, %.1f s after", j->id, t->task, w->id,
+                      s->now - j->cancelled_at);
     if (j->cancelled_at > 0 && s->now > j->cancelled_at + s->lease_s + 2)
         s->late_starts++;
     j->machine[t->task] = at;
@@ -77,8 +77,8 @@
     if (s->team_use[j->team] <= s->team_max[j->team] + 1e-6)
         return;
     note_use(s, j->team);
-    sim_broken(s, "quota: team %d uses %.0f with %s/%u on %s", j->team, s->team_use[j->team], j->id,
-               t->task, w->id);
+    sim_violation(s, "quota: team %d uses %.0f with %s/%u on %s", j->team, s->team_use[j->team],
+                  j->id, t->task, w->id);
 }
 
 static void off_machine(struct sim *s, struct sim_worker *w, struct sim_slot *t)
@@ -101,7 +101,7 @@
     off_machine(s, w, t);
     t->execution = BD_EXECUTION_EXITED;
     t->exit_reason = why;
-    sim_note(s, "%s/%u exits on %s: %s", s->jobs[t->job].id, t->task, w->id, whys[why]);
+    sim_trace(s, "%s/%u exits on %s: %s", s->jobs[t->job].id, t->task, w->id, whys[why]);
     if (why == BD_EXIT_DONE) {
         struct sim_job *j = &s->jobs[t->job];
         for (uint32_t k = 0; k < j->tasks; k++) /* a gang's tasks complete together */
@@ -259,14 +259,14 @@
 
 static void copy_later(struct sim *s, const char *text, int node, int who)
 {
-    if (s->now >= s->copies_until || sim_rnd(s) >= s->copies_share)
+    if (s->now >= s->copies_until || sim_random(s) >= s->copies_share)
         return;
     if (s->copies_for_next) { /* every controller gets it as a new leader begins */
         if (s->nkept < (int)(sizeof s->kept / sizeof *s->kept))
             s->kept[s->nkept++] = strdup(text);
         return;
     }
-    struct sim_event *e = sim_post(s, sim_between(s, 2, 25), SIM_REPORT_COPY);
+    struct sim_event *e = sim_post(s, sim_between(s, 2, 25), SIM_HEARTBEAT_COPY);
     e->node = node;
     e->who = who;
     e->text = strdup(text);
@@ -276,7 +276,7 @@
 {
     for (int k = 0; k < s->nkept; k++) {
         for (int i = 0; i < SIM_NODES; i++) {
-            struct sim_event *e = sim_post(s, sim_between(s, 0, 0.3), SIM_REPORT_COPY);
+            struct sim_event *e = sim_post(s, sim_between(s, 0, 0.3), SIM_HEARTBEAT_COPY);
             e->node = i;
             e->text = strdup(s->kept[k]);
         }
@@ -294,20 +294,20 @@
     w->asked = w->tally;
     w->asked_at = s->now;
     if (there) {
-        struct sim_event *e = sim_post(s, sim_delay(s), SIM_REPORT_IN);
+        struct sim_event *e = sim_post(s, sim_delay(s), SIM_HEARTBEAT_IN);
         e->node = w->node;
         e->who = who;
         e->number = w->tally;
         e->text = strdup(text);
         copy_later(s, text, w->node, who);
     } else if (w->holds && s->now < w->cut) {
-        struct sim_event *e = sim_post(s, w->cut - s->now + 0.1, SIM_REPORT_COPY);
+        struct sim_event *e = sim_post(s, w->cut - s->now + 0.1, SIM_HEARTBEAT_COPY);
         e->node = w->node;
         e->who = who;
         e->text = strdup(text);
     }
     bool refused = there && !s->nodes[w->node].core;
-    struct sim_event *g = sim_post(s, refused ? 0.01 : 4.0, SIM_REPORT_GIVEN_UP);
+    struct sim_event *g = sim_post(s, refused ? 0.01 : 4.0, SIM_HEARTBEAT_TIMEOUT);
     g->who = who;
     g->number = w->tally;
     free(text);
@@ -349,8 +349,8 @@
                 w->next_report = s->now + 0.5;
             w->fencing_token = fencing_token;
             w->answered = w->asked_at;
-            sim_note(s, "%s is answered by node-%d, seal %llu", w->id, e->node,
-                     (unsigned long long)fencing_token);
+            sim_trace(s, "%s is answered by node-%d, seal %llu", w->id, e->node,
+                      (unsigned long long)fencing_token);
             obey(s, w, o);
         }
     }
@@ -362,16 +362,16 @@
 static void do_in(struct sim *s, struct sim_event *e)
 {
     struct sim_worker *w = &s->workers[e->who];
-    struct sim_try *t = e->data;
+    struct sim_direct_command *t = e->data;
     json_t *o = json_loads(e->text, 0, NULL);
     bool there = reaches(s, e->node, w) && s->now >= w->inbound_partition;
     bool zones = s->now < s->zones_cut && strcmp(s->nodes[e->node].settings.zone, w->zone) != 0;
     bool late = (!there && w->holds && s->now < w->cut) || (there && s->now < w->hangs) ||
-                (zones && sim_rnd(s) < 0.5);
+                (zones && sim_random(s) < 0.5);
     if (late && !w->gone) { /* executed when the cut ends, or the machine goes on */
         double until = there ? w->hangs : zones ? s->zones_cut : w->cut;
         (void)sim_post_again(s, e, until - s->now + 0.05);
-        t->reservations++;
+        t->references++;
     } else if (there && s->now >= w->up_at) {
         uint64_t fencing_token = (uint64_t)json_integer_value(json_object_get(o, "seal"));
         uint64_t incarnation = (uint64_t)json_integer_value(json_object_get(o, "tenancy"));
@@ -382,28 +382,28 @@
         }
         bool held = sim_held_up(s);
         struct sim_event *b =
-            sim_post(s, sim_delay(s) + (held ? sim_between(s, 0.3, 4) : 0), SIM_DO_BACK);
+            sim_post(s, sim_delay(s) + (held ? sim_between(s, 0.3, 4) : 0), SIM_COMMAND_BACK);
         b->node = e->node;
         b->epoch = e->epoch;
         b->who = e->who;
         b->status = good ? 200 : 409;
         b->text = report_text(s, w);
         b->data = t;
-        t->reservations++;
+        t->references++;
     }
     json_decref(o);
-    if (--t->reservations == 0)
+    if (--t->references == 0)
         free(t);
 }
 
 void sim_worker_event(struct sim *s, struct sim_event *e)
 {
     struct sim_worker *w = &s->workers[e->who];
-    if (e->kind == SIM_DO_IN)
+    if (e->kind == SIM_COMMAND_IN)
         do_in(s, e);
-    else if (e->kind == SIM_REPORT_BACK)
+    else if (e->kind == SIM_HEARTBEAT_BACK)
         answered(s, w, e);
-    else if (e->kind == SIM_REPORT_GIVEN_UP && w->asking && w->asked == e->number)
+    else if (e->kind == SIM_HEARTBEAT_TIMEOUT && w->asking && w->asked == e->number)
         next_node(s, w, 1);
 }
 
@@ -475,7 +475,7 @@
         if (w->gone || s->now < w->up_at)
             continue;
         if (s->now - w->answered > s->lease_s) {
-            sim_note(s, "%s: its lease is over, %d tasks", w->id, w->nslots);
+            sim_trace(s, "%s: its lease is over, %d tasks", w->id, w->nslots);
             kill_all(s, w);
             w->incarnation++;
             w->answered = s->now;
--- a/tests/simulation.c
+++ b/tests/simulation.c
@@ -47,22 +47,22 @@
 #define OVERTIME_MAX_S 400.0 /* ... and then the day is over */
 #define LOST_S 75.0          /* without an answer a job counts as forgotten */
 
-double sim_rnd(struct sim *s)
+double sim_random(struct sim *s)
 {
     return gsl_rng_uniform(s->rng);
 }
 
 double sim_between(struct sim *s, double a, double b)
 {
-    return a + (b - a) * sim_rnd(s);
+    return a + (b - a) * sim_random(s);
 }
 
 double sim_delay(struct sim *s)
 {
-    return sim_rnd(s) < 0.02 ? sim_between(s, 0.05, 0.4) : sim_between(s, 0.001, 0.006);
+    return sim_random(s) < 0.02 ? sim_between(s, 0.05, 0.4) : sim_between(s, 0.001, 0.006);
 }
 
-void sim_note(struct sim *s, const char *fmt, ...)
+void sim_trace(struct sim *s, const char *fmt, ...)
 {
     va_list ap;
     if (!s->loud)
@@ -74,7 +74,7 @@
     va_end(ap);
 }
 
-void sim_broken(struct sim *s, const char *fmt, ...)
+void sim_violation(struct sim *s, const char *fmt, ...)
 {
     va_list ap;
     if (++s->broken > 5)
@@ -114,7 +114,7 @@
 
 bool sim_held_up(struct sim *s)
 {
-    return s->now < s->held_up && sim_rnd(s) < 0.3;
+    return s->now < s->held_up && sim_random(s) < 0.3;
 }
 
 /* ---- users ---- */
@@ -146,7 +146,7 @@
 
 static int some_node(struct sim *s)
 {
-    int from = (int)(sim_rnd(s) * SIM_NODES);
+    int from = (int)(sim_random(s) * SIM_NODES);
     for (int i = 0; i < SIM_NODES; i++) {
         int k = (from + i) % SIM_NODES;
         if (s->nodes[k].core && bd_leadership_healthy(s->nodes[k].core))
@@ -160,7 +160,7 @@
 {
     for (int i = 0; i < SIM_NODES; i++)
         ask_node(s, job, i, SIM_ASK);
-    if (sim_rnd(s) < 0.5)
+    if (sim_random(s) < 0.5)
         ask_node(s, job, some_node(s), SIM_SUBMIT);
 }
 
@@ -176,7 +176,7 @@
         ask_node(s, e->who, some_node(s), SIM_ASK);
     double last = j->answered_at > s->trouble_ends ? j->answered_at : s->trouble_ends;
     if (j->accepted_at > 0 && s->now - last > LOST_S)
-        sim_broken(s, "forgotten: no question about %s is answered for %.0f s", j->id, LOST_S);
+        sim_violation(s, "forgotten: no question about %s is answered for %.0f s", j->id, LOST_S);
     if (j->odd && s->now > s->trouble_ends)
         return;
     sim_post(s, over ? sim_between(s, 5, 15) : sim_between(s, 1, 4), SIM_USER_WAKE)->who = e->who;
@@ -193,24 +193,24 @@
     if (strcmp(state, "done") == 0) {
         for (uint32_t i = 0; i < j->tasks; i++)
             if (!j->done[i])
-                sim_broken(s, "not_done: %s is called done, task %u is not", j->id, i);
+                sim_violation(s, "not_done: %s is called done, task %u is not", j->id, i);
         first = first || j->done_at <= 0;
         if (j->cancelled_at > 0 && sent > j->cancelled_at)
-            sim_broken(s, "went_back: %s was cancelled, now done", j->id);
+            sim_violation(s, "went_back: %s was cancelled, now done", j->id);
         j->done_at = j->done_at > 0 ? j->done_at : s->now;
     } else if (strcmp(state, "cancelled") == 0) {
         if (j->asked_cancel <= 0)
-            sim_broken(s, "went_back: %s is called cancelled, nobody asked for it", j->id);
+            sim_violation(s, "went_back: %s is called cancelled, nobody asked for it", j->id);
         if (j->done_at > 0 && sent > j->done_at)
-            sim_broken(s, "went_back: %s was done, now cancelled", j->id);
+            sim_violation(s, "went_back: %s was done, now cancelled", j->id);
         first = first || j->cancelled_at <= 0;
         if (j->cancelled_at <= 0)
-            sim_note(s, "%s is cancelled", j->id);
+            sim_trace(s, "%s is cancelled", j->id);
         j->cancelled_at = j->cancelled_at > 0 ? j->cancelled_at : s->now;
     } else if ((j->done_at > 0 && sent > j->done_at) ||
                (j->cancelled_at > 0 && sent > j->cancelled_at)) {
-        sim_broken(s, "went_back: %s was %s, now %s", j->id, j->done_at > 0 ? "done" : "cancelled",
-                   state);
+        sim_violation(s, "went_back: %s was %s, now %s", j->id,
+                      j->done_at > 0 ? "done" : "cancelled", state);
     }
     if (first)
         look_closely(s, e->who);
@@ -228,13 +228,13 @@
     const char *state = json_string_value(json_object_get(o, "mood"));
     if (e->status == 200 || e->status == 201) {
         if (j->odd)
-            sim_broken(s, "accepted: %s lacks a field, or has no zone", j->id);
+            sim_violation(s, "accepted: %s lacks a field, or has no zone", j->id);
         told(s, e, state ? state : "");
     } else if (e->status == 404 || e->status == 400 || e->status == 422) {
         if (known)
-            sim_broken(s, "forgotten: %s gets %ld", j->id, e->status);
+            sim_violation(s, "forgotten: %s gets %ld", j->id, e->status);
         if (!j->odd && e->status != 404)
-            sim_broken(s, "refused: %s gets %ld: %s", j->id, e->status, e->text);
+            sim_violation(s, "refused: %s gets %ld: %s", j->id, e->status, e->text);
     }
     json_decref(o);
 }
@@ -247,13 +247,13 @@
     struct sim_job *j = &s->jobs[n];
     memset(j, 0, sizeof *j);
     snprintf(j->id, sizeof j->id, "job-%d", n);
-    double kind = sim_rnd(s);
+    double kind = sim_random(s);
     j->kind = n < p->services ? BD_JOB_SERVICE : kind < 0.2 ? BD_JOB_GANG : BD_JOB_ARRAY;
     j->team = n % 2;
-    j->priority = j->kind == BD_JOB_SERVICE ? 3 : (int)(sim_rnd(s) * 3);
-    j->tasks = j->kind == BD_JOB_ARRAY ? 1 + (uint32_t)(sim_rnd(s) * 5) : 2;
-    j->cpus = j->kind == BD_JOB_SERVICE ? 1 : 1 + (int)(sim_rnd(s) * 3);
-    j->run_s = sim_rnd(s) < 0.15 ? sim_between(s, 30, 60) : sim_between(s, 1, 12);
+    j->priority = j->kind == BD_JOB_SERVICE ? 3 : (int)(sim_random(s) * 3);
+    j->tasks = j->kind == BD_JOB_ARRAY ? 1 + (uint32_t)(sim_random(s) * 5) : 2;
+    j->cpus = j->kind == BD_JOB_SERVICE ? 1 : 1 + (int)(sim_random(s) * 3);
+    j->run_s = sim_random(s) < 0.15 ? sim_between(s, 30, 60) : sim_between(s, 1, 12);
     if (p->small) {
         j->kind = BD_JOB_ARRAY;
         j->tasks = 1;
@@ -261,13 +261,13 @@
         j->run_s = sim_between(s, 1, 6);
     }
     j->odd = n > 3 && n % 17 == 0;
-    double where = p->small ? 1 : sim_rnd(s);
+    double where = p->small ? 1 : sim_random(s);
     j->zone = j->odd && n % 2 == 0 ? "\"nowhere\""
               : where < 0.1        ? "\"a\""
               : where < 0.2        ? "\"b\""
                                    : "null";
-    if (sim_rnd(s) < p->cancelled && !(p->drains && j->kind == BD_JOB_SERVICE))
-        j->cancel_at = sim_rnd(s) < 0.2 ? -1 : s->now + at + sim_between(s, 0.1, 40);
+    if (sim_random(s) < p->cancelled && !(p->drains && j->kind == BD_JOB_SERVICE))
+        j->cancel_at = sim_random(s) < 0.2 ? -1 : s->now + at + sim_between(s, 0.1, 40);
     for (int i = 0; i < SIM_TASKS; i++)
         j->machine[i] = -1;
     sim_post(s, at, SIM_USER_WAKE)->who = n;
@@ -280,7 +280,7 @@
     for (int i = 0; strcmp(who, "leader") == 0 && i < SIM_NODES; i++)
         if (s->nodes[i].core && bd_leadership_lease_valid(s->nodes[i].core))
             return i;
-    return *who >= '0' && *who <= '9' ? number_of(who) : (int)(sim_rnd(s) * SIM_NODES);
+    return *who >= '0' && *who <= '9' ? number_of(who) : (int)(sim_random(s) * SIM_NODES);
 }
 
 static void crash(struct sim *s, int i, double back)
@@ -295,7 +295,7 @@
 {
     int n = (int)t->a;
     for (int tries = 0; n > 0 && tries < 100; tries++) {
-        struct sim_worker *w = &s->workers[(int)(sim_rnd(s) * s->nworkers)];
+        struct sim_worker *w = &s->workers[(int)(sim_random(s) * s->nworkers)];
         double until = s->now + t->b;
         if (w->gone || s->now < w->up_at || s->now < w->hangs || s->now < w->cut)
             continue;
@@ -312,7 +312,7 @@
             w->cut = until;
             w->holds = strcmp(t->verb, "hold") == 0;
         }
-        sim_note(s, "%s %s until %.1f", w->id, t->verb, until);
+        sim_trace(s, "%s %s until %.1f", w->id, t->verb, until);
     }
 }
 
@@ -332,7 +332,7 @@
 static void trouble(struct sim *s, const struct sim_plan *p, const struct sim_trouble *t)
 {
     double until = s->now + t->a;
-    sim_note(s, "trouble: %s %s %.2f %.2f", t->verb, t->who, t->a, t->b);
+    sim_trace(s, "trouble: %s %s %.2f %.2f", t->verb, t->who, t->a, t->b);
     if (strcmp(t->verb, "outage") == 0)
         s->outage = until;
     else if (strcmp(t->verb, "slow") == 0)
@@ -456,7 +456,7 @@
     s->machines_most = p->machines * 3 / 2;
     s->draining = p->drains != 0;
     drain_check_start(&s->check, p->budgets);
-    sim_state_start(s);
+    sim_store_start(s);
     for (int i = 0; i < SIM_NODES; i++) {
         settings(s, i);
         sim_node_start(s, i);
@@ -488,8 +488,8 @@
 {
     int node = -1;
     switch (e->kind) {
-    case SIM_STATE_BACK:
-    case SIM_STATE_GIVEN_UP:
+    case SIM_STORE_BACK:
+    case SIM_STORE_TIMEOUT:
         node = e->call->node;
         break;
     case SIM_FRAME:
@@ -498,11 +498,11 @@
     case SIM_READER:
     case SIM_ELECTION:
     case SIM_NODE_TICK:
-    case SIM_REPORT_IN:
-    case SIM_REPORT_COPY:
-    case SIM_DO_SEND:
-    case SIM_DO_BACK:
-    case SIM_DO_GIVEN_UP:
+    case SIM_HEARTBEAT_IN:
+    case SIM_HEARTBEAT_COPY:
+    case SIM_COMMAND_SEND:
+    case SIM_COMMAND_BACK:
+    case SIM_COMMAND_TIMEOUT:
     case SIM_CLOUD_BACK:
     case SIM_USER_IN:
         node = e->node;
@@ -522,14 +522,14 @@
     if (waits_there(s, e))
         return;
     switch (e->kind) {
-    case SIM_STATE_RUN:
-    case SIM_STATE_BACK:
-    case SIM_STATE_GIVEN_UP:
-        sim_state_event(s, e);
+    case SIM_STORE_RUN:
+    case SIM_STORE_BACK:
+    case SIM_STORE_TIMEOUT:
+        sim_store_event(s, e);
         break;
-    case SIM_DO_IN:
-    case SIM_REPORT_BACK:
-    case SIM_REPORT_GIVEN_UP:
+    case SIM_COMMAND_IN:
+    case SIM_HEARTBEAT_BACK:
+    case SIM_HEARTBEAT_TIMEOUT:
         sim_worker_event(s, e);
         break;
     case SIM_USER_WAKE:
@@ -564,7 +564,7 @@
     else if (j->room_since <= 0)
         j->room_since = s->now;
     else if (s->now - j->room_since > WAIT_S)
-        sim_broken(s, "waits: %s has room for %.0f s", j->id, WAIT_S);
+        sim_violation(s, "waits: %s has room for %.0f s", j->id, WAIT_S);
 }
 
 static bool all_served(const struct sim *s)
@@ -584,7 +584,7 @@
         struct sim_job *j = &s->jobs[i];
         waits(s, j);
         if (j->cancelled_at > 0 && j->on > 0 && s->now > j->cancelled_at + s->cancel_s)
-            sim_broken(s, "ran_cancelled: %s is still on %d machines", j->id, j->on);
+            sim_violation(s, "ran_cancelled: %s is still on %d machines", j->id, j->on);
     }
 }
 
@@ -595,15 +595,15 @@
         if (j->odd || j->asked_cancel > 0)
             continue;
         if (j->accepted_at <= 0)
-            sim_broken(s, "not accepted: %s", j->id);
+            sim_violation(s, "not accepted: %s", j->id);
         else if (j->kind == BD_JOB_SERVICE && j->on < (int)j->tasks)
-            sim_broken(s, "waits: %s has %d of %u replicas", j->id, j->on, j->tasks);
+            sim_violation(s, "waits: %s has %d of %u replicas", j->id, j->on, j->tasks);
         else if (j->kind != BD_JOB_SERVICE && j->done_at <= 0)
-            sim_broken(s, "not served: %s (%u tasks of %.0f, on %d)", j->id, j->tasks, j->cpus,
-                       j->on);
+            sim_violation(s, "not served: %s (%u tasks of %.0f, on %d)", j->id, j->tasks, j->cpus,
+                          j->on);
     }
     if (!sim_drains_over(s))
-        sim_broken(s, "a drain is not over");
+        sim_violation(s, "a drain is not over");
 }
 
 static void finish(struct sim *s)
@@ -615,14 +615,14 @@
     while (s->queue) {
         struct sim_event *e = s->queue;
         s->queue = e->next;
-        if (e->kind == SIM_STATE_BACK)
+        if (e->kind == SIM_STORE_BACK)
             json_decref(e->data);
         if (e->kind == SIM_FRAME)
             free(e->data);
-        if (e->kind == SIM_DO_SEND || e->kind == SIM_DO_IN || e->kind == SIM_DO_BACK ||
-            e->kind == SIM_DO_GIVEN_UP) {
-            struct sim_try *t = e->data;
-            if (--t->reservations == 0)
+        if (e->kind == SIM_COMMAND_SEND || e->kind == SIM_COMMAND_IN ||
+            e->kind == SIM_COMMAND_BACK || e->kind == SIM_COMMAND_TIMEOUT) {
+            struct sim_direct_command *t = e->data;
+            if (--t->references == 0)
                 free(t);
         }
         if (e->call)
@@ -637,7 +637,7 @@
     }
     for (int i = 0; i < s->nkept; i++)
         free(s->kept[i]);
-    sim_state_free(s);
+    sim_store_free(s);
     gsl_rng_free(s->rng);
 }
 
@@ -659,7 +659,7 @@
         if (out && s->now >= s->outage)
             outage_over(s);
         out = s->now < s->outage;
-        sim_state_tick(s);
+        sim_store_tick(s);
         while (s->queue && s->queue->at <= s->now) {
             struct sim_event *e = s->queue;
             s->queue = e->next;
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -22,22 +22,22 @@
 #define SIM_SLOTS 400 /* what a worker knows */
 
 enum sim_event_kind {
-    SIM_STATE_RUN,
-    SIM_STATE_BACK,
-    SIM_STATE_GIVEN_UP,
+    SIM_STORE_RUN,
+    SIM_STORE_BACK,
+    SIM_STORE_TIMEOUT,
     SIM_READER,
     SIM_ELECTION,
     SIM_NODE_TICK,
     SIM_NODE_UP,
     SIM_FRAME,
-    SIM_REPORT_IN,
-    SIM_REPORT_BACK,
-    SIM_REPORT_GIVEN_UP,
-    SIM_DO_SEND,
-    SIM_DO_IN,
-    SIM_REPORT_COPY,
-    SIM_DO_BACK,
-    SIM_DO_GIVEN_UP,
+    SIM_HEARTBEAT_IN,
+    SIM_HEARTBEAT_BACK,
+    SIM_HEARTBEAT_TIMEOUT,
+    SIM_COMMAND_SEND,
+    SIM_COMMAND_IN,
+    SIM_HEARTBEAT_COPY,
+    SIM_COMMAND_BACK,
+    SIM_COMMAND_TIMEOUT,
     SIM_CLOUD_BACK,
     SIM_USER_IN,
     SIM_USER_BACK,
@@ -68,9 +68,33 @@
 
 enum sim_op { SIM_GET, SIM_LIST, SIM_REFRESH, SIM_COMMIT, SIM_GRANT, SIM_RENEW };
 
+enum sim_purpose { /* what an answer of the key-value store is for */
+                   SIM_FOR_LIST,
+                   SIM_FOR_REFRESH,
+                   SIM_FOR_DELEGATES,
+                   SIM_FOR_DRAINS,
+                   SIM_FOR_DRAIN_SETS,
+                   SIM_FOR_LEADER_KEY,
+                   SIM_FOR_LIVENESS,
+                   SIM_FOR_GRANT,
+                   SIM_FOR_ACQUISITION,
+                   SIM_FOR_OWN_KEY,
+                   SIM_FOR_SEQUENCE,
+                   SIM_FOR_RECEIPTS,
+                   SIM_FOR_INTENTS,
+                   SIM_FOR_RENEW,
+                   SIM_FOR_COMMIT,
+                   SIM_FOR_COMMIT_OUTCOME,
+                   SIM_FOR_USER,
+                   SIM_FOR_DELEGATE,
+                   SIM_FOR_DELEGATE_REVISION,
+                   SIM_FOR_LOOKUP
+};
+
 struct sim_call { /* of a controller to the state service */
     enum sim_op op;
-    int node, then, reservations;
+    enum sim_purpose purpose;
+    int node, references;
     uint64_t epoch, number;
     char key[96];
     char *body;
@@ -97,7 +121,7 @@
     char nonce[BD_LABEL];
     uint64_t grant;
     struct timespec granted, liveness_at;
-    struct bd_acquisition gain;
+    struct bd_acquisition acquisition;
     bool leadership_acquired; /* a gain waits for the replica */
     /* committer */
     struct bd_effect *commit;
@@ -178,10 +202,10 @@
     struct behaviour_digest *digest; /* NULL: none is taken */
 };
 
-double sim_rnd(struct sim *s);
+double sim_random(struct sim *s);
 double sim_between(struct sim *s, double a, double b);
-void sim_note(struct sim *s, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
-void sim_broken(struct sim *s, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
+void sim_trace(struct sim *s, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
+void sim_violation(struct sim *s, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
 struct sim_event *sim_post(struct sim *s, double delay, enum sim_event_kind kind);
 /* the same event once more, later; its text goes along */
 struct sim_event *sim_post_again(struct sim *s, struct sim_event *e, double delay);
@@ -189,13 +213,13 @@
 double sim_delay(struct sim *s);
 
 /* state service, sim_state.c */
-void sim_state_call(struct sim *s, struct sim_call *c, double timeout);
-void sim_state_event(struct sim *s, struct sim_event *e);
-void sim_state_start(struct sim *s);
-void sim_state_tick(struct sim *s);
+void sim_store_call(struct sim *s, struct sim_call *c, double timeout);
+void sim_store_event(struct sim *s, struct sim_event *e);
+void sim_store_start(struct sim *s);
+void sim_store_tick(struct sim *s);
 void sim_end_grant(struct sim *s, uint64_t id); /* once the request for it has arrived */
 void sim_call_drop(struct sim_call *c);
-void sim_state_free(struct sim *s);
+void sim_store_free(struct sim *s);
 
 /* controllers, sim_node.c */
 struct sim_request { /* what the core holds of a user's or a worker's request */
@@ -206,9 +230,9 @@
     int verb;
     struct sim_request *next;
 };
-struct sim_try { /* a direct command */
+struct sim_direct_command { /* a direct command */
     bool over, launch;
-    int reservations, worker;
+    int references, worker;
     struct timespec until;
     uint32_t machine;
     uint64_t fencing_token;
