--- a/tests/fake_server.h
+++ b/tests/fake_server.h
@@ -1,4 +1,4 @@
-/* Stand-ins for the state service, the cloud and the workers, on loopback, written from the
+/* Stand-ins for the key-value store, the cloud and the workers, on loopback, written from the
  * published protocol. They keep to it only as far as the loopback test needs. */
 #ifndef FAKE_SERVER_H
 #define FAKE_SERVER_H
@@ -6,54 +6,58 @@
 #include <stddef.h>
 #include <stdint.h>
 
-struct world;
+struct fake_cluster;
 
-struct world *world_new(int state_port, int cloud_port, int worker_port, const char *const *nodes,
-                        int nnodes);
-void world_stop(struct world *w);
+/* The store listens on one port for each controller, from store_port on; the workers from
+ * worker_port on. `nodes`: the controllers' addresses, which must outlive it. NULL: an address is
+ * taken. */
+struct fake_cluster *fake_cluster_new(int store_port, int cloud_port, int worker_port,
+                                      const char *const *nodes, int nnodes);
+void fake_cluster_stop(struct fake_cluster *cluster);
 /* what happens to a task on a worker: it runs, is stopped on command, or is lost with its machine
  */
-enum world_event { WORLD_RUNS, WORLD_STOPPED, WORLD_LOST };
-/* calls `watch` for each, one at a time */
-void world_watch(struct world *w,
-                 void (*watch)(void *arg, enum world_event event, const char *task), void *arg);
+enum fake_task_event { FAKE_TASK_RUNS, FAKE_TASK_STOPPED, FAKE_TASK_LOST };
+/* Called for each, one at a time, with the lock held. */
+typedef void (*fake_observer)(void *arg, enum fake_task_event event, const char *task);
+void fake_set_observer(struct fake_cluster *cluster, fake_observer observer, void *arg);
 /* the cloud has so many machines at once */
-void world_capacity(struct world *w, int machines);
+void fake_cloud_set_capacity(struct fake_cluster *cluster, int machines);
 /* The machine dies: it is silent from now on, and stays in the cloud's list for a while. */
-void world_kill(struct world *w, const char *machine);
+void fake_kill_machine(struct fake_cluster *cluster, const char *machine);
 /* machines that are neither dead nor returned; their names, a space after each, into `names` */
-int world_machines(struct world *w, char *names, size_t cap);
+int fake_machine_names(struct fake_cluster *cluster, char *names, size_t capacity);
 /* the number of tasks that ran while another copy of them did */
-int world_ran_twice(struct world *w);
+int fake_duplicate_runs(struct fake_cluster *cluster);
 /* starts of tasks, and tasks that run now */
-int world_starts(struct world *w);
-int world_running(struct world *w);
-/* late copies of leaders' transactions that the state service got, and how many of them applied */
-int world_copies(struct world *w, int *applied);
+int fake_starts(struct fake_cluster *cluster);
+int fake_running(struct fake_cluster *cluster);
+/* late copies of leaders' transactions that the store got, and how many of them applied */
+int fake_store_late_copies(struct fake_cluster *cluster, int *applied);
 /* starts of tasks whose job needs another that was not done */
-int world_too_early(struct world *w);
-/* workers whose lease ran out */
-int world_lapses(struct world *w);
+int fake_early_starts(struct fake_cluster *cluster);
+/* workers' leases that expired */
+int fake_lease_expiries(struct fake_cluster *cluster);
 /* from now on larger values and transactions get 400 and changes beyond the rate 429; 0: no limit.
  * refused, busy: how many did */
-void world_limits(struct world *w, size_t kv_value_bytes_max, size_t ops, int write_rps);
-void world_refused(struct world *w, int *refused, int *busy);
+void fake_store_set_limits(struct fake_cluster *cluster, size_t kv_value_bytes_max,
+                           size_t txn_ops_max, int write_rps);
+void fake_store_rejections(struct fake_cluster *cluster, int *refused, int *busy);
 /* all keys and values, to a file; false: it cannot be written */
-bool world_dump(struct world *w, const char *path);
-/* while on, the state service answers 503 to everything */
-void world_state_down(struct world *w, bool down);
+bool fake_store_dump(struct fake_cluster *cluster, const char *path);
+/* while on, the store answers 503 to everything */
+void fake_store_set_down(struct fake_cluster *cluster, bool down);
 /* while on, it answers 503 to this controller alone */
-void world_state_refuses(struct world *w, int node, bool refused);
+void fake_store_refuse(struct fake_cluster *cluster, int node, bool refused);
 /* while on, this controller cannot read the jobs' records; its lease and its writes are served */
-void world_state_blinds(struct world *w, int node, bool blind);
+void fake_store_refuse_job_reads(struct fake_cluster *cluster, int node, bool refused);
 /* of its transactions, the share that is carried out while the answer is lost, and the share that
  * is carried out seconds late, after newer ones; how many did */
-void world_state_loses(struct world *w, double lost_share, double late_share);
-int world_lost(struct world *w, int *late);
+void fake_store_lose_answers(struct fake_cluster *cluster, double lost_share, double late_share);
+int fake_store_lost_answers(struct fake_cluster *cluster, int *late);
 /* tasks of the job that run now */
-int world_running_of(struct world *w, const char *job);
+int fake_running_of(struct fake_cluster *cluster, const char *job);
 /* the controller that the leader's key names, or -1 */
-int world_leader(struct world *w);
-/* the next answers of the state service are cut off in the middle of their JSON */
-void world_state_garbles(struct world *w, int answers);
+int fake_store_leader(struct fake_cluster *cluster);
+/* the next answers of the store are cut off in the middle of their JSON */
+void fake_store_truncate_answers(struct fake_cluster *cluster, int answers);
 #endif
--- /dev/null
+++ b/tests/fake_worker.c
@@ -0,0 +1,234 @@
+/* The stand-ins of the workers: each reports from a thread of its own and takes direct commands. */
+#include "base/http.h"
+#include "base/timeutil.h"
+#include "fake_server_internal.h"
+#include "key_table.h"
+#include <microhttpd.h>
+#include <pthread.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+static bool runs_elsewhere(struct fake_cluster *cluster, const struct fake_worker *me,
+                           const char *name)
+{
+    for (int i = 0; i < cluster->nworkers; i++)
+        for (int k = 0;
+             cluster->workers[i].used && &cluster->workers[i] != me && k < WORKER_TASKS_MAX; k++)
+            if (cluster->workers[i].tasks[k].state == FAKE_RUNNING &&
+                strcmp(cluster->workers[i].tasks[k].name, name) == 0)
+                return true;
+    return false;
+}
+
+static void notify_observer(struct fake_cluster *cluster, enum fake_task_event event,
+                            const char *task)
+{
+    if (cluster->observer)
+        cluster->observer(cluster->observer_arg, event, task);
+}
+
+/* All that runs on the worker is gone. */
+void fake_lose_tasks(struct fake_worker *worker)
+{
+    for (int i = 0; i < WORKER_TASKS_MAX; i++)
+        if (worker->tasks[i].state == FAKE_RUNNING)
+            notify_observer(worker->cluster, FAKE_TASK_LOST, worker->tasks[i].name);
+    memset(worker->tasks, 0, sizeof worker->tasks);
+}
+
+static struct fake_task *find_task(struct fake_worker *worker, const char *name, uint64_t attempt)
+{
+    for (int i = 0; i < WORKER_TASKS_MAX; i++)
+        if (worker->tasks[i].state != FAKE_FREE && strcmp(worker->tasks[i].name, name) == 0 &&
+            worker->tasks[i].attempt == attempt)
+            return &worker->tasks[i];
+    return NULL;
+}
+
+static bool job_is_done(struct fake_cluster *cluster, const char *id)
+{
+    char key[96];
+    snprintf(key, sizeof key, "j/%s", id);
+    struct table_key *record = table_find(&cluster->table, key);
+    const char *state = record ? json_string_value(json_object_get(record->value, "s")) : NULL;
+    return state && strcmp(state, "done") == 0;
+}
+
+/* Whether the task's job needs one that is not done, by the records as they are now. */
+static bool starts_early(struct fake_cluster *cluster, const char *task)
+{
+    char key[96];
+    json_t *item;
+    size_t i;
+    snprintf(key, sizeof key, "j/%.*s", (int)strcspn(task, "/"), task);
+    struct table_key *record = table_find(&cluster->table, key);
+    json_array_foreach(record ? json_object_get(record->value, "awaits") : NULL, i, item)
+    {
+        if (!job_is_done(cluster, json_string_value(item)))
+            return true;
+    }
+    return false;
+}
+
+static void launch(struct fake_worker *worker, const char *name, uint64_t attempt)
+{
+    if (find_task(worker, name, attempt))
+        return;
+    for (int i = 0; i < WORKER_TASKS_MAX; i++) {
+        struct fake_task *task = &worker->tasks[i];
+        if (task->state != FAKE_FREE)
+            continue;
+        if (runs_elsewhere(worker->cluster, worker, name))
+            worker->cluster->duplicate_runs++;
+        worker->cluster->starts++;
+        worker->cluster->early_starts += starts_early(worker->cluster, name);
+        snprintf(task->name, sizeof task->name, "%s", name);
+        task->attempt = attempt;
+        task->state = FAKE_RUNNING;
+        task->is_service = strncmp(name, "job-9", 5) == 0; /* the test's services */
+        task->ends = bd_add(bd_now(), bd_secs(RUN_S));
+        notify_observer(worker->cluster, FAKE_TASK_RUNS, name);
+        return;
+    }
+}
+
+static void execute_command(struct fake_worker *worker, json_t *command)
+{
+    const char *verb = json_string_value(json_object_get(command, "verb"));
+    const char *name = json_string_value(json_object_get(command, "chore"));
+    uint64_t attempt = (uint64_t)json_integer_value(json_object_get(command, "try"));
+    struct fake_task *task = name ? find_task(worker, name, attempt) : NULL;
+    if (!verb || !name)
+        return;
+    if (strcmp(verb, "launch") == 0) {
+        launch(worker, name, attempt);
+    } else if (task && strcmp(verb, "halt") == 0 && task->state == FAKE_RUNNING) {
+        task->state = FAKE_EXITED;
+        task->cause = "stopped";
+        notify_observer(worker->cluster, FAKE_TASK_STOPPED, name);
+    } else if (task && strcmp(verb, "forget") == 0 && task->state == FAKE_EXITED) {
+        task->state = FAKE_FREE;
+    }
+}
+
+static json_t *heartbeat(struct fake_worker *worker)
+{
+    json_t *tasks = json_array();
+    struct timespec now = bd_now();
+    char addr[32];
+    for (int i = 0; i < WORKER_TASKS_MAX; i++) {
+        struct fake_task *task = &worker->tasks[i];
+        if (task->state == FAKE_RUNNING && !task->is_service && bd_before(task->ends, now)) {
+            task->state = FAKE_EXITED;
+            task->cause = "done";
+        }
+        if (task->state == FAKE_RUNNING)
+            json_array_append_new(tasks, json_pack("{s:s,s:I,s:s}", "chore", task->name, "try",
+                                                   (json_int_t)task->attempt, "mood", "running"));
+        else if (task->state == FAKE_EXITED)
+            json_array_append_new(tasks, json_pack("{s:s,s:I,s:s,s:s}", "chore", task->name, "try",
+                                                   (json_int_t)task->attempt, "mood", "exited",
+                                                   "cause", task->cause));
+    }
+    snprintf(addr, sizeof addr, "127.0.0.1:%d", worker->port);
+    return json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:n,s:o}", "hearth", worker->id, "endpoint",
+                     addr, "breed", "small", "glade", "a", "windfall", 0, "tenancy",
+                     (json_int_t)worker->incarnation, "tally", (json_int_t)++worker->tally, "seal",
+                     (json_int_t)worker->fencing_token, "warningS", "chores", tasks);
+}
+
+static bool execute_commands(struct fake_worker *worker, json_t *in)
+{
+    json_t *item;
+    size_t i;
+    uint64_t fencing_token = (uint64_t)json_integer_value(json_object_get(in, "seal"));
+    if (fencing_token < worker->fencing_token || !json_object_get(in, "seal"))
+        return false;
+    worker->fencing_token = fencing_token;
+    json_array_foreach(json_object_get(in, "bids"), i, item)
+    {
+        execute_command(worker, item);
+    }
+    return true;
+}
+
+int fake_worker_answer(void *arg, const char *method, const char *url, struct MHD_Connection *conn,
+                       json_t *in, json_t **out)
+{
+    struct fake_worker *worker = arg;
+    (void)method;
+    (void)url;
+    (void)conn;
+    json_t *incarnation = json_object_get(in, "tenancy");
+    if (worker->dead)
+        return NO_ANSWER;
+    bool ours = (uint64_t)json_integer_value(incarnation) == worker->incarnation;
+    int status = ours && execute_commands(worker, in) ? 200 : 409;
+    *out = heartbeat(worker);
+    return status;
+}
+
+int fake_node_index(const struct fake_cluster *cluster, const char *name)
+{
+    for (int i = 0; name && i < cluster->nnodes; i++)
+        if (name[strlen(name) - 1] == '0' + i)
+            return i;
+    return -1;
+}
+
+static void expire_lease(struct fake_worker *worker)
+{
+    if (bd_between(worker->answered, bd_now()) <= LEASE_S)
+        return;
+    worker->cluster->lease_expiries++;
+    worker->incarnation++;
+    worker->answered = bd_now();
+    fake_lose_tasks(worker);
+}
+
+/* One heartbeat to the controller `*at`, which names the one that gets the next afterwards. False:
+ * the worker was returned, and sent none. */
+static bool send_heartbeat(struct fake_worker *worker, struct bd_http *client, int *at)
+{
+    struct fake_cluster *cluster = worker->cluster;
+    pthread_mutex_lock(&cluster->lock);
+    bool is_returned = worker->stop, is_dead = worker->dead;
+    expire_lease(worker);
+    struct timespec sent = bd_now();
+    uint64_t incarnation = worker->incarnation;
+    json_t *report = heartbeat(worker);
+    pthread_mutex_unlock(&cluster->lock);
+    char *text = json_dumps(report, JSON_COMPACT), url[96];
+    json_decref(report);
+    struct bd_http_response response = {0};
+    snprintf(url, sizeof url, "http://%s/checkin", cluster->nodes[*at]);
+    if (!is_returned && !is_dead)
+        bd_http_call(client, "POST", url, text, 2, &response);
+    free(text);
+    json_t *in = response.body ? json_loadb(response.body, response.len, 0, NULL) : NULL;
+    pthread_mutex_lock(&cluster->lock);
+    int named = -1;
+    if (response.status == 200 && incarnation == worker->incarnation &&
+        execute_commands(worker, in))
+        worker->answered = sent;
+    else if (response.status == 421)
+        named = fake_node_index(cluster, json_string_value(json_object_get(in, "steward")));
+    if (response.status != 200)
+        *at = named >= 0 ? named : (*at + 1) % cluster->nnodes;
+    pthread_mutex_unlock(&cluster->lock);
+    json_decref(in);
+    bd_http_response_free(&response);
+    return !is_returned;
+}
+
+void *fake_worker_run(void *arg)
+{
+    struct fake_worker *worker = arg;
+    struct bd_http *client = bd_http_new(2, NULL);
+    int at = 0;
+    while (send_heartbeat(worker, client, &at))
+        bd_pause(0.2);
+    bd_http_free(client);
+    return NULL;
+}
--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -40,18 +40,18 @@
                     nodes_until(t, "/submissions/job-9", "job-9", 10),
                 "a service is accepted");
     struct timespec end = bd_add(bd_now(), bd_secs(20));
-    while (world_running(t->w) < 2 && bd_before(bd_now(), end))
+    while (fake_running(t->cluster) < 2 && bd_before(bd_now(), end))
         bd_pause(0.1);
-    nodes_check(t, world_running(t->w) == 2, "both replicas run");
+    nodes_check(t, fake_running(t->cluster) == 2, "both replicas run");
     nodes_check(t,
                 nodes_ask(t, 0, "POST", "/submissions/job-9/withdraw", "{}", out, sizeof out) ==
                         200 &&
                     strstr(out, "cancelled"),
                 "it is withdrawn");
     end = bd_add(bd_now(), bd_secs(20));
-    while (world_running(t->w) > 0 && bd_before(bd_now(), end))
+    while (fake_running(t->cluster) > 0 && bd_before(bd_now(), end))
         bd_pause(0.1);
-    nodes_check(t, world_running(t->w) == 0, "its replicas are gone");
+    nodes_check(t, fake_running(t->cluster) == 0, "its replicas are gone");
 }
 
 static void bad_requests(struct test *t)
@@ -119,7 +119,7 @@
 static void outage(struct test *t)
 {
     nodes_check(t, nodes_submit(t, "job-4", "sweep", 4, 10), "a job before the outage");
-    world_state_down(t->w, true);
+    fake_store_set_down(t->cluster, true);
     bd_pause(3);
     struct timespec asked = bd_now();
     nodes_check(t,
@@ -130,10 +130,10 @@
     closed_after_503(t);
     nodes_check(t, nodes_ask(t, 0, "GET", "/submissions/job-1", NULL, NULL, 0) == 200,
                 "a final state is answered");
-    world_state_down(t->w, false);
+    fake_store_set_down(t->cluster, false);
     nodes_check(t, nodes_until(t, "/submissions/job-4", "\"mood\":\"done\"", 40),
                 "it is done afterwards");
-    world_state_garbles(t->w, 12);
+    fake_store_truncate_answers(t->cluster, 12);
     nodes_check(t,
                 nodes_submit(t, "job-7", "sweep", 3, 20) &&
                     nodes_until(t, "/submissions/job-7", "\"mood\":\"done\"", 40),
@@ -221,7 +221,7 @@
             nodes_submit_after(t, "job-32", "sweep", 2, ",\"awaits\":[\"job-30\",\"job-31\"]", 10),
         "a pipeline is accepted");
     nodes_check(t, nodes_until(t, "/submissions/job-32", "\"mood\":\"done\"", 40), "it is done");
-    nodes_check(t, world_too_early(t->w) == 0, "none of it began too early");
+    nodes_check(t, fake_early_starts(t->cluster) == 0, "none of it began too early");
     nodes_check(
         t,
         nodes_ask(t, 1, "POST", "/submissions",
@@ -256,7 +256,7 @@
 static void lowered(struct test *t, size_t value, size_t ops, bool foreseen)
 {
     int refused = 0, busy = 0;
-    world_limits(t->w, value, ops, 60);
+    fake_store_set_limits(t->cluster, value, ops, 60);
     nodes_check(t,
                 nodes_submit(t, "job-60", "sweep", 40, 20) &&
                     nodes_until(t, "/submissions/job-60", "\"mood\":\"done\"", 60),
@@ -269,21 +269,21 @@
         nodes_check(
             t, nodes_submit(t, id, "sweep", 2, 20) && nodes_until(t, path, "\"mood\":\"done\"", 60),
             "one more is done");
-        world_refused(t->w, &refused, &busy);
+        fake_store_rejections(t->cluster, &refused, &busy);
     }
-    world_refused(t->w, &refused, &busy);
+    fake_store_rejections(t->cluster, &refused, &busy);
     printf("     %d transactions got 400, %d got 429\n", refused, busy);
     nodes_check(t, foreseen ? refused == 0 : refused > 0,
                 foreseen ? "nothing was too large" : "what was too large was decided anew");
     int calm = busy;
-    world_limits(t->w, value, ops, 6);
+    fake_store_set_limits(t->cluster, value, ops, 6);
     nodes_check(t,
                 nodes_submit(t, "job-61", "sweep", 20, 40) &&
                     nodes_until(t, "/submissions/job-61", "\"mood\":\"done\"", 60),
                 "a job under a lower rate is done");
-    world_refused(t->w, &refused, &busy);
+    fake_store_rejections(t->cluster, &refused, &busy);
     nodes_check(t, busy > calm, "some of it was asked too fast, and came later");
-    world_limits(t->w, 0, 0, 0);
+    fake_store_set_limits(t->cluster, 0, 0, 0);
 }
 
 static int all_nodes(struct test *t, const char *path, const char *text, double seconds)
@@ -315,7 +315,7 @@
             nodes_again(t, i, back);
     nodes_check(t, all_nodes(t, path, "\"done\":8", 20) && all_nodes(t, "/up", "up", 20),
                 "all nodes are back and know it");
-    nodes_check(t, world_running(t->w) == 2 && world_lapses(t->w) == 0,
+    nodes_check(t, fake_running(t->cluster) == 2 && fake_lease_expiries(t->cluster) == 0,
                 "the replicas went on and no lease was lost");
 }
 
@@ -335,10 +335,10 @@
     stage(t, 3, t->program, "job-24", "the old one leads alone");
     stage(t, 4, t->program, "job-25", "all are new");
     stage(t, 7, t->program, "job-26", "none was there for a moment");
-    nodes_check(t, world_starts(t->w) == 2 + 2 + 7 * 8, "every task was started once");
+    nodes_check(t, fake_starts(t->cluster) == 2 + 2 + 7 * 8, "every task was started once");
     pipelines(t);
     lowered(t, 2048, 8, true);
-    nodes_check(t, world_too_early(t->w) == 0, "none began too early");
+    nodes_check(t, fake_early_starts(t->cluster) == 0, "none began too early");
 }
 
 /* The state service refuses the leader alone, another node confirms a cancellation, then it is out
@@ -352,12 +352,12 @@
                     nodes_submit(t, "job-92", "service", 2, 10),
                 "two services are accepted");
     struct timespec end = bd_add(bd_now(), bd_secs(20));
-    while (world_running(t->w) < 4 && bd_before(bd_now(), end))
+    while (fake_running(t->cluster) < 4 && bd_before(bd_now(), end))
         bd_pause(0.1);
-    nodes_check(t, world_running(t->w) == 4, "all replicas run");
-    int leader = world_leader(t->w);
+    nodes_check(t, fake_running(t->cluster) == 4, "all replicas run");
+    int leader = fake_store_leader(t->cluster);
     nodes_check(t, leader >= 0, "somebody leads");
-    world_state_refuses(t->w, leader, true);
+    fake_store_refuse(t->cluster, leader, true);
     bd_pause(0.5);
     int other = (leader + 1) % NODES;
     nodes_check(
@@ -366,39 +366,41 @@
             strstr(out, "cancelled"),
         "another node confirms a withdrawal");
     struct timespec told = bd_now();
-    world_state_down(t->w, true);
-    while (world_running_of(t->w, "job-91") > 0 && bd_between(told, bd_now()) < CANCEL_S)
+    fake_store_set_down(t->cluster, true);
+    while (fake_running_of(t->cluster, "job-91") > 0 && bd_between(told, bd_now()) < CANCEL_S)
         bd_pause(0.1);
     printf("     gone after %.1f s\n", bd_between(told, bd_now()));
-    nodes_check(t, world_running_of(t->w, "job-91") == 0,
+    nodes_check(t, fake_running_of(t->cluster, "job-91") == 0,
                 "its tasks are gone in time, though all is out");
     while (bd_between(told, bd_now()) < CANCEL_S + 2) {
-        if (world_running_of(t->w, "job-91") > 0)
+        if (fake_running_of(t->cluster, "job-91") > 0)
             break;
         bd_pause(0.1);
     }
-    nodes_check(t, world_running_of(t->w, "job-91") == 0, "and none comes back");
-    world_state_refuses(t->w, leader, false);
-    world_state_down(t->w, false);
+    nodes_check(t, fake_running_of(t->cluster, "job-91") == 0, "and none comes back");
+    fake_store_refuse(t->cluster, leader, false);
+    fake_store_set_down(t->cluster, false);
     nodes_check(t, all_nodes(t, "/submissions/job-91", "cancelled", 20), "all nodes say so");
     end = bd_add(bd_now(), bd_secs(30));
-    while (world_running_of(t->w, "job-92") < 2 && bd_before(bd_now(), end))
+    while (fake_running_of(t->cluster, "job-92") < 2 && bd_before(bd_now(), end))
         bd_pause(0.1);
-    nodes_check(t, world_running_of(t->w, "job-92") == 2 && world_running_of(t->w, "job-91") == 0,
-                "the other service runs again");
+    nodes_check(
+        t, fake_running_of(t->cluster, "job-92") == 2 && fake_running_of(t->cluster, "job-91") == 0,
+        "the other service runs again");
 }
 
 /* The leader's lease is renewed, but it cannot read the records: another is to lead, and work that
  * comes then is started. */
 static void blind_leader(struct test *t)
 {
-    int leader = world_leader(t->w);
+    int leader = fake_store_leader(t->cluster);
     nodes_check(t, leader >= 0, "somebody leads before its reads fail");
-    world_state_blinds(t->w, leader, true);
+    fake_store_refuse_job_reads(t->cluster, leader, true);
     struct timespec end = bd_add(bd_now(), bd_secs(15));
-    while ((world_leader(t->w) == leader || world_leader(t->w) < 0) && bd_before(bd_now(), end))
+    while ((fake_store_leader(t->cluster) == leader || fake_store_leader(t->cluster) < 0) &&
+           bd_before(bd_now(), end))
         bd_pause(0.05);
-    nodes_check(t, world_leader(t->w) >= 0 && world_leader(t->w) != leader,
+    nodes_check(t, fake_store_leader(t->cluster) >= 0 && fake_store_leader(t->cluster) != leader,
                 "a leader that cannot read the records gives up the lease");
     int other = (leader + 1) % NODES;
     char out[256] = "";
@@ -408,8 +410,8 @@
         printf("     %ld %s\n", status, out);
     nodes_check(t, status == 201 && nodes_until(t, "/submissions/job-65", "\"mood\":\"done\"", 20),
                 "work is done meanwhile");
-    nodes_check(t, world_leader(t->w) != leader, "it does not take the lease back");
-    world_state_blinds(t->w, leader, false);
+    nodes_check(t, fake_store_leader(t->cluster) != leader, "it does not take the lease back");
+    fake_store_refuse_job_reads(t->cluster, leader, false);
     nodes_check(t, all_nodes(t, "/submissions/job-65", "\"mood\":\"done\"", 20),
                 "all nodes are well again");
 }
@@ -440,7 +442,7 @@
     static const char *const done[] = {"\"done\"", NULL}, *const over[] = {"cancelled", NULL};
     char id[32], path[64], out[256];
     int late = 0, withdrawn = 0;
-    world_state_loses(t->w, 0.3, 0.1);
+    fake_store_lose_answers(t->cluster, 0.3, 0.1);
     for (int i = 0; i < 16; i++) {
         snprintf(id, sizeof id, "job-7%02d", i);
         snprintf(path, sizeof path, "/submissions/%s", id);
@@ -465,8 +467,8 @@
         withdrawn += cancelled;
         look_closely(t, id, cancelled ? over : done, i + 1);
     }
-    world_state_loses(t->w, 0, 0);
-    int lost = world_lost(t->w, &late);
+    fake_store_lose_answers(t->cluster, 0, 0);
+    int lost = fake_store_lost_answers(t->cluster, &late);
     printf("     %d answers were lost, %d transactions applied late, %d jobs withdrawn\n", lost,
            late, withdrawn);
     nodes_check(t, lost > 0 && withdrawn > 0, "answers were lost, and jobs withdrawn");
@@ -570,26 +572,27 @@
     nodes_check(t, all_nodes(t, "/up", "up", 30), "all nodes are up");
     nodes_check(t, nodes_submit(t, "job-9", "service", 2, 10), "a service is accepted");
     struct timespec end = bd_add(bd_now(), bd_secs(20));
-    while (world_running(t->w) < 2 && bd_before(bd_now(), end))
+    while (fake_running(t->cluster) < 2 && bd_before(bd_now(), end))
         bd_pause(0.1);
-    int leader = world_leader(t->w), other = (leader + 1) % NODES;
-    nodes_check(t, leader >= 0 && world_running(t->w) == 2, "it runs");
+    int leader = fake_store_leader(t->cluster), other = (leader + 1) % NODES;
+    nodes_check(t, leader >= 0 && fake_running(t->cluster) == 2, "it runs");
     crowd_runs(t, c, leader, 6);
     printf("     %d answered, %d refused, %d without an answer\n", c->answered, c->refused,
            c->dropped);
     nodes_check(t, c->answered > CROWD && c->odd == 0, "the crowd is answered");
-    nodes_check(t, world_leader(t->w) == leader, "the leader goes on leading");
-    nodes_check(t, world_lapses(t->w) == 0 && world_running(t->w) == 2, "no lease was lost");
+    nodes_check(t, fake_store_leader(t->cluster) == leader, "the leader goes on leading");
+    nodes_check(t, fake_lease_expiries(t->cluster) == 0 && fake_running(t->cluster) == 2,
+                "no lease was lost");
     nodes_check(t,
                 nodes_ask(t, other, "POST", "/submissions", nodes_job("job-85", "sweep", 4), NULL,
                           0) == 201 &&
                     nodes_until(t, "/submissions/job-85", "\"mood\":\"done\"", 30),
                 "another job is done");
     int before = c->refused;
-    world_state_refuses(t->w, other, true);
+    fake_store_refuse(t->cluster, other, true);
     bd_pause(2.5);
     crowd_runs(t, c, other, 3);
-    world_state_refuses(t->w, other, false);
+    fake_store_refuse(t->cluster, other, false);
     printf("     %d refused, %d of them without a time\n", c->refused - before, c->unnamed);
     nodes_check(t, c->refused - before > CROWD && c->unnamed == 0,
                 "who is refused is told when to come");
@@ -597,7 +600,8 @@
                 all_nodes(t, "/up", "up", 20) &&
                     all_nodes(t, "/submissions/job-80", "\"mood\":\"done\"", 30),
                 "all nodes are well again");
-    nodes_check(t, world_lapses(t->w) == 0 && world_running_of(t->w, "job-9") == 2,
+    nodes_check(t,
+                fake_lease_expiries(t->cluster) == 0 && fake_running_of(t->cluster, "job-9") == 2,
                 "the service went on all the time");
     free(c);
 }
@@ -666,10 +670,10 @@
     nodes_check(t, all_nodes(t, "/up", "up", 30), "all nodes are up");
     nodes_check(t, nodes_submit(t, "job-9", "service", 32, 10), "a service is accepted");
     struct timespec end = bd_add(bd_now(), bd_secs(30));
-    while (world_running(t->w) < 32 && bd_before(bd_now(), end))
+    while (fake_running(t->cluster) < 32 && bd_before(bd_now(), end))
         bd_pause(0.1);
-    int leader = world_leader(t->w);
-    nodes_check(t, leader >= 0 && world_running(t->w) == 32, "it runs");
+    int leader = fake_store_leader(t->cluster);
+    nodes_check(t, leader >= 0 && fake_running(t->cluster) == 32, "it runs");
     long start = memory_kb(t, leader);
     submit_many(t, 10000, MEMORY_JOBS, 1);
     settle(t, 10000, MEMORY_JOBS);
@@ -693,7 +697,7 @@
                  TASK_BYTES_MAX);
     check_memory(t, "bytes a connection",
                  1024.0 * (double)(connections - tasks) / MEMORY_CONNECTIONS, CONNECTION_BYTES_MAX);
-    nodes_check(t, world_leader(t->w) == leader, "the leader goes on leading");
+    nodes_check(t, fake_store_leader(t->cluster) == leader, "the leader goes on leading");
     for (int i = 0; i < MEMORY_CONNECTIONS; i++)
         if (fd[i] >= 0)
             (void)close(fd[i]);
@@ -723,7 +727,7 @@
     (void)nodes_ask(t, 0, "POST", "/submissions/job-3/withdraw", "{}", NULL, 0);
     bd_pause(0.5);
     snprintf(path, sizeof path, "%s/production-records.json", dir);
-    bool ok = fd >= 0 && world_dump(t->w, path);
+    bool ok = fd >= 0 && fake_store_dump(t->cluster, path);
     while (ok && len < 2000) {
         ssize_t got = recv(fd, buf + len, sizeof buf - len, 0);
         if (got <= 0)
@@ -784,11 +788,12 @@
         lowered(&t, 700, 2, false);
         apart(&t);
     }
-    nodes_check(&t, world_ran_twice(t.w) == 0, "no task ran twice at the same time");
+    nodes_check(&t, fake_duplicate_runs(t.cluster) == 0, "no task ran twice at the same time");
     int applied = 0;
-    nodes_check(&t, (world_copies(t.w, &applied) > 5 || crowded || heavy) && applied == 0,
-                "late copies of transactions came and none applied");
-    nodes_check(&t, world_starts(t.w) >= (others ? 6 : 29), "all of the work was started");
+    nodes_check(
+        &t, (fake_store_late_copies(t.cluster, &applied) > 5 || crowded || heavy) && applied == 0,
+        "late copies of transactions came and none applied");
+    nodes_check(&t, fake_starts(t.cluster) >= (others ? 6 : 29), "all of the work was started");
     for (int i = 0; i < NODES; i++)
         nodes_check(&t, t.pid[i] > 0 && waitpid(t.pid[i], NULL, WNOHANG) == 0,
                     "no node ended by itself");
--- a/tests/loopback_drain.c
+++ b/tests/loopback_drain.c
@@ -35,7 +35,7 @@
     int broken;
 };
 
-static void watch(void *arg, enum world_event event, const char *task)
+static void watch(void *arg, enum fake_task_event event, const char *task)
 {
     struct history *h = arg;
     char id[BD_ID];
@@ -45,9 +45,9 @@
     int job = number_of(id + 4) - FIRST_JOB;
     double now = bd_between(h->began, bd_now());
     (void)pthread_mutex_lock(&h->lock);
-    if (event == WORLD_RUNS)
+    if (event == FAKE_TASK_RUNS)
         drain_check_runs(&h->check, job, number, job % 2);
-    else if (event == WORLD_LOST)
+    else if (event == FAKE_TASK_LOST)
         drain_check_lost(&h->check, now, job, number);
     else if (!drain_check_stopped(&h->check, now, job, number)) {
         h->broken++;
@@ -123,9 +123,9 @@
 static bool running(struct test *t, int n, double seconds)
 {
     struct timespec end = bd_add(bd_now(), bd_secs(seconds));
-    while (world_running(t->w) != n && bd_before(bd_now(), end))
+    while (fake_running(t->cluster) != n && bd_before(bd_now(), end))
         bd_pause(0.1);
-    return world_running(t->w) == n;
+    return fake_running(t->cluster) == n;
 }
 
 static bool submit_service(struct test *t, int job)
@@ -157,9 +157,10 @@
     nodes_check(t, all, "two teams' services are accepted");
     nodes_check(t, running(t, SERVICES * REPLICAS, 40), "all replicas run");
     char names[2048];
-    for (int i = 0; i < 200 && world_machines(t->w, names, sizeof names) > 10; i++)
+    for (int i = 0; i < 200 && fake_machine_names(t->cluster, names, sizeof names) > 10; i++)
         bd_pause(0.1);
-    nodes_check(t, world_machines(t->w, names, sizeof names) == 10, "ten workers run them");
+    nodes_check(t, fake_machine_names(t->cluster, names, sizeof names) == 10,
+                "ten workers run them");
 }
 
 static void bad_requests(struct test *t)
@@ -197,11 +198,11 @@
 static void unreached(struct test *t)
 {
     char out[512];
-    world_state_down(t->w, true);
+    fake_store_set_down(t->cluster, true);
     nodes_check(t, ask_admin(t, 0, "GET", "", NULL, out, sizeof out) == 503,
                 "without the state service: 503");
     nodes_check(t, command(t, 1, "list") == 3, "... which the command tells by its exit status");
-    world_state_down(t->w, false);
+    fake_store_set_down(t->cluster, false);
 }
 
 static void repeats(struct test *t, struct history *h)
@@ -262,15 +263,15 @@
 static void drain_ten(struct test *t, struct history *h)
 {
     char before[2048], after[2048], victim[64] = "";
-    (void)world_machines(t->w, before, sizeof before);
+    (void)fake_machine_names(t->cluster, before, sizeof before);
     nodes_check(t, command(t, 0, "start all --mode replace --selection everything --all") == 0,
                 "a drain of all of them is accepted");
     nodes_check(t, reach_stops(h, 2, 40), "the first step begins");
     repeats(t, h);
     last_of(before, victim, sizeof victim);
-    world_kill(t->w, victim);
+    fake_kill_machine(t->cluster, victim);
     nodes_check(t, reach_stops(h, 10, 60), "it goes on after a worker died in a step");
-    int leader = world_leader(t->w);
+    int leader = fake_store_leader(t->cluster);
     if (leader >= 0) {
         nodes_end(t, leader);
         bd_pause(1);
@@ -278,7 +279,7 @@
     }
     nodes_check(t, is_over(t, DRAIN_S), "the drain is done");
     nodes_check(t, running(t, SERVICES * REPLICAS, 20), "all replicas run");
-    (void)world_machines(t->w, after, sizeof after);
+    (void)fake_machine_names(t->cluster, after, sizeof after);
     nodes_check(t, !holds_any(after, before), "none of the drained workers is left");
     nodes_check(t, stops(h) >= 30, "the replicas were moved");
 }
@@ -294,7 +295,7 @@
     nodes_check(t, before == 0, "no step begins while an older controller is heard");
     nodes_check(t,
                 ask_admin(t, 0, "GET", "/all", NULL, out, sizeof out) == 200 &&
-                    (world_leader(t->w) == NODES - 1 || strstr(out, "older controller")),
+                    (fake_store_leader(t->cluster) == NODES - 1 || strstr(out, "older controller")),
                 "it says what it waits for");
     nodes_end(t, NODES - 1);
     write_operators(t, NODES - 1);
@@ -317,8 +318,8 @@
     if (pthread_mutex_init(&h.lock, NULL) != 0 || !nodes_prepare(&t, argv[1]))
         return 2;
     drain_check_start(&h.check, budgets);
-    world_watch(t.w, watch, &h);
-    world_capacity(t.w, MACHINES_MAX);
+    fake_set_observer(t.cluster, watch, &h);
+    fake_cloud_set_capacity(t.cluster, MACHINES_MAX);
     for (int i = 0; i < NODES; i++) {
         bool older = old && i == NODES - 1;
         if (!older)
@@ -334,7 +335,7 @@
         drain_ten(&t, &h);
     }
     nodes_check(&t, h.broken == 0, "no team was beyond its budget by our doing");
-    nodes_check(&t, world_ran_twice(t.w) == 0, "no task ran twice at the same time");
+    nodes_check(&t, fake_duplicate_runs(t.cluster) == 0, "no task ran twice at the same time");
     printf("     %u replicas stopped, at most %u of %u and %u of %u down at once\n", h.check.stops,
            h.check.most[0], budgets[0], h.check.most[1], budgets[1]);
     nodes_finish(&t);
--- a/tests/loopback_nodes.c
+++ b/tests/loopback_nodes.c
@@ -188,7 +188,7 @@
             (void)unlink(t->operators[i]);
     }
     (void)rmdir(t->dir);
-    world_stop(t->w);
+    fake_cluster_stop(t->cluster);
     bd_http_free(t->h);
 }
 
@@ -208,6 +208,6 @@
         t->nodes[i] = t->addr[i];
         nodes_write_settings(t, i, 0);
     }
-    t->w = world_new(t->base + 22, t->base + 21, t->base + 30, t->nodes, NODES);
-    return t->w != NULL;
+    t->cluster = fake_cluster_new(t->base + 22, t->base + 21, t->base + 30, t->nodes, NODES);
+    return t->cluster != NULL;
 }
--- a/tests/loopback_nodes.h
+++ b/tests/loopback_nodes.h
@@ -19,7 +19,7 @@
     const char *nodes[NODES];
     pid_t pid[NODES];
     struct bd_http *h;
-    struct world *w;
+    struct fake_cluster *cluster;
     int faults, base, older;
     int teams; /* blue, and red if they are two; 0: one */
 };
