--- a/tests/loopback_drain.c
+++ b/tests/loopback_drain.c
@@ -2,7 +2,6 @@
  * services are drained and replaced, one worker is killed in a step and the leader once. The
  * workers' own history is held against the budgets. With the version in production as a second
  * argument: no step begins while it is heard. */
-#include "base/http.h"
 #include "base/timeutil.h"
 #include "drain_check.h"
 #include "loopback_nodes.h"
@@ -24,6 +23,7 @@
 #define BUDGET_BLUE 2u
 #define BUDGET_RED 1u
 #define ADMIN_PORT 6 /* after the first of the test's ports, one a node */
+#define ADMIN_TIMEOUT_S 15
 #define DRAIN_S 150.0
 #define COMMAND_WORDS_MAX 15
 
@@ -64,10 +64,11 @@
     return n;
 }
 
-static void write_operators(struct test *t, int i)
+static void write_operators(struct loopback *test, int i)
 {
-    snprintf(t->operators[i], sizeof t->operators[i], "%s/node-%d.sexp", t->dir, i);
-    FILE *f = fopen(t->operators[i], "w");
+    snprintf(test->operators_file[i], sizeof test->operators_file[i], "%s/node-%d.sexp", test->dir,
+             i);
+    FILE *f = fopen(test->operators_file[i], "w");
     if (!f)
         abort();
     fprintf(f,
@@ -75,32 +76,26 @@
             "(wait-s 5)\n"
             " (replace-s 20) (selection everything (type small))\n"
             " (team blue (down %u)) (team red (down %u)))\n",
-            t->base + ADMIN_PORT + i, BUDGET_BLUE, BUDGET_RED);
+            test->first_port + ADMIN_PORT + i, BUDGET_BLUE, BUDGET_RED);
     (void)fclose(f);
 }
 
-static long ask_admin(struct test *t, int node, const char *method, const char *path,
-                      const char *body, char *out, size_t cap)
+static long ask_admin(struct loopback *test, int node, const char *method, const char *path,
+                      const char *body, char *out, size_t capacity)
 {
-    char url[160];
-    struct bd_http_response r;
-    snprintf(url, sizeof url, "http://127.0.0.1:%d/admin/v1/drains%s", t->base + ADMIN_PORT + node,
-             path);
-    bd_http_call(t->h, method, url, body, 15, &r);
-    if (out)
-        snprintf(out, cap, "%s", r.body ? r.body : "");
-    long status = r.status;
-    bd_http_response_free(&r);
-    return status;
+    char address[32], url[128];
+    snprintf(address, sizeof address, "127.0.0.1:%d", test->first_port + ADMIN_PORT + node);
+    snprintf(url, sizeof url, "/admin/v1/drains%s", path);
+    return nodes_call(test, address, method, url, body, ADMIN_TIMEOUT_S, out, capacity);
 }
 
 /* The exit status of `brambledoor drain ...`. */
-static int command(struct test *t, int node, const char *words)
+static int command(struct loopback *test, int node, const char *words)
 {
     char address[32], copy[256];
-    char *arguments[COMMAND_WORDS_MAX + 1] = {(char *)t->program, "drain", "--admin", address};
+    char *arguments[COMMAND_WORDS_MAX + 1] = {(char *)test->program, "drain", "--admin", address};
     size_t count = 4;
-    snprintf(address, sizeof address, "127.0.0.1:%d", t->base + ADMIN_PORT + node);
+    snprintf(address, sizeof address, "127.0.0.1:%d", test->first_port + ADMIN_PORT + node);
     snprintf(copy, sizeof copy, "%s", words);
     for (char *rest = NULL, *word = strtok_r(copy, " ", &rest); word && count < COMMAND_WORDS_MAX;
          word = strtok_r(NULL, " ", &rest))
@@ -113,22 +108,22 @@
     bool ready =
         posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, "/dev/null", O_WRONLY, 0) == 0 &&
         posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO) == 0 &&
-        posix_spawn(&child, t->program, &actions, NULL, arguments, environ) == 0;
+        posix_spawn(&child, test->program, &actions, NULL, arguments, environ) == 0;
     (void)posix_spawn_file_actions_destroy(&actions);
     if (!ready || waitpid(child, &status, 0) != child || !WIFEXITED(status))
         return -1;
     return WEXITSTATUS(status);
 }
 
-static bool running(struct test *t, int n, double seconds)
+static bool running(struct loopback *test, int n, double seconds)
 {
     struct timespec end = bd_add(bd_now(), bd_secs(seconds));
-    while (fake_running(t->cluster) != n && bd_before(bd_now(), end))
+    while (fake_running(test->cluster) != n && bd_before(bd_now(), end))
         bd_pause(0.1);
-    return fake_running(t->cluster) == n;
+    return fake_running(test->cluster) == n;
 }
 
-static bool submit_service(struct test *t, int job)
+static bool submit_service(struct loopback *test, int job)
 {
     char body[640];
     snprintf(body, sizeof body,
@@ -139,7 +134,7 @@
              "\"dueS\":null}",
              job, job % 2 ? "red" : "blue", REPLICAS);
     for (int tries = 0; tries < 50; tries++) {
-        long status = nodes_ask(t, tries % NODES, "POST", "/submissions", body, NULL, 0);
+        long status = nodes_ask(test, tries % NODES, "POST", "/submissions", body, NULL, 0);
         if (status == 200 || status == 201)
             return true;
         bd_pause(0.2);
@@ -147,76 +142,82 @@
     return false;
 }
 
-static void begin(struct test *t)
+static void begin(struct loopback *test)
 {
     for (int i = 0; i < NODES; i++)
-        nodes_check(t, nodes_until(t, "/up", "up", 20), "a node comes up");
+        nodes_check(test, nodes_wait_for(test, "/up", "up", 20), "a node comes up");
     bool all = true;
     for (int i = 0; i < SERVICES; i++)
-        all = submit_service(t, FIRST_JOB + i) && all;
-    nodes_check(t, all, "two teams' services are accepted");
-    nodes_check(t, running(t, SERVICES * REPLICAS, 40), "all replicas run");
+        all = submit_service(test, FIRST_JOB + i) && all;
+    nodes_check(test, all, "two teams' services are accepted");
+    nodes_check(test, running(test, SERVICES * REPLICAS, 40), "all replicas run");
     char names[2048];
-    for (int i = 0; i < 200 && fake_machine_names(t->cluster, names, sizeof names) > 10; i++)
+    for (int i = 0; i < 200 && fake_machine_names(test->cluster, names, sizeof names) > 10; i++)
         bd_pause(0.1);
-    nodes_check(t, fake_machine_names(t->cluster, names, sizeof names) == 10,
+    nodes_check(test, fake_machine_names(test->cluster, names, sizeof names) == 10,
                 "ten workers run them");
 }
 
-static void bad_requests(struct test *t)
+static void bad_requests(struct loopback *test)
 {
     char out[512];
     char *big = malloc(70001);
     memset(big, ' ', 70000);
     big[70000] = '\0';
-    nodes_check(t, ask_admin(t, 0, "GET", "", NULL, out, sizeof out) == 200 && strstr(out, "[]"),
+    nodes_check(test,
+                ask_admin(test, 0, "GET", "", NULL, out, sizeof out) == 200 && strstr(out, "[]"),
                 "no drains at first");
-    nodes_check(t, ask_admin(t, 1, "GET", "/none", NULL, out, sizeof out) == 404, "no drain: 404");
-    nodes_check(t, ask_admin(t, 1, "POST", "/none/pause", "{}", NULL, 0) == 404,
+    nodes_check(test, ask_admin(test, 1, "GET", "/none", NULL, out, sizeof out) == 404,
+                "no drain: 404");
+    nodes_check(test, ask_admin(test, 1, "POST", "/none/pause", "{}", NULL, 0) == 404,
                 "no drain to pause: 404");
-    nodes_check(t, ask_admin(t, 1, "POST", "/none/explode", "{}", NULL, 0) == 404,
+    nodes_check(test, ask_admin(test, 1, "POST", "/none/explode", "{}", NULL, 0) == 404,
                 "no such verb: 404");
-    nodes_check(t, ask_admin(t, 1, "POST", "/none", "{}", NULL, 0) == 405, "wrong method: 405");
-    nodes_check(t, ask_admin(t, 2, "POST", "", "{", out, sizeof out) == 400 && strstr(out, "body"),
+    nodes_check(test, ask_admin(test, 1, "POST", "/none", "{}", NULL, 0) == 405,
+                "wrong method: 405");
+    nodes_check(test,
+                ask_admin(test, 2, "POST", "", "{", out, sizeof out) == 400 && strstr(out, "body"),
                 "not JSON: 400");
-    nodes_check(t,
-                ask_admin(t, 2, "POST", "", "{\"name\":\"d\",\"mode\":\"x\"}", out, sizeof out) ==
-                        400 &&
-                    strstr(out, "\"mode\""),
-                "a wrong mode: 400 and the field");
-    nodes_check(t, ask_admin(t, 0, "POST", "", big, NULL, 0) == 413, "a body too large: 413");
-    nodes_check(t, command(t, 0, "start one --mode retire --machine vm-999999") == 1,
+    nodes_check(
+        test,
+        ask_admin(test, 2, "POST", "", "{\"name\":\"d\",\"mode\":\"x\"}", out, sizeof out) == 400 &&
+            strstr(out, "\"mode\""),
+        "a wrong mode: 400 and the field");
+    nodes_check(test, ask_admin(test, 0, "POST", "", big, NULL, 0) == 413, "a body too large: 413");
+    nodes_check(test, command(test, 0, "start one --mode retire --machine vm-999999") == 1,
                 "an unknown machine is refused");
-    nodes_check(t, command(t, 0, "start one --mode retire --type small") == 1,
+    nodes_check(test, command(test, 0, "start one --mode retire --type small") == 1,
                 "all machines without saying so is refused");
-    nodes_check(t, command(t, 0, "start one --mode retire --type none") == 1,
+    nodes_check(test, command(test, 0, "start one --mode retire --type none") == 1,
                 "no machine at all is refused");
-    nodes_check(t, command(t, 0, "explode one") == 2, "a wrong word is wrong usage");
+    nodes_check(test, command(test, 0, "explode one") == 2, "a wrong word is wrong usage");
     free(big);
 }
 
-static void unreached(struct test *t)
+static void unreached(struct loopback *test)
 {
     char out[512];
-    fake_store_set_down(t->cluster, true);
-    nodes_check(t, ask_admin(t, 0, "GET", "", NULL, out, sizeof out) == 503,
+    fake_store_set_down(test->cluster, true);
+    nodes_check(test, ask_admin(test, 0, "GET", "", NULL, out, sizeof out) == 503,
                 "without the state service: 503");
-    nodes_check(t, command(t, 1, "list") == 3, "... which the command tells by its exit status");
-    fake_store_set_down(t->cluster, false);
+    nodes_check(test, command(test, 1, "list") == 3,
+                "... which the command tells by its exit status");
+    fake_store_set_down(test->cluster, false);
 }
 
-static void repeats(struct test *t, struct history *h)
+static void repeats(struct loopback *test, struct history *h)
 {
-    nodes_check(t, command(t, 1, "start all --mode replace --selection everything --all") == 0,
+    nodes_check(test,
+                command(test, 1, "start all --mode replace --selection everything --all") == 0,
                 "the same once more, at another node, is taken");
-    nodes_check(t, command(t, 2, "start all --mode retire --selection everything --all") == 1,
+    nodes_check(test, command(test, 2, "start all --mode retire --selection everything --all") == 1,
                 "another one under its name is refused");
-    nodes_check(t, command(t, 2, "pause all") == 0 && command(t, 0, "pause all") == 0,
+    nodes_check(test, command(test, 2, "pause all") == 0 && command(test, 0, "pause all") == 0,
                 "it is paused, twice");
     uint32_t before = stops(h);
     bd_pause(3);
-    nodes_check(t, stops(h) <= before + BUDGET_BLUE + BUDGET_RED, "paused: no new step begins");
-    nodes_check(t, command(t, 1, "resume all") == 0, "it is resumed");
+    nodes_check(test, stops(h) <= before + BUDGET_BLUE + BUDGET_RED, "paused: no new step begins");
+    nodes_check(test, command(test, 1, "resume all") == 0, "it is resumed");
 }
 
 static bool reach_stops(struct history *h, uint32_t n, double seconds)
@@ -227,12 +228,12 @@
     return stops(h) >= n;
 }
 
-static bool is_over(struct test *t, double seconds)
+static bool is_over(struct loopback *test, double seconds)
 {
     char out[8192] = "";
     struct timespec end = bd_add(bd_now(), bd_secs(seconds));
     for (int n = 0; bd_before(bd_now(), end); n++) {
-        if (ask_admin(t, n % NODES, "GET", "/all", NULL, out, sizeof out) == 200 &&
+        if (ask_admin(test, n % NODES, "GET", "/all", NULL, out, sizeof out) == 200 &&
             strstr(out, "\"state\": \"done\""))
             return true;
         bd_pause(0.2);
@@ -260,53 +261,56 @@
         snprintf(out, cap, "%s", id);
 }
 
-static void drain_ten(struct test *t, struct history *h)
+static void drain_ten(struct loopback *test, struct history *h)
 {
     char before[2048], after[2048], victim[64] = "";
-    (void)fake_machine_names(t->cluster, before, sizeof before);
-    nodes_check(t, command(t, 0, "start all --mode replace --selection everything --all") == 0,
+    (void)fake_machine_names(test->cluster, before, sizeof before);
+    nodes_check(test,
+                command(test, 0, "start all --mode replace --selection everything --all") == 0,
                 "a drain of all of them is accepted");
-    nodes_check(t, reach_stops(h, 2, 40), "the first step begins");
-    repeats(t, h);
+    nodes_check(test, reach_stops(h, 2, 40), "the first step begins");
+    repeats(test, h);
     last_of(before, victim, sizeof victim);
-    fake_kill_machine(t->cluster, victim);
-    nodes_check(t, reach_stops(h, 10, 60), "it goes on after a worker died in a step");
-    int leader = fake_store_leader(t->cluster);
+    fake_kill_machine(test->cluster, victim);
+    nodes_check(test, reach_stops(h, 10, 60), "it goes on after a worker died in a step");
+    int leader = fake_store_leader(test->cluster);
     if (leader >= 0) {
-        nodes_end(t, leader);
+        nodes_kill(test, leader);
         bd_pause(1);
-        nodes_again(t, leader, NULL);
+        nodes_restart(test, leader, NULL);
     }
-    nodes_check(t, is_over(t, DRAIN_S), "the drain is done");
-    nodes_check(t, running(t, SERVICES * REPLICAS, 20), "all replicas run");
-    (void)fake_machine_names(t->cluster, after, sizeof after);
-    nodes_check(t, !holds_any(after, before), "none of the drained workers is left");
-    nodes_check(t, stops(h) >= 30, "the replicas were moved");
+    nodes_check(test, is_over(test, DRAIN_S), "the drain is done");
+    nodes_check(test, running(test, SERVICES * REPLICAS, 20), "all replicas run");
+    (void)fake_machine_names(test->cluster, after, sizeof after);
+    nodes_check(test, !holds_any(after, before), "none of the drained workers is left");
+    nodes_check(test, stops(h) >= 30, "the replicas were moved");
 }
 
 /* An older controller is heard: the drain waits, says so, and goes on once it is replaced. */
-static void beside_older(struct test *t, struct history *h)
+static void beside_older(struct loopback *test, struct history *h)
 {
     char out[8192];
-    nodes_check(t, command(t, 0, "start all --mode replace --selection everything --all") == 0,
+    nodes_check(test,
+                command(test, 0, "start all --mode replace --selection everything --all") == 0,
                 "a drain is accepted beside an older controller");
     bd_pause(6);
     uint32_t before = stops(h);
-    nodes_check(t, before == 0, "no step begins while an older controller is heard");
-    nodes_check(t,
-                ask_admin(t, 0, "GET", "/all", NULL, out, sizeof out) == 200 &&
-                    (fake_store_leader(t->cluster) == NODES - 1 || strstr(out, "older controller")),
-                "it says what it waits for");
-    nodes_end(t, NODES - 1);
-    write_operators(t, NODES - 1);
-    nodes_again(t, NODES - 1, NULL);
-    nodes_check(t, is_over(t, DRAIN_S), "the drain is done once all are new");
+    nodes_check(test, before == 0, "no step begins while an older controller is heard");
+    nodes_check(
+        test,
+        ask_admin(test, 0, "GET", "/all", NULL, out, sizeof out) == 200 &&
+            (fake_store_leader(test->cluster) == NODES - 1 || strstr(out, "older controller")),
+        "it says what it waits for");
+    nodes_kill(test, NODES - 1);
+    write_operators(test, NODES - 1);
+    nodes_restart(test, NODES - 1, NULL);
+    nodes_check(test, is_over(test, DRAIN_S), "the drain is done once all are new");
 }
 
 int main(int argc, char **argv)
 {
     static const uint32_t budgets[2] = {BUDGET_BLUE, BUDGET_RED};
-    struct test t = {.teams = 2};
+    struct loopback test = {.teams = 2};
     struct history h = {.began = bd_now()};
     if (argc < 2 || argc > 3)
         return 2;
@@ -315,30 +319,31 @@
         printf("skipped: the version in production is not there: %s\n", old);
         return 77;
     }
-    if (pthread_mutex_init(&h.lock, NULL) != 0 || !nodes_prepare(&t, argv[1]))
+    if (pthread_mutex_init(&h.lock, NULL) != 0 || !nodes_prepare(&test, argv[1]))
         return 2;
     drain_check_start(&h.check, budgets);
-    fake_set_observer(t.cluster, watch, &h);
-    fake_cloud_set_capacity(t.cluster, MACHINES_MAX);
+    fake_set_observer(test.cluster, watch, &h);
+    fake_cloud_set_capacity(test.cluster, MACHINES_MAX);
     for (int i = 0; i < NODES; i++) {
         bool older = old && i == NODES - 1;
         if (!older)
-            write_operators(&t, i);
-        nodes_again(&t, i, older ? old : NULL);
+            write_operators(&test, i);
+        nodes_restart(&test, i, older ? old : NULL);
     }
-    begin(&t);
+    begin(&test);
     if (old) {
-        beside_older(&t, &h);
+        beside_older(&test, &h);
     } else {
-        bad_requests(&t);
-        unreached(&t);
-        drain_ten(&t, &h);
+        bad_requests(&test);
+        unreached(&test);
+        drain_ten(&test, &h);
     }
-    nodes_check(&t, h.broken == 0, "no team was beyond its budget by our doing");
-    nodes_check(&t, fake_duplicate_runs(t.cluster) == 0, "no task ran twice at the same time");
+    nodes_check(&test, h.broken == 0, "no team was beyond its budget by our doing");
+    nodes_check(&test, fake_duplicate_runs(test.cluster) == 0,
+                "no task ran twice at the same time");
     printf("     %u replicas stopped, at most %u of %u and %u of %u down at once\n", h.check.stops,
            h.check.most[0], budgets[0], h.check.most[1], budgets[1]);
-    nodes_finish(&t);
-    printf("%d faults\n", t.faults);
-    return t.faults ? 1 : 0;
+    nodes_finish(&test);
+    printf("%d faults\n", test.faults);
+    return test.faults ? 1 : 0;
 }
--- a/tests/loopback_nodes.c
+++ b/tests/loopback_nodes.c
@@ -16,22 +16,22 @@
 #define PORTS_FIRST 20000 /* below what outgoing connections take */
 #define PORTS_EACH 140
 #define PORT_RANGES 85
+#define ASK_TIMEOUT_S 5
 
-void nodes_check(struct test *t, int ok, const char *what)
+void nodes_check(struct loopback *test, int ok, const char *what)
 {
     printf("%s %s\n", ok ? "ok  " : "FAIL", what);
     (void)fflush(stdout);
-    t->faults += !ok;
+    test->faults += !ok;
 }
 
-/* apart: the first and the last node do not reach each other, only the one between them */
-void nodes_write_settings(struct test *t, int i, int apart)
+void nodes_write_settings(struct loopback *test, int i, int apart)
 {
     json_t *others = json_array();
     char peer_addr[32], a[32];
     for (int k = 0; k < NODES; k++) {
         int wrong = apart && i != 1 && k != 1 ? 50 : 10; /* nobody listens there */
-        snprintf(a, sizeof a, "127.0.0.1:%d", t->base + wrong + k);
+        snprintf(a, sizeof a, "127.0.0.1:%d", test->first_port + wrong + k);
         char name[16];
         snprintf(name, sizeof name, "node-%d", k);
         if (k != i)
@@ -40,15 +40,16 @@
     }
     char name[16], cloud[32], state[32];
     snprintf(name, sizeof name, "node-%d", i);
-    snprintf(peer_addr, sizeof peer_addr, "127.0.0.1:%d", t->base + 10 + i);
-    snprintf(state, sizeof state, "127.0.0.1:%d", t->base + 22 + i);
-    snprintf(cloud, sizeof cloud, "127.0.0.1:%d", t->base + 21);
+    snprintf(peer_addr, sizeof peer_addr, "127.0.0.1:%d", test->first_port + 10 + i);
+    snprintf(state, sizeof state, "127.0.0.1:%d", test->first_port + 22 + i);
+    snprintf(cloud, sizeof cloud, "127.0.0.1:%d", test->first_port + 21);
     json_t *teams = json_array();
-    for (int k = 0; k < (t->teams > 0 ? t->teams : 1); k++)
+    for (int k = 0; k < (test->teams > 0 ? test->teams : 1); k++)
         json_array_append_new(teams,
                               json_pack("{s:s,s:f,s:f,s:f,s:f}", "name", k ? "red" : "blue", "cpus",
                                         0.0, "cpus_max", 32.0, "gpus", 0.0, "gpus_max", 0.0));
-    json_t *next = t->old ? json_pack("{s:f,s:i}", "value_kb", 2.0, "txn_ops", 8) : json_null();
+    json_t *next =
+        test->older_program ? json_pack("{s:f,s:i}", "value_kb", 2.0, "txn_ops", 8) : json_null();
     json_t *facts =
         json_pack("{s:i,s:[s],s:o,s:[],s:{s:f,s:f,s:f,s:f,s:f},s:{s:f,s:f,s:f,s:i,s:o},s:{s:f,s:f},"
                   "s:{s:f,s:f,s:i},s:f}",
@@ -58,53 +59,59 @@
                   next, "cloud", "rps", 20.0, "list_lag_s", 0.5, "limits", "cpu", 1.0, "ram_mb",
                   256.0, "max_sockets", 300, "clock_error_ms", 5.0);
     json_t *o = json_pack("{s:s,s:s,s:s,s:s,s:o,s:{s:s,s:s},s:o}", "node_name", name, "location",
-                          "a", "front", t->addr[i], "mesh_addr", peer_addr, "others", others,
+                          "a", "front", test->addr[i], "mesh_addr", peer_addr, "others", others,
                           "external", "cloud", cloud, "state", state, "facts", facts);
-    snprintf(t->file[i], sizeof t->file[i], "%s/%s.json", t->dir, name);
-    if (!o || json_dump_file(o, t->file[i], 0) != 0)
+    snprintf(test->settings_file[i], sizeof test->settings_file[i], "%s/%s.json", test->dir, name);
+    if (!o || json_dump_file(o, test->settings_file[i], 0) != 0)
         abort();
     json_decref(o);
 }
 
-void nodes_start(struct test *t, int i)
+void nodes_start(struct loopback *test, int i)
 {
-    t->pid[i] = fork();
-    if (t->pid[i] == 0) {
+    test->pid[i] = fork();
+    if (test->pid[i] == 0) {
         (void)prctl(PR_SET_PDEATHSIG, SIGKILL); /* none outlives the test */
-        const char *program = t->run[i] ? t->run[i] : t->program;
-        if (*t->operators[i])
-            execl(program, program, "--operators", t->operators[i], "--config", t->file[i],
-                  (char *)NULL);
+        const char *program = test->started_program[i] ? test->started_program[i] : test->program;
+        if (*test->operators_file[i])
+            execl(program, program, "--operators", test->operators_file[i], "--config",
+                  test->settings_file[i], (char *)NULL);
         else
-            execl(program, program, "--config", t->file[i], (char *)NULL);
+            execl(program, program, "--config", test->settings_file[i], (char *)NULL);
         _exit(127);
     }
 }
 
-void nodes_end(struct test *t, int i)
+void nodes_kill(struct loopback *test, int i)
 {
-    if (t->pid[i] <= 0)
+    if (test->pid[i] <= 0)
         return;
-    (void)kill(t->pid[i], SIGKILL);
-    (void)waitpid(t->pid[i], NULL, 0);
-    t->pid[i] = 0;
+    (void)kill(test->pid[i], SIGKILL);
+    (void)waitpid(test->pid[i], NULL, 0);
+    test->pid[i] = 0;
 }
 
-long nodes_ask(struct test *t, int node, const char *method, const char *path, const char *body,
-               char *out, size_t cap)
+long nodes_call(struct loopback *test, const char *address, const char *method, const char *path,
+                const char *body, double timeout_s, char *out, size_t capacity)
 {
     char url[160];
-    struct bd_http_response r;
-    snprintf(url, sizeof url, "http://%s%s", t->addr[node], path);
-    bd_http_call(t->h, method, url, body, 5, &r);
+    struct bd_http_response response;
+    snprintf(url, sizeof url, "http://%s%s", address, path);
+    bd_http_call(test->client, method, url, body, timeout_s, &response);
     if (out)
-        snprintf(out, cap, "%s", r.body ? r.body : "");
-    long status = r.status;
-    bd_http_response_free(&r);
+        snprintf(out, capacity, "%s", response.body ? response.body : "");
+    long status = response.status;
+    bd_http_response_free(&response);
     return status;
 }
 
-char *nodes_job_after(const char *id, const char *shape, int tasks, const char *awaits)
+long nodes_ask(struct loopback *test, int node, const char *method, const char *path,
+               const char *body, char *out, size_t capacity)
+{
+    return nodes_call(test, test->addr[node], method, path, body, ASK_TIMEOUT_S, out, capacity);
+}
+
+char *nodes_submission_after(const char *id, const char *shape, int tasks, const char *awaits)
 {
     static char buf[640];
     snprintf(buf, sizeof buf,
@@ -116,18 +123,18 @@
     return buf;
 }
 
-char *nodes_job(const char *id, const char *shape, int tasks)
+char *nodes_submission(const char *id, const char *shape, int tasks)
 {
-    return nodes_job_after(id, shape, tasks, "");
+    return nodes_submission_after(id, shape, tasks, "");
 }
 
-/* Asks until the answer holds the text, any node, for at most so long. */
-int nodes_until(struct test *t, const char *path, const char *text, double seconds)
+int nodes_wait_for(struct loopback *test, const char *path, const char *text, double seconds)
 {
     char out[256];
     struct timespec end = bd_add(bd_now(), bd_secs(seconds));
     for (int n = 0; bd_before(bd_now(), end); n++) {
-        if (nodes_ask(t, n % NODES, "GET", path, NULL, out, sizeof out) == 200 && strstr(out, text))
+        if (nodes_ask(test, n % NODES, "GET", path, NULL, out, sizeof out) == 200 &&
+            strstr(out, text))
             return 1;
         bd_pause(0.1);
     }
@@ -135,13 +142,34 @@
     return 0;
 }
 
-int nodes_submit_after(struct test *t, const char *id, const char *shape, int tasks,
+bool nodes_all_wait_for(struct loopback *test, const char *path, const char *text, double seconds)
+{
+    char out[256];
+    struct timespec end = bd_add(bd_now(), bd_secs(seconds));
+    for (int i = 0; i < NODES && bd_before(bd_now(), end);) {
+        bool good =
+            nodes_ask(test, i, "GET", path, NULL, out, sizeof out) == 200 && strstr(out, text);
+        i += good;
+        if (!good)
+            bd_pause(0.1);
+    }
+    return bd_before(bd_now(), end);
+}
+
+void nodes_wait_running(struct loopback *test, int tasks, double seconds)
+{
+    struct timespec end = bd_add(bd_now(), bd_secs(seconds));
+    while (fake_running(test->cluster) < tasks && bd_before(bd_now(), end))
+        bd_pause(0.1);
+}
+
+int nodes_submit_after(struct loopback *test, const char *id, const char *shape, int tasks,
                        const char *awaits, double seconds)
 {
     struct timespec end = bd_add(bd_now(), bd_secs(seconds));
     for (int n = 0; bd_before(bd_now(), end); n++) {
-        long s = nodes_ask(t, n % NODES, "POST", "/submissions",
-                           nodes_job_after(id, shape, tasks, awaits), NULL, 0);
+        long s = nodes_ask(test, n % NODES, "POST", "/submissions",
+                           nodes_submission_after(id, shape, tasks, awaits), NULL, 0);
         if (s == 200 || s == 201)
             return 1;
         bd_pause(0.2);
@@ -149,15 +177,16 @@
     return 0;
 }
 
-int nodes_submit(struct test *t, const char *id, const char *shape, int tasks, double seconds)
+int nodes_submit(struct loopback *test, const char *id, const char *shape, int tasks,
+                 double seconds)
 {
-    return nodes_submit_after(t, id, shape, tasks, "", seconds);
+    return nodes_submit_after(test, id, shape, tasks, "", seconds);
 }
 
-void nodes_again(struct test *t, int i, const char *program)
+void nodes_restart(struct loopback *test, int i, const char *program)
 {
-    t->run[i] = program;
-    nodes_start(t, i);
+    test->started_program[i] = program;
+    nodes_start(test, i);
 }
 
 /* The first of a range of ports that no other run of this test holds: its last port is kept bound
@@ -179,35 +208,36 @@
     return -1;
 }
 
-void nodes_finish(struct test *t)
+void nodes_finish(struct loopback *test)
 {
     for (int i = 0; i < NODES; i++) {
-        nodes_end(t, i);
-        (void)unlink(t->file[i]);
-        if (*t->operators[i])
-            (void)unlink(t->operators[i]);
+        nodes_kill(test, i);
+        (void)unlink(test->settings_file[i]);
+        if (*test->operators_file[i])
+            (void)unlink(test->operators_file[i]);
     }
-    (void)rmdir(t->dir);
-    fake_cluster_stop(t->cluster);
-    bd_http_free(t->h);
+    (void)rmdir(test->dir);
+    fake_cluster_stop(test->cluster);
+    bd_http_free(test->client);
 }
 
-bool nodes_prepare(struct test *t, const char *program)
+bool nodes_prepare(struct loopback *test, const char *program)
 {
-    t->program = program;
-    t->base = reserve_ports();
-    if (t->base < 0)
+    test->program = program;
+    test->first_port = reserve_ports();
+    if (test->first_port < 0)
         return false;
     (void)signal(SIGPIPE, SIG_IGN);
-    snprintf(t->dir, sizeof t->dir, "/tmp/bd-loopback-XXXXXX");
-    if (!mkdtemp(t->dir) || bd_http_start() != 0)
+    snprintf(test->dir, sizeof test->dir, "/tmp/bd-loopback-XXXXXX");
+    if (!mkdtemp(test->dir) || bd_http_start() != 0)
         return false;
-    t->h = bd_http_new(4, NULL);
+    test->client = bd_http_new(4, NULL);
     for (int i = 0; i < NODES; i++) {
-        snprintf(t->addr[i], sizeof t->addr[i], "127.0.0.1:%d", t->base + i);
-        t->nodes[i] = t->addr[i];
-        nodes_write_settings(t, i, 0);
+        snprintf(test->addr[i], sizeof test->addr[i], "127.0.0.1:%d", test->first_port + i);
+        test->nodes[i] = test->addr[i];
+        nodes_write_settings(test, i, 0);
     }
-    t->cluster = fake_cluster_new(t->base + 22, t->base + 21, t->base + 30, t->nodes, NODES);
-    return t->cluster != NULL;
+    test->cluster = fake_cluster_new(test->first_port + 22, test->first_port + 21,
+                                     test->first_port + 30, test->nodes, NODES);
+    return test->cluster != NULL;
 }
--- /dev/null
+++ b/tests/loopback_tests.h
@@ -0,0 +1,26 @@
+/* The loopback tests by subject; loopback.c chooses among them. Each expects running controllers
+ * and reports with nodes_check. */
+#ifndef LOOPBACK_TESTS_H
+#define LOOPBACK_TESTS_H
+#include "loopback_nodes.h"
+
+/* loopback_requests.c, in this order */
+void test_quiet_work(struct loopback *test);
+void test_bad_requests(struct loopback *test);
+void test_killed_nodes(struct loopback *test);
+void test_store_outage(struct loopback *test);
+void test_dependencies(struct loopback *test);
+/* is_announced: the settings name the lower limits beforehand */
+void test_lower_limits(struct loopback *test, size_t value_bytes, size_t txn_ops,
+                       bool is_announced);
+
+void test_partition(struct loopback *test);       /* loopback_partition.c */
+void test_rolling_upgrade(struct loopback *test); /* loopback_upgrade.c */
+void test_faults(struct loopback *test);          /* loopback_faults.c */
+void test_overload(struct loopback *test);        /* loopback_overload.c */
+void test_memory(struct loopback *test);          /* loopback_memory.c */
+
+/* Keeps what the older version writes in the directory: its records, and its frames to another
+ * controller. Returns an exit status. */
+int capture_production(struct loopback *test, const char *directory);
+#endif
--- /dev/null
+++ b/tests/sim_day.c
@@ -0,0 +1,204 @@
+/* A simulated day from its begin to its end: settings, events, and what is freed. */
+#include "sim_day.h"
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
+#include "brambledoor/settings.h"
+#include "sim_drain.h"
+#include "sim_plan.h"
+#include "simulation.h"
+#include "small.h"
+#include <math.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#define QUIET_S 130.0 /* after the last fault all work is to be served */
+
+/* Two zones of two controllers, or one that is alone in its zone. */
+static const char *zone_of(const struct sim *sim, int node)
+{
+    return (sim->seed / 2 % 2 ? node == 3 : node % 2) ? "b" : "a";
+}
+
+static void write_peers(struct sim *sim, int i)
+{
+    struct bd_settings *settings = &sim->nodes[i].settings;
+    for (int k = 0; k < SIM_NODES; k++) {
+        if (k == i)
+            continue;
+        struct bd_peer *peer = &settings->peers[settings->npeers++];
+        snprintf(peer->name, sizeof peer->name, "node-%d", k);
+        snprintf(peer->zone, sizeof peer->zone, "%s", zone_of(sim, k));
+    }
+}
+
+static void write_settings(struct sim *sim, int i)
+{
+    struct bd_settings *settings = &sim->nodes[i].settings;
+    small_settings(settings);
+    snprintf(settings->node, sizeof settings->node, "node-%d", i);
+    settings->lease = bd_secs(sim->lease_s);
+    settings->cancel = bd_secs(sim->cancel_s);
+    settings->heartbeat_interval = bd_secs(sim->report_s);
+    settings->leader_ttl = bd_secs(2);
+    settings->clock_error = bd_secs(0.005);
+    settings->list_lag = bd_secs(3);
+    settings->ram_mb = 64;
+    settings->max_sockets = 500;
+    settings->cpu = 0.5;
+    settings->nodes = SIM_NODES;
+    settings->nzones = 2;
+    snprintf(settings->zones[0], BD_NAME, "a");
+    snprintf(settings->zones[1], BD_NAME, "b");
+    snprintf(settings->zone, BD_NAME, "%s", zone_of(sim, i));
+    write_peers(sim, i);
+    settings->nteams = 2;
+    for (int k = 0; k < 2; k++) {
+        snprintf(settings->teams[k].name, BD_NAME, "%s", k ? "b" : "a");
+        settings->teams[k].cpus = 4;
+        settings->teams[k].cpus_quota = sim->team_max[k];
+    }
+    if (sim->draining)
+        settings->draining = sim_drain_rules(sim);
+    sim->nodes[i].log = (struct bd_log){BD_LOG_ERROR, sim->nodes[i].settings.node};
+}
+
+void sim_day_begin(struct sim *sim, const struct sim_plan *plan, unsigned long seed)
+{
+    memset(sim, 0, sizeof *sim);
+    sim->seed = seed;
+    sim->rng = gsl_rng_alloc(gsl_rng_taus2);
+    if (!sim->rng)
+        abort();
+    gsl_rng_set(sim->rng, seed * 7919 + 1);
+    /* two operators' settings, in turn */
+    sim->lease_s = seed % 2 ? 10 : 32;
+    sim->cancel_s = seed % 2 ? 35 : 52;
+    sim->report_s = seed % 2 ? 2 : 3;
+    sim->fetch_s = plan->fetch;
+    sim->team_max[0] = 20.0 * plan->machines / SIM_PLAN_MACHINES;
+    sim->team_max[1] = 16.0 * plan->machines / SIM_PLAN_MACHINES;
+    sim->machines_max = plan->machines * 3 / 2;
+    sim->draining = plan->drains != 0;
+    drain_check_start(&sim->check, plan->budgets);
+    sim_store_start(sim);
+    for (int i = 0; i < SIM_NODES; i++) {
+        write_settings(sim, i);
+        sim_node_start(sim, i);
+    }
+    for (int i = 0; i < plan->machines; i++)
+        (void)sim_provision(sim, i % 2 ? "b" : "a", 0.1);
+    for (int i = 0; i < plan->nfaults; i++) {
+        const struct sim_fault *fault = &plan->faults[i];
+        sim->faults_end = fmax(sim->faults_end, fault->at + sim_fault_duration(fault));
+        sim_post(sim, fault->at, SIM_FAULT)->who = i;
+    }
+    sim->ends = sim->faults_end + QUIET_S;
+    for (int i = 0; i < plan->jobs; i++)
+        sim_add_job(sim, plan,
+                    i < 6 ? sim_between(sim, 2, 6) : sim_between(sim, 3, sim->faults_end));
+}
+
+/* What comes to a process that stands still waits there. */
+static bool waits_at_node(struct sim *sim, struct sim_event *event)
+{
+    int node = -1;
+    switch (event->kind) {
+    case SIM_STORE_BACK:
+    case SIM_STORE_TIMEOUT:
+        node = event->call->node;
+        break;
+    case SIM_FRAME:
+        node = event->who;
+        break;
+    case SIM_READER:
+    case SIM_ELECTION:
+    case SIM_NODE_TICK:
+    case SIM_HEARTBEAT_IN:
+    case SIM_HEARTBEAT_COPY:
+    case SIM_COMMAND_SEND:
+    case SIM_COMMAND_BACK:
+    case SIM_COMMAND_TIMEOUT:
+    case SIM_CLOUD_BACK:
+    case SIM_USER_IN:
+        node = event->node;
+        break;
+    default:
+        return false;
+    }
+    double left = sim->nodes[node].stalled_until - sim->now;
+    if (left <= 0)
+        return false;
+    (void)sim_post_again(sim, event, left + 0.001);
+    return true;
+}
+
+void sim_day_event(struct sim *sim, const struct sim_plan *plan, struct sim_event *event)
+{
+    if (waits_at_node(sim, event))
+        return;
+    switch (event->kind) {
+    case SIM_STORE_RUN:
+    case SIM_STORE_BACK:
+    case SIM_STORE_TIMEOUT:
+        sim_store_event(sim, event);
+        break;
+    case SIM_COMMAND_IN:
+    case SIM_HEARTBEAT_BACK:
+    case SIM_HEARTBEAT_TIMEOUT:
+        sim_worker_event(sim, event);
+        break;
+    case SIM_USER_WAKE:
+        sim_user_wake(sim, event);
+        break;
+    case SIM_USER_BACK:
+        sim_user_answered(sim, event);
+        break;
+    case SIM_FAULT:
+        sim_apply_fault(sim, plan, &plan->faults[event->who]);
+        break;
+    default:
+        sim_node_event(sim, event);
+    }
+    sim->events++;
+}
+
+/* An event that never came. */
+static void drop_event(struct sim_event *event)
+{
+    bool is_command = event->kind == SIM_COMMAND_SEND || event->kind == SIM_COMMAND_IN ||
+                      event->kind == SIM_COMMAND_BACK || event->kind == SIM_COMMAND_TIMEOUT;
+    struct sim_direct_command *command = is_command ? event->data : NULL;
+    if (command && --command->references == 0)
+        free(command);
+    if (event->kind == SIM_STORE_BACK)
+        json_decref(event->data);
+    if (event->kind == SIM_FRAME)
+        free(event->data);
+    if (event->call)
+        sim_call_drop(event->call);
+    free(event->text);
+    free(event);
+}
+
+void sim_day_end(struct sim *sim)
+{
+    for (int i = 0; i < SIM_NODES; i++)
+        sim_node_end(sim, i);
+    for (int i = 0; i < SIM_NODES; i++)
+        free(sim->nodes[i].settings.draining);
+    while (sim->queue) {
+        struct sim_event *event = sim->queue;
+        sim->queue = event->next;
+        drop_event(event);
+    }
+    while (sim->requests) {
+        struct sim_request *request = sim->requests;
+        sim->requests = request->next;
+        free(request);
+    }
+    for (int i = 0; i < sim->nsaved_heartbeats; i++)
+        free(sim->saved_heartbeats[i]);
+    sim_store_free(sim);
+    gsl_rng_free(sim->rng);
+}
--- a/tests/sim_effects.c
+++ b/tests/sim_effects.c
@@ -15,7 +15,7 @@
     struct sim_request *request = effect->request;
     if (!request)
         return;
-    bool held = !request->user && sim_held_up(sim);
+    bool held = !request->user && sim_is_delayed(sim);
     struct sim_event *event =
         sim_node_post(sim, node, sim_delay(sim) + (held ? sim_between(sim, 0.3, 4) : 0),
                       request->user ? SIM_USER_BACK : SIM_HEARTBEAT_BACK);
@@ -61,7 +61,7 @@
     command->worker = number_of(effect->addr + 2); /* "w-N" */
     command->until = effect->until;
     struct sim_event *event =
-        sim_node_post(sim, node, node->senders_stalled - sim->now, SIM_COMMAND_SEND);
+        sim_node_post(sim, node, node->senders_stalled_until - sim->now, SIM_COMMAND_SEND);
     event->text = effect->body;
     event->data = command;
     effect->body = NULL;
--- a/tests/sim_election.c
+++ b/tests/sim_election.c
@@ -14,15 +14,15 @@
 
 static void post_election(struct sim *sim, struct sim_node *node, double delay)
 {
-    node->election_out = false;
+    node->is_electing = false;
     sim_node_post(sim, node, delay, SIM_ELECTION);
 }
 
 void sim_election_next(struct sim *sim, struct sim_node *node)
 {
-    if (node->election_out)
+    if (node->is_electing)
         return;
-    node->election_out = true;
+    node->is_electing = true;
     if (node->leading && node->step_down)
         node->leading = false;
     node->step_down = false;
--- /dev/null
+++ b/tests/sim_events.c
@@ -0,0 +1,75 @@
+/* The event queue of a simulated day, its random numbers, and what it prints. */
+#include "simulation.h"
+#include <stdarg.h>
+#include <stdio.h>
+#include <stdlib.h>
+
+double sim_random(struct sim *sim)
+{
+    return gsl_rng_uniform(sim->rng);
+}
+
+double sim_between(struct sim *sim, double a, double b)
+{
+    return a + (b - a) * sim_random(sim);
+}
+
+double sim_delay(struct sim *sim)
+{
+    return sim_random(sim) < 0.02 ? sim_between(sim, 0.05, 0.4) : sim_between(sim, 0.001, 0.006);
+}
+
+void sim_trace(struct sim *sim, const char *fmt, ...)
+{
+    va_list ap;
+    if (!sim->is_verbose)
+        return;
+    va_start(ap, fmt);
+    printf("%8.2f ", sim->now);
+    vprintf(fmt, ap);
+    printf("\n");
+    va_end(ap);
+}
+
+void sim_violation(struct sim *sim, const char *fmt, ...)
+{
+    va_list ap;
+    if (++sim->violations > SIM_VIOLATIONS_MAX)
+        return;
+    va_start(ap, fmt);
+    printf("seed %lu, %.2f s: ", sim->seed, sim->now);
+    vprintf(fmt, ap);
+    printf("\n");
+    va_end(ap);
+}
+
+struct sim_event *sim_post(struct sim *sim, double delay, enum sim_event_kind kind)
+{
+    struct sim_event *event = calloc(1, sizeof *event), **at = &sim->queue;
+    if (!event)
+        abort();
+    event->at = sim->now + (delay > 0 ? delay : 0);
+    event->order = ++sim->order;
+    event->kind = kind;
+    while (*at && (*at)->at <= event->at)
+        at = &(*at)->next;
+    event->next = *at;
+    *at = event;
+    return event;
+}
+
+struct sim_event *sim_post_again(struct sim *sim, struct sim_event *event, double delay)
+{
+    struct sim_event *again = sim_post(sim, delay, event->kind), copy = *event;
+    copy.at = again->at;
+    copy.order = again->order;
+    copy.next = again->next;
+    *again = copy;
+    event->text = NULL;
+    return again;
+}
+
+bool sim_is_delayed(struct sim *sim)
+{
+    return sim->now < sim->delayed_until && sim_random(sim) < 0.3;
+}
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -16,12 +16,12 @@
 
 struct timespec sim_node_monotonic(const struct sim *sim, const struct sim_node *node)
 {
-    return bd_secs(node->clock_from + (sim->now - node->began) * node->clock_rate);
+    return bd_secs(node->clock_from + (sim->now - node->started_at) * node->clock_rate);
 }
 
 double sim_node_wall(const struct sim *sim, const struct sim_node *node)
 {
-    return 1e6 + sim->now + node->wall_off;
+    return 1e6 + sim->now + node->wall_offset;
 }
 
 void sim_node_set_clock(struct sim *sim, struct sim_node *node)
@@ -161,7 +161,7 @@
         break;
     case SIM_FOR_DRAINS:
     case SIM_FOR_DRAIN_SETS:
-        node->refresh_out = false;
+        node->is_reading = false;
         sim_drains_listed(sim, node, call, status, answer);
         break;
     case SIM_FOR_LIVENESS:
@@ -252,17 +252,17 @@
     uint64_t epoch = node->epoch + 1;
     struct bd_settings settings = node->settings;
     struct bd_log log = node->log;
-    double stalled = node->stalled;
+    double stalled = node->stalled_until;
     memset(node, 0, sizeof *node);
     node->settings = settings;
     node->log = log;
-    node->stalled = stalled;
+    node->stalled_until = stalled;
     node->epoch = epoch;
-    node->began = sim->now;
+    node->started_at = sim->now;
     node->clock_rate = 1 + sim_between(sim, -0.0005, 0.0005);
     node->clock_from = sim_between(sim, 1000, 5000);
-    node->wall_off = sim_between(sim, -0.005, 0.005);
-    node->list_again = true;
+    node->wall_offset = sim_between(sim, -0.005, 0.005);
+    node->wants_list = true;
     node->core = bd_core_new(&node->settings, &node->log);
     if (!node->core)
         abort();
--- a/tests/sim_plan.h
+++ b/tests/sim_plan.h
@@ -5,26 +5,26 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define PLAN_TROUBLES_MAX 128
+#define PLAN_FAULTS_MAX 128
 #define SIM_PLAN_MACHINES 6 /* at first, where the day does not say */
 
 struct sim_plan {
-    struct sim_trouble {
+    struct sim_fault {
         double at;
         char verb[16], who[16];
         double a, b;
-    } t[PLAN_TROUBLES_MAX];
-    int n, jobs, machines, services;
-    int small, drains;
+    } faults[PLAN_FAULTS_MAX];
+    int nfaults, jobs, machines, services;
+    int small, drains; /* flags: jobs of one short task; with drains */
     uint32_t budgets[2];
     double cancelled, fetch;
 };
 
 /* False: it cannot be read, or names no fault; standard error says where. */
-bool sim_plan_read(struct sim_plan *p, const char *path);
-void sim_plan_drawn(struct sim_plan *p, unsigned long seed);
+bool sim_plan_read(struct sim_plan *plan, const char *path);
+void sim_plan_draw(struct sim_plan *plan, unsigned long seed);
 /* ... with more services, and drains among the faults */
-void sim_plan_drains(struct sim_plan *p, unsigned long seed);
+void sim_plan_draw_drains(struct sim_plan *plan, unsigned long seed);
 /* ... on which the controllers' own queues and processes are late as well */
-void sim_plan_delays(struct sim_plan *p, unsigned long seed);
+void sim_plan_draw_delays(struct sim_plan *plan, unsigned long seed);
 #endif
--- a/tests/sim_reader.c
+++ b/tests/sim_reader.c
@@ -11,10 +11,10 @@
 
 void sim_reader_next(struct sim *sim, struct sim_node *node)
 {
-    if (node->refresh_out)
+    if (node->is_reading)
         return;
-    node->refresh_out = true;
-    if (node->list_again) {
+    node->is_reading = true;
+    if (node->wants_list) {
         (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_LIST, "j/", NULL, 1.5);
         return;
     }
@@ -56,7 +56,7 @@
     if (!sets && pairs && bd_drain_wants_sets(node->core)) {
         json_decref(node->drains);
         node->drains = json_incref(pairs);
-        node->refresh_out = true;
+        node->is_reading = true;
         (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_DRAIN_SETS, BD_DRAIN_SET, NULL, 1.5);
         return;
     }
@@ -69,12 +69,12 @@
                          json_t *answer)
 {
     bool ignored;
-    node->refresh_out = false;
+    node->is_reading = false;
     if (call->purpose == SIM_FOR_LIST && status == 200) {
         apply_changes(node, bd_wire_pairs(answer, &ignored));
         bd_replica_listed(node->core, bd_wire_store_revision(answer), call->sent);
         node->after = node->core->replica.store_revision;
-        node->list_again = false;
+        node->wants_list = false;
     } else if (call->purpose == SIM_FOR_REFRESH) {
         node->reads_refused = status != 200;
         if (status == 200)
@@ -84,7 +84,7 @@
         if (status == 200 && bd_wire_store_revision(answer) > node->after)
             node->after = bd_wire_store_revision(answer);
     } else if (call->purpose == SIM_FOR_DELEGATES && status == 200) {
-        if (sim->loud && getenv("SIM_DEPUTIES")) {
+        if (sim->is_verbose && getenv("SIM_DEPUTIES")) {
             char *text = json_dumps(bd_wire_pairs(answer, &ignored), JSON_COMPACT);
             sim_trace(sim, "%s sees %s", node->settings.node, text);
             free(text);
--- a/tests/sim_receive.c
+++ b/tests/sim_receive.c
@@ -19,8 +19,8 @@
 
 static bool peers_apart(const struct sim *sim, int a, int b)
 {
-    return sim->now < sim->peers_cut[a] || sim->now < sim->peers_cut[b] ||
-           (sim->now < sim->zones_cut &&
+    return sim->now < sim->peers_cut_until[a] || sim->now < sim->peers_cut_until[b] ||
+           (sim->now < sim->zones_cut_until &&
             strcmp(sim->nodes[a].settings.zone, sim->nodes[b].settings.zone) != 0);
 }
 
@@ -35,9 +35,9 @@
 /* A cut may deliver late what was sent meanwhile. */
 static bool delay_frame(struct sim *sim, struct sim_event *event)
 {
-    double until = sim->peers_cut[event->node];
-    until = sim->peers_cut[event->who] > until ? sim->peers_cut[event->who] : until;
-    until = sim->zones_cut > until ? sim->zones_cut : until;
+    double until = sim->peers_cut_until[event->node];
+    until = sim->peers_cut_until[event->who] > until ? sim->peers_cut_until[event->who] : until;
+    until = sim->zones_cut_until > until ? sim->zones_cut_until : until;
     if (!peers_apart(sim, event->node, event->who) || sim_random(sim) < 0.5)
         return false;
     (void)sim_post_again(sim, event, until - sim->now + sim_between(sim, 0.01, 0.3));
@@ -118,7 +118,7 @@
         return;
     }
     command->references = 2;
-    bool held = sim_held_up(sim);
+    bool held = sim_is_delayed(sim);
     struct sim_event *arrival = sim_node_post(
         sim, node, sim_delay(sim) + (held ? sim_between(sim, 0.5, 6) : 0), SIM_COMMAND_IN);
     arrival->who = command->worker;
@@ -134,7 +134,7 @@
     struct sim_node *node = &sim->nodes[event->node];
     struct sim_direct_command *command = event->data;
     struct bd_heartbeat heartbeat;
-    if (!command->over && node->core && node->epoch == event->epoch) {
+    if (!command->is_over && node->core && node->epoch == event->epoch) {
         bool ok = event->kind == SIM_COMMAND_BACK && read_heartbeat(event->text, &heartbeat);
         sim_node_set_clock(sim, node);
         bd_worker_direct_command_completed(node->core, command->machine, command->fencing_token,
@@ -144,7 +144,7 @@
             bd_wire_heartbeat_release(&heartbeat);
         sim_node_settle(sim, node);
     }
-    command->over = true;
+    command->is_over = true;
     if (--command->references == 0)
         free(command);
 }
--- /dev/null
+++ b/tests/sim_rules.c
@@ -0,0 +1,68 @@
+/* What holds on every simulated day, at each step and at its end. */
+#include "sim_day.h"
+#include "sim_drain.h"
+#include "simulation.h"
+#include "wire/wire.h"
+
+#define WAIT_MAX_S 90.0 /* a lease that may have to expire first included */
+
+/* Once the faults are over no job waits while its team's quota allows it. */
+static void check_waiting(struct sim *sim, struct sim_job *job)
+{
+    uint32_t left = 0, missing = 0;
+    for (uint32_t i = 0; i < job->tasks; i++) {
+        left += !job->done[i];
+        missing += !job->done[i] && job->machine[i] < 0;
+    }
+    double needed_cpus = job->cpus * (job->kind == BD_JOB_ARRAY ? 1 : missing);
+    bool is_placeable = job->accepted_at > 0 && job->asked_cancel <= 0 && left > 0 && missing > 0 &&
+                        sim->now > sim->faults_end &&
+                        sim->team_use[job->team] + needed_cpus <= sim->team_max[job->team] + 1e-6;
+    if (!is_placeable)
+        job->placeable_since = 0;
+    else if (job->placeable_since <= 0)
+        job->placeable_since = sim->now;
+    else if (sim->now - job->placeable_since > WAIT_MAX_S)
+        sim_violation(sim, "waits: %s could begin for %.0f s", job->id, WAIT_MAX_S);
+}
+
+bool sim_all_served(const struct sim *sim)
+{
+    for (int i = 0; i < sim->njobs; i++) {
+        const struct sim_job *job = &sim->jobs[i];
+        if (!job->is_invalid && job->asked_cancel <= 0 &&
+            (job->kind == BD_JOB_SERVICE ? job->nrunning < (int)job->tasks : job->done_at <= 0))
+            return false;
+    }
+    return sim_drains_over(sim);
+}
+
+void sim_check_rules(struct sim *sim)
+{
+    for (int i = 0; i < sim->njobs; i++) {
+        struct sim_job *job = &sim->jobs[i];
+        check_waiting(sim, job);
+        if (job->cancelled_at > 0 && job->nrunning > 0 &&
+            sim->now > job->cancelled_at + sim->cancel_s)
+            sim_violation(sim, "ran_cancelled: %s is still on %d machines", job->id, job->nrunning);
+    }
+}
+
+void sim_check_end(struct sim *sim)
+{
+    for (int i = 0; i < sim->njobs; i++) {
+        struct sim_job *job = &sim->jobs[i];
+        if (job->is_invalid || job->asked_cancel > 0)
+            continue;
+        if (job->accepted_at <= 0)
+            sim_violation(sim, "not accepted: %s", job->id);
+        else if (job->kind == BD_JOB_SERVICE && job->nrunning < (int)job->tasks)
+            sim_violation(sim, "waits: %s has %d of %u replicas", job->id, job->nrunning,
+                          job->tasks);
+        else if (job->kind != BD_JOB_SERVICE && job->done_at <= 0)
+            sim_violation(sim, "not served: %s (%u tasks of %.0f, on %d)", job->id, job->tasks,
+                          job->cpus, job->nrunning);
+    }
+    if (!sim_drains_over(sim))
+        sim_violation(sim, "a drain is not over");
+}
--- a/tests/sim_state.c
+++ b/tests/sim_store.c
@@ -7,7 +7,7 @@
 
 void sim_store_tick(struct sim *s)
 {
-    for (int i = 0; s->now >= s->outage && i < s->ngrants;) {
+    for (int i = 0; s->now >= s->outage_until && i < s->ngrants;) {
         if (s->now < s->grant[i].ends) {
             i++;
             continue;
@@ -148,9 +148,9 @@
 /* The call goes out now; it is answered, or given up after the timeout. */
 void sim_store_call(struct sim *s, struct sim_call *c, double timeout)
 {
-    double there = sim_delay(s) + (s->now < s->slow ? sim_between(s, 0.02, 0.6) : 0);
-    bool refused = s->now < s->outage || s->now < s->refuses[c->node] ||
-                   (c->op == SIM_REFRESH && s->now < s->blind[c->node]);
+    double there = sim_delay(s) + (s->now < s->slow_until ? sim_between(s, 0.02, 0.6) : 0);
+    bool refused = s->now < s->outage_until || s->now < s->refused_until[c->node] ||
+                   (c->op == SIM_REFRESH && s->now < s->reads_refused_until[c->node]);
     bool write = c->op == SIM_COMMIT && !refused;
     struct sim_event *e = sim_post(s, there, SIM_STORE_RUN);
     e->call = c;
@@ -175,8 +175,8 @@
     struct sim_call *c = e->call;
     json_t *out = NULL;
     if (e->kind == SIM_STORE_RUN && e->status != -1) {
-        bool refused = s->now < s->outage || s->now < s->refuses[c->node] ||
-                       (c->op == SIM_REFRESH && s->now < s->blind[c->node]);
+        bool refused = s->now < s->outage_until || s->now < s->refused_until[c->node] ||
+                       (c->op == SIM_REFRESH && s->now < s->reads_refused_until[c->node]);
         long status = refused ? 503 : execute(s, c, &out);
         if (e->flag) {
             struct sim_event *back = sim_post(s, sim_delay(s), SIM_STORE_BACK);
@@ -188,12 +188,12 @@
         }
     } else if (e->kind == SIM_STORE_BACK) {
         out = e->data;
-        if (!c->over) {
-            c->over = true;
+        if (!c->is_over) {
+            c->is_over = true;
             sim_node_answered(s, c, e->status, out);
         }
-    } else if (e->kind == SIM_STORE_TIMEOUT && !c->over) {
-        c->over = true;
+    } else if (e->kind == SIM_STORE_TIMEOUT && !c->is_over) {
+        c->is_over = true;
         sim_node_answered(s, c, 0, NULL);
     }
     json_decref(out);
--- a/tests/sim_work.c
+++ b/tests/sim_work.c
@@ -27,7 +27,7 @@
     int up = 0;
     for (int i = 0; i < s->nworkers; i++)
         up += !s->workers[i].gone;
-    if (up >= s->machines_most)
+    if (up >= s->machines_max)
         return -1;
     struct sim_worker *w = &s->workers[s->nworkers];
     memset(w, 0, sizeof *w);
@@ -72,7 +72,7 @@
         s->late_starts++;
     j->machine[t->task] = at;
     sim_drain_runs(s, t);
-    j->on++;
+    j->nrunning++;
     s->team_use[j->team] += j->cpus;
     if (s->team_use[j->team] <= s->team_max[j->team] + 1e-6)
         return;
@@ -90,7 +90,7 @@
         return;
     if (j->machine[t->task] == at)
         j->machine[t->task] = -1;
-    j->on--;
+    j->nrunning--;
     s->team_use[j->team] -= j->cpus;
 }
 
@@ -242,7 +242,7 @@
     }
     json_t *o = json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:n,s:o}", "hearth", w->id, "endpoint",
                           addr, "breed", w->type, "glade", w->zone, "windfall", 0, "tenancy",
-                          (json_int_t)w->incarnation, "tally", (json_int_t)++w->tally, "seal",
+                          (json_int_t)w->incarnation, "tally", (json_int_t)++w->seq, "seal",
                           (json_int_t)w->fencing_token, "warningS", "chores", list);
     char *text = json_dumps(o, JSON_COMPACT);
     json_decref(o);
@@ -253,8 +253,8 @@
 
 static bool reaches(const struct sim *s, int node, const struct sim_worker *w)
 {
-    return !w->gone && s->now >= w->cut &&
-           !(s->now < s->zones_cut && strcmp(s->nodes[node].settings.zone, w->zone) != 0);
+    return !w->gone && s->now >= w->cut_until &&
+           !(s->now < s->zones_cut_until && strcmp(s->nodes[node].settings.zone, w->zone) != 0);
 }
 
 static void copy_later(struct sim *s, const char *text, int node, int who)
@@ -262,8 +262,8 @@
     if (s->now >= s->copies_until || sim_random(s) >= s->copies_share)
         return;
     if (s->copies_for_next) { /* every controller gets it as a new leader begins */
-        if (s->nkept < (int)(sizeof s->kept / sizeof *s->kept))
-            s->kept[s->nkept++] = strdup(text);
+        if (s->nsaved_heartbeats < (int)(sizeof s->saved_heartbeats / sizeof *s->saved_heartbeats))
+            s->saved_heartbeats[s->nsaved_heartbeats++] = strdup(text);
         return;
     }
     struct sim_event *e = sim_post(s, sim_between(s, 2, 25), SIM_HEARTBEAT_COPY);
@@ -274,34 +274,34 @@
 
 void sim_copies_now(struct sim *s)
 {
-    for (int k = 0; k < s->nkept; k++) {
+    for (int k = 0; k < s->nsaved_heartbeats; k++) {
         for (int i = 0; i < SIM_NODES; i++) {
             struct sim_event *e = sim_post(s, sim_between(s, 0, 0.3), SIM_HEARTBEAT_COPY);
             e->node = i;
-            e->text = strdup(s->kept[k]);
+            e->text = strdup(s->saved_heartbeats[k]);
         }
-        free(s->kept[k]);
+        free(s->saved_heartbeats[k]);
     }
-    s->nkept = 0;
+    s->nsaved_heartbeats = 0;
 }
 
 static void send_report(struct sim *s, struct sim_worker *w)
 {
     int who = (int)(w - s->workers);
     char *text = report_text(s, w);
-    bool there = reaches(s, w->node, w) && s->now >= w->outbound_partition;
-    w->asking = true;
-    w->asked = w->tally;
+    bool there = reaches(s, w->node, w) && s->now >= w->outbound_cut_until;
+    w->is_asking = true;
+    w->asked_seq = w->seq;
     w->asked_at = s->now;
     if (there) {
         struct sim_event *e = sim_post(s, sim_delay(s), SIM_HEARTBEAT_IN);
         e->node = w->node;
         e->who = who;
-        e->number = w->tally;
+        e->number = w->seq;
         e->text = strdup(text);
         copy_later(s, text, w->node, who);
-    } else if (w->holds && s->now < w->cut) {
-        struct sim_event *e = sim_post(s, w->cut - s->now + 0.1, SIM_HEARTBEAT_COPY);
+    } else if (w->delivers_late && s->now < w->cut_until) {
+        struct sim_event *e = sim_post(s, w->cut_until - s->now + 0.1, SIM_HEARTBEAT_COPY);
         e->node = w->node;
         e->who = who;
         e->text = strdup(text);
@@ -309,13 +309,13 @@
     bool refused = there && !s->nodes[w->node].core;
     struct sim_event *g = sim_post(s, refused ? 0.01 : 4.0, SIM_HEARTBEAT_TIMEOUT);
     g->who = who;
-    g->number = w->tally;
+    g->number = w->seq;
     free(text);
 }
 
 static void next_node(struct sim *s, struct sim_worker *w, double pause)
 {
-    w->asking = false;
+    w->is_asking = false;
     w->node = (w->node + 1) % SIM_NODES;
     w->next_report = s->now + pause;
 }
@@ -323,8 +323,9 @@
 static void answered(struct sim *s, struct sim_worker *w, struct sim_event *e)
 {
     json_t *o = e->text ? json_loads(e->text, 0, NULL) : NULL;
-    bool inbound_partition = s->now < w->inbound_partition || !reaches(s, e->node, w);
-    if (w->gone || !w->asking || w->asked != e->number || inbound_partition || s->now < w->hangs) {
+    bool inbound_partition = s->now < w->inbound_cut_until || !reaches(s, e->node, w);
+    if (w->gone || !w->is_asking || w->asked_seq != e->number || inbound_partition ||
+        s->now < w->hangs_until) {
         json_decref(o);
         return; /* given up, or lost on the way */
     }
@@ -332,7 +333,7 @@
         const char *to = json_string_value(json_object_get(o, "steward"));
         int node = to ? number_of(to + 5) : w->node; /* "node-N" */
         if (to && node != w->node) {
-            w->asking = false;
+            w->is_asking = false;
             w->node = node;
             w->next_report = s->now + 0.1;
         } else {
@@ -342,7 +343,7 @@
         next_node(s, w, 1);
     } else {
         uint64_t fencing_token = (uint64_t)json_integer_value(json_object_get(o, "seal"));
-        w->asking = false;
+        w->is_asking = false;
         w->next_report = w->asked_at + s->report_s * sim_between(s, 0.75, 1.25);
         if (fencing_token >= w->fencing_token) {
             if (fencing_token > w->fencing_token && w->next_report > s->now + 0.5)
@@ -364,12 +365,13 @@
     struct sim_worker *w = &s->workers[e->who];
     struct sim_direct_command *t = e->data;
     json_t *o = json_loads(e->text, 0, NULL);
-    bool there = reaches(s, e->node, w) && s->now >= w->inbound_partition;
-    bool zones = s->now < s->zones_cut && strcmp(s->nodes[e->node].settings.zone, w->zone) != 0;
-    bool late = (!there && w->holds && s->now < w->cut) || (there && s->now < w->hangs) ||
-                (zones && sim_random(s) < 0.5);
+    bool there = reaches(s, e->node, w) && s->now >= w->inbound_cut_until;
+    bool zones =
+        s->now < s->zones_cut_until && strcmp(s->nodes[e->node].settings.zone, w->zone) != 0;
+    bool late = (!there && w->delivers_late && s->now < w->cut_until) ||
+                (there && s->now < w->hangs_until) || (zones && sim_random(s) < 0.5);
     if (late && !w->gone) { /* executed when the cut ends, or the machine goes on */
-        double until = there ? w->hangs : zones ? s->zones_cut : w->cut;
+        double until = there ? w->hangs_until : zones ? s->zones_cut_until : w->cut_until;
         (void)sim_post_again(s, e, until - s->now + 0.05);
         t->references++;
     } else if (there && s->now >= w->up_at) {
@@ -380,7 +382,7 @@
             w->fencing_token = fencing_token;
             obey(s, w, o);
         }
-        bool held = sim_held_up(s);
+        bool held = sim_is_delayed(s);
         struct sim_event *b =
             sim_post(s, sim_delay(s) + (held ? sim_between(s, 0.3, 4) : 0), SIM_COMMAND_BACK);
         b->node = e->node;
@@ -403,7 +405,7 @@
         do_in(s, e);
     else if (e->kind == SIM_HEARTBEAT_BACK)
         answered(s, w, e);
-    else if (e->kind == SIM_HEARTBEAT_TIMEOUT && w->asking && w->asked == e->number)
+    else if (e->kind == SIM_HEARTBEAT_TIMEOUT && w->is_asking && w->asked_seq == e->number)
         next_node(s, w, 1);
 }
 
@@ -416,7 +418,7 @@
     uint32_t n = 0;
     for (int i = 0; i < s->nworkers; i++) {
         struct sim_worker *w = &s->workers[i];
-        for (int k = 0; !w->gone && s->now >= w->hangs && k < w->nslots; k++) {
+        for (int k = 0; !w->gone && s->now >= w->hangs_until && k < w->nslots; k++) {
             struct sim_slot *t = &w->slots[k];
             if (t->job == job && t->attempt == attempt)
                 n += t->execution == BD_EXECUTION_RUNNING ||
@@ -479,15 +481,15 @@
             kill_all(s, w);
             w->incarnation++;
             w->answered = s->now;
-            w->asked = 0; /* responses to an earlier session's reports are dropped */
-            if (w->asking)
+            w->asked_seq = 0; /* responses to an earlier session's reports are dropped */
+            if (w->is_asking)
                 next_node(s, w, 1);
         }
-        if (s->now < w->hangs)
+        if (s->now < w->hangs_until)
             continue;
         for (int k = 0; k < w->nslots; k++)
             run_slot(s, w, &w->slots[k]);
-        if (!w->asking && s->now >= w->next_report)
+        if (!w->is_asking && s->now >= w->next_report)
             send_report(s, w);
     }
 }
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -18,8 +18,9 @@
 #define SIM_NODES 4
 #define SIM_MACHINES 160
 #define SIM_JOBS 700
-#define SIM_TASKS 8   /* of a job */
-#define SIM_SLOTS 400 /* what a worker knows */
+#define SIM_TASKS 8          /* of a job */
+#define SIM_SLOTS 400        /* what a worker knows */
+#define SIM_VIOLATIONS_MAX 5 /* printed; more end the day */
 
 enum sim_event_kind {
     SIM_STORE_RUN,
@@ -91,7 +92,7 @@
                    SIM_FOR_LOOKUP
 };
 
-struct sim_call { /* of a controller to the state service */
+struct sim_call { /* of a controller to the key-value store */
     enum sim_op op;
     enum sim_purpose purpose;
     int node, references;
@@ -100,7 +101,7 @@
     char *body;
     struct bd_effect *effect;
     struct timespec sent; /* by the node's own clock */
-    bool over, flag;
+    bool is_over, flag;
 };
 
 struct sim_node {
@@ -108,22 +109,22 @@
     struct bd_log log;
     struct bd_core *core; /* NULL: not running */
     uint64_t epoch;
-    double began, clock_rate, clock_from, wall_off;
-    double stalled;         /* until then the process stands still */
-    double senders_stalled; /* ... and its direct commands wait in its own queue */
-    /* reader */
+    double started_at, clock_rate, clock_from, wall_offset;
+    double stalled_until;         /* the process stands still */
+    double senders_stalled_until; /* its direct commands wait in its own queue */
+    /* reader of the store */
     uint64_t after;
-    bool list_again, want_barrier, refresh_out, reads_refused;
+    bool wants_list, want_barrier, is_reading, reads_refused;
     double next_delegates, next_drains;
     json_t *drains; /* as listed, while the machines' records are read */
-    /* seat */
-    bool leading, election_out, step_down;
+    /* election */
+    bool leading, is_electing, step_down;
     char nonce[BD_LABEL];
     uint64_t grant;
     struct timespec granted, liveness_at;
     struct bd_acquisition acquisition;
-    bool leadership_acquired; /* a gain waits for the replica */
-    /* committer */
+    bool leadership_acquired; /* an acquisition waits for the replica */
+    /* the leader's transaction on its way; NULL: none */
     struct bd_effect *commit;
     double next_status, next_list;
 };
@@ -141,13 +142,13 @@
     char id[BD_LABEL], zone[BD_LABEL], type[BD_LABEL];
     bool gone;
     double provisioned_at, up_at, answered, next_report;
-    uint64_t incarnation, tally, fencing_token,
-        asked; /* asked: the number of the check-in under way */
-    bool asking;
+    uint64_t incarnation, seq, fencing_token;
+    uint64_t asked_seq; /* of the heartbeat under way */
+    bool is_asking;
     double asked_at;
     int node;
-    double hangs, outbound_partition, inbound_partition, cut; /* until then */
-    bool holds; /* the cut delivers late instead of never */
+    double hangs_until, outbound_cut_until, inbound_cut_until, cut_until;
+    bool delivers_late; /* what a cut stops, instead of never */
     int nslots;
     struct sim_slot slots[SIM_SLOTS];
 };
@@ -159,67 +160,71 @@
     int team, priority;
     double cpus, run_s, cancel_at;                           /* withdraw_at: 0 never */
     double asked_cancel, accepted_at, done_at, cancelled_at; /* when the user was told; 0 not yet */
-    double answered_at, room_since; /* it waits since then though it could begin; 0: it could not */
-    bool odd;                       /* can never be accepted */
-    const char *zone;               /* as it is submitted: quoted, or null */
+    double answered_at;
+    double placeable_since; /* it waits since then though it could begin; 0: it could not */
+    bool is_invalid;        /* can never be accepted */
+    const char *zone;       /* as it is submitted: quoted, or null */
     bool done[SIM_TASKS];
     int machine[SIM_TASKS]; /* -1: on none */
-    int on;
+    int nrunning;
 };
 
 struct sim {
     gsl_rng *rng;
     unsigned long seed;
-    double now, trouble_ends, ends;
+    double now, faults_end, ends;
     uint64_t order, events;
     struct sim_event *queue;
     struct sim_request *requests;
-    /* state service */
+    /* key-value store */
     struct key_table table;
     int writer; /* whose transaction is carried out */
     uint64_t grants;
     struct sim_grant grant[64];
     int ngrants;
-    double outage, refuses[SIM_NODES], blind[SIM_NODES], slow, lost_share,
-        late_share; /* until then; shares */
-    double lost_until, late_until;
+    double outage_until, slow_until;
+    double refused_until[SIM_NODES], reads_refused_until[SIM_NODES];
+    double lost_share, lost_until, late_share, late_until;
     /* network */
-    double peers_cut[SIM_NODES], zones_cut, copies_until, copies_share, held_up;
+    double peers_cut_until[SIM_NODES], zones_cut_until, delayed_until;
+    double copies_share, copies_until;
     bool copies_for_next;
-    char *kept[256]; /* for the next leader */
-    int nkept;
+    char *saved_heartbeats[256]; /* for the next leader */
+    int nsaved_heartbeats;
     struct sim_node nodes[SIM_NODES];
     struct sim_worker workers[SIM_MACHINES];
     int nworkers;
     struct sim_job jobs[SIM_JOBS];
     int njobs;
     double lease_s, cancel_s, report_s, fetch_s, team_max[2], team_use[2];
-    int broken, starts, late_starts, terms;
+    int violations, starts, late_starts, terms;
     bool draining;
-    int machines_most, ndrains; /* up at once; drains that were asked for */
+    int machines_max, ndrains; /* up at once; drains that were requested */
     struct drain_check check;
-    bool loud;
+    bool is_verbose;
     struct behaviour_digest *digest; /* NULL: none is taken */
 };
 
-double sim_random(struct sim *s);
-double sim_between(struct sim *s, double a, double b);
-void sim_trace(struct sim *s, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
-void sim_violation(struct sim *s, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
-struct sim_event *sim_post(struct sim *s, double delay, enum sim_event_kind kind);
+/* sim_events.c */
+double sim_random(struct sim *sim);
+double sim_between(struct sim *sim, double a, double b);
+void sim_trace(struct sim *sim, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
+/* A rule of the protocol is broken. */
+void sim_violation(struct sim *sim, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
+struct sim_event *sim_post(struct sim *sim, double delay, enum sim_event_kind kind);
 /* the same event once more, later; its text goes along */
-struct sim_event *sim_post_again(struct sim *s, struct sim_event *e, double delay);
-bool sim_held_up(struct sim *s); /* whether a command or an answer is, now */
-double sim_delay(struct sim *s);
-
-/* state service, sim_state.c */
-void sim_store_call(struct sim *s, struct sim_call *c, double timeout);
-void sim_store_event(struct sim *s, struct sim_event *e);
-void sim_store_start(struct sim *s);
-void sim_store_tick(struct sim *s);
-void sim_end_grant(struct sim *s, uint64_t id); /* once the request for it has arrived */
-void sim_call_drop(struct sim_call *c);
-void sim_store_free(struct sim *s);
+struct sim_event *sim_post_again(struct sim *sim, struct sim_event *event, double delay);
+bool sim_is_delayed(struct sim *sim); /* whether a command or an answer is, now */
+double sim_delay(struct sim *sim);
+
+/* key-value store, sim_store.c */
+void sim_store_call(struct sim *sim, struct sim_call *call, double timeout);
+void sim_store_event(struct sim *sim, struct sim_event *event);
+void sim_store_start(struct sim *sim);
+void sim_store_tick(struct sim *sim);
+void sim_end_grant(struct sim *sim, uint64_t id); /* once the request for it has arrived */
+void sim_call_drop(struct sim_call *call);
+void sim_store_free(struct sim *sim);
 
 /* controllers, sim_node.c */
 struct sim_request { /* what the core holds of a user's or a worker's request */
@@ -231,23 +236,23 @@
     struct sim_request *next;
 };
 struct sim_direct_command { /* a direct command */
-    bool over, launch;
+    bool is_over, launch;
     int references, worker;
     struct timespec until;
     uint32_t machine;
     uint64_t fencing_token;
 };
 enum sim_verb { SIM_SUBMIT, SIM_ASK, SIM_CANCEL };
-void sim_node_start(struct sim *s, int i);
-void sim_node_end(struct sim *s, int i);
-void sim_node_event(struct sim *s, struct sim_event *e);
-void sim_node_answered(struct sim *s, struct sim_call *c, long status, json_t *o);
+void sim_node_start(struct sim *sim, int node);
+void sim_node_end(struct sim *sim, int node);
+void sim_node_event(struct sim *sim, struct sim_event *event);
+void sim_node_answered(struct sim *sim, struct sim_call *call, long status, json_t *answer);
 
 /* workers and cloud, sim_work.c */
-int sim_provision(struct sim *s, const char *zone, double boot);
-void sim_worker_event(struct sim *s, struct sim_event *e);
-void sim_copies_now(struct sim *s); /* a new leader begins */
-void sim_workers_tick(struct sim *s);
-void sim_worker_gone(struct sim *s, struct sim_worker *w);
-struct sim_job *sim_job_named(struct sim *s, const char *id);
+int sim_provision(struct sim *sim, const char *zone, double boot);
+void sim_worker_event(struct sim *sim, struct sim_event *event);
+void sim_copies_now(struct sim *sim); /* a new leader begins */
+void sim_workers_tick(struct sim *sim);
+void sim_worker_gone(struct sim *sim, struct sim_worker *worker);
+struct sim_job *sim_job_named(struct sim *sim, const char *id);
 #endif
