--- a/tests/audit.c
+++ b/tests/decision_log.c
@@ -1,11 +1,11 @@
-/* The evidence log: tasks that share all else share a line, lines beyond the rate are counted, and
+/* The decision log: tasks that share all else share a line, lines beyond the rate are counted, and
  * nothing is written below the level. Standard error is read back through a pipe. */
+#include "model/decision_log.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "core/core.h"
-#include "model/decision_log.h"
 #include "model/effect.h"
-#include "small.h"
+#include "test_settings.h"
 #include <fcntl.h>
 #include <stdio.h>
 #include <string.h>
@@ -90,7 +90,7 @@
     if (pipe2(fds, O_NONBLOCK) != 0 || fcntl(fds[1], F_SETPIPE_SZ, 1 << 20) < 0 ||
         dup2(fds[1], STDERR_FILENO) < 0)
         return 2;
-    small_settings(&settings);
+    test_settings_init(&settings);
     struct bd_core *core = bd_core_new(&settings, &log);
     if (!core)
         return 2;
--- a/tests/drain_profile.c
+++ b/tests/drain_profile.c
@@ -10,7 +10,7 @@
 #include "../src/drain/drain_internal.h"
 #include "brambledoor/log.h"
 #include "numbers.h"
-#include "small.h"
+#include "test_settings.h"
 #if __has_include(<valgrind/callgrind.h>)
 #include <valgrind/callgrind.h>
 #else
@@ -187,7 +187,7 @@
 
 static void build(struct fleet *f, uint32_t machines)
 {
-    small_settings(&f->settings);
+    test_settings_init(&f->settings);
     f->settings.ram_mb = 72;
     f->settings.leader_ttl = bd_secs(2);
     f->settings.idle_boots = 1e6; /* the room stays */
--- a/tests/fake_server_internal.h
+++ b/tests/fake_server_internal.h
@@ -48,7 +48,7 @@
 
 /* Answers one request with a status and, in `out`, a body; the lock is held. */
 typedef int (*fake_answer)(void *arg, const char *method, const char *url,
-                           struct MHD_Connection *conn, json_t *body, json_t **out);
+                           struct MHD_Connection *conn, json_t *in, json_t **out);
 
 struct fake_route {
     fake_answer answer;
@@ -110,20 +110,20 @@
 struct MHD_Daemon *fake_listen(struct fake_cluster *cluster, int port, fake_answer answer,
                                void *arg);
 
-/* fake_store.c */
-int fake_store_answer(void *endpoint, const char *method, const char *url,
-                      struct MHD_Connection *conn, json_t *body, json_t **out);
-bool fake_grant_lives(void *cluster, uint64_t id);
+/* fake_store.c; arg: the struct fake_store_endpoint */
+int fake_store_answer(void *arg, const char *method, const char *url, struct MHD_Connection *conn,
+                      json_t *in, json_t **out);
+bool fake_grant_lives(void *owner, uint64_t id);
 
-/* fake_cloud.c */
-int fake_cloud_answer(void *cluster, const char *method, const char *url,
-                      struct MHD_Connection *conn, json_t *body, json_t **out);
+/* fake_cloud.c; arg: the struct fake_cluster */
+int fake_cloud_answer(void *arg, const char *method, const char *url, struct MHD_Connection *conn,
+                      json_t *in, json_t **out);
 
-/* fake_worker.c */
-int fake_worker_answer(void *worker, const char *method, const char *url,
-                       struct MHD_Connection *conn, json_t *body, json_t **out);
+/* fake_worker.c; arg: the struct fake_worker */
+int fake_worker_answer(void *arg, const char *method, const char *url, struct MHD_Connection *conn,
+                       json_t *in, json_t **out);
 /* A worker's thread: heartbeats until it is returned. */
-void *fake_worker_run(void *worker);
+void *fake_worker_run(void *arg);
 /* All that runs on the worker is gone. */
 void fake_lose_tasks(struct fake_worker *worker);
 /* The controller of that name, by its last digit; -1: none. */
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -16,7 +16,7 @@
 #include "model/effect.h"
 #include "model/leadership_state.h"
 #include "numbers.h"
-#include "small.h"
+#include "test_settings.h"
 #include "wire/wire.h"
 #include "workers/workers.h"
 #include <gsl/gsl_rng.h>
@@ -564,7 +564,7 @@
 
 static void settings(struct bd_settings *s, int n)
 {
-    small_settings(s);
+    test_settings_init(s);
     s->kv_value_bytes_max = 600; /* long lists go in parts */
     s->kv_txn_ops_max = 6;
     s->leader_ttl = bd_secs(3);
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -7,7 +7,7 @@
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "core/core.h"
-#include "small.h"
+#include "test_settings.h"
 #include "wire/frame.h"
 #include "wire/heartbeat_cache.h"
 #if __has_include(<valgrind/callgrind.h>)
@@ -92,7 +92,7 @@
 
 static void settings(struct bd_settings *s)
 {
-    small_settings(s);
+    test_settings_init(s);
     snprintf(s->zone, sizeof s->zone, "a");
     s->npeers = 1;
     snprintf(s->peers[0].name, sizeof s->peers[0].name, PEER);
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -64,7 +64,7 @@
 #include "core/core.h"
 #include "model/effect.h"
 #include "scenario_play.h"
-#include "small.h"
+#include "test_settings.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -146,7 +146,7 @@
         perror(argv[1]);
         return 2;
     }
-    small_settings(&play.settings);
+    test_settings_init(&play.settings);
     if (getenv("LOG_LEVEL"))
         play.log.level = bd_log_level_parse(getenv("LOG_LEVEL"));
     int steps = play_file(&play, file);
--- a/tests/scenario_settings.c
+++ b/tests/scenario_settings.c
@@ -5,7 +5,7 @@
 #include "core/core.h"
 #include "numbers.h"
 #include "scenario_play.h"
-#include "small.h"
+#include "test_settings.h"
 #include "wire/wire.h"
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/sim_day.c
+++ b/tests/sim_day.c
@@ -6,7 +6,7 @@
 #include "sim_drain.h"
 #include "sim_plan.h"
 #include "simulation.h"
-#include "small.h"
+#include "test_settings.h"
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -35,11 +35,11 @@
 static void write_settings(struct sim *sim, int i)
 {
     struct bd_settings *settings = &sim->nodes[i].settings;
-    small_settings(settings);
+    test_settings_init(settings);
     snprintf(settings->node, sizeof settings->node, "node-%d", i);
     settings->lease = bd_secs(sim->lease_s);
     settings->cancel = bd_secs(sim->cancel_s);
-    settings->heartbeat_interval = bd_secs(sim->report_s);
+    settings->heartbeat_interval = bd_secs(sim->heartbeat_s);
     settings->leader_ttl = bd_secs(2);
     settings->clock_error = bd_secs(0.005);
     settings->list_lag = bd_secs(3);
@@ -74,7 +74,7 @@
     /* two operators' settings, in turn */
     sim->lease_s = seed % 2 ? 10 : 32;
     sim->cancel_s = seed % 2 ? 35 : 52;
-    sim->report_s = seed % 2 ? 2 : 3;
+    sim->heartbeat_s = seed % 2 ? 2 : 3;
     sim->fetch_s = plan->fetch;
     sim->team_max[0] = 20.0 * plan->machines / SIM_PLAN_MACHINES;
     sim->team_max[1] = 16.0 * plan->machines / SIM_PLAN_MACHINES;
--- a/tests/sim_day.h
+++ b/tests/sim_day.h
@@ -10,8 +10,8 @@
 void sim_day_event(struct sim *sim, const struct sim_plan *plan, struct sim_event *event);
 void sim_day_end(struct sim *sim);
 
-/* sim_users.c */
-void sim_add_job(struct sim *sim, const struct sim_plan *plan, double delay_s);
+/* sim_users.c. at: seconds from now */
+void sim_add_job(struct sim *sim, const struct sim_plan *plan, double at);
 void sim_ask_node(struct sim *sim, int job, int node, enum sim_verb verb);
 /* A node whose /up would say yes; any, if there is none. */
 int sim_healthy_node(struct sim *sim);
--- /dev/null
+++ b/tests/sim_heartbeats.c
@@ -0,0 +1,218 @@
+/* The messages of the simulated workers: heartbeats, their answers, late copies, direct commands.
+ */
+#include "numbers.h"
+#include "sim_worker.h"
+#include "simulation.h"
+#include "wire/wire.h"
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+static const char *const state_names[] = {"pulling", "gathering", "running", "saving", "exited"};
+
+static char *heartbeat_text(struct sim *sim, struct sim_worker *worker)
+{
+    char name[BD_LABEL], addr[24];
+    snprintf(addr, sizeof addr, "w-%d", (int)(worker - sim->workers));
+    json_t *list = json_array();
+    for (int i = 0; i < worker->nslots; i++) {
+        struct sim_slot *slot = &worker->slots[i];
+        snprintf(name, sizeof name, "%.30s/%u", sim->jobs[slot->job].id, slot->task);
+        json_t *item = json_pack("{s:s,s:I,s:s}", "chore", name, "try", (json_int_t)slot->attempt,
+                                 "mood", state_names[slot->execution]);
+        if (slot->execution == BD_EXECUTION_EXITED)
+            json_object_set_new(item, "cause",
+                                json_string(sim_exit_reason_name(slot->exit_reason)));
+        json_array_append_new(list, item);
+    }
+    json_t *heartbeat =
+        json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:n,s:o}", "hearth", worker->id, "endpoint",
+                  addr, "breed", worker->type, "glade", worker->zone, "windfall", 0, "tenancy",
+                  (json_int_t)worker->incarnation, "tally", (json_int_t)++worker->seq, "seal",
+                  (json_int_t)worker->fencing_token, "warningS", "chores", list);
+    char *text = json_dumps(heartbeat, JSON_COMPACT);
+    json_decref(heartbeat);
+    return text;
+}
+
+static bool is_reachable(const struct sim *sim, int node, const struct sim_worker *worker)
+{
+    return !worker->gone && sim->now >= worker->cut_until &&
+           !(sim->now < sim->zones_cut_until &&
+             strcmp(sim->nodes[node].settings.zone, worker->zone) != 0);
+}
+
+static void copy_heartbeat(struct sim *sim, const char *text, int node, int who)
+{
+    if (sim->now >= sim->copies_until || sim_random(sim) >= sim->copies_share)
+        return;
+    if (sim->copies_for_next) { /* every controller gets it as a new leader begins */
+        if (sim->nsaved_heartbeats <
+            (int)(sizeof sim->saved_heartbeats / sizeof *sim->saved_heartbeats))
+            sim->saved_heartbeats[sim->nsaved_heartbeats++] = strdup(text);
+        return;
+    }
+    struct sim_event *event = sim_post(sim, sim_between(sim, 2, 25), SIM_HEARTBEAT_COPY);
+    event->node = node;
+    event->who = who;
+    event->text = strdup(text);
+}
+
+void sim_copies_now(struct sim *sim)
+{
+    for (int k = 0; k < sim->nsaved_heartbeats; k++) {
+        for (int i = 0; i < SIM_NODES; i++) {
+            struct sim_event *event = sim_post(sim, sim_between(sim, 0, 0.3), SIM_HEARTBEAT_COPY);
+            event->node = i;
+            event->text = strdup(sim->saved_heartbeats[k]);
+        }
+        free(sim->saved_heartbeats[k]);
+    }
+    sim->nsaved_heartbeats = 0;
+}
+
+void sim_send_heartbeat(struct sim *sim, struct sim_worker *worker)
+{
+    int who = (int)(worker - sim->workers);
+    char *text = heartbeat_text(sim, worker);
+    bool arrives =
+        is_reachable(sim, worker->node, worker) && sim->now >= worker->outbound_cut_until;
+    worker->is_asking = true;
+    worker->asked_seq = worker->seq;
+    worker->asked_at = sim->now;
+    if (arrives) {
+        struct sim_event *event = sim_post(sim, sim_delay(sim), SIM_HEARTBEAT_IN);
+        event->node = worker->node;
+        event->who = who;
+        event->number = worker->seq;
+        event->text = strdup(text);
+        copy_heartbeat(sim, text, worker->node, who);
+    } else if (worker->delivers_late && sim->now < worker->cut_until) {
+        struct sim_event *event =
+            sim_post(sim, worker->cut_until - sim->now + 0.1, SIM_HEARTBEAT_COPY);
+        event->node = worker->node;
+        event->who = who;
+        event->text = strdup(text);
+    }
+    bool refused = arrives && !sim->nodes[worker->node].core;
+    struct sim_event *timeout = sim_post(sim, refused ? 0.01 : 4.0, SIM_HEARTBEAT_TIMEOUT);
+    timeout->who = who;
+    timeout->number = worker->seq;
+    free(text);
+}
+
+void sim_try_next_node(struct sim *sim, struct sim_worker *worker, double pause_s)
+{
+    worker->is_asking = false;
+    worker->node = (worker->node + 1) % SIM_NODES;
+    worker->next_heartbeat = sim->now + pause_s;
+}
+
+/* Another controller leads: the next heartbeat goes to the one that the answer names. */
+static void redirected(struct sim *sim, struct sim_worker *worker, json_t *answer)
+{
+    const char *leader = json_string_value(json_object_get(answer, "steward"));
+    int node = leader ? number_of(leader + strlen("node-")) : worker->node;
+    if (!leader || node == worker->node) {
+        sim_try_next_node(sim, worker, 1);
+        return;
+    }
+    worker->is_asking = false;
+    worker->node = node;
+    worker->next_heartbeat = sim->now + 0.1;
+}
+
+static void heartbeat_accepted(struct sim *sim, struct sim_worker *worker, int node, json_t *answer)
+{
+    uint64_t fencing_token = (uint64_t)json_integer_value(json_object_get(answer, "seal"));
+    worker->is_asking = false;
+    worker->next_heartbeat = worker->asked_at + sim->heartbeat_s * sim_between(sim, 0.75, 1.25);
+    if (fencing_token < worker->fencing_token)
+        return;
+    if (fencing_token > worker->fencing_token && worker->next_heartbeat > sim->now + 0.5)
+        worker->next_heartbeat = sim->now + 0.5;
+    worker->fencing_token = fencing_token;
+    worker->answered = worker->asked_at;
+    sim_trace(sim, "%s is answered by node-%d, fencing token %llu", worker->id, node,
+              (unsigned long long)fencing_token);
+    sim_execute_commands(sim, worker, answer);
+}
+
+static void heartbeat_answered(struct sim *sim, struct sim_worker *worker, struct sim_event *event)
+{
+    bool is_lost = sim->now < worker->inbound_cut_until || !is_reachable(sim, event->node, worker);
+    bool is_late = !worker->is_asking || worker->asked_seq != event->number;
+    if (worker->gone || is_late || is_lost || sim->now < worker->hangs_until)
+        return;
+    json_t *answer = event->text ? json_loads(event->text, 0, NULL) : NULL;
+    if (event->status == 200)
+        heartbeat_accepted(sim, worker, event->node, answer);
+    else if (event->status == 421)
+        redirected(sim, worker, answer);
+    else
+        sim_try_next_node(sim, worker, 1);
+    json_decref(answer);
+}
+
+/* A direct command arrives: executed, and answered with a heartbeat. */
+static void execute_direct_command(struct sim *sim, struct sim_worker *worker,
+                                   const struct sim_event *event)
+{
+    struct sim_direct_command *command = event->data;
+    json_t *message = json_loads(event->text, 0, NULL);
+    uint64_t fencing_token = (uint64_t)json_integer_value(json_object_get(message, "seal"));
+    uint64_t incarnation = (uint64_t)json_integer_value(json_object_get(message, "tenancy"));
+    bool is_accepted = fencing_token >= worker->fencing_token && incarnation == worker->incarnation;
+    if (is_accepted) {
+        worker->fencing_token = fencing_token;
+        sim_execute_commands(sim, worker, message);
+    }
+    json_decref(message);
+    bool is_delayed = sim_is_delayed(sim);
+    double delay = sim_delay(sim) + (is_delayed ? sim_between(sim, 0.3, 4) : 0);
+    struct sim_event *answer = sim_post(sim, delay, SIM_COMMAND_BACK);
+    answer->node = event->node;
+    answer->epoch = event->epoch;
+    answer->who = event->who;
+    answer->status = is_accepted ? 200 : 409;
+    answer->text = heartbeat_text(sim, worker);
+    answer->data = command;
+    command->references++;
+}
+
+static void receive_command(struct sim *sim, struct sim_event *event)
+{
+    struct sim_worker *worker = &sim->workers[event->who];
+    struct sim_direct_command *command = event->data;
+    bool arrives = is_reachable(sim, event->node, worker) && sim->now >= worker->inbound_cut_until;
+    bool is_zone_cut = sim->now < sim->zones_cut_until &&
+                       strcmp(sim->nodes[event->node].settings.zone, worker->zone) != 0;
+    bool is_late = (!arrives && worker->delivers_late && sim->now < worker->cut_until) ||
+                   (arrives && sim->now < worker->hangs_until) ||
+                   (is_zone_cut && sim_random(sim) < 0.5);
+    if (is_late && !worker->gone) { /* executed when the cut ends, or the machine goes on */
+        double until = worker->cut_until;
+        if (arrives)
+            until = worker->hangs_until;
+        else if (is_zone_cut)
+            until = sim->zones_cut_until;
+        (void)sim_post_again(sim, event, until - sim->now + 0.05);
+        command->references++;
+    } else if (arrives && sim->now >= worker->up_at) {
+        execute_direct_command(sim, worker, event);
+    }
+    if (--command->references == 0)
+        free(command);
+}
+
+void sim_worker_event(struct sim *sim, struct sim_event *event)
+{
+    struct sim_worker *worker = &sim->workers[event->who];
+    if (event->kind == SIM_COMMAND_IN)
+        receive_command(sim, event);
+    else if (event->kind == SIM_HEARTBEAT_BACK)
+        heartbeat_answered(sim, worker, event);
+    else if (event->kind == SIM_HEARTBEAT_TIMEOUT && worker->is_asking &&
+             worker->asked_seq == event->number)
+        sim_try_next_node(sim, worker, 1);
+}
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -141,7 +141,7 @@
 struct sim_worker {
     char id[BD_LABEL], zone[BD_LABEL], type[BD_LABEL];
     bool gone;
-    double provisioned_at, up_at, answered, next_report;
+    double provisioned_at, up_at, answered, next_heartbeat;
     uint64_t incarnation, seq, fencing_token;
     uint64_t asked_seq; /* of the heartbeat under way */
     bool is_asking;
@@ -196,7 +196,7 @@
     int nworkers;
     struct sim_job jobs[SIM_JOBS];
     int njobs;
-    double lease_s, cancel_s, report_s, fetch_s, team_max[2], team_use[2];
+    double lease_s, cancel_s, heartbeat_s, fetch_s, team_max[2], team_use[2];
     int violations, starts, late_starts, terms;
     bool draining;
     int machines_max, ndrains; /* up at once; drains that were requested */
@@ -243,12 +243,12 @@
     uint64_t fencing_token;
 };
 enum sim_verb { SIM_SUBMIT, SIM_ASK, SIM_CANCEL };
-void sim_node_start(struct sim *sim, int node);
-void sim_node_end(struct sim *sim, int node);
+void sim_node_start(struct sim *sim, int i);
+void sim_node_end(struct sim *sim, int i);
 void sim_node_event(struct sim *sim, struct sim_event *event);
 void sim_node_answered(struct sim *sim, struct sim_call *call, long status, json_t *answer);
 
-/* workers and cloud, sim_work.c */
+/* workers and cloud, sim_worker.c */
 int sim_provision(struct sim *sim, const char *zone, double boot);
 void sim_worker_event(struct sim *sim, struct sim_event *event);
 void sim_copies_now(struct sim *sim); /* a new leader begins */
--- a/tests/small.h
+++ b/tests/test_settings.h
@@ -1,11 +1,11 @@
-/* The settings that the scenarios begin with, and the profile program too. */
-#ifndef BD_TESTS_SMALL_H
-#define BD_TESTS_SMALL_H
+/* The settings that the test programs begin with: a small deployment. */
+#ifndef BD_TESTS_SETTINGS_H
+#define BD_TESTS_SETTINGS_H
 #include "base/timeutil.h"
 #include "brambledoor/settings.h"
 #include <stdio.h>
 
-static inline void small_settings(struct bd_settings *s)
+static inline void test_settings_init(struct bd_settings *s)
 {
     snprintf(s->node, sizeof s->node, "node-0");
     s->heartbeat_interval = bd_secs(2);
