--- /dev/null
+++ b/tests/profile_costs.c
@@ -0,0 +1,244 @@
+/* `profile costs`: each kind of work a number of times, for callgrind. */
+#include "core/core.h"
+#include "jobs/jobs.h"
+#include "leadership/leadership.h"
+#include "model/effect.h"
+#include "model/leadership_state.h"
+#include "profile.h"
+#include "wire/frame.h"
+#include "wire/heartbeat_cache.h"
+#include "wire/wire.h"
+#include "workers/workers.h"
+#if __has_include(<valgrind/callgrind.h>)
+#include <valgrind/callgrind.h>
+#else
+#define CALLGRIND_START_INSTRUMENTATION
+#define CALLGRIND_TOGGLE_COLLECT
+#define CALLGRIND_ZERO_STATS
+#define CALLGRIND_DUMP_STATS_AT(name)
+#endif
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+static char *heartbeat_text(const struct deployment *deployment, uint32_t i, uint64_t seq)
+{
+    json_t *tasks = json_array();
+    char id[BD_LABEL], addr[BD_LABEL], name[2 * BD_LABEL];
+    struct bd_machine *machine = NULL;
+    snprintf(id, sizeof id, "vm-%06u", i);
+    snprintf(addr, sizeof addr, "10.1.0.1:%u", i);
+    HASH_FIND_STR(deployment->core->machines, id, machine);
+    for (uint32_t k = 0; machine && k < machine->nreservations; k++) {
+        const struct bd_job *job = machine->reservations[k].job;
+        snprintf(name, sizeof name, "%s/%u", job->id, machine->reservations[k].task);
+        json_array_append_new(
+            tasks, json_pack("{s:s,s:I,s:s}", "chore", name, "try",
+                             (json_int_t)job->tasks[machine->reservations[k].task].attempt, "mood",
+                             "running"));
+    }
+    json_t *heartbeat =
+        json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:n,s:o}", "hearth", id, "endpoint", addr,
+                  "breed", i % 5 ? "gpu" : "small", "glade", i % 2 ? "a" : "b", "windfall", 0,
+                  "tenancy", (json_int_t)1, "tally", (json_int_t)seq, "seal",
+                  (json_int_t)deployment->core->lead.term, "warningS", "chores", tasks);
+    char *text = json_dumps(heartbeat, JSON_COMPACT);
+    json_decref(heartbeat);
+    if (!text)
+        abort();
+    return text;
+}
+
+static void read_heartbeat(const char *text, struct bd_heartbeat *heartbeat)
+{
+    json_t *json = json_loads(text, 0, NULL);
+    if (!bd_wire_heartbeat(json, heartbeat))
+        abort();
+    json_decref(json);
+}
+
+static void cost_heartbeat(struct deployment *deployment, uint32_t n)
+{
+    struct bd_heartbeat heartbeat;
+    char *text = heartbeat_text(deployment, n % deployment->machines, ++deployment->seq);
+    CALLGRIND_TOGGLE_COLLECT;
+    read_heartbeat(text, &heartbeat);
+    bd_worker_heartbeat_received(deployment->core, NULL, &heartbeat, text, strlen(text));
+    bd_wire_heartbeat_release(&heartbeat);
+    bd_effect_free(bd_effects_take(deployment->core));
+    CALLGRIND_TOGGLE_COLLECT;
+    free(text);
+}
+
+/* The same heartbeat but for its number, as most are. */
+static void cost_repeated_heartbeat(struct deployment *deployment, uint32_t n)
+{
+    char *text = heartbeat_text(deployment, n % deployment->machines, ++deployment->seq);
+    (void)bd_heartbeat_cache_read(deployment->heartbeats, text, strlen(text));
+    free(text);
+    text = heartbeat_text(deployment, n % deployment->machines, ++deployment->seq);
+    CALLGRIND_TOGGLE_COLLECT;
+    const struct bd_heartbeat *heartbeat =
+        bd_heartbeat_cache_read(deployment->heartbeats, text, strlen(text));
+    bd_worker_heartbeat_received(deployment->core, NULL, heartbeat, text, strlen(text));
+    bd_effect_free(bd_effects_take(deployment->core));
+    CALLGRIND_TOGGLE_COLLECT;
+    free(text);
+}
+
+static void cost_forwarded_heartbeat(struct deployment *deployment, uint32_t n)
+{
+    static struct bd_frame frame, in;
+    static unsigned char bytes[BD_FRAME_MAX];
+    struct bd_heartbeat heartbeat;
+    char *text = heartbeat_text(deployment, n % deployment->machines, ++deployment->seq);
+    frame = (struct bd_frame){
+        .type = BD_FRAME_HEARTBEAT, .id = n, .text = text, .len = (uint32_t)strlen(text)};
+    snprintf(frame.name, sizeof frame.name, PEER);
+    size_t length = bd_frame_write(&frame, bytes, sizeof bytes);
+    CALLGRIND_TOGGLE_COLLECT;
+    if (bd_frame_read(bytes, length, &in) != (long)length)
+        abort();
+    read_heartbeat(text, &heartbeat);
+    bd_worker_heartbeat_forwarded(deployment->core, in.name, in.id, &heartbeat, text, in.len);
+    bd_wire_heartbeat_release(&heartbeat);
+    bd_effect_free(bd_effects_take(deployment->core));
+    CALLGRIND_TOGGLE_COLLECT;
+    free(text);
+}
+
+static void cost_poll(struct deployment *deployment, uint32_t n)
+{
+    char id[BD_ID];
+    snprintf(id, sizeof id, "job-%06u", n % 100);
+    CALLGRIND_TOGGLE_COLLECT;
+    bd_user_status(deployment->core, NULL, id);
+    bd_core_tick(deployment->core);
+    bd_replica_refreshed(deployment->core, deployment->core->replica.store_revision,
+                         deployment->core->replica.store_revision, deployment->core->now, true,
+                         true);
+    CALLGRIND_TOGGLE_COLLECT;
+    deployment_drop_effects(deployment);
+}
+
+static void cost_submission(struct deployment *deployment, uint32_t n)
+{
+    char body[640];
+    snprintf(body, sizeof body,
+             "{\"id\":\"job-%u\",\"kin\":\"class-0\",\"household\":\"team-0\",\"shape\":\"sweep\","
+             "\"rank\":\"standard\",\"chores\":20,\"vcpus\":2,\"accelerators\":0,\"memGb\":6,"
+             "\"seed\":\"img-0-0\",\"imageGb\":2,\"breeds\":null,\"glade\":null,\"together\":false,"
+             "\"scatter\":false,\"windfall\":true,\"guessS\":60,\"markS\":0,\"stowS\":0,"
+             "\"dueS\":null}",
+             n + 5000);
+    CALLGRIND_TOGGLE_COLLECT;
+    bd_user_submit(deployment->core, NULL, body, strlen(body));
+    struct bd_effect *effect = bd_effects_take(deployment->core);
+    if (!effect || effect->kind != BD_EFFECT_USER_TXN)
+        abort();
+    bd_user_txn_completed(deployment->core, NULL, effect->key, effect->body, effect->status, 200,
+                          ++deployment->revision);
+    bd_effect_free(effect);
+    CALLGRIND_TOGGLE_COLLECT;
+    deployment_drop_effects(deployment);
+}
+
+static void cost_cycle(struct deployment *deployment, uint32_t n)
+{
+    (void)n;
+    deployment_set_time(deployment, deployment->now + 1.1);
+    bd_leadership_renewed(deployment->core, 7, deployment->core->now);
+    bd_replica_refreshed(deployment->core, deployment->core->replica.store_revision,
+                         deployment->core->replica.store_revision, deployment->core->now, false,
+                         true);
+    CALLGRIND_TOGGLE_COLLECT;
+    bd_core_tick(deployment->core);
+    if (deployment->core->lead.commit)
+        bd_leader_txn_completed(deployment->core, BD_TXN_COMMITTED, ++deployment->revision, NULL);
+    CALLGRIND_TOGGLE_COLLECT;
+    deployment_drop_effects(deployment);
+}
+
+static void cost_refresh(struct deployment *deployment, uint32_t n)
+{
+    char text[128];
+    snprintf(text, sizeof text, "{\"ring\":%llu,\"log\":[]}",
+             (unsigned long long)deployment->core->replica.store_revision);
+    (void)n;
+    CALLGRIND_TOGGLE_COLLECT;
+    json_t *answer = json_loads(text, 0, NULL);
+    bd_replica_refreshed(deployment->core, deployment->core->replica.store_revision,
+                         bd_wire_store_revision(answer), deployment->core->now, false, true);
+    json_decref(answer);
+    CALLGRIND_TOGGLE_COLLECT;
+}
+
+static void cost_peer_status(struct deployment *deployment, uint32_t n)
+{
+    static struct bd_frame frame, in;
+    static unsigned char bytes[1024];
+    frame = (struct bd_frame){.type = BD_FRAME_STATUS, .flags = BD_PEER_KV_REACHABLE, .at_ms = n};
+    snprintf(frame.name, sizeof frame.name, PEER);
+    CALLGRIND_TOGGLE_COLLECT;
+    size_t length = bd_frame_write(&frame, bytes, sizeof bytes);
+    if (bd_frame_read(bytes, length, &in) != (long)length)
+        abort();
+    bd_peer_status_received(deployment->core, in.name, in.term, in.flags, 0, 0,
+                            deployment->core->now);
+    CALLGRIND_TOGGLE_COLLECT;
+}
+
+static void cost_idle_tick(struct deployment *deployment, uint32_t n)
+{
+    (void)n;
+    CALLGRIND_TOGGLE_COLLECT;
+    bd_core_tick(deployment->core);
+    CALLGRIND_TOGGLE_COLLECT;
+    deployment_drop_effects(deployment);
+}
+
+static void cost_failover(struct deployment *deployment, uint32_t n)
+{
+    json_t *intents = deployment_intents(deployment);
+    struct bd_acquisition acquisition = {.term = deployment->revision + 1,
+                                         .grant = 7,
+                                         .nonce = "n",
+                                         .renewed = deployment->core->now};
+    (void)n;
+    bd_leadership_lost(deployment->core);
+    deployment_drop_effects(deployment);
+    acquisition.receipts = json_array();
+    acquisition.intents = intents;
+    CALLGRIND_TOGGLE_COLLECT;
+    bd_core_leadership_acquired(deployment->core, &acquisition);
+    CALLGRIND_TOGGLE_COLLECT;
+    json_decref(acquisition.receipts);
+    json_decref(acquisition.intents);
+}
+
+int profile_costs(struct deployment *deployment)
+{
+    static const struct {
+        const char *name;
+        uint32_t times;
+        void (*work)(struct deployment *deployment, uint32_t n);
+    } kinds[] = {{"check-in", 200, cost_heartbeat},
+                 {"repeated", 200, cost_repeated_heartbeat},
+                 {"forwarded", 200, cost_forwarded_heartbeat},
+                 {"poll", 200, cost_poll},
+                 {"round", 5, cost_cycle},
+                 {"refresh", 100, cost_refresh},
+                 {"peer-status", 100, cost_peer_status},
+                 {"idle-tick", 100, cost_idle_tick},
+                 {"submission", 100, cost_submission},
+                 {"takeover", 1, cost_failover}};
+    CALLGRIND_START_INSTRUMENTATION; /* building the deployment is not counted, and quicker so */
+    for (size_t k = 0; k < sizeof kinds / sizeof kinds[0]; k++) {
+        CALLGRIND_ZERO_STATS;
+        for (uint32_t n = 0; n < kinds[k].times; n++)
+            kinds[k].work(deployment, n);
+        CALLGRIND_DUMP_STATS_AT(kinds[k].name);
+        printf("%s %u\n", kinds[k].name, kinds[k].times);
+    }
+    return 0;
+}
