--- /dev/null
+++ b/tests/inputs_frames.c
@@ -0,0 +1,144 @@
+/* Frames between controllers: malformed, and as the version in production wrote them. */
+#include "inputs.h"
+#include "wire/frame.h"
+#include "wire/wire.h"
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+/* Written and read back; cut off at every byte it waits for more. */
+static void status_frame(struct bd_frame *written, struct bd_frame *read)
+{
+    unsigned char bytes[BD_FRAME_MAX];
+    written->type = BD_FRAME_STATUS;
+    snprintf(written->name, sizeof written->name, "node-7");
+    written->term = 0x0102030405060708u;
+    written->flags = BD_PEER_KV_REACHABLE;
+    written->age_ms = 1500;
+    size_t length = bd_frame_write(written, bytes, sizeof bytes);
+    inputs_check(length > 0 && bd_frame_read(bytes, length, read) == (long)length &&
+                     strcmp(read->name, "node-7") == 0 && read->term == written->term &&
+                     read->flags == written->flags && read->age_ms == 1500,
+                 "a status frame survives");
+    for (size_t i = 0; i < length; i++)
+        inputs_check(bd_frame_read(bytes, i, read) == 0, "a frame that is cut off waits for more");
+    inputs_check(bd_frame_write(written, bytes, 16) == 0,
+                 "a frame that does not fit is not written");
+}
+
+/* Each bit changed in turn: never more than the frame holds. */
+static void changed_frame(unsigned char *bytes, size_t length, struct bd_frame *read)
+{
+    int refused = 0;
+    for (size_t i = 0; i < length; i++) {
+        for (unsigned bit = 0; bit < 8; bit++) {
+            bytes[i] ^= (unsigned char)(1u << bit);
+            long used = bd_frame_read(bytes, length, read);
+            inputs_check(used <= (long)length &&
+                             read->count <= BD_FRAME_JOBS + 0u + (used < 0 ? 65535u : 0u),
+                         "a changed frame");
+            refused += used < 0;
+            bytes[i] ^= (unsigned char)(1u << bit);
+        }
+    }
+    inputs_check(refused > 50, "changed frames are refused");
+    bytes[8] = 0xff;
+    inputs_check(bd_frame_read(bytes, length, read) == -1, "an over-long frame is refused at once");
+}
+
+static void progress_frame(struct bd_frame *written, struct bd_frame *read)
+{
+    unsigned char bytes[BD_FRAME_MAX];
+    written->type = BD_FRAME_PROGRESS;
+    written->count = 2;
+    snprintf(written->jobs[0].id, BD_ID, "job-1");
+    written->jobs[0].done = 3;
+    snprintf(written->jobs[1].id, BD_ID, "job-22");
+    written->jobs[1].running = 100000;
+    size_t length = bd_frame_write(written, bytes, sizeof bytes);
+    inputs_check(length > 0 && bd_frame_read(bytes, length, read) == (long)length &&
+                     read->count == 2 && read->jobs[0].done == 3 &&
+                     strcmp(read->jobs[1].id, "job-22") == 0 && read->jobs[1].running == 100000,
+                 "a progress frame survives");
+    changed_frame(bytes, length, read);
+}
+
+static void text_frames(struct bd_frame *written, struct bd_frame *read)
+{
+    unsigned char bytes[BD_FRAME_MAX];
+    written->type = BD_FRAME_CANCELLED;
+    written->text = "job-23";
+    written->len = 6;
+    size_t length = bd_frame_write(written, bytes, sizeof bytes);
+    inputs_check(length > 0 && bd_frame_read(bytes, length, read) == (long)length &&
+                     read->len == 6 && memcmp(read->text, "job-23", 6) == 0,
+                 "news of a cancellation survives");
+    written->type = BD_FRAME_ANSWER;
+    written->id = 77;
+    written->status = 421;
+    written->text = "{\"steward\":\"node-1\"}";
+    written->len = (uint32_t)strlen(written->text);
+    length = bd_frame_write(written, bytes, sizeof bytes);
+    inputs_check(length > 0 && bd_frame_read(bytes, length, read) == (long)length &&
+                     read->id == 77 && read->status == 421 && read->len == written->len &&
+                     memcmp(read->text, written->text, written->len) == 0,
+                 "an answer frame survives");
+    bytes[12 + 8 + 2 + 3]++; /* the text's length goes past the frame */
+    inputs_check(bd_frame_read(bytes, length, read) == -1,
+                 "a text longer than its frame is refused");
+}
+
+void inputs_frames(void)
+{
+    struct bd_frame *written = calloc(1, sizeof *written), *read = calloc(1, sizeof *read);
+    if (!written || !read)
+        abort();
+    status_frame(written, read);
+    progress_frame(written, read);
+    text_frames(written, read);
+    free(written);
+    free(read);
+}
+
+void inputs_production(const char *directory)
+{
+    char path[512];
+    unsigned char bytes[8192];
+    struct bd_record record;
+    struct bd_frame *frame = calloc(1, sizeof *frame);
+    int jobs[3] = {0}, intents = 0, frames = 0;
+    json_t *value;
+    const char *key;
+    snprintf(path, sizeof path, "%s/production-records.json", directory);
+    json_t *all = json_load_file(path, 0, NULL);
+    json_object_foreach(all, key, value)
+    {
+        intents += strncmp(key, "i/", 2) == 0;
+        if (strncmp(key, "j/", 2) != 0)
+            continue;
+        bool ok = bd_wire_read_record(value, &record);
+        inputs_check(ok && !record.parents.names && !record.parents.parts &&
+                         !record.parents.damaged && record.end == 0,
+                     key);
+        jobs[ok ? record.state : 0]++;
+    }
+    inputs_check(jobs[BD_JOB_ACTIVE] == 2 && jobs[BD_JOB_DONE] == 1 &&
+                     jobs[BD_JOB_CANCELLED] == 1 && intents > 0,
+                 "records of production");
+    json_decref(all);
+    snprintf(path, sizeof path, "%s/production-frames.bin", directory);
+    FILE *in = fopen(path, "rb");
+    size_t length = in ? fread(bytes, 1, sizeof bytes, in) : 0, at = 0;
+    if (in)
+        (void)fclose(in);
+    for (long used = 1; used > 0 && at < length; at += (size_t)(used > 0 ? used : 0)) {
+        used = bd_frame_read(bytes + at, length - at, frame);
+        inputs_check(used >= 0 && (used == 0 || frame->type != BD_FRAME_STATUS ||
+                                   (strcmp(frame->name, "node-0") == 0 &&
+                                    !(frame->flags & BD_PEER_KNOWS_DAG))),
+                     "a frame of production");
+        frames += used > 0;
+    }
+    inputs_check(frames > 5 && length - at < 100, "frames of production");
+    free(frame);
+}
--- /dev/null
+++ b/tests/inputs_wire.c
@@ -0,0 +1,260 @@
+/* Malformed submissions, heartbeats, records and answers of the cloud. */
+#include "inputs.h"
+#include "wire/heartbeat_cache.h"
+#include "wire/wire.h"
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+static const char *read_submission(const char *text)
+{
+    char id[BD_ID];
+    struct bd_spec_text spec;
+    json_t *json = json_loads(text, 0, NULL);
+    const char *bad = json ? bd_wire_submission(json, id, &spec) : "body";
+    json_decref(json);
+    return bad;
+}
+
+/* Every field of a good submission, taken away and with a value of a wrong type. */
+void inputs_submissions(const char *directory)
+{
+    char *good = inputs_read_file(directory, "submission.json");
+    json_t *submission = json_loads(good, 0, NULL), *value;
+    const char *key;
+    void *next;
+    inputs_check(read_submission(good) == NULL, "a good submission");
+    json_t *copy = json_deep_copy(submission);
+    json_object_foreach_safe(copy, next, key, value)
+    {
+        bool may_be_missing =
+            strcmp(key, "breeds") == 0 || strcmp(key, "glade") == 0 || strcmp(key, "dueS") == 0;
+        json_t *changed = json_deep_copy(submission);
+        json_object_del(changed, key);
+        char *text = json_dumps(changed, 0);
+        inputs_check((read_submission(text) == NULL) == may_be_missing, key);
+        free(text);
+        json_object_set_new(changed, key, json_pack("{s:i}", "x", 1));
+        text = json_dumps(changed, 0);
+        inputs_check(read_submission(text) != NULL, key);
+        free(text);
+        json_decref(changed);
+    }
+    json_decref(copy);
+    static const char *const wrong[][2] = {
+        {"chores", "0"},      {"chores", "100001"},  {"chores", "1.5"},       {"vcpus", "-1"},
+        {"vcpus", "1e300"},   {"shape", "\"ring\""}, {"rank", "\"highest\""}, {"id", "\"job-\""},
+        {"id", "\"job-1x\""}, {"breeds", "[1]"},     {"seed", "\"\""},        {"dueS", "\"soon\""}};
+    for (size_t i = 0; i < sizeof wrong / sizeof *wrong; i++) {
+        json_t *changed = json_deep_copy(submission);
+        json_object_set_new(changed, wrong[i][0], json_loads(wrong[i][1], JSON_DECODE_ANY, NULL));
+        char *text = json_dumps(changed, 0);
+        inputs_check(read_submission(text) != NULL, wrong[i][1]);
+        free(text);
+        json_decref(changed);
+    }
+    json_decref(submission);
+    free(good);
+}
+
+/* What a submission may say of the jobs it waits for; expected: how many names are left, or -1. */
+void inputs_parents(void)
+{
+    static const struct {
+        const char *text;
+        int names;
+    } forms[] = {{"{}", 0},
+                 {"{\"awaits\":null}", 0},
+                 {"{\"awaits\":[]}", 0},
+                 {"{\"awaits\":[\"job-1\"]}", 1},
+                 {"{\"awaits\":[\"job-1\",\"job-01\",\"job-1\"]}", 2},
+                 {"{\"awaits\":\"job-1\"}", -1},
+                 {"{\"awaits\":{\"job-1\":1}}", -1},
+                 {"{\"awaits\":[7]}", -1},
+                 {"{\"awaits\":[null]}", -1},
+                 {"{\"awaits\":[\"job-1\",\"\"]}", -1},
+                 {"{\"awaits\":[\"job-1\",\"job-1/0\"]}", -1},
+                 {"{\"awaits\":[\"job-1234567890123456789\"]}", -1}};
+    for (size_t i = 0; i < sizeof forms / sizeof *forms; i++) {
+        json_t *submission = json_loads(forms[i].text, 0, NULL), *names = NULL;
+        bool ok = bd_wire_parents(submission, &names);
+        inputs_check(ok == (forms[i].names >= 0) &&
+                         json_array_size(names) ==
+                             (size_t)(forms[i].names > 0 ? forms[i].names : 0) &&
+                         (names != NULL) == (forms[i].names > 0),
+                     forms[i].text);
+        json_decref(names);
+        json_decref(submission);
+    }
+}
+
+static bool is_heartbeat(const char *text, size_t length)
+{
+    struct bd_heartbeat heartbeat;
+    json_t *json = json_loadb(text, length, 0, NULL);
+    bool ok = json && bd_wire_heartbeat(json, &heartbeat);
+    if (ok)
+        bd_wire_heartbeat_release(&heartbeat);
+    json_decref(json);
+    return ok;
+}
+
+void inputs_heartbeats(const char *directory)
+{
+    char *good = inputs_read_file(directory, "report.json");
+    size_t length = strlen(good);
+    inputs_check(is_heartbeat(good, length), "a good report");
+    for (size_t cut = 0; cut + 2 < length; cut++)
+        inputs_check(!is_heartbeat(good, cut), "a report that is cut off");
+    static const char *const swaps[][2] = {
+        {"\"tenancy\":1", "\"tenancy\":-1"},     {"\"tally\":88", "\"tally\":\"88\""},
+        {"job-000412/3", "job-000412"},          {"job-000412/3", "job-000412/100000"},
+        {"job-000412/3", "job-000412/-3"},       {"\"running\"", "\"walking\""},
+        {"\"chores\":[", "\"chores\":7,\"x\":["}};
+    for (size_t i = 0; i < sizeof swaps / sizeof *swaps; i++) {
+        const char *at = strstr(good, swaps[i][0]);
+        char bad[4096];
+        if (!at)
+            exit(2);
+        snprintf(bad, sizeof bad, "%.*s%s%s", (int)(at - good), good, swaps[i][1],
+                 at + strlen(swaps[i][0]));
+        inputs_check(!is_heartbeat(bad, strlen(bad)), swaps[i][1]);
+    }
+    free(good);
+}
+
+/* A heartbeat as a worker writes it, read through the cache. */
+static const struct bd_heartbeat *read_cached(struct bd_heartbeat_cache *cache, const char *machine,
+                                              const char *number, const char *state)
+{
+    char text[512];
+    snprintf(text, sizeof text,
+             "{\"hearth\":\"%s\",\"endpoint\":\"10.1.0.2:9000\",\"breed\":\"a\",\"glade\":\"b\","
+             "\"windfall\":false,\"tenancy\":1,\"tally\":%s,\"seal\":4,\"warningS\":null,"
+             "\"chores\":[{\"chore\":\"job-1/3\",\"try\":2,\"mood\":\"%s\"}]}",
+             machine, number, state);
+    return bd_heartbeat_cache_read(cache, text, strlen(text));
+}
+
+static void malformed_numbers(struct bd_heartbeat_cache *cache)
+{
+    uint32_t all, repeated;
+    static const char *const malformed[] = {
+        "-7", "7.5", "07", "7e3", "\"7\"", "", "99999999999999999999", "7,\"tally\":8"};
+    for (size_t i = 0; i < sizeof malformed / sizeof malformed[0]; i++) {
+        (void)read_cached(cache, "vm-1", "1009", "pulling");
+        bd_heartbeat_cache_counts(cache, &all, &repeated);
+        (void)read_cached(cache, "vm-1", malformed[i], "pulling");
+        bd_heartbeat_cache_counts(cache, &all, &repeated);
+        inputs_check(all == 1 && repeated == 0, "an odd number is left to the JSON parser");
+    }
+}
+
+static void oldest_leave(struct bd_heartbeat_cache *cache)
+{
+    uint32_t all, repeated;
+    for (int i = 0; i < 200; i++) {
+        char name[16];
+        snprintf(name, sizeof name, "vm-%d", i);
+        (void)read_cached(cache, name, "1", "running");
+    }
+    bd_heartbeat_cache_counts(cache, &all, &repeated);
+    (void)read_cached(cache, "vm-199", "2", "running");
+    (void)read_cached(cache, "vm-0", "2", "running");
+    bd_heartbeat_cache_counts(cache, &all, &repeated);
+    inputs_check(repeated == 1, "the oldest reports leave when there is no room");
+}
+
+/* A repeated heartbeat from the cache equals one that is parsed; nothing else counts as repeated.
+ */
+void inputs_cached_heartbeats(void)
+{
+    uint32_t all, repeated;
+    struct bd_heartbeat_cache *cache = bd_heartbeat_cache_new(4096);
+    if (!cache)
+        exit(2);
+    const struct bd_heartbeat *heartbeat = read_cached(cache, "vm-1", "7", "running");
+    inputs_check(heartbeat && heartbeat->seq == 7 && heartbeat->n == 1 &&
+                     heartbeat->tasks[0].execution == BD_EXECUTION_RUNNING,
+                 "a report is read");
+    heartbeat = read_cached(cache, "vm-1", "1008", "running");
+    inputs_check(heartbeat && heartbeat->seq == 1008 && heartbeat->incarnation == 1 &&
+                     heartbeat->fencing_token == 4 && heartbeat->n == 1 &&
+                     strcmp(heartbeat->machine, "vm-1") == 0 &&
+                     heartbeat->tasks[0].execution == BD_EXECUTION_RUNNING,
+                 "one that only has another number says the same");
+    heartbeat = read_cached(cache, "vm-1", "1009", "pulling");
+    inputs_check(heartbeat && heartbeat->seq == 1009 &&
+                     heartbeat->tasks[0].execution == BD_EXECUTION_FETCHING,
+                 "another state is seen");
+    heartbeat = read_cached(cache, "vm-2", "1010", "pulling");
+    inputs_check(heartbeat && heartbeat->seq == 1010 && strcmp(heartbeat->machine, "vm-2") == 0,
+                 "another machine is seen");
+    bd_heartbeat_cache_counts(cache, &all, &repeated);
+    inputs_check(all == 4 && repeated == 1, "only the one was a repetition");
+    malformed_numbers(cache);
+    inputs_check(!read_cached(cache, "vm-1", "7.5", "pulling") &&
+                     !read_cached(cache, "vm-1", "", "pulling"),
+                 "a malformed report is refused though a good one is kept");
+    oldest_leave(cache);
+    bd_heartbeat_cache_free(cache);
+}
+
+void inputs_records(void)
+{
+    struct bd_record record, back;
+    char id[BD_ID];
+    json_t *submission =
+        json_loads("{\"id\":\"job-1\",\"kin\":\"k\",\"household\":\"t\",\"shape\":\"gang\","
+                   "\"rank\":\"high\",\"chores\":3,\"vcpus\":1.5,\"accelerators\":0,"
+                   "\"memGb\":2,\"seed\":\"i\",\"imageGb\":1,\"breeds\":[\"a\",\"b\"],"
+                   "\"glade\":\"z\",\"together\":true,\"scatter\":false,\"windfall\":true,"
+                   "\"guessS\":1,\"markS\":2,\"stowS\":3,\"dueS\":null}",
+                   0, NULL);
+    memset(&record, 0, sizeof record);
+    inputs_check(bd_wire_submission(submission, id, &record.spec) == NULL, "record: submission");
+    json_decref(submission);
+    record.state = BD_JOB_ACTIVE;
+    record.tasks = 3;
+    record.at = 1000.5;
+    record.has_spec = true;
+    json_t *value = bd_wire_record(&record);
+    inputs_check(bd_wire_read_record(value, &back) && back.spec.ntypes == 2 && back.tasks == 3 &&
+                     back.at == 1000.5 && strcmp(back.spec.zone, "z") == 0 &&
+                     back.spec.deadline_s < 0,
+                 "a record survives being written and read");
+    json_decref(value);
+    static const char *const bad[] = {"{}",
+                                      "{\"s\":\"live\",\"n\":3,\"at\":1}",
+                                      "{\"s\":\"odd\",\"n\":3,\"at\":1}",
+                                      "{\"s\":\"done\",\"n\":0,\"at\":1}",
+                                      "[]",
+                                      "7"};
+    for (size_t i = 0; i < sizeof bad / sizeof *bad; i++) {
+        value = json_loads(bad[i], JSON_DECODE_ANY, NULL);
+        inputs_check(!bd_wire_read_record(value, &back), bad[i]);
+        json_decref(value);
+    }
+}
+
+void inputs_cloud(void)
+{
+    struct bd_type_text types[2];
+    struct bd_cloud_machine machines[2];
+    bool more = false;
+    json_t *answer = json_loads("{\"breeds\":[{\"label\":\"x\"},7,{\"label\":\"g\",\"vcpus\":4,"
+                                "\"memGb\":8,\"hourly\":1}]}",
+                                0, NULL);
+    inputs_check(bd_wire_types(answer, types, 2) == 1 && strcmp(types[0].label, "g") == 0,
+                 "types that cannot be read are passed over");
+    json_decref(answer);
+    answer = json_loads("{\"hearths\":[{\"id\":\"vm-1\"}],\"more\":false}", 0, NULL);
+    inputs_check(bd_wire_machines(answer, machines, 2, &more) == -1,
+                 "a list that cannot be read is a failure");
+    json_decref(answer);
+    answer = json_loads("{}", 0, NULL);
+    inputs_check(bd_wire_types(answer, types, 2) == -1 &&
+                     bd_wire_machines(answer, machines, 2, &more) == -1,
+                 "no list");
+    json_decref(answer);
+}
