--- /dev/null
+++ b/tests/drain_profile_choice.c
@@ -0,0 +1,123 @@
+/* The choice of a step's machines alone: the greedy choice beside the solver's. */
+#include "brambledoor/settings.h"
+#include "drain/drain.h"
+#include "drain/drain_internal.h"
+#include "drain_profile.h"
+#include <gsl/gsl_rng.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+#include <time.h>
+
+#define CHOICE_TEAMS 6
+#define CHOICE_BUDGET 12u
+#define CHOICE_IN_STEP 16u
+
+static void draw_candidates(gsl_rng *rng, struct bd_candidate *candidates, uint32_t count)
+{
+    memset(candidates, 0, count * sizeof *candidates);
+    for (uint32_t i = 0; i < count; i++) {
+        struct bd_candidate *candidate = &candidates[i];
+        candidate->zone = (int)gsl_rng_uniform_int(rng, 3);
+        candidate->nneeds = 1 + (uint32_t)gsl_rng_uniform_int(rng, 3);
+        uint32_t team = (uint32_t)gsl_rng_uniform_int(rng, CHOICE_TEAMS);
+        for (uint32_t k = 0; k < candidate->nneeds; k++) {
+            uint32_t tasks = 1 + (uint32_t)gsl_rng_uniform_int(rng, 7);
+            candidate->needs[k] = (struct bd_need){(team + k) % CHOICE_TEAMS, tasks, 1};
+            candidate->tasks += tasks;
+        }
+        candidate->moves.cpus = candidate->moves.mem = candidate->tasks;
+    }
+}
+
+/* Whether all that was chosen may be drained together. */
+static bool is_allowed(const struct bd_step_problem *given, const roaring_bitmap_t *chosen)
+{
+    struct bd_step_problem problem = *given;
+    uint32_t left[CHOICE_TEAMS], budget = 0;
+    memcpy(left, given->left, sizeof left);
+    problem.left = left;
+    for (uint32_t i = 0; i < given->n; i++) {
+        if (!roaring_bitmap_contains(chosen, i))
+            continue;
+        if (bd_step_obstacle(&problem, &given->candidates[i], &budget) != BD_DRAIN_WAIT_NOTHING)
+            return false;
+        bd_step_take(&problem, left, &given->candidates[i]);
+    }
+    return true;
+}
+
+/* The machines of one step. False: the solver gave up, and the choice is the greedy one. */
+static bool choose(const struct bd_step_problem *problem, bool is_solver, roaring_bitmap_t *chosen)
+{
+    bool is_solved = is_solver && bd_steps_solve(problem, chosen);
+    if (!is_solved) {
+        roaring_bitmap_clear(chosen);
+        bd_steps_greedy(problem, chosen);
+    }
+    if (!is_allowed(problem, chosen)) {
+        fprintf(stderr, "a choice breaks a limit\n");
+        exit(1);
+    }
+    return is_solved || !is_solver;
+}
+
+/* Steps until all machines went, each with all budgets free; *seconds: processor seconds a choice.
+ */
+static uint32_t count_steps(const struct bd_candidate *drawn, uint32_t count, bool is_solver,
+                            double *seconds, uint32_t *given_up)
+{
+    static const bool apart[BD_MAX_ZONES][BD_MAX_ZONES] = {{false, true}, {true, false}};
+    uint32_t left[CHOICE_TEAMS], steps = 0, remaining = count;
+    struct bd_candidate *candidates = malloc(count * sizeof *candidates);
+    if (!candidates)
+        abort();
+    memcpy(candidates, drawn, count * sizeof *candidates);
+    clock_t started = clock();
+    while (remaining > 0) {
+        for (int k = 0; k < CHOICE_TEAMS; k++)
+            left[k] = CHOICE_BUDGET;
+        struct bd_step_problem problem = {candidates,     remaining,     left,  CHOICE_TEAMS,
+                                          CHOICE_IN_STEP, {1e6, 1, 1e6}, apart, {false}};
+        roaring_bitmap_t *chosen = roaring_bitmap_create();
+        *given_up += !choose(&problem, is_solver, chosen);
+        uint32_t left_over = 0;
+        for (uint32_t i = 0; i < remaining; i++)
+            if (!roaring_bitmap_contains(chosen, i))
+                candidates[left_over++] = candidates[i];
+        roaring_bitmap_free(chosen);
+        remaining = left_over;
+        steps++;
+    }
+    *seconds += (double)(clock() - started) / CLOCKS_PER_SEC / steps;
+    free(candidates);
+    return steps;
+}
+
+int profile_choices(uint32_t machines, uint32_t seeds)
+{
+    double spent[2] = {0, 0};
+    uint32_t steps[2] = {0, 0}, given_up = 0, better = 0, worse = 0;
+    gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
+    struct bd_candidate *drawn = malloc(machines * sizeof *drawn);
+    if (!rng || !drawn)
+        abort();
+    for (uint32_t seed = 0; seed < seeds; seed++) {
+        gsl_rng_set(rng, seed + 1);
+        draw_candidates(rng, drawn, machines);
+        uint32_t greedy = count_steps(drawn, machines, false, &spent[0], &given_up);
+        uint32_t solved = count_steps(drawn, machines, true, &spent[1], &given_up);
+        steps[0] += greedy;
+        steps[1] += solved;
+        better += solved < greedy;
+        worse += solved > greedy;
+    }
+    printf(
+        "%u machines, %u draws: greedy %.2f steps, %.1f us a choice; solver %.2f steps, %.1f us a "
+        "choice; fewer in %u, more in %u, given up %u times\n",
+        machines, seeds, (double)steps[0] / seeds, spent[0] / seeds * 1e6, (double)steps[1] / seeds,
+        spent[1] / seeds * 1e6, better, worse, given_up);
+    gsl_rng_free(rng);
+    free(drawn);
+    return steps[1] <= steps[0] + seeds ? 0 : 1;
+}
--- /dev/null
+++ b/tests/drain_profile_fleet.c
@@ -0,0 +1,250 @@
+/* A fleet of machines with replicated services in the pure core, and a drain of some of them. */
+#include "autoscaling/autoscaling.h"
+#include "base/timeutil.h"
+#include "brambledoor/log.h"
+#include "brambledoor/settings.h"
+#include "core/core.h"
+#include "drain/drain.h"
+#include "drain/drain_internal.h"
+#include "drain_profile.h"
+#include "jobs/jobs.h"
+#include "leadership/leadership.h"
+#include "model/effect.h"
+#include "model/leadership_state.h"
+#include "model/task.h"
+#include "numbers.h"
+#include "test_settings.h"
+#include "wire/wire.h"
+#include "workers/workers.h"
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#define REPLICAS 10  /* on a machine at first */
+#define JOB_TASKS 40 /* replicas of a service */
+#define START_S 1.0  /* from the launch until it runs */
+#define REPORTED_TASKS_MAX 128
+#define RETURNED_MAX 128 /* machines in one request */
+
+void fleet_set_time(struct fleet *fleet, double now)
+{
+    fleet->now = now;
+    bd_core_set_clock(fleet->core, bd_secs(100 + now), 1000 + now);
+}
+
+static void fill_heartbeat(struct fleet *fleet, uint32_t number, struct bd_heartbeat *heartbeat,
+                           struct bd_reported_task *tasks)
+{
+    struct bd_machine *machine = NULL;
+    memset(tasks, 0, REPORTED_TASKS_MAX * sizeof *tasks);
+    *heartbeat = (struct bd_heartbeat){.incarnation = 1,
+                                       .seq = ++fleet->seq,
+                                       .fencing_token = fleet->core->lead.term,
+                                       .notice = -1,
+                                       .tasks = tasks};
+    snprintf(heartbeat->machine, sizeof heartbeat->machine, "vm-%06u", number);
+    snprintf(heartbeat->addr, sizeof heartbeat->addr, "10.1.0.1:%u", number);
+    snprintf(heartbeat->type, sizeof heartbeat->type, "small");
+    snprintf(heartbeat->zone, sizeof heartbeat->zone, "%s", number % 2 ? "a" : "b");
+    HASH_FIND_STR(fleet->core->machines, heartbeat->machine, machine);
+    for (uint32_t k = 0; machine && k < machine->nreservations && heartbeat->n < REPORTED_TASKS_MAX;
+         k++) {
+        const struct bd_job *job = machine->reservations[k].job;
+        const struct bd_task *task = &job->tasks[machine->reservations[k].task];
+        if (task->state == BD_TASK_PLANNED)
+            continue;
+        struct bd_reported_task *seen = &tasks[heartbeat->n++];
+        bool stops = task->flags & BD_TASK_FLAG_STOP_REQUESTED;
+        bool begins = bd_between(job->last_placed_at, fleet->core->now) < START_S;
+        snprintf(seen->job, sizeof seen->job, "%s", job->id);
+        seen->task = machine->reservations[k].task;
+        seen->attempt = task->attempt;
+        seen->execution = stops ? BD_EXECUTION_EXITED
+                          : task->execution == BD_EXECUTION_RUNNING || !begins
+                              ? BD_EXECUTION_RUNNING
+                              : BD_EXECUTION_FETCHING;
+        seen->exit_reason = stops ? BD_EXIT_STOPPED : BD_EXIT_NONE;
+    }
+}
+
+void fleet_heartbeat(struct fleet *fleet, uint32_t number)
+{
+    struct bd_heartbeat heartbeat;
+    struct bd_reported_task tasks[REPORTED_TASKS_MAX];
+    struct bd_machine *machine = NULL;
+    char id[BD_LABEL];
+    snprintf(id, sizeof id, "vm-%06u", number);
+    HASH_FIND_STR(fleet->core->machines, id, machine);
+    if (machine && machine->gone)
+        return;
+    fill_heartbeat(fleet, number, &heartbeat, tasks);
+    bd_worker_heartbeat_received(fleet->core, NULL, &heartbeat, "{}", 2);
+}
+
+void fleet_answer_effects(struct fleet *fleet)
+{
+    struct bd_effect *effect = bd_effects_take(fleet->core);
+    while (effect) {
+        struct bd_effect *next = effect->next;
+        struct bd_heartbeat heartbeat;
+        struct bd_reported_task tasks[REPORTED_TASKS_MAX];
+        if (effect->kind == BD_EFFECT_DIRECT_COMMAND) {
+            fill_heartbeat(fleet,
+                           (uint32_t)number_of(fleet->core->by_index[effect->machine]->id + 3),
+                           &heartbeat, tasks);
+            bd_worker_direct_command_completed(fleet->core, effect->machine, effect->fencing_token,
+                                               effect->launch, 200, &heartbeat);
+        } else if (effect->kind == BD_EFFECT_SCALE_IN) {
+            json_t *request = json_loads(effect->body, 0, NULL);
+            char names[RETURNED_MAX][BD_LABEL];
+            bd_scale_in_completed(fleet->core, names,
+                                  bd_wire_machine_names(request, names, RETURNED_MAX), true);
+            json_decref(request);
+        }
+        bd_effect_free(effect);
+        effect = next;
+    }
+}
+
+void fleet_half_second(struct fleet *fleet, int half)
+{
+    fleet_set_time(fleet, fleet->now + 0.5);
+    bd_leadership_renewed(fleet->core, 7, fleet->core->now);
+    bd_delegate_records_read(fleet->core, NULL, fleet->core->now);
+    bd_replica_refreshed(fleet->core, fleet->core->replica.store_revision,
+                         fleet->core->replica.store_revision, fleet->core->now,
+                         fleet->core->replica.barrier_out, true);
+    for (uint32_t i = (uint32_t)half % 4; i < fleet->machines; i += 4)
+        fleet_heartbeat(fleet, i);
+    bd_core_tick(fleet->core);
+    if (fleet->core->lead.commit)
+        bd_leader_txn_completed(fleet->core, BD_TXN_COMMITTED, ++fleet->revision, NULL);
+    fleet_answer_effects(fleet);
+    for (int team = 0; team < TEAMS; team++) {
+        uint32_t down, up;
+        bd_ledger_count(fleet->core, fleet->settings.teams[team].name, "", &down, &up);
+        fleet->most_down[team] = down > fleet->most_down[team] ? down : fleet->most_down[team];
+    }
+}
+
+static void add_service(struct fleet *fleet, uint32_t number)
+{
+    struct bd_record record = {.state = BD_JOB_ACTIVE,
+                               .at = 1000,
+                               .has_spec = true,
+                               .tasks = JOB_TASKS,
+                               .spec = {.ntypes = -1}};
+    char key[BD_LABEL];
+    snprintf(key, sizeof key, "j/job-%06u", number);
+    snprintf(record.spec.job_class, sizeof record.spec.job_class, "web");
+    snprintf(record.spec.team, sizeof record.spec.team, "team-%u", number % TEAMS);
+    snprintf(record.spec.image, sizeof record.spec.image, "img");
+    record.spec.kind = BD_JOB_SERVICE;
+    record.spec.priority = BD_PRIORITY_PRODUCTION;
+    record.spec.tasks = JOB_TASKS;
+    record.spec.cpus = record.spec.mem = 1;
+    record.spec.deadline_s = -1;
+    json_t *value = bd_wire_record(&record);
+    struct bd_change change = {key, value, ++fleet->revision};
+    bd_replica_apply(fleet->core, &change);
+    json_decref(value);
+}
+
+void fleet_declare_budgets(struct fleet *fleet, double per_cent, uint32_t machines_in_step)
+{
+    struct bd_drain_rules *rules = calloc(1, sizeof *rules);
+    if (!rules)
+        abort();
+    *rules = (struct bd_drain_rules){.machines_in_step = machines_in_step,
+                                     .stop_s = 60,
+                                     .wait_s = 1,
+                                     .replace_s = 60,
+                                     .keep_s = 1e6};
+    rules->budgets[rules->nbudgets++] =
+        (struct bd_budget_rule){.per_cent = true, .amount = per_cent};
+    fleet->settings.draining = rules;
+}
+
+void fleet_build(struct fleet *fleet, uint32_t machines)
+{
+    test_settings_init(&fleet->settings);
+    fleet->settings.ram_mb = 72;
+    fleet->settings.leader_ttl = bd_secs(2);
+    fleet->settings.idle_boots = 1e6; /* idle machines stay */
+    fleet->settings.nteams = TEAMS;
+    for (int i = 0; i < TEAMS; i++)
+        snprintf(fleet->settings.teams[i].name, BD_NAME, "team-%d", i);
+    fleet->log = (struct bd_log){BD_LOG_ERROR, "drain-profile"};
+    fleet->machines = machines;
+    fleet->core = bd_core_new(&fleet->settings, &fleet->log);
+    if (!fleet->core)
+        abort();
+    fleet_set_time(fleet, 0);
+    struct bd_type_text type = {.label = "small", .cpus = 2 * REPLICAS, .mem = 640, .price = 1};
+    type.spot_price = type.fetch = type.cache_gb = type.boot = 30;
+    type.nzones = 2;
+    snprintf(type.zones[0], BD_LABEL, "a");
+    snprintf(type.zones[1], BD_LABEL, "b");
+    bd_inventory_types(fleet->core, &type, 1);
+    bd_replica_listed(fleet->core, 1, fleet->core->now);
+    struct bd_acquisition acquisition = {
+        .term = 1, .grant = 7, .nonce = "n", .renewed = fleet->core->now};
+    acquisition.receipts = json_array();
+    acquisition.intents = json_array();
+    bd_core_leadership_acquired(fleet->core, &acquisition);
+    json_decref(acquisition.receipts);
+    json_decref(acquisition.intents);
+    bd_inventory_machines(fleet->core, NULL, 0, fleet->core->now);
+    fleet->revision = 10;
+    for (uint32_t i = 0; i < machines; i++)
+        fleet_heartbeat(fleet, i);
+    for (uint32_t n = 0; n < machines * REPLICAS / JOB_TASKS; n++)
+        add_service(fleet, n);
+    for (int half = 0; half < 120; half++)
+        fleet_half_second(fleet, half);
+    memset(fleet->most_down, 0, sizeof fleet->most_down);
+}
+
+/* The record of a drain of the first machines, with as many parts as they take. */
+void fleet_drain(struct fleet *fleet, uint32_t machines)
+{
+    struct bd_drain_record record = {.name = "d",
+                                     .set = "s",
+                                     .state = BD_DRAIN_ACTIVE,
+                                     .at = fleet->core->wall,
+                                     .machines = machines,
+                                     .asked = json_object()};
+    struct bd_drain_machine *entries = calloc(machines, sizeof *entries);
+    json_t *drains = json_array(), *sets = json_array();
+    uint32_t each = bd_drain_part_machines(&fleet->settings, fleet->settings.kv_value_bytes_max, 9);
+    char key[BD_LABEL];
+    if (!entries)
+        abort();
+    for (uint32_t i = 0; i < machines; i++)
+        snprintf(entries[i].id, BD_LABEL, "vm-%06u", i);
+    for (uint32_t from = 0; from < machines; from += each) {
+        uint32_t count = machines - from < each ? machines - from : each;
+        bd_drain_part_key(key, sizeof key, record.set, record.parts++);
+        json_array_append_new(sets,
+                              json_pack("{s:s,s:o,s:i}", "k", key, "value",
+                                        bd_drain_part_value(entries + from, count), "mark", 1));
+    }
+    json_array_append_new(drains, json_pack("{s:s,s:o,s:i}", "k", BD_DRAIN_KEY "d", "value",
+                                            bd_drain_record_value(&record), "mark", 1));
+    bd_drain_records(fleet->core, drains, sets);
+    json_decref(drains);
+    json_decref(sets);
+    json_decref(record.asked);
+    free(entries);
+}
+
+bool fleet_drain_is_over(const struct fleet *fleet)
+{
+    return !fleet->core->drains->drains || fleet->core->drains->drains->over;
+}
+
+void fleet_free(struct fleet *fleet)
+{
+    bd_core_free(fleet->core);
+    free(fleet->settings.draining);
+}
