--- a/tests/drain_check.c
+++ b/tests/drain_check.c
@@ -9,70 +9,72 @@
 #define LEARNT_S 25.0 /* by then a loss is known, and commands from before it are carried out */
 #define TEAMS 2
 
-void drain_check_start(struct drain_check *c, const uint32_t *budgets)
+void drain_check_start(struct drain_check *check, const uint32_t *budgets)
 {
-    memset(c, 0, sizeof *c);
-    memcpy(c->budgets, budgets, sizeof c->budgets);
+    memset(check, 0, sizeof *check);
+    memcpy(check->budgets, budgets, sizeof check->budgets);
 }
 
-static struct drain_replica *replica_of(struct drain_check *c, int job, uint32_t task)
+static struct drain_replica *replica_of(struct drain_check *check, int job, uint32_t task)
 {
-    for (int i = 0; i < c->n; i++)
-        if (c->replicas[i].job == job && c->replicas[i].task == task)
-            return &c->replicas[i];
-    if (c->n == DRAIN_REPLICAS)
+    for (int i = 0; i < check->n; i++)
+        if (check->replicas[i].job == job && check->replicas[i].task == task)
+            return &check->replicas[i];
+    if (check->n == DRAIN_REPLICAS)
         abort();
-    struct drain_replica *r = &c->replicas[c->n++];
-    *r = (struct drain_replica){.job = job, .task = task};
-    return r;
+    struct drain_replica *replica = &check->replicas[check->n++];
+    *replica = (struct drain_replica){.job = job, .task = task};
+    return replica;
 }
 
-void drain_check_runs(struct drain_check *c, int job, uint32_t task, int team)
+void drain_check_runs(struct drain_check *check, int job, uint32_t task, int team)
 {
-    struct drain_replica *r = replica_of(c, job, task);
-    r->team = team;
-    r->state = REPLICA_UP;
+    struct drain_replica *replica = replica_of(check, job, task);
+    replica->team = team;
+    replica->state = REPLICA_UP;
 }
 
-void drain_check_lost(struct drain_check *c, double now, int job, uint32_t task)
+void drain_check_lost(struct drain_check *check, double now, int job, uint32_t task)
 {
-    struct drain_replica *r = replica_of(c, job, task);
-    if (r->state != REPLICA_UP)
+    struct drain_replica *replica = replica_of(check, job, task);
+    if (replica->state != REPLICA_UP)
         return;
-    r->state = REPLICA_LOST;
-    r->since = now;
+    replica->state = REPLICA_LOST;
+    replica->since = now;
 }
 
-void drain_check_ended(struct drain_check *c, int job)
+void drain_check_ended(struct drain_check *check, int job)
 {
-    for (int i = 0; i < c->n; i++)
-        if (c->replicas[i].job == job)
-            c->replicas[i].state = REPLICA_NONE;
+    for (int i = 0; i < check->n; i++)
+        if (check->replicas[i].job == job)
+            check->replicas[i].state = REPLICA_NONE;
 }
 
 /* Of a team: stopped by us, and lost long enough ago. */
-static uint32_t down_of(const struct drain_check *c, double now, int team, bool losses)
+static uint32_t down_of(const struct drain_check *check, double now, int team, bool losses)
 {
-    uint32_t n = 0;
-    for (int i = 0; i < c->n; i++) {
-        const struct drain_replica *r = &c->replicas[i];
-        bool lost = losses && r->state == REPLICA_LOST && now - r->since > LEARNT_S;
-        n += r->team == team && (r->state == REPLICA_STOPPED || lost);
+    uint32_t count = 0;
+    for (int i = 0; i < check->n; i++) {
+        const struct drain_replica *replica = &check->replicas[i];
+        bool lost = losses && replica->state == REPLICA_LOST && now - replica->since > LEARNT_S;
+        count += replica->team == team && (replica->state == REPLICA_STOPPED || lost);
     }
-    return n;
+    return count;
 }
 
-bool drain_check_stopped(struct drain_check *c, double now, int job, uint32_t task)
+bool drain_check_stopped(struct drain_check *check, double now, int job, uint32_t task)
 {
-    struct drain_replica *r = replica_of(c, job, task);
-    if (r->state != REPLICA_UP)
+    struct drain_replica *replica = replica_of(check, job, task);
+    if (replica->state != REPLICA_UP)
         return true; /* it was not up: this takes nothing down */
-    r->state = REPLICA_STOPPED;
-    r->since = now;
-    c->stops++;
-    uint32_t ours = down_of(c, now, r->team, false);
-    c->most[r->team] = ours > c->most[r->team] ? ours : c->most[r->team];
-    return ours <= c->budgets[r->team] && down_of(c, now, r->team, true) <= c->budgets[r->team];
+    replica->state = REPLICA_STOPPED;
+    replica->since = now;
+    check->stops++;
+    uint32_t ours = down_of(check, now, replica->team, false);
+    check->most[replica->team] =
+        ours > check->most[replica->team] ? ours : check->most[replica->team];
+    return ours <= check->budgets[replica->team] &&
+           down_of(check, now, replica->team, true) <= check->budgets[replica->team];
 }
 
 /* An invented history: the checker must see an overlap beyond the budget, and a stop beside an old
@@ -80,18 +82,18 @@
 bool drain_check_works(void)
 {
     static const uint32_t budgets[TEAMS] = {1, 1};
-    struct drain_check c;
-    drain_check_start(&c, budgets);
+    struct drain_check check;
+    drain_check_start(&check, budgets);
     for (uint32_t task = 0; task < 3; task++)
-        drain_check_runs(&c, 0, task, 0);
-    bool first = drain_check_stopped(&c, 10, 0, 0);
-    drain_check_runs(&c, 0, 0, 0);
-    bool second = drain_check_stopped(&c, 11, 0, 1);
-    bool overlap = drain_check_stopped(&c, 12, 0, 2);
-    drain_check_start(&c, budgets);
+        drain_check_runs(&check, 0, task, 0);
+    bool first = drain_check_stopped(&check, 10, 0, 0);
+    drain_check_runs(&check, 0, 0, 0);
+    bool second = drain_check_stopped(&check, 11, 0, 1);
+    bool overlap = drain_check_stopped(&check, 12, 0, 2);
+    drain_check_start(&check, budgets);
     for (uint32_t task = 0; task < 2; task++)
-        drain_check_runs(&c, 0, task, 0);
-    drain_check_lost(&c, 20, 0, 0);
-    bool beside_loss = drain_check_stopped(&c, 20 + 2 * LEARNT_S, 0, 1);
+        drain_check_runs(&check, 0, task, 0);
+    drain_check_lost(&check, 20, 0, 0);
+    bool beside_loss = drain_check_stopped(&check, 20 + 2 * LEARNT_S, 0, 1);
     return first && second && !overlap && !beside_loss;
 }
--- a/tests/drain_check.h
+++ b/tests/drain_check.h
@@ -23,13 +23,13 @@
     int n;
 };
 
-void drain_check_start(struct drain_check *c, const uint32_t *budgets);
-void drain_check_runs(struct drain_check *c, int job, uint32_t task, int team);
-void drain_check_lost(struct drain_check *c, double now, int job, uint32_t task);
+void drain_check_start(struct drain_check *check, const uint32_t *budgets);
+void drain_check_runs(struct drain_check *check, int job, uint32_t task, int team);
+void drain_check_lost(struct drain_check *check, double now, int job, uint32_t task);
 /* The job was ended by its user. */
-void drain_check_ended(struct drain_check *c, int job);
+void drain_check_ended(struct drain_check *check, int job);
 /* False: more of the team are down than it declared. */
-bool drain_check_stopped(struct drain_check *c, double now, int job, uint32_t task);
+bool drain_check_stopped(struct drain_check *check, double now, int job, uint32_t task);
 /* whether the checker sees what it must, on invented histories */
 bool drain_check_works(void);
 #endif
--- a/tests/key_table.h
+++ b/tests/key_table.h
@@ -1,4 +1,4 @@
-/* The state service's keys, for the fake server and the simulation: values with revisions and
+/* The key-value store's keys, for the stand-in and the simulation: values with revisions and
  * grants, conditional transactions, and the log of changes. */
 #ifndef KEY_TABLE_H
 #define KEY_TABLE_H
@@ -26,18 +26,18 @@
     uint64_t revision;
     void *owner; /* for the two below */
     bool (*grant_lives)(void *owner, uint64_t grant);
-    void (*before_set)(void *owner, const char *name, json_t *value); /* NULL: nobody minds */
+    void (*before_set)(void *owner, const char *name, json_t *value); /* NULL: none */
 };
 
-struct table_key *table_find(const struct key_table *t, const char *name);
+struct table_key *table_find(const struct key_table *table, const char *name);
 /* All keys on the grant are dropped, each with a revision of its own. */
-void table_end_grant(struct key_table *t, uint64_t grant);
+void table_end_grant(struct key_table *table, uint64_t grant);
 /* The status of a transaction, and the answer. */
-int table_commit(struct key_table *t, json_t *in, json_t **out);
+int table_commit(struct key_table *table, json_t *in, json_t **out);
 /* A key and its value as they are listed, and as they are read alone. */
-json_t *table_pair(const struct table_key *k);
-int table_get(const struct key_table *t, const char *name, json_t **out);
+json_t *table_pair(const struct table_key *key);
+int table_get(const struct key_table *table, const char *name, json_t **out);
 /* What has changed after a revision, of the keys with the prefix. */
-json_t *table_changes(const struct key_table *t, const char *prefix, uint64_t after);
-void table_free(struct key_table *t);
+json_t *table_changes(const struct key_table *table, const char *prefix, uint64_t after);
+void table_free(struct key_table *table);
 #endif
--- a/tests/loopback_drain.c
+++ b/tests/loopback_drain.c
@@ -37,47 +37,47 @@
 
 static void watch(void *arg, enum fake_task_event event, const char *task)
 {
-    struct history *h = arg;
+    struct history *history = arg;
     char id[BD_ID];
     uint32_t number;
     if (!bd_wire_task_name(task, id, &number) || number_of(id + 4) < FIRST_JOB)
         return;
     int job = number_of(id + 4) - FIRST_JOB;
-    double now = bd_between(h->began, bd_now());
-    (void)pthread_mutex_lock(&h->lock);
+    double now = bd_between(history->began, bd_now());
+    (void)pthread_mutex_lock(&history->lock);
     if (event == FAKE_TASK_RUNS)
-        drain_check_runs(&h->check, job, number, job % 2);
+        drain_check_runs(&history->check, job, number, job % 2);
     else if (event == FAKE_TASK_LOST)
-        drain_check_lost(&h->check, now, job, number);
-    else if (!drain_check_stopped(&h->check, now, job, number)) {
-        h->broken++;
+        drain_check_lost(&history->check, now, job, number);
+    else if (!drain_check_stopped(&history->check, now, job, number)) {
+        history->broken++;
         printf("     %.2f s: %s is stopped beyond its team's budget\n", now, task);
     }
-    (void)pthread_mutex_unlock(&h->lock);
+    (void)pthread_mutex_unlock(&history->lock);
 }
 
-static uint32_t stops(struct history *h)
+static uint32_t stops(struct history *history)
 {
-    (void)pthread_mutex_lock(&h->lock);
-    uint32_t n = h->check.stops;
-    (void)pthread_mutex_unlock(&h->lock);
-    return n;
+    (void)pthread_mutex_lock(&history->lock);
+    uint32_t count = history->check.stops;
+    (void)pthread_mutex_unlock(&history->lock);
+    return count;
 }
 
 static void write_operators(struct loopback *test, int i)
 {
     snprintf(test->operators_file[i], sizeof test->operators_file[i], "%s/node-%d.sexp", test->dir,
              i);
-    FILE *f = fopen(test->operators_file[i], "w");
-    if (!f)
+    FILE *file = fopen(test->operators_file[i], "w");
+    if (!file)
         abort();
-    fprintf(f,
+    fprintf(file,
             "(spare-share 0)\n(draining (admin \"127.0.0.1:%d\") (machines-in-step 3) (stop-s 10) "
             "(wait-s 5)\n"
             " (replace-s 20) (selection everything (type small))\n"
             " (team blue (down %u)) (team red (down %u)))\n",
             test->first_port + ADMIN_PORT + i, BUDGET_BLUE, BUDGET_RED);
-    (void)fclose(f);
+    (void)fclose(file);
 }
 
 static long ask_admin(struct loopback *test, int node, const char *method, const char *path,
@@ -115,12 +115,12 @@
     return WEXITSTATUS(status);
 }
 
-static bool running(struct loopback *test, int n, double seconds)
+static bool running(struct loopback *test, int tasks, double seconds)
 {
     struct timespec end = bd_add(bd_now(), bd_secs(seconds));
-    while (fake_running(test->cluster) != n && bd_before(bd_now(), end))
+    while (fake_running(test->cluster) != tasks && bd_before(bd_now(), end))
         bd_pause(0.1);
-    return fake_running(test->cluster) == n;
+    return fake_running(test->cluster) == tasks;
 }
 
 static bool submit_service(struct loopback *test, int job)
@@ -199,13 +199,13 @@
     char out[512];
     fake_store_set_down(test->cluster, true);
     nodes_check(test, ask_admin(test, 0, "GET", "", NULL, out, sizeof out) == 503,
-                "without the state service: 503");
+                "without the store: 503");
     nodes_check(test, command(test, 1, "list") == 3,
                 "... which the command tells by its exit status");
     fake_store_set_down(test->cluster, false);
 }
 
-static void repeats(struct loopback *test, struct history *h)
+static void repeats(struct loopback *test, struct history *history)
 {
     nodes_check(test,
                 command(test, 1, "start all --mode replace --selection everything --all") == 0,
@@ -214,26 +214,27 @@
                 "another one under its name is refused");
     nodes_check(test, command(test, 2, "pause all") == 0 && command(test, 0, "pause all") == 0,
                 "it is paused, twice");
-    uint32_t before = stops(h);
+    uint32_t before = stops(history);
     bd_pause(3);
-    nodes_check(test, stops(h) <= before + BUDGET_BLUE + BUDGET_RED, "paused: no new step begins");
+    nodes_check(test, stops(history) <= before + BUDGET_BLUE + BUDGET_RED,
+                "paused: no new step begins");
     nodes_check(test, command(test, 1, "resume all") == 0, "it is resumed");
 }
 
-static bool reach_stops(struct history *h, uint32_t n, double seconds)
+static bool reach_stops(struct history *history, uint32_t wanted, double seconds)
 {
     struct timespec end = bd_add(bd_now(), bd_secs(seconds));
-    while (stops(h) < n && bd_before(bd_now(), end))
+    while (stops(history) < wanted && bd_before(bd_now(), end))
         bd_pause(0.02);
-    return stops(h) >= n;
+    return stops(history) >= wanted;
 }
 
 static bool is_over(struct loopback *test, double seconds)
 {
     char out[8192] = "";
     struct timespec end = bd_add(bd_now(), bd_secs(seconds));
-    for (int n = 0; bd_before(bd_now(), end); n++) {
-        if (ask_admin(test, n % NODES, "GET", "/all", NULL, out, sizeof out) == 200 &&
+    for (int tries = 0; bd_before(bd_now(), end); tries++) {
+        if (ask_admin(test, tries % NODES, "GET", "/all", NULL, out, sizeof out) == 200 &&
             strstr(out, "\"state\": \"done\""))
             return true;
         bd_pause(0.2);
@@ -261,18 +262,18 @@
         snprintf(out, cap, "%s", id);
 }
 
-static void drain_ten(struct loopback *test, struct history *h)
+static void drain_ten(struct loopback *test, struct history *history)
 {
     char before[2048], after[2048], victim[64] = "";
     (void)fake_machine_names(test->cluster, before, sizeof before);
     nodes_check(test,
                 command(test, 0, "start all --mode replace --selection everything --all") == 0,
                 "a drain of all of them is accepted");
-    nodes_check(test, reach_stops(h, 2, 40), "the first step begins");
-    repeats(test, h);
+    nodes_check(test, reach_stops(history, 2, 40), "the first step begins");
+    repeats(test, history);
     last_of(before, victim, sizeof victim);
     fake_kill_machine(test->cluster, victim);
-    nodes_check(test, reach_stops(h, 10, 60), "it goes on after a worker died in a step");
+    nodes_check(test, reach_stops(history, 10, 60), "it goes on after a worker died in a step");
     int leader = fake_store_leader(test->cluster);
     if (leader >= 0) {
         nodes_kill(test, leader);
@@ -283,18 +284,18 @@
     nodes_check(test, running(test, SERVICES * REPLICAS, 20), "all replicas run");
     (void)fake_machine_names(test->cluster, after, sizeof after);
     nodes_check(test, !holds_any(after, before), "none of the drained workers is left");
-    nodes_check(test, stops(h) >= 30, "the replicas were moved");
+    nodes_check(test, stops(history) >= 30, "the replicas were moved");
 }
 
 /* An older controller is heard: the drain waits, says so, and goes on once it is replaced. */
-static void beside_older(struct loopback *test, struct history *h)
+static void beside_older(struct loopback *test, struct history *history)
 {
     char out[8192];
     nodes_check(test,
                 command(test, 0, "start all --mode replace --selection everything --all") == 0,
                 "a drain is accepted beside an older controller");
     bd_pause(6);
-    uint32_t before = stops(h);
+    uint32_t before = stops(history);
     nodes_check(test, before == 0, "no step begins while an older controller is heard");
     nodes_check(
         test,
@@ -311,38 +312,39 @@
 {
     static const uint32_t budgets[2] = {BUDGET_BLUE, BUDGET_RED};
     struct loopback test = {.teams = 2};
-    struct history h = {.began = bd_now()};
+    struct history history = {.began = bd_now()};
     if (argc < 2 || argc > 3)
         return 2;
-    const char *old = argc == 3 ? argv[2] : NULL;
-    if (old && access(old, X_OK) != 0) {
-        printf("skipped: the version in production is not there: %s\n", old);
+    const char *older_program = argc == 3 ? argv[2] : NULL;
+    if (older_program && access(older_program, X_OK) != 0) {
+        printf("skipped: the version in production is not there: %s\n", older_program);
         return 77;
     }
-    if (pthread_mutex_init(&h.lock, NULL) != 0 || !nodes_prepare(&test, argv[1]))
+    if (pthread_mutex_init(&history.lock, NULL) != 0 || !nodes_prepare(&test, argv[1]))
         return 2;
-    drain_check_start(&h.check, budgets);
-    fake_set_observer(test.cluster, watch, &h);
+    drain_check_start(&history.check, budgets);
+    fake_set_observer(test.cluster, watch, &history);
     fake_cloud_set_capacity(test.cluster, MACHINES_MAX);
     for (int i = 0; i < NODES; i++) {
-        bool older = old && i == NODES - 1;
+        bool older = older_program && i == NODES - 1;
         if (!older)
             write_operators(&test, i);
-        nodes_restart(&test, i, older ? old : NULL);
+        nodes_restart(&test, i, older ? older_program : NULL);
     }
     begin(&test);
-    if (old) {
-        beside_older(&test, &h);
+    if (older_program) {
+        beside_older(&test, &history);
     } else {
         bad_requests(&test);
         unreached(&test);
-        drain_ten(&test, &h);
+        drain_ten(&test, &history);
     }
-    nodes_check(&test, h.broken == 0, "no team was beyond its budget by our doing");
+    nodes_check(&test, history.broken == 0, "no team was beyond its budget by our doing");
     nodes_check(&test, fake_duplicate_runs(test.cluster) == 0,
                 "no task ran twice at the same time");
-    printf("     %u replicas stopped, at most %u of %u and %u of %u down at once\n", h.check.stops,
-           h.check.most[0], budgets[0], h.check.most[1], budgets[1]);
+    printf("     %u replicas stopped, at most %u of %u and %u of %u down at once\n",
+           history.check.stops, history.check.most[0], budgets[0], history.check.most[1],
+           budgets[1]);
     nodes_finish(&test);
     printf("%d faults\n", test.faults);
     return test.faults ? 1 : 0;
--- a/tests/loopback_partition.c
+++ b/tests/loopback_partition.c
@@ -36,7 +36,7 @@
             return 1;
         bd_pause(0.3);
     }
-    printf("     last answer to a check-in with seal %lld: %s\n", *fencing_token, out);
+    printf("     last answer to a heartbeat with fencing token %lld: %s\n", *fencing_token, out);
     return 0;
 }
 
--- a/tests/sim_store.c
+++ b/tests/sim_store.c
@@ -1,27 +1,27 @@
-/* The state service of the simulated day. */
+/* The key-value store of the simulated day. */
 #include "model/effect.h"
 #include "simulation.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-void sim_store_tick(struct sim *s)
+void sim_store_tick(struct sim *sim)
 {
-    for (int i = 0; s->now >= s->outage_until && i < s->ngrants;) {
-        if (s->now < s->grant[i].ends) {
+    for (int i = 0; sim->now >= sim->outage_until && i < sim->ngrants;) {
+        if (sim->now < sim->grant[i].ends) {
             i++;
             continue;
         }
-        table_end_grant(&s->table, s->grant[i].id);
-        s->grant[i] = s->grant[--s->ngrants];
+        table_end_grant(&sim->table, sim->grant[i].id);
+        sim->grant[i] = sim->grant[--sim->ngrants];
     }
 }
 
-static struct sim_grant *grant_of(struct sim *s, uint64_t id)
+static struct sim_grant *grant_of(struct sim *sim, uint64_t id)
 {
-    for (int i = 0; i < s->ngrants; i++)
-        if (s->grant[i].id == id)
-            return &s->grant[i];
+    for (int i = 0; i < sim->ngrants; i++)
+        if (sim->grant[i].id == id)
+            return &sim->grant[i];
     return NULL;
 }
 
@@ -32,37 +32,38 @@
 
 /* What the rules want of what is written, whoever writes it: no intent for a job that is cancelled
  * or done, and of the leaders' transactions each once, in order, by the one whose key stands. */
-static void check_intents(struct sim *s, json_t *value)
+static void check_intents(struct sim *sim, json_t *value)
 {
     char key[96];
-    json_t *v;
+    json_t *item;
     size_t i;
-    json_array_foreach(json_object_get(value, "e"), i, v)
+    json_array_foreach(json_object_get(value, "e"), i, item)
     {
-        const char *id = json_string_value(json_array_get(v, 0));
+        const char *id = json_string_value(json_array_get(item, 0));
         snprintf(key, sizeof key, "j/%s", id ? id : "");
-        struct table_key *k = table_find(&s->table, key);
-        const char *state = k ? json_string_value(json_object_get(k->value, "s")) : NULL;
+        struct table_key *record = table_find(&sim->table, key);
+        const char *state = record ? json_string_value(json_object_get(record->value, "s")) : NULL;
         if (!state || strcmp(state, "live") != 0)
-            sim_violation(s, "intent: %s is %s", key, state ? state : "not there");
+            sim_violation(sim, "intent: %s is %s", key, state ? state : "not there");
     }
 }
 
-static void check_sequence(struct sim *s, json_t *value)
+static void check_sequence(struct sim *sim, json_t *value)
 {
-    json_int_t t = json_integer_value(json_object_get(value, "t"));
-    json_int_t n = json_integer_value(json_object_get(value, "n"));
-    struct table_key *w = table_find(&s->table, "w"), *leader = table_find(&s->table, "leader");
-    json_int_t t0 = w ? json_integer_value(json_object_get(w->value, "t")) : 0;
-    json_int_t n0 = w ? json_integer_value(json_object_get(w->value, "n")) : 0;
-    if (t < t0 || (t == t0 && n <= n0))
-        sim_violation(s, "written twice: %lld of term %lld after %lld of %lld", (long long)n,
-                      (long long)t, (long long)n0, (long long)t0);
+    json_int_t term = json_integer_value(json_object_get(value, "t"));
+    json_int_t number = json_integer_value(json_object_get(value, "n"));
+    struct table_key *written = table_find(&sim->table, "w"),
+                     *leader = table_find(&sim->table, "leader");
+    json_int_t last_term = written ? json_integer_value(json_object_get(written->value, "t")) : 0;
+    json_int_t last_number = written ? json_integer_value(json_object_get(written->value, "n")) : 0;
+    if (term < last_term || (term == last_term && number <= last_number))
+        sim_violation(sim, "written twice: %lld of term %lld after %lld of %lld", (long long)number,
+                      (long long)term, (long long)last_number, (long long)last_term);
     const char *name =
         leader ? json_string_value(json_object_get(leader->value, "node")) : "nobody";
-    if (s->writer >= 0 && strcmp(name, s->nodes[s->writer].settings.node) != 0)
-        sim_violation(s, "deposed: %s writes while %s leads", s->nodes[s->writer].settings.node,
-                      name);
+    if (sim->writer >= 0 && strcmp(name, sim->nodes[sim->writer].settings.node) != 0)
+        sim_violation(sim, "deposed: %s writes while %s leads",
+                      sim->nodes[sim->writer].settings.node, name);
 }
 
 static void before_set(void *owner, const char *name, json_t *value)
@@ -73,134 +74,138 @@
         check_sequence(owner, value);
 }
 
-void sim_store_start(struct sim *s)
+void sim_store_start(struct sim *sim)
 {
-    s->table.owner = s;
-    s->table.grant_lives = grant_lives;
-    s->table.before_set = before_set;
+    sim->table.owner = sim;
+    sim->table.grant_lives = grant_lives;
+    sim->table.before_set = before_set;
 }
 
-static long commit(struct sim *s, int node, const char *body, json_t **out)
+static long commit(struct sim *sim, int node, const char *body, json_t **out)
 {
     json_t *in = json_loads(body, 0, NULL);
-    s->writer = node;
-    long status = in ? table_commit(&s->table, in, out) : 400;
+    sim->writer = node;
+    long status = in ? table_commit(&sim->table, in, out) : 400;
     json_decref(in);
     return status;
 }
 
-static long execute(struct sim *s, struct sim_call *c, json_t **out)
+static long execute(struct sim *sim, struct sim_call *call, json_t **out)
 {
-    struct sim_grant *g;
+    struct sim_grant *grant;
     json_t *pairs;
-    switch (c->op) {
+    switch (call->op) {
     case SIM_GET:
-        return table_get(&s->table, c->key, out);
+        return table_get(&sim->table, call->key, out);
     case SIM_LIST:
         pairs = json_array();
-        for (size_t i = 0; i < s->table.nkeys; i++) {
-            const struct table_key *k = &s->table.keys[i];
-            if (k->value && strncmp(k->name, c->key, strlen(c->key)) == 0)
-                json_array_append_new(pairs, table_pair(k));
+        for (size_t i = 0; i < sim->table.nkeys; i++) {
+            const struct table_key *key = &sim->table.keys[i];
+            if (key->value && strncmp(key->name, call->key, strlen(call->key)) == 0)
+                json_array_append_new(pairs, table_pair(key));
         }
         *out = json_pack("{s:o,s:b,s:I}", "pairs", pairs, "more", 0, "ring",
-                         (json_int_t)s->table.revision);
+                         (json_int_t)sim->table.revision);
         return 200;
     case SIM_REFRESH:
-        *out = table_changes(&s->table, "j/", c->number);
+        *out = table_changes(&sim->table, "j/", call->number);
         return 200;
     case SIM_COMMIT:
-        return commit(s, c->node, c->body, out);
+        return commit(sim, call->node, call->body, out);
     case SIM_GRANT:
-        if (s->ngrants == (int)(sizeof s->grant / sizeof *s->grant))
+        if (sim->ngrants == (int)(sizeof sim->grant / sizeof *sim->grant))
             return 429;
-        s->grant[s->ngrants++] = (struct sim_grant){++s->grants, s->now + 2.0, 2.0};
-        *out = json_pack("{s:I}", "charter", (json_int_t)s->grants);
+        sim->grant[sim->ngrants++] = (struct sim_grant){++sim->grants, sim->now + 2.0, 2.0};
+        *out = json_pack("{s:I}", "charter", (json_int_t)sim->grants);
         return 200;
     case SIM_RENEW:
-        g = grant_of(s, c->number);
-        if (!g)
+        grant = grant_of(sim, call->number);
+        if (!grant)
             return 404;
-        g->ends = s->now + g->ttl;
+        grant->ends = sim->now + grant->ttl;
         *out = json_object();
         return 200;
     }
     return 400;
 }
 
-void sim_end_grant(struct sim *s, uint64_t id)
+void sim_end_grant(struct sim *sim, uint64_t id)
 {
-    struct sim_grant *g = grant_of(s, id);
-    if (g && g->ends > s->now + sim_delay(s))
-        g->ends = s->now + sim_delay(s);
+    struct sim_grant *grant = grant_of(sim, id);
+    if (grant && grant->ends > sim->now + sim_delay(sim))
+        grant->ends = sim->now + sim_delay(sim);
 }
 
-void sim_call_drop(struct sim_call *c)
+void sim_call_drop(struct sim_call *call)
 {
-    if (--c->references > 0)
+    if (--call->references > 0)
         return;
-    free(c->body);
-    if (c->effect)
-        bd_effect_free(c->effect);
-    free(c);
+    free(call->body);
+    if (call->effect)
+        bd_effect_free(call->effect);
+    free(call);
+}
+
+/* Whether a fault refuses the call, now. */
+static bool is_refused(const struct sim *sim, const struct sim_call *call)
+{
+    bool refuses_reads = sim->now < sim->reads_refused_until[call->node];
+    return sim->now < sim->outage_until || sim->now < sim->refused_until[call->node] ||
+           (call->op == SIM_REFRESH && refuses_reads);
 }
 
 /* The call goes out now; it is answered, or given up after the timeout. */
-void sim_store_call(struct sim *s, struct sim_call *c, double timeout)
+void sim_store_call(struct sim *sim, struct sim_call *call, double timeout_s)
 {
-    double there = sim_delay(s) + (s->now < s->slow_until ? sim_between(s, 0.02, 0.6) : 0);
-    bool refused = s->now < s->outage_until || s->now < s->refused_until[c->node] ||
-                   (c->op == SIM_REFRESH && s->now < s->reads_refused_until[c->node]);
-    bool write = c->op == SIM_COMMIT && !refused;
-    struct sim_event *e = sim_post(s, there, SIM_STORE_RUN);
-    e->call = c;
-    c->references++;
-    e->flag = true; /* its answer arrives */
-    if (write && s->now < s->lost_until && sim_random(s) < s->lost_share)
-        e->flag = false;
-    if (write && s->now < s->late_until && sim_random(s) < s->late_share) {
-        e->flag = false;
-        double late = sim_between(s, 2, 12);
-        (void)sim_post_again(s, e, late);
-        e->status = -1; /* not now */
-        c->references++;
+    double delay = sim_delay(sim) + (sim->now < sim->slow_until ? sim_between(sim, 0.02, 0.6) : 0);
+    bool write = call->op == SIM_COMMIT && !is_refused(sim, call);
+    struct sim_event *event = sim_post(sim, delay, SIM_STORE_RUN);
+    event->call = call;
+    call->references++;
+    event->flag = true; /* its answer arrives */
+    if (write && sim->now < sim->lost_until && sim_random(sim) < sim->lost_share)
+        event->flag = false;
+    if (write && sim->now < sim->late_until && sim_random(sim) < sim->late_share) {
+        event->flag = false;
+        double late = sim_between(sim, 2, 12);
+        (void)sim_post_again(sim, event, late);
+        event->status = -1; /* not now */
+        call->references++;
     }
-    struct sim_event *g = sim_post(s, timeout, SIM_STORE_TIMEOUT);
-    g->call = c;
-    c->references++;
+    struct sim_event *timeout_event = sim_post(sim, timeout_s, SIM_STORE_TIMEOUT);
+    timeout_event->call = call;
+    call->references++;
 }
 
-void sim_store_event(struct sim *s, struct sim_event *e)
+void sim_store_event(struct sim *sim, struct sim_event *event)
 {
-    struct sim_call *c = e->call;
+    struct sim_call *call = event->call;
     json_t *out = NULL;
-    if (e->kind == SIM_STORE_RUN && e->status != -1) {
-        bool refused = s->now < s->outage_until || s->now < s->refused_until[c->node] ||
-                       (c->op == SIM_REFRESH && s->now < s->reads_refused_until[c->node]);
-        long status = refused ? 503 : execute(s, c, &out);
-        if (e->flag) {
-            struct sim_event *back = sim_post(s, sim_delay(s), SIM_STORE_BACK);
-            back->call = c;
+    if (event->kind == SIM_STORE_RUN && event->status != -1) {
+        long status = is_refused(sim, call) ? 503 : execute(sim, call, &out);
+        if (event->flag) {
+            struct sim_event *back = sim_post(sim, sim_delay(sim), SIM_STORE_BACK);
+            back->call = call;
             back->status = status;
             back->data = out;
-            c->references++;
+            call->references++;
             out = NULL;
         }
-    } else if (e->kind == SIM_STORE_BACK) {
-        out = e->data;
-        if (!c->is_over) {
-            c->is_over = true;
-            sim_node_answered(s, c, e->status, out);
+    } else if (event->kind == SIM_STORE_BACK) {
+        out = event->data;
+        if (!call->is_over) {
+            call->is_over = true;
+            sim_node_answered(sim, call, event->status, out);
         }
-    } else if (e->kind == SIM_STORE_TIMEOUT && !c->is_over) {
-        c->is_over = true;
-        sim_node_answered(s, c, 0, NULL);
+    } else if (event->kind == SIM_STORE_TIMEOUT && !call->is_over) {
+        call->is_over = true;
+        sim_node_answered(sim, call, 0, NULL);
     }
     json_decref(out);
-    sim_call_drop(c);
+    sim_call_drop(call);
 }
 
-void sim_store_free(struct sim *s)
+void sim_store_free(struct sim *sim)
 {
-    table_free(&s->table);
+    table_free(&sim->table);
 }
