--- a/tests/direct_commands.c
+++ b/tests/direct_commands.c
@@ -1,6 +1,6 @@
 /* The real senders of direct commands against a machine that takes connections and never answers:
- * what waits in a sender's queue for longer than the right to it lasts is not sent, the owner is
- * told so, and nothing holds up what comes after it. */
+ * a command that waits in a sender's queue until after its deadline is not sent, the owner gets an
+ * event that says so, and nothing delays the commands after it. */
 #include "adapters/event.h"
 #include "adapters/node.h"
 #include "base/http.h"
@@ -18,9 +18,10 @@
 #include <unistd.h>
 
 #define COMMANDS 48
-#define RIGHT_S 2.0
-#define OVERTIME_MAX_S 6.0 /* the right, one answer's time after it, and a slow machine's share */
-#define MOST_SENT 24       /* six senders, an answer's time of 1.5 s each */
+#define DEADLINE_S 2.0
+#define OVERTIME_MAX_S                                                                             \
+    6.0             /* the deadline, one answer's time after it, and a slow machine's share */
+#define SENT_MAX 24 /* six senders, an answer's time of 1.5 s each */
 
 struct machine {
     int listener;
@@ -76,7 +77,7 @@
     return node;
 }
 
-static void event(struct bd_node *node, uint32_t number, int port, double right_s)
+static void send_command(struct bd_node *node, uint32_t number, int port, double deadline_s)
 {
     struct bd_effect *effect = calloc(1, sizeof *effect);
     if (!effect)
@@ -84,25 +85,25 @@
     effect->kind = BD_EFFECT_DIRECT_COMMAND;
     effect->machine = number;
     effect->launch = true;
-    effect->until = bd_add(bd_now(), bd_secs(right_s));
+    effect->until = bd_add(bd_now(), bd_secs(deadline_s));
     effect->body = strdup("{}");
     snprintf(effect->addr, sizeof effect->addr, "127.0.0.1:%d", port);
     bd_worker_client_send(node, effect);
 }
 
-/* Takes what the owner would be told, until `most` answers or MOST_S. */
-static int outcomes(struct bd_node *node, int most, int *not_sent)
+/* Takes the owner's events, until `max` came or OVERTIME_MAX_S passed. */
+static int take_events(struct bd_node *node, int max, int *not_sent)
 {
     struct timespec end = bd_add(bd_now(), bd_secs(OVERTIME_MAX_S));
     int got = 0;
-    while (got < most && bd_before(bd_now(), end)) {
+    while (got < max && bd_before(bd_now(), end)) {
         void *item;
         if (bd_queue_take(&node->events, &item, 1, end) == 0)
             continue;
-        struct bd_event *told = item;
+        struct bd_event *event = item;
         got++;
-        *not_sent += told->status == BD_DIRECT_NOT_SENT;
-        bd_event_free(told);
+        *not_sent += event->status == BD_DIRECT_NOT_SENT;
+        bd_event_free(event);
     }
     return got;
 }
@@ -122,18 +123,18 @@
     if (port < 0 || bd_thread_start(never_answer, &machine, 131072) != 0)
         return 2;
     for (uint32_t i = 0; i < COMMANDS; i++)
-        event(node, i, port, RIGHT_S);
-    int got = outcomes(node, COMMANDS, &not_sent);
+        send_command(node, i, port, DEADLINE_S);
+    int got = take_events(node, COMMANDS, &not_sent);
     int requests = atomic_load(&machine.requests);
     printf("%d outcomes, %d not sent, %d requests\n", got, not_sent, requests);
-    failed += check("every command has its outcome soon after its right is over", got == COMMANDS);
-    failed += check("what waited too long was not sent", not_sent >= COMMANDS - MOST_SENT);
-    failed += check("what is told as not sent was not sent", requests <= COMMANDS - not_sent);
+    failed += check("every command has its outcome soon after its deadline", got == COMMANDS);
+    failed += check("what waited too long was not sent", not_sent >= COMMANDS - SENT_MAX);
+    failed += check("what is reported as not sent was not sent", requests <= COMMANDS - not_sent);
     failed += check("what was sent in time was sent", requests > 0);
     not_sent = 0;
-    event(node, 0, port, -0.001);
-    failed += check("a right that is over already sends nothing",
-                    outcomes(node, 1, &not_sent) == 1 && not_sent == 1 &&
+    send_command(node, 0, port, -0.001);
+    failed += check("a command after its deadline is not sent",
+                    take_events(node, 1, &not_sent) == 1 && not_sent == 1 &&
                         atomic_load(&machine.requests) == requests);
     return failed ? 1 : 0;
 }
--- a/tests/drain_check.c
+++ b/tests/drain_check.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LEARNT_S 25.0 /* by then a loss is known, and commands from before it are carried out */
+#define LEARNT_S 25.0 /* by then a loss is known, and commands from before it are executed */
 #define TEAMS 2
 
 void drain_check_start(struct drain_check *check, const uint32_t *budgets)
--- a/tests/drain_profile.h
+++ b/tests/drain_profile.h
@@ -23,9 +23,9 @@
 void fleet_free(struct fleet *fleet);
 void fleet_set_time(struct fleet *fleet, double now);
 void fleet_heartbeat(struct fleet *fleet, uint32_t number);
-/* Direct commands are carried out at once, and returned machines are gone. */
+/* Direct commands are executed at once, and returned machines are gone. */
 void fleet_answer_effects(struct fleet *fleet);
-/* Half a second passes: a quarter of the machines reports. */
+/* Half a second passes: a quarter of the machines sends heartbeats. */
 void fleet_half_second(struct fleet *fleet, int half);
 /* The first machines are to be drained. */
 void fleet_drain(struct fleet *fleet, uint32_t machines);
--- a/tests/fake_server.h
+++ b/tests/fake_server.h
@@ -50,8 +50,8 @@
 void fake_store_refuse(struct fake_cluster *cluster, int node, bool refused);
 /* while on, this controller cannot read the jobs' records; its lease and its writes are served */
 void fake_store_refuse_job_reads(struct fake_cluster *cluster, int node, bool refused);
-/* of its transactions, the share that is carried out while the answer is lost, and the share that
- * is carried out seconds late, after newer ones; how many did */
+/* of its transactions, the share that is applied while the answer is lost, and the share that
+ * is applied seconds late, after newer ones; how many did */
 void fake_store_lose_answers(struct fake_cluster *cluster, double lost_share, double late_share);
 int fake_store_lost_answers(struct fake_cluster *cluster, int *late);
 /* tasks of the job that run now */
--- a/tests/fake_store.c
+++ b/tests/fake_store.c
@@ -188,7 +188,7 @@
     return (cluster->random_state >> 16 & 0x7fff) < share * 0x8000;
 }
 
-/* Some are carried out while only the answer is lost, some late and after newer ones. */
+/* Some are applied while only the answer is lost, some late and after newer ones. */
 static int commit_or_lose_answer(struct fake_cluster *cluster, json_t *in, json_t **out)
 {
     if (draw(cluster, cluster->late_share) && cluster->nlate < LATE_TXNS_MAX) {
--- a/tests/fake_worker.c
+++ b/tests/fake_worker.c
@@ -1,4 +1,5 @@
-/* The stand-ins of the workers: each reports from a thread of its own and takes direct commands. */
+/* The stand-ins of the workers: each sends heartbeats from a thread of its own and takes direct
+ * commands. */
 #include "base/http.h"
 #include "base/timeutil.h"
 #include "fake_server_internal.h"
--- a/tests/key_table.c
+++ b/tests/key_table.c
@@ -5,7 +5,7 @@
 
 #define CAPACITY_FIRST 64
 
-/* Room for one more element. */
+/* The list with capacity for one more element. */
 static void *grow(void *list, size_t used, size_t *capacity, size_t size)
 {
     if (used < *capacity)
@@ -89,7 +89,7 @@
     return true;
 }
 
-/* The names of the keys whose conditions do not hold. */
+/* The names of the keys whose conditions are not met. */
 static json_t *failed_conditions(const struct key_table *table, json_t *in)
 {
     json_t *failed = json_array(), *item;
--- a/tests/loopback_drain.c
+++ b/tests/loopback_drain.c
@@ -1,7 +1,7 @@
 /* Draining with the real program, three times, over loopback: ten workers that run two teams'
  * services are drained and replaced, one worker is killed in a step and the leader once. The
  * workers' own history is held against the budgets. With the version in production as a second
- * argument: no step begins while it is heard. */
+ * argument: no step begins while it is a peer. */
 #include "base/timeutil.h"
 #include "drain_check.h"
 #include "loopback_nodes.h"
@@ -27,7 +27,8 @@
 #define DRAIN_S 150.0
 #define COMMAND_WORDS_MAX 15
 
-/* The history, told by the workers' threads. */
+/* What happened to replicas, recorded by the workers' threads; the lock protects the check and the
+ * count. */
 struct history {
     pthread_mutex_t lock;
     struct drain_check check;
@@ -287,7 +288,8 @@
     nodes_check(test, stops(history) >= 30, "the replicas were moved");
 }
 
-/* An older controller is heard: the drain waits, says so, and goes on once it is replaced. */
+/* An older controller is a peer: the drain waits, names the reason, and goes on once it is
+ * replaced. */
 static void beside_older(struct loopback *test, struct history *history)
 {
     char out[8192];
--- a/tests/loopback_memory.c
+++ b/tests/loopback_memory.c
@@ -20,7 +20,7 @@
 #define TASK_BYTES_MAX 37
 #define CONNECTION_BYTES_MAX 6900
 
-/* What the process holds beside its files' pages. */
+/* Memory of the process beside its files' pages. */
 static long memory_kb(const struct loopback *test, int node)
 {
     char path[64], line[128];
@@ -77,7 +77,7 @@
     return open;
 }
 
-/* What a job, a task and a connection cost the leader. A service holds all that the team may use,
+/* What a job, a task and a connection cost the leader. A service uses all of the team's quota,
  * so that all other jobs wait. */
 void test_memory(struct loopback *test)
 {
--- a/tests/loopback_overload.c
+++ b/tests/loopback_overload.c
@@ -99,7 +99,7 @@
 }
 
 /* A few hundred connections ask the leader without a pause, then while the store refuses it:
- * renewals, heartbeats and work go on, and who is refused is told when to come back. */
+ * renewals, heartbeats and work go on, and who is refused gets a Retry-After. */
 void test_overload(struct loopback *test)
 {
     struct crowd *crowd = calloc(1, sizeof *crowd);
--- a/tests/scenario_drain.c
+++ b/tests/scenario_drain.c
@@ -98,7 +98,7 @@
 static void step_drains(struct play *play)
 {
     bd_drain_records(play->core, play->drains, bd_drain_wants_sets(play->core) ? play->sets : NULL);
-    if (bd_drain_wants_sets(play->core)) /* one that is new: its machines come with the next look */
+    if (bd_drain_wants_sets(play->core)) /* one that is new: its machines come with the next read */
         bd_drain_records(play->core, play->drains, play->sets);
 }
 
@@ -178,7 +178,7 @@
     }
 }
 
-/* The machine's report: all that it holds runs, what was told to stop has stopped. */
+/* The machine's heartbeat: all its tasks run, what was asked to stop has stopped. */
 static void fill_running(struct play *play, const char *id, struct bd_heartbeat *heartbeat,
                          struct bd_reported_task *tasks)
 {
@@ -239,7 +239,7 @@
     report_running(play, play->words[1]);
 }
 
-/* Direct commands are carried out and answered, and returned machines are gone. The effects stay,
+/* Direct commands are executed and answered, and returned machines are gone. The effects stay,
  * for `expect`. */
 static void answer_effects(struct play *play)
 {
--- a/tests/scenario_expect.c
+++ b/tests/scenario_expect.c
@@ -1,4 +1,4 @@
-/* The steps of scenarios that hold what the core did against what is expected. */
+/* The steps of scenarios that compare what the core did with what is expected. */
 #include "model/effect.h"
 #include "model/task.h"
 #include "scenario_play.h"
--- a/tests/scenario_jobs.c
+++ b/tests/scenario_jobs.c
@@ -74,7 +74,7 @@
     json_decref(value);
 }
 
-/* state job-1 live|done|cancelled [rank=N] [ready=0|1]: what the core holds of a job */
+/* state job-1 live|done|cancelled [rank=N] [ready=0|1]: what the core knows of a job */
 static void step_state(struct play *play)
 {
     static const char *const state_names[] = {"live", "done", "cancelled"};
--- a/tests/scenario_leader.c
+++ b/tests/scenario_leader.c
@@ -100,8 +100,8 @@
     json_decref(pairs);
 }
 
-/* time passes until the first argument; the leader looks every two seconds and sees when the other
- * controllers were last in touch */
+/* time passes until the first argument; the leader reads every two seconds when the other
+ * controllers last wrote their liveness records */
 static void step_liveness(struct play *play)
 {
     double to = strtod(play->words[1], NULL), at = bd_to_secs(play->core->now) - 100;
--- a/tests/scenario_line.c
+++ b/tests/scenario_line.c
@@ -1,4 +1,4 @@
-/* The words of a scenario's line, and what a step reports. */
+/* The words of a scenario's line, and how a step fails. */
 #include "scenario_play.h"
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/sim_effects.c
+++ b/tests/sim_effects.c
@@ -107,7 +107,7 @@
     }
 }
 
-/* The delegate's write; without a body, a look at the revision of its record. */
+/* The delegate's write; without a body, a read of the revision of its record. */
 static void call_for_delegate(struct sim *sim, struct sim_node *node,
                               const struct bd_effect *effect)
 {
@@ -118,7 +118,7 @@
         (void)sim_node_call(sim, node, SIM_GET, SIM_FOR_DELEGATE_REVISION, effect->key, NULL, 1.5);
 }
 
-/* On half of the days nothing is announced: the rules hold without it. */
+/* On half of the days nothing is announced: the rules are kept without it. */
 static void announce_cancellation(struct sim *sim, struct sim_node *node,
                                   const struct bd_effect *effect)
 {
--- a/tests/sim_plan.c
+++ b/tests/sim_plan.c
@@ -89,7 +89,7 @@
     gsl_rng_free(rng);
 }
 
-/* A drawn day with more services, and drains among its troubles. */
+/* A drawn day with more services, and drains among its faults. */
 void sim_plan_draw_drains(struct sim_plan *plan, unsigned long seed)
 {
     static const char *const verbs[] = {"drain", "drain", "drain", "pause", "calloff"};
@@ -161,7 +161,7 @@
     return true;
 }
 
-/* `at SECONDS TROUBLE [WHO] NUMBERS`; false: the line is none. */
+/* `at SECONDS FAULT [WHO] NUMBERS`; false: the line is none. */
 static bool read_trouble(struct sim_fault *fault, const char *line)
 {
     static const char at[] = "at ";
--- a/tests/sim_receive.c
+++ b/tests/sim_receive.c
@@ -81,7 +81,7 @@
     request->who = event->who;
     request->number = event->kind == SIM_HEARTBEAT_COPY
                           ? UINT64_MAX
-                          : event->number; /* nobody hears the answer */
+                          : event->number; /* nobody waits for the answer */
     request->next = sim->requests;
     sim->requests = request;
     return request;
@@ -100,7 +100,7 @@
     sim_node_settle(sim, node);
 }
 
-/* Taken out of the queue: sent, if the right to it still holds, as worker_client.c asks too. */
+/* Taken out of the queue: sent before its deadline only, as worker_client.c does. */
 void sim_send_direct_command(struct sim *sim, struct sim_event *event)
 {
     struct sim_node *node = &sim->nodes[event->node];
--- a/tests/sim_tasks.c
+++ b/tests/sim_tasks.c
@@ -1,5 +1,5 @@
 /* The tasks on the simulated workers, and the commands that start and stop them. What starts or
- * stays is held against the rules. */
+ * goes on is checked against the rules. */
 #include "sim_drain.h"
 #include "sim_worker.h"
 #include "simulation.h"
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -1,4 +1,4 @@
-/* The users of a simulated day: they submit, ask and cancel, and hold the answers against the
+/* The users of a simulated day: they submit, ask and cancel, and check the answers against the
  * rules. */
 #include "leadership/leadership.h"
 #include "sim_day.h"
