--- /dev/null
+++ b/src/adapters/admin_drain_create.c
@@ -0,0 +1,214 @@
+/* Creating a drain: the cloud's inventory says which machines are meant, the machines' records are
+ * written first, and then the drain's own on condition that there is none of that name. A crash in
+ * between leaves machines' records that no drain refers to. */
+#include "adapters/admin_store.h"
+#include "adapters/admin_store_internal.h"
+#include "adapters/cloud_client.h"
+#include "adapters/kv_client.h"
+#include "adapters/node.h"
+#include "drain/drain.h"
+#include "wire/wire.h"
+#include <jansson.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+#include <sys/random.h>
+
+#define TXN_BYTES_MAX 50000u
+#define SET_ID_BYTES 8 /* random; in hexadecimal in the key */
+
+/* ---- the machines' records ---- */
+
+static bool choose_set_id(char *out)
+{
+    unsigned char raw[SET_ID_BYTES];
+    if (getrandom(raw, sizeof raw, 0) != (ssize_t)sizeof raw)
+        return false;
+    for (size_t i = 0; i < sizeof raw; i++)
+        snprintf(out + 2 * i, 3, "%02x", raw[i]);
+    return true;
+}
+
+/* The machines with these ids, cordoned from now on. The caller frees them. */
+static struct bd_drain_machine *new_machines(const json_t *ids, size_t *longest_id)
+{
+    double now_s = bd_admin_wall_s();
+    struct bd_drain_machine *machines = calloc(json_array_size(ids) + 1, sizeof *machines);
+    if (!machines)
+        abort();
+    *longest_id = 0;
+    for (size_t i = 0; i < json_array_size(ids); i++) {
+        const char *id = json_string_value(json_array_get(ids, i));
+        snprintf(machines[i].id, sizeof machines[i].id, "%s", id);
+        machines[i].stage = BD_STAGE_CORDONED;
+        machines[i].since = now_s;
+        if (strlen(id) > *longest_id)
+            *longest_id = strlen(id);
+    }
+    return machines;
+}
+
+/* Adds the next part of the set to the transaction. Returns its bytes. */
+static size_t put_part(struct bd_txn *txn, struct bd_drain_record *record,
+                       const struct bd_drain_machine *machines, uint32_t count,
+                       size_t value_bytes_max)
+{
+    char key[BD_LABEL];
+    json_t *value = bd_drain_part_value(machines, count);
+    char *text = json_dumps(value, JSON_COMPACT);
+    size_t bytes = text ? strlen(text) : value_bytes_max;
+    free(text);
+    bd_drain_part_key(key, sizeof key, record->set, record->parts++);
+    bd_txn_put(txn, key, value, 0);
+    return bytes;
+}
+
+/* Writes the records of the drain's machines, per_part machines in each, as many records in a
+ * transaction as it may hold. Counts the parts in the drain's record. */
+static bool write_machines(const struct bd_admin_store *store, struct bd_drain_record *record,
+                           const struct bd_drain_machine *machines, uint32_t per_part)
+{
+    size_t ops_max = store->node->settings.kv_txn_ops_max;
+    size_t value_bytes_max = store->node->settings.kv_value_bytes_max;
+    uint32_t written = 0;
+    while (written < record->machines) {
+        struct bd_txn txn;
+        size_t ops = 0, bytes = 0;
+        if (!bd_txn_begin(&txn))
+            abort();
+        while (written < record->machines && ops < ops_max &&
+               (ops == 0 || bytes + value_bytes_max < TXN_BYTES_MAX)) {
+            uint32_t left = record->machines - written;
+            uint32_t count = left < per_part ? left : per_part;
+            bytes += put_part(&txn, record, machines + written, count, value_bytes_max);
+            written += count;
+            ops++;
+        }
+        if (bd_admin_commit(store, &txn) != BD_KV_OK)
+            return false;
+    }
+    return true;
+}
+
+/* ---- the drain's record ---- */
+
+/* The form of the request that is stored and compared with a repeated one: it has a hash in place
+ * of the list of machines, which may be longer than a value of the store. The caller releases it.
+ */
+static json_t *normalize_request(json_t *request)
+{
+    char hash[BD_HASH];
+    json_t *normalized = json_copy(request);
+    json_t *machines = json_object_get(request, "machines");
+    if (json_array_size(machines) > 0) {
+        snprintf(hash, sizeof hash, "%016llx", (unsigned long long)bd_wire_names_hash(machines));
+        json_object_set_new(normalized, "machines", json_string(hash));
+    }
+    return normalized;
+}
+
+/* A drain has the name already: that of the same request, or another one. */
+static struct bd_admin_response show_existing(const struct bd_drain_record *record,
+                                              const json_t *normalized)
+{
+    if (!json_equal(record->asked, normalized))
+        return bd_admin_refuse(BD_ADMIN_CONFLICT, "name", "another drain has this name");
+    return bd_admin_show_record(BD_ADMIN_OK, record);
+}
+
+/* The name was taken meanwhile, perhaps by a retry of the same request: what is stored now is the
+ * answer. */
+static struct bd_admin_response resolve_conflict(const struct bd_admin_store *store,
+                                                 const char *name, const json_t *normalized)
+{
+    struct bd_stored_drain drain;
+    long status = bd_admin_read_drain(store, name, &drain);
+    struct bd_admin_response response = status == BD_KV_OK
+                                            ? show_existing(&drain.record, normalized)
+                                            : bd_admin_store_unreachable();
+    json_decref(drain.answer);
+    return response;
+}
+
+static struct bd_admin_response write_drain(const struct bd_admin_store *store,
+                                            const struct bd_drain_request *request,
+                                            json_t *normalized, const json_t *ids)
+{
+    const struct bd_settings *settings = &store->node->settings;
+    struct bd_drain_record record = {.mode = request->mode,
+                                     .state = BD_DRAIN_ACTIVE,
+                                     .machines = (uint32_t)json_array_size(ids),
+                                     .asked = normalized};
+    size_t longest_id;
+    snprintf(record.name, sizeof record.name, "%s", request->name);
+    struct bd_drain_machine *machines = new_machines(ids, &longest_id);
+    record.at = machines[0].since;
+    uint32_t per_part = bd_drain_part_machines(settings, settings->kv_value_bytes_max, longest_id);
+    bool is_written = per_part > 0 && choose_set_id(record.set) &&
+                      write_machines(store, &record, machines, per_part);
+    free(machines);
+    if (per_part == 0)
+        return bd_admin_refuse(BD_ADMIN_MALFORMED, "machines",
+                               "a value of the state service holds none");
+    long status = is_written ? bd_admin_write_drain(store, &record) : BD_KV_NO_ANSWER;
+    if (status == BD_KV_CONFLICT)
+        return resolve_conflict(store, request->name, normalized);
+    if (status != BD_KV_OK)
+        return bd_admin_store_unreachable();
+    return bd_admin_show_record(BD_ADMIN_CREATED, &record);
+}
+
+/* ---- the request ---- */
+
+static struct bd_admin_response refuse_request(const struct bd_drain_refusal *refusal)
+{
+    return bd_admin_refuse((enum bd_admin_status)refusal->status, refusal->field, refusal->why);
+}
+
+/* Asks the cloud, not the leader, which machines are meant: any controller can do so. */
+static struct bd_admin_response create_drain(const struct bd_admin_store *store,
+                                             const struct bd_drain_request *request,
+                                             json_t *normalized)
+{
+    struct bd_cloud_machine *inventory = NULL;
+    struct bd_drain_refusal refusal;
+    size_t count = 0;
+    if (!bd_cloud_list(store->node, store->http, &inventory, &count)) {
+        free(inventory);
+        return bd_admin_refuse(BD_ADMIN_UNAVAILABLE, "", "cloud not reached");
+    }
+    json_t *ids = bd_drain_request_machines(request, store->node->settings.draining, inventory,
+                                            count, &refusal);
+    free(inventory);
+    if (!ids)
+        return refuse_request(&refusal);
+    struct bd_admin_response response = write_drain(store, request, normalized, ids);
+    json_decref(ids);
+    return response;
+}
+
+struct bd_admin_response bd_admin_create(const struct bd_admin_store *store, const char *body,
+                                         size_t len)
+{
+    struct bd_drain_request request;
+    struct bd_drain_refusal refusal;
+    struct bd_stored_drain existing;
+    struct bd_admin_response response;
+    json_t *parsed = json_loadb(body, len, JSON_REJECT_DUPLICATES, NULL);
+    if (!bd_drain_request_read(parsed, &request, &refusal)) {
+        json_decref(parsed);
+        return refuse_request(&refusal);
+    }
+    json_t *normalized = normalize_request(parsed);
+    long status = bd_admin_read_drain(store, request.name, &existing);
+    if (status == BD_KV_OK)
+        response = show_existing(&existing.record, normalized);
+    else if (status == BD_KV_NOT_FOUND)
+        response = create_drain(store, &request, normalized);
+    else
+        response = bd_admin_store_unreachable();
+    json_decref(existing.answer);
+    json_decref(normalized);
+    json_decref(parsed);
+    return response;
+}
--- a/src/adapters/admin_server.c
+++ b/src/adapters/admin_server.c
@@ -3,12 +3,14 @@
 #include "adapters/node.h"
 #include "base/address.h"
 #include "base/http.h"
-#include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "drain/drain.h"
 #include "wire/wire.h"
+#include <jansson.h>
 #include <microhttpd.h>
 #include <netinet/in.h>
+#include <stdatomic.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -16,62 +18,70 @@
 #define PATH_DRAINS "/admin/v1/drains"
 #define BODY_BYTES_MAX 65536u
 #define CONNECTIONS_MAX 8u
-#define REQUESTS_MAX 3 /* at once; more are answered 503 */
+#define REQUESTS_MAX 3 /* at once; further ones are answered 503 */
 #define CONNECTION_IDLE_S 30u
 #define STACK_BYTES 262144u
 
+/* Shared by the connections' threads; lives as long as the process. */
 struct admin_server {
     struct bd_node *node;
     struct MHD_Daemon *daemon;
-    atomic_int requests; /* being answered */
+    atomic_int requests; /* being served */
 };
 
+/* One request; its connection's thread owns it. */
 struct admin_request {
     char *body;
-    size_t len;
-    bool too_large;
+    size_t body_len;
+    bool body_too_large;
 };
 
-static enum MHD_Result send_answer(struct MHD_Connection *connection, struct bd_admin_answer answer)
+/* Releases the response's body. */
+static enum MHD_Result send_response(struct MHD_Connection *connection,
+                                     struct bd_admin_response response)
 {
-    char retry[16], *text = json_dumps(answer.body, JSON_INDENT(1));
-    json_decref(answer.body);
-    struct MHD_Response *response =
+    char seconds[16];
+    char *text = json_dumps(response.body, JSON_INDENT(1));
+    json_decref(response.body);
+    struct MHD_Response *message =
         MHD_create_response_from_buffer(text ? strlen(text) : 0, text, MHD_RESPMEM_MUST_FREE);
-    if (!response) {
+    if (!message) {
         free(text);
         return MHD_NO;
     }
-    (void)MHD_add_response_header(response, "Content-Type", "application/json");
-    if (answer.retry_after > 0) {
-        snprintf(retry, sizeof retry, "%d", answer.retry_after);
-        (void)MHD_add_response_header(response, "Retry-After", retry);
+    (void)MHD_add_response_header(message, "Content-Type", "application/json");
+    if (response.retry_after_s > 0) {
+        snprintf(seconds, sizeof seconds, "%d", response.retry_after_s);
+        (void)MHD_add_response_header(message, "Retry-After", seconds);
     }
-    enum MHD_Result result = MHD_queue_response(connection, (unsigned)answer.status, response);
-    MHD_destroy_response(response);
+    enum MHD_Result result = MHD_queue_response(connection, (unsigned)response.status, message);
+    MHD_destroy_response(message);
     return result;
 }
 
-/* The name, and the verb after it, of a path below the drains' own; false: neither. */
-static bool split_path(const char *url, char *name, size_t cap, const char **verb)
+/* ---- routing ---- */
+
+/* Splits PATH_DRAINS/NAME or PATH_DRAINS/NAME/VERB; *verb is "" in the former. False: neither. */
+static bool parse_drain_path(const char *url, char *name, size_t capacity, const char **verb)
 {
-    size_t prefix = strlen(PATH_DRAINS);
-    if (strncmp(url, PATH_DRAINS "/", prefix + 1) != 0)
+    size_t prefix_len = strlen(PATH_DRAINS "/");
+    if (strncmp(url, PATH_DRAINS "/", prefix_len) != 0)
         return false;
-    const char *from = url + prefix + 1;
-    size_t len = strcspn(from, "/");
-    if (len == 0 || len > BD_DRAIN_NAME_MAX || len >= cap)
+    const char *start = url + prefix_len;
+    size_t len = strcspn(start, "/");
+    if (len == 0 || len > BD_DRAIN_NAME_MAX || len >= capacity)
         return false;
-    memcpy(name, from, len);
+    memcpy(name, start, len);
     name[len] = '\0';
-    *verb = from[len] == '/' ? from + len + 1 : "";
+    *verb = start[len] == '/' ? start + len + 1 : "";
     return true;
 }
 
 static bool parse_verb(const char *text, enum bd_drain_verb *verb)
 {
-    static const char *const verbs[] = {"pause", "resume", "cancel"};
-    for (int i = 0; i < 3; i++) {
+    static const char *const verbs[] = {
+        [BD_VERB_PAUSE] = "pause", [BD_VERB_RESUME] = "resume", [BD_VERB_CANCEL] = "cancel"};
+    for (size_t i = 0; i < sizeof verbs / sizeof verbs[0]; i++) {
         if (strcmp(text, verbs[i]) != 0)
             continue;
         *verb = (enum bd_drain_verb)i;
@@ -80,64 +90,72 @@
     return false;
 }
 
-static struct bd_admin_answer route(const struct bd_admin_store *store,
-                                    const struct admin_request *request, const char *method,
-                                    const char *url)
+static struct bd_admin_response refuse_method(void)
+{
+    return bd_admin_refuse(BD_ADMIN_METHOD_NOT_ALLOWED, "", "wrong method");
+}
+
+static struct bd_admin_response route_request(const struct bd_admin_store *store,
+                                              const struct admin_request *request,
+                                              const char *method, const char *url)
 {
     char name[BD_LABEL];
-    const char *tail = "";
+    const char *verb_text = "";
     enum bd_drain_verb verb = BD_VERB_PAUSE;
-    bool get = strcmp(method, "GET") == 0, post = strcmp(method, "POST") == 0;
+    bool is_get = strcmp(method, "GET") == 0, is_post = strcmp(method, "POST") == 0;
     if (strcmp(url, PATH_DRAINS) == 0) {
-        if (get)
+        if (is_get)
             return bd_admin_list(store);
-        return post ? bd_admin_create(store, request->body ? request->body : "", request->len)
-                    : bd_admin_refuse(MHD_HTTP_METHOD_NOT_ALLOWED, "", "wrong method");
+        if (is_post)
+            return bd_admin_create(store, request->body ? request->body : "", request->body_len);
+        return refuse_method();
     }
-    if (!split_path(url, name, sizeof name, &tail) || (*tail && !parse_verb(tail, &verb)))
-        return bd_admin_refuse(MHD_HTTP_NOT_FOUND, "", "no such path");
-    if (!*tail)
-        return get ? bd_admin_show(store, name)
-                   : bd_admin_refuse(MHD_HTTP_METHOD_NOT_ALLOWED, "", "wrong method");
-    return post ? bd_admin_change(store, name, verb)
-                : bd_admin_refuse(MHD_HTTP_METHOD_NOT_ALLOWED, "", "wrong method");
+    if (!parse_drain_path(url, name, sizeof name, &verb_text) ||
+        (*verb_text && !parse_verb(verb_text, &verb)))
+        return bd_admin_refuse(BD_ADMIN_NOT_FOUND, "", "no such path");
+    if (!*verb_text)
+        return is_get ? bd_admin_show(store, name) : refuse_method();
+    return is_post ? bd_admin_change(store, name, verb) : refuse_method();
 }
 
-static struct bd_admin_answer answer_request(struct admin_server *server,
-                                             const struct admin_request *request,
-                                             const char *method, const char *url)
+/* Serves the request on an HTTP connection of its own, unless too many are being served. */
+static struct bd_admin_response serve_request(struct admin_server *server,
+                                              const struct admin_request *request,
+                                              const char *method, const char *url)
 {
-    struct bd_admin_answer answer = bd_admin_refuse(MHD_HTTP_SERVICE_UNAVAILABLE, "", "busy");
-    if (request->too_large) {
-        json_decref(answer.body);
-        return bd_admin_refuse(MHD_HTTP_CONTENT_TOO_LARGE, "body", "over 64 KiB");
-    }
+    struct bd_admin_response response;
     struct bd_admin_store store = {server->node, NULL};
+    if (request->body_too_large)
+        return bd_admin_refuse(BD_ADMIN_TOO_LARGE, "body", "over 64 KiB");
     if (atomic_fetch_add(&server->requests, 1) < REQUESTS_MAX)
         store.http = bd_http_new(1, NULL);
     if (store.http) {
-        json_decref(answer.body);
-        answer = route(&store, request, method, url);
+        response = route_request(&store, request, method, url);
         bd_http_free(store.http);
+    } else {
+        response = bd_admin_refuse(BD_ADMIN_UNAVAILABLE, "", "busy");
     }
     atomic_fetch_sub(&server->requests, 1);
-    return answer;
+    return response;
 }
 
+/* ---- libmicrohttpd's callbacks, on the connection's thread ---- */
+
 static void receive_body(struct admin_request *request, const char *data, size_t size)
 {
-    if (request->too_large || request->len + size > BODY_BYTES_MAX) {
-        request->too_large = true;
+    if (request->body_too_large || request->body_len + size > BODY_BYTES_MAX) {
+        request->body_too_large = true;
         return;
     }
-    char *grown = realloc(request->body, request->len + size + 1);
+    char *grown = realloc(request->body, request->body_len + size + 1);
     if (!grown)
         abort();
-    memcpy(grown + request->len, data, size);
+    memcpy(grown + request->body_len, data, size);
     request->body = grown;
-    request->len += size;
+    request->body_len += size;
 }
 
+/* Called when the headers are there, for each part of the body, and after it. */
 static enum MHD_Result handle(void *arg, struct MHD_Connection *connection, const char *url,
                               const char *method, const char *version, const char *data,
                               size_t *size, void **context)
@@ -152,7 +170,7 @@
         *size = 0;
         return MHD_YES;
     }
-    return send_answer(connection, answer_request(arg, *context, method, url));
+    return send_response(connection, serve_request(arg, *context, method, url));
 }
 
 static void request_completed(void *arg, struct MHD_Connection *connection, void **context,
@@ -168,6 +186,19 @@
     *context = NULL;
 }
 
+/* ---- start ---- */
+
+/* The daemon's thread accepts connections and makes a thread for each, which ends with it. */
+static struct MHD_Daemon *start_daemon(struct admin_server *server, struct sockaddr_in *address)
+{
+    return MHD_start_daemon(
+        MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD, 0, NULL, NULL, handle,
+        server, MHD_OPTION_SOCK_ADDR, (struct sockaddr *)address, MHD_OPTION_CONNECTION_LIMIT,
+        CONNECTIONS_MAX, MHD_OPTION_CONNECTION_TIMEOUT, CONNECTION_IDLE_S,
+        MHD_OPTION_NOTIFY_COMPLETED, request_completed, server, MHD_OPTION_LISTENING_ADDRESS_REUSE,
+        1u, MHD_OPTION_THREAD_STACK_SIZE, (size_t)STACK_BYTES, MHD_OPTION_END);
+}
+
 int bd_admin_start(struct bd_node *node)
 {
     struct sockaddr_in address;
@@ -180,12 +211,7 @@
         return -1;
     }
     server->node = node;
-    server->daemon = MHD_start_daemon(
-        MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD, 0, NULL, NULL, handle,
-        server, MHD_OPTION_SOCK_ADDR, (struct sockaddr *)&address, MHD_OPTION_CONNECTION_LIMIT,
-        CONNECTIONS_MAX, MHD_OPTION_CONNECTION_TIMEOUT, CONNECTION_IDLE_S,
-        MHD_OPTION_NOTIFY_COMPLETED, request_completed, server, MHD_OPTION_LISTENING_ADDRESS_REUSE,
-        1u, MHD_OPTION_THREAD_STACK_SIZE, (size_t)STACK_BYTES, MHD_OPTION_END);
+    server->daemon = start_daemon(server, &address);
     if (!server->daemon) {
         free(server);
         return -1;
