--- a/src/adapters/admin_server.c
+++ b/src/adapters/admin_server.c
@@ -1,5 +1,6 @@
 #include "adapters/admin_server.h"
 #include "adapters/admin_store.h"
+#include "adapters/json_response.h"
 #include "adapters/node.h"
 #include "base/address.h"
 #include "base/http.h"
@@ -11,7 +12,6 @@
 #include <netinet/in.h>
 #include <stdatomic.h>
 #include <stdbool.h>
-#include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -40,23 +40,11 @@
 static enum MHD_Result send_response(struct MHD_Connection *connection,
                                      struct bd_admin_response response)
 {
-    char seconds[16];
-    char *text = json_dumps(response.body, JSON_INDENT(1));
+    struct bd_json_response message = {.status = (int)response.status,
+                                       .body = json_dumps(response.body, JSON_INDENT(1)),
+                                       .retry_after_s = response.retry_after_s};
     json_decref(response.body);
-    struct MHD_Response *message =
-        MHD_create_response_from_buffer(text ? strlen(text) : 0, text, MHD_RESPMEM_MUST_FREE);
-    if (!message) {
-        free(text);
-        return MHD_NO;
-    }
-    (void)MHD_add_response_header(message, "Content-Type", "application/json");
-    if (response.retry_after_s > 0) {
-        snprintf(seconds, sizeof seconds, "%d", response.retry_after_s);
-        (void)MHD_add_response_header(message, "Retry-After", seconds);
-    }
-    enum MHD_Result result = MHD_queue_response(connection, (unsigned)response.status, message);
-    MHD_destroy_response(message);
-    return result;
+    return bd_json_response_send(connection, &message);
 }
 
 /* ---- routing ---- */
--- a/src/adapters/api_server.c
+++ b/src/adapters/api_server.c
@@ -1,31 +1,38 @@
 #include "adapters/api_server.h"
+#include "adapters/api_route.h"
 #include "adapters/event.h"
+#include "adapters/json_response.h"
 #include "adapters/node.h"
 #include "adapters/worker_client.h"
 #include "base/address.h"
 #include "base/metrics.h"
 #include "base/timeutil.h"
+#include "brambledoor/settings.h"
 #include "wire/wire.h"
-#include <arpa/inet.h>
 #include <microhttpd.h>
+#include <netinet/in.h>
+#include <stdatomic.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
+#include <time.h>
 
 #define BODY_BYTES_MAX 65536u
 #define BODY_GROWTH_BYTES 1024u
 #define CONNECTION_POOL_BYTES 6144u
 #define CONNECTION_IDLE_S 120u
 #define CONNECTIONS_MIN 8
-#define BODY_MEMORY_SHARE 0.15 /* of the memory: bodies that are being received or decided */
+#define BODY_MEMORY_SHARE 0.15 /* of the memory, for bodies */
 #define BYTES_PER_MB 1048576.0
-#define PENDING_MIN 512 /* requests that wait for the owner, or half as many as sockets; */
-#define PENDING_SHARE_OF_USERS 0.6 /* ... beyond this share workers' heartbeats only */
-#define LISTEN_BACKLOG 1024u /* all workers come at once when all controllers are back together */
+#define PENDING_LIMIT_MIN 512      /* the limit is half the sockets, but at least this */
+#define PENDING_SHARE_OF_USERS 0.6 /* the rest is for workers' heartbeats only */
+#define LISTEN_BACKLOG 1024u /* all workers connect at once after an outage of all controllers */
 #define STACK_BYTES 131072
 #define BUSY_RETRY_S 1
 
-/* One request. The polling thread owns it; while it is suspended, the owner thread does. */
+/* One request. The polling thread owns it, except between post_to_owner and bd_api_reply: then its
+ * connection is suspended, and the owner thread alone may use it. */
 struct request {
     bool is_from_peer; /* always false: see struct bd_remote, which begins alike */
     struct MHD_Connection *connection;
@@ -35,49 +42,36 @@
     bool is_posted, is_decided;
     enum bd_event_kind kind; /* once it is posted */
     struct timespec posted_at;
-    int reply_status, retry_after;
+    int reply_status, retry_after_s;
     char *reply_body;
     size_t reply_len;
 };
 
+/* Lives as long as the process. */
 struct bd_api_server {
-    struct MHD_Daemon *daemon;
-    atomic_int pending;                /* requests that wait for the owner */
-    size_t body_bytes, body_bytes_max; /* of all requests; polling thread only */
+    struct MHD_Daemon *daemon;         /* its polling thread */
+    atomic_int pending;                /* requests that wait for the owner thread */
+    size_t body_bytes, body_bytes_max; /* of all requests' bodies; polling thread only */
 };
 
 /* ---- replies ---- */
 
 /* Takes the body over. */
 static enum MHD_Result send_reply(struct MHD_Connection *connection, int status, char *body,
-                                  int retry_after)
+                                  int retry_after_s)
 {
-    char seconds[16];
-    struct MHD_Response *response =
-        MHD_create_response_from_buffer(body ? strlen(body) : 0, body, MHD_RESPMEM_MUST_FREE);
-    if (!response) {
-        free(body);
-        return MHD_NO;
-    }
-    (void)MHD_add_response_header(response, "Content-Type", "application/json");
-    if (retry_after > 0) {
-        snprintf(seconds, sizeof seconds, "%d", retry_after);
-        (void)MHD_add_response_header(response, "Retry-After", seconds);
-    }
-    /* the next try goes through the load balancer again, perhaps to a node that can */
-    if (status == MHD_HTTP_SERVICE_UNAVAILABLE)
-        (void)MHD_add_response_header(response, "Connection", "close");
-    enum MHD_Result result = MHD_queue_response(connection, (unsigned)status, response);
-    MHD_destroy_response(response);
-    return result;
+    struct bd_json_response response = {status, body, retry_after_s, false};
+    /* the retry goes through the load balancer again, perhaps to another controller */
+    response.closes_connection = status == MHD_HTTP_SERVICE_UNAVAILABLE;
+    return bd_json_response_send(connection, &response);
 }
 
 static enum MHD_Result send_error(struct MHD_Connection *connection, int status, const char *why,
-                                  int retry_after)
+                                  int retry_after_s)
 {
     char body[128];
     snprintf(body, sizeof body, "{\"error\":\"%s\"}", why);
-    return send_reply(connection, status, strdup(body), retry_after);
+    return send_reply(connection, status, strdup(body), retry_after_s);
 }
 
 static enum bd_timing timing_of(enum bd_event_kind kind)
@@ -89,14 +83,14 @@
     return kind == BD_EVENT_USER_STATUS ? BD_TIMING_STATUS_READ : BD_TIMING_CANCELLATION;
 }
 
-void bd_api_reply(struct bd_node *node, void *request, int status, char *body, int retry_after)
+void bd_api_reply(struct bd_node *node, void *request, int status, char *body, int retry_after_s)
 {
     struct request *decided = request;
     bd_metrics_time(node->metrics, timing_of(decided->kind),
                     bd_between(decided->posted_at, bd_now()));
     decided->reply_status = status;
     decided->reply_body = body;
-    decided->retry_after = retry_after;
+    decided->retry_after_s = retry_after_s;
     decided->is_decided = true;
     atomic_fetch_sub(&node->api_server->pending, 1);
     MHD_resume_connection(decided->connection);
@@ -107,7 +101,7 @@
     char *body = request->reply_body;
     request->reply_body = NULL;
     request->reply_len = body ? strlen(body) : 0;
-    return send_reply(request->connection, request->reply_status, body, request->retry_after);
+    return send_reply(request->connection, request->reply_status, body, request->retry_after_s);
 }
 
 /* ---- bodies ---- */
@@ -125,7 +119,8 @@
     return true;
 }
 
-/* Keeps a part of the body, unless it is too large or all bodies together are. False: no memory. */
+/* Appends a part of the body, unless this body or all bodies together would become too large.
+ * False: no memory. */
 static bool receive_body(struct bd_api_server *server, struct request *request, const char *data,
                          size_t size)
 {
@@ -145,65 +140,21 @@
     return true;
 }
 
-/* ---- routing ---- */
-
-/* Where a request goes: an event of a kind, for the job that is named, or an error. */
-struct route {
-    int error; /* HTTP's status; 0: none */
-    enum bd_event_kind kind;
-    char job_id[BD_LABEL];
-};
+/* ---- handling ---- */
 
-/* The id between the jobs' path and the tail; false: the path is not of that form. */
-static bool parse_job_path(const char *url, const char *tail, char *job_id, size_t capacity)
-{
-    const char *prefix = BD_PATH_JOBS "/";
-    size_t prefix_len = strlen(prefix), tail_len = strlen(tail), len = strlen(url);
-    if (strncmp(url, prefix, prefix_len) != 0 || len <= prefix_len + tail_len)
-        return false;
-    size_t id_len = len - prefix_len - tail_len;
-    if (strcmp(url + len - tail_len, tail) != 0 || id_len >= capacity)
-        return false;
-    memcpy(job_id, url + prefix_len, id_len);
-    job_id[id_len] = '\0';
-    return strchr(job_id, '/') == NULL;
-}
-
-static struct route find_route(const char *method, const char *url)
-{
-    struct route route = {.error = 0};
-    const char *allowed = "POST";
-    if (strcmp(url, BD_PATH_HEARTBEAT) == 0) {
-        route.kind = BD_EVENT_HEARTBEAT;
-    } else if (strcmp(url, BD_PATH_JOBS) == 0) {
-        route.kind = BD_EVENT_USER_SUBMIT;
-    } else if (parse_job_path(url, BD_PATH_CANCEL, route.job_id, sizeof route.job_id)) {
-        route.kind = BD_EVENT_USER_CANCEL;
-    } else if (parse_job_path(url, "", route.job_id, sizeof route.job_id)) {
-        route.kind = BD_EVENT_USER_STATUS;
-        allowed = "GET";
-    } else {
-        route.error = MHD_HTTP_NOT_FOUND;
-        return route;
-    }
-    if (strcmp(method, allowed) != 0)
-        route.error = MHD_HTTP_METHOD_NOT_ALLOWED;
-    return route;
-}
-
-/* Users are refused before workers: a user asks again, a lease expires. */
-static bool has_capacity(const struct bd_node *node, enum bd_event_kind kind)
+/* Users are refused before workers: a user tries again, whereas a lease expires. */
+static bool may_admit(const struct bd_node *node, enum bd_event_kind kind)
 {
     int pending_max = node->settings.max_sockets / 2;
-    if (pending_max < PENDING_MIN)
-        pending_max = PENDING_MIN;
+    if (pending_max < PENDING_LIMIT_MIN)
+        pending_max = PENDING_LIMIT_MIN;
     if (kind != BD_EVENT_HEARTBEAT)
         pending_max = (int)(PENDING_SHARE_OF_USERS * pending_max);
     return atomic_load(&node->api_server->pending) < pending_max;
 }
 
 static enum MHD_Result post_to_owner(struct bd_node *node, struct request *request,
-                                     const struct route *route)
+                                     const struct bd_api_route *route)
 {
     struct bd_event *event = bd_event_new(route->kind);
     event->user.request = request;
@@ -238,14 +189,14 @@
     struct MHD_Connection *connection = request->connection;
     if (strcmp(url, BD_PATH_HEALTH) == 0)
         return reply_health(node, request, method);
-    struct route route = find_route(method, url);
+    struct bd_api_route route = bd_api_find_route(method, url);
     if (route.error == MHD_HTTP_NOT_FOUND)
         return send_error(connection, route.error, "no such path", 0);
     if (route.error)
         return send_error(connection, route.error, "wrong method", 0);
     if (request->body_too_large)
         return send_error(connection, MHD_HTTP_CONTENT_TOO_LARGE, "body over 64 KiB", 0);
-    if (request->out_of_memory || !has_capacity(node, route.kind))
+    if (request->out_of_memory || !may_admit(node, route.kind))
         return send_error(connection, MHD_HTTP_SERVICE_UNAVAILABLE, "busy", BUSY_RETRY_S);
     return post_to_owner(node, request, &route);
 }
@@ -299,7 +250,7 @@
     }
 }
 
-/* Connections of users and workers look alike before they ask: all are counted as heartbeats'. */
+/* A new connection does not show whether a user or a worker opened it: all count as heartbeats'. */
 static void connection_changed(void *arg, struct MHD_Connection *connection, void **context,
                                enum MHD_ConnectionNotificationCode code)
 {
@@ -332,9 +283,22 @@
 
 static unsigned connections_max(const struct bd_settings *settings)
 {
-    int own = BD_SOCKETS_OWN + bd_worker_client_sockets(settings);
-    int left = settings->max_sockets - own;
-    return (unsigned)(left > CONNECTIONS_MIN ? left : CONNECTIONS_MIN);
+    int outgoing = BD_SOCKETS_RESERVED + bd_worker_client_sockets(settings);
+    int incoming = settings->max_sockets - outgoing;
+    return (unsigned)(incoming > CONNECTIONS_MIN ? incoming : CONNECTIONS_MIN);
+}
+
+static struct MHD_Daemon *start_daemon(struct bd_node *node, struct sockaddr_in *address)
+{
+    return MHD_start_daemon(
+        MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, handle, node,
+        MHD_OPTION_SOCK_ADDR, (struct sockaddr *)address, MHD_OPTION_CONNECTION_LIMIT,
+        connections_max(&node->settings), MHD_OPTION_CONNECTION_TIMEOUT, CONNECTION_IDLE_S,
+        MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_POOL_BYTES,
+        MHD_OPTION_NOTIFY_COMPLETED, request_completed, node, MHD_OPTION_NOTIFY_CONNECTION,
+        connection_changed, node, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u,
+        MHD_OPTION_LISTEN_BACKLOG_SIZE, LISTEN_BACKLOG, MHD_OPTION_THREAD_STACK_SIZE,
+        (size_t)STACK_BYTES, MHD_OPTION_END);
 }
 
 int bd_api_start(struct bd_node *node)
@@ -347,14 +311,6 @@
         return -1;
     node->api_server = server;
     server->body_bytes_max = (size_t)(node->settings.ram_mb * BODY_MEMORY_SHARE * BYTES_PER_MB);
-    server->daemon = MHD_start_daemon(
-        MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, handle, node,
-        MHD_OPTION_SOCK_ADDR, (struct sockaddr *)&address, MHD_OPTION_CONNECTION_LIMIT,
-        connections_max(&node->settings), MHD_OPTION_CONNECTION_TIMEOUT, CONNECTION_IDLE_S,
-        MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_POOL_BYTES,
-        MHD_OPTION_NOTIFY_COMPLETED, request_completed, node, MHD_OPTION_NOTIFY_CONNECTION,
-        connection_changed, node, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u,
-        MHD_OPTION_LISTEN_BACKLOG_SIZE, LISTEN_BACKLOG, MHD_OPTION_THREAD_STACK_SIZE,
-        (size_t)STACK_BYTES, MHD_OPTION_END);
+    server->daemon = start_daemon(node, &address);
     return server->daemon ? 0 : -1;
 }
--- a/src/adapters/cloud_client.c
+++ b/src/adapters/cloud_client.c
@@ -8,65 +8,83 @@
 #include "base/timeutil.h"
 #include "model/effect.h"
 #include "wire/wire.h"
+#include <jansson.h>
 #include <math.h>
+#include <stdatomic.h>
 #include <stdio.h>
 #include <stdlib.h>
-#include <string.h>
+#include <time.h>
 
-#define ANSWER_TIMEOUT_S 4.0
-#define TYPES_INTERVAL_S 30.0       /* as leader; */
-#define TYPES_IDLE_INTERVAL_S 300.0 /* ... as follower */
+#define PATH_TYPES "/machine_types"
+#define CALL_TIMEOUT_S 4.0
+#define TYPES_INTERVAL_LEADER_S 30.0
+#define TYPES_INTERVAL_FOLLOWER_S 300.0
 #define SCALE_OUT_TRIES_MAX 12
 #define PAGE_MACHINES 500
-#define LIST_TRIES_MAX 4 /* of a page, for a list that an administrator waits for */
+#define LIST_FAILURES_MAX 4 /* of bd_cloud_list, for which an administrator waits */
 #define LIST_RETRY_S 0.7
-#define CALLS_SHARE 0.8   /* of the cloud's calls a second */
-#define CALLS_SAVED_S 2.0 /* of calls that were not used may be made later */
-#define BACK_OFF_S 0.25   /* a failure in a row, */
-#define FAILURES_MAX 5    /* ... up to so many */
+#define CALL_RATE_SHARE 0.8    /* of the cloud's rate limit */
+#define CALL_BURST_S 2.0       /* calls that were not made in this time may be made at once */
+#define BACK_OFF_STEP_S 0.25   /* for each failure in a row, */
+#define BACK_OFF_STEPS_MAX 5   /* ... up to this many */
+#define LISTS_PER_LAG 3        /* reads of the inventory while it may lag by its list_lag */
+#define CALLS_PER_LIST_MIN 2.0 /* the inventory is not read at more than half the rate limit */
 #define QUEUE_WAIT_S 0.2
 #define SCALE_OUT_MACHINES_MAX 64
 #define SCALE_IN_MACHINES_MAX 128
 #define STACK_BYTES 131072
 
+/* The cloud's HTTP statuses that are told apart. */
+enum cloud_status {
+    CLOUD_NO_ANSWER = 0, /* or a malformed one */
+    CLOUD_OK = 200,
+    CLOUD_REJECTED = 400,
+    CLOUD_UNAVAILABLE = 503
+};
+
+/* Belongs to the cloud thread. */
 struct cloud_client {
     struct bd_node *node;
     struct bd_http *http;
-    struct timespec calls_at, next_types, next_list;
-    double calls; /* that may be made now */
-    struct bd_type_text types[BD_MAX_TYPES];
-    double list_interval_s;
+    double calls_available; /* token bucket of the rate limit, as of calls_updated_at */
+    struct timespec calls_updated_at;
+    struct timespec next_types, next_inventory;
+    double inventory_interval_s;
     int failures; /* in a row */
 };
 
-/* Waits until the rate allows a call. */
+/* ---- calls ---- */
+
+/* Waits until the rate allows a call, and takes it. */
 static void wait_for_rate(struct cloud_client *client)
 {
-    double rate = client->node->settings.cloud_requests_per_s * CALLS_SHARE;
+    double rate = client->node->settings.cloud_requests_per_s * CALL_RATE_SHARE;
     struct timespec now = bd_now();
-    client->calls =
-        fmin(CALLS_SAVED_S * rate, client->calls + rate * bd_between(client->calls_at, now));
-    client->calls_at = now;
-    if (client->calls < 1)
-        bd_pause((1 - client->calls) / rate);
-    client->calls -= 1;
+    double refilled = client->calls_available + rate * bd_between(client->calls_updated_at, now);
+    client->calls_available = fmin(CALL_BURST_S * rate, refilled);
+    client->calls_updated_at = now;
+    if (client->calls_available < 1)
+        bd_pause((1 - client->calls_available) / rate);
+    client->calls_available -= 1;
 }
 
-static long call_cloud(struct bd_node *node, struct bd_http *http, const char *method,
+/* One blocking call. Returns an enum cloud_status or another HTTP status. *out is the answer's
+ * JSON, or NULL; the caller releases it. */
+static long call_cloud(const struct bd_node *node, struct bd_http *http, const char *method,
                        const char *path, const char *body, json_t **out)
 {
     char url[256];
     struct bd_http_response response;
     snprintf(url, sizeof url, "http://%s%s", node->settings.cloud, path);
-    bd_http_call(http, method, url, body, ANSWER_TIMEOUT_S, &response);
+    bd_http_call(http, method, url, body, CALL_TIMEOUT_S, &response);
     long status = response.status;
     *out = response.body ? json_loadb(response.body, response.len, 0, NULL) : NULL;
     bd_http_response_free(&response);
     return status;
 }
 
-static long call_at_rate(struct cloud_client *client, const char *method, const char *path,
-                         const char *body, json_t **out)
+static long call_within_rate(struct cloud_client *client, const char *method, const char *path,
+                             const char *body, json_t **out)
 {
     wait_for_rate(client);
     return call_cloud(client->node, client->http, method, path, body, out);
@@ -74,148 +92,178 @@
 
 static void back_off(struct cloud_client *client)
 {
-    if (client->failures < FAILURES_MAX)
+    if (client->failures < BACK_OFF_STEPS_MAX)
         client->failures++;
-    bd_pause(BACK_OFF_S * (double)client->failures);
+    bd_pause(BACK_OFF_STEP_S * (double)client->failures);
 }
 
+/* ---- machine types ---- */
+
 static void read_types(struct cloud_client *client)
 {
-    json_t *o = NULL;
-    long status = call_at_rate(client, "GET", "/machine_types", NULL, &o);
-    int n = status == 200 ? bd_wire_types(o, client->types, BD_MAX_TYPES) : -1;
-    json_decref(o);
-    if (n <= 0) {
+    struct bd_event *event = bd_event_new(BD_EVENT_MACHINE_TYPES);
+    struct bd_type_text *types = calloc(BD_MAX_TYPES, sizeof *types);
+    if (!types)
+        abort();
+    event->types.types = types;
+    json_t *answer = NULL;
+    long status = call_within_rate(client, "GET", PATH_TYPES, NULL, &answer);
+    int count = status == CLOUD_OK ? bd_wire_types(answer, types, BD_MAX_TYPES) : -1;
+    json_decref(answer);
+    if (count <= 0) {
+        bd_event_free(event);
         back_off(client);
         return;
     }
     client->failures = 0;
-    struct bd_event *event = bd_event_new(BD_EVENT_MACHINE_TYPES);
-    event->types.n = (size_t)n;
-    event->types.types = malloc(event->types.n * sizeof *client->types);
-    if (!event->types.types)
-        abort();
-    memcpy(event->types.types, client->types, event->types.n * sizeof *client->types);
+    event->types.n = (size_t)count;
     bd_event_post(client->node, event);
-    double pause = atomic_load(&client->node->leading) ? TYPES_INTERVAL_S : TYPES_IDLE_INTERVAL_S;
-    client->next_types = bd_add(bd_now(), bd_secs(pause));
+    double interval_s =
+        atomic_load(&client->node->leading) ? TYPES_INTERVAL_LEADER_S : TYPES_INTERVAL_FOLLOWER_S;
+    client->next_types = bd_add(bd_now(), bd_secs(interval_s));
 }
 
-long bd_cloud_list_page(struct bd_node *node, struct bd_http *http, struct bd_cloud_machine **out,
-                        size_t *n, bool *more)
+/* ---- the inventory ---- */
+
+/* Appends the page that begins after the last machine of *machines, which grows. *has_more: whether
+ * another page follows. Returns as call_cloud. */
+static long list_page(const struct bd_node *node, struct bd_http *http,
+                      struct bd_cloud_machine **machines, size_t *count, bool *has_more)
 {
     char path[160];
-    json_t *o = NULL;
-    const char *after = *n > 0 ? (*out)[*n - 1].id : "";
+    json_t *answer = NULL;
+    const char *after = *count > 0 ? (*machines)[*count - 1].id : "";
     snprintf(path, sizeof path, BD_PATH_MACHINES "?%s%s%slimit=%d", *after ? "after=" : "", after,
              *after ? "&" : "", PAGE_MACHINES);
-    long status = call_cloud(node, http, "GET", path, NULL, &o);
-    struct bd_cloud_machine *grown = realloc(*out, (*n + PAGE_MACHINES) * sizeof *grown);
+    long status = call_cloud(node, http, "GET", path, NULL, &answer);
+    struct bd_cloud_machine *grown = realloc(*machines, (*count + PAGE_MACHINES) * sizeof *grown);
     if (!grown)
         abort();
-    *out = grown;
-    int got = status == 200 ? bd_wire_machines(o, grown + *n, PAGE_MACHINES, more) : -1;
-    json_decref(o);
-    if (got < 0)
-        return status == 200 ? 0 : status;
-    *n += (size_t)got;
-    *more = *more && got > 0;
+    *machines = grown;
+    int added = -1;
+    if (status == CLOUD_OK)
+        added = bd_wire_machines(answer, grown + *count, PAGE_MACHINES, has_more);
+    json_decref(answer);
+    if (added < 0)
+        return status == CLOUD_OK ? CLOUD_NO_ANSWER : status;
+    *count += (size_t)added;
+    *has_more = *has_more && added > 0;
     return status;
 }
 
-bool bd_cloud_list(struct bd_node *node, struct bd_http *http, struct bd_cloud_machine **out,
-                   size_t *n)
+bool bd_cloud_list(const struct bd_node *node, struct bd_http *http,
+                   struct bd_cloud_machine **machines, size_t *count)
 {
-    bool more = true;
-    for (int failures = 0; more && failures < LIST_TRIES_MAX;) {
-        if (bd_cloud_list_page(node, http, out, n, &more) == 200)
+    bool has_more = true;
+    int failures = 0;
+    while (has_more && failures < LIST_FAILURES_MAX) {
+        if (list_page(node, http, machines, count, &has_more) == CLOUD_OK)
             continue;
         failures++;
         bd_pause(LIST_RETRY_S);
     }
-    return !more;
+    return !has_more;
 }
 
 static void read_inventory(struct cloud_client *client)
 {
     struct bd_event *event = bd_event_new(BD_EVENT_INVENTORY);
-    struct bd_cloud_machine *all = NULL;
-    bool more = true;
-    event->inventory.sent = bd_now();
-    while (more) {
+    struct bd_event_inventory *inventory = &event->inventory;
+    bool has_more = true;
+    inventory->sent = bd_now();
+    while (has_more) {
         wait_for_rate(client);
-        if (bd_cloud_list_page(client->node, client->http, &all, &event->inventory.n, &more) == 200)
+        if (list_page(client->node, client->http, &inventory->machines, &inventory->n, &has_more) ==
+            CLOUD_OK)
             continue;
-        free(all);
         bd_event_free(event);
         back_off(client);
         return;
     }
     client->failures = 0;
-    event->inventory.machines = all;
     bd_event_post(client->node, event);
-    client->next_list = bd_add(bd_now(), bd_secs(client->list_interval_s));
+    client->next_inventory = bd_add(bd_now(), bd_secs(client->inventory_interval_s));
 }
 
-/* A request without a clear answer is repeated by its name: the name scales out once only. */
-static void scale_out(struct cloud_client *client, struct bd_effect *effect)
+/* ---- scaling ---- */
+
+/* Reads the machines that the JSON names, at most max of them, into the event. */
+static void read_machine_names(struct bd_event_scaling *scaling, json_t *json, int max)
+{
+    scaling->machines = calloc((size_t)max, sizeof *scaling->machines);
+    int count = scaling->machines ? bd_wire_machine_names(json, scaling->machines, max) : -1;
+    scaling->n = count > 0 ? (size_t)count : 0;
+}
+
+/* Whether the cloud has decided on a scale-out request. If not, it may have executed the request
+ * all the same. */
+static bool is_decided(long status, json_t *answer)
+{
+    bool is_outage = status == CLOUD_UNAVAILABLE && bd_wire_cloud_outage(answer);
+    return status == CLOUD_OK || status == CLOUD_REJECTED ||
+           (status == CLOUD_UNAVAILABLE && !is_outage);
+}
+
+/* A request that was not decided is repeated: the cloud scales out only once for each request name.
+ */
+static void scale_out(struct cloud_client *client, const struct bd_effect *effect)
 {
     struct bd_event *event = bd_event_new(BD_EVENT_SCALE_OUT_COMPLETED);
-    snprintf(event->scaling.request, sizeof event->scaling.request, "%s", effect->key);
+    struct bd_event_scaling *scaling = &event->scaling;
+    snprintf(scaling->request, sizeof scaling->request, "%s", effect->key);
     for (int i = 0; i < SCALE_OUT_TRIES_MAX; i++) {
-        json_t *o = NULL;
-        event->scaling.status = call_at_rate(client, "POST", BD_PATH_MACHINES, effect->body, &o);
-        bool outage = event->scaling.status == 503 && bd_wire_cloud_outage(o);
-        if (event->scaling.status == 200) {
-            char(*names)[BD_LABEL] = calloc(SCALE_OUT_MACHINES_MAX, sizeof *names);
-            int n = names ? bd_wire_machine_names(o, names, SCALE_OUT_MACHINES_MAX) : -1;
-            event->scaling.machines = names;
-            event->scaling.n = n > 0 ? (size_t)n : 0;
-        }
-        json_decref(o);
-        if (event->scaling.status == 200 || event->scaling.status == 400 ||
-            (event->scaling.status == 503 && !outage))
-            break;
-        if (!atomic_load(&client->node->leading))
+        json_t *answer = NULL;
+        scaling->status = call_within_rate(client, "POST", BD_PATH_MACHINES, effect->body, &answer);
+        if (scaling->status == CLOUD_OK)
+            read_machine_names(scaling, answer, SCALE_OUT_MACHINES_MAX);
+        bool decided = is_decided(scaling->status, answer);
+        json_decref(answer);
+        if (decided || !atomic_load(&client->node->leading))
             break;
         back_off(client);
     }
     bd_event_post(client->node, event);
 }
 
-static void scale_in(struct cloud_client *client, struct bd_effect *effect)
+static void scale_in(struct cloud_client *client, const struct bd_effect *effect)
 {
     struct bd_event *event = bd_event_new(BD_EVENT_SCALE_IN_COMPLETED);
-    json_t *o = NULL;
-    event->scaling.status = call_at_rate(client, "POST", BD_PATH_RETURN, effect->body, &o);
-    json_decref(o);
-    json_t *sent = json_loads(effect->body, 0, NULL);
-    char(*names)[BD_LABEL] = calloc(SCALE_IN_MACHINES_MAX, sizeof *names);
-    int n = names ? bd_wire_machine_names(sent, names, SCALE_IN_MACHINES_MAX) : -1;
-    event->scaling.machines = names;
-    event->scaling.n = n > 0 ? (size_t)n : 0;
-    json_decref(sent);
+    json_t *answer = NULL;
+    event->scaling.status = call_within_rate(client, "POST", BD_PATH_RETURN, effect->body, &answer);
+    json_decref(answer);
+    json_t *request = json_loads(effect->body, 0, NULL);
+    read_machine_names(&event->scaling, request, SCALE_IN_MACHINES_MAX);
+    json_decref(request);
     bd_event_post(client->node, event);
 }
 
+/* ---- the thread ---- */
+
+/* Performs the next effect, if one comes within QUEUE_WAIT_S. */
+static void serve_queue(struct cloud_client *client)
+{
+    void *item;
+    struct timespec until = bd_add(bd_now(), bd_secs(QUEUE_WAIT_S));
+    if (bd_queue_take(&client->node->to_cloud, &item, 1, until) == 0)
+        return;
+    struct bd_effect *effect = item;
+    if (effect->kind == BD_EFFECT_SCALE_OUT)
+        scale_out(client, effect);
+    else
+        scale_in(client, effect);
+    bd_effect_free(effect);
+}
+
 static void *cloud_run(void *arg)
 {
     struct cloud_client *client = arg;
+    struct bd_node *node = client->node;
     for (;;) {
-        void *item;
-        if (bd_queue_take(&client->node->to_cloud, &item, 1,
-                          bd_add(bd_now(), bd_secs(QUEUE_WAIT_S))) == 1) {
-            struct bd_effect *effect = item;
-            if (effect->kind == BD_EFFECT_SCALE_OUT)
-                scale_out(client, effect);
-            else
-                scale_in(client, effect);
-            bd_effect_free(effect);
-        }
+        serve_queue(client);
         struct timespec now = bd_now();
-        if (!atomic_load(&client->node->types_known) || bd_before(client->next_types, now))
+        if (!atomic_load(&node->types_known) || bd_before(client->next_types, now))
             read_types(client);
-        if (atomic_load(&client->node->leading) && bd_before(client->next_list, now))
+        if (atomic_load(&node->leading) && bd_before(client->next_inventory, now))
             read_inventory(client);
     }
     return NULL;
@@ -228,12 +276,11 @@
         return -1;
     client->node = node;
     client->http = bd_http_new(1, bd_metrics_counter(node->metrics, BD_TRAFFIC_CLOUD));
-    double lag = bd_to_secs(node->settings.list_lag);
-    double min_s = 2.0 / node->settings.cloud_requests_per_s;
-    client->list_interval_s = lag / 3 > min_s ? lag / 3 : min_s;
     if (!client->http) {
         free(client);
         return -1;
     }
+    client->inventory_interval_s = fmax(bd_to_secs(node->settings.list_lag) / LISTS_PER_LAG,
+                                        CALLS_PER_LIST_MIN / node->settings.cloud_requests_per_s);
     return bd_thread_start(cloud_run, client, STACK_BYTES);
 }
--- a/src/adapters/node.h
+++ b/src/adapters/node.h
@@ -57,7 +57,7 @@
     uint32_t nprogress, cap_progress;
 };
 
-/* Sockets for our own connections beside those to workers: to peers, key-value store and cloud. */
-#define BD_SOCKETS_OWN 64
+/* Sockets set aside for connections to peers, the key-value store and the cloud. */
+#define BD_SOCKETS_RESERVED 64
 
 #endif
--- a/src/adapters/worker_client.c
+++ b/src/adapters/worker_client.c
@@ -49,8 +49,8 @@
 
 static int kept_connections(const struct bd_settings *settings)
 {
-    int n =
-        ((int)(OUTGOING_SHARE * settings->max_sockets) - BD_SOCKETS_OWN) / sender_count(settings);
+    int n = ((int)(OUTGOING_SHARE * settings->max_sockets) - BD_SOCKETS_RESERVED) /
+            sender_count(settings);
     return n < KEPT_CONNECTIONS_MIN ? KEPT_CONNECTIONS_MIN : n;
 }
 
