--- a/src/adapters/event.c
+++ b/src/adapters/event.c
@@ -2,8 +2,11 @@
 #include "adapters/node.h"
 #include "base/queue.h"
 #include "base/timeutil.h"
+#include <jansson.h>
 #include <stdlib.h>
 
+#define QUEUE_FULL_PAUSE_S 0.01 /* rare: the API server admits fewer requests than fit */
+
 struct bd_event *bd_event_new(enum bd_event_kind kind)
 {
     struct bd_event *event = calloc(1, sizeof *event);
@@ -13,7 +16,7 @@
     return event;
 }
 
-/* What the events of the key-value store hold. */
+/* Frees what the events of the key-value store own. */
 static void free_store_payload(struct bd_event *event)
 {
     switch (event->kind) {
@@ -81,9 +84,8 @@
 void bd_event_post(struct bd_node *node, struct bd_event *event)
 {
     event->queued = bd_now();
-    /* the adapters' own words are few; the API server checks for room before it admits a request */
     while (!bd_queue_put(&node->events, event))
-        bd_pause(0.01);
+        bd_pause(QUEUE_FULL_PAUSE_S);
 }
 
 void bd_event_post_quietly(struct bd_node *node, struct bd_event *event)
--- a/src/adapters/event.h
+++ b/src/adapters/event.h
@@ -1,8 +1,12 @@
-/* Events: what the adapters hand to the owner thread, through its queue. */
+/* Events: messages of the adapters to the owner thread, through its queue.
+ *
+ * Made and posted by the adapters' threads; taken, applied and freed by the runtime. Owns no state:
+ * the queue is in struct bd_node. */
 #ifndef BD_EVENT_H
 #define BD_EVENT_H
 #include "model/leadership_state.h"
 #include "wire/wire.h"
+#include <jansson.h>
 #include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
@@ -41,8 +45,8 @@
 
 /* A request of a user, or a worker's heartbeat. */
 struct bd_event_request {
-    void *request; /* the API server's; replied to through bd_api_reply */
-    char *text;    /* the body: a submission, a heartbeat */
+    void *request; /* borrowed from the API server, which bd_api_reply gives it back to */
+    char *text;    /* the body, terminated: a submission, a heartbeat */
     size_t len;
     char job_id[BD_LABEL]; /* status and cancellation */
 };
@@ -52,8 +56,8 @@
     void *request;
     char job_id[BD_LABEL];
     char *body;  /* the transaction as it was sent */
-    int purpose; /* as in the effect */
-    long status; /* the store's; 0: no answer */
+    int purpose; /* enum bd_read_purpose, as in the effect */
+    long status; /* enum bd_kv_status */
     uint64_t store_revision;
 };
 
@@ -61,23 +65,23 @@
 struct bd_event_job_lookup {
     void *request;
     char job_id[BD_LABEL];
-    int purpose; /* as in the effect */
-    long status; /* the store's; 0: no answer */
+    int purpose; /* enum bd_read_purpose, as in the effect */
+    long status; /* enum bd_kv_status */
     json_t *answer;
 };
 
-/* The outcome of the leader's transaction. */
+/* The outcome of a transaction of the leader. */
 struct bd_event_leader_txn {
     uint64_t term, sequence; /* which transaction */
     enum bd_txn_outcome outcome;
     uint64_t store_revision;
-    json_t *answer; /* of a conflict: names the keys that were compared in vain */
+    json_t *answer; /* of a conflict: names the keys whose comparison failed */
 };
 
 /* The outcome of writing our delegate's record, or of reading its revision. */
 struct bd_event_delegate_txn {
     struct timespec sent;
-    long status; /* the store's; 0: none, or only the revision was asked for */
+    long status; /* enum bd_kv_status; BD_KV_NO_ANSWER also if only the revision was read */
     uint64_t store_revision;
     bool is_revision_known;
 };
@@ -86,7 +90,7 @@
 struct bd_event_refresh {
     struct timespec sent;
     uint64_t after, store_revision;
-    bool is_barrier; /* reads that waited before it was sent may be answered */
+    bool is_barrier; /* reads that were pending when it was sent may be answered */
     bool ok;         /* the store answered it */
     json_t *answer;
 };
@@ -99,16 +103,16 @@
     json_t *pairs;
 };
 
-/* The delegates' records, or the drains' with their machines'. */
+/* The delegates' records, or those of the drains and of their machines. */
 struct bd_event_records {
     struct timespec sent;
     json_t *records;
-    json_t *sets; /* drains: their machines' records, or NULL */
+    json_t *sets; /* drains: the records of their machines, or NULL */
 };
 
 /* The leader's key as it was read. */
 struct bd_event_leader {
-    char name[BD_LABEL]; /* empty: nobody leads */
+    char name[BD_LABEL]; /* empty: there is no leader */
     uint64_t revision;
     struct timespec sent;
     bool dismisses_us; /* as delegate */
@@ -136,12 +140,13 @@
 struct bd_event_direct_command {
     uint32_t machine;
     uint64_t fencing_token;
-    bool launch; /* launches were among the commands */
-    long status; /* HTTP's; 0: no answer; BD_DIRECT_NOT_SENT */
-    char *text;  /* the worker's heartbeat, or NULL */
+    bool has_launches; /* among the commands */
+    long status;       /* HTTP's; 0: no answer; BD_DIRECT_NOT_SENT */
+    char *text;        /* the worker's heartbeat, or NULL */
     size_t len;
 };
 
+/* The cloud's machine types. */
 struct bd_event_types {
     struct bd_type_text *types;
     size_t n;
@@ -156,25 +161,25 @@
 
 /* The outcome of scale out or scale in. */
 struct bd_event_scaling {
-    char request[BD_LABEL]; /* scale out: its name */
-    long status;            /* the cloud's; 0: no answer */
-    char (*machines)[BD_LABEL];
+    char request[BD_LABEL];     /* scale out: the provisioning request's name */
+    long status;                /* the cloud's; 0: no answer */
+    char (*machines)[BD_LABEL]; /* their ids */
     size_t n;
 };
 
-/* A frame of a peer. */
+/* A frame from a peer. */
 struct bd_event_peer_frame {
     struct timespec received;
-    struct bd_frame *frame; /* without its text */
+    struct bd_frame *frame; /* its own text pointer is not valid */
     char *text;             /* terminated, or NULL */
     size_t len;
 };
 
-/* One event. The queue owns it once it is posted, the owner thread once it is taken; it owns all
- * that it points to but requests. */
+/* One event. The queue owns it once it is posted, the owner thread once it is taken. It owns all
+ * that it points to, except requests. */
 struct bd_event {
     enum bd_event_kind kind;
-    struct timespec queued; /* when it was posted; zero: quietly, it may wait */
+    struct timespec queued; /* when it was posted; zero: without waking the owner thread */
     union {
         struct bd_event_request user; /* USER_SUBMIT, USER_STATUS, USER_CANCEL, HEARTBEAT */
         struct bd_event_user_txn user_txn;
@@ -196,13 +201,13 @@
     };
 };
 
-/* Never NULL. */
+/* An event with all else zero. Never NULL: without memory the process ends. */
 struct bd_event *bd_event_new(enum bd_event_kind kind);
-/* Frees it with all that it holds. */
+/* Frees the event with all that it owns. */
 void bd_event_free(struct bd_event *event);
-/* Hands the event to the owner thread, waiting while its queue is full. */
+/* Posts the event to the owner thread, and waits while its queue is full. */
 void bd_event_post(struct bd_node *node, struct bd_event *event);
-/* The same for what brings nothing new: the owner is not woken, and handles it before the next
- * event that wakes it. */
+/* The same for an event that is not urgent: the owner thread is not woken for it, and handles it
+ * before the next event that wakes it. */
 void bd_event_post_quietly(struct bd_node *node, struct bd_event *event);
 #endif
--- a/src/adapters/node.h
+++ b/src/adapters/node.h
@@ -1,60 +1,73 @@
-/* One running controller: the owner thread and the adapters around it.
+/* One running controller: the state of the owner thread, and what it shares with the adapters.
  *
- * Made and started by runtime/controller.c; it lives as long as the process. */
+ * Made and started by runtime/controller.c; it and all its threads live as long as the process.
+ * Each field below says which thread it belongs to; what is shared is atomic, a queue, or under a
+ * lock. */
 #ifndef BD_NODE_H
 #define BD_NODE_H
-#include "adapters/event.h"
 #include "base/queue.h"
 #include "brambledoor/log.h"
 #include "brambledoor/settings.h"
 #include "core/core.h"
 #include "wire/frame.h"
 #include "wire/wire.h"
+#include <pthread.h>
 #include <stdatomic.h>
+#include <stdint.h>
+#include <time.h>
 
 struct bd_api_server;
+struct bd_core;
+struct bd_event;
+struct bd_heartbeat_cache;
 struct bd_metrics;
 struct bd_peer_link;
 struct bd_worker_client;
-struct bd_heartbeat_cache;
 
 struct bd_node {
-    struct bd_settings settings; /* constant once it runs */
+    struct bd_settings settings; /* constant once the threads run */
     struct bd_log log;
     struct bd_metrics *metrics;
 
     /* ---- owner thread only ---- */
     struct bd_core *core;
     struct bd_heartbeat_cache *heartbeats;
-    struct bd_event *pending_acquisition; /* a term that waits for the replica */
-    struct timespec next_metrics, metrics_since, next_status;
-    struct timespec commit_sent; /* when the leader's transaction was handed to its thread */
+    struct bd_event *pending_acquisition; /* a lease that we hold, until the replica is as new */
+    struct timespec next_metrics, metrics_since; /* lines of the log */
+    struct timespec next_status;                 /* update of the status for peers */
+    struct timespec commit_sent;                 /* when the leader's transaction was queued */
 
     /* ---- queues between the threads ---- */
-    struct bd_queue events;                        /* to the owner thread */
-    struct bd_queue to_commit, to_users, to_cloud; /* effects, to the adapters' threads */
-    struct bd_queue reader_wake;                   /* wakes the replica's reader */
-
-    /* ---- what the owner thread publishes, and what adapters tell each other ---- */
-    atomic_bool leading, up, types_known;
-    atomic_bool want_barrier;    /* a read waits for a refresh that is sent from now on */
-    atomic_bool want_drain_sets; /* the records of drains' machines are to be read */
-    atomic_bool step_down;       /* the term is over */
-    atomic_bool resign;          /* with step_down: the grant is to be ended */
-    atomic_bool page_out;        /* a page of the jobs' list waits for the owner */
-    atomic_bool reads_refused;   /* the newest refresh of the records was not served */
-    atomic_ullong store_revision;
-
-    /* ---- adapters ---- */
+    struct bd_queue events;      /* to the owner thread: struct bd_event */
+    struct bd_queue to_commit;   /* struct bd_effect, to the leader's writer, */
+    struct bd_queue to_users;    /* ... the users' writers, */
+    struct bd_queue to_cloud;    /* ... and the cloud thread */
+    struct bd_queue reader_wake; /* wakes the key-value store's reader */
+
+    /* ---- published by the owner thread for the adapters ---- */
+    atomic_bool leading;          /* we lead */
+    atomic_bool up;               /* healthy: the answer to health checks */
+    atomic_bool types_known;      /* the cloud's machine types are known */
+    atomic_ullong store_revision; /* up to which the replica is complete */
+    atomic_bool want_barrier;     /* a read is pending on a refresh that is yet to be sent */
+    atomic_bool want_drain_sets;  /* the records of the drains' machines are to be read */
+    atomic_bool step_down;        /* request to the election: the term is over */
+    atomic_bool resign;           /* with step_down: the grant is to be ended */
+
+    /* ---- between the reader and others ---- */
+    atomic_bool page_out;      /* a page of the jobs' records is posted and not applied yet */
+    atomic_bool reads_refused; /* to the election: the newest refresh was not served */
+
+    /* ---- adapters: constant once they are started ---- */
     struct bd_api_server *api_server;
     struct bd_worker_client *worker_client;
-    struct bd_peer_link *links[BD_MAX_PEERS];
+    struct bd_peer_link *links[BD_MAX_PEERS]; /* one for each of the settings' peers */
 
-    /* ---- what peers are told of us: written by the owner, read by the status thread ---- */
-    pthread_mutex_t status_lock; /* of all below */
+    /* ---- peer status: written by the owner thread, read by the transport's threads ---- */
+    pthread_mutex_t status_lock; /* protects all below; made by bd_transport_start */
     struct bd_frame status;
-    struct bd_progress *progress;
-    uint32_t nprogress, cap_progress;
+    struct bd_progress *progress; /* as leader, the jobs' counts */
+    uint32_t progress_count, progress_capacity;
 };
 
 /* Sockets set aside for connections to peers, the key-value store and the cloud. */
--- a/src/adapters/peer_listener.h
+++ b/src/adapters/peer_listener.h
@@ -1,6 +1,8 @@
-/* Frames from the peers: accepts their connections and posts whole frames to the owner thread.
+/* The receiving side of the peer transport: accepts the peers' connections and posts their frames
+ * to the owner thread.
  *
- * One thread, which alone owns the connections that came in. */
+ * One thread, which lives as long as the process and alone owns the listening socket and the
+ * accepted connections. Started by bd_transport_start. */
 #ifndef BD_PEER_LISTENER_H
 #define BD_PEER_LISTENER_H
 
--- a/src/adapters/peer_traffic.h
+++ b/src/adapters/peer_traffic.h
@@ -1,4 +1,4 @@
-/* Which kind of traffic a frame counts as. */
+/* Which kind of traffic a frame counts as in the metrics. Used by both sides of the transport. */
 #ifndef BD_PEER_TRAFFIC_H
 #define BD_PEER_TRAFFIC_H
 #include "base/metrics.h"
--- a/src/adapters/peer_transport.c
+++ b/src/adapters/peer_transport.c
@@ -8,35 +8,41 @@
 #include "base/thread.h"
 #include "base/timeutil.h"
 #include "wire/frame.h"
-#include <arpa/inet.h>
 #include <errno.h>
-#include <poll.h>
+#include <netinet/in.h>
+#include <pthread.h>
+#include <stdbool.h>
 #include <stddef.h>
+#include <stdint.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 #include <sys/socket.h>
+#include <sys/time.h>
+#include <time.h>
 #include <unistd.h>
 
 #define PEER_STATUS_INTERVAL_S 0.4
 #define PROGRESS_INTERVAL_S 1.2 /* of the jobs' counts, which are for display */
 #define CONNECT_TIMEOUT_S 0.5
-#define STALLED_TIMEOUT_S 0.5 /* a connection that takes no bytes for so long is closed */
+#define STALL_TIMEOUT_S 0.5   /* a connection that takes no bytes for so long is closed */
 #define CONNECTION_LIFE_S 4.0 /* see connect_run */
 #define OUTBOX_BYTES_MIN 4096u
+#define OUTBOX_BYTES_MAX 524288u /* what does not fit is dropped; whoever waits has a deadline */
 #define STACK_BYTES 131072
-#define OUTBOX_BYTES_MAX 524288u /* more is dropped; whoever waits has a deadline */
 
 /* ---- outboxes ---- */
 
+/* The connection to one peer, and the frames that are to be sent on it. Locking order: a link's
+ * lock before the node's status_lock. */
 struct bd_peer_link {
     struct bd_node *node;
-    int peer;
-    struct bd_queue connector; /* wakes the thread that connects */
-    pthread_mutex_t lock;      /* of all below */
-    int fd;                    /* -1: not connected */
-    size_t len, cap;           /* bytes in the outbox that were not sent; their capacity */
-    struct timespec stalled;   /* since when it takes none of them; zero: it does */
+    int peer;                      /* index into the settings' peers */
+    struct bd_queue connector;     /* wakes the thread that connects */
+    pthread_mutex_t lock;          /* protects all below */
+    int fd;                        /* -1: not connected */
+    size_t len, capacity;          /* of the outbox: bytes not sent, and allocated */
+    struct timespec stalled_since; /* zero: the connection takes bytes */
     unsigned char *outbox;
 };
 
@@ -46,13 +52,14 @@
     if (link->fd >= 0)
         (void)close(link->fd);
     link->fd = -1;
-    link->len = link->cap = 0;
-    link->stalled = (struct timespec){0, 0};
-    free(link->outbox); /* a burst's memory is given back */
+    link->len = link->capacity = 0;
+    link->stalled_since = (struct timespec){0, 0};
+    free(link->outbox); /* so that a burst does not occupy memory for good */
     link->outbox = NULL;
 }
 
-/* Sends what the connection takes at once. The caller holds the lock. */
+/* Sends what the connection takes without blocking; one that has failed or stalled is closed, and
+ * its connecting thread woken. The caller holds the lock. */
 static void flush_outbox(struct bd_peer_link *link, enum bd_traffic kind)
 {
     if (link->fd < 0 || link->len == 0)
@@ -62,32 +69,34 @@
     if (sent > 0) {
         link->len -= (size_t)sent;
         memmove(link->outbox, link->outbox + sent, link->len);
-        link->stalled = (struct timespec){0, 0};
+        link->stalled_since = (struct timespec){0, 0};
         return;
     }
     struct timespec now = bd_now();
-    bool busy = sent < 0 && (errno == EAGAIN || errno == EINTR);
-    if (busy && bd_is_zero(link->stalled))
-        link->stalled = now;
-    if (busy && bd_between(link->stalled, now) < STALLED_TIMEOUT_S)
+    bool is_blocked = sent < 0 && (errno == EAGAIN || errno == EINTR);
+    if (is_blocked && bd_is_zero(link->stalled_since))
+        link->stalled_since = now;
+    if (is_blocked && bd_between(link->stalled_since, now) < STALL_TIMEOUT_S)
         return;
     disconnect(link);
     (void)bd_queue_put(&link->connector, link);
 }
 
-/* Makes space for `more` bytes in the outbox. */
+/* Makes space for `more` bytes in the outbox. False: it would become too large, or there is no
+ * memory. The caller holds the lock. */
 static bool reserve_outbox(struct bd_peer_link *link, size_t more)
 {
-    size_t capacity = link->cap ? link->cap : OUTBOX_BYTES_MIN;
+    size_t capacity = link->capacity ? link->capacity : OUTBOX_BYTES_MIN;
     while (capacity < link->len + more)
         capacity *= 2;
     if (capacity > OUTBOX_BYTES_MAX)
         return false;
-    unsigned char *grown = capacity > link->cap ? realloc(link->outbox, capacity) : link->outbox;
+    unsigned char *grown =
+        capacity > link->capacity ? realloc(link->outbox, capacity) : link->outbox;
     if (!grown)
         return false;
     link->outbox = grown;
-    link->cap = capacity;
+    link->capacity = capacity;
     return true;
 }
 
@@ -97,7 +106,7 @@
 {
     if (link->fd < 0 || !reserve_outbox(link, bd_frame_bytes(frame)))
         return false;
-    size_t len = bd_frame_write(frame, link->outbox + link->len, link->cap - link->len);
+    size_t len = bd_frame_write(frame, link->outbox + link->len, link->capacity - link->len);
     link->len += len;
     if (len > 0)
         bd_count_message(bd_metrics_counter(link->node->metrics, bd_frame_traffic(frame)), len, 0);
@@ -125,7 +134,7 @@
 
 /* ---- peer status ---- */
 
-/* The jobs' counts, as many frames as they take. The caller holds the link's lock. */
+/* Appends the jobs' counts, in as many frames as they need. The caller holds the link's lock. */
 static void append_progress(struct bd_peer_link *link, struct bd_frame *frame)
 {
     struct bd_node *node = link->node;
@@ -135,7 +144,7 @@
         (void)pthread_mutex_lock(&node->status_lock);
         memset(frame, 0, sizeof *frame);
         frame->type = BD_FRAME_PROGRESS;
-        while (frame->count < BD_FRAME_JOBS && from + frame->count < node->nprogress) {
+        while (frame->count < BD_FRAME_JOBS && from + frame->count < node->progress_count) {
             frame->jobs[frame->count] = node->progress[from + frame->count];
             frame->count++;
         }
@@ -145,6 +154,7 @@
     }
 }
 
+/* The frame with our status. */
 static void read_status(struct bd_node *node, struct bd_frame *frame)
 {
     (void)pthread_mutex_lock(&node->status_lock);
@@ -153,19 +163,21 @@
     (void)pthread_mutex_unlock(&node->status_lock);
 }
 
-static void send_status(struct bd_peer_link *link, struct bd_frame *frame, bool progress)
+/* Sends our status at once, if there is a connection. frame: scratch space. */
+static void send_status(struct bd_peer_link *link, struct bd_frame *frame, bool with_progress)
 {
     (void)pthread_mutex_lock(&link->lock);
     if (link->fd >= 0) {
         read_status(link->node, frame);
         (void)append_frame(link, frame);
-        if (progress)
+        if (with_progress)
             append_progress(link, frame);
         flush_outbox(link, BD_TRAFFIC_PEER_STATUS);
     }
     (void)pthread_mutex_unlock(&link->lock);
 }
 
+/* The status thread: sends our status to all peers at an interval. */
 static void *status_run(void *arg)
 {
     struct bd_node *node = arg;
@@ -173,11 +185,11 @@
     struct bd_frame *frame = calloc(1, sizeof *frame);
     while (frame) {
         struct timespec now = bd_now();
-        bool progress = bd_before(next_progress, now);
-        if (progress)
+        bool with_progress = bd_before(next_progress, now);
+        if (with_progress)
             next_progress = bd_add(now, bd_secs(PROGRESS_INTERVAL_S));
         for (int i = 0; i < node->settings.npeers; i++)
-            send_status(node->links[i], frame, progress);
+            send_status(node->links[i], frame, with_progress);
         bd_pause(PEER_STATUS_INTERVAL_S);
     }
     return NULL;
@@ -209,36 +221,38 @@
     return fd;
 }
 
-/* Puts a new connection, or none (-1), in place of the old one. What the old one did not take is
- * lost: it may be the middle of a frame. True if the peer had no connection before. */
+/* Replaces the old connection by a new one, or by none (-1). What the old one did not take is
+ * dropped, since it may begin in the middle of a frame. True: there was no connection before, and
+ * now there is. */
 static bool replace_connection(struct bd_peer_link *link, int fd)
 {
     (void)pthread_mutex_lock(&link->lock);
-    bool first = link->fd < 0 && fd >= 0;
+    bool is_first = link->fd < 0 && fd >= 0;
     flush_outbox(link, BD_TRAFFIC_FORWARD);
     disconnect(link);
     link->fd = fd;
     (void)pthread_mutex_unlock(&link->lock);
     if (fd >= 0)
         bd_count_connections(bd_metrics_counter(link->node->metrics, BD_TRAFFIC_PEER_STATUS), 1);
-    return first;
+    return is_first;
 }
 
-/* A connection can be dead without an error, for minutes: what is sent goes nowhere and the peer
- * hears nothing. So each is replaced after a while, the new one being opened first. */
+/* The connecting thread of one peer. A connection can be dead for minutes without an error, while
+ * nothing that is sent arrives. So each is replaced after CONNECTION_LIFE_S; the new one is opened
+ * before the old one is closed. */
 static void *connect_run(void *arg)
 {
     struct bd_peer_link *link = arg;
     struct bd_frame *frame = calloc(1, sizeof *frame);
     while (frame) {
-        void *broken;
+        void *woken;
         int fd = open_connection(link->node->settings.peers[link->peer].addr);
         if (replace_connection(link, fd))
             send_status(link, frame, false);
         struct timespec opened = bd_now();
         double life_s = fd >= 0 ? CONNECTION_LIFE_S : PEER_STATUS_INTERVAL_S;
-        (void)bd_queue_take(&link->connector, &broken, 1, bd_add(opened, bd_secs(life_s)));
-        /* one that breaks at once is not opened without end */
+        (void)bd_queue_take(&link->connector, &woken, 1, bd_add(opened, bd_secs(life_s)));
+        /* one that breaks at once is not reopened in a busy loop */
         double open_s = bd_between(opened, bd_now());
         if (open_s < PEER_STATUS_INTERVAL_S)
             bd_pause(PEER_STATUS_INTERVAL_S - open_s);
--- a/src/adapters/worker_client.c
+++ b/src/adapters/worker_client.c
@@ -7,32 +7,38 @@
 #include "base/thread.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
+#include "brambledoor/settings.h"
 #include "model/effect.h"
 #include "wire/wire.h"
+#include <stdatomic.h>
+#include <stdbool.h>
+#include <stdint.h>
 #include <stdio.h>
 #include <stdlib.h>
 
-#define ANSWER_TIMEOUT_S 1.5
-#define HELD_UP_AFTER_S 0.1 /* a sender that has waited so long for an answer gets nothing new */
+#define CALL_TIMEOUT_S 1.5
+#define STALLED_AFTER_S 0.1 /* a sender that waits longer for an answer gets no new command */
 #define SENDERS_MIN 6
 #define SENDERS_MAX 64
-#define SOCKETS_PER_SENDER 80 /* so many machines that hang at once hold up few others */
+#define SOCKETS_PER_SENDER 80 /* senders grow with the fleet: each hanging worker stalls one */
 #define OUTGOING_SHARE 0.35   /* of all sockets, for connections that we open */
-#define KEPT_CONNECTIONS_MIN 4
+#define POOLED_CONNECTIONS_MIN 4
 #define QUEUE_CAPACITY 1024
 #define QUEUE_WAIT_S 5.0
 #define QUEUE_FULL_PAUSE_S 0.05
 #define STACK_BYTES 131072
 
+/* What the owner thread shares with one sending thread. */
 struct sender {
     struct bd_node *node;
-    struct bd_queue queue;
+    struct bd_queue queue;   /* of struct bd_effect */
     atomic_int pending;      /* commands in the queue, and the one being sent */
-    atomic_llong sent_at_ms; /* when the one being sent went out; 0: none is */
+    atomic_llong sent_at_ms; /* when the one being sent went out; 0: none is being sent */
 };
 
+/* Constant once it is started, but for the senders' shared fields. */
 struct bd_worker_client {
-    int nsenders;
+    int sender_count;
     struct sender senders[SENDERS_MAX];
 };
 
@@ -41,27 +47,29 @@
     return (long long)(bd_to_secs(bd_now()) * 1000.0);
 }
 
-static int sender_count(const struct bd_settings *settings)
+static int sender_count_for(const struct bd_settings *settings)
 {
-    int n = settings->max_sockets / SOCKETS_PER_SENDER;
-    return n < SENDERS_MIN ? SENDERS_MIN : n > SENDERS_MAX ? SENDERS_MAX : n;
+    int count = settings->max_sockets / SOCKETS_PER_SENDER;
+    if (count < SENDERS_MIN)
+        return SENDERS_MIN;
+    return count > SENDERS_MAX ? SENDERS_MAX : count;
 }
 
-static int kept_connections(const struct bd_settings *settings)
+static int pooled_connections(const struct bd_settings *settings)
 {
-    int n = ((int)(OUTGOING_SHARE * settings->max_sockets) - BD_SOCKETS_RESERVED) /
-            sender_count(settings);
-    return n < KEPT_CONNECTIONS_MIN ? KEPT_CONNECTIONS_MIN : n;
+    int outgoing = (int)(OUTGOING_SHARE * settings->max_sockets) - BD_SOCKETS_RESERVED;
+    int per_sender = outgoing / sender_count_for(settings);
+    return per_sender < POOLED_CONNECTIONS_MIN ? POOLED_CONNECTIONS_MIN : per_sender;
 }
 
 int bd_worker_client_sockets(const struct bd_settings *settings)
 {
-    return sender_count(settings) * kept_connections(settings);
+    return sender_count_for(settings) * pooled_connections(settings);
 }
 
-/* Sends one command; the answer, or that there was none, goes to the owner. One that waited here
- * for longer than the right to it lasted is not sent: it would start what was cancelled meanwhile,
- * and hold up those behind it. */
+/* Sends one command, and posts its outcome to the owner thread. Takes the effect over. A command
+ * whose deadline has passed in the queue is not sent: it might start a task that was cancelled
+ * meanwhile, and would delay those queued behind it. */
 static void send_command(struct sender *sender, struct bd_http *http, struct bd_effect *effect)
 {
     char url[128];
@@ -69,7 +77,7 @@
     struct bd_event *event = bd_event_new(BD_EVENT_DIRECT_COMMAND_COMPLETED);
     snprintf(url, sizeof url, "http://%s" BD_PATH_COMMANDS, effect->addr);
     if (bd_before(bd_now(), effect->until)) {
-        bd_http_call(http, "POST", url, effect->body, ANSWER_TIMEOUT_S, &response);
+        bd_http_call(http, "POST", url, effect->body, CALL_TIMEOUT_S, &response);
         event->direct_command.status = response.status;
         event->direct_command.text = response.body;
         event->direct_command.len = response.len;
@@ -78,16 +86,17 @@
     }
     event->direct_command.machine = effect->machine;
     event->direct_command.fencing_token = effect->fencing_token;
-    event->direct_command.launch = effect->launch;
+    event->direct_command.has_launches = effect->launch;
     bd_effect_free(effect);
     bd_event_post(sender->node, event);
 }
 
+/* A sending thread: serves its sender's queue as long as the process lives. */
 static void *sender_run(void *arg)
 {
     struct sender *sender = arg;
     struct bd_http *http =
-        bd_http_new(kept_connections(&sender->node->settings),
+        bd_http_new(pooled_connections(&sender->node->settings),
                     bd_metrics_counter(sender->node->metrics, BD_TRAFFIC_DIRECT));
     while (http) {
         void *item;
@@ -101,34 +110,43 @@
     return NULL;
 }
 
-static bool is_held_up(struct sender *sender, long long now)
+static bool is_stalled(const struct sender *sender, long long now)
 {
     long long sent_at = atomic_load(&sender->sent_at_ms);
-    return sent_at != 0 && (double)(now - sent_at) / 1000.0 > HELD_UP_AFTER_S;
+    return sent_at != 0 && (double)(now - sent_at) / 1000.0 > STALLED_AFTER_S;
 }
 
-static bool is_full(struct sender *sender)
+static bool is_full(const struct sender *sender)
 {
     return atomic_load(&sender->pending) >= QUEUE_CAPACITY;
 }
 
-/* The worker's own sender, or the least busy one while that waits for an answer or is full. A
- * machine has one command under way, so that the fewest senders hold those of 4,000 machines even
- * if all but one are held up. */
+/* Whether a command is better queued with the candidate than with the sender chosen so far. */
+static bool is_better_sender(const struct sender *candidate, const struct sender *chosen,
+                             long long now)
+{
+    if (is_full(candidate))
+        return false;
+    if (is_full(chosen))
+        return true;
+    if (is_stalled(candidate, now))
+        return false;
+    return is_stalled(chosen, now) ||
+           atomic_load(&candidate->pending) < atomic_load(&chosen->pending);
+}
+
+/* The machine's own sender, or the least busy one while that has stalled or is full. */
 static struct sender *choose_sender(struct bd_worker_client *client, uint32_t machine)
 {
     long long now = now_ms();
-    struct sender *best = &client->senders[machine % (uint32_t)client->nsenders];
-    if (!is_held_up(best, now) && !is_full(best))
-        return best;
-    for (int i = 0; i < client->nsenders; i++) {
-        struct sender *sender = &client->senders[i];
-        if (!is_full(sender) && (is_full(best) || !is_held_up(sender, now)) &&
-            (is_full(best) || is_held_up(best, now) ||
-             atomic_load(&sender->pending) < atomic_load(&best->pending)))
-            best = sender;
+    struct sender *chosen = &client->senders[machine % (uint32_t)client->sender_count];
+    if (!is_stalled(chosen, now) && !is_full(chosen))
+        return chosen;
+    for (int i = 0; i < client->sender_count; i++) {
+        if (is_better_sender(&client->senders[i], chosen, now))
+            chosen = &client->senders[i];
     }
-    return best;
+    return chosen;
 }
 
 void bd_worker_client_send(struct bd_node *node, struct bd_effect *effect)
@@ -148,12 +166,13 @@
     if (!client)
         return -1;
     node->worker_client = client;
-    client->nsenders = sender_count(&node->settings);
-    for (int i = 0; i < client->nsenders && result == 0; i++) {
-        client->senders[i].node = node;
-        result = bd_queue_init(&client->senders[i].queue, QUEUE_CAPACITY);
+    client->sender_count = sender_count_for(&node->settings);
+    for (int i = 0; i < client->sender_count && result == 0; i++) {
+        struct sender *sender = &client->senders[i];
+        sender->node = node;
+        result = bd_queue_init(&sender->queue, QUEUE_CAPACITY);
         if (result == 0)
-            result = bd_thread_start(sender_run, &client->senders[i], STACK_BYTES);
+            result = bd_thread_start(sender_run, sender, STACK_BYTES);
     }
     return result;
 }
--- a/src/runtime/event_apply.c
+++ b/src/runtime/event_apply.c
@@ -93,7 +93,7 @@
     const struct bd_heartbeat *heartbeat =
         bd_heartbeat_cache_read(node->heartbeats, command->text, command->len);
     bd_worker_direct_command_completed(node->core, command->machine, command->fencing_token,
-                                       command->launch, command->status, heartbeat);
+                                       command->has_launches, command->status, heartbeat);
 }
 
 static void apply_forwarded_heartbeat(struct bd_node *node, const struct bd_frame *frame,
--- a/src/runtime/peer_status.c
+++ b/src/runtime/peer_status.c
@@ -16,15 +16,16 @@
 
 static void add_progress(struct bd_node *node, const struct bd_job *job)
 {
-    if (node->nprogress == node->cap_progress) {
-        uint32_t capacity = node->cap_progress ? node->cap_progress * 2 : PROGRESS_CAPACITY;
+    if (node->progress_count == node->progress_capacity) {
+        uint32_t capacity =
+            node->progress_capacity ? node->progress_capacity * 2 : PROGRESS_CAPACITY;
         struct bd_progress *grown = realloc(node->progress, capacity * sizeof *grown);
         if (!grown)
             return;
         node->progress = grown;
-        node->cap_progress = capacity;
+        node->progress_capacity = capacity;
     }
-    struct bd_progress *progress = &node->progress[node->nprogress++];
+    struct bd_progress *progress = &node->progress[node->progress_count++];
     memcpy(progress->id, job->id, sizeof progress->id);
     progress->done = job->ndone;
     progress->running = job->nrunning;
@@ -54,7 +55,7 @@
 static void collect_progress(struct bd_node *node)
 {
     struct bd_job *job, *next;
-    node->nprogress = 0;
+    node->progress_count = 0;
     if (node->core->role != BD_LEADER)
         return;
     HASH_ITER(hh, node->core->jobs, job, next)
