--- a/src/adapters/node.h
+++ b/src/adapters/node.h
@@ -8,9 +8,7 @@
 #include "base/queue.h"
 #include "brambledoor/log.h"
 #include "brambledoor/settings.h"
-#include "core/core.h"
 #include "wire/frame.h"
-#include "wire/wire.h"
 #include <pthread.h>
 #include <stdatomic.h>
 #include <stdint.h>
--- a/src/runtime/controller.c
+++ b/src/runtime/controller.c
@@ -1,4 +1,5 @@
-/* Makes a controller of its parts and starts their threads, which live as long as the process. */
+/* Makes a controller and starts its adapters, whose threads live as long as the process. A start
+ * that fails frees nothing: the process ends. */
 #include "brambledoor/controller.h"
 #include "adapters/admin_server.h"
 #include "adapters/api_server.h"
@@ -13,12 +14,16 @@
 #include "base/queue.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
+#include "brambledoor/settings.h"
 #include "core/core.h"
 #include "drain/drain.h"
+#include "model/core_state.h"
 #include "runtime/controller_internal.h"
 #include "wire/heartbeat_cache.h"
+#include <stdint.h>
 #include <stdlib.h>
 #include <sys/random.h>
+#include <sys/types.h>
 
 #define EVENT_QUEUE_CAPACITY 4096
 #define LEADER_TXN_QUEUE_CAPACITY 16
@@ -26,11 +31,12 @@
 #define CLOUD_QUEUE_CAPACITY 64
 #define READER_QUEUE_CAPACITY 4
 #define LEADER_TTL_SHARE 0.2       /* of the workers' lease, so that a failover fits into one */
-#define LEADER_TTL_MIN_S 2.0       /* several slow answers of the key-value store fit in */
-#define LEADER_TTL_MAX_S 2.5       /* a failover does not take long */
+#define LEADER_TTL_MIN_S 2.0       /* survives several slow answers of the key-value store */
+#define LEADER_TTL_MAX_S 2.5       /* bounds the time of a failover */
 #define HEARTBEAT_CACHE_SHARE 0.08 /* of the memory */
 #define BYTES_PER_MB 1048576.0
 
+/* Unless the operators' file sets it. */
 static void derive_leader_ttl(struct bd_settings *settings)
 {
     if (!bd_is_zero(settings->leader_ttl))
@@ -65,12 +71,13 @@
     return 0;
 }
 
+/* For the ids that peers send back to us, which must differ from our last process's. */
 static uint64_t random_seed(void)
 {
     uint64_t seed = 0;
     if (getrandom(&seed, sizeof seed, GRND_NONBLOCK) != (ssize_t)sizeof seed)
         seed = (uint64_t)bd_now().tv_nsec << 20;
-    return seed >> 1;
+    return seed >> 1; /* so that the ids do not overflow */
 }
 
 static int init_core(struct bd_node *node)
--- a/src/runtime/effect_dispatch.c
+++ b/src/runtime/effect_dispatch.c
@@ -9,9 +9,13 @@
 #include "drain/drain.h"
 #include "jobs/jobs.h"
 #include "leadership/leadership.h"
+#include "model/core_state.h"
 #include "model/effect.h"
 #include "model/leadership_state.h"
 #include "wire/frame.h"
+#include <stdatomic.h>
+#include <stdbool.h>
+#include <stdint.h>
 #include <stdio.h>
 #include <string.h>
 
@@ -43,7 +47,7 @@
         bd_log_write(&node->log, BD_LOG_DEBUG, "a frame to a peer was dropped");
 }
 
-/* To all peers that understand it; the others learn of it from the records, as we would. */
+/* To all peers that understand the frame; the others read it in the job's record. */
 static void announce_cancellation(struct bd_node *node, const char *job_id)
 {
     struct bd_frame frame;
@@ -56,6 +60,7 @@
             (void)bd_transport_send(node, i, &frame);
 }
 
+/* Takes the effect over, as the functions below do. */
 static void reply(struct bd_node *node, struct bd_effect *effect)
 {
     bd_api_reply(node, effect->request, effect->status, effect->body, effect->retry_after);
@@ -77,6 +82,7 @@
     bd_effect_free(effect);
 }
 
+/* A lookup that cannot be queued counts as one without an answer. */
 static void look_up_job(struct bd_node *node, struct bd_effect *effect)
 {
     if (bd_queue_put(&node->to_users, effect))
@@ -94,7 +100,7 @@
     bd_effect_free(effect);
 }
 
-/* Takes the effect over. */
+/* Performs one effect, and takes it over. */
 static void perform(struct bd_node *node, struct bd_effect *effect)
 {
     switch (effect->kind) {
@@ -139,13 +145,13 @@
     }
 }
 
-static bool goes_to_peers(const struct bd_effect *effect)
+static bool is_for_peers(const struct bd_effect *effect)
 {
     return effect->kind == BD_EFFECT_FORWARD_HEARTBEAT || effect->kind == BD_EFFECT_FORWARD_REPLY ||
            effect->kind == BD_EFFECT_ANNOUNCE_CANCELLATION;
 }
 
-/* What the adapters' threads need to know of the core. */
+/* Publishes what the adapters' threads need to know of the core. */
 static void publish_state(struct bd_node *node)
 {
     const struct bd_core *core = node->core;
@@ -162,9 +168,9 @@
     struct bd_effect *effect = bd_effects_take(node->core);
     while (effect) {
         struct bd_effect *next = effect->next;
-        flush = flush || goes_to_peers(effect);
+        flush = flush || is_for_peers(effect);
         perform(node, effect);
-        /* one that could not be queued may have others follow */
+        /* an effect that is refused may make the core emit others */
         effect = next ? next : bd_effects_take(node->core);
     }
     if (flush)
--- a/src/runtime/event_apply.c
+++ b/src/runtime/event_apply.c
@@ -9,13 +9,19 @@
 #include "drain/drain.h"
 #include "jobs/jobs.h"
 #include "leadership/leadership.h"
+#include "model/core_state.h"
 #include "model/kv_limits.h"
 #include "model/leadership_state.h"
 #include "wire/frame.h"
 #include "wire/heartbeat_cache.h"
 #include "wire/wire.h"
 #include "workers/workers.h"
+#include <jansson.h>
+#include <stdatomic.h>
+#include <stddef.h>
+#include <stdint.h>
 #include <string.h>
+#include <time.h>
 
 #define HTTP_OK 200
 #define HTTP_BAD_REQUEST 400
@@ -67,7 +73,7 @@
 {
     struct bd_core *core = node->core;
     bd_metrics_time(node->metrics, BD_TIMING_COMMIT, bd_between(node->commit_sent, core->now));
-    /* the outcome of an earlier term's transaction says nothing about ours */
+    /* the outcome of an earlier term's transaction is ignored */
     const struct bd_event_leader_txn *txn = &event->leader_txn;
     if (txn->term == core->lead.base_term && txn->sequence == core->lead.sequence)
         bd_leader_txn_completed(core, txn->outcome, txn->store_revision,
@@ -148,7 +154,7 @@
                                 leader->dismisses_us);
 }
 
-/* Events of workers, peers and the cloud. */
+/* Events of workers, peers and the cloud; others are ignored. */
 static void apply_fleet_event(struct bd_node *node, struct bd_event *event)
 {
     struct bd_core *core = node->core;
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -8,14 +8,19 @@
 #include "brambledoor/controller.h"
 #include "brambledoor/log.h"
 #include "core/core.h"
+#include "model/core_state.h"
 #include "runtime/controller_internal.h"
 #include "runtime/effect_dispatch.h"
 #include "runtime/event_apply.h"
 #include "runtime/peer_status.h"
 #include "wire/heartbeat_cache.h"
+#include <stdbool.h>
+#include <stddef.h>
+#include <stdint.h>
+#include <time.h>
 
 #define BATCH_EVENTS 128
-#define METRICS_INTERVAL_S 20.0 /* between the log's lines of traffic and times */
+#define METRICS_INTERVAL_S 20.0
 
 void bd_controller_set_clock(struct bd_node *node)
 {
@@ -24,7 +29,7 @@
     bd_core_set_clock(node->core, bd_now(), bd_to_secs(wall));
 }
 
-/* A term that was acquired takes effect once the replica is at least as new as the term itself. */
+/* A lease that was acquired takes effect once the replica is at least as new as its term. */
 static void complete_acquisition(struct bd_node *node)
 {
     struct bd_event *event = node->pending_acquisition;
@@ -47,6 +52,7 @@
     node->pending_acquisition = NULL;
 }
 
+/* Takes the event over. */
 static void handle_event(struct bd_node *node, struct bd_event *event)
 {
     if (event->kind == BD_EVENT_LEADERSHIP_ACQUIRED) {
@@ -61,8 +67,8 @@
     bd_event_free(event);
 }
 
-/* The core's step; if it began a scheduling cycle, how long that took. */
-static void step(struct bd_node *node)
+/* Runs the core's step, and records its time if it began a scheduling cycle. */
+static void run_step(struct bd_node *node)
 {
     struct timespec began = bd_now();
     bool in_cycle = node->core->lead.commit != NULL;
@@ -71,6 +77,7 @@
         bd_metrics_time(node->metrics, BD_TIMING_CYCLE, bd_between(began, bd_now()));
 }
 
+/* Logs traffic and times if that is due. */
 static void log_metrics(struct bd_node *node)
 {
     struct timespec now = node->core->now;
@@ -97,7 +104,7 @@
         for (size_t i = 0; i < count; i++)
             handle_event(node, batch[i]);
         complete_acquisition(node);
-        step(node);
+        run_step(node);
         bd_effects_perform(node);
         bd_peer_status_update(node);
         log_metrics(node);
--- a/src/runtime/operators_file.c
+++ b/src/runtime/operators_file.c
@@ -1,43 +1,46 @@
-/* Reads the operators' own settings (S-expressions). */
+/* The operators' own settings (S-expressions). */
 #include "base/timeutil.h"
 #include "brambledoor/settings.h"
 #include "drain/drain.h"
 #include "runtime/settings_internal.h"
 #include <math.h>
 #include <sexp.h>
+#include <stdbool.h>
+#include <stddef.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#define FILE_BYTES_MAX 65536
+#define FILE_BYTES_MAX 65536 /* what follows is not read */
 
+/* The file's content, terminated; NULL: cannot be read. The caller frees it. */
 static char *read_file(const char *path)
 {
-    FILE *f = fopen(path, "rb");
-    if (!f)
+    FILE *file = fopen(path, "rb");
+    if (!file)
         return NULL;
-    char *buf = calloc(1, FILE_BYTES_MAX + 1);
-    if (buf && fread(buf, 1, FILE_BYTES_MAX, f) == 0 && ferror(f)) {
-        free(buf);
-        buf = NULL;
+    char *content = calloc(1, FILE_BYTES_MAX + 1);
+    if (content && fread(content, 1, FILE_BYTES_MAX, file) == 0 && ferror(file)) {
+        free(content);
+        content = NULL;
     }
-    (void)fclose(f);
-    return buf;
+    (void)fclose(file);
+    return content;
 }
 
 static void read_field(struct bd_settings_reader *reader, struct bd_settings *settings,
                        const char *name, const char *value)
 {
     char *end = NULL;
-    double d = strtod(value, &end);
-    if (end == value || *end || !isfinite(d) || d < 0)
+    double number = strtod(value, &end);
+    if (end == value || *end || !isfinite(number) || number < 0)
         bd_settings_fault(reader, name, "needs a number of at least 0");
     else if (strcmp(name, "leader-ttl-s") == 0)
-        settings->leader_ttl = bd_secs(d);
+        settings->leader_ttl = bd_secs(number);
     else if (strcmp(name, "spare-share") == 0)
-        settings->headroom_share = d;
+        settings->headroom_share = number;
     else if (strcmp(name, "idle-boots") == 0)
-        settings->idle_boots = d;
+        settings->idle_boots = number;
     else
         bd_settings_fault(reader, name, "unknown field");
 }
@@ -56,48 +59,66 @@
         bd_settings_fault(reader, fault.field, fault.what);
 }
 
-/* Each (name value) pair may stand at the top or inside one (brambledoor ...) list. */
-static void read_pairs(struct bd_settings_reader *reader, struct bd_settings *settings, sexp_t *e)
+/* Reads the entries from this one on. Each (name value) pair may stand at the top or inside one
+ * (brambledoor ...) list. */
+static void read_pairs(struct bd_settings_reader *reader, struct bd_settings *settings,
+                       sexp_t *entry)
 {
-    for (; e && !reader->failed; e = e->next) {
-        if (e->ty != SEXP_LIST || !e->list || e->list->ty != SEXP_VALUE) {
+    for (; entry && !reader->failed; entry = entry->next) {
+        if (entry->ty != SEXP_LIST || !entry->list || entry->list->ty != SEXP_VALUE) {
             bd_settings_fault(reader, "entry", "needs the form (name value)");
             return;
         }
-        sexp_t *v = e->list->next;
-        if (strcmp(e->list->val, "brambledoor") == 0)
-            read_pairs(reader, settings, v);
-        else if (strcmp(e->list->val, "draining") == 0)
-            read_draining(reader, settings, v);
-        else if (!v || v->ty != SEXP_VALUE || v->next)
-            bd_settings_fault(reader, e->list->val, "needs the form (name value)");
+        const char *name = entry->list->val;
+        sexp_t *value = entry->list->next;
+        if (strcmp(name, "brambledoor") == 0)
+            read_pairs(reader, settings, value);
+        else if (strcmp(name, "draining") == 0)
+            read_draining(reader, settings, value);
+        else if (!value || value->ty != SEXP_VALUE || value->next)
+            bd_settings_fault(reader, name, "needs the form (name value)");
         else
-            read_field(reader, settings, e->list->val, v->val);
+            read_field(reader, settings, name, value->val);
     }
 }
 
+/* The content as one list, as the parser reads one expression. NULL: no memory. The caller frees
+ * it.
+ */
+static char *wrap_in_list(const char *content)
+{
+    size_t size = strlen(content) + sizeof "(\n)";
+    char *wrapped = malloc(size);
+    if (wrapped)
+        snprintf(wrapped, size, "(%s\n)", content);
+    return wrapped;
+}
+
+static void read_content(struct bd_settings_reader *reader, struct bd_settings *settings,
+                         const char *content)
+{
+    char *wrapped = wrap_in_list(content);
+    if (!wrapped)
+        return;
+    sexp_t *list = parse_sexp(wrapped, strlen(wrapped));
+    if (list) {
+        read_pairs(reader, settings, list->list);
+        destroy_sexp(list);
+    } else {
+        bd_settings_fault(reader, "file", "is not a well-formed S-expression");
+    }
+    sexp_cleanup();
+    free(wrapped);
+}
+
 int bd_settings_operator(struct bd_settings *settings, const char *path, char *err, size_t errlen)
 {
     struct bd_settings_reader reader = {path, err, errlen, false};
-    char *body = read_file(path);
-    if (!body) {
+    char *content = read_file(path);
+    if (content)
+        read_content(&reader, settings, content);
+    else
         bd_settings_fault(&reader, "file", "cannot be read");
-        return -1;
-    }
-    size_t len = strlen(body);
-    char *wrapped = malloc(len + 16);
-    if (wrapped) {
-        snprintf(wrapped, len + 16, "(%s\n)", body);
-        sexp_t *e = parse_sexp(wrapped, strlen(wrapped));
-        if (!e)
-            bd_settings_fault(&reader, "file", "is not a well-formed S-expression");
-        else
-            read_pairs(&reader, settings, e->list);
-        if (e)
-            destroy_sexp(e);
-        sexp_cleanup();
-    }
-    free(wrapped);
-    free(body);
+    free(content);
     return reader.failed ? -1 : 0;
 }
--- a/src/runtime/peer_status.c
+++ b/src/runtime/peer_status.c
@@ -1,24 +1,28 @@
 #include "runtime/peer_status.h"
 #include "adapters/node.h"
 #include "base/timeutil.h"
+#include "model/core_state.h"
 #include "model/leadership_state.h"
 #include "wire/frame.h"
-#include "wire/wire.h"
 #include "workers/workers.h"
+#include <pthread.h>
+#include <stdbool.h>
+#include <stdint.h>
 #include <stdlib.h>
 #include <string.h>
 
 #define STATUS_INTERVAL_S 0.3
-#define KV_FRESH_S 1.0 /* an answer of the store that is younger shows that it is reached */
-#define AGE_MAX_S 1e6  /* of an answer; whatever is older counts as UNKNOWN_AGE_MS */
+#define KV_FRESH_S 1.0 /* the store counts as reachable if its last answer is younger */
+#define AGE_MAX_S 1e6  /* an answer of the store that is older is sent as UNKNOWN_AGE_MS */
 #define UNKNOWN_AGE_MS 1000000000u
-#define PROGRESS_CAPACITY 64u
+#define PROGRESS_CAPACITY_MIN 64u
 
+/* Without memory the job is left out. */
 static void add_progress(struct bd_node *node, const struct bd_job *job)
 {
     if (node->progress_count == node->progress_capacity) {
         uint32_t capacity =
-            node->progress_capacity ? node->progress_capacity * 2 : PROGRESS_CAPACITY;
+            node->progress_capacity ? node->progress_capacity * 2 : PROGRESS_CAPACITY_MIN;
         struct bd_progress *grown = realloc(node->progress, capacity * sizeof *grown);
         if (!grown)
             return;
@@ -34,11 +38,11 @@
 static uint8_t status_flags(const struct bd_node *node, double kv_age_s)
 {
     const struct bd_core *core = node->core;
-    bool leads = core->role == BD_LEADER;
+    bool is_leader = core->role == BD_LEADER;
     unsigned flags = BD_PEER_KNOWS_DAG | BD_PEER_READS_CANCELLATIONS;
-    if (leads)
+    if (is_leader)
         flags |= BD_PEER_LEADS;
-    if (leads && core->lead.inbound_partition)
+    if (is_leader && core->lead.inbound_partition)
         flags |= BD_PEER_INBOUND_PARTITION;
     if (node->settings.draining)
         flags |= BD_PEER_KNOWS_DRAINS;
@@ -51,7 +55,7 @@
     return (uint8_t)flags;
 }
 
-/* The leader's counts, which the other controllers show to users. */
+/* As leader, the jobs' counts, which the other controllers show to users. */
 static void collect_progress(struct bd_node *node)
 {
     struct bd_job *job, *next;
--- a/src/runtime/peer_status.h
+++ b/src/runtime/peer_status.h
@@ -1,4 +1,5 @@
-/* What this controller says of itself to its peers. */
+/* The status that this controller sends to its peers. Owns no state: the status is in struct
+ * bd_node; called by the event loop. */
 #ifndef BD_PEER_STATUS_H
 #define BD_PEER_STATUS_H
 
--- a/src/runtime/settings.c
+++ b/src/runtime/settings.c
@@ -1,21 +1,32 @@
-/* Reads the platform's settings (JSON). The only place that knows their field names. */
+/* The platform's settings (JSON). The only place that knows their field names. */
 #include "brambledoor/settings.h"
 #include "base/timeutil.h"
 #include "runtime/settings_internal.h"
 #include <jansson.h>
 #include <math.h>
+#include <stdbool.h>
+#include <stddef.h>
 #include <stdio.h>
-#include <stdlib.h>
 #include <string.h>
+#include <time.h>
 
-/* Less than this cannot serve: the program alone holds some 4 MB, and some 70 sockets are for
- * peers, the key-value store, the cloud and commands to workers. */
+/* A controller cannot serve with less: the program alone takes some 4 MB, and some 70 sockets are
+ * for peers, the key-value store, the cloud and commands to workers. */
 #define CPU_MIN 0.002
 #define RAM_MB_MIN 8.0
 #define SOCKETS_MIN 128.0
 #define HEADROOM_SHARE_DEFAULT 1.6
 #define IDLE_BOOTS_DEFAULT 0.7
-#define CANCEL_MARGIN_S 1.0 /* between a worker's lease and the end of what was cancelled */
+#define CANCEL_MARGIN_S 1.0 /* by which cancel_s must exceed lease_s */
+#define HEARTBEAT_INTERVAL_MIN_S 0.01
+#define LEASE_MIN_S 0.1
+#define CANCEL_MIN_S 0.1
+#define KV_RATE_MIN 1.0
+#define KV_VALUE_KB_MIN 1.0
+#define KV_TXN_OPS_MIN 2.0
+#define CLOUD_RATE_MIN 0.01
+#define BYTES_PER_KB 1024
+#define MS_PER_S 1000.0
 
 void bd_settings_fault(struct bd_settings_reader *reader, const char *field, const char *what)
 {
@@ -25,89 +36,101 @@
     snprintf(reader->err, reader->errlen, "%s: %s: %s", reader->path, field, what);
 }
 
-static void read_text(struct bd_settings_reader *reader, json_t *o, const char *key, char *out)
+/* ---- fields of an object: a missing or malformed one is a fault ---- */
+
+/* out holds BD_NAME bytes. */
+static void read_text(struct bd_settings_reader *reader, const json_t *object, const char *key,
+                      char *out)
 {
-    json_t *v = json_object_get(o, key);
-    const char *s = json_string_value(v);
-    if (!s || !*s)
+    const char *text = json_string_value(json_object_get(object, key));
+    if (!text || !*text)
         bd_settings_fault(reader, key, "needs a text");
-    else if (strlen(s) >= BD_NAME)
+    else if (strlen(text) >= BD_NAME)
         bd_settings_fault(reader, key, "too long");
     else
-        strcpy(out, s);
+        strcpy(out, text);
 }
 
-static double read_number(struct bd_settings_reader *reader, json_t *o, const char *key, double min)
+static double read_number(struct bd_settings_reader *reader, const json_t *object, const char *key,
+                          double min)
 {
-    json_t *v = json_object_get(o, key);
-    double d = json_number_value(v);
-    if (!json_is_number(v) || !isfinite(d))
+    const json_t *value = json_object_get(object, key);
+    double number = json_number_value(value);
+    if (!json_is_number(value) || !isfinite(number))
         bd_settings_fault(reader, key, "needs a number");
-    else if (d < min)
+    else if (number < min)
         bd_settings_fault(reader, key, "too small");
-    return d;
+    return number;
 }
 
-static struct timespec read_duration(struct bd_settings_reader *reader, json_t *o, const char *key,
-                                     double min)
+static struct timespec read_duration(struct bd_settings_reader *reader, const json_t *object,
+                                     const char *key, double min_s)
 {
-    return bd_secs(read_number(reader, o, key, min));
+    return bd_secs(read_number(reader, object, key, min_s));
 }
 
-static json_t *read_object(struct bd_settings_reader *reader, json_t *o, const char *key)
+/* Borrowed from the object. */
+static json_t *read_object(struct bd_settings_reader *reader, const json_t *object, const char *key)
 {
-    json_t *v = json_object_get(o, key);
-    if (!json_is_object(v))
+    json_t *value = json_object_get(object, key);
+    if (!json_is_object(value))
         bd_settings_fault(reader, key, "needs an object");
-    return v;
+    return value;
 }
 
-static json_t *read_list(struct bd_settings_reader *reader, json_t *o, const char *key, size_t max)
+/* Borrowed from the object. */
+static json_t *read_list(struct bd_settings_reader *reader, const json_t *object, const char *key,
+                         size_t max)
 {
-    json_t *v = json_object_get(o, key);
-    if (!json_is_array(v))
+    json_t *value = json_object_get(object, key);
+    if (!json_is_array(value))
         bd_settings_fault(reader, key, "needs a list");
-    else if (json_array_size(v) > max)
+    else if (json_array_size(value) > max)
         bd_settings_fault(reader, key, "has too many entries");
-    return v;
+    return value;
 }
 
-static void read_peers(struct bd_settings_reader *reader, json_t *root,
+/* ---- lists ---- */
+
+static void read_peers(struct bd_settings_reader *reader, const json_t *root,
                        struct bd_settings *settings)
 {
-    json_t *a = read_list(reader, root, "others", BD_MAX_PEERS), *o;
+    json_t *peers = read_list(reader, root, "others", BD_MAX_PEERS);
+    json_t *entry;
     size_t i;
     if (reader->failed)
         return;
-    json_array_foreach(a, i, o)
+    json_array_foreach(peers, i, entry)
     {
-        read_text(reader, o, "node_name", settings->peers[i].name);
-        read_text(reader, o, "location", settings->peers[i].zone);
-        read_text(reader, o, "addr", settings->peers[i].addr);
+        struct bd_peer *peer = &settings->peers[i];
+        read_text(reader, entry, "node_name", peer->name);
+        read_text(reader, entry, "location", peer->zone);
+        read_text(reader, entry, "addr", peer->addr);
         settings->npeers = (int)i + 1;
     }
 }
 
-static void read_teams(struct bd_settings_reader *reader, json_t *facts,
+static void read_teams(struct bd_settings_reader *reader, const json_t *facts,
                        struct bd_settings *settings)
 {
-    json_t *a = read_list(reader, facts, "teams", BD_MAX_TEAMS), *o;
+    json_t *teams = read_list(reader, facts, "teams", BD_MAX_TEAMS);
+    json_t *entry;
     size_t i;
     if (reader->failed)
         return;
-    json_array_foreach(a, i, o)
+    json_array_foreach(teams, i, entry)
     {
-        struct bd_team_quota *t = &settings->teams[i];
-        read_text(reader, o, "name", t->name);
-        t->cpus = read_number(reader, o, "cpus", 0);
-        t->cpus_quota = read_number(reader, o, "cpus_max", 0);
-        t->gpus = read_number(reader, o, "gpus", 0);
-        t->gpus_quota = read_number(reader, o, "gpus_max", 0);
+        struct bd_team_quota *team = &settings->teams[i];
+        read_text(reader, entry, "name", team->name);
+        team->cpus = read_number(reader, entry, "cpus", 0);
+        team->cpus_quota = read_number(reader, entry, "cpus_max", 0);
+        team->gpus = read_number(reader, entry, "gpus", 0);
+        team->gpus_quota = read_number(reader, entry, "gpus_max", 0);
         settings->nteams = (int)i + 1;
     }
 }
 
-static enum bd_slo_kind slo_kind(const char *name)
+static enum bd_slo_kind parse_slo_kind(const char *name)
 {
     if (name && strcmp(name, "wait") == 0)
         return BD_SLO_WAIT;
@@ -118,116 +141,141 @@
     return BD_SLO_OTHER;
 }
 
-/* Objectives only steer; one that cannot be read is passed over, never a fault. */
-static void read_slos(struct bd_settings_reader *reader, json_t *facts,
+/* Objectives only guide the scheduler, so that the fields of one are optional. */
+static void read_slos(struct bd_settings_reader *reader, const json_t *facts,
                       struct bd_settings *settings)
 {
-    json_t *a = json_object_get(facts, "objectives"), *o;
+    json_t *objectives = json_object_get(facts, "objectives");
+    json_t *entry;
     size_t i;
-    if (json_array_size(a) > BD_MAX_SLOS)
+    if (json_array_size(objectives) > BD_MAX_SLOS)
         bd_settings_fault(reader, "objectives", "has too many entries");
-    json_array_foreach(a, i, o)
+    json_array_foreach(objectives, i, entry)
     {
         if (settings->nslos == BD_MAX_SLOS)
             return;
-        struct bd_slo *m = &settings->slos[settings->nslos++];
-        const char *job_class = json_string_value(json_object_get(o, "class"));
-        m->kind = slo_kind(json_string_value(json_object_get(o, "kind")));
+        struct bd_slo *slo = &settings->slos[settings->nslos++];
+        const char *job_class = json_string_value(json_object_get(entry, "class"));
+        slo->kind = parse_slo_kind(json_string_value(json_object_get(entry, "kind")));
         if (job_class)
-            snprintf(m->job_class, sizeof m->job_class, "%s", job_class);
-        m->within_s = json_number_value(json_object_get(o, "within_s"));
-        m->share = json_number_value(json_object_get(o, "share"));
+            snprintf(slo->job_class, sizeof slo->job_class, "%s", job_class);
+        slo->within_s = json_number_value(json_object_get(entry, "within_s"));
+        slo->share = json_number_value(json_object_get(entry, "share"));
     }
 }
 
-static void read_zones(struct bd_settings_reader *reader, json_t *facts,
+static void read_zones(struct bd_settings_reader *reader, const json_t *facts,
                        struct bd_settings *settings)
 {
-    json_t *a = read_list(reader, facts, "zones", BD_MAX_ZONES), *o;
+    json_t *zones = read_list(reader, facts, "zones", BD_MAX_ZONES);
+    json_t *entry;
     size_t i;
     if (reader->failed)
         return;
-    json_array_foreach(a, i, o)
+    json_array_foreach(zones, i, entry)
     {
-        const char *z = json_string_value(o);
-        if (!z || strlen(z) >= BD_NAME)
+        const char *zone = json_string_value(entry);
+        if (!zone || strlen(zone) >= BD_NAME)
             bd_settings_fault(reader, "zones", "needs short texts");
         else
-            strcpy(settings->zones[i], z);
+            strcpy(settings->zones[i], zone);
         settings->nzones = (int)i + 1;
     }
 }
 
-/* A limit of the key-value store that a moment to come may lower, without notice: what is written
- * fits the smaller of the two from the start. One that is not named stays as it is. */
-static double read_limit(struct bd_settings_reader *reader, json_t *state, const char *key,
-                         double min)
+/* ---- facts ---- */
+
+static void read_worker_times(struct bd_settings_reader *reader, const json_t *workers,
+                              struct bd_settings *settings)
 {
-    double now = read_number(reader, state, key, min);
-    json_t *next = json_object_get(state, "next");
+    settings->heartbeat_interval =
+        read_duration(reader, workers, "report_s", HEARTBEAT_INTERVAL_MIN_S);
+    settings->lease = read_duration(reader, workers, "lease_s", LEASE_MIN_S);
+    settings->gang_wait = read_duration(reader, workers, "gang_wait_s", 0);
+    settings->gang_peer = read_duration(reader, workers, "gang_peer_s", 0);
+    settings->cancel = read_duration(reader, workers, "cancel_s", CANCEL_MIN_S);
+    /* a lease that was renewed just before the cancellation must expire within cancel_s */
+    if (bd_to_secs(settings->cancel) < bd_to_secs(settings->lease) + CANCEL_MARGIN_S)
+        bd_settings_fault(reader, "cancel_s", "must be at least a second longer than lease_s");
+}
+
+/* A limit of the key-value store. The object `next` may announce another value, to which the store
+ * changes without notice: the smaller of the two is respected from the start. */
+static double read_kv_limit(struct bd_settings_reader *reader, const json_t *state, const char *key,
+                            double min)
+{
+    double limit = read_number(reader, state, key, min);
+    const json_t *next = json_object_get(state, "next");
     if (!next || json_is_null(next))
-        return now;
+        return limit;
     if (!json_is_object(next))
         bd_settings_fault(reader, "next", "needs an object");
-    json_t *v = json_object_get(next, key);
-    return v && !json_is_null(v) ? fmin(now, read_number(reader, next, key, min)) : now;
-}
-
-static void read_facts(struct bd_settings_reader *reader, json_t *f, struct bd_settings *settings)
-{
-    settings->nodes = (int)read_number(reader, f, "count", 1);
-    read_zones(reader, f, settings);
-    read_teams(reader, f, settings);
-    read_slos(reader, f, settings);
-    json_t *w = read_object(reader, f, "workers");
-    settings->heartbeat_interval = read_duration(reader, w, "report_s", 0.01);
-    settings->lease = read_duration(reader, w, "lease_s", 0.1);
-    settings->gang_wait = read_duration(reader, w, "gang_wait_s", 0);
-    settings->gang_peer = read_duration(reader, w, "gang_peer_s", 0);
-    settings->cancel = read_duration(reader, w, "cancel_s", 0.1);
-    /* a lease renewed just before the cancellation is known would outlive it */
-    if (bd_to_secs(settings->cancel) < bd_to_secs(settings->lease) + CANCEL_MARGIN_S)
-        bd_settings_fault(reader, "cancel_s", "must be at least a second longer than lease_s");
-    json_t *st = read_object(reader, f, "state");
-    settings->kv_requests_per_s = read_limit(reader, st, "rps", 1);
-    settings->kv_writes_per_s = read_limit(reader, st, "write_rps", 1);
-    settings->kv_value_bytes_max = (size_t)(read_limit(reader, st, "value_kb", 1) * 1024);
-    settings->kv_txn_ops_max = (size_t)read_limit(reader, st, "txn_ops", 2);
-    json_t *c = read_object(reader, f, "cloud");
-    settings->cloud_requests_per_s = read_number(reader, c, "rps", 0.01);
-    settings->list_lag = read_duration(reader, c, "list_lag_s", 0);
-    json_t *l = read_object(reader, f, "limits");
-    settings->cpu = read_number(reader, l, "cpu", CPU_MIN);
-    settings->ram_mb = read_number(reader, l, "ram_mb", RAM_MB_MIN);
-    settings->max_sockets = (int)read_number(reader, l, "max_sockets", SOCKETS_MIN);
-    settings->clock_error = bd_secs(read_number(reader, f, "clock_error_ms", 0) / 1000.0);
-}
-
-int bd_settings_load(struct bd_settings *s, const char *path, char *err, size_t errlen)
+    const json_t *next_limit = json_object_get(next, key);
+    if (!next_limit || json_is_null(next_limit))
+        return limit;
+    return fmin(limit, read_number(reader, next, key, min));
+}
+
+static void read_kv_limits(struct bd_settings_reader *reader, const json_t *state,
+                           struct bd_settings *settings)
+{
+    settings->kv_requests_per_s = read_kv_limit(reader, state, "rps", KV_RATE_MIN);
+    settings->kv_writes_per_s = read_kv_limit(reader, state, "write_rps", KV_RATE_MIN);
+    double value_kb = read_kv_limit(reader, state, "value_kb", KV_VALUE_KB_MIN);
+    settings->kv_value_bytes_max = (size_t)(value_kb * BYTES_PER_KB);
+    settings->kv_txn_ops_max = (size_t)read_kv_limit(reader, state, "txn_ops", KV_TXN_OPS_MIN);
+}
+
+/* What this controller may use of its machine. */
+static void read_own_limits(struct bd_settings_reader *reader, const json_t *limits,
+                            struct bd_settings *settings)
+{
+    settings->cpu = read_number(reader, limits, "cpu", CPU_MIN);
+    settings->ram_mb = read_number(reader, limits, "ram_mb", RAM_MB_MIN);
+    settings->max_sockets = (int)read_number(reader, limits, "max_sockets", SOCKETS_MIN);
+}
+
+static void read_facts(struct bd_settings_reader *reader, const json_t *facts,
+                       struct bd_settings *settings)
+{
+    settings->nodes = (int)read_number(reader, facts, "count", 1);
+    read_zones(reader, facts, settings);
+    read_teams(reader, facts, settings);
+    read_slos(reader, facts, settings);
+    read_worker_times(reader, read_object(reader, facts, "workers"), settings);
+    read_kv_limits(reader, read_object(reader, facts, "state"), settings);
+    const json_t *cloud = read_object(reader, facts, "cloud");
+    settings->cloud_requests_per_s = read_number(reader, cloud, "rps", CLOUD_RATE_MIN);
+    settings->list_lag = read_duration(reader, cloud, "list_lag_s", 0);
+    read_own_limits(reader, read_object(reader, facts, "limits"), settings);
+    settings->clock_error = bd_secs(read_number(reader, facts, "clock_error_ms", 0) / MS_PER_S);
+}
+
+int bd_settings_load(struct bd_settings *settings, const char *path, char *err, size_t errlen)
 {
     struct bd_settings_reader reader = {path, err, errlen, false};
-    json_error_t je;
-    memset(s, 0, sizeof *s);
-    s->headroom_share = HEADROOM_SHARE_DEFAULT;
-    s->idle_boots = IDLE_BOOTS_DEFAULT;
-    json_t *root = json_load_file(path, 0, &je);
+    json_error_t error;
+    memset(settings, 0, sizeof *settings);
+    settings->headroom_share = HEADROOM_SHARE_DEFAULT;
+    settings->idle_boots = IDLE_BOOTS_DEFAULT;
+    json_t *root = json_load_file(path, 0, &error);
     if (!root) {
-        snprintf(err, errlen, "%s: line %d: %s", path, je.line, je.text);
+        snprintf(err, errlen, "%s: line %d: %s", path, error.line, error.text);
         return -1;
     }
     if (!json_is_object(root))
         bd_settings_fault(&reader, "settings", "needs an object");
-    read_text(&reader, root, "node_name", s->node);
-    read_text(&reader, root, "location", s->zone);
-    read_text(&reader, root, "front", s->api_addr);
-    read_text(&reader, root, "mesh_addr", s->peer_addr);
-    read_peers(&reader, root, s);
-    json_t *ext = read_object(&reader, root, "external");
-    read_text(&reader, ext, "cloud", s->cloud);
-    read_text(&reader, ext, "state", s->kv_addr);
-    json_t *f = read_object(&reader, root, "facts");
+    read_text(&reader, root, "node_name", settings->node);
+    read_text(&reader, root, "location", settings->zone);
+    read_text(&reader, root, "front", settings->api_addr);
+    read_text(&reader, root, "mesh_addr", settings->peer_addr);
+    read_peers(&reader, root, settings);
+    const json_t *external = read_object(&reader, root, "external");
+    read_text(&reader, external, "cloud", settings->cloud);
+    read_text(&reader, external, "state", settings->kv_addr);
+    const json_t *facts = read_object(&reader, root, "facts");
     if (!reader.failed)
-        read_facts(&reader, f, s);
+        read_facts(&reader, facts, settings);
     json_decref(root);
     return reader.failed ? -1 : 0;
 }
