--- a/src/adapters/api_server.c
+++ b/src/adapters/api_server.c
@@ -8,6 +8,7 @@
 #include "base/metrics.h"
 #include "base/timeutil.h"
 #include "brambledoor/settings.h"
+#include "model/effect.h"
 #include "wire/wire.h"
 #include <microhttpd.h>
 #include <netinet/in.h>
@@ -34,7 +35,7 @@
 /* One request. The polling thread owns it, except between post_to_owner and bd_api_reply: then its
  * connection is suspended, and the owner thread alone may use it. */
 struct request {
-    bool is_from_peer; /* always false: see struct bd_remote, which begins alike */
+    struct bd_remote origin; /* first, because the core reads it; all zero: not remote */
     struct MHD_Connection *connection;
     char *body;
     size_t body_len, body_capacity;
--- a/src/adapters/cloud_client.c
+++ b/src/adapters/cloud_client.c
@@ -34,7 +34,7 @@
 #define SCALE_IN_MACHINES_MAX 128
 #define STACK_BYTES 131072
 
-/* The cloud's HTTP statuses that are told apart. */
+/* The cloud's HTTP statuses that have a meaning here. */
 enum cloud_status {
     CLOUD_NO_ANSWER = 0, /* or a malformed one */
     CLOUD_OK = 200,
