--- a/src/runtime/event_apply.c
+++ b/src/runtime/event_apply.c
@@ -1,6 +1,7 @@
 #include "runtime/event_apply.h"
 #include "adapters/api_server.h"
 #include "adapters/event.h"
+#include "adapters/kv_client.h"
 #include "adapters/node.h"
 #include "autoscaling/autoscaling.h"
 #include "base/metrics.h"
@@ -26,6 +27,76 @@
 #define HTTP_OK 200
 #define HTTP_BAD_REQUEST 400
 
+/* ---- the API server ---- */
+
+static void apply_user_submit(struct bd_node *node, const struct bd_event *event)
+{
+    bd_user_submit(node->core, event->user.request, event->user.text, event->user.len);
+}
+
+static void apply_user_status(struct bd_node *node, const struct bd_event *event)
+{
+    bd_user_status(node->core, event->user.request, event->user.job_id);
+}
+
+static void apply_user_cancel(struct bd_node *node, const struct bd_event *event)
+{
+    bd_user_cancel(node->core, event->user.request, event->user.job_id);
+}
+
+static void apply_heartbeat(struct bd_node *node, const struct bd_event *event)
+{
+    const struct bd_event_request *received = &event->user;
+    const struct bd_heartbeat *heartbeat =
+        bd_heartbeat_cache_read(node->heartbeats, received->text, received->len);
+    if (heartbeat)
+        bd_worker_heartbeat_received(node->core, received->request, heartbeat, received->text,
+                                     received->len);
+    else
+        bd_api_reply(node, received->request, HTTP_BAD_REQUEST,
+                     strdup("{\"error\":\"malformed report\"}"), 0);
+}
+
+/* ---- the key-value store's client ---- */
+
+static void apply_user_txn(struct bd_node *node, const struct bd_event *event)
+{
+    const struct bd_event_user_txn *txn = &event->user_txn;
+    bd_user_txn_completed(node->core, txn->request, txn->job_id, txn->body, txn->purpose,
+                          txn->status, txn->store_revision);
+}
+
+/* A malformed record counts as no answer. */
+static void apply_job_lookup(struct bd_node *node, const struct bd_event *event)
+{
+    struct bd_change change;
+    uint64_t grant;
+    const struct bd_event_job_lookup *lookup = &event->job_lookup;
+    long status = lookup->status;
+    if (status == BD_KV_OK && !bd_wire_pair(lookup->answer, &change, &grant))
+        status = BD_KV_NO_ANSWER;
+    bd_replica_lookup_completed(node->core, lookup->request, lookup->job_id, lookup->purpose,
+                                status, status == BD_KV_OK ? &change : NULL);
+}
+
+static void apply_leader_txn(struct bd_node *node, const struct bd_event *event)
+{
+    struct bd_core *core = node->core;
+    bd_metrics_time(node->metrics, BD_TIMING_COMMIT, bd_between(node->commit_sent, core->now));
+    /* the outcome of an earlier term's transaction is ignored */
+    const struct bd_event_leader_txn *txn = &event->leader_txn;
+    if (txn->term == core->lead.base_term && txn->sequence == core->lead.sequence)
+        bd_leader_txn_completed(core, txn->outcome, txn->store_revision,
+                                bd_wire_failed(txn->answer));
+}
+
+static void apply_delegate_txn(struct bd_node *node, const struct bd_event *event)
+{
+    const struct bd_event_delegate_txn *txn = &event->delegate_txn;
+    bd_delegate_txn_completed(node->core, txn->status, txn->store_revision, txn->sent,
+                              txn->is_revision_known);
+}
+
 static void apply_changes(struct bd_core *core, json_t *changes)
 {
     struct bd_change change;
@@ -57,42 +128,55 @@
     atomic_store(&node->page_out, false);
 }
 
-static void apply_job_lookup(struct bd_node *node, const struct bd_event *event)
+static void apply_delegate_records(struct bd_node *node, const struct bd_event *event)
 {
-    struct bd_change change;
-    uint64_t grant;
-    const struct bd_event_job_lookup *lookup = &event->job_lookup;
-    long status = lookup->status;
-    if (status == HTTP_OK && !bd_wire_pair(lookup->answer, &change, &grant))
-        status = 0;
-    bd_replica_lookup_completed(node->core, lookup->request, lookup->job_id, lookup->purpose,
-                                status, status == HTTP_OK ? &change : NULL);
+    bd_delegate_records_read(node->core, event->records.records, event->records.sent);
 }
 
-static void apply_leader_txn(struct bd_node *node, const struct bd_event *event)
+static void apply_drain_records(struct bd_node *node, const struct bd_event *event)
 {
-    struct bd_core *core = node->core;
-    bd_metrics_time(node->metrics, BD_TIMING_COMMIT, bd_between(node->commit_sent, core->now));
-    /* the outcome of an earlier term's transaction is ignored */
-    const struct bd_event_leader_txn *txn = &event->leader_txn;
-    if (txn->term == core->lead.base_term && txn->sequence == core->lead.sequence)
-        bd_leader_txn_completed(core, txn->outcome, txn->store_revision,
-                                bd_wire_failed(txn->answer));
+    bd_drain_records(node->core, event->records.records, event->records.sets);
 }
 
-static void apply_heartbeat(struct bd_node *node, const struct bd_event *event)
+static void apply_kv_rate_exceeded(struct bd_node *node, const struct bd_event *event)
 {
-    const struct bd_event_request *received = &event->user;
-    const struct bd_heartbeat *heartbeat =
-        bd_heartbeat_cache_read(node->heartbeats, received->text, received->len);
-    if (heartbeat)
-        bd_worker_heartbeat_received(node->core, received->request, heartbeat, received->text,
-                                     received->len);
-    else
-        bd_api_reply(node, received->request, HTTP_BAD_REQUEST,
-                     strdup("{\"error\":\"malformed report\"}"), 0);
+    (void)event;
+    bd_kv_rate_exceeded(node->core);
+}
+
+/* ---- the election ---- */
+
+static void apply_leader_observed(struct bd_node *node, const struct bd_event *event)
+{
+    const struct bd_event_leader *leader = &event->leader;
+    if (node->core->role == BD_FOLLOWER && !node->pending_acquisition)
+        bd_core_leader_observed(node->core, leader->name, leader->revision, leader->sent,
+                                leader->dismisses_us);
+}
+
+static void apply_lease_renewed(struct bd_node *node, const struct bd_event *event)
+{
+    bd_leadership_renewed(node->core, event->renewed.grant, event->renewed.sent);
+}
+
+static void apply_liveness_sent(struct bd_node *node, const struct bd_event *event)
+{
+    bd_liveness_sent(node->core, event->liveness.sent);
+}
+
+static void apply_liveness_written(struct bd_node *node, const struct bd_event *event)
+{
+    bd_liveness_written(node->core, event->liveness.sent);
 }
 
+static void apply_leadership_lost(struct bd_node *node, const struct bd_event *event)
+{
+    (void)event;
+    bd_leadership_lost(node->core);
+}
+
+/* ---- workers, the cloud and peers ---- */
+
 static void apply_direct_command(struct bd_node *node, const struct bd_event *event)
 {
     const struct bd_event_direct_command *command = &event->direct_command;
@@ -102,6 +186,31 @@
                                        command->has_launches, command->status, heartbeat);
 }
 
+static void apply_machine_types(struct bd_node *node, const struct bd_event *event)
+{
+    bd_inventory_types(node->core, event->types.types, (int)event->types.n);
+}
+
+static void apply_inventory(struct bd_node *node, const struct bd_event *event)
+{
+    const struct bd_event_inventory *inventory = &event->inventory;
+    bd_inventory_machines(node->core, inventory->machines, inventory->n, inventory->sent);
+}
+
+static void apply_scale_out(struct bd_node *node, const struct bd_event *event)
+{
+    const struct bd_event_scaling *scaling = &event->scaling;
+    bd_scale_out_completed(node->core, scaling->request, scaling->status, scaling->machines,
+                           (int)scaling->n);
+}
+
+static void apply_scale_in(struct bd_node *node, const struct bd_event *event)
+{
+    const struct bd_event_scaling *scaling = &event->scaling;
+    bd_scale_in_completed(node->core, scaling->machines, (int)scaling->n,
+                          scaling->status == HTTP_OK);
+}
+
 static void apply_forwarded_heartbeat(struct bd_node *node, const struct bd_frame *frame,
                                       const char *text, size_t len)
 {
@@ -146,127 +255,41 @@
                                   frame->jobs[i].running);
 }
 
-static void apply_leader_observed(struct bd_node *node, const struct bd_event *event)
-{
-    const struct bd_event_leader *leader = &event->leader;
-    if (node->core->role == BD_FOLLOWER && !node->pending_acquisition)
-        bd_core_leader_observed(node->core, leader->name, leader->revision, leader->sent,
-                                leader->dismisses_us);
-}
+/* ---- dispatch ---- */
 
-/* Events of workers, peers and the cloud; others are ignored. */
-static void apply_fleet_event(struct bd_node *node, struct bd_event *event)
-{
-    struct bd_core *core = node->core;
-    switch (event->kind) {
-    case BD_EVENT_HEARTBEAT:
-        apply_heartbeat(node, event);
-        break;
-    case BD_EVENT_DIRECT_COMMAND_COMPLETED:
-        apply_direct_command(node, event);
-        break;
-    case BD_EVENT_PEER_FRAME:
-        apply_peer_frame(node, event);
-        break;
-    case BD_EVENT_MACHINE_TYPES:
-        bd_inventory_types(core, event->types.types, (int)event->types.n);
-        break;
-    case BD_EVENT_INVENTORY:
-        bd_inventory_machines(core, event->inventory.machines, event->inventory.n,
-                              event->inventory.sent);
-        break;
-    case BD_EVENT_SCALE_OUT_COMPLETED:
-        bd_scale_out_completed(core, event->scaling.request, event->scaling.status,
-                               event->scaling.machines, (int)event->scaling.n);
-        break;
-    case BD_EVENT_SCALE_IN_COMPLETED:
-        bd_scale_in_completed(core, event->scaling.machines, (int)event->scaling.n,
-                              event->scaling.status == HTTP_OK);
-        break;
-    default:
-        break;
-    }
-}
-
-/* Events of the election. */
-static void apply_leadership_event(struct bd_node *node, struct bd_event *event)
-{
-    struct bd_core *core = node->core;
-    switch (event->kind) {
-    case BD_EVENT_LEADER_OBSERVED:
-        apply_leader_observed(node, event);
-        break;
-    case BD_EVENT_LIVENESS_SENT:
-        bd_liveness_sent(core, event->liveness.sent);
-        break;
-    case BD_EVENT_LIVENESS_WRITTEN:
-        bd_liveness_written(core, event->liveness.sent);
-        break;
-    case BD_EVENT_LEASE_RENEWED:
-        bd_leadership_renewed(core, event->renewed.grant, event->renewed.sent);
-        break;
-    case BD_EVENT_LEADERSHIP_LOST:
-        bd_leadership_lost(core);
-        break;
-    default:
-        apply_fleet_event(node, event);
-    }
-}
+typedef void event_handler(struct bd_node *node, const struct bd_event *event);
 
-/* Events of the key-value store. */
-static void apply_store_event(struct bd_node *node, struct bd_event *event)
-{
-    struct bd_core *core = node->core;
-    switch (event->kind) {
-    case BD_EVENT_USER_TXN_COMPLETED:
-        bd_user_txn_completed(core, event->user_txn.request, event->user_txn.job_id,
-                              event->user_txn.body, event->user_txn.purpose, event->user_txn.status,
-                              event->user_txn.store_revision);
-        break;
-    case BD_EVENT_LEADER_TXN_COMPLETED:
-        apply_leader_txn(node, event);
-        break;
-    case BD_EVENT_DELEGATE_TXN_COMPLETED:
-        bd_delegate_txn_completed(core, event->delegate_txn.status,
-                                  event->delegate_txn.store_revision, event->delegate_txn.sent,
-                                  event->delegate_txn.is_revision_known);
-        break;
-    case BD_EVENT_KV_RATE_EXCEEDED:
-        bd_kv_rate_exceeded(core);
-        break;
-    case BD_EVENT_REPLICA_REFRESHED:
-        apply_replica_refreshed(node, event);
-        break;
-    case BD_EVENT_REPLICA_LISTED:
-        apply_replica_listed(node, event);
-        break;
-    case BD_EVENT_JOB_LOOKUP_COMPLETED:
-        apply_job_lookup(node, event);
-        break;
-    case BD_EVENT_DELEGATE_RECORDS:
-        bd_delegate_records_read(core, event->records.records, event->records.sent);
-        break;
-    case BD_EVENT_DRAIN_RECORDS:
-        bd_drain_records(core, event->records.records, event->records.sets);
-        break;
-    default:
-        apply_leadership_event(node, event);
-    }
-}
+/* BD_EVENT_LEADERSHIP_ACQUIRED has none: the event loop defers it. */
+static event_handler *const handlers[] = {
+    [BD_EVENT_USER_SUBMIT] = apply_user_submit,
+    [BD_EVENT_USER_STATUS] = apply_user_status,
+    [BD_EVENT_USER_CANCEL] = apply_user_cancel,
+    [BD_EVENT_HEARTBEAT] = apply_heartbeat,
+    [BD_EVENT_USER_TXN_COMPLETED] = apply_user_txn,
+    [BD_EVENT_JOB_LOOKUP_COMPLETED] = apply_job_lookup,
+    [BD_EVENT_LEADER_TXN_COMPLETED] = apply_leader_txn,
+    [BD_EVENT_DELEGATE_TXN_COMPLETED] = apply_delegate_txn,
+    [BD_EVENT_REPLICA_REFRESHED] = apply_replica_refreshed,
+    [BD_EVENT_REPLICA_LISTED] = apply_replica_listed,
+    [BD_EVENT_DELEGATE_RECORDS] = apply_delegate_records,
+    [BD_EVENT_DRAIN_RECORDS] = apply_drain_records,
+    [BD_EVENT_KV_RATE_EXCEEDED] = apply_kv_rate_exceeded,
+    [BD_EVENT_LEADER_OBSERVED] = apply_leader_observed,
+    [BD_EVENT_LEASE_RENEWED] = apply_lease_renewed,
+    [BD_EVENT_LIVENESS_SENT] = apply_liveness_sent,
+    [BD_EVENT_LIVENESS_WRITTEN] = apply_liveness_written,
+    [BD_EVENT_LEADERSHIP_LOST] = apply_leadership_lost,
+    [BD_EVENT_DIRECT_COMMAND_COMPLETED] = apply_direct_command,
+    [BD_EVENT_MACHINE_TYPES] = apply_machine_types,
+    [BD_EVENT_INVENTORY] = apply_inventory,
+    [BD_EVENT_SCALE_OUT_COMPLETED] = apply_scale_out,
+    [BD_EVENT_SCALE_IN_COMPLETED] = apply_scale_in,
+    [BD_EVENT_PEER_FRAME] = apply_peer_frame,
+};
 
-void bd_event_apply(struct bd_node *node, struct bd_event *event)
+void bd_event_apply(struct bd_node *node, const struct bd_event *event)
 {
-    switch (event->kind) {
-    case BD_EVENT_USER_SUBMIT:
-        bd_user_submit(node->core, event->user.request, event->user.text, event->user.len);
-        break;
-    case BD_EVENT_USER_STATUS:
-        bd_user_status(node->core, event->user.request, event->user.job_id);
-        break;
-    case BD_EVENT_USER_CANCEL:
-        bd_user_cancel(node->core, event->user.request, event->user.job_id);
-        break;
-    default:
-        apply_store_event(node, event);
-    }
+    event_handler *apply = handlers[event->kind];
+    if (apply)
+        apply(node, event);
 }
--- a/src/runtime/event_apply.h
+++ b/src/runtime/event_apply.h
@@ -8,5 +8,5 @@
 
 /* Applies one event, which stays the caller's: any but LEADERSHIP_ACQUIRED, which the event loop
  * defers. Owner thread only. */
-void bd_event_apply(struct bd_node *node, struct bd_event *event);
+void bd_event_apply(struct bd_node *node, const struct bd_event *event);
 #endif
