--- a/src/adapters/cloud_client.h
+++ b/src/adapters/cloud_client.h
@@ -2,9 +2,8 @@
  * its scale-out and scale-in effects in order.
  *
  * One thread, which lives as long as the process, does all that within the cloud's rate limit; it
- * alone owns the client's state. The functions that list machines may be called from any thread
- * with a connection of its own; they block. Started by the runtime; drains' administration lists
- * machines too. */
+ * alone owns the client's state. bd_cloud_list may be called from any thread with a connection of
+ * its own; it blocks. Started by the runtime; drains' administration lists machines too. */
 #ifndef BD_CLOUD_CLIENT_H
 #define BD_CLOUD_CLIENT_H
 #include "wire/wire.h"
--- a/src/adapters/peer_listener.c
+++ b/src/adapters/peer_listener.c
@@ -206,17 +206,14 @@
 }
 
 /* A socket that listens on the address, or -1. */
-static int open_listening_socket(const char *addr)
+static int open_listening_socket(const struct sockaddr_in *address)
 {
-    struct sockaddr_in address;
     int one = 1;
-    if (!bd_address_parse(addr, &address))
-        return -1;
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     if (fd < 0)
         return -1;
     (void)setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
-    if (bind(fd, (struct sockaddr *)&address, sizeof address) != 0 ||
+    if (bind(fd, (const struct sockaddr *)address, sizeof *address) != 0 ||
         listen(fd, CONNECTIONS_MAX) != 0) {
         (void)close(fd);
         return -1;
@@ -226,13 +223,16 @@
 
 int bd_peer_listener_start(struct bd_node *node)
 {
+    struct sockaddr_in address;
+    if (!bd_address_parse(node->settings.peer_addr, &address))
+        return -1;
     struct listener *listener = calloc(1, sizeof *listener);
     if (!listener)
         return -1;
     listener->node = node;
     for (int i = 0; i < CONNECTIONS_MAX; i++)
         listener->connections[i].fd = -1;
-    listener->fd = open_listening_socket(node->settings.peer_addr);
+    listener->fd = open_listening_socket(&address);
     if (listener->fd < 0) {
         bd_log_write(&node->log, BD_LOG_ERROR, "cannot listen on %s", node->settings.peer_addr);
         free(listener);
--- a/src/adapters/peer_listener.h
+++ b/src/adapters/peer_listener.h
@@ -8,6 +8,7 @@
 
 struct bd_node;
 
-/* Listens on the settings' peer address. 0, or -1 with the reason in the log. */
+/* Listens on the settings' peer address. 0, or -1: the address is malformed, cannot listen (which
+ * is logged), no memory or no thread. */
 int bd_peer_listener_start(struct bd_node *node);
 #endif
