--- a/src/adapters/peer_listener.h
+++ b/src/adapters/peer_listener.h
@@ -1,11 +1,14 @@
-/* Frames from the peers: accepts their connections and posts whole frames to the owner thread.
+/* The receiving side of the peer transport: accepts the peers' connections and posts their frames
+ * to the owner thread.
  *
- * One thread, which alone owns the connections that came in. */
+ * One thread, which lives as long as the process and alone owns the listening socket and the
+ * accepted connections. Started by bd_transport_start. */
 #ifndef BD_PEER_LISTENER_H
 #define BD_PEER_LISTENER_H
 
 struct bd_node;
 
-/* Listens on the settings' peer address. 0, or -1 with the reason in the log. */
+/* Listens on the settings' peer address. 0, or -1: the address is malformed, cannot listen (which
+ * is logged), no memory or no thread. */
 int bd_peer_listener_start(struct bd_node *node);
 #endif
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -15,6 +15,8 @@
 #include <stdlib.h>
 #include <string.h>
 
+#define HASH_SEED 1 /* of jansson's objects */
+
 #define HEARTBEAT_CACHE_BYTES (1 << 24)
 
 int main(int argc, char **argv)
@@ -30,6 +32,7 @@
             run = verbs[i].run;
     if (!run)
         return 2;
+    json_object_seed(HASH_SEED); /* else drawn anew by each process, and counts differ by run */
     deployment.machines = (uint32_t)strtoul(argv[2], NULL, 10);
     deployment.heartbeats = bd_heartbeat_cache_new(HEARTBEAT_CACHE_BYTES);
     if (!deployment.heartbeats)
