--- a/cli/drain_command.c
+++ b/cli/drain_command.c
@@ -205,7 +205,7 @@
         json_decref(response.body);
         if (result == EXIT_REFUSED || has_ended)
             return result;
-        bd_pause(WATCH_INTERVAL_S);
+        bd_sleep(WATCH_INTERVAL_S);
     }
 }
 
@@ -242,13 +242,13 @@
     argv[0] = name; /* in argp's messages */
     argp_err_exit_status = EXIT_USAGE;
     enum exit_status result = EXIT_USAGE;
-    if (argp_parse(&argp, argc, argv, 0, 0, &arguments) != 0 || bd_http_start() != 0)
+    if (argp_parse(&argp, argc, argv, 0, 0, &arguments) != 0 || bd_http_global_init() != 0)
         goto free_request;
     struct bd_http *http = bd_http_new(1, NULL);
     result = http ? run_verb(&arguments, http) : EXIT_UNREACHED;
     if (http)
         bd_http_free(http);
-    bd_http_end();
+    bd_http_global_cleanup();
 free_request:
     json_decref(arguments.request);
     return (int)result;
--- a/cli/main.c
+++ b/cli/main.c
@@ -53,7 +53,7 @@
     char error[256];
     if (bd_settings_load(settings, arguments->config, error, sizeof error) == 0 &&
         (!arguments->operators ||
-         bd_settings_operator(settings, arguments->operators, error, sizeof error) == 0))
+         bd_settings_load_operators_file(settings, arguments->operators, error, sizeof error) == 0))
         return true;
     fprintf(stderr, "brambledoor: %s\n", error);
     return false;
--- a/include/brambledoor/settings.h
+++ b/include/brambledoor/settings.h
@@ -11,22 +11,22 @@
 #include <time.h>
 
 /* Bytes of a name or an address with its terminator. */
-#define BD_NAME 64
-#define BD_MAX_PEERS 16
-#define BD_MAX_ZONES 16
-#define BD_MAX_TEAMS 64
-#define BD_MAX_SLOS 64
+#define BD_NAME_BYTES 64
+#define BD_PEERS_MAX 16
+#define BD_ZONES_MAX 16
+#define BD_TEAMS_MAX 64
+#define BD_SLOS_MAX 64
 
 /* Another controller of the cluster. */
 struct bd_peer {
-    char name[BD_NAME];
-    char zone[BD_NAME];
-    char addr[BD_NAME]; /* "HOST:PORT" with an IPv4 host, where it listens for controllers */
+    char name[BD_NAME_BYTES];
+    char zone[BD_NAME_BYTES];
+    char addr[BD_NAME_BYTES]; /* "HOST:PORT" with an IPv4 host, where it listens for controllers */
 };
 
 /* What a team may use. An amount of 0 means that there is no guarantee or no quota. */
 struct bd_team_quota {
-    char name[BD_NAME];
+    char name[BD_NAME_BYTES];
     double cpus;       /* guaranteed share, CPU cores */
     double cpus_quota; /* at most, CPU cores */
     double gpus;       /* guaranteed share, GPUs */
@@ -43,28 +43,28 @@
 /* A service-level objective. */
 struct bd_slo {
     enum bd_slo_kind kind;
-    char job_class[BD_NAME]; /* the class of jobs that it is for; empty: none is named */
-    double within_s;         /* the time, seconds */
-    double share;            /* of the jobs that are to meet it, 0 to 1 */
+    char job_class[BD_NAME_BYTES]; /* the class of jobs that it is for; empty: none is named */
+    double within_s;               /* the time, seconds */
+    double share;                  /* of the jobs that are to meet it, 0 to 1 */
 };
 
 struct bd_drain_rules; /* src/drain/drain_rules.h */
 
 /* Durations are struct timespec, rates are per second. */
 struct bd_settings {
-    char node[BD_NAME];      /* this controller's name */
-    char zone[BD_NAME];      /* the zone in which it runs */
-    char api_addr[BD_NAME];  /* "HOST:PORT" on which it listens for users and workers */
-    char peer_addr[BD_NAME]; /* "HOST:PORT" on which it listens for other controllers */
-    struct bd_peer peers[BD_MAX_PEERS];
+    char node[BD_NAME_BYTES];      /* this controller's name */
+    char zone[BD_NAME_BYTES];      /* the zone in which it runs */
+    char api_addr[BD_NAME_BYTES];  /* "HOST:PORT" on which it listens for users and workers */
+    char peer_addr[BD_NAME_BYTES]; /* "HOST:PORT" on which it listens for other controllers */
+    struct bd_peer peers[BD_PEERS_MAX];
     int npeers;
-    char cloud[BD_NAME];   /* "HOST:PORT" of the cloud's provisioning interface */
-    char kv_addr[BD_NAME]; /* "HOST:PORT" of the key-value store */
-    char zones[BD_MAX_ZONES][BD_NAME];
+    char cloud[BD_NAME_BYTES];   /* "HOST:PORT" of the cloud's provisioning interface */
+    char kv_addr[BD_NAME_BYTES]; /* "HOST:PORT" of the key-value store */
+    char zones[BD_ZONES_MAX][BD_NAME_BYTES];
     int nzones;
-    struct bd_team_quota teams[BD_MAX_TEAMS];
+    struct bd_team_quota teams[BD_TEAMS_MAX];
     int nteams;
-    struct bd_slo slos[BD_MAX_SLOS];
+    struct bd_slo slos[BD_SLOS_MAX];
     int nslos;
     int nodes; /* controllers of the cluster, this one included; validated only */
 
@@ -103,5 +103,6 @@
 int bd_settings_load(struct bd_settings *settings, const char *path, char *err, size_t errlen);
 /* Reads the operators' settings into `settings`, after bd_settings_load; fields that the file does
  * not name stay as they are. May allocate `draining`, also if it fails. 0, or -1 as above. */
-int bd_settings_operator(struct bd_settings *settings, const char *path, char *err, size_t errlen);
+int bd_settings_load_operators_file(struct bd_settings *settings, const char *path, char *err,
+                                    size_t errlen);
 #endif
--- a/src/adapters/admin_drain_change.c
+++ b/src/adapters/admin_drain_change.c
@@ -18,12 +18,12 @@
     case BD_VERB_CANCEL:
         break;
     }
-    return BD_DRAIN_CALLED_OFF;
+    return BD_DRAIN_CANCELLED;
 }
 
 static bool has_ended(const struct bd_drain_record *record)
 {
-    return record->state == BD_DRAIN_DONE || record->state == BD_DRAIN_CALLED_OFF;
+    return record->state == BD_DRAIN_DONE || record->state == BD_DRAIN_CANCELLED;
 }
 
 /* Brings the drain into the state. False: the record was changed by others meanwhile. */
@@ -33,7 +33,7 @@
     long status = BD_KV_OK;
     if (record->state != state) {
         record->state = state;
-        if (state == BD_DRAIN_CALLED_OFF)
+        if (state == BD_DRAIN_CANCELLED)
             record->ended = bd_admin_wall_s();
         status = bd_admin_write_drain(store, record);
     }
--- a/src/adapters/admin_drain_create.c
+++ b/src/adapters/admin_drain_create.c
@@ -53,8 +53,8 @@
                        const struct bd_drain_machine *machines, uint32_t count,
                        size_t value_bytes_max)
 {
-    char key[BD_LABEL];
-    json_t *value = bd_drain_part_value(machines, count);
+    char key[BD_LABEL_BYTES];
+    json_t *value = bd_drain_part_encode(machines, count);
     char *text = json_dumps(value, JSON_COMPACT);
     size_t bytes = text ? strlen(text) : value_bytes_max;
     free(text);
@@ -97,11 +97,11 @@
  */
 static json_t *normalize_request(json_t *request)
 {
-    char hash[BD_HASH];
+    char hash[BD_HASH_BYTES];
     json_t *normalized = json_copy(request);
     json_t *machines = json_object_get(request, "machines");
     if (json_array_size(machines) > 0) {
-        snprintf(hash, sizeof hash, "%016llx", (unsigned long long)bd_wire_names_hash(machines));
+        snprintf(hash, sizeof hash, "%016llx", (unsigned long long)bd_wire_hash_names(machines));
         json_object_set_new(normalized, "machines", json_string(hash));
     }
     return normalized;
@@ -143,7 +143,8 @@
     snprintf(record.name, sizeof record.name, "%s", request->name);
     struct bd_drain_machine *machines = new_machines(ids, &longest_id);
     record.at = machines[0].since;
-    uint32_t per_part = bd_drain_part_machines(settings, settings->kv_value_bytes_max, longest_id);
+    uint32_t per_part =
+        bd_drain_part_machines_max(settings, settings->kv_value_bytes_max, longest_id);
     bool is_written = per_part > 0 && choose_set_id(record.set) &&
                       write_machines(store, &record, machines, per_part);
     free(machines);
--- a/src/adapters/admin_server.c
+++ b/src/adapters/admin_server.c
@@ -87,7 +87,7 @@
                                               const struct admin_request *request,
                                               const char *method, const char *url)
 {
-    char name[BD_LABEL];
+    char name[BD_LABEL_BYTES];
     const char *verb_text = "";
     enum bd_drain_verb verb = BD_VERB_PAUSE;
     bool is_get = strcmp(method, "GET") == 0, is_post = strcmp(method, "POST") == 0;
--- a/src/adapters/admin_store.c
+++ b/src/adapters/admin_store.c
@@ -92,8 +92,8 @@
         bd_kv_call(store->node, store->http, "GET", path, NULL, STORE_TIMEOUT_S, &out->answer);
     if (status != BD_KV_OK)
         return status;
-    bool is_readable = bd_wire_pair(out->answer, &pair, &grant) &&
-                       bd_drain_record_read(name, pair.value, pair.revision, &out->record);
+    bool is_readable = bd_wire_read_pair(out->answer, &pair, &grant) &&
+                       bd_drain_record_decode(name, pair.value, pair.revision, &out->record);
     return is_readable ? BD_KV_OK : BD_KV_NO_ANSWER;
 }
 
@@ -111,12 +111,12 @@
 long bd_admin_write_drain(const struct bd_admin_store *store, const struct bd_drain_record *record)
 {
     struct bd_txn txn;
-    char key[sizeof BD_DRAIN_KEY + BD_LABEL];
+    char key[sizeof BD_DRAIN_KEY + BD_LABEL_BYTES];
     snprintf(key, sizeof key, BD_DRAIN_KEY "%s", record->name);
     if (!bd_txn_begin(&txn))
         abort();
     bd_txn_compare(&txn, key, record->revision);
-    bd_txn_put(&txn, key, bd_drain_record_value(record), 0);
+    bd_txn_put(&txn, key, bd_drain_record_encode(record), 0);
     return bd_admin_commit(store, &txn);
 }
 
@@ -141,9 +141,9 @@
     json_t *drains = json_array();
     json_array_foreach(pairs, i, value)
     {
-        if (bd_wire_change(value, &pair) &&
-            bd_drain_record_read(pair.key + strlen(BD_DRAIN_KEY), pair.value, pair.revision,
-                                 &record))
+        if (bd_wire_read_change(value, &pair) &&
+            bd_drain_record_decode(pair.key + strlen(BD_DRAIN_KEY), pair.value, pair.revision,
+                                   &record))
             json_array_append_new(drains, describe_drain(&record));
     }
     json_decref(pairs);
@@ -155,17 +155,17 @@
 static bool read_machines(const struct bd_admin_store *store, const char *set,
                           struct bd_drain_machine **machines, uint32_t *count)
 {
-    char prefix[BD_LABEL];
+    char prefix[BD_LABEL_BYTES];
     struct bd_change pair;
     json_t *value;
     size_t i;
-    snprintf(prefix, sizeof prefix, BD_DRAIN_SET "%s/", set);
+    snprintf(prefix, sizeof prefix, BD_DRAIN_SET_KEY "%s/", set);
     json_t *pairs = bd_kv_list(store->node, store->http, prefix);
     bool is_complete = pairs != NULL;
     json_array_foreach(pairs, i, value)
     {
-        is_complete = is_complete && bd_wire_change(value, &pair) &&
-                      bd_drain_part_read(pair.value, machines, count);
+        is_complete = is_complete && bd_wire_read_change(value, &pair) &&
+                      bd_drain_part_decode(pair.value, machines, count);
     }
     json_decref(pairs);
     return is_complete;
--- a/src/adapters/api_route.h
+++ b/src/adapters/api_route.h
@@ -8,7 +8,7 @@
 struct bd_api_route {
     int error; /* HTTP status, 404 or 405; 0: none */
     enum bd_event_kind kind;
-    char job_id[BD_LABEL]; /* status and cancellation */
+    char job_id[BD_LABEL_BYTES]; /* status and cancellation */
 };
 
 /* The route of a request other than a health check. */
--- a/src/adapters/api_server.c
+++ b/src/adapters/api_server.c
@@ -87,8 +87,8 @@
 void bd_api_reply(struct bd_node *node, void *request, int status, char *body, int retry_after_s)
 {
     struct request *decided = request;
-    bd_metrics_time(node->metrics, timing_of(decided->kind),
-                    bd_between(decided->posted_at, bd_now()));
+    bd_metrics_record_duration(node->metrics, timing_of(decided->kind),
+                               bd_seconds_between(decided->posted_at, bd_now()));
     decided->reply_status = status;
     decided->reply_body = body;
     decided->retry_after_s = retry_after_s;
--- a/src/adapters/cloud_client.c
+++ b/src/adapters/cloud_client.c
@@ -60,11 +60,12 @@
 {
     double rate = client->node->settings.cloud_requests_per_s * CALL_RATE_SHARE;
     struct timespec now = bd_now();
-    double refilled = client->calls_available + rate * bd_between(client->calls_updated_at, now);
+    double refilled =
+        client->calls_available + rate * bd_seconds_between(client->calls_updated_at, now);
     client->calls_available = fmin(CALL_BURST_S * rate, refilled);
     client->calls_updated_at = now;
     if (client->calls_available < 1)
-        bd_pause((1 - client->calls_available) / rate);
+        bd_sleep((1 - client->calls_available) / rate);
     client->calls_available -= 1;
 }
 
@@ -94,7 +95,7 @@
 {
     if (client->failures < BACK_OFF_STEPS_MAX)
         client->failures++;
-    bd_pause(BACK_OFF_STEP_S * (double)client->failures);
+    bd_sleep(BACK_OFF_STEP_S * (double)client->failures);
 }
 
 /* ---- machine types ---- */
@@ -102,13 +103,13 @@
 static void read_types(struct cloud_client *client)
 {
     struct bd_event *event = bd_event_new(BD_EVENT_MACHINE_TYPES);
-    struct bd_type_text *types = calloc(BD_MAX_TYPES, sizeof *types);
+    struct bd_machine_type_text *types = calloc(BD_TYPES_MAX, sizeof *types);
     if (!types)
         abort();
     event->types.types = types;
     json_t *answer = NULL;
     long status = call_within_rate(client, "GET", PATH_TYPES, NULL, &answer);
-    int count = status == CLOUD_OK ? bd_wire_types(answer, types, BD_MAX_TYPES) : -1;
+    int count = status == CLOUD_OK ? bd_wire_read_machine_types(answer, types, BD_TYPES_MAX) : -1;
     json_decref(answer);
     if (count <= 0) {
         bd_event_free(event);
@@ -120,7 +121,7 @@
     bd_event_post(client->node, event);
     double interval_s =
         atomic_load(&client->node->leading) ? TYPES_INTERVAL_LEADER_S : TYPES_INTERVAL_FOLLOWER_S;
-    client->next_types = bd_add(bd_now(), bd_secs(interval_s));
+    client->next_types = bd_time_add(bd_now(), bd_secs(interval_s));
 }
 
 /* ---- the inventory ---- */
@@ -142,7 +143,7 @@
     *machines = grown;
     int added = -1;
     if (status == CLOUD_OK)
-        added = bd_wire_machines(answer, grown + *count, PAGE_MACHINES, has_more);
+        added = bd_wire_read_machines(answer, grown + *count, PAGE_MACHINES, has_more);
     json_decref(answer);
     if (added < 0)
         return status == CLOUD_OK ? CLOUD_NO_ANSWER : status;
@@ -160,7 +161,7 @@
         if (list_page(node, http, machines, count, &has_more) == CLOUD_OK)
             continue;
         failures++;
-        bd_pause(LIST_RETRY_S);
+        bd_sleep(LIST_RETRY_S);
     }
     return !has_more;
 }
@@ -182,7 +183,7 @@
     }
     client->failures = 0;
     bd_event_post(client->node, event);
-    client->next_inventory = bd_add(bd_now(), bd_secs(client->inventory_interval_s));
+    client->next_inventory = bd_time_add(bd_now(), bd_secs(client->inventory_interval_s));
 }
 
 /* ---- scaling ---- */
@@ -191,7 +192,7 @@
 static void read_machine_names(struct bd_event_scaling *scaling, json_t *json, int max)
 {
     scaling->machines = calloc((size_t)max, sizeof *scaling->machines);
-    int count = scaling->machines ? bd_wire_machine_names(json, scaling->machines, max) : -1;
+    int count = scaling->machines ? bd_wire_read_machine_names(json, scaling->machines, max) : -1;
     scaling->n = count > 0 ? (size_t)count : 0;
 }
 
@@ -199,7 +200,7 @@
  * all the same. */
 static bool is_decided(long status, json_t *answer)
 {
-    bool is_outage = status == CLOUD_UNAVAILABLE && bd_wire_cloud_outage(answer);
+    bool is_outage = status == CLOUD_UNAVAILABLE && bd_wire_is_cloud_outage(answer);
     return status == CLOUD_OK || status == CLOUD_REJECTED ||
            (status == CLOUD_UNAVAILABLE && !is_outage);
 }
@@ -229,7 +230,8 @@
 {
     struct bd_event *event = bd_event_new(BD_EVENT_SCALE_IN_COMPLETED);
     json_t *answer = NULL;
-    event->scaling.status = call_within_rate(client, "POST", BD_PATH_RETURN, effect->body, &answer);
+    event->scaling.status =
+        call_within_rate(client, "POST", BD_PATH_RETURN_MACHINES, effect->body, &answer);
     json_decref(answer);
     json_t *request = json_loads(effect->body, 0, NULL);
     read_machine_names(&event->scaling, request, SCALE_IN_MACHINES_MAX);
@@ -243,7 +245,7 @@
 static void serve_queue(struct cloud_client *client)
 {
     void *item;
-    struct timespec until = bd_add(bd_now(), bd_secs(QUEUE_WAIT_S));
+    struct timespec until = bd_time_add(bd_now(), bd_secs(QUEUE_WAIT_S));
     if (bd_queue_take(&client->node->to_cloud, &item, 1, until) == 0)
         return;
     struct bd_effect *effect = item;
@@ -261,9 +263,9 @@
     for (;;) {
         serve_queue(client);
         struct timespec now = bd_now();
-        if (!atomic_load(&node->types_known) || bd_before(client->next_types, now))
+        if (!atomic_load(&node->types_known) || bd_time_is_before(client->next_types, now))
             read_types(client);
-        if (atomic_load(&node->leading) && bd_before(client->next_inventory, now))
+        if (atomic_load(&node->leading) && bd_time_is_before(client->next_inventory, now))
             read_inventory(client);
     }
     return NULL;
--- a/src/adapters/election.c
+++ b/src/adapters/election.c
@@ -40,7 +40,7 @@
     uint64_t grant;
     long status = bd_kv_call(candidate->node, candidate->http, "GET", BD_PATH_KEYS "/w", NULL,
                              bd_election_timeout_s(candidate), &answer);
-    if (status == BD_KV_OK && bd_wire_pair(answer, &pair, &grant))
+    if (status == BD_KV_OK && bd_wire_read_pair(answer, &pair, &grant))
         acquisition->sequence_revision = pair.revision;
     json_decref(answer);
     return status == BD_KV_OK || status == BD_KV_NOT_FOUND;
@@ -70,7 +70,7 @@
         if (bd_lease_renew(candidate) == BD_GRANT_EXPIRED)
             return false;
         if (!ok)
-            bd_pause(LOAD_RETRY_S);
+            bd_sleep(LOAD_RETRY_S);
     }
     return true;
 }
@@ -114,7 +114,7 @@
         return;
     /* uneven, so that candidates do not collide for ever */
     double jitter = FOLLOW_JITTER_MIN + FOLLOW_JITTER_RANGE * gsl_rng_uniform(candidate->rng);
-    bd_pause(FOLLOW_INTERVAL_S * jitter);
+    bd_sleep(FOLLOW_INTERVAL_S * jitter);
 }
 
 /* The owner thread has ended the term already. */
@@ -144,7 +144,7 @@
         lose_leadership(candidate);
         return;
     }
-    bd_pause(candidate->ttl_s / RENEWALS_PER_TTL);
+    bd_sleep(candidate->ttl_s / RENEWALS_PER_TTL);
 }
 
 static void *run_election(void *arg)
--- a/src/adapters/election_internal.h
+++ b/src/adapters/election_internal.h
@@ -14,7 +14,7 @@
 
 /* The leader's key as the owner thread knows it. */
 struct bd_posted_leader {
-    char name[BD_LABEL];
+    char name[BD_LABEL_BYTES];
     uint64_t revision;
     bool dismisses_us;
 };
@@ -23,8 +23,8 @@
     struct bd_node *node;
     struct bd_http *http;
     gsl_rng *rng;
-    double ttl_s;         /* of a grant */
-    char nonce[BD_LABEL]; /* of our newest acquisition */
+    double ttl_s;               /* of a grant */
+    char nonce[BD_LABEL_BYTES]; /* of our newest acquisition */
     uint64_t grant;
     struct timespec grant_renewed_at; /* when the request that made or renewed it was sent */
     bool leading;
--- a/src/adapters/election_lease.c
+++ b/src/adapters/election_lease.c
@@ -54,7 +54,7 @@
     if (has_news)
         bd_event_post(candidate->node, event);
     else
-        bd_event_post_quietly(candidate->node, event);
+        bd_event_post_without_wakeup(candidate->node, event);
 }
 
 /* The lease by the key's value, which names the leader's node and the acquisition's nonce. */
@@ -87,7 +87,7 @@
         const struct bd_posted_leader nobody = {0};
         view = BD_LEASE_FREE;
         post_leader(candidate, &nobody, sent);
-    } else if (status == BD_KV_OK && bd_wire_pair(answer, &pair, &grant)) {
+    } else if (status == BD_KV_OK && bd_wire_read_pair(answer, &pair, &grant)) {
         *revision = pair.revision;
         view = judge_holder(candidate, &pair, sent);
     }
@@ -100,11 +100,11 @@
 static bool make_grant(struct bd_candidate *candidate)
 {
     json_t *answer = NULL;
-    char *body = bd_wire_ttl(candidate->ttl_s);
+    char *body = bd_wire_write_grant_request(candidate->ttl_s);
     candidate->grant_renewed_at = bd_now();
     long status = call_store(candidate, "POST", BD_PATH_GRANTS, body, &answer);
     free(body);
-    candidate->grant = status == BD_KV_OK ? bd_wire_grant(answer) : 0;
+    candidate->grant = status == BD_KV_OK ? bd_wire_read_grant(answer) : 0;
     json_decref(answer);
     return candidate->grant != 0;
 }
@@ -140,7 +140,7 @@
     long status = call_store(candidate, "POST", BD_PATH_COMMIT, body, &answer);
     free(body);
     if (status == BD_KV_OK)
-        term = bd_wire_store_revision(answer);
+        term = bd_wire_read_store_revision(answer);
     json_decref(answer);
     if (status == BD_KV_OK || status == BD_KV_CONFLICT || status == BD_KV_REJECTED)
         return term;
--- a/src/adapters/election_liveness.c
+++ b/src/adapters/election_liveness.c
@@ -13,7 +13,7 @@
 
 #define LIVENESS_INTERVAL_S 0.8
 #define CLOCKS_APART_MAX_S 0.05 /* between the readings of the two clocks */
-#define KEY_BYTES (BD_LABEL + 8)
+#define KEY_BYTES (BD_LABEL_BYTES + 8)
 
 /* The owner thread is not woken: what matters is when the record was sent. */
 static void post_liveness(const struct bd_candidate *candidate, enum bd_event_kind kind,
@@ -21,7 +21,7 @@
 {
     struct bd_event *event = bd_event_new(kind);
     event->liveness.sent = sent;
-    bd_event_post_quietly(candidate->node, event);
+    bd_event_post_without_wakeup(candidate->node, event);
 }
 
 /* Reads both clocks at one moment. False: no clock, or the process stood still in between. */
@@ -29,7 +29,7 @@
 {
     *steady = bd_now();
     return clock_gettime(CLOCK_REALTIME, wall) == 0 &&
-           bd_between(*steady, bd_now()) <= CLOCKS_APART_MAX_S;
+           bd_seconds_between(*steady, bd_now()) <= CLOCKS_APART_MAX_S;
 }
 
 /* The record's transaction, which applies only under the leader that we saw. NULL: no memory. */
@@ -50,7 +50,7 @@
 {
     struct timespec sent, wall;
     json_t *answer = NULL;
-    if (bd_between(candidate->liveness_sent_at, bd_now()) < LIVENESS_INTERVAL_S ||
+    if (bd_seconds_between(candidate->liveness_sent_at, bd_now()) < LIVENESS_INTERVAL_S ||
         !read_clocks(&sent, &wall))
         return;
     char *body = liveness_txn(candidate, leader_revision, wall);
--- a/src/adapters/event.c
+++ b/src/adapters/event.c
@@ -85,11 +85,11 @@
 {
     event->queued = bd_now();
     while (!bd_queue_put(&node->events, event))
-        bd_pause(QUEUE_FULL_PAUSE_S);
+        bd_sleep(QUEUE_FULL_PAUSE_S);
 }
 
-void bd_event_post_quietly(struct bd_node *node, struct bd_event *event)
+void bd_event_post_without_wakeup(struct bd_node *node, struct bd_event *event)
 {
-    if (!bd_queue_put_quietly(&node->events, event))
+    if (!bd_queue_put_without_wakeup(&node->events, event))
         bd_event_post(node, event);
 }
--- a/src/adapters/event.h
+++ b/src/adapters/event.h
@@ -53,13 +53,13 @@
     void *request; /* borrowed from the API server, which bd_api_reply gives it back to */
     char *text;    /* the body, terminated: a submission, a heartbeat */
     size_t len;
-    char job_id[BD_LABEL]; /* status and cancellation */
+    char job_id[BD_LABEL_BYTES]; /* status and cancellation */
 };
 
 /* The outcome of a user's transaction. */
 struct bd_event_user_txn {
     void *request;
-    char job_id[BD_LABEL];
+    char job_id[BD_LABEL_BYTES];
     char *body;  /* the transaction as it was sent */
     int purpose; /* enum bd_read_purpose, as in the effect */
     long status; /* enum bd_kv_status */
@@ -69,7 +69,7 @@
 /* One job's record was looked up. */
 struct bd_event_job_lookup {
     void *request;
-    char job_id[BD_LABEL];
+    char job_id[BD_LABEL_BYTES];
     int purpose; /* enum bd_read_purpose, as in the effect */
     long status; /* enum bd_kv_status */
     json_t *answer;
@@ -117,7 +117,7 @@
 
 /* The leader's key as it was read. */
 struct bd_event_leader {
-    char name[BD_LABEL]; /* empty: there is no leader */
+    char name[BD_LABEL_BYTES]; /* empty: there is no leader */
     uint64_t revision;
     struct timespec sent;
     bool dismisses_us; /* as delegate */
@@ -125,7 +125,7 @@
 
 /* We acquired the lease. */
 struct bd_event_acquired {
-    char nonce[BD_LABEL];
+    char nonce[BD_LABEL_BYTES];
     struct timespec acquired_at;
     struct bd_acquisition acquisition;
 };
@@ -153,7 +153,7 @@
 
 /* The cloud's machine types. */
 struct bd_event_types {
-    struct bd_type_text *types;
+    struct bd_machine_type_text *types;
     size_t n;
 };
 
@@ -166,9 +166,9 @@
 
 /* The outcome of scale out or scale in. */
 struct bd_event_scaling {
-    char request[BD_LABEL];     /* scale out: the provisioning request's name */
-    long status;                /* the cloud's; 0: no answer */
-    char (*machines)[BD_LABEL]; /* their ids */
+    char request[BD_LABEL_BYTES];     /* scale out: the provisioning request's name */
+    long status;                      /* the cloud's; 0: no answer */
+    char (*machines)[BD_LABEL_BYTES]; /* their ids */
     size_t n;
 };
 
@@ -214,5 +214,5 @@
 void bd_event_post(struct bd_node *node, struct bd_event *event);
 /* The same for an event that is not urgent: the owner thread is not woken for it, and handles it
  * before the next event that wakes it. */
-void bd_event_post_quietly(struct bd_node *node, struct bd_event *event);
+void bd_event_post_without_wakeup(struct bd_node *node, struct bd_event *event);
 #endif
--- a/src/adapters/kv_client.c
+++ b/src/adapters/kv_client.c
@@ -50,10 +50,10 @@
         json_decref(page);
         return NULL;
     }
-    json_t *pairs = bd_wire_pairs(page, more);
+    json_t *pairs = bd_wire_read_pairs(page, more);
     size_t count = json_array_size(pairs);
     *more = *more && count > 0;
-    if (count > 0 && bd_wire_change(json_array_get(pairs, count - 1), &last))
+    if (count > 0 && bd_wire_read_change(json_array_get(pairs, count - 1), &last))
         snprintf(after, after_cap, "%s", last.key);
     return page;
 }
@@ -70,7 +70,7 @@
             json_decref(all);
             return NULL;
         }
-        (void)json_array_extend(all, bd_wire_pairs(page, &ignored));
+        (void)json_array_extend(all, bd_wire_read_pairs(page, &ignored));
         json_decref(page);
     }
     return all;
@@ -83,7 +83,7 @@
     struct bd_http *http = bd_http_new(1, bd_metrics_counter(node->metrics, traffic));
     while (http) {
         void *effect;
-        struct timespec until = bd_add(bd_now(), bd_secs(QUEUE_WAIT_S));
+        struct timespec until = bd_time_add(bd_now(), bd_secs(QUEUE_WAIT_S));
         if (bd_queue_take(queue, &effect, 1, until) == 0)
             continue;
         serve(node, http, effect);
--- a/src/adapters/kv_client_internal.h
+++ b/src/adapters/kv_client_internal.h
@@ -31,9 +31,9 @@
 /* Reads the jobs' records and their changes, and as leader the delegates' and the drains' records
  * (kv_reader.c). arg, here and below: the struct bd_node. */
 void *bd_kv_reader_run(void *arg);
-/* Commits the transactions of node->to_commit, one after the other (kv_leader_writer.c). */
+/* Commits the transactions of node->leader_txns, one after the other (kv_leader_writer.c). */
 void *bd_kv_leader_writer_run(void *arg);
-/* Commits the transactions of node->to_users, for users and the delegate's record, and looks up
+/* Commits the transactions of node->user_txns, for users and the delegate's record, and looks up
  * jobs (kv_user_writer.c). Several of these threads may run. */
 void *bd_kv_user_writer_run(void *arg);
 #endif
--- a/src/adapters/kv_leader_writer.c
+++ b/src/adapters/kv_leader_writer.c
@@ -57,7 +57,7 @@
                              BD_KV_TIMEOUT_S, &answer);
     if (status == BD_KV_NOT_FOUND)
         view = SEQUENCE_BEHIND;
-    if (status == BD_KV_OK && bd_wire_pair(answer, &pair, &grant)) {
+    if (status == BD_KV_OK && bd_wire_read_pair(answer, &pair, &grant)) {
         view = is_sequence_of(pair.value, attempt->effect) ? SEQUENCE_SHOWS_IT : SEQUENCE_BEHIND;
         attempt->event->leader_txn.store_revision = pair.revision;
     }
@@ -94,7 +94,7 @@
 
 static enum bd_txn_outcome judge_conflict(struct attempt *attempt, json_t *answer)
 {
-    json_t *failed = bd_wire_failed(answer);
+    json_t *failed = bd_wire_read_failed_compares(answer);
     enum bd_txn_outcome outcome = BD_TXN_CONFLICT;
     if (contains(failed, "w"))
         outcome = outcome_by_sequence(attempt, BD_TXN_DEPOSED);
@@ -107,7 +107,7 @@
 
 static enum bd_txn_outcome judge_rejection(struct attempt *attempt, json_t *answer)
 {
-    if (bd_wire_no_grant(answer)) {
+    if (bd_wire_is_grant_missing(answer)) {
         /* we were cut off, or stood still, for longer than the grant lives */
         bd_log_write(&attempt->node->log, BD_LOG_INFO,
                      "transaction %llu of term %s is refused: the grant has expired",
@@ -132,7 +132,7 @@
         attempt->rate_exceeded_count = 0;
         attempt->may_be_applied = attempt->may_be_applied || status != BD_KV_UNAVAILABLE;
     }
-    bd_pause(BD_KV_RETRY_S);
+    bd_sleep(BD_KV_RETRY_S);
     if (attempt->rate_exceeded_count < RATE_EXCEEDED_MAX)
         return BD_TXN_UNKNOWN;
     if (attempt->may_be_applied && read_sequence(attempt) != SEQUENCE_BEHIND)
@@ -148,7 +148,7 @@
                              attempt->effect->body, BD_KV_TIMEOUT_S, &answer);
     switch (status) {
     case BD_KV_OK:
-        attempt->event->leader_txn.store_revision = bd_wire_store_revision(answer);
+        attempt->event->leader_txn.store_revision = bd_wire_read_store_revision(answer);
         outcome = BD_TXN_COMMITTED;
         break;
     case BD_KV_CONFLICT:
@@ -179,6 +179,6 @@
 void *bd_kv_leader_writer_run(void *arg)
 {
     struct bd_node *node = arg;
-    bd_kv_serve_queue(node, &node->to_commit, BD_TRAFFIC_COMMIT, commit);
+    bd_kv_serve_queue(node, &node->leader_txns, BD_TRAFFIC_COMMIT, commit);
     return NULL;
 }
--- a/src/adapters/kv_reader.c
+++ b/src/adapters/kv_reader.c
@@ -39,15 +39,15 @@
 {
     bool ignored;
     struct bd_event *event = bd_event_new(BD_EVENT_REPLICA_LISTED);
-    event->page.pairs = json_incref(bd_wire_pairs(page, &ignored));
+    event->page.pairs = json_incref(bd_wire_read_pairs(page, &ignored));
     event->page.store_revision = store_revision;
     event->page.sent = sent;
     event->page.is_last = is_last;
     json_decref(page);
-    atomic_store(&node->page_out, true);
+    atomic_store(&node->is_page_pending, true);
     bd_event_post(node, event);
-    while (atomic_load(&node->page_out))
-        bd_pause(PAGE_POLL_S);
+    while (atomic_load(&node->is_page_pending))
+        bd_sleep(PAGE_POLL_S);
 }
 
 /* The whole list counts as read when its first page was: changes since then are read again. */
@@ -61,11 +61,11 @@
         json_t *page =
             bd_kv_list_page(reader->node, reader->http, "j/", after, sizeof after, &more);
         if (!page) {
-            bd_pause(BD_KV_RETRY_S);
+            bd_sleep(BD_KV_RETRY_S);
             return;
         }
         if (store_revision == 0)
-            store_revision = bd_wire_store_revision(page);
+            store_revision = bd_wire_read_store_revision(page);
         post_page(reader->node, page, store_revision, sent, !more);
     }
 }
@@ -73,7 +73,7 @@
 static void list_again(struct reader *reader)
 {
     list_jobs(reader);
-    bd_pause(LIST_SETTLE_S);
+    bd_sleep(LIST_SETTLE_S);
     reader->revision = atomic_load(&reader->node->store_revision);
     reader->must_list = reader->revision == 0;
 }
@@ -84,7 +84,7 @@
     struct bd_node *node = reader->node;
     char path[96];
     struct bd_event *event = bd_event_new(BD_EVENT_REPLICA_REFRESHED);
-    event->refresh.is_barrier = atomic_exchange(&node->want_barrier, false);
+    event->refresh.is_barrier = atomic_exchange(&node->wants_barrier, false);
     event->refresh.after = reader->revision;
     event->refresh.sent = bd_now();
     snprintf(path, sizeof path, BD_PATH_REFRESH "j/&after=%llu&waitMs=0",
@@ -96,8 +96,8 @@
     event->refresh.ok = status == BD_KV_OK;
     atomic_store(&node->reads_refused, is_refused);
     if (event->refresh.ok) {
-        event->refresh.store_revision = bd_wire_store_revision(event->refresh.answer);
-        has_news = has_news || json_array_size(bd_wire_log(event->refresh.answer)) > 0;
+        event->refresh.store_revision = bd_wire_read_store_revision(event->refresh.answer);
+        has_news = has_news || json_array_size(bd_wire_read_change_log(event->refresh.answer)) > 0;
         if (event->refresh.store_revision > reader->revision)
             reader->revision = event->refresh.store_revision;
     }
@@ -105,9 +105,9 @@
     if (has_news)
         bd_event_post(node, event);
     else
-        bd_event_post_quietly(node, event); /* what matters of it is when it was sent */
+        bd_event_post_without_wakeup(node, event); /* what matters of it is when it was sent */
     if (is_refused)
-        bd_pause(BD_KV_RETRY_S);
+        bd_sleep(BD_KV_RETRY_S);
 }
 
 static void read_delegates(const struct reader *reader)
@@ -127,8 +127,8 @@
 {
     struct bd_event *event = bd_event_new(BD_EVENT_DRAIN_RECORDS);
     event->records.records = bd_kv_list(reader->node, reader->http, BD_DRAIN_KEY);
-    if (event->records.records && atomic_load(&reader->node->want_drain_sets))
-        event->records.sets = bd_kv_list(reader->node, reader->http, BD_DRAIN_SET);
+    if (event->records.records && atomic_load(&reader->node->wants_drain_sets))
+        event->records.sets = bd_kv_list(reader->node, reader->http, BD_DRAIN_SET_KEY);
     if (event->records.records)
         bd_event_post(reader->node, event);
     else
@@ -138,9 +138,9 @@
 /* Whether the time has come; if so, the next one is an interval from now. */
 static bool is_due(struct timespec *next, double interval_s)
 {
-    if (!bd_before(*next, bd_now()))
+    if (!bd_time_is_before(*next, bd_now()))
         return false;
-    *next = bd_add(bd_now(), bd_secs(interval_s));
+    *next = bd_time_add(bd_now(), bd_secs(interval_s));
     return true;
 }
 
@@ -158,20 +158,20 @@
 static void wait_for_refresh(struct bd_node *node)
 {
     void *woken;
-    struct timespec earliest = bd_add(bd_now(), bd_secs(REFRESH_INTERVAL_MIN_S));
-    struct timespec latest = bd_add(earliest, bd_secs(REFRESH_INTERVAL_S));
-    if (!atomic_load(&node->want_barrier))
+    struct timespec earliest = bd_time_add(bd_now(), bd_secs(REFRESH_INTERVAL_MIN_S));
+    struct timespec latest = bd_time_add(earliest, bd_secs(REFRESH_INTERVAL_S));
+    if (!atomic_load(&node->wants_barrier))
         (void)bd_queue_take(&node->reader_wake, &woken, 1, latest);
-    double early_s = bd_between(bd_now(), earliest);
+    double early_s = bd_seconds_between(bd_now(), earliest);
     if (early_s > 0)
-        bd_pause(early_s);
+        bd_sleep(early_s);
 }
 
 void *bd_kv_reader_run(void *arg)
 {
     struct bd_node *node = arg;
     struct reader reader = {.node = node, .must_list = true};
-    reader.http = bd_http_new(1, bd_metrics_counter(node->metrics, BD_TRAFFIC_FOLLOW));
+    reader.http = bd_http_new(1, bd_metrics_counter(node->metrics, BD_TRAFFIC_REFRESH));
     reader.next_delegates = reader.next_drains = bd_now();
     while (reader.http) {
         if (reader.must_list) {
--- a/src/adapters/kv_user_writer.c
+++ b/src/adapters/kv_user_writer.c
@@ -28,7 +28,7 @@
     uint64_t grant;
     snprintf(path, sizeof path, BD_PATH_KEYS "/%s", key);
     long status = bd_kv_call(node, http, "GET", path, NULL, BD_KV_TIMEOUT_S, &answer);
-    bool is_found = status == BD_KV_OK && bd_wire_pair(answer, &pair, &grant);
+    bool is_found = status == BD_KV_OK && bd_wire_read_pair(answer, &pair, &grant);
     event->delegate_txn.is_revision_known = is_found || status == BD_KV_NOT_FOUND;
     event->delegate_txn.store_revision = is_found ? pair.revision : 0;
     json_decref(answer);
@@ -40,7 +40,7 @@
     json_t *answer = NULL;
     event->delegate_txn.status =
         bd_kv_call(node, http, "POST", BD_PATH_COMMIT, body, BD_KV_TIMEOUT_S, &answer);
-    event->delegate_txn.store_revision = bd_wire_store_revision(answer);
+    event->delegate_txn.store_revision = bd_wire_read_store_revision(answer);
     event->delegate_txn.is_revision_known = event->delegate_txn.status == BD_KV_OK;
     json_decref(answer);
 }
@@ -69,7 +69,7 @@
         json_t *answer = NULL;
         event->user_txn.status =
             bd_kv_call(node, http, "POST", BD_PATH_COMMIT, line, USER_TIMEOUT_S, &answer);
-        event->user_txn.store_revision = bd_wire_store_revision(answer);
+        event->user_txn.store_revision = bd_wire_read_store_revision(answer);
         json_decref(answer);
     }
 }
@@ -116,6 +116,6 @@
 void *bd_kv_user_writer_run(void *arg)
 {
     struct bd_node *node = arg;
-    bd_kv_serve_queue(node, &node->to_users, BD_TRAFFIC_USER, serve);
+    bd_kv_serve_queue(node, &node->user_txns, BD_TRAFFIC_USER_TXN, serve);
     return NULL;
 }
--- a/src/adapters/node.h
+++ b/src/adapters/node.h
@@ -37,8 +37,8 @@
 
     /* ---- queues between the threads ---- */
     struct bd_queue events;      /* to the owner thread: struct bd_event */
-    struct bd_queue to_commit;   /* struct bd_effect, to the leader's writer, */
-    struct bd_queue to_users;    /* ... the users' writers, */
+    struct bd_queue leader_txns; /* struct bd_effect, to the leader's writer, */
+    struct bd_queue user_txns;   /* ... the users' writers, */
     struct bd_queue to_cloud;    /* ... and the cloud thread */
     struct bd_queue reader_wake; /* wakes the key-value store's reader */
 
@@ -47,24 +47,24 @@
     atomic_bool up;               /* healthy: the answer to health checks */
     atomic_bool types_known;      /* the cloud's machine types are known */
     atomic_ullong store_revision; /* up to which the replica is complete */
-    atomic_bool want_barrier;     /* a read is pending on a refresh that is yet to be sent */
-    atomic_bool want_drain_sets;  /* the records of the drains' machines are to be read */
+    atomic_bool wants_barrier;    /* a read is pending on a refresh that is yet to be sent */
+    atomic_bool wants_drain_sets; /* the records of the drains' machines are to be read */
     atomic_bool step_down;        /* request to the election: the term is over */
     atomic_bool resign;           /* with step_down: the grant is to be ended */
 
     /* ---- between the reader and others ---- */
-    atomic_bool page_out;      /* a page of the jobs' records is posted and not applied yet */
-    atomic_bool reads_refused; /* to the election: the newest refresh was not served */
+    atomic_bool is_page_pending; /* a page of the jobs' records is posted and not applied yet */
+    atomic_bool reads_refused;   /* to the election: the newest refresh was not served */
 
     /* ---- adapters: constant once they are started ---- */
     struct bd_api_server *api_server;
     struct bd_worker_client *worker_client;
-    struct bd_peer_link *links[BD_MAX_PEERS]; /* one for each of the settings' peers */
+    struct bd_peer_link *links[BD_PEERS_MAX]; /* one for each of the settings' peers */
 
     /* ---- peer status: written by the owner thread, read by the transport's threads ---- */
     pthread_mutex_t status_lock; /* protects all below; made by bd_transport_start */
     struct bd_frame status;
-    struct bd_progress *progress; /* as leader, the jobs' counts */
+    struct bd_job_progress *progress; /* as leader, the jobs' counts */
     uint32_t progress_count, progress_capacity;
 };
 
--- a/src/adapters/peer_listener.c
+++ b/src/adapters/peer_listener.c
@@ -26,7 +26,7 @@
 
 #define IDLE_TIMEOUT_S 20.0  /* a connection that receives nothing for so long is closed */
 #define POLL_TIMEOUT_MS 2000 /* between checks for idle connections */
-#define CONNECTIONS_MAX (2 * BD_MAX_PEERS + 8) /* a new connection overlaps the old one */
+#define CONNECTIONS_MAX (2 * BD_PEERS_MAX + 8) /* a new connection overlaps the old one */
 #define BUFFER_BYTES_MIN 4096
 #define STACK_BYTES 131072
 
@@ -39,7 +39,7 @@
     /* of the last status received */
     uint64_t term;
     uint8_t flags;
-    char name[BD_LABEL];
+    char name[BD_LABEL_BYTES];
 };
 
 /* Belongs to the listening thread. */
@@ -62,9 +62,9 @@
  * what it decides depends on when the frame was received, not on when it is handled. */
 static bool is_unchanged_status(struct connection *connection, const struct bd_frame *frame)
 {
-    if (frame->type == BD_FRAME_PROGRESS)
+    if (frame->type == BD_FRAME_JOB_PROGRESS)
         return true; /* only for display */
-    if (frame->type != BD_FRAME_STATUS)
+    if (frame->type != BD_FRAME_PEER_STATUS)
         return false;
     bool is_same = connection->term == frame->term && connection->flags == frame->flags &&
                    strcmp(connection->name, frame->name) == 0;
@@ -89,7 +89,7 @@
         event->peer_frame.len = frame->len;
     }
     bool is_queued = is_unchanged_status(connection, frame)
-                         ? bd_queue_put_quietly(&node->events, event)
+                         ? bd_queue_put_without_wakeup(&node->events, event)
                          : bd_queue_put(&node->events, event);
     if (!is_queued)
         bd_event_free(event); /* peers repeat their status, and requests have deadlines */
@@ -101,8 +101,8 @@
     if (connection->len < connection->capacity)
         return true;
     size_t capacity = connection->capacity ? connection->capacity * 2 : BUFFER_BYTES_MIN;
-    if (capacity > BD_FRAME_MAX)
-        capacity = BD_FRAME_MAX;
+    if (capacity > BD_FRAME_BYTES_MAX)
+        capacity = BD_FRAME_BYTES_MAX;
     unsigned char *grown =
         capacity > connection->capacity ? realloc(connection->buffer, capacity) : NULL;
     if (!grown)
@@ -196,7 +196,7 @@
             struct connection *connection = &listener->connections[indices[i]];
             if (ready > 0 && polled[i].revents)
                 read_connection(listener, connection);
-            else if (bd_between(connection->received_at, now) > IDLE_TIMEOUT_S)
+            else if (bd_seconds_between(connection->received_at, now) > IDLE_TIMEOUT_S)
                 close_connection(connection);
         }
         if (ready > 0 && polled[0].revents)
--- a/src/adapters/peer_traffic.h
+++ b/src/adapters/peer_traffic.h
@@ -6,7 +6,7 @@
 
 static inline enum bd_traffic bd_frame_traffic(const struct bd_frame *frame)
 {
-    bool is_status = frame->type == BD_FRAME_STATUS || frame->type == BD_FRAME_PROGRESS;
+    bool is_status = frame->type == BD_FRAME_PEER_STATUS || frame->type == BD_FRAME_JOB_PROGRESS;
     return is_status ? BD_TRAFFIC_PEER_STATUS : BD_TRAFFIC_FORWARD;
 }
 #endif
--- a/src/adapters/peer_transport.c
+++ b/src/adapters/peer_transport.c
@@ -74,9 +74,9 @@
     }
     struct timespec now = bd_now();
     bool is_blocked = sent < 0 && (errno == EAGAIN || errno == EINTR);
-    if (is_blocked && bd_is_zero(link->stalled_since))
+    if (is_blocked && bd_time_is_zero(link->stalled_since))
         link->stalled_since = now;
-    if (is_blocked && bd_between(link->stalled_since, now) < STALL_TIMEOUT_S)
+    if (is_blocked && bd_seconds_between(link->stalled_since, now) < STALL_TIMEOUT_S)
         return;
     disconnect(link);
     (void)bd_queue_put(&link->connector, link);
@@ -104,7 +104,7 @@
  */
 static bool append_frame(struct bd_peer_link *link, const struct bd_frame *frame)
 {
-    if (link->fd < 0 || !reserve_outbox(link, bd_frame_bytes(frame)))
+    if (link->fd < 0 || !reserve_outbox(link, bd_frame_bytes_max(frame)))
         return false;
     size_t len = bd_frame_write(frame, link->outbox + link->len, link->capacity - link->len);
     link->len += len;
@@ -143,8 +143,8 @@
     while (more) {
         (void)pthread_mutex_lock(&node->status_lock);
         memset(frame, 0, sizeof *frame);
-        frame->type = BD_FRAME_PROGRESS;
-        while (frame->count < BD_FRAME_JOBS && from + frame->count < node->progress_count) {
+        frame->type = BD_FRAME_JOB_PROGRESS;
+        while (frame->count < BD_FRAME_JOBS_MAX && from + frame->count < node->progress_count) {
             frame->jobs[frame->count] = node->progress[from + frame->count];
             frame->count++;
         }
@@ -185,12 +185,12 @@
     struct bd_frame *frame = calloc(1, sizeof *frame);
     while (frame) {
         struct timespec now = bd_now();
-        bool with_progress = bd_before(next_progress, now);
+        bool with_progress = bd_time_is_before(next_progress, now);
         if (with_progress)
-            next_progress = bd_add(now, bd_secs(PROGRESS_INTERVAL_S));
+            next_progress = bd_time_add(now, bd_secs(PROGRESS_INTERVAL_S));
         for (int i = 0; i < node->settings.npeers; i++)
             send_status(node->links[i], frame, with_progress);
-        bd_pause(PEER_STATUS_INTERVAL_S);
+        bd_sleep(PEER_STATUS_INTERVAL_S);
     }
     return NULL;
 }
@@ -251,11 +251,11 @@
             send_status(link, frame, false);
         struct timespec opened = bd_now();
         double life_s = fd >= 0 ? CONNECTION_LIFE_S : PEER_STATUS_INTERVAL_S;
-        (void)bd_queue_take(&link->connector, &woken, 1, bd_add(opened, bd_secs(life_s)));
+        (void)bd_queue_take(&link->connector, &woken, 1, bd_time_add(opened, bd_secs(life_s)));
         /* one that breaks at once is not reopened in a busy loop */
-        double open_s = bd_between(opened, bd_now());
+        double open_s = bd_seconds_between(opened, bd_now());
         if (open_s < PEER_STATUS_INTERVAL_S)
-            bd_pause(PEER_STATUS_INTERVAL_S - open_s);
+            bd_sleep(PEER_STATUS_INTERVAL_S - open_s);
     }
     return NULL;
 }
@@ -279,7 +279,7 @@
 {
     if (pthread_mutex_init(&node->status_lock, NULL) != 0)
         return -1;
-    node->status.type = BD_FRAME_STATUS;
+    node->status.type = BD_FRAME_PEER_STATUS;
     snprintf(node->status.name, sizeof node->status.name, "%s", node->settings.node);
     for (int i = 0; i < node->settings.npeers; i++) {
         node->links[i] = new_link(node, i);
--- a/src/adapters/worker_client.c
+++ b/src/adapters/worker_client.c
@@ -76,7 +76,7 @@
     struct bd_http_response response;
     struct bd_event *event = bd_event_new(BD_EVENT_DIRECT_COMMAND_COMPLETED);
     snprintf(url, sizeof url, "http://%s" BD_PATH_COMMANDS, effect->addr);
-    if (bd_before(bd_now(), effect->until)) {
+    if (bd_time_is_before(bd_now(), effect->until)) {
         bd_http_call(http, "POST", url, effect->body, CALL_TIMEOUT_S, &response);
         event->direct_command.status = response.status;
         event->direct_command.text = response.body;
@@ -97,10 +97,11 @@
     struct sender *sender = arg;
     struct bd_http *http =
         bd_http_new(pooled_connections(&sender->node->settings),
-                    bd_metrics_counter(sender->node->metrics, BD_TRAFFIC_DIRECT));
+                    bd_metrics_counter(sender->node->metrics, BD_TRAFFIC_DIRECT_COMMAND));
     while (http) {
         void *item;
-        if (bd_queue_take(&sender->queue, &item, 1, bd_add(bd_now(), bd_secs(QUEUE_WAIT_S))) == 0)
+        if (bd_queue_take(&sender->queue, &item, 1, bd_time_add(bd_now(), bd_secs(QUEUE_WAIT_S))) ==
+            0)
             continue;
         atomic_store(&sender->sent_at_ms, now_ms());
         send_command(sender, http, item);
@@ -155,7 +156,7 @@
     atomic_fetch_add(&sender->pending, 1);
     while (!bd_queue_put(&sender->queue, effect)) {
         bd_log_write(&node->log, BD_LOG_ERROR, "the queue of direct commands is full");
-        bd_pause(QUEUE_FULL_PAUSE_S);
+        bd_sleep(QUEUE_FULL_PAUSE_S);
     }
 }
 
--- a/src/autoscaling/autoscaler.c
+++ b/src/autoscaling/autoscaler.c
@@ -25,7 +25,7 @@
     bd_demand_add_pending(&demand);
     bd_demand_add_headroom(&demand);
     bd_demand_add_consolidation(&demand);
-    bd_drain_demand(core, add_drained_task, &demand);
+    bd_drain_visit_demand(core, add_drained_task, &demand);
     bd_provision_for_demand(&demand);
     bd_demand_free(&demand);
 }
--- a/src/autoscaling/autoscaling_internal.h
+++ b/src/autoscaling/autoscaling_internal.h
@@ -23,8 +23,8 @@
     struct bd_core *core;
     struct bd_capacity_bin *bins; /* move when one is added */
     int nbins, bins_cap;
-    double machines_in_zone[BD_MAX_ZONES];
-    double team_cpus[BD_MAX_TEAMS], team_gpus[BD_MAX_TEAMS]; /* in use, with what is wanted */
+    double machines_in_zone[BD_ZONES_MAX];
+    double team_cpus[BD_TEAMS_MAX], team_gpus[BD_TEAMS_MAX]; /* in use, with what is wanted */
 };
 
 struct bd_pool_choice {
--- a/src/autoscaling/boot.c
+++ b/src/autoscaling/boot.c
@@ -17,7 +17,7 @@
 
 static double machine_age_s(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return machine->age_at_known + bd_between(machine->age_known, core->now);
+    return machine->known_age_s + bd_seconds_between(machine->age_known_at, core->now);
 }
 
 bool bd_boot_is_expected(const struct bd_core *core, const struct bd_machine *machine)
--- a/src/autoscaling/consolidation.c
+++ b/src/autoscaling/consolidation.c
@@ -75,7 +75,7 @@
     const struct bd_core *core = demand->core;
     for (uint32_t i = 0; i < core->nmachines; i++) {
         const struct bd_machine *machine = core->by_index[i];
-        if (!machine->gone && bd_machine_usable(core, machine) &&
+        if (!machine->gone && bd_machine_is_usable(core, machine) &&
             bd_blocking_service_cpus(core, machine) > 0)
             add_services(demand, machine);
     }
@@ -110,7 +110,7 @@
         struct bd_machine *machine = core->by_index[i];
         machine->consolidating =
             machine->consolidating && machine->nreservations > 0 && !machine->gone;
-        if (!machine->gone && bd_machine_usable(core, machine))
+        if (!machine->gone && bd_machine_is_usable(core, machine))
             add_to_view(view, machine);
     }
     qsort(view->sources, view->nsources, sizeof *view->sources, sort_by_services);
@@ -131,7 +131,7 @@
     return job->spec.kind == BD_JOB_SERVICE && job->npending == 0 &&
            task->state == BD_TASK_CONFIRMED && task->execution == BD_EXECUTION_RUNNING &&
            !(task->flags & BD_TASK_FLAG_STOP_REQUESTED) &&
-           bd_between(job->last_started_at, core->now) > SETTLED_S;
+           bd_seconds_between(job->last_started_at, core->now) > SETTLED_S;
 }
 
 static bool is_stopping(const struct bd_reservation *reservation)
@@ -220,7 +220,7 @@
 static void grow_budget(struct bd_core *core)
 {
     struct bd_cloud_view *cloud = &core->cloud;
-    double passed_s = fmin(bd_between(cloud->move_budget_at, core->now), BUDGET_KEPT_S);
+    double passed_s = fmin(bd_seconds_between(cloud->move_budget_at, core->now), BUDGET_KEPT_S);
     double rate = fmax(BUDGET_RATE_MIN, BUDGET_RATE_SHARE * running_replicas(core));
     cloud->move_budget_s = fmin(cloud->move_budget_s + rate * passed_s, rate * BUDGET_KEPT_S);
     cloud->move_budget_at = core->now;
@@ -246,7 +246,7 @@
         /* open to new work, unless it is emptied after all */
         machine->consolidating = false;
         if (!bd_move_target_is_taken(&view.targets, machine) &&
-            can_empty(&view, machine, above_cpus) && bd_drain_allows(core, machine))
+            can_empty(&view, machine, above_cpus) && bd_drain_budgets_allow(core, machine))
             core->cloud.move_budget_s -= empty_machine(&view, machine, above_cpus);
     }
     free_view(&view);
--- a/src/autoscaling/demand.c
+++ b/src/autoscaling/demand.c
@@ -113,7 +113,7 @@
     for (uint32_t i = 0; i < core->nmachines; i++) {
         struct bd_machine *machine = core->by_index[i];
         bool is_idle = machine->nreservations == 0;
-        if (is_idle != (use == MACHINE_IDLE) || !bd_machine_usable(core, machine))
+        if (is_idle != (use == MACHINE_IDLE) || !bd_machine_is_usable(core, machine))
             continue;
         struct bd_capacity_bin *bin = add_bin(demand, machine->type, machine->zone, machine->spot);
         bin->machine = machine;
@@ -132,8 +132,8 @@
 static bool pool_is_open(const struct bd_core *core, const struct bd_spec *spec, int type, int zone,
                          bool spot)
 {
-    return core->types[type].zones >> zone & 1 && bd_allowed(spec, type, zone, spot) &&
-           !bd_before(core->now, core->cloud.pools[type][zone][spot].refuse_until);
+    return core->types[type].zones >> zone & 1 && bd_placement_allowed(spec, type, zone, spot) &&
+           !bd_time_is_before(core->now, core->cloud.pools[type][zone][spot].refuse_until);
 }
 
 /* Of one task, where a machine of the pool runs n of them. */
@@ -165,7 +165,7 @@
 {
     const struct bd_core *core = demand->core;
     double lowest = INFINITY;
-    bool is_in_tier[BD_MAX_TYPES][2];
+    bool is_in_tier[BD_TYPES_MAX][2];
     bd_find_types_in_cost_tier(core, spec, cost_tier, is_in_tier);
     for (int type = 0; type < core->ntypes; type++) {
         int per_machine = tasks_per_machine(core, spec, type, n);
@@ -191,12 +191,12 @@
 static uint32_t pack_into_bins(struct bd_demand *demand, const struct bd_spec *spec, uint32_t n,
                                enum bd_cost_tier cost_tier)
 {
-    bool is_in_tier[BD_MAX_TYPES][2];
+    bool is_in_tier[BD_TYPES_MAX][2];
     bd_find_types_in_cost_tier(demand->core, spec, cost_tier, is_in_tier);
     for (int i = 0; i < demand->nbins && n > 0; i++) {
         struct bd_capacity_bin *bin = &demand->bins[i];
         if (!is_in_tier[bin->type][bin->spot] || !bin_fits(bin, spec) ||
-            !bd_allowed(spec, bin->type, bin->zone, bin->spot))
+            !bd_placement_allowed(spec, bin->type, bin->zone, bin->spot))
             continue;
         n -= fill_bin(bin, spec, n);
         if (bin->machine)
@@ -248,7 +248,7 @@
     uint32_t njobs = bd_jobs_in_order(core, &jobs);
     for (uint32_t i = 0; i < njobs; i++) {
         const struct bd_job *job = jobs[i];
-        if (job->npending == 0 || !bd_before(job->hold_until, core->now))
+        if (job->npending == 0 || !bd_time_is_before(job->hold_until, core->now))
             continue;
         uint32_t n = take_quota(demand, &job->spec, job->npending);
         bd_demand_add_tasks(demand, &job->spec, n, bd_cost_tier_of(core, job));
--- a/src/autoscaling/fleet_summary.c
+++ b/src/autoscaling/fleet_summary.c
@@ -57,9 +57,9 @@
 
 void bd_log_fleet_summary(struct bd_core *core)
 {
-    if (bd_before(core->now, core->lead.next_summary))
+    if (bd_time_is_before(core->now, core->lead.next_summary))
         return;
-    core->lead.next_summary = bd_add(core->now, bd_secs(INTERVAL_S));
+    core->lead.next_summary = bd_time_add(core->now, bd_secs(INTERVAL_S));
     for (int type = 0; type < core->ntypes; type++) {
         log_type(core, type, false);
         log_type(core, type, true);
--- a/src/autoscaling/headroom.c
+++ b/src/autoscaling/headroom.c
@@ -74,10 +74,10 @@
 
 static void log_too_many_classes(struct bd_core *core)
 {
-    if (!core->lead.classes_said)
+    if (!core->lead.is_class_limit_logged)
         bd_log_write(core->log, BD_LOG_ERROR, "more than %d classes: the rest gets no headroom",
                      CLASSES_MAX);
-    core->lead.classes_said = true;
+    core->lead.is_class_limit_logged = true;
 }
 
 static void count_arrivals(struct bd_core *core, struct arrivals *arrivals, double from)
--- a/src/autoscaling/inventory.c
+++ b/src/autoscaling/inventory.c
@@ -18,20 +18,20 @@
 
 /* ---- machine types ---- */
 
-static uint32_t zones_of_type(struct bd_core *core, const struct bd_type_text *text)
+static uint32_t zones_of_type(struct bd_core *core, const struct bd_machine_type_text *text)
 {
     uint32_t zones = 0;
     for (int i = 0; i < text->nzones; i++) {
-        int zone = bd_zone_index(core, text->zones[i]);
+        int zone = bd_zone_find_or_add(core, text->zones[i]);
         if (zone >= 0)
             zones |= 1u << zone;
     }
     return zones;
 }
 
-static void update_type(struct bd_core *core, const struct bd_type_text *text)
+static void update_type(struct bd_core *core, const struct bd_machine_type_text *text)
 {
-    int index = bd_type_index(core, text->label);
+    int index = bd_type_find_or_add(core, text->label);
     if (index < 0) {
         bd_log_write(core->log, BD_LOG_ERROR, "machine type %s is one too many", text->label);
         return;
@@ -49,7 +49,8 @@
     type->zones = zones_of_type(core, text);
 }
 
-void bd_inventory_types(struct bd_core *core, const struct bd_type_text *types, int n)
+void bd_inventory_types_received(struct bd_core *core, const struct bd_machine_type_text *types,
+                                 int n)
 {
     for (int i = 0; i < n; i++)
         update_type(core, &types[i]);
@@ -61,21 +62,21 @@
 
 static void update_machine(struct bd_core *core, const struct bd_cloud_machine *entry)
 {
-    struct bd_machine *machine = bd_machine_get(core, entry->id);
+    struct bd_machine *machine = bd_machine_find_or_add(core, entry->id);
     if (machine->gone)
         return;
     machine->in_inventory = true;
-    machine->type = bd_type_index(core, entry->type);
-    machine->zone = bd_zone_index(core, entry->zone);
+    machine->type = bd_type_find_or_add(core, entry->type);
+    machine->zone = bd_zone_find_or_add(core, entry->zone);
     machine->spot = entry->spot;
-    machine->age_at_known = entry->age;
-    machine->age_known = core->now;
+    machine->known_age_s = entry->age;
+    machine->age_known_at = core->now;
     if (!*machine->addr)
         snprintf(machine->addr, sizeof machine->addr, "%s", entry->addr);
     if (entry->state == BD_MACHINE_FAILED && !machine->failed) {
         machine->failed = true;
         bd_log_write(core->log, BD_LOG_INFO, "%s failed", machine->id);
-        bd_machine_lease_expired(core, machine, BD_RELEASE_MACHINE_FAILED);
+        bd_machine_release_reservations(core, machine, BD_RELEASE_MACHINE_FAILED);
     }
 }
 
@@ -85,16 +86,16 @@
                               struct timespec asked)
 {
     double lag_s = LIST_LAG_FACTOR * bd_to_secs(core->settings->list_lag) + LIST_LAG_MARGIN_S;
-    struct timespec existed = bd_max(machine->heard, machine->known_at);
-    if (machine->gone || machine->in_inventory || bd_between(existed, asked) < lag_s)
+    struct timespec existed = bd_time_max(machine->heard, machine->known_at);
+    if (machine->gone || machine->in_inventory || bd_seconds_between(existed, asked) < lag_s)
         return;
     bd_log_write(core->log, BD_LOG_INFO, "%s is gone from the inventory, %u tasks lost",
                  machine->id, machine->nreservations);
-    bd_machine_gone(core, machine);
+    bd_machine_mark_gone(core, machine);
 }
 
-void bd_inventory_machines(struct bd_core *core, const struct bd_cloud_machine *machines, size_t n,
-                           struct timespec asked)
+void bd_inventory_machines_received(struct bd_core *core, const struct bd_cloud_machine *machines,
+                                    size_t n, struct timespec asked)
 {
     if (core->role != BD_LEADER)
         return;
--- a/src/autoscaling/move_targets.c
+++ b/src/autoscaling/move_targets.c
@@ -36,7 +36,7 @@
 static double move_fetch_s(const struct bd_core *core, const struct bd_move_target *target,
                            const struct bd_spec *spec)
 {
-    return target->fetched_image == spec->image ? 0 : bd_fetch_s(core, target->machine, spec);
+    return target->fetched_image == spec->image ? 0 : bd_image_fetch_s(core, target->machine, spec);
 }
 
 static bool is_cheap_target(const struct bd_core *core, const struct bd_spec *spec,
@@ -59,7 +59,7 @@
     const struct bd_machine *machine = target->machine;
     if (machine == from || machine->consolidating || machine->zone != from->zone ||
         !has_capacity(target, spec) ||
-        !bd_allowed(spec, machine->type, machine->zone, machine->spot))
+        !bd_placement_allowed(spec, machine->type, machine->zone, machine->spot))
         return false;
     bool is_cheap = is_cheap_target(core, spec, target);
     double fetch_max = is_cheap ? FETCH_TO_CHEAP_MAX_S : BD_MOVE_FETCH_MAX_S;
@@ -101,7 +101,7 @@
 {
     bd_resources_add(&target->free, spec, -1);
     double fetch = move_fetch_s(core, target, spec);
-    if (bd_fetch_s(core, target->machine, spec) > 0)
+    if (bd_image_fetch_s(core, target->machine, spec) > 0)
         target->fetched_image = spec->image;
     return fetch;
 }
--- a/src/autoscaling/provisioning.c
+++ b/src/autoscaling/provisioning.c
@@ -32,12 +32,12 @@
 static void back_off(const struct bd_core *core, struct bd_pool *pool)
 {
     pool->backoff = pool->backoff <= 0 ? BACKOFF_FIRST_S : fmin(pool->backoff * 2, BACKOFF_MAX_S);
-    pool->refuse_until = bd_add(core->now, bd_secs(pool->backoff));
+    pool->refuse_until = bd_time_add(core->now, bd_secs(pool->backoff));
 }
 
 /* ---- requests ---- */
 
-const char *bd_provision_request(struct bd_core *core, int type, int zone, bool spot, int count)
+const char *bd_request_machines(struct bd_core *core, int type, int zone, bool spot, int count)
 {
     struct bd_cloud_view *cloud = &core->cloud;
     if (cloud->nprovision_requests == BD_PROVISION_REQUESTS_MAX)
@@ -52,12 +52,13 @@
         .sent = core->now};
     /* never used again: the term is ours alone, and so is the number within it */
     snprintf(state->request, sizeof state->request, "r-%llu-%llu",
-             (unsigned long long)core->lead.base_term, (unsigned long long)++core->lead.request_n);
+             (unsigned long long)core->lead.base_term,
+             (unsigned long long)++core->lead.last_provision_request);
     bd_pool_of(core, type, zone, spot)->asked = true;
     struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_SCALE_OUT);
     snprintf(effect->key, sizeof effect->key, "%s", state->request);
-    effect->body = bd_wire_provision(state->request, core->types[type].label, core->zones[zone],
-                                     spot, state->count);
+    effect->body = bd_wire_write_provisioning_request(state->request, core->types[type].label,
+                                                      core->zones[zone], spot, state->count);
     return state->request;
 }
 
@@ -91,7 +92,7 @@
         if (!bin->is_wanted || bd_pool_of(core, bin->type, bin->zone, bin->spot)->asked)
             continue;
         int count = take_wanted(demand, bin);
-        (void)bd_provision_request(core, bin->type, bin->zone, bin->spot, count);
+        (void)bd_request_machines(core, bin->type, bin->zone, bin->spot, count);
     }
 }
 
@@ -114,18 +115,18 @@
 static void add_machine(struct bd_core *core, const char *name,
                         const struct bd_provision_request_state *request)
 {
-    struct bd_machine *machine = bd_machine_get(core, name);
+    struct bd_machine *machine = bd_machine_find_or_add(core, name);
     if (machine->gone)
         return;
     machine->type = request->type;
     machine->zone = request->zone;
     machine->spot = request->spot;
-    machine->age_at_known = bd_between(request->sent, core->now);
-    machine->age_known = core->now;
+    machine->known_age_s = bd_seconds_between(request->sent, core->now);
+    machine->age_known_at = core->now;
 }
 
 void bd_scale_out_completed(struct bd_core *core, const char *request, long status,
-                            char (*names)[BD_LABEL], int n)
+                            char (*names)[BD_LABEL_BYTES], int n)
 {
     struct bd_provision_request_state state;
     if (core->role != BD_LEADER || !take_request(&core->cloud, request, &state))
@@ -140,7 +141,7 @@
         pool->backoff = 0;
     for (int i = 0; is_granted && i < n; i++)
         add_machine(core, names[i], &state);
-    bd_drain_provisioned(core, request, names, is_granted ? n : 0);
+    bd_drain_provisioning_completed(core, request, names, is_granted ? n : 0);
     bd_log_write(core->log, BD_LOG_INFO, "scale out by %d %s in %s%s: status %ld, %d machines",
                  state.count, core->types[state.type].label, core->zones[state.zone],
                  state.spot ? " (spot)" : "", status, n);
--- a/src/autoscaling/scale_in.c
+++ b/src/autoscaling/scale_in.c
@@ -23,20 +23,20 @@
 static bool is_dead(const struct bd_core *core, const struct bd_machine *machine)
 {
     return machine->incarnation && !machine->fenced &&
-           bd_between(machine->heard, core->now) >
+           bd_seconds_between(machine->heard, core->now) >
                bd_to_secs(core->settings->lease) + SILENT_MARGIN_S;
 }
 
 /* A machine is kept idle for about as long as getting it again would take. */
 static bool has_idled_out(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return !machine->headroom && bd_between(machine->idle_since, core->now) >
+    return !machine->headroom && bd_seconds_between(machine->idle_since, core->now) >
                                      core->settings->idle_boots * core->types[machine->type].boot;
 }
 
 static bool wants_scale_in(const struct bd_core *core, const struct bd_machine *machine)
 {
-    if (machine->gone || bd_before(core->now, machine->scale_in_not_before))
+    if (machine->gone || bd_time_is_before(core->now, machine->scale_in_allowed_at))
         return false;
     if (machine->scaling_in || machine->failed)
         return true;
@@ -54,22 +54,22 @@
 
 void bd_scale_in(struct bd_core *core)
 {
-    char names[REQUEST_MACHINES_MAX][BD_LABEL];
+    char names[REQUEST_MACHINES_MAX][BD_LABEL_BYTES];
     int n = 0;
     for (uint32_t i = 0; i < core->nmachines && n < REQUEST_MACHINES_MAX; i++) {
         struct bd_machine *machine = core->by_index[i];
         if (!wants_scale_in(core, machine))
             continue;
         machine->scaling_in = true;
-        machine->scale_in_not_before = bd_add(core->now, bd_secs(RETRY_S));
-        snprintf(names[n++], BD_LABEL, "%s", machine->id);
+        machine->scale_in_allowed_at = bd_time_add(core->now, bd_secs(RETRY_S));
+        snprintf(names[n++], BD_LABEL_BYTES, "%s", machine->id);
         bd_log_write(core->log, BD_LOG_INFO, "%s is scaled in%s", machine->id,
                      machine->quarantined ? " (faulty)" : "");
     }
     if (n == 0)
         return;
     struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_SCALE_IN);
-    effect->body = bd_wire_return(names, n);
+    effect->body = bd_wire_write_return_request(names, n);
 }
 
 /* A machine that went back leaves capacity in its pool. */
@@ -79,7 +79,7 @@
         bd_pool_of(core, machine->type, machine->zone, machine->spot)->refuse_until = core->now;
 }
 
-void bd_scale_in_completed(struct bd_core *core, char (*names)[BD_LABEL], int n, bool ok)
+void bd_scale_in_completed(struct bd_core *core, char (*names)[BD_LABEL_BYTES], int n, bool ok)
 {
     if (core->role != BD_LEADER)
         return;
@@ -90,9 +90,9 @@
             continue;
         if (ok) {
             open_pool(core, machine);
-            bd_machine_gone(core, machine);
+            bd_machine_mark_gone(core, machine);
         } else { /* it may be gone all the same: it gets no work, and is asked for again */
-            machine->scale_in_not_before = bd_add(core->now, bd_secs(RETRY_AFTER_FAILURE_S));
+            machine->scale_in_allowed_at = bd_time_add(core->now, bd_secs(RETRY_AFTER_FAILURE_S));
         }
     }
 }
--- a/src/base/http.c
+++ b/src/base/http.c
@@ -15,13 +15,13 @@
     struct bd_counter *counter; /* borrowed, may be NULL */
 };
 
-int bd_http_start(void)
+int bd_http_global_init(void)
 {
     /* plain HTTP only: without CURL_GLOBAL_SSL no TLS tables are built at start-up */
     return curl_global_init(CURL_GLOBAL_NOTHING) == CURLE_OK ? 0 : -1;
 }
 
-void bd_http_end(void)
+void bd_http_global_cleanup(void)
 {
     curl_global_cleanup();
 }
--- a/src/base/http.h
+++ b/src/base/http.h
@@ -17,9 +17,9 @@
 };
 
 /* Prepares the client library, once in a process and before its first thread starts. 0, or -1. */
-int bd_http_start(void);
-/* Gives back what bd_http_start took; no client may be left. */
-void bd_http_end(void);
+int bd_http_global_init(void);
+/* Gives back what bd_http_global_init took; no client may be left. */
+void bd_http_global_cleanup(void);
 /* A client that keeps at most `keep` idle connections open. Its calls are counted in `counter`,
  * which may be NULL and must outlive it. NULL: out of memory. */
 struct bd_http *bd_http_new(long keep, struct bd_counter *counter);
--- a/src/base/metrics.c
+++ b/src/base/metrics.c
@@ -97,7 +97,7 @@
         atomic_fetch_add(&counter->writes, 1);
 }
 
-void bd_metrics_time(struct bd_metrics *metrics, enum bd_timing timing, double seconds)
+void bd_metrics_record_duration(struct bd_metrics *metrics, enum bd_timing timing, double seconds)
 {
     if (!metrics || !isfinite(seconds))
         return;
@@ -162,7 +162,7 @@
                  heap.uordblks / BYTES_PER_KB, (heap.arena + heap.hblkhd) / BYTES_PER_KB);
 }
 
-void bd_metrics_report(struct bd_metrics *metrics, const struct bd_log *log, double seconds)
+void bd_metrics_write_report(struct bd_metrics *metrics, const struct bd_log *log, double seconds)
 {
     if (!metrics || seconds <= 0)
         return;
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -19,16 +19,16 @@
     BD_TRAFFIC_HEALTH,
     BD_TRAFFIC_INVALID,
     /* calls to the key-value store */
-    BD_TRAFFIC_FOLLOW,   /* refreshes of the replica */
+    BD_TRAFFIC_REFRESH,  /* refreshes of the replica */
     BD_TRAFFIC_COMMIT,   /* the leader's transactions */
-    BD_TRAFFIC_USER,     /* transactions and look-ups for users and delegates */
+    BD_TRAFFIC_USER_TXN, /* transactions and look-ups for users and delegates */
     BD_TRAFFIC_ELECTION, /* the leader's lease, its renewals, and liveness records */
     /* other calls, and frames between controllers */
     BD_TRAFFIC_CLOUD,
-    BD_TRAFFIC_DIRECT,      /* direct commands to workers */
-    BD_TRAFFIC_PEER_STATUS, /* peer statuses with the progress of jobs */
-    BD_TRAFFIC_FORWARD,     /* forwarded heartbeats and their replies */
-    BD_TRAFFIC_KINDS        /* how many there are */
+    BD_TRAFFIC_DIRECT_COMMAND, /* direct commands to workers */
+    BD_TRAFFIC_PEER_STATUS,    /* peer statuses with the progress of jobs */
+    BD_TRAFFIC_FORWARD,        /* forwarded heartbeats and their replies */
+    BD_TRAFFIC_KINDS           /* how many there are */
 };
 
 /* Traffic of one kind since the last report. Bytes are those of bodies and frames; headers are
@@ -53,8 +53,9 @@
     BD_TIMING_START,    /* from a job's readiness to its first committed launch */
     BD_TIMING_FAILOVER, /* from the sending of the request that acquired the lease until the leader
                            acts */
-    BD_TIMING_DIRECT,   /* from a direct command's decision to its outcome, queueing included */
-    BD_TIMINGS          /* how many there are */
+    BD_TIMING_DIRECT_COMMAND, /* from a direct command's decision to its outcome, queueing included
+                               */
+    BD_TIMINGS                /* how many there are */
 };
 
 struct bd_metrics;
@@ -76,7 +77,7 @@
 /* Histograms and reports; event loop's thread only, `metrics` may be NULL: nothing is done. */
 
 /* Adds a duration in seconds; one that is not finite is left out. */
-void bd_metrics_time(struct bd_metrics *metrics, enum bd_timing timing, double seconds);
+void bd_metrics_record_duration(struct bd_metrics *metrics, enum bd_timing timing, double seconds);
 /* Writes counters and histograms to the log as those of the last `seconds`, and zeroes them. */
-void bd_metrics_report(struct bd_metrics *metrics, const struct bd_log *log, double seconds);
+void bd_metrics_write_report(struct bd_metrics *metrics, const struct bd_log *log, double seconds);
 #endif
--- a/src/base/queue.c
+++ b/src/base/queue.c
@@ -37,7 +37,7 @@
     return -1;
 }
 
-bool bd_queue_put_quietly(struct bd_queue *queue, void *item)
+bool bd_queue_put_without_wakeup(struct bd_queue *queue, void *item)
 {
     (void)pthread_mutex_lock(&queue->lock);
     bool has_space = queue->count < queue->capacity;
@@ -51,7 +51,7 @@
 
 bool bd_queue_put(struct bd_queue *queue, void *item)
 {
-    bool was_put = bd_queue_put_quietly(queue, item);
+    bool was_put = bd_queue_put_without_wakeup(queue, item);
     if (was_put) /* without the lock: the thread that wakes up would only wait for it */
         (void)pthread_cond_signal(&queue->not_empty);
     return was_put;
--- a/src/base/queue.h
+++ b/src/base/queue.h
@@ -26,7 +26,7 @@
 bool bd_queue_put(struct bd_queue *queue, void *item);
 /* Appends without waking a thread: the item is taken together with the next one that is put, or
  * when a wait under way ends. For what is not urgent, to save the switch between threads. */
-bool bd_queue_put_quietly(struct bd_queue *queue, void *item);
+bool bd_queue_put_without_wakeup(struct bd_queue *queue, void *item);
 /* Takes up to `max` items, oldest first, waiting for the first one until an instant of
  * CLOCK_MONOTONIC (see bd_now). Returns how many were taken; 0: none came. */
 size_t bd_queue_take(struct bd_queue *queue, void **out, size_t max, struct timespec until);
--- a/src/base/timeutil.c
+++ b/src/base/timeutil.c
@@ -22,7 +22,7 @@
     return (double)duration.tv_sec + (double)duration.tv_nsec / 1e9;
 }
 
-struct timespec bd_add(struct timespec a, struct timespec b)
+struct timespec bd_time_add(struct timespec a, struct timespec b)
 {
     struct timespec t = {a.tv_sec + b.tv_sec, a.tv_nsec + b.tv_nsec};
     if (t.tv_nsec >= NS_PER_S) {
@@ -32,7 +32,7 @@
     return t;
 }
 
-struct timespec bd_sub(struct timespec a, struct timespec b)
+struct timespec bd_time_sub(struct timespec a, struct timespec b)
 {
     struct timespec t = {a.tv_sec - b.tv_sec, a.tv_nsec - b.tv_nsec};
     if (t.tv_nsec < 0) {
@@ -42,32 +42,32 @@
     return t;
 }
 
-bool bd_before(struct timespec a, struct timespec b)
+bool bd_time_is_before(struct timespec a, struct timespec b)
 {
     return a.tv_sec < b.tv_sec || (a.tv_sec == b.tv_sec && a.tv_nsec < b.tv_nsec);
 }
 
-struct timespec bd_min(struct timespec a, struct timespec b)
+struct timespec bd_time_min(struct timespec a, struct timespec b)
 {
-    return bd_before(a, b) ? a : b;
+    return bd_time_is_before(a, b) ? a : b;
 }
 
-struct timespec bd_max(struct timespec a, struct timespec b)
+struct timespec bd_time_max(struct timespec a, struct timespec b)
 {
-    return bd_before(a, b) ? b : a;
+    return bd_time_is_before(a, b) ? b : a;
 }
 
-bool bd_is_zero(struct timespec time)
+bool bd_time_is_zero(struct timespec time)
 {
     return time.tv_sec == 0 && time.tv_nsec == 0;
 }
 
-double bd_between(struct timespec a, struct timespec b)
+double bd_seconds_between(struct timespec a, struct timespec b)
 {
-    return bd_to_secs(bd_sub(b, a));
+    return bd_to_secs(bd_time_sub(b, a));
 }
 
-void bd_pause(double seconds)
+void bd_sleep(double seconds)
 {
     struct timespec t = bd_secs(seconds);
     (void)nanosleep(&t, NULL);
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -32,7 +32,7 @@
     core->log = log;
     bd_kv_limits_init(core);
     for (int i = 0; i < settings->nzones; i++)
-        (void)bd_zone_index(core, settings->zones[i]);
+        (void)bd_zone_find_or_add(core, settings->zones[i]);
     if (rules) {
         core->ledger = bd_ledger_new(settings, rules->budgets, rules->nbudgets);
         core->drains = bd_drains_new(settings);
@@ -83,19 +83,19 @@
 
 static void evict_records(struct bd_core *core)
 {
-    if (!bd_before(core->replica.next_evict, core->now))
+    if (!bd_time_is_before(core->replica.next_evict, core->now))
         return;
-    core->replica.next_evict = bd_add(core->now, bd_secs(EVICT_INTERVAL_S));
+    core->replica.next_evict = bd_time_add(core->now, bd_secs(EVICT_INTERVAL_S));
     bd_replica_evict(core);
 }
 
 /* What a leader checks also once its lease is over, while it may still reply to workers. */
 static void check_fleet(struct bd_core *core)
 {
-    if (!bd_before(core->lead.next_tick, core->now))
+    if (!bd_time_is_before(core->lead.next_tick, core->now))
         return;
-    core->lead.next_tick = bd_add(core->now, bd_secs(LEADER_CHECKS_INTERVAL_S));
-    bd_forward_listen(core);
+    core->lead.next_tick = bd_time_add(core->now, bd_secs(LEADER_CHECKS_INTERVAL_S));
+    bd_machines_detect_inbound_partition(core);
     bd_workers_expire_leases(core);
     bd_fencing_tick(core);
     bd_machines_detect_outbound_partition(core);
@@ -104,9 +104,9 @@
 
 static void scale_fleet(struct bd_core *core)
 {
-    if (!core->types_known || !bd_before(core->lead.next_autoscaling, core->now))
+    if (!core->types_known || !bd_time_is_before(core->lead.next_autoscaling, core->now))
         return;
-    core->lead.next_autoscaling = bd_add(core->now, bd_secs(AUTOSCALING_INTERVAL_S));
+    core->lead.next_autoscaling = bd_time_add(core->now, bd_secs(AUTOSCALING_INTERVAL_S));
     bd_autoscaler_tick(core);
     core->lead.cycle_wanted = true; /* pauses of jobs run out without an event */
 }
@@ -150,7 +150,7 @@
 struct timespec bd_core_next(const struct bd_core *core)
 {
     double step_s = core->role == BD_LEADER ? leader_step_s(core) : follower_step_s(core);
-    return bd_add(core->now, bd_secs(step_s));
+    return bd_time_add(core->now, bd_secs(step_s));
 }
 
 /* ---- leadership ---- */
@@ -158,7 +158,7 @@
 void bd_core_leader_observed(struct bd_core *core, const char *name, uint64_t revision,
                              struct timespec sent, bool dismissed)
 {
-    bd_delegate_dismissed(core, dismissed, revision, sent);
+    bd_delegate_dismissal_observed(core, dismissed, revision, sent);
     bd_leadership_leader_observed(core, name, revision, sent);
 }
 
--- a/src/drain/candidate.c
+++ b/src/drain/candidate.c
@@ -34,9 +34,9 @@
         i++;
     if (i == BD_NEEDS_MAX)
         return false;
-    struct bd_need *need = &candidate->needs[i];
+    struct bd_budget_need *need = &candidate->needs[i];
     if (i == candidate->nneeds) {
-        *need = (struct bd_need){.budget = budget};
+        *need = (struct bd_budget_need){.budget = budget};
         candidate->nneeds++;
     }
     need->tasks += tasks;
@@ -87,7 +87,7 @@
 void bd_candidate_limit_needs(const struct bd_core *core, struct bd_candidate *candidate)
 {
     for (uint32_t i = 0; i < candidate->nneeds; i++) {
-        struct bd_need *need = &candidate->needs[i];
+        struct bd_budget_need *need = &candidate->needs[i];
         uint32_t allowed = bd_budget_allowed(&core->ledger->budgets[need->budget]);
         if (need->tasks > allowed && need->largest <= allowed)
             need->tasks = allowed;
--- a/src/drain/drain.c
+++ b/src/drain/drain.c
@@ -89,9 +89,10 @@
 void bd_drain_tick(struct bd_core *core)
 {
     struct bd_drains *drains = core->drains;
-    if (!drains || !bd_leadership_lease_valid(core) || bd_before(core->now, drains->next_tick))
+    if (!drains || !bd_leadership_lease_valid(core) ||
+        bd_time_is_before(core->now, drains->next_tick))
         return;
-    drains->next_tick = bd_add(core->now, bd_secs(TICK_S));
+    drains->next_tick = bd_time_add(core->now, bd_secs(TICK_S));
     bd_drain_update_owners(core);
     if (!any_is_open(drains))
         return;
--- a/src/drain/drain.h
+++ b/src/drain/drain.h
@@ -54,13 +54,13 @@
 
 /* Applies the drains' records as the store listed them. `sets`: their machines' records, or NULL
  * if those were not read. Both are borrowed. */
-void bd_drain_records(struct bd_core *core, json_t *records, json_t *sets);
+void bd_drain_apply_records(struct bd_core *core, json_t *records, json_t *sets);
 /* Whether the next read is to include the machines' records. */
 bool bd_drain_wants_sets(const struct bd_core *core);
 
 /* One write for the leader's next transaction. */
 struct bd_drain_write {
-    char key[BD_LABEL + 32];
+    char key[BD_LABEL_BYTES + 32];
     json_t *value;     /* NULL: the key is deleted */
     uint64_t revision; /* the key's, as a condition; 0: no condition */
     size_t bytes;      /* of the value, or an upper bound */
@@ -68,26 +68,26 @@
 /* The next write that is due; the caller owns its value. False: none is due. */
 bool bd_drain_next_write(struct bd_core *core, struct bd_drain_write *out);
 /* The outcome of the transaction that held the writes. */
-void bd_drain_committed(struct bd_core *core, bool applied);
+void bd_drain_txn_completed(struct bd_core *core, bool applied);
 
 /* ---- queries ---- */
 
 /* Whether the machine gets no new tasks because a drain names it. */
-bool bd_drain_cordoned(const struct bd_core *core, const struct bd_machine *machine);
+bool bd_drain_is_cordoned(const struct bd_core *core, const struct bd_machine *machine);
 /* Whether the machine is a replacement, which is not scaled in although it is idle. */
-bool bd_drain_keeps(const struct bd_core *core, const struct bd_machine *machine);
+bool bd_drain_is_kept(const struct bd_core *core, const struct bd_machine *machine);
 /* Whether the machine's drain wants it scaled in now. */
-bool bd_drain_returns(const struct bd_core *core, const struct bd_machine *machine);
+bool bd_drain_wants_scale_in(const struct bd_core *core, const struct bd_machine *machine);
 /* Whether the disruption budgets allow consolidation to empty the machine now. */
-bool bd_drain_allows(struct bd_core *core, struct bd_machine *machine);
+bool bd_drain_budgets_allow(struct bd_core *core, struct bd_machine *machine);
 /* Copies the leader's view of a drain's machine. False: the drain has no such machine. */
-bool bd_drain_look(const struct bd_core *core, const char *drain, const char *machine,
-                   struct bd_drain_machine *out);
+bool bd_drain_copy_entry(const struct bd_core *core, const char *drain, const char *machine,
+                         struct bd_drain_machine *out);
 /* Calls `want` with each task on machines that wait for free capacity elsewhere. */
-void bd_drain_demand(struct bd_core *core, void (*want)(void *arg, const struct bd_spec *spec),
-                     void *arg);
+void bd_drain_visit_demand(struct bd_core *core,
+                           void (*want)(void *arg, const struct bd_spec *spec), void *arg);
 
 /* The outcome of a provisioning request: the n machines that it made. */
-void bd_drain_provisioned(struct bd_core *core, const char *request, char (*names)[BD_LABEL],
-                          int n);
+void bd_drain_provisioning_completed(struct bd_core *core, const char *request,
+                                     char (*names)[BD_LABEL_BYTES], int n);
 #endif
--- a/src/drain/drain_internal.h
+++ b/src/drain/drain_internal.h
@@ -37,7 +37,8 @@
     bool over;           /* all machines are final: its record is to become `done` */
     bool done_in_flight; /* ... by the transaction in flight */
     bool is_stale;       /* a newer record may exist: `done` is not written before a listing */
-    uint32_t deleted;    /* records that were deleted after keep_s: its parts, then its own */
+    uint32_t
+        deleted; /* records that were deleted after record_retention_s: its parts, then its own */
     uint32_t delete_in_flight; /* deletions in the transaction in flight */
 };
 
@@ -46,7 +47,7 @@
     struct bd_drain *drains;          /* hash by name, in the order of names */
     struct bd_drain_machine **owners; /* by machine index: the entry that drives the machine */
     uint32_t nowners;
-    bool zones_conflict[BD_MAX_ZONES][BD_MAX_ZONES];
+    bool zones_conflict[BD_ZONES_MAX][BD_ZONES_MAX];
     bool wants_sets; /* the machines' records are to be read */
     struct timespec leadership_acquired, next_tick, next_summary;
     struct timespec next_write; /* earliest, after a transaction that was not applied */
@@ -117,7 +118,7 @@
 /* ---- candidate.c: what emptying a machine takes ---- */
 
 /* Tasks that a step would stop, by budget. */
-struct bd_need {
+struct bd_budget_need {
     uint32_t budget, tasks;
     uint32_t largest; /* number of tasks that can only stop together: a gang, or one task */
 };
@@ -129,7 +130,7 @@
     struct bd_drain_machine *entry;
     struct bd_machine *machine;
     int zone;
-    struct bd_need needs[BD_NEEDS_MAX];
+    struct bd_budget_need needs[BD_NEEDS_MAX];
     uint32_t nneeds, tasks;
     struct bd_resources moves; /* the sum of its tasks' resources */
 };
@@ -175,8 +176,8 @@
     uint32_t nbudgets;
     uint32_t max_machines;
     struct bd_resources capacity; /* free, in sum */
-    const bool (*zones_conflict)[BD_MAX_ZONES];
-    bool zone_used[BD_MAX_ZONES]; /* a machine of the zone is in a step */
+    const bool (*zones_conflict)[BD_ZONES_MAX];
+    bool zone_used[BD_ZONES_MAX]; /* a machine of the zone is in a step */
 };
 
 /* What keeps the candidate out of the step; *budget is set with BD_DRAIN_WAIT_BUDGET. */
@@ -186,10 +187,10 @@
 void bd_step_take(struct bd_step_problem *problem, uint32_t *left,
                   const struct bd_candidate *candidate);
 /* Adds the numbers of the chosen candidates to an empty set. */
-void bd_steps_greedy(const struct bd_step_problem *given, roaring_bitmap_t *chosen);
+void bd_step_choose_greedy(const struct bd_step_problem *given, roaring_bitmap_t *chosen);
 /* The same by an integer program. False: no solution within the solver's limits; the set may hold
  * anything. */
-bool bd_steps_solve(const struct bd_step_problem *problem, roaring_bitmap_t *chosen);
+bool bd_step_choose_by_solver(const struct bd_step_problem *problem, roaring_bitmap_t *chosen);
 
 /* ---- step_plan.c, step_stop.c ---- */
 
--- a/src/drain/drain_record.h
+++ b/src/drain/drain_record.h
@@ -18,11 +18,11 @@
 struct bd_machine;
 
 #define BD_DRAIN_KEY "d/"     /* prefix of the drains' own records */
-#define BD_DRAIN_SET "e/"     /* prefix of their machines' records: e/SET/PART */
+#define BD_DRAIN_SET_KEY "e/" /* prefix of their machines' records: e/SET/PART */
 #define BD_DRAIN_NAME_MAX 40u /* bytes */
 
 enum bd_drain_mode { BD_DRAIN_RETIRE, BD_DRAIN_REPLACE };
-enum bd_drain_state { BD_DRAIN_ACTIVE, BD_DRAIN_PAUSED, BD_DRAIN_CALLED_OFF, BD_DRAIN_DONE };
+enum bd_drain_state { BD_DRAIN_ACTIVE, BD_DRAIN_PAUSED, BD_DRAIN_CANCELLED, BD_DRAIN_DONE };
 
 /* How far a machine of a drain is. */
 enum bd_drain_stage {
@@ -55,26 +55,26 @@
 /* One machine of a drain. */
 struct bd_drain_machine {
     /* as recorded */
-    char id[BD_LABEL];
+    char id[BD_LABEL_BYTES];
     enum bd_drain_stage stage;
     enum bd_drain_wait wait;
-    double since;               /* wall clock, seconds: of this stage and wait */
-    char team[BD_NAME];         /* whose budget it waits for, or empty */
-    char replacement[BD_LABEL]; /* machine id, or empty */
+    double since;                     /* wall clock, seconds: of this stage and wait */
+    char team[BD_NAME_BYTES];         /* whose budget it waits for, or empty */
+    char replacement[BD_LABEL_BYTES]; /* machine id, or empty */
     /* as leader only */
     struct bd_machine *machine;          /* NULL: not known in this term so far */
     enum bd_drain_stage recorded_stage;  /* what the store holds */
     enum bd_drain_stage in_flight_stage; /* what the transaction in flight holds */
     struct timespec replacement_requested_at;
-    struct timespec stop_requested_at;   /* of its tasks; zero: not in this term */
-    uint32_t failed_replacements;        /* requests without a machine, and machines not up */
-    char provisioning_request[BD_LABEL]; /* the one in flight for its replacement, or empty */
+    struct timespec stop_requested_at;         /* of its tasks; zero: not in this term */
+    uint32_t failed_replacements;              /* requests without a machine, and machines not up */
+    char provisioning_request[BD_LABEL_BYTES]; /* the one in flight for its replacement, or empty */
 };
 
 /* One drain's record, `d/NAME`. */
 struct bd_drain_record {
-    char name[BD_LABEL];
-    char set[BD_HASH]; /* names the records of its machines */
+    char name[BD_LABEL_BYTES];
+    char set[BD_HASH_BYTES]; /* names the records of its machines */
     enum bd_drain_mode mode;
     enum bd_drain_state state;
     double at, ended; /* wall clock, seconds; ended is 0 until then */
@@ -90,19 +90,19 @@
 const char *bd_drain_mode_name(enum bd_drain_mode mode);
 
 /* The record's value; the caller owns it. */
-json_t *bd_drain_record_value(const struct bd_drain_record *record);
+json_t *bd_drain_record_encode(const struct bd_drain_record *record);
 /* Reads a record's value; out->asked is borrowed from it. False: the value is damaged. */
-bool bd_drain_record_read(const char *name, json_t *value, uint64_t revision,
-                          struct bd_drain_record *out);
+bool bd_drain_record_decode(const char *name, json_t *value, uint64_t revision,
+                            struct bd_drain_record *out);
 
 /* The value of a part with n machines; the caller owns it. */
-json_t *bd_drain_part_value(const struct bd_drain_machine *machines, uint32_t n);
+json_t *bd_drain_part_encode(const struct bd_drain_machine *machines, uint32_t n);
 /* Appends the part's machines to the allocated array *machines of *n. False: the value is damaged;
  * the machines before the damage are appended. */
-bool bd_drain_part_read(json_t *value, struct bd_drain_machine **machines, uint32_t *n);
+bool bd_drain_part_decode(json_t *value, struct bd_drain_machine **machines, uint32_t *n);
 /* How many machines a part may hold, so that it fits into a value whatever stage they reach. */
-uint32_t bd_drain_part_machines(const struct bd_settings *settings, size_t kv_value_bytes_max,
-                                size_t longest_id);
+uint32_t bd_drain_part_machines_max(const struct bd_settings *settings, size_t kv_value_bytes_max,
+                                    size_t longest_id);
 /* Writes the key of a part into a buffer of `cap` bytes. */
 void bd_drain_part_key(char *key, size_t cap, const char *set, uint32_t part);
 #endif
--- a/src/drain/drain_request.h
+++ b/src/drain/drain_request.h
@@ -12,9 +12,9 @@
 #include <stddef.h>
 
 struct bd_drain_request {
-    char name[BD_LABEL];
+    char name[BD_LABEL_BYTES];
     enum bd_drain_mode mode;
-    char type[BD_NAME], zone[BD_NAME], selection[BD_NAME]; /* empty: not given */
+    char type[BD_NAME_BYTES], zone[BD_NAME_BYTES], selection[BD_NAME_BYTES]; /* empty: not given */
     bool all;         /* confirms a request that means all machines */
     json_t *machines; /* ids, borrowed from the request's text; NULL: not given */
 };
@@ -22,7 +22,7 @@
 /* A refusal: an HTTP status, the field that is wrong, and the reason. */
 struct bd_drain_refusal {
     int status;
-    char field[BD_NAME], why[96];
+    char field[BD_NAME_BYTES], why[96];
 };
 
 /* Reads a request. The list of machines is borrowed from it. False with the refusal: 400. */
--- a/src/drain/drain_rules.h
+++ b/src/drain/drain_rules.h
@@ -19,40 +19,40 @@
 
 /* Machines that administrators may name by a label; an empty type or zone matches all. */
 struct bd_machine_selection {
-    char label[BD_NAME], type[BD_NAME], zone[BD_NAME];
+    char label[BD_NAME_BYTES], type[BD_NAME_BYTES], zone[BD_NAME_BYTES];
 };
 
 /* Two zones that may not have machines in a step at the same time. */
 struct bd_zone_conflict {
-    char one[BD_NAME], other[BD_NAME];
+    char one[BD_NAME_BYTES], other[BD_NAME_BYTES];
 };
 
 #define BD_BUDGET_RULES_MAX 256
 #define BD_SELECTIONS_MAX 64
 
 struct bd_drain_rules {
-    char admin_addr[BD_NAME]; /* empty: no administration resources on this controller */
+    char admin_addr[BD_NAME_BYTES]; /* empty: no administration resources on this controller */
     uint32_t machines_in_step;
-    double stop_s;    /* from the request to stop a task until it is stopped by force */
-    double wait_s;    /* how long arrays, and gangs without checkpoints, may take to finish */
-    double replace_s; /* after which a replacement that is not up is abandoned */
-    double keep_s;    /* how long the records of a finished drain are kept */
+    double stop_timeout_s; /* from the request to stop a task until it is stopped by force */
+    double wait_s;         /* how long arrays, and gangs without checkpoints, may take to finish */
+    double replacement_timeout_s; /* after which a replacement that is not up is abandoned */
+    double record_retention_s;    /* how long the records of a finished drain are kept */
     enum bd_drain_planner planner;
     struct bd_budget_rule budgets[BD_BUDGET_RULES_MAX];
     uint32_t nbudgets;
     struct bd_machine_selection selections[BD_SELECTIONS_MAX];
     uint32_t nselections;
-    struct bd_zone_conflict zone_conflicts[BD_MAX_ZONES];
+    struct bd_zone_conflict zone_conflicts[BD_ZONES_MAX];
     uint32_t nzone_conflicts;
 };
 
 /* Which field of the declarations is wrong, and why. */
-struct bd_rules_fault {
-    char field[BD_NAME], what[96];
+struct bd_drain_rules_fault {
+    char field[BD_NAME_BYTES], what[96];
 };
 
 /* Reads the entry's list of fields. The settings' teams and zones must be known by then. The
  * caller frees the result with free(); NULL with *fault filled if a field is wrong. */
 struct bd_drain_rules *bd_drain_rules_read(const struct bd_settings *settings, struct elt *fields,
-                                           struct bd_rules_fault *fault);
+                                           struct bd_drain_rules_fault *fault);
 #endif
--- a/src/drain/free_capacity.c
+++ b/src/drain/free_capacity.c
@@ -15,7 +15,7 @@
         abort();
     for (uint32_t i = 0; i < core->nmachines; i++) {
         struct bd_machine *machine = core->by_index[i];
-        if (!bd_machine_usable(core, machine))
+        if (!bd_machine_is_usable(core, machine))
             continue;
         bins->bins[bins->n++] = (struct bd_bin){machine, bd_machine_free(core, machine)};
     }
@@ -41,8 +41,8 @@
 
 static bool task_fits(const struct bd_bin *bin, const struct bd_spec *spec)
 {
-    return bd_allowed(spec, bin->machine->type, bin->machine->zone, bin->machine->spot) &&
-           bd_resources_fit(bin->capacity, spec, 1) > 0;
+    return bd_placement_allowed(spec, bin->machine->type, bin->machine->zone, bin->machine->spot) &&
+           bd_resources_fit_count(bin->capacity, spec, 1) > 0;
 }
 
 static struct bd_bin *find_first_fit(struct bd_bins *bins, const struct bd_spec *spec)
--- a/src/drain/greedy.c
+++ b/src/drain/greedy.c
@@ -14,7 +14,7 @@
 
 static bool zone_is_blocked(const struct bd_step_problem *problem, int zone)
 {
-    for (int other = 0; other < BD_MAX_ZONES && zone >= 0; other++)
+    for (int other = 0; other < BD_ZONES_MAX && zone >= 0; other++)
         if (problem->zone_used[other] && problem->zones_conflict[zone][other])
             return true;
     return false;
@@ -62,7 +62,7 @@
     return a->candidate < b->candidate ? -1 : a->candidate > b->candidate;
 }
 
-void bd_steps_greedy(const struct bd_step_problem *given, roaring_bitmap_t *chosen)
+void bd_step_choose_greedy(const struct bd_step_problem *given, roaring_bitmap_t *chosen)
 {
     struct bd_step_problem problem = *given;
     uint32_t *left = calloc(given->nbudgets + 1, sizeof *left), budget = 0;
--- a/src/drain/machine_stage.c
+++ b/src/drain/machine_stage.c
@@ -23,7 +23,7 @@
 {
     double delay_s = 2 * bd_to_secs(core->settings->list_lag) + INVENTORY_CALL_S;
     return core->lead.inventory_read &&
-           bd_between(core->drains->leadership_acquired, core->now) > delay_s;
+           bd_seconds_between(core->drains->leadership_acquired, core->now) > delay_s;
 }
 
 static void set_gone(struct bd_core *core, struct bd_drain *drain, struct bd_drain_machine *entry)
@@ -37,8 +37,9 @@
 static void force_late_tasks(struct bd_core *core, const struct bd_drain_machine *entry,
                              const struct bd_machine *machine)
 {
-    if (bd_is_zero(entry->stop_requested_at) ||
-        bd_between(entry->stop_requested_at, core->now) < core->drains->rules->stop_s)
+    if (bd_time_is_zero(entry->stop_requested_at) ||
+        bd_seconds_between(entry->stop_requested_at, core->now) <
+            core->drains->rules->stop_timeout_s)
         return;
     for (uint32_t i = machine->nreservations; i > 0; i--) {
         if (i > machine->nreservations) /* the end of a gang has released several */
--- a/src/drain/queries.c
+++ b/src/drain/queries.c
@@ -7,25 +7,25 @@
 #include "model/machine.h"
 #include <string.h>
 
-bool bd_drain_cordoned(const struct bd_core *core, const struct bd_machine *machine)
+bool bd_drain_is_cordoned(const struct bd_core *core, const struct bd_machine *machine)
 {
     (void)core;
     return machine->cordoned;
 }
 
-bool bd_drain_keeps(const struct bd_core *core, const struct bd_machine *machine)
+bool bd_drain_is_kept(const struct bd_core *core, const struct bd_machine *machine)
 {
     (void)core;
     return machine->kept_for_drain;
 }
 
-bool bd_drain_returns(const struct bd_core *core, const struct bd_machine *machine)
+bool bd_drain_wants_scale_in(const struct bd_core *core, const struct bd_machine *machine)
 {
     (void)core;
     return machine->scale_in_for_drain;
 }
 
-bool bd_drain_allows(struct bd_core *core, struct bd_machine *machine)
+bool bd_drain_budgets_allow(struct bd_core *core, struct bd_machine *machine)
 {
     if (!core->drains)
         return true;
@@ -34,15 +34,15 @@
     if (!bd_candidate_fill(core, &candidate))
         return false;
     for (uint32_t i = 0; i < candidate.nneeds; i++) {
-        const struct bd_need *need = &candidate.needs[i];
+        const struct bd_budget_need *need = &candidate.needs[i];
         if (need->tasks > bd_budget_remaining(&core->ledger->budgets[need->budget]))
             return false;
     }
     return true;
 }
 
-bool bd_drain_look(const struct bd_core *core, const char *name, const char *machine,
-                   struct bd_drain_machine *out)
+bool bd_drain_copy_entry(const struct bd_core *core, const char *name, const char *machine,
+                         struct bd_drain_machine *out)
 {
     struct bd_drain *drain = NULL;
     if (core->drains)
@@ -56,8 +56,8 @@
     return false;
 }
 
-void bd_drain_demand(struct bd_core *core, void (*want)(void *arg, const struct bd_spec *spec),
-                     void *arg)
+void bd_drain_visit_demand(struct bd_core *core,
+                           void (*want)(void *arg, const struct bd_spec *spec), void *arg)
 {
     if (!core->drains)
         return;
--- a/src/drain/record.c
+++ b/src/drain/record.c
@@ -32,7 +32,7 @@
 static const char *const state_names[] = {
     [BD_DRAIN_ACTIVE] = "active",
     [BD_DRAIN_PAUSED] = "paused",
-    [BD_DRAIN_CALLED_OFF] = "called off",
+    [BD_DRAIN_CANCELLED] = "called off",
     [BD_DRAIN_DONE] = "done",
 };
 static const char *const mode_names[] = {
@@ -71,7 +71,7 @@
     return mode_names[mode];
 }
 
-json_t *bd_drain_record_value(const struct bd_drain_record *record)
+json_t *bd_drain_record_encode(const struct bd_drain_record *record)
 {
     return json_pack("{s:s,s:s,s:f,s:f,s:s,s:i,s:i,s:O}", "mode", mode_names[record->mode], "state",
                      state_names[record->state], "at", record->at, "ended", record->ended, "set",
@@ -79,8 +79,8 @@
                      "asked", record->asked);
 }
 
-bool bd_drain_record_read(const char *name, json_t *value, uint64_t revision,
-                          struct bd_drain_record *out)
+bool bd_drain_record_decode(const char *name, json_t *value, uint64_t revision,
+                            struct bd_drain_record *out)
 {
     memset(out, 0, sizeof *out);
     const char *set = json_string_value(json_object_get(value, "set"));
@@ -118,7 +118,7 @@
     return value;
 }
 
-json_t *bd_drain_part_value(const struct bd_drain_machine *machines, uint32_t n)
+json_t *bd_drain_part_encode(const struct bd_drain_machine *machines, uint32_t n)
 {
     json_t *list = json_array();
     for (uint32_t i = 0; i < n; i++)
@@ -154,7 +154,7 @@
     return true;
 }
 
-bool bd_drain_part_read(json_t *value, struct bd_drain_machine **machines, uint32_t *n)
+bool bd_drain_part_decode(json_t *value, struct bd_drain_machine **machines, uint32_t *n)
 {
     json_t *list = json_object_get(value, "m"), *item;
     size_t i;
@@ -174,8 +174,8 @@
     return true;
 }
 
-uint32_t bd_drain_part_machines(const struct bd_settings *settings, size_t kv_value_bytes_max,
-                                size_t longest_id)
+uint32_t bd_drain_part_machines_max(const struct bd_settings *settings, size_t kv_value_bytes_max,
+                                    size_t longest_id)
 {
     size_t longest_team = 0;
     for (int i = 0; i < settings->nteams; i++) {
@@ -189,5 +189,5 @@
 
 void bd_drain_part_key(char *key, size_t cap, const char *set, uint32_t part)
 {
-    snprintf(key, cap, BD_DRAIN_SET "%s/%04u", set, part);
+    snprintf(key, cap, BD_DRAIN_SET_KEY "%s/%04u", set, part);
 }
--- a/src/drain/record_load.c
+++ b/src/drain/record_load.c
@@ -61,7 +61,7 @@
 
 bool bd_drain_record_has_ended(const struct bd_drain_record *record)
 {
-    return record->state == BD_DRAIN_DONE || record->state == BD_DRAIN_CALLED_OFF;
+    return record->state == BD_DRAIN_DONE || record->state == BD_DRAIN_CANCELLED;
 }
 
 /* Applies one drain's record if it is newer than the known one. */
@@ -70,7 +70,7 @@
     struct bd_drain_record record;
     struct bd_drain *drain = NULL;
     const char *name = change->key + strlen(BD_DRAIN_KEY);
-    if (!bd_drain_record_read(name, change->value, change->revision, &record)) {
+    if (!bd_drain_record_decode(name, change->value, change->revision, &record)) {
         bd_log_write(core->log, BD_LOG_ERROR, "record %s cannot be read: it is left alone",
                      change->key);
         return;
@@ -101,7 +101,7 @@
  * how many were read before one that is missing or damaged. */
 static uint32_t read_parts(struct bd_drain *drain, json_t *sets)
 {
-    char key[BD_LABEL];
+    char key[BD_LABEL_BYTES];
     struct bd_change change;
     json_t *pair;
     size_t i;
@@ -109,11 +109,11 @@
     bd_drain_part_key(key, sizeof key, drain->record.set, part);
     json_array_foreach(sets, i, pair)
     {
-        if (part == drain->record.parts || !bd_wire_change(pair, &change) ||
+        if (part == drain->record.parts || !bd_wire_read_change(pair, &change) ||
             strcmp(change.key, key) != 0)
             continue;
         uint32_t from = drain->nmachines;
-        if (!bd_drain_part_read(change.value, &drain->machines, &drain->nmachines))
+        if (!bd_drain_part_decode(change.value, &drain->machines, &drain->nmachines))
             break;
         add_part(drain, part, from);
         bd_drain_part_key(key, sizeof key, drain->record.set, ++part);
@@ -144,13 +144,13 @@
         drain->is_listed = false;
     json_array_foreach(records, i, pair)
     {
-        if (bd_wire_change(pair, &change) &&
+        if (bd_wire_read_change(pair, &change) &&
             strncmp(change.key, BD_DRAIN_KEY, strlen(BD_DRAIN_KEY)) == 0)
             apply_record(core, &change);
     }
 }
 
-void bd_drain_records(struct bd_core *core, json_t *records, json_t *sets)
+void bd_drain_apply_records(struct bd_core *core, json_t *records, json_t *sets)
 {
     struct bd_drains *drains = core->drains;
     struct bd_drain *drain, *next;
--- a/src/drain/record_write.c
+++ b/src/drain/record_write.c
@@ -21,7 +21,7 @@
 static bool part_is_due(const struct bd_core *core, const struct bd_drain_part *part)
 {
     return part->is_dirty && !part->in_flight &&
-           (part->is_urgent || bd_between(part->written, core->now) > WAITS_INTERVAL_S);
+           (part->is_urgent || bd_seconds_between(part->written, core->now) > WAITS_INTERVAL_S);
 }
 
 /* False: the limit on values has been lowered below the part's size. It is tried again later: a
@@ -31,8 +31,8 @@
 {
     struct bd_drain_part *part = &drain->parts[number];
     struct bd_drain_machine *machines = drain->machines + part->from;
-    out->value = bd_drain_part_value(machines, part->n);
-    out->bytes = bd_wire_bytes(out->value);
+    out->value = bd_drain_part_encode(machines, part->n);
+    out->bytes = bd_wire_value_bytes(out->value);
     part->written = core->now;
     if (out->bytes > core->kv_limits.kv_value_bytes_max) {
         bd_log_write(core->log, BD_LOG_ERROR,
@@ -64,7 +64,7 @@
     record.state = BD_DRAIN_DONE;
     record.ended = core->wall;
     format_record_key(drain, out);
-    out->value = bd_drain_record_value(&record);
+    out->value = bd_drain_record_encode(&record);
     out->revision = drain->record.revision;
     out->bytes = core->kv_limits.kv_value_bytes_max;
     drain->done_in_flight = true;
@@ -75,7 +75,7 @@
 static bool write_deletion(struct bd_core *core, struct bd_drain *drain, struct bd_drain_write *out)
 {
     if (drain->delete_in_flight > 0 || drain->deleted > drain->record.parts ||
-        core->wall - drain->record.ended < core->drains->rules->keep_s)
+        core->wall - drain->record.ended < core->drains->rules->record_retention_s)
         return false;
     if (drain->deleted < drain->record.parts)
         bd_drain_part_key(out->key, sizeof out->key, drain->record.set, drain->deleted);
@@ -98,7 +98,7 @@
 bool bd_drain_next_write(struct bd_core *core, struct bd_drain_write *out)
 {
     memset(out, 0, sizeof *out);
-    if (!core->drains || bd_before(core->now, core->drains->next_write))
+    if (!core->drains || bd_time_is_before(core->now, core->drains->next_write))
         return false;
     for (struct bd_drain *drain = core->drains->drains; drain; drain = drain->hh.next)
         if (next_write_of(core, drain, out))
@@ -142,7 +142,7 @@
     drain->delete_in_flight = 0;
 }
 
-void bd_drain_committed(struct bd_core *core, bool applied)
+void bd_drain_txn_completed(struct bd_core *core, bool applied)
 {
     if (!core->drains)
         return;
@@ -151,5 +151,5 @@
     if (applied)
         bd_drain_execute_step(core);
     else
-        core->drains->next_write = bd_add(core->now, bd_secs(REFUSED_DELAY_S));
+        core->drains->next_write = bd_time_add(core->now, bd_secs(REFUSED_DELAY_S));
 }
--- a/src/drain/replacement.c
+++ b/src/drain/replacement.c
@@ -47,7 +47,7 @@
 bool bd_replacement_is_up(const struct bd_core *core, const struct bd_drain_machine *entry)
 {
     const struct bd_machine *machine = find_replacement(core, entry);
-    return machine && bd_machine_usable(core, machine);
+    return machine && bd_machine_is_usable(core, machine);
 }
 
 static bool nothing_is_down(const struct bd_ledger *ledger)
@@ -61,7 +61,7 @@
 bool bd_replacement_has_work(const struct bd_core *core, const struct bd_drain_machine *entry)
 {
     const struct bd_machine *machine = find_replacement(core, entry);
-    if (!machine || !bd_machine_usable(core, machine))
+    if (!machine || !bd_machine_is_usable(core, machine))
         return false;
     for (uint32_t i = 0; i < machine->nreservations; i++) {
         const struct bd_reservation *reservation = &machine->reservations[i];
@@ -94,12 +94,12 @@
 {
     if (!*entry->replacement)
         return;
-    if (bd_is_zero(entry->replacement_requested_at)) /* an earlier leader requested it */
+    if (bd_time_is_zero(entry->replacement_requested_at)) /* an earlier leader requested it */
         entry->replacement_requested_at = core->now;
     const struct bd_machine *machine = find_replacement(core, entry);
-    double waited_s = bd_between(entry->replacement_requested_at, core->now);
+    double waited_s = bd_seconds_between(entry->replacement_requested_at, core->now);
     bool is_up = machine && machine->fenced;
-    bool is_late = waited_s > core->drains->rules->replace_s && !is_up;
+    bool is_late = waited_s > core->drains->rules->replacement_timeout_s && !is_up;
     if (is_late || replacement_is_lost(machine))
         abandon_replacement(core, drain, entry);
 }
@@ -130,7 +130,7 @@
 {
     const struct bd_pool *known = bd_pool_of(core, pool->type, pool->zone, pool->spot);
     return core->types[pool->type].zones >> pool->zone & 1 && !known->asked &&
-           !bd_before(core->now, known->refuse_until);
+           !bd_time_is_before(core->now, known->refuse_until);
 }
 
 /* The pool to request from: the machine's own, then other zones, then on-demand machines in place
@@ -187,8 +187,8 @@
 
 static void send_request(struct bd_core *core, const struct request *request)
 {
-    const char *id = bd_provision_request(core, request->pool.type, request->pool.zone,
-                                          request->pool.spot, request->count);
+    const char *id = bd_request_machines(core, request->pool.type, request->pool.zone,
+                                         request->pool.spot, request->count);
     for (int i = 0; id && i < request->count; i++) {
         struct bd_drain_machine *entry = request->entries[i];
         snprintf(entry->provisioning_request, sizeof entry->provisioning_request, "%s", id);
@@ -227,7 +227,8 @@
     bd_drain_mark_entry_urgent(drain, entry);
 }
 
-void bd_drain_provisioned(struct bd_core *core, const char *request, char (*names)[BD_LABEL], int n)
+void bd_drain_provisioning_completed(struct bd_core *core, const char *request,
+                                     char (*names)[BD_LABEL_BYTES], int n)
 {
     int used = 0;
     if (!core->drains)
--- a/src/drain/request.c
+++ b/src/drain/request.c
@@ -60,7 +60,7 @@
     out[0] = '\0';
     if (!value || json_is_null(value))
         return true;
-    if (!text || !*text || strlen(text) >= BD_NAME)
+    if (!text || !*text || strlen(text) >= BD_NAME_BYTES)
         return refuse(refusal, STATUS_MALFORMED, key, "needs a short text");
     strcpy(out, text);
     return true;
@@ -79,7 +79,7 @@
     json_array_foreach(list, i, item)
     {
         const char *id = json_string_value(item);
-        if (!id || !*id || strlen(id) >= BD_LABEL)
+        if (!id || !*id || strlen(id) >= BD_LABEL_BYTES)
             return refuse(refusal, STATUS_MALFORMED, "machines", "needs a list of ids");
     }
     *out = list;
--- a/src/drain/rules.c
+++ b/src/drain/rules.c
@@ -32,7 +32,7 @@
         bd_rules_report_fault(reader, "not-together", "needs two zones of the settings");
         return;
     }
-    if (reader->rules->nzone_conflicts == BD_MAX_ZONES) {
+    if (reader->rules->nzone_conflicts == BD_ZONES_MAX) {
         bd_rules_report_fault(reader, "not-together", "has too many entries");
         return;
     }
@@ -46,7 +46,7 @@
 static void read_selection(struct bd_rules_reader *reader, const sexp_t *entry)
 {
     const sexp_t *label = entry->list->next;
-    if (!label || label->ty != SEXP_VALUE || strlen(label->val) >= BD_NAME ||
+    if (!label || label->ty != SEXP_VALUE || strlen(label->val) >= BD_NAME_BYTES ||
         reader->rules->nselections == BD_SELECTIONS_MAX) {
         bd_rules_report_fault(reader, "selection",
                               "needs the form (selection LABEL (type T) (zone Z)), 64 at most");
@@ -71,7 +71,7 @@
 /* Reads `(planner solver)` or `(planner greedy)`. */
 static void read_planner(struct bd_rules_reader *reader, const sexp_t *entry)
 {
-    char value[BD_NAME] = "";
+    char value[BD_NAME_BYTES] = "";
     if (!bd_rules_read_text(reader, entry, value))
         return;
     if (strcmp(value, "solver") == 0)
@@ -93,13 +93,13 @@
     else if (strcmp(name, "machines-in-step") == 0)
         rules->machines_in_step = (uint32_t)bd_rules_read_number(reader, entry, 1);
     else if (strcmp(name, "stop-s") == 0)
-        rules->stop_s = bd_rules_read_number(reader, entry, 0);
+        rules->stop_timeout_s = bd_rules_read_number(reader, entry, 0);
     else if (strcmp(name, "wait-s") == 0)
         rules->wait_s = bd_rules_read_number(reader, entry, 0);
     else if (strcmp(name, "replace-s") == 0)
-        rules->replace_s = bd_rules_read_number(reader, entry, 1);
+        rules->replacement_timeout_s = bd_rules_read_number(reader, entry, 1);
     else if (strcmp(name, "keep-s") == 0)
-        rules->keep_s = bd_rules_read_number(reader, entry, 1);
+        rules->record_retention_s = bd_rules_read_number(reader, entry, 1);
     else if (strcmp(name, "planner") == 0)
         read_planner(reader, entry);
     else if (strcmp(name, "team") == 0)
@@ -115,16 +115,16 @@
 }
 
 struct bd_drain_rules *bd_drain_rules_read(const struct bd_settings *settings, struct elt *fields,
-                                           struct bd_rules_fault *fault)
+                                           struct bd_drain_rules_fault *fault)
 {
     struct bd_drain_rules *rules = calloc(1, sizeof *rules);
     if (!rules)
         abort();
     *rules = (struct bd_drain_rules){.machines_in_step = DEFAULT_MACHINES_IN_STEP,
-                                     .stop_s = DEFAULT_STOP_S,
+                                     .stop_timeout_s = DEFAULT_STOP_S,
                                      .wait_s = DEFAULT_WAIT_S,
-                                     .replace_s = DEFAULT_REPLACE_S,
-                                     .keep_s = DEFAULT_KEEP_S};
+                                     .replacement_timeout_s = DEFAULT_REPLACE_S,
+                                     .record_retention_s = DEFAULT_KEEP_S};
     struct bd_rules_reader reader = {settings, rules, fault, false};
     for (const sexp_t *entry = fields; entry && !reader.has_failed; entry = entry->next)
         read_entry(&reader, entry);
--- a/src/drain/rules_budgets.c
+++ b/src/drain/rules_budgets.c
@@ -21,7 +21,7 @@
 static void read_amount(struct bd_rules_reader *reader, const sexp_t *entry,
                         struct bd_budget_rule *rule)
 {
-    char text[BD_NAME], *end = NULL;
+    char text[BD_NAME_BYTES], *end = NULL;
     if (!bd_rules_read_text(reader, entry, text))
         return;
     double value = strtod(text, &end);
@@ -67,8 +67,8 @@
 {
     const sexp_t *name = entry->list->next;
     const sexp_t *down = name ? name->next : NULL;
-    if (!name || name->ty != SEXP_VALUE || strlen(name->val) >= BD_NAME || !down || down->next ||
-        !bd_rules_entry_name(reader, down) || strcmp(down->list->val, "down") != 0) {
+    if (!name || name->ty != SEXP_VALUE || strlen(name->val) >= BD_NAME_BYTES || !down ||
+        down->next || !bd_rules_entry_name(reader, down) || strcmp(down->list->val, "down") != 0) {
         bd_rules_report_fault(reader, "class", "needs the form (class NAME (down N))");
         return;
     }
@@ -100,7 +100,7 @@
 void bd_rules_read_team(struct bd_rules_reader *reader, const sexp_t *entry)
 {
     const sexp_t *name = entry->list->next;
-    if (!name || name->ty != SEXP_VALUE || strlen(name->val) >= BD_NAME)
+    if (!name || name->ty != SEXP_VALUE || strlen(name->val) >= BD_NAME_BYTES)
         bd_rules_report_fault(reader, "team", "needs the form (team NAME (down N) ...)");
     else if (!is_known_team(reader->settings, name->val))
         bd_rules_report_fault(reader, name->val, "is not a team of the settings");
--- a/src/drain/rules_reader.c
+++ b/src/drain/rules_reader.c
@@ -29,7 +29,7 @@
     const char *name = entry->list->val;
     if (!value || value->ty != SEXP_VALUE || value->next)
         bd_rules_report_fault(reader, name, "needs the form (name value)");
-    else if (!*value->val || strlen(value->val) >= BD_NAME)
+    else if (!*value->val || strlen(value->val) >= BD_NAME_BYTES)
         bd_rules_report_fault(reader, name, "needs a short text");
     else
         strcpy(out, value->val);
@@ -38,7 +38,7 @@
 
 double bd_rules_read_number(struct bd_rules_reader *reader, const sexp_t *entry, double min)
 {
-    char text[BD_NAME], *end = NULL;
+    char text[BD_NAME_BYTES], *end = NULL;
     if (!bd_rules_read_text(reader, entry, text))
         return 0;
     double value = strtod(text, &end);
--- a/src/drain/rules_reader.h
+++ b/src/drain/rules_reader.h
@@ -14,7 +14,7 @@
 struct bd_rules_reader {
     const struct bd_settings *settings;
     struct bd_drain_rules *rules;
-    struct bd_rules_fault *fault;
+    struct bd_drain_rules_fault *fault;
     bool has_failed;
 };
 
@@ -24,7 +24,8 @@
 void bd_rules_report_fault(struct bd_rules_reader *reader, const char *field, const char *what);
 /* The name of an entry `(name ...)`, borrowed from it, or NULL with a fault. */
 const char *bd_rules_entry_name(struct bd_rules_reader *reader, const sexp_t *entry);
-/* Reads the text of an entry `(name text)` into a buffer of BD_NAME bytes. False with a fault. */
+/* Reads the text of an entry `(name text)` into a buffer of BD_NAME_BYTES bytes. False with a
+ * fault. */
 bool bd_rules_read_text(struct bd_rules_reader *reader, const sexp_t *entry, char *out);
 /* Reads the number of an entry `(name number)`, from min to BD_RULES_NUMBER_MAX. */
 double bd_rules_read_number(struct bd_rules_reader *reader, const sexp_t *entry, double min);
--- a/src/drain/solver.c
+++ b/src/drain/solver.c
@@ -18,7 +18,7 @@
     const struct bd_step_problem *problem;
     lprec *lp;
     int abort_checks;
-    int zone_column[BD_MAX_ZONES]; /* 0: none */
+    int zone_column[BD_ZONES_MAX]; /* 0: none */
     REAL *values;                  /* of the row that is being built */
     int *columns;                  /* ... and its columns */
     bool ok;                       /* no call of the solver has failed */
@@ -98,8 +98,8 @@
 static void add_zone_conflict_rows(struct program *program)
 {
     const struct bd_step_problem *problem = program->problem;
-    for (int a = 0; a < BD_MAX_ZONES; a++) {
-        for (int b = a + 1; b < BD_MAX_ZONES; b++) {
+    for (int a = 0; a < BD_ZONES_MAX; a++) {
+        for (int b = a + 1; b < BD_ZONES_MAX; b++) {
             if (!problem->zones_conflict[a][b])
                 continue;
             program->columns[0] = program->zone_column[a];
@@ -115,8 +115,8 @@
 {
     const struct bd_step_problem *problem = program->problem;
     int columns = (int)problem->n;
-    for (int a = 0; a < BD_MAX_ZONES; a++)
-        for (int b = 0; b < BD_MAX_ZONES; b++)
+    for (int a = 0; a < BD_ZONES_MAX; a++)
+        for (int b = 0; b < BD_ZONES_MAX; b++)
             if (problem->zones_conflict[a][b] && program->zone_column[a] == 0)
                 program->zone_column[a] = ++columns;
     return columns;
@@ -134,7 +134,7 @@
     program->ok = program->ok &&
                   set_obj_fnex(program->lp, (int)problem->n, program->values, program->columns);
     set_maxim(program->lp);
-    for (int zone = 0; zone < BD_MAX_ZONES; zone++)
+    for (int zone = 0; zone < BD_ZONES_MAX; zone++)
         if (problem->zone_used[zone] && program->zone_column[zone] > 0)
             (void)set_lowbo(program->lp, program->zone_column[zone], 1);
 }
@@ -169,7 +169,7 @@
     return true;
 }
 
-bool bd_steps_solve(const struct bd_step_problem *problem, roaring_bitmap_t *chosen)
+bool bd_step_choose_by_solver(const struct bd_step_problem *problem, roaring_bitmap_t *chosen)
 {
     struct program program = {.problem = problem, .ok = true};
     if (problem->n == 0 || problem->n > BD_STEP_CANDIDATES_MAX)
--- a/src/drain/step_plan.c
+++ b/src/drain/step_plan.c
@@ -48,7 +48,7 @@
         if (!is_in_step(core, iterator.drain, entry))
             continue;
         in_step++;
-        if (entry->stage == BD_STAGE_STOPPING && bd_is_zero(entry->stop_requested_at))
+        if (entry->stage == BD_STAGE_STOPPING && bd_time_is_zero(entry->stop_requested_at))
             all_begun = false;
         if (entry->machine->zone >= 0)
             plan->problem.zone_used[entry->machine->zone] = true;
@@ -92,7 +92,7 @@
     plan->problem.left = plan->budget_left;
     plan->problem.nbudgets = core->ledger->nbudgets;
     plan->problem.capacity = bd_bins_total(&plan->bins);
-    plan->problem.zones_conflict = (const bool(*)[BD_MAX_ZONES])core->drains->zones_conflict;
+    plan->problem.zones_conflict = (const bool(*)[BD_ZONES_MAX])core->drains->zones_conflict;
 }
 
 static void free_plan(struct step_plan *plan)
@@ -125,7 +125,7 @@
     const struct bd_machine *machine = entry->machine;
     if (drain->record.state == BD_DRAIN_PAUSED)
         return BD_DRAIN_WAIT_PAUSED;
-    if (!machine || !machine->fenced || bd_overdue(core, machine))
+    if (!machine || !machine->fenced || bd_machine_is_overdue(core, machine))
         return BD_DRAIN_WAIT_HEARTBEAT;
     if (drain->record.mode == BD_DRAIN_REPLACE && !bd_replacement_is_up(core, entry))
         return BD_DRAIN_WAIT_REPLACEMENT;
@@ -223,10 +223,11 @@
     roaring_bitmap_t *chosen = roaring_bitmap_create();
     if (!chosen)
         abort();
-    bool solved = rules->planner == BD_PLANNER_SOLVER && bd_steps_solve(&plan->problem, chosen);
+    bool solved =
+        rules->planner == BD_PLANNER_SOLVER && bd_step_choose_by_solver(&plan->problem, chosen);
     if (!solved) {
         roaring_bitmap_clear(chosen);
-        bd_steps_greedy(&plan->problem, chosen);
+        bd_step_choose_greedy(&plan->problem, chosen);
     }
     take_chosen(plan, chosen);
     set_others_waiting(plan, chosen);
--- a/src/drain/step_stop.c
+++ b/src/drain/step_stop.c
@@ -57,7 +57,7 @@
 static enum bd_drain_wait stop_obstacle(const struct bd_core *core, const struct bd_drain *drain,
                                         const struct bd_machine *machine)
 {
-    if (!machine || machine->gone || !machine->fenced || bd_overdue(core, machine))
+    if (!machine || machine->gone || !machine->fenced || bd_machine_is_overdue(core, machine))
         return BD_DRAIN_WAIT_HEARTBEAT;
     if (drain->record.state == BD_DRAIN_PAUSED)
         return BD_DRAIN_WAIT_PAUSED;
@@ -69,7 +69,7 @@
 static void stop_machine(struct bd_core *core, struct bd_drain *drain,
                          struct bd_drain_machine *entry)
 {
-    bool has_begun = !bd_is_zero(entry->stop_requested_at);
+    bool has_begun = !bd_time_is_zero(entry->stop_requested_at);
     enum bd_drain_wait obstacle = stop_obstacle(core, drain, entry->machine);
     if (obstacle != BD_DRAIN_WAIT_NOTHING) {
         if (!has_begun)
--- a/src/drain/summary_log.c
+++ b/src/drain/summary_log.c
@@ -53,9 +53,9 @@
 void bd_drain_log_summary(struct bd_core *core)
 {
     bool any_is_open = false;
-    if (bd_before(core->now, core->drains->next_summary))
+    if (bd_time_is_before(core->now, core->drains->next_summary))
         return;
-    core->drains->next_summary = bd_add(core->now, bd_secs(SUMMARY_S));
+    core->drains->next_summary = bd_time_add(core->now, bd_secs(SUMMARY_S));
     for (const struct bd_drain *drain = core->drains->drains; drain; drain = drain->hh.next) {
         if (!bd_drain_is_open(drain))
             continue;
--- a/src/jobs/admission.c
+++ b/src/jobs/admission.c
@@ -29,19 +29,19 @@
     bool has_cancelled;
 };
 
-void bd_admission_drop(struct bd_admission *admission)
+void bd_admission_free(struct bd_admission *admission)
 {
     if (admission)
         json_decref(admission->parents);
     free(admission);
 }
 
-void bd_admission_end(struct bd_core *core)
+void bd_admissions_free(struct bd_core *core)
 {
     while (core->graph.awaiting_lookup) {
         struct bd_admission *admission = core->graph.awaiting_lookup;
         core->graph.awaiting_lookup = admission->next;
-        bd_admission_drop(admission);
+        bd_admission_free(admission);
     }
 }
 
@@ -129,7 +129,7 @@
         return;
     }
     decide(core, admission, &parents);
-    bd_admission_drop(admission);
+    bd_admission_free(admission);
 }
 
 void bd_admission_resume(struct bd_core *core, struct bd_admission *admission)
@@ -162,11 +162,11 @@
         reply_unknown_parent(core, request);
     else
         bd_user_reply_kv_unreachable(core, request, BD_KV_OUTAGE_RETRY_S);
-    bd_admission_drop(admission);
+    bd_admission_free(admission);
 }
 
 void bd_admission_start(struct bd_core *core, void *request, const char *id,
-                        const struct bd_record *record, json_t *parents)
+                        const struct bd_job_record *record, json_t *parents)
 {
     struct bd_admission *admission = calloc(1, sizeof *admission);
     if (!admission)
--- a/src/jobs/admission_record.c
+++ b/src/jobs/admission_record.c
@@ -47,13 +47,13 @@
 
 static bool fits_value(const struct bd_core *core, const json_t *value)
 {
-    return (double)bd_wire_bytes(value) <= usable_value_bytes(core);
+    return (double)bd_wire_value_bytes(value) <= usable_value_bytes(core);
 }
 
 static json_t *build_record(struct bd_admission *admission, bool with_names)
 {
     admission->record.parents.names = with_names ? admission->parents : NULL;
-    return bd_wire_record(&admission->record);
+    return bd_wire_write_record(&admission->record);
 }
 
 /* The names from *next on that fit one value; moves *next behind them. The caller owns the list. */
@@ -74,11 +74,11 @@
 static void put_part(const struct bd_core *core, struct bd_admission *admission, struct bd_txn *txn,
                      size_t *next)
 {
-    struct bd_record_parents *parents = &admission->record.parents;
-    char key[2 * BD_LABEL];
+    struct bd_job_record_parents *parents = &admission->record.parents;
+    char key[2 * BD_LABEL_BYTES];
     snprintf(key, sizeof key, "j/%s/%s/%u", admission->id, parents->of, parents->parts++);
     json_t *names = take_names_for_part(core, admission->parents, next);
-    bd_txn_put(txn, key, bd_wire_parents_part(names), 0);
+    bd_txn_put(txn, key, bd_wire_write_parents_part(names), 0);
 }
 
 /* Appends a transaction with the parts for the names from *next on. False: a value holds no name.
@@ -89,7 +89,7 @@
     const struct bd_kv_limits *limits = &core->kv_limits;
     size_t count = json_array_size(admission->parents), bytes = 0;
     struct bd_txn txn;
-    char key[BD_LABEL];
+    char key[BD_LABEL_BYTES];
     bool progress = true;
     snprintf(key, sizeof key, "j/%s", admission->id);
     if (!bd_txn_begin(&txn))
@@ -112,10 +112,10 @@
 static bool append_all_parts(const struct bd_core *core, struct bd_admission *admission,
                              struct txn_lines *lines)
 {
-    struct bd_record_parents *parents = &admission->record.parents;
+    struct bd_job_record_parents *parents = &admission->record.parents;
     size_t next = 0, count = json_array_size(admission->parents);
     snprintf(parents->of, sizeof parents->of, "%016llx",
-             (unsigned long long)bd_wire_names_hash(admission->parents));
+             (unsigned long long)bd_wire_hash_names(admission->parents));
     while (next < count)
         if (!append_parts_txn(core, admission, &next, lines))
             return false;
--- a/src/jobs/dependency_graph.c
+++ b/src/jobs/dependency_graph.c
@@ -212,7 +212,7 @@
     json_array_foreach(names, i, value)
     {
         const char *name = json_string_value(value);
-        bool is_readable = bd_wire_job_id(name) && strcmp(name, job->id) != 0;
+        bool is_readable = bd_wire_is_job_id(name) && strcmp(name, job->id) != 0;
         if (!is_readable)
             job->nopen_parents++; /* is never known to be done */
         else if (add_edge(core, job, name))
@@ -241,8 +241,9 @@
 
 static bool wants_lookup(const struct bd_core *core, const struct bd_parent_job *parent)
 {
-    return !parent->job && (bd_is_zero(parent->lookup_sent_at) ||
-                            bd_between(parent->lookup_sent_at, core->now) >= LOOKUP_RETRY_S);
+    return !parent->job &&
+           (bd_time_is_zero(parent->lookup_sent_at) ||
+            bd_seconds_between(parent->lookup_sent_at, core->now) >= LOOKUP_RETRY_S);
 }
 
 /* A parent's record may have been evicted before its dependent's record was read. */
@@ -250,7 +251,7 @@
 {
     uint32_t sent = 0;
     if (core->graph.nunknown_parents == 0 || !core->replica.ready ||
-        bd_before(core->now, core->graph.next_lookup))
+        bd_time_is_before(core->now, core->graph.next_lookup))
         return;
     for (struct bd_parent_job *parent = core->graph.parents; parent && sent < LOOKUP_BATCH_MAX;
          parent = parent->hh.next) {
@@ -262,7 +263,7 @@
     }
     bool may_be_more = sent == LOOKUP_BATCH_MAX;
     core->graph.next_lookup =
-        may_be_more ? core->now : bd_add(core->now, bd_secs(LOOKUP_INTERVAL_S));
+        may_be_more ? core->now : bd_time_add(core->now, bd_secs(LOOKUP_INTERVAL_S));
 }
 
 void bd_dag_free(struct bd_core *core)
--- a/src/jobs/dependency_names.c
+++ b/src/jobs/dependency_names.c
@@ -22,7 +22,7 @@
 static struct bd_parents_part *find_part_of(const struct bd_core *core, const struct bd_job *job,
                                             uint32_t number)
 {
-    char key[BD_LABEL + BD_HASH];
+    char key[BD_LABEL_BYTES + BD_HASH_BYTES];
     snprintf(key, sizeof key, "%s/%s/%u", job->id, job->parent_parts_hash, number);
     return find_part(core, key);
 }
@@ -70,10 +70,10 @@
 
 void bd_dag_parents_part_loaded(struct bd_core *core, const char *key, json_t *value)
 {
-    char id[BD_ID];
-    json_t *names = bd_wire_read_part(value);
+    char id[BD_ID_BYTES];
+    json_t *names = bd_wire_read_parents_part(value);
     size_t id_len = strcspn(key, "/");
-    if (!names || id_len >= sizeof id || strlen(key) >= BD_LABEL) {
+    if (!names || id_len >= sizeof id || strlen(key) >= BD_LABEL_BYTES) {
         bd_log_write(core->log, BD_LOG_ERROR, "record j/%s cannot be read", key);
         return;
     }
@@ -89,10 +89,10 @@
 }
 
 void bd_dag_record_loaded(struct bd_core *core, struct bd_job *job,
-                          const struct bd_record_parents *parents)
+                          const struct bd_job_record_parents *parents)
 {
     bool has_names = json_array_size(parents->names) > 0;
-    job->in_dag = parents->damaged || parents->parts || has_names;
+    job->has_had_parents = parents->damaged || parents->parts || has_names;
     if (parents->damaged) {
         bd_log_write(core->log, BD_LOG_ERROR, "%s: its parents cannot be read: it is not started",
                      job->id);
--- a/src/jobs/dependency_priorities.c
+++ b/src/jobs/dependency_priorities.c
@@ -22,7 +22,7 @@
 
 static void reset_priority(struct bd_job *job)
 {
-    bool has_deadline = job->in_dag && job->spec.deadline_s >= 0;
+    bool has_deadline = job->has_had_parents && job->spec.deadline_s >= 0;
     job->priority = job->spec.priority;
     job->finish_by = has_deadline ? job->at + job->spec.deadline_s : INFINITY;
 }
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -52,7 +52,7 @@
 /* Sets the job's state; the tasks of a cancelled job are stopped. */
 void bd_job_set_state(struct bd_core *core, struct bd_job *job, enum bd_job_state state);
 /* The job's record in the store once it is cancelled. The caller owns it. */
-json_t *bd_cancelled_record(const struct bd_job *job);
+json_t *bd_job_cancelled_record(const struct bd_job *job);
 
 /* ---- dependency graph (dependency_graph.c, dependency_priorities.c) ---- */
 
--- a/src/jobs/jobs_internal.h
+++ b/src/jobs/jobs_internal.h
@@ -37,10 +37,10 @@
 /* ---- admission (submission_feasibility.c, admission.c, admission_record.c) ---- */
 
 /* Whether the job could run on an empty fleet of the known machine types. */
-bool bd_submission_is_feasible(const struct bd_core *core, const struct bd_spec_text *spec);
+bool bd_submission_is_feasible(const struct bd_core *core, const struct bd_job_spec_text *spec);
 /* Starts the admission of a valid submission. Takes parents (may be NULL) over. */
 void bd_admission_start(struct bd_core *core, void *request, const char *id,
-                        const struct bd_record *record, json_t *parents);
+                        const struct bd_job_record *record, json_t *parents);
 /* Continues behind a read barrier: a job that the replica lacks now was evicted or never accepted.
  * Takes the admission over. */
 void bd_admission_resume(struct bd_core *core, struct bd_admission *admission);
@@ -56,7 +56,7 @@
 void bd_dag_job_loaded(struct bd_core *core, struct bd_job *job);
 /* Adds an active job to the graph, with the parents that its record names. */
 void bd_dag_record_loaded(struct bd_core *core, struct bd_job *job,
-                          const struct bd_record_parents *parents);
+                          const struct bd_job_record_parents *parents);
 /* A part of a job's list of parents was read. key: JOB/HASH/NUMBER. */
 void bd_dag_parents_part_loaded(struct bd_core *core, const char *key, json_t *value);
 /* Adds edges from the job to all parents in the list. */
@@ -69,9 +69,9 @@
 /* ---- admissions in progress (admission.c) ---- */
 
 /* Frees an admission; NULL is allowed. */
-void bd_admission_drop(struct bd_admission *admission);
+void bd_admission_free(struct bd_admission *admission);
 /* Frees all admissions that wait for a look-up. */
-void bd_admission_end(struct bd_core *core);
+void bd_admissions_free(struct bd_core *core);
 
 /* Frees the reads that wait for a barrier; nobody is replied to. */
 void bd_pending_reads_free(struct bd_core *core);
--- a/src/jobs/pending_reads.c
+++ b/src/jobs/pending_reads.c
@@ -63,7 +63,7 @@
         bd_admission_resume(core, read->accept);
         return;
     }
-    bd_admission_drop(read->accept);
+    bd_admission_free(read->accept);
     if (job)
         answer_with_job(core, read->request, read->purpose, job);
     else if (core->replica.evicted)
@@ -74,14 +74,14 @@
 
 static void fail_read(struct bd_core *core, const struct bd_pending_read *read)
 {
-    bd_admission_drop(read->accept);
+    bd_admission_free(read->accept);
     bd_user_reply_kv_unreachable(core, read->request, BD_KV_OUTAGE_RETRY_S);
 }
 
 static void complete_barrier(struct bd_core *core, bool ok)
 {
     struct bd_pending_read *read = core->replica.asked;
-    core->replica.barrier_out = false;
+    core->replica.barrier_in_flight = false;
     core->replica.asked = NULL;
     while (read) {
         struct bd_pending_read *next = read->next;
@@ -102,7 +102,7 @@
     if (ok && without_gap && store_revision > replica->store_revision)
         replica->store_revision = store_revision;
     if (ok)
-        replica->refreshed_at = bd_max(replica->refreshed_at, sent);
+        replica->refreshed_at = bd_time_max(replica->refreshed_at, sent);
     if (barrier)
         complete_barrier(core, ok);
 }
@@ -130,11 +130,11 @@
 void bd_pending_reads_start_barrier(struct bd_core *core)
 {
     struct bd_replica *replica = &core->replica;
-    if (replica->barrier_out || !replica->waiting)
+    if (replica->barrier_in_flight || !replica->waiting)
         return;
     replica->asked = replica->waiting;
     replica->waiting = NULL;
-    replica->barrier_out = true;
+    replica->barrier_in_flight = true;
     (void)bd_effect_emit(core, BD_EFFECT_READ_BARRIER);
 }
 
@@ -143,7 +143,7 @@
     while (*list) {
         struct bd_pending_read *read = *list;
         *list = read->next;
-        bd_admission_drop(read->accept);
+        bd_admission_free(read->accept);
         free(read);
     }
 }
--- a/src/jobs/replica.c
+++ b/src/jobs/replica.c
@@ -34,7 +34,7 @@
 {
     job->state = state;
     if (state != BD_JOB_ACTIVE)
-        bd_ledger_forget(core, job);
+        bd_ledger_remove_job(core, job);
     if (state == BD_JOB_CANCELLED)
         stop_tasks(core, job);
     if (state == BD_JOB_DONE) {
@@ -43,7 +43,8 @@
     }
 }
 
-static struct bd_job *add_job(struct bd_core *core, const char *id, const struct bd_record *record)
+static struct bd_job *add_job(struct bd_core *core, const char *id,
+                              const struct bd_job_record *record)
 {
     struct bd_job *job = calloc(1, sizeof *job);
     const char *job_class = record->spec.job_class;
@@ -51,7 +52,7 @@
         abort();
     snprintf(job->id, sizeof job->id, "%s", id);
     job->ntasks = record->tasks;
-    job->job_class = *job_class ? bd_intern(&core->classes, job_class) : -1;
+    job->job_class = *job_class ? bd_name_intern(&core->classes, job_class) : -1;
     job->at = job->ready = record->at;
     job->priority = record->spec.priority;
     job->finish_by = INFINITY;
@@ -60,7 +61,7 @@
     return job;
 }
 
-static void apply_spec(struct bd_core *core, struct bd_job *job, const struct bd_record *record,
+static void apply_spec(struct bd_core *core, struct bd_job *job, const struct bd_job_record *record,
                        const json_t *value)
 {
     if (!record->has_spec || job->has_spec)
@@ -78,7 +79,7 @@
 }
 
 /* When a final job ended, by the time of day. */
-static double end_of(const struct bd_core *core, const struct bd_record *record)
+static double end_of(const struct bd_core *core, const struct bd_job_record *record)
 {
     if (record->end > 0)
         return record->end;
@@ -86,7 +87,8 @@
 }
 
 /* A job that was cancelled by derivation from a parent stays so until its own record is final. */
-static void apply_state(struct bd_core *core, struct bd_job *job, const struct bd_record *record)
+static void apply_state(struct bd_core *core, struct bd_job *job,
+                        const struct bd_job_record *record)
 {
     if (record->state == BD_JOB_ACTIVE)
         return;
@@ -98,7 +100,7 @@
     bd_dag_job_ended(core, job);
 }
 
-static void apply_record(struct bd_core *core, const char *id, const struct bd_record *record,
+static void apply_record(struct bd_core *core, const char *id, const struct bd_job_record *record,
                          const struct bd_change *change)
 {
     struct bd_job *job = bd_job_find(core, id);
@@ -121,13 +123,13 @@
 
 void bd_replica_apply(struct bd_core *core, const struct bd_change *change)
 {
-    struct bd_record record;
+    struct bd_job_record record;
     if (strncmp(change->key, "j/", 2) != 0 || !change->value)
         return;
     const char *id = change->key + 2;
     if (strchr(id, '/'))
         bd_dag_parents_part_loaded(core, id, change->value);
-    else if (strlen(id) >= BD_ID || !bd_wire_read_record(change->value, &record))
+    else if (strlen(id) >= BD_ID_BYTES || !bd_wire_read_record(change->value, &record))
         bd_log_write(core->log, BD_LOG_ERROR, "record %s cannot be read", change->key);
     else
         apply_record(core, id, &record, change);
@@ -138,15 +140,15 @@
     core->replica.store_revision = store_revision;
     core->replica.ready = true;
     bd_decision_log_term(core, "replica_listed", "revision=%llu age_ms=%.0f jobs=%u",
-                         (unsigned long long)store_revision, 1000 * bd_between(sent, core->now),
-                         HASH_COUNT(core->jobs));
-    core->replica.refreshed_at = bd_max(core->replica.refreshed_at, sent);
+                         (unsigned long long)store_revision,
+                         1000 * bd_seconds_between(sent, core->now), HASH_COUNT(core->jobs));
+    core->replica.refreshed_at = bd_time_max(core->replica.refreshed_at, sent);
 }
 
 bool bd_job_cancellation_announced(const struct bd_core *core, const struct bd_job *job)
 {
-    return !bd_is_zero(job->cancellation_heard_at) &&
-           bd_between(job->cancellation_heard_at, core->now) < ANNOUNCEMENT_VALID_S;
+    return !bd_time_is_zero(job->cancellation_announced_at) &&
+           bd_seconds_between(job->cancellation_announced_at, core->now) < ANNOUNCEMENT_VALID_S;
 }
 
 /* The record comes with the next refresh, up to seconds later; starts and stops need not wait for
@@ -156,7 +158,7 @@
     struct bd_job *job = bd_job_find(core, id);
     if (!job || job->state != BD_JOB_ACTIVE || bd_job_cancellation_announced(core, job))
         return;
-    job->cancellation_heard_at = core->now;
+    job->cancellation_announced_at = core->now;
     stop_tasks(core, job);
 }
 
@@ -177,6 +179,6 @@
 {
     free_jobs(core);
     bd_pending_reads_free(core);
-    bd_admission_end(core);
+    bd_admissions_free(core);
     bd_dag_free(core);
 }
--- a/src/jobs/submission.c
+++ b/src/jobs/submission.c
@@ -14,8 +14,8 @@
 #include <stdio.h>
 
 struct submission {
-    char id[BD_ID]; /* empty: none could be read */
-    struct bd_record record;
+    char id[BD_ID_BYTES]; /* empty: none could be read */
+    struct bd_job_record record;
     json_t *parents;       /* owned; NULL: none */
     const char *bad_field; /* NULL: well formed */
 };
@@ -26,8 +26,8 @@
     *out =
         (struct submission){.record = {.state = BD_JOB_ACTIVE, .at = core->wall, .has_spec = true}};
     json_t *json = json_loadb(body, len, JSON_REJECT_DUPLICATES, NULL);
-    out->bad_field = json ? bd_wire_submission(json, out->id, &out->record.spec) : "body";
-    if (!out->bad_field && !bd_wire_parents(json, &out->parents))
+    out->bad_field = json ? bd_wire_read_submission(json, out->id, &out->record.spec) : "body";
+    if (!out->bad_field && !bd_wire_read_parents(json, &out->parents))
         out->bad_field = "awaits";
     json_decref(json);
 }
--- a/src/jobs/submission_feasibility.c
+++ b/src/jobs/submission_feasibility.c
@@ -9,7 +9,7 @@
 
 #define ROUNDING 1e-9 /* of amounts that were read as decimal numbers */
 
-static bool fits_type(const struct bd_type *type, const struct bd_spec_text *spec, int zone)
+static bool fits_type(const struct bd_type *type, const struct bd_job_spec_text *spec, int zone)
 {
     return type->known && spec->cpus <= type->cpus + ROUNDING &&
            spec->gpus <= type->gpus + ROUNDING && spec->mem <= type->mem + ROUNDING &&
@@ -21,7 +21,7 @@
     return quota > 0 && amount > quota + ROUNDING;
 }
 
-static bool allows_type(const struct bd_spec_text *spec, const char *label)
+static bool allows_type(const struct bd_job_spec_text *spec, const char *label)
 {
     for (int i = 0; i < spec->ntypes; i++)
         if (strcmp(spec->types[i], label) == 0)
@@ -30,7 +30,7 @@
 }
 
 /* The zones, as bits, in which the job's tasks could run. */
-static uint32_t feasible_zones(const struct bd_core *core, const struct bd_spec_text *spec)
+static uint32_t feasible_zones(const struct bd_core *core, const struct bd_job_spec_text *spec)
 {
     uint32_t zones = 0;
     int only = bd_zone_find(core, spec->zone);
@@ -44,9 +44,9 @@
     return zones;
 }
 
-bool bd_submission_is_feasible(const struct bd_core *core, const struct bd_spec_text *spec)
+bool bd_submission_is_feasible(const struct bd_core *core, const struct bd_job_spec_text *spec)
 {
-    int team = bd_team_index(core, spec->team);
+    int team = bd_team_find(core, spec->team);
     if (team < 0)
         return false;
     const struct bd_team_quota *quota = &core->settings->teams[team];
--- a/src/jobs/user_requests.c
+++ b/src/jobs/user_requests.c
@@ -36,7 +36,7 @@
     if (job->state == BD_JOB_DONE)
         done = job->ntasks;
     bd_effect_reply(core, request, 200,
-                    bd_wire_state(job->id, state_name(job, running), done, running), 0);
+                    bd_wire_write_job_state(job->id, state_name(job, running), done, running), 0);
 }
 
 void bd_user_reply_kv_unreachable(struct bd_core *core, void *request, int retry_after_s)
@@ -47,12 +47,12 @@
 bool bd_kv_reachable(const struct bd_core *core)
 {
     return core->replica.ready &&
-           bd_between(core->replica.refreshed_at, core->now) < KV_REACHABLE_S;
+           bd_seconds_between(core->replica.refreshed_at, core->now) < KV_REACHABLE_S;
 }
 
 static bool is_valid_id(const char *id)
 {
-    return bd_wire_job_id(id) && strlen(id) < BD_ID - 1;
+    return bd_wire_is_job_id(id) && strlen(id) < BD_ID_BYTES - 1;
 }
 
 /* Replies if the request needs neither a read barrier nor a transaction. True: it did. */
@@ -89,11 +89,11 @@
 
 /* Without what only placement needs: it is no longer than what was accepted, so that it fits limits
  * that have been lowered since. */
-json_t *bd_cancelled_record(const struct bd_job *job)
+json_t *bd_job_cancelled_record(const struct bd_job *job)
 {
-    struct bd_record record = {.state = BD_JOB_CANCELLED, .tasks = job->ntasks, .at = job->at};
-    json_t *json = bd_wire_record(&record);
+    struct bd_job_record record = {.state = BD_JOB_CANCELLED, .tasks = job->ntasks, .at = job->at};
+    json_t *json = bd_wire_write_record(&record);
     if (json && job->record_spec)
-        json_object_set_new(json, "job", bd_wire_ended_spec(job->record_spec));
+        json_object_set_new(json, "job", bd_wire_write_cancelled_spec(job->record_spec));
     return json;
 }
--- a/src/jobs/user_txn.c
+++ b/src/jobs/user_txn.c
@@ -20,7 +20,7 @@
 char *bd_record_txn(const char *id, uint64_t revision, json_t *record)
 {
     struct bd_txn txn;
-    char key[BD_LABEL];
+    char key[BD_LABEL_BYTES];
     snprintf(key, sizeof key, "j/%s", id);
     if (!bd_txn_begin(&txn))
         abort();
@@ -41,7 +41,7 @@
 
 void bd_user_cancel_emit(struct bd_core *core, void *request, const struct bd_job *job)
 {
-    char *body = bd_record_txn(job->id, job->revision, bd_cancelled_record(job));
+    char *body = bd_record_txn(job->id, job->revision, bd_job_cancelled_record(job));
     bd_user_txns_emit(core, request, job->id, body, BD_READ_CANCEL);
 }
 
@@ -53,8 +53,8 @@
     json_array_foreach(json_object_get(txn, "apply"), i, op)
     {
         struct bd_change change;
-        bd_wire_set_revision(op, store_revision);
-        if (bd_wire_change(op, &change))
+        bd_wire_write_revision(op, store_revision);
+        if (bd_wire_read_change(op, &change))
             bd_replica_apply(core, &change);
     }
     json_decref(txn);
@@ -81,9 +81,9 @@
     if (!job)
         bd_effect_reply_error(core, request, 503, "not ready", RETRY_S);
     else if (job->state == BD_JOB_ACTIVE)
-        bd_effect_reply(core, request, 201, bd_wire_accepted(id), 0);
+        bd_effect_reply(core, request, 201, bd_wire_write_accepted(id), 0);
     else if (is_submission && job->state == BD_JOB_CANCELLED) /* since a parent is */
-        bd_effect_reply(core, request, 201, bd_wire_state(id, "cancelled", 0, 0), 0);
+        bd_effect_reply(core, request, 201, bd_wire_write_job_state(id, "cancelled", 0, 0), 0);
     else
         bd_user_reply_status(core, request, job);
 }
--- a/src/leadership/commit.c
+++ b/src/leadership/commit.c
@@ -34,7 +34,7 @@
 
 /* ---- intents ---- */
 
-uint32_t bd_cycle_intent_records(const struct bd_core *core)
+uint32_t bd_txn_intent_records_max(const struct bd_core *core)
 {
     size_t by_bytes = INTENT_BYTES_MAX / core->kv_limits.kv_value_bytes_max;
     size_t by_ops = bd_kv_limits_txn_ops(core) / INTENT_OPS_DIVISOR;
@@ -69,7 +69,7 @@
         compared = commit->plan[i].job;
     }
     uint32_t written = 0;
-    while (written < commit->nplan && commit->nintent_slices < bd_cycle_intent_records(core)) {
+    while (written < commit->nplan && commit->nintent_slices < bd_txn_intent_records_max(core)) {
         add_intent_record(core, builder, written);
         written += commit->intent_slices[commit->nintent_slices - 1].n;
     }
@@ -97,11 +97,11 @@
     struct bd_commit *commit = core->lead.commit;
     if (commit->ndone == BD_CYCLE_JOBS_MAX || !bd_txn_builder_fits(builder, 1, 1, DONE_TXN_BYTES))
         return false;
-    struct bd_record record = {
+    struct bd_job_record record = {
         .state = BD_JOB_DONE, .tasks = job->ntasks, .at = job->at, .end = core->wall};
     snprintf(record.spec.job_class, sizeof record.spec.job_class, "%s",
-             bd_class_name(core, job->job_class));
-    bd_txn_builder_put_job(builder, job, bd_wire_record(&record), DONE_RECORD_BYTES);
+             bd_job_class_name(core, job->job_class));
+    bd_txn_builder_put_job(builder, job, bd_wire_write_record(&record), DONE_RECORD_BYTES);
     commit->done[commit->ndone++] = job;
     return true;
 }
@@ -115,12 +115,13 @@
         return;
     HASH_ITER(hh, core->jobs, job, next)
     {
-        if (!job->cancelled_by_parent || job->stale || bd_before(core->now, job->backoff_until))
+        if (!job->cancelled_by_parent || job->stale ||
+            bd_time_is_before(core->now, job->backoff_until))
             continue;
         if (commit->ncancelled == BD_CYCLE_JOBS_MAX ||
             !bd_txn_builder_fits(builder, 1, 1, CANCELLED_RECORD_BYTES))
             return;
-        bd_txn_builder_put_job(builder, job, bd_cancelled_record(job), CANCELLED_RECORD_BYTES);
+        bd_txn_builder_put_job(builder, job, bd_job_cancelled_record(job), CANCELLED_RECORD_BYTES);
         commit->cancelled[commit->ncancelled++] = job;
     }
 }
@@ -142,7 +143,7 @@
     commit->receipts = grown;
     struct bd_receipt *receipt = &commit->receipts[commit->nreceipts++];
     bd_receipt_fill(receipt, job, chunk);
-    char key[BD_LABEL];
+    char key[BD_LABEL_BYTES];
     snprintf(key, sizeof key, "r/%s/%u", job->id, chunk);
     bd_txn_put(&builder->txn, key, bd_receipt_value(receipt), 0);
     bd_txn_builder_count(builder, 1, 0, bytes + RECEIPT_KEY_BYTES);
@@ -172,7 +173,7 @@
     HASH_ITER(hh, core->jobs, job, next)
     {
         if (!job->dirty || !job->tasks || job->state != BD_JOB_ACTIVE || job->stale ||
-            bd_before(core->now, job->backoff_until))
+            bd_time_is_before(core->now, job->backoff_until))
             continue;
         bool fits = job->ndone == job->ntasks ? add_done(core, builder, job)
                                               : add_job_receipts(core, builder, job);
@@ -189,7 +190,7 @@
         return;
     core->lead.token_raise_wanted = false;
     core->lead.commit->raises_fencing_token = true;
-    json_t *dismissed = bd_delegates_dismissed(core);
+    json_t *dismissed = bd_delegates_list_dismissed(core);
     bd_txn_put(&builder->txn, "leader",
                json_pack("{s:s,s:s,s:o}", "node", core->settings->node, "nonce", core->lead.nonce,
                          "away", dismissed),
--- a/src/leadership/commit.h
+++ b/src/leadership/commit.h
@@ -10,12 +10,12 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define BD_TASK_BYTES 7u /* of a task's number in an intent record */
+#define BD_INTENT_TASK_BYTES 7u /* of a task's number in an intent record */
 
 /* Bytes that one machine's tasks of a job take in an intent record, without the tasks' numbers. */
-size_t bd_group_bytes(const struct bd_job *job, const struct bd_machine *machine);
+size_t bd_intent_group_bytes(const struct bd_job *job, const struct bd_machine *machine);
 /* Intent records that a transaction may hold now, at least 1. The rest is left for receipts. */
-uint32_t bd_cycle_intent_records(const struct bd_core *core);
+uint32_t bd_txn_intent_records_max(const struct bd_core *core);
 /* Builds the transaction of core->lead.commit and emits it; frees the commit if there is nothing to
  * write. Planned launches that fit no intent record are released. */
 void bd_cycle_commit(struct bd_core *core);
--- a/src/leadership/commit_garbage.c
+++ b/src/leadership/commit_garbage.c
@@ -26,13 +26,13 @@
     struct bd_commit *commit = core->lead.commit;
     bd_txn_delete(&builder->txn, key);
     bd_txn_builder_count(builder, 1, 0, BD_KEY_BYTES);
-    snprintf(commit->deleted_keys[commit->ndeleted_keys++], BD_LABEL, "%s", key);
+    snprintf(commit->deleted_keys[commit->ndeleted_keys++], BD_LABEL_BYTES, "%s", key);
 }
 
 static void delete_receipts(struct bd_core *core, struct bd_txn_builder *builder,
                             struct bd_job *job)
 {
-    char key[BD_LABEL];
+    char key[BD_LABEL_BYTES];
     for (uint32_t chunk = 0; chunk < BD_RECEIPT_CHUNKS_MAX && can_delete(core, builder); chunk++) {
         if (!(job->receipt_chunks >> chunk & 1))
             continue;
@@ -62,9 +62,9 @@
 
 void bd_commit_collect_garbage(struct bd_core *core, struct bd_txn_builder *builder)
 {
-    if (!bd_before(core->lead.next_gc, core->now))
+    if (!bd_time_is_before(core->lead.next_gc, core->now))
         return;
     add_deletions(core, builder);
     double interval_s = can_delete(core, builder) ? GC_INTERVAL_S : GC_BACKLOG_INTERVAL_S;
-    core->lead.next_gc = bd_add(core->now, bd_secs(interval_s));
+    core->lead.next_gc = bd_time_add(core->now, bd_secs(interval_s));
 }
--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -29,9 +29,9 @@
 {
     core->lead.term = store_revision;
     core->lead.last_token_raise = core->now;
-    core->lead.fenced_attempt =
+    core->lead.last_fenced_attempt =
         (core->lead.base_term << BD_ATTEMPT_TERM_SHIFT) + core->lead.counter;
-    core->lead.withheld = 0;
+    core->lead.nresults_withheld = 0;
     bd_decision_log_term(core, "fencing_token_raised", "base=%llu term=%llu",
                          (unsigned long long)core->lead.base_term,
                          (unsigned long long)store_revision);
@@ -51,7 +51,7 @@
     const struct bd_task *task = planned_task(intent);
     if (!task)
         return;
-    struct bd_machine *machine = bd_machine_of(core, task->machine);
+    struct bd_machine *machine = bd_machine_by_index(core, task->machine);
     if (job->state != BD_JOB_ACTIVE || bd_job_cancellation_announced(core, job) || !machine ||
         machine->gone || machine->scaling_in) {
         bd_task_release(core, job, intent->task, BD_RELEASE_LAUNCH_NOT_SENT);
@@ -60,13 +60,13 @@
     char committed[48];
     snprintf(committed, sizeof committed, "committed=%llu",
              (unsigned long long)core->lead.sequence_revision);
-    bd_task_set(core, job, intent->task, BD_TASK_LAUNCHING);
+    bd_task_set_state(core, job, intent->task, BD_TASK_LAUNCHING);
     bd_decision_log_task(core, "intent_committed", job, intent->task, intent->attempt, machine,
                          committed);
     if (!job->started)
-        bd_metrics_time(core->metrics, BD_TIMING_START, core->wall - job->ready);
+        bd_metrics_record_duration(core->metrics, BD_TIMING_START, core->wall - job->ready);
     job->started = true;
-    bd_remember_image(core, machine, &job->spec, false);
+    bd_machine_use_image(core, machine, &job->spec, false);
 }
 
 static void add_intent_slice(struct bd_core *core, const struct bd_commit *commit,
@@ -85,7 +85,7 @@
     for (uint32_t i = 0; i < commit->nplan; i++)
         begin_launch(core, &commit->plan[i]);
     for (uint32_t i = 0; i < commit->nplan; i++) {
-        struct bd_machine *machine = bd_machine_of(core, commit->plan[i].machine);
+        struct bd_machine *machine = bd_machine_by_index(core, commit->plan[i].machine);
         if (machine)
             bd_commands_send_direct(core, machine);
     }
@@ -101,8 +101,8 @@
                  "last started after "
                  "%.1f s, done after %.1f s, %u reservations lost",
                  job->id, job->ntasks, (int)job->spec.priority, job->spec.estimate,
-                 age - bd_between(job->last_placed_at, core->now),
-                 age - bd_between(job->last_started_at, core->now), age, job->restarts);
+                 age - bd_seconds_between(job->last_placed_at, core->now),
+                 age - bd_seconds_between(job->last_started_at, core->now), age, job->restarts);
 }
 
 static void finish_job(struct bd_core *core, struct bd_job *job, uint64_t store_revision)
@@ -113,7 +113,7 @@
     job->revision = store_revision;
     job->state = BD_JOB_DONE;
     job->end = core->wall;
-    bd_ledger_forget(core, job);
+    bd_ledger_remove_job(core, job);
     bd_job_stop_tracking(job);
     json_decref(job->record_spec);
     job->record_spec = NULL;
@@ -199,6 +199,6 @@
     else
         revert_commit(core, commit, failed);
     bd_commit_free(commit);
-    bd_drain_committed(core, outcome == BD_TXN_COMMITTED);
+    bd_drain_txn_completed(core, outcome == BD_TXN_COMMITTED);
     core->lead.cycle_wanted = true;
 }
--- a/src/leadership/fencing.c
+++ b/src/leadership/fencing.c
@@ -11,7 +11,7 @@
 
 static bool may_raise_again(const struct bd_core *core)
 {
-    return bd_between(core->lead.last_token_raise, core->now) > RAISE_INTERVAL_S;
+    return bd_seconds_between(core->lead.last_token_raise, core->now) > RAISE_INTERVAL_S;
 }
 
 static bool has_unanswered_launch(const struct bd_machine *machine)
@@ -33,9 +33,9 @@
         return false;
     for (uint32_t i = 0; i < core->nmachines; i++) {
         const struct bd_machine *machine = core->by_index[i];
-        if (!machine->late_launch_token || machine->late_launch_token < core->lead.term ||
-            machine->gone ||
-            bd_between(machine->direct_sent_at, core->now) < LAUNCH_ANSWER_TIMEOUT_S)
+        if (!machine->unanswered_launch_token ||
+            machine->unanswered_launch_token < core->lead.term || machine->gone ||
+            bd_seconds_between(machine->direct_sent_at, core->now) < LAUNCH_ANSWER_TIMEOUT_S)
             continue;
         if (has_unanswered_launch(machine))
             return true;
@@ -45,11 +45,11 @@
 
 static bool wants_raise_for_results(const struct bd_core *core)
 {
-    if (core->lead.withheld == 0)
+    if (core->lead.nresults_withheld == 0)
         return false;
-    if (bd_between(core->lead.withheld_at, core->now) > WITHHELD_RESULTS_MAX_S)
+    if (bd_seconds_between(core->lead.results_withheld_since, core->now) > WITHHELD_RESULTS_MAX_S)
         return true;
-    return core->lead.withheld > WITHHELD_RESULTS_MAX_N && may_raise_again(core);
+    return core->lead.nresults_withheld > WITHHELD_RESULTS_MAX_N && may_raise_again(core);
 }
 
 void bd_fencing_tick(struct bd_core *core)
--- a/src/leadership/intent_record.c
+++ b/src/leadership/intent_record.c
@@ -15,7 +15,7 @@
 
 #define GROUP_SYNTAX_BYTES 36u /* brackets, quotes, and an attempt's digits */
 
-size_t bd_group_bytes(const struct bd_job *job, const struct bd_machine *machine)
+size_t bd_intent_group_bytes(const struct bd_job *job, const struct bd_machine *machine)
 {
     return strlen(job->id) + strlen(machine->id) + GROUP_SYNTAX_BYTES;
 }
@@ -31,13 +31,15 @@
 static uint32_t append_group(struct bd_core *core, json_t *groups, const struct bd_intent *intents,
                              uint32_t n, double *bytes_left)
 {
-    const struct bd_machine *machine = bd_machine_of(core, intents->machine);
+    const struct bd_machine *machine = bd_machine_by_index(core, intents->machine);
     json_t *tasks = json_array();
     uint32_t count = 0;
-    *bytes_left -= (double)(machine ? bd_group_bytes(intents->job, machine) : BD_LABEL);
-    while (count < n && is_same_group(&intents[count], intents) && *bytes_left >= BD_TASK_BYTES) {
+    *bytes_left -=
+        (double)(machine ? bd_intent_group_bytes(intents->job, machine) : BD_LABEL_BYTES);
+    while (count < n && is_same_group(&intents[count], intents) &&
+           *bytes_left >= BD_INTENT_TASK_BYTES) {
         json_array_append_new(tasks, json_integer(intents[count].task));
-        *bytes_left -= BD_TASK_BYTES;
+        *bytes_left -= BD_INTENT_TASK_BYTES;
         count++;
     }
     if (count == 0) {
@@ -89,7 +91,7 @@
     if (!job || !job->tasks || !machine_id)
         return;
     intent_list_reserve(list, json_array_size(tasks));
-    const struct bd_machine *machine = bd_machine_get(core, machine_id);
+    const struct bd_machine *machine = bd_machine_find_or_add(core, machine_id);
     json_array_foreach(tasks, i, number)
     {
         uint32_t task = (uint32_t)json_integer_value(number);
--- a/src/leadership/leadership.c
+++ b/src/leadership/leadership.c
@@ -22,7 +22,7 @@
 
 bool bd_leadership_lease_valid(const struct bd_core *core)
 {
-    return core->role == BD_LEADER && bd_before(core->now, core->lead.lease_valid_until);
+    return core->role == BD_LEADER && bd_time_is_before(core->now, core->lead.lease_valid_until);
 }
 
 bool bd_leadership_may_reply(const struct bd_core *core)
@@ -33,10 +33,10 @@
         return true;
     /* a new leader allows for replies that we give in this window: see bound_earlier_leases */
     return bd_peer_with_newer_term(core) < 0 && !bd_peer_has_fresher_reads(core) &&
-           bd_within_renewal_window(core, core->lead.renewal_sent_at);
+           bd_is_within_renewal_window(core, core->lead.renewal_sent_at);
 }
 
-bool bd_leadership_healthy(const struct bd_core *core)
+bool bd_leadership_is_healthy(const struct bd_core *core)
 {
     return core->replica.ready && core->types_known && !bd_peer_has_fresher_reads(core) &&
            !bd_is_isolated(core);
@@ -49,8 +49,8 @@
     double ttl_s = bd_to_secs(core->settings->leader_ttl);
     double valid_s = ttl_s * (1 - BD_CLOCK_DRIFT) - LEASE_MARGIN_S;
     core->lead.lease_valid_until =
-        bd_max(core->lead.lease_valid_until, bd_add(sent, bd_secs(valid_s)));
-    core->lead.renewal_sent_at = bd_max(core->lead.renewal_sent_at, sent);
+        bd_time_max(core->lead.lease_valid_until, bd_time_add(sent, bd_secs(valid_s)));
+    core->lead.renewal_sent_at = bd_time_max(core->lead.renewal_sent_at, sent);
 }
 
 void bd_leadership_leader_observed(struct bd_core *core, const char *name, uint64_t revision,
@@ -59,7 +59,7 @@
     snprintf(core->leader_name, sizeof core->leader_name, "%s", name);
     core->leader_term = revision;
     core->last_term = revision ? revision : core->last_term;
-    core->leader_seen = sent;
+    core->leader_seen_at = sent;
 }
 
 /* ---- the end of a term ---- */
@@ -71,8 +71,8 @@
                  (unsigned long long)lead->term);
     bd_decision_log_term(core, "term_lost", "base=%llu term=%llu valid_s=%.2f refreshed_s=%.2f",
                          (unsigned long long)lead->base_term, (unsigned long long)lead->term,
-                         bd_between(core->now, lead->lease_valid_until),
-                         bd_between(core->replica.refreshed_at, core->now));
+                         bd_seconds_between(core->now, lead->lease_valid_until),
+                         bd_seconds_between(core->replica.refreshed_at, core->now));
 }
 
 static void free_leader_state(struct bd_core *core)
@@ -127,7 +127,7 @@
 void bd_leadership_resign_if_reads_fail(struct bd_core *core)
 {
     if (!bd_leadership_lease_valid(core) ||
-        bd_between(core->replica.refreshed_at, core->now) < READS_FAIL_MAX_S ||
+        bd_seconds_between(core->replica.refreshed_at, core->now) < READS_FAIL_MAX_S ||
         !bd_peer_has_fresher_reads(core))
         return;
     bd_log_write(core->log, BD_LOG_INFO,
--- a/src/leadership/leadership.h
+++ b/src/leadership/leadership.h
@@ -33,7 +33,7 @@
  * lease by the renewal window, while no newer leader is known. */
 bool bd_leadership_may_reply(const struct bd_core *core);
 /* Whether users and workers are served well here: for the health resource and the peers. */
-bool bd_leadership_healthy(const struct bd_core *core);
+bool bd_leadership_is_healthy(const struct bd_core *core);
 /* The leader's key was read. revision: its own, the leader's term; 0: nobody leads, and name is
  * empty. sent: when the read was sent. */
 void bd_leadership_leader_observed(struct bd_core *core, const char *name, uint64_t revision,
@@ -95,7 +95,7 @@
  * leader relies on it too: all controllers must come to the same figure. */
 double bd_renewal_window_s(const struct bd_settings *settings);
 /* Whether we are within that window after the moment; false if it is zero. */
-bool bd_within_renewal_window(const struct bd_core *core, struct timespec seen);
+bool bd_is_within_renewal_window(const struct bd_core *core, struct timespec seen);
 /* Whether a cancellation that we do not know of still ends in time if we answer a worker now. */
 bool bd_may_renew_leases(const struct bd_core *core);
 /* Whether launches may be sent. A launch is repeated until its task is seen, but not while the job
--- a/src/leadership/lease_renewal.c
+++ b/src/leadership/lease_renewal.c
@@ -28,26 +28,27 @@
     return slack_s > 0 ? slack_s - margin_s : 0;
 }
 
-bool bd_within_renewal_window(const struct bd_core *core, struct timespec seen)
+bool bd_is_within_renewal_window(const struct bd_core *core, struct timespec seen)
 {
     double window_s = bd_renewal_window_s(core->settings) * (1 - BD_CLOCK_DRIFT) - TIMER_DELAY_S;
-    return !bd_is_zero(seen) && bd_before(core->now, bd_add(seen, bd_secs(window_s)));
+    return !bd_time_is_zero(seen) &&
+           bd_time_is_before(core->now, bd_time_add(seen, bd_secs(window_s)));
 }
 
 bool bd_may_renew_leases(const struct bd_core *core)
 {
-    return bd_within_renewal_window(core, core->replica.refreshed_at);
+    return bd_is_within_renewal_window(core, core->replica.refreshed_at);
 }
 
 bool bd_may_launch(const struct bd_core *core)
 {
     return bd_leadership_lease_valid(core) &&
-           bd_between(core->replica.refreshed_at, core->now) < LAUNCH_READ_AGE_S;
+           bd_seconds_between(core->replica.refreshed_at, core->now) < LAUNCH_READ_AGE_S;
 }
 
 struct timespec bd_command_deadline(const struct bd_core *core, bool launch)
 {
     struct timespec lease = core->lead.lease_valid_until;
-    struct timespec records = bd_add(core->replica.refreshed_at, bd_secs(LAUNCH_READ_AGE_S));
-    return launch ? bd_min(records, lease) : lease;
+    struct timespec records = bd_time_add(core->replica.refreshed_at, bd_secs(LAUNCH_READ_AGE_S));
+    return launch ? bd_time_min(records, lease) : lease;
 }
--- a/src/leadership/peer_status.c
+++ b/src/leadership/peer_status.c
@@ -25,7 +25,7 @@
         peer->term = term;
         peer->flags = flags;
         peer->status_sent_wall_s = status_sent_wall_s;
-        peer->kv_seen_at = bd_sub(heard, bd_secs(kv_age_s));
+        peer->kv_seen_at = bd_time_sub(heard, bd_secs(kv_age_s));
     }
 }
 
@@ -52,7 +52,7 @@
     for (int i = 0; i < core->settings->npeers; i++) {
         const struct bd_peer_view *peer = &core->peers[i];
         if (bd_peer_heard(core, i, STATUS_VALID_S) && peer->flags & BD_PEER_KV_REACHABLE &&
-            bd_between(core->replica.refreshed_at, peer->kv_seen_at) > READ_LAG_S)
+            bd_seconds_between(core->replica.refreshed_at, peer->kv_seen_at) > READ_LAG_S)
             return true;
     }
     return false;
@@ -61,7 +61,7 @@
 bool bd_is_isolated(const struct bd_core *core)
 {
     if (core->settings->npeers == 0 ||
-        bd_between(core->replica.refreshed_at, core->now) < ISOLATED_AFTER_S)
+        bd_seconds_between(core->replica.refreshed_at, core->now) < ISOLATED_AFTER_S)
         return false;
     for (int i = 0; i < core->settings->npeers; i++)
         if (bd_peer_heard(core, i, ISOLATED_AFTER_S))
--- a/src/leadership/receipt.c
+++ b/src/leadership/receipt.c
@@ -62,7 +62,7 @@
 static void load_task(struct bd_core *core, struct bd_job *job, uint32_t task)
 {
     if (job->tasks[task].state != BD_TASK_DONE)
-        bd_task_set(core, job, task, BD_TASK_DONE);
+        bd_task_set_state(core, job, task, BD_TASK_DONE);
     job->tasks[task].flags |= BD_TASK_FLAG_RECEIPT_COMMITTED;
 }
 
@@ -79,9 +79,9 @@
 
 void bd_receipt_load(struct bd_core *core, const char *key, json_t *value)
 {
-    char id[BD_ID];
+    char id[BD_ID_BYTES];
     uint32_t chunk = 0;
-    if (strncmp(key, "r/", 2) != 0 || !bd_wire_task_name(key + 2, id, &chunk))
+    if (strncmp(key, "r/", 2) != 0 || !bd_wire_read_task_name(key + 2, id, &chunk))
         return;
     struct bd_job *job = bd_job_find(core, id);
     const char *text = json_string_value(json_object_get(value, "b"));
--- a/src/leadership/reconciliation.c
+++ b/src/leadership/reconciliation.c
@@ -23,10 +23,10 @@
     lead->grant = acquisition->grant;
     lead->counter = 0;
     /* earlier terms' launches carried lower tokens */
-    lead->fenced_attempt = acquisition->term << BD_ATTEMPT_TERM_SHIFT;
-    lead->withheld = 0;
+    lead->last_fenced_attempt = acquisition->term << BD_ATTEMPT_TERM_SHIFT;
+    lead->nresults_withheld = 0;
     lead->last_intent_record = 0;
-    lead->request_n = 0;
+    lead->last_provision_request = 0;
     lead->sequence_revision = acquisition->sequence_revision;
     lead->sequence = acquisition->sequence;
     lead->inventory_read = false;
@@ -39,7 +39,8 @@
 {
     double rest_s = bd_renewal_window_s(core->settings) - bd_to_secs(core->settings->leader_ttl);
     rest_s = rest_s > BD_DELEGATE_FRESH_S ? rest_s : BD_DELEGATE_FRESH_S;
-    core->lead.earlier_leases_expire_at = bd_lease_expiry(core, bd_add(core->now, bd_secs(rest_s)));
+    core->lead.earlier_leases_expire_at =
+        bd_lease_expiry(core, bd_time_add(core->now, bd_secs(rest_s)));
 }
 
 static void start_tracking_jobs(struct bd_core *core)
@@ -63,7 +64,7 @@
     size_t i;
     json_array_foreach(pairs, i, pair)
     {
-        if (bd_wire_change(pair, &change))
+        if (bd_wire_read_change(pair, &change))
             load(core, change.key, change.value);
     }
 }
@@ -74,7 +75,7 @@
 {
     struct bd_job *job = intent->job;
     struct bd_task *task = &job->tasks[intent->task];
-    struct bd_machine *machine = bd_machine_of(core, intent->machine);
+    struct bd_machine *machine = bd_machine_by_index(core, intent->machine);
     if (task->state != BD_TASK_PENDING || task->attempt != intent->attempt || !machine)
         return false;
     bd_task_assign(core, job, intent->task, machine, intent->attempt, BD_TASK_UNKNOWN);
@@ -108,10 +109,10 @@
         "intents=%zu earlier_leases_s=%.1f",
         (unsigned long long)acquisition->term, (unsigned long long)acquisition->grant,
         (unsigned long long)core->replica.store_revision,
-        1000 * bd_between(core->replica.refreshed_at, core->now),
+        1000 * bd_seconds_between(core->replica.refreshed_at, core->now),
         (unsigned long long)acquisition->sequence_revision, json_array_size(acquisition->receipts),
         json_array_size(acquisition->intents),
-        bd_between(core->now, core->lead.earlier_leases_expire_at));
+        bd_seconds_between(core->now, core->lead.earlier_leases_expire_at));
 }
 
 void bd_leadership_reconcile(struct bd_core *core, const struct bd_acquisition *acquisition)
--- a/src/leadership/txn_builder.c
+++ b/src/leadership/txn_builder.c
@@ -23,14 +23,14 @@
     builder->bytes += bytes;
 }
 
-static void job_key(char key[BD_LABEL], const struct bd_job *job)
+static void job_key(char key[BD_LABEL_BYTES], const struct bd_job *job)
 {
-    snprintf(key, BD_LABEL, "j/%s", job->id);
+    snprintf(key, BD_LABEL_BYTES, "j/%s", job->id);
 }
 
 void bd_txn_builder_compare_job(struct bd_txn_builder *builder, const struct bd_job *job)
 {
-    char key[BD_LABEL];
+    char key[BD_LABEL_BYTES];
     job_key(key, job);
     bd_txn_compare(&builder->txn, key, job->revision);
     bd_txn_builder_count(builder, 0, 1, BD_KEY_BYTES);
@@ -39,7 +39,7 @@
 void bd_txn_builder_put_job(struct bd_txn_builder *builder, const struct bd_job *job,
                             json_t *record, size_t bytes)
 {
-    char key[BD_LABEL];
+    char key[BD_LABEL_BYTES];
     bd_txn_builder_compare_job(builder, job);
     job_key(key, job);
     bd_txn_put(&builder->txn, key, record, 0);
--- a/src/model/autoscaling_state.h
+++ b/src/model/autoscaling_state.h
@@ -13,7 +13,7 @@
 
 /* One request to the cloud, until it is answered. */
 struct bd_provision_request_state {
-    char request[BD_LABEL];
+    char request[BD_LABEL_BYTES];
     int type, zone, count;
     bool spot;
     struct timespec sent;
@@ -32,11 +32,11 @@
     struct bd_provision_request_state provision_requests[BD_PROVISION_REQUESTS_MAX];
     int nprovision_requests;
     bool has_pending_gpu_work; /* some unfinished job's GPU tasks have no place */
-    struct bd_spec largest_gpu_task[BD_MAX_TYPES][2]; /* by type and spot; gpus 0: none */
+    struct bd_spec largest_gpu_task[BD_TYPES_MAX][2]; /* by type and spot; gpus 0: none */
     struct { /* by zone: direct commands without an answer, in a row */
         uint32_t fails;
         struct timespec until; /* no probe before */
-    } direct[BD_MAX_ZONES];
-    struct bd_pool pools[BD_MAX_TYPES][BD_MAX_ZONES][2]; /* by type, zone and spot */
+    } direct[BD_ZONES_MAX];
+    struct bd_pool pools[BD_TYPES_MAX][BD_ZONES_MAX][2]; /* by type, zone and spot */
 };
 #endif
--- a/src/model/catalog.c
+++ b/src/model/catalog.c
@@ -17,7 +17,7 @@
     }
 }
 
-int bd_intern(struct bd_names **table, const char *name)
+int bd_name_intern(struct bd_names **table, const char *name)
 {
     struct bd_names *entry = NULL;
     HASH_FIND_STR(*table, name, entry);
@@ -32,14 +32,14 @@
     return entry->index;
 }
 
-int bd_type_index(struct bd_core *core, const char *label)
+int bd_type_find_or_add(struct bd_core *core, const char *label)
 {
     for (int i = 0; i < core->ntypes; i++)
         if (strcmp(core->types[i].label, label) == 0)
             return i;
-    if (core->ntypes == BD_MAX_TYPES)
+    if (core->ntypes == BD_TYPES_MAX)
         return -1;
-    snprintf(core->types[core->ntypes].label, BD_LABEL, "%s", label);
+    snprintf(core->types[core->ntypes].label, BD_LABEL_BYTES, "%s", label);
     return core->ntypes++;
 }
 
@@ -51,18 +51,18 @@
     return -1;
 }
 
-int bd_zone_index(struct bd_core *core, const char *name)
+int bd_zone_find_or_add(struct bd_core *core, const char *name)
 {
     int known = bd_zone_find(core, name);
     if (known >= 0)
         return known;
-    if (core->nzones == BD_MAX_ZONES)
+    if (core->nzones == BD_ZONES_MAX)
         return -1;
-    snprintf(core->zones[core->nzones], BD_LABEL, "%s", name);
+    snprintf(core->zones[core->nzones], BD_LABEL_BYTES, "%s", name);
     return core->nzones++;
 }
 
-int bd_team_index(const struct bd_core *core, const char *name)
+int bd_team_find(const struct bd_core *core, const char *name)
 {
     for (int i = 0; i < core->settings->nteams; i++)
         if (strcmp(core->settings->teams[i].name, name) == 0)
@@ -79,27 +79,28 @@
 
 /* Zone and machine types. A zone that the table has no place for must not mean any zone: then no
  * type is allowed. */
-static void resolve_placement(struct bd_core *core, const struct bd_spec_text *text,
+static void resolve_placement(struct bd_core *core, const struct bd_job_spec_text *text,
                               struct bd_spec *spec)
 {
-    spec->zone = *text->zone ? bd_zone_index(core, text->zone) : -1;
+    spec->zone = *text->zone ? bd_zone_find_or_add(core, text->zone) : -1;
     bool is_nowhere = *text->zone && spec->zone < 0;
     if (is_nowhere)
         return;
     spec->any_type = text->ntypes < 0;
     for (int i = 0; i < text->ntypes; i++) {
-        int type = bd_type_index(core, text->types[i]);
+        int type = bd_type_find_or_add(core, text->types[i]);
         if (type >= 0)
             spec->types |= 1u << type;
     }
 }
 
-void bd_spec_resolve(struct bd_core *core, const struct bd_spec_text *text, struct bd_spec *spec)
+void bd_spec_resolve(struct bd_core *core, const struct bd_job_spec_text *text,
+                     struct bd_spec *spec)
 {
     *spec = (struct bd_spec){
-        .job_class = bd_intern(&core->classes, text->job_class),
-        .team = bd_team_index(core, text->team),
-        .image = bd_intern(&core->images, text->image),
+        .job_class = bd_name_intern(&core->classes, text->job_class),
+        .team = bd_team_find(core, text->team),
+        .image = bd_name_intern(&core->images, text->image),
         .kind = text->kind,
         .priority = text->priority,
         .cpus = text->cpus,
@@ -117,7 +118,7 @@
     resolve_placement(core, text, spec);
 }
 
-const char *bd_class_name(const struct bd_core *core, int index)
+const char *bd_job_class_name(const struct bd_core *core, int index)
 {
     struct bd_names *entry, *next;
     HASH_ITER(hh, core->classes, entry, next)
--- a/src/model/core_state.h
+++ b/src/model/core_state.h
@@ -37,28 +37,28 @@
     struct bd_machine **by_index; /* the same, by index */
     uint32_t nmachines, cap_machines;
     struct bd_names *images, *classes;
-    struct bd_type types[BD_MAX_TYPES];
+    struct bd_type types[BD_TYPES_MAX];
     int ntypes;
-    char zones[BD_MAX_ZONES][BD_LABEL];
+    char zones[BD_ZONES_MAX][BD_LABEL_BYTES];
     int nzones;
     bool types_known;                                        /* the cloud has described them */
-    double team_cpus[BD_MAX_TEAMS], team_gpus[BD_MAX_TEAMS]; /* reserved, by team */
+    double team_cpus[BD_TEAMS_MAX], team_gpus[BD_TEAMS_MAX]; /* reserved, by team */
 
     struct bd_replica replica;
     struct bd_dependency_graph graph;
     struct bd_kv_limits kv_limits;
-    struct bd_peer_view peers[BD_MAX_PEERS]; /* in the settings' order */
-    struct timespec confirmed;     /* when our newest committed liveness record was sent */
-    struct timespec liveness_sent; /* ... and the newest that may have been committed */
-    struct bd_delegate delegate;   /* as follower: what we renew for the leader */
+    struct bd_peer_view peers[BD_PEERS_MAX]; /* in the settings' order */
+    struct timespec confirmed;        /* when our newest committed liveness record was sent */
+    struct timespec liveness_sent_at; /* ... and the newest that may have been committed */
+    struct bd_delegate delegate;      /* as follower: what we renew for the leader */
     struct bd_delegate_view delegates;
     struct bd_forwarding forwarding;
     struct bd_decision_log decision_log;
     enum bd_role role;
-    char leader_name[BD_LABEL];
+    char leader_name[BD_LABEL_BYTES];
     uint64_t leader_term; /* 0: no leader */
     uint64_t last_term;   /* the last leader_term that was not 0 */
-    struct timespec leader_seen;
+    struct timespec leader_seen_at;
     struct bd_leadership lead;
     struct bd_cloud_view cloud;
     struct bd_ledger *ledger; /* NULL: draining is off */
--- a/src/model/decision_log.c
+++ b/src/model/decision_log.c
@@ -42,7 +42,8 @@
 
 static void refill_lines(struct bd_decision_log *decision_log, struct timespec now)
 {
-    double lines = decision_log->lines + LINES_PER_S * bd_between(decision_log->lines_at, now);
+    double lines =
+        decision_log->lines + LINES_PER_S * bd_seconds_between(decision_log->lines_at, now);
     decision_log->lines = lines > LINES_BURST ? LINES_BURST : lines;
     decision_log->lines_at = now;
 }
@@ -227,7 +228,7 @@
     snprintf(details, sizeof details, "why=%s state=%s", release_names[reason],
              state_names[task->state]);
     bd_decision_log_task(core, "reservation_released", job, index, task->attempt,
-                         bd_machine_of(core, task->machine), details);
+                         bd_machine_by_index(core, task->machine), details);
 }
 
 void bd_decision_log_stop(struct bd_core *core, const struct bd_job *job, uint32_t index,
@@ -240,5 +241,5 @@
     snprintf(details, sizeof details, "why=%s force=%d state=%s", stop_names[reason], force,
              state_names[task->state]);
     bd_decision_log_task(core, "stop_requested", job, index, task->attempt,
-                         bd_machine_of(core, task->machine), details);
+                         bd_machine_by_index(core, task->machine), details);
 }
--- a/src/model/delegate_state.h
+++ b/src/model/delegate_state.h
@@ -19,7 +19,7 @@
 /* A machine that we answer for the leader. */
 struct bd_served_machine {
     UT_hash_handle hh; /* by id */
-    char id[BD_LABEL];
+    char id[BD_LABEL_BYTES];
     struct timespec heard;
     bool is_sent;      /* in a record that was sent to the store, */
     bool is_confirmed; /* ... and in one that was written */
@@ -46,7 +46,7 @@
     struct bd_waiting_heartbeat *asking;
 
     /* Workers that were sent to the leader, to see whether it can be reached. */
-    char probes[BD_PROBES_MAX][BD_LABEL];
+    char probes[BD_PROBES_MAX][BD_LABEL_BYTES];
     uint32_t nprobes, probe_batch;
     struct timespec probes_at;
     struct timespec serving_since;
@@ -54,7 +54,7 @@
 
 /* A delegate's record, or a part of it, as the leader knows it. */
 struct bd_delegate_record {
-    char key[BD_LABEL]; /* without the prefix: the node, or the node, a slash and the part */
+    char key[BD_LABEL_BYTES]; /* without the prefix: the node, or the node, a slash and the part */
     uint64_t revision;
     struct timespec changed_at;
     struct timespec dismissed_at; /* one of its workers was last heard here then */
@@ -64,8 +64,8 @@
 /* As leader: the delegates' records as last read. */
 struct bd_delegate_view {
     struct timespec read_at;
-    char stale[BD_LABEL]; /* the key of a record that is not confirmed any more */
-    struct bd_delegate_record records[(BD_MAX_PEERS + 1) * BD_DELEGATE_PARTS_MAX];
+    char stale[BD_LABEL_BYTES]; /* the key of a record that is not confirmed any more */
+    struct bd_delegate_record records[(BD_PEERS_MAX + 1) * BD_DELEGATE_PARTS_MAX];
     int count;
 };
 #endif
--- a/src/model/dependency_state.h
+++ b/src/model/dependency_state.h
@@ -9,7 +9,7 @@
 /* A job that others wait for. It is active, or its record has not been read. */
 struct bd_parent_job {
     UT_hash_handle hh;
-    char id[BD_ID];
+    char id[BD_ID_BYTES];
     struct bd_job *job;                    /* NULL: not in memory */
     struct bd_dependency_edge *dependents; /* list of the edges from those that wait for it */
     uint32_t ndependents;
@@ -27,15 +27,15 @@
 /* Names of a job's parents, from a record of their own. */
 struct bd_parents_part {
     UT_hash_handle hh;
-    char key[BD_LABEL]; /* JOB/HASH/NUMBER */
+    char key[BD_LABEL_BYTES]; /* JOB/HASH/NUMBER */
     json_t *names;
 };
 
 /* A submission that waits until the records of its parents are known. */
 struct bd_admission {
     void *request;
-    char id[BD_ID];
-    struct bd_record record;
+    char id[BD_ID_BYTES];
+    struct bd_job_record record;
     json_t *parents;  /* NULL: none */
     uint32_t lookups; /* that were sent */
     struct bd_admission *next;
--- a/src/model/disruption_ledger.c
+++ b/src/model/disruption_ledger.c
@@ -115,7 +115,7 @@
 static void find_budgets(const struct bd_core *core, struct bd_ledger_job *entry)
 {
     const struct bd_ledger *ledger = core->ledger;
-    const char *job_class = bd_class_name(core, entry->job->job_class);
+    const char *job_class = bd_job_class_name(core, entry->job->job_class);
     for (uint32_t i = 0; i < ledger->nbudgets && entry->nbudgets < BD_BUDGETS_PER_JOB; i++) {
         const struct bd_budget *budget = &ledger->budgets[i];
         bool is_whole_team = !*budget->rule->job_class;
@@ -184,12 +184,12 @@
             task->state == BD_TASK_UNKNOWN);
 }
 
-void bd_ledger_task(struct bd_core *core, struct bd_job *job, uint32_t i)
+void bd_ledger_update_task(struct bd_core *core, struct bd_job *job, uint32_t i)
 {
     if (!core->ledger || core->role != BD_LEADER)
         return;
     if (job->state != BD_JOB_ACTIVE) { /* its end is no disruption */
-        bd_ledger_forget(core, job);
+        bd_ledger_remove_job(core, job);
         return;
     }
     struct bd_ledger *ledger = core->ledger;
@@ -205,7 +205,7 @@
         set_down(ledger, entry, i);
 }
 
-void bd_ledger_forget(struct bd_core *core, const struct bd_job *job)
+void bd_ledger_remove_job(struct bd_core *core, const struct bd_job *job)
 {
     if (!core->ledger)
         return;
@@ -258,7 +258,7 @@
 /* Whether the machine's tasks are not known to run. */
 static bool may_have_failed(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return !machine->fenced || machine->notice_left >= 0 || bd_overdue(core, machine);
+    return !machine->fenced || machine->notice_left >= 0 || bd_machine_is_overdue(core, machine);
 }
 
 void bd_ledger_update_silent(struct bd_core *core)
@@ -293,8 +293,8 @@
     return core->settings->teams[budget->team].name;
 }
 
-void bd_ledger_count(const struct bd_core *core, const char *team, const char *job_class,
-                     uint32_t *down, uint32_t *up)
+void bd_ledger_get_counts(const struct bd_core *core, const char *team, const char *job_class,
+                          uint32_t *down, uint32_t *up)
 {
     *down = *up = 0;
     for (uint32_t i = 0; core->ledger && i < core->ledger->nbudgets; i++) {
--- a/src/model/disruption_ledger.h
+++ b/src/model/disruption_ledger.h
@@ -22,10 +22,10 @@
 
 /* The most tasks of a team, or of one class of its jobs, that may be down at once. */
 struct bd_budget_rule {
-    char team[BD_NAME];      /* empty: every team without a rule of its own */
-    char job_class[BD_NAME]; /* empty: all of the team's tasks */
-    bool per_cent;           /* of the tasks that are up or down; rounded down, at least one */
-    double amount;           /* tasks, or per cent */
+    char team[BD_NAME_BYTES];      /* empty: every team without a rule of its own */
+    char job_class[BD_NAME_BYTES]; /* empty: all of the team's tasks */
+    bool per_cent; /* of the tasks that are up or down; rounded down, at least one */
+    double amount; /* tasks, or per cent */
 };
 
 /* The tasks that count for one rule and one team. */
@@ -61,9 +61,9 @@
 void bd_ledger_free(struct bd_ledger *ledger);
 
 /* Counts the task anew after a change of its state. */
-void bd_ledger_task(struct bd_core *core, struct bd_job *job, uint32_t i);
+void bd_ledger_update_task(struct bd_core *core, struct bd_job *job, uint32_t i);
 /* Removes a job that has ended, or is not ours to lead any more. */
-void bd_ledger_forget(struct bd_core *core, const struct bd_job *job);
+void bd_ledger_remove_job(struct bd_core *core, const struct bd_job *job);
 /* After a failover: all tasks that may have run count as down. */
 void bd_ledger_leadership_acquired(struct bd_core *core);
 /* Counts anew the tasks on machines that may have failed. */
@@ -78,6 +78,6 @@
 /* The job's entry, which is new if there is none; NULL: its team is not known. */
 struct bd_ledger_job *bd_ledger_get_job(struct bd_core *core, const struct bd_job *job);
 /* The team's tasks, or its class's if job_class is not empty, that are down and up; for tests. */
-void bd_ledger_count(const struct bd_core *core, const char *team, const char *job_class,
-                     uint32_t *down, uint32_t *up);
+void bd_ledger_get_counts(const struct bd_core *core, const char *team, const char *job_class,
+                          uint32_t *down, uint32_t *up);
 #endif
--- a/src/model/effect.h
+++ b/src/model/effect.h
@@ -43,20 +43,20 @@
 /* Which fields are set depends on the kind; those of the kinds in brackets. */
 struct bd_effect {
     enum bd_effect_kind kind;
-    void *request;          /* [REPLY, USER_TXN, JOB_LOOKUP] */
-    int status;             /* [REPLY] HTTP status; [USER_TXN, JOB_LOOKUP] enum
-                               bd_read_purpose; [STEP_DOWN] enum bd_step_down_reason */
-    int retry_after;        /* [REPLY] seconds; 0: none */
-    char key[BD_LABEL];     /* [LEADER_TXN] the term; see the other kinds */
-    char *body;             /* owned; NULL: none */
-    char addr[BD_LABEL];    /* [DIRECT_COMMAND] */
-    uint64_t fencing_token; /* [DIRECT_COMMAND] */
-    struct timespec until;  /* [DIRECT_COMMAND] deadline for sending, by our steady clock */
-    uint32_t machine;       /* [DIRECT_COMMAND] */
-    bool launch;            /* [DIRECT_COMMAND] launches are among the commands */
-    uint64_t sequence;      /* [LEADER_TXN] */
-    uint64_t forward_id;    /* [FORWARD_HEARTBEAT, FORWARD_REPLY] */
-    int peer;               /* [FORWARD_HEARTBEAT, FORWARD_REPLY] the receiver */
+    void *request;             /* [REPLY, USER_TXN, JOB_LOOKUP] */
+    int status;                /* [REPLY] HTTP status; [USER_TXN, JOB_LOOKUP] enum
+                                  bd_read_purpose; [STEP_DOWN] enum bd_step_down_reason */
+    int retry_after;           /* [REPLY] seconds; 0: none */
+    char key[BD_LABEL_BYTES];  /* [LEADER_TXN] the term; see the other kinds */
+    char *body;                /* owned; NULL: none */
+    char addr[BD_LABEL_BYTES]; /* [DIRECT_COMMAND] */
+    uint64_t fencing_token;    /* [DIRECT_COMMAND] */
+    struct timespec until;     /* [DIRECT_COMMAND] deadline for sending, by our steady clock */
+    uint32_t machine;          /* [DIRECT_COMMAND] */
+    bool launch;               /* [DIRECT_COMMAND] launches are among the commands */
+    uint64_t sequence;         /* [LEADER_TXN] */
+    uint64_t forward_id;       /* [FORWARD_HEARTBEAT, FORWARD_REPLY] */
+    int peer;                  /* [FORWARD_HEARTBEAT, FORWARD_REPLY] the receiver */
     struct bd_effect *next;
 };
 
--- a/src/model/forwarding_state.h
+++ b/src/model/forwarding_state.h
@@ -10,24 +10,24 @@
 #define BD_REDIRECTED_WORKERS_MAX 8192
 
 /* A heartbeat that was forwarded and awaits the leader's reply. */
-struct bd_forward {
+struct bd_forwarded_heartbeat {
     uint64_t id;
     void *request;
     struct bd_heartbeat *heartbeat;
     struct timespec until;
-    struct bd_forward *next;
+    struct bd_forwarded_heartbeat *next;
 };
 
 /* A worker that was redirected to the leader; beyond the maximum the oldest are forgotten. */
 struct bd_redirected_worker {
     UT_hash_handle hh; /* by id */
-    char id[BD_LABEL];
+    char id[BD_LABEL_BYTES];
     struct timespec at;
     bool has_returned; /* its heartbeats are forwarded */
 };
 
 struct bd_forwarding {
-    struct bd_forward *waiting;
+    struct bd_forwarded_heartbeat *waiting;
     uint64_t last_id;
     struct bd_redirected_worker *redirected;
     /* The leader does not hear its workers: until then heartbeats are better forwarded than their
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -27,7 +27,7 @@
 /* A job. Its record is applied by src/jobs/; its tasks are changed by task_state.c. */
 struct bd_job {
     UT_hash_handle hh;
-    char id[BD_ID];
+    char id[BD_ID_BYTES];
     uint64_t revision; /* of its record */
     enum bd_job_state state;
     bool stale; /* a transaction saw another revision: nothing is written before it is read */
@@ -37,16 +37,16 @@
     uint64_t receipt_chunks;            /* bits of the chunks that are committed */
     uint32_t dirty_chunks;              /* bits of the chunks to commit */
     double at;                          /* time of day of its submission */
-    struct timespec next_force;         /* earliest time of the next preemption for it */
+    struct timespec next_preemption_at; /* earliest time of the next preemption for it */
     struct timespec backoff_until;      /* nothing is written of it before: see kv_limits.c */
     struct timespec hold_until;         /* not placed before: its tasks failed or were refused */
     struct timespec last_placed_at, last_started_at;
-    uint32_t restarts;                     /* tasks that lost their reservation after a launch */
-    struct timespec cancellation_heard_at; /* announced by another controller; 0: not */
-    bool started;                          /* a start of it was committed in this term */
-    uint32_t errors;                       /* failed tasks */
-    uint32_t runs;                         /* tasks seen from start to end */
-    uint32_t longest_run;                  /* of them, in tenths of a second */
+    uint32_t restarts; /* tasks that lost their reservation after a launch */
+    struct timespec cancellation_announced_at; /* announced by another controller; 0: not */
+    bool started;                              /* a start of it was committed in this term */
+    uint32_t errors;                           /* failed tasks */
+    uint32_t runs;                             /* tasks seen from start to end */
+    uint32_t longest_run;                      /* of them, in tenths of a second */
     struct bd_spec spec;
     bool has_spec;
     bool within_guaranteed_share; /* in this scheduling cycle */
@@ -58,8 +58,8 @@
     uint32_t nopen_parents;          /* it is ready when none is open */
     struct bd_parent_job *as_parent; /* its entry as a parent; NULL: nobody waits for it */
     uint32_t parent_parts;           /* of its list of parents, not all read; 0: complete */
-    char parent_parts_hash[BD_HASH];
-    bool in_dag;               /* it has or had parents: its deadline counts */
+    char parent_parts_hash[BD_HASH_BYTES];
+    bool has_had_parents;      /* it has or had parents: its deadline counts */
     bool cancelled_by_parent;  /* its own record does not say so yet */
     double ready, end;         /* time of day: when it could start; when it was done */
     enum bd_priority priority; /* the highest among its own and its dependents' */
--- a/src/model/kv_limits.c
+++ b/src/model/kv_limits.c
@@ -50,8 +50,8 @@
 {
     struct bd_kv_limits *limits = &core->kv_limits;
     const struct bd_kv_limits before = *limits;
-    bool raised_lately = !bd_is_zero(before.limits_raised_at) &&
-                         bd_between(before.limits_raised_at, core->now) < RAISE_AFTER_MIN_S;
+    bool raised_lately = !bd_time_is_zero(before.limits_raised_at) &&
+                         bd_seconds_between(before.limits_raised_at, core->now) < RAISE_AFTER_MIN_S;
     if (raised_lately && before.raise_after_s < RAISE_AFTER_MAX_S)
         limits->raise_after_s = 2 * before.raise_after_s;
     limits->limits_raised_at = (struct timespec){0, 0};
@@ -82,10 +82,10 @@
     if (limits->kv_value_bytes_max >= settings->kv_value_bytes_max &&
         limits->kv_txn_ops_max >= settings->kv_txn_ops_max)
         return false;
-    if (bd_between(limits->limits_rejected_at, core->now) < limits->raise_after_s)
+    if (bd_seconds_between(limits->limits_rejected_at, core->now) < limits->raise_after_s)
         return false;
-    return bd_is_zero(limits->limits_raised_at) ||
-           bd_between(limits->limits_raised_at, core->now) >= RAISE_INTERVAL_S;
+    return bd_time_is_zero(limits->limits_raised_at) ||
+           bd_seconds_between(limits->limits_raised_at, core->now) >= RAISE_INTERVAL_S;
 }
 
 /* A limit that was lowered may have been raised again, and a rejection may have had another reason.
@@ -105,11 +105,11 @@
 
 /* ---- rate ---- */
 
-void bd_kv_rate_exceeded(struct bd_core *core)
+void bd_kv_limits_rate_exceeded(struct bd_core *core)
 {
     struct bd_kv_limits *limits = &core->kv_limits;
-    if (bd_between(limits->rate_exceeded_at, core->now) < RATE_CUT_INTERVAL_S &&
-        !bd_is_zero(limits->rate_exceeded_at))
+    if (bd_seconds_between(limits->rate_exceeded_at, core->now) < RATE_CUT_INTERVAL_S &&
+        !bd_time_is_zero(limits->rate_exceeded_at))
         return;
     limits->rate_exceeded_at = limits->rate_raised_at = core->now;
     limits->writes_per_s *= RATE_CUT_FACTOR;
@@ -127,8 +127,8 @@
     struct bd_kv_limits *limits = &core->kv_limits;
     double max = core->settings->kv_writes_per_s;
     if (limits->writes_per_s >= max ||
-        bd_between(limits->rate_exceeded_at, core->now) < RATE_RAISE_AFTER_S ||
-        bd_between(limits->rate_raised_at, core->now) < RATE_RAISE_INTERVAL_S)
+        bd_seconds_between(limits->rate_exceeded_at, core->now) < RATE_RAISE_AFTER_S ||
+        bd_seconds_between(limits->rate_raised_at, core->now) < RATE_RAISE_INTERVAL_S)
         return;
     limits->rate_raised_at = core->now;
     limits->writes_per_s *= RATE_RAISE_FACTOR;
@@ -141,7 +141,7 @@
     double rate = core->kv_limits.writes_per_s * LEADER_SHARE;
     raise_sizes(core);
     raise_rate(core);
-    core->lead.write_budget += rate * bd_between(core->lead.write_budget_at, core->now);
+    core->lead.write_budget += rate * bd_seconds_between(core->lead.write_budget_at, core->now);
     if (core->lead.write_budget > rate)
         core->lead.write_budget = rate;
     core->lead.write_budget_at = core->now;
@@ -152,5 +152,5 @@
 void bd_kv_limits_back_off(struct bd_core *core, struct bd_job *job)
 {
     double spread_s = (double)(job->revision % BACKOFF_STEPS);
-    job->backoff_until = bd_add(core->now, bd_secs(BACKOFF_MIN_S + spread_s));
+    job->backoff_until = bd_time_add(core->now, bd_secs(BACKOFF_MIN_S + spread_s));
 }
--- a/src/model/kv_limits.h
+++ b/src/model/kv_limits.h
@@ -20,7 +20,7 @@
 /* How many changes one transaction may hold now: no more than the rate allows in a second. */
 size_t bd_kv_limits_txn_ops(const struct bd_core *core);
 /* A transaction was rejected since the rate is used up (429). */
-void bd_kv_rate_exceeded(struct bd_core *core);
+void bd_kv_limits_rate_exceeded(struct bd_core *core);
 /* Refills the leader's budget of changes for the time that has passed. */
 void bd_write_budget_refill(struct bd_core *core);
 /* Nothing is written of the job for some seconds. */
--- a/src/model/leadership_state.h
+++ b/src/model/leadership_state.h
@@ -22,7 +22,7 @@
 
 /* A committed intent record of the key-value store, `i/TERM-NUMBER`. Owns its intents. */
 struct bd_intent_record {
-    char key[BD_LABEL];
+    char key[BD_LABEL_BYTES];
     struct bd_intent *e;
     uint32_t n;
 };
@@ -62,7 +62,7 @@
 
 /* A run of the plan that one intent record holds, since a value takes only so many. */
 struct bd_intent_slice {
-    char key[BD_LABEL];
+    char key[BD_LABEL_BYTES];
     uint32_t from, n;
 };
 
@@ -79,7 +79,7 @@
     uint32_t ncancelled;
     struct bd_intent_slice intent_slices[BD_CYCLE_INTENT_RECORDS_MAX];
     uint32_t nintent_slices;
-    char deleted_keys[BD_CYCLE_JOBS_MAX][BD_LABEL];
+    char deleted_keys[BD_CYCLE_JOBS_MAX][BD_LABEL_BYTES];
     uint32_t ndeleted_keys;
     bool raises_fencing_token;
 };
@@ -89,16 +89,16 @@
     uint64_t base_term; /* the term as it was acquired */
     uint64_t term;      /* ... as raised since: the fencing token of our commands */
     uint64_t grant;     /* of the leader's key */
-    char nonce[BD_LABEL];
+    char nonce[BD_LABEL_BYTES];
     struct timespec lease_valid_until; /* the term's lease is certainly valid before */
     struct timespec renewal_sent_at;   /* the newest renewal that succeeded */
 
-    uint64_t counter;        /* attempts that were started in the term; counted by scheduling/ */
-    uint64_t fenced_attempt; /* direct launches up to it all carried a lower token than ours */
-    uint32_t withheld; /* results that workers are to store until the token is higher; counted by
-                          workers/ since it last rose */
-    struct timespec withheld_at; /* the first of them */
-    bool token_raise_wanted;     /* set by workers/ too */
+    uint64_t counter; /* attempts that were started in the term; counted by scheduling/ */
+    uint64_t last_fenced_attempt; /* direct launches up to it all carried a lower token than ours */
+    uint32_t nresults_withheld;   /* results that workers are to store until the token is higher;
+                            counted by   workers/ since it last rose */
+    struct timespec results_withheld_since; /* the first of them */
+    bool token_raise_wanted;                /* set by workers/ too */
     struct timespec last_token_raise;
     struct timespec earlier_leases_expire_at; /* workers' leases that earlier terms renewed */
 
@@ -114,8 +114,8 @@
     struct timespec write_budget_at;
 
     bool inventory_read;             /* the cloud's list was read in this term; autoscaling/ */
-    uint64_t request_n;              /* provisioning requests of the term; autoscaling/ */
-    bool classes_said;               /* the limit of headroom's classes was logged; autoscaling/ */
+    uint64_t last_provision_request; /* provisioning requests of the term; autoscaling/ */
+    bool is_class_limit_logged;      /* the limit of headroom's classes was logged; autoscaling/ */
     bool inbound_partition;          /* most workers are silent; workers/ */
     bool outbound_partition_is_ours; /* too many workers seem not to receive us; workers/ */
 };
