--- a/src/model/machine.c
+++ b/src/model/machine.c
@@ -13,7 +13,7 @@
 #define OVERDUE_EXTRA_S 1.5
 #define OVERDUE_MIN_S 5.5 /* longer than a heartbeat that hangs at one controller */
 
-struct bd_machine *bd_machine_of(struct bd_core *core, uint32_t index)
+struct bd_machine *bd_machine_by_index(struct bd_core *core, uint32_t index)
 {
     return index < core->nmachines ? core->by_index[index] : NULL;
 }
@@ -48,7 +48,7 @@
     return machine;
 }
 
-struct bd_machine *bd_machine_get(struct bd_core *core, const char *id)
+struct bd_machine *bd_machine_find_or_add(struct bd_core *core, const char *id)
 {
     struct bd_machine *machine = NULL;
     HASH_FIND_STR(core->machines, id, machine);
@@ -58,7 +58,7 @@
 struct timespec bd_lease_expiry(const struct bd_core *core, struct timespec answered)
 {
     double lease_s = bd_to_secs(core->settings->lease);
-    return bd_add(answered, bd_secs(lease_s * (1 + BD_CLOCK_DRIFT) + LEASE_MARGIN_S));
+    return bd_time_add(answered, bd_secs(lease_s * (1 + BD_CLOCK_DRIFT) + LEASE_MARGIN_S));
 }
 
 /* Whether a heartbeat is overdue if the last one came at that moment. */
@@ -68,10 +68,10 @@
     double limit_s = OVERDUE_INTERVALS * interval_s + OVERDUE_EXTRA_S;
     if (limit_s < OVERDUE_MIN_S)
         limit_s = OVERDUE_MIN_S;
-    return bd_between(last, core->now) > limit_s;
+    return bd_seconds_between(last, core->now) > limit_s;
 }
 
-bool bd_overdue(const struct bd_core *core, const struct bd_machine *machine)
+bool bd_machine_is_overdue(const struct bd_core *core, const struct bd_machine *machine)
 {
     return is_overdue_since(core, machine->heard);
 }
@@ -95,10 +95,10 @@
            !is_overdue_since(core, machine->asked);
 }
 
-bool bd_machine_usable(const struct bd_core *core, const struct bd_machine *machine)
+bool bd_machine_is_usable(const struct bd_core *core, const struct bd_machine *machine)
 {
     return has_known_type(core, machine) && machine->zone >= 0 && is_in_service(machine) &&
-           is_reachable(core, machine) && bd_before(machine->refuse_until, core->now);
+           is_reachable(core, machine) && bd_time_is_before(machine->refuse_until, core->now);
 }
 
 void bd_machines_free(struct bd_core *core)
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -14,7 +14,7 @@
 
 /* Amounts are cores, accelerators and GB. */
 struct bd_type {
-    char label[BD_LABEL];
+    char label[BD_LABEL_BYTES];
     bool known; /* the cloud has described it */
     double cpus, gpus, mem, cache_gb;
     double fetch;             /* GB a second */
@@ -32,7 +32,7 @@
 
 struct bd_machine {
     UT_hash_handle hh;
-    char id[BD_LABEL], addr[BD_LABEL];
+    char id[BD_LABEL_BYTES], addr[BD_LABEL_BYTES];
     uint32_t index;
     int type, zone; /* -1: not known yet */
     bool spot, in_inventory, failed;
@@ -41,27 +41,28 @@
 
     /* its newest heartbeat */
     uint64_t incarnation, seq, expired_incarnation;
-    uint64_t fencing_token;  /* the highest that it has seen */
-    bool answered;           /* in this term */
-    bool answered_seen;      /* ... since it has seen it: for the decision log */
-    uint64_t asked_seq;      /* of the newest that came to be answered: others are copies */
-    int via;                 /* the controller that it came to: a peer's index, or -1 */
-    uint32_t misrouted;      /* times in a row that it went elsewhere although it was answered */
-    bool outbound_partition; /* replies and commands seem not to reach it */
+    uint64_t fencing_token;     /* the highest that it has seen */
+    bool answered;              /* in this term */
+    bool answered_since_fenced; /* ... since it has seen it: for the decision log */
+    uint64_t received_seq;      /* of the newest that came to be answered: others are copies */
+    int via;                    /* the controller that it came to: a peer's index, or -1 */
+    uint32_t unheard_replies;   /* times in a row that it went elsewhere although it was answered */
+    bool outbound_partition;    /* replies and commands seem not to reach it */
 
-    struct timespec age_known, scale_in_not_before;
+    struct timespec age_known_at, scale_in_allowed_at;
     struct timespec lease_expires_at; /* later nothing of the last incarnation runs */
     struct timespec steady;           /* since then heartbeats came without a gap */
     struct timespec heard, known_at, idle_since;
     struct timespec refuse_until; /* no launch before: it refused one */
     struct timespec asked;        /* newest heartbeat; direct replies count for `heard` alone */
-    double age_at_known;          /* seconds, at age_known */
+    double known_age_s;           /* seconds, at age_known_at */
     double notice_left;           /* seconds until the cloud takes it; < 0: no notice */
 
     bool direct_in_flight;    /* one direct command at a time */
     uint32_t direct_failures; /* without an answer, in a row */
-    struct timespec direct_not_before;
-    uint64_t late_launch_token; /* highest token of a direct launch without an answer; 0: none */
+    struct timespec next_direct_at;
+    uint64_t
+        unanswered_launch_token; /* highest token of a direct launch without an answer; 0: none */
     struct timespec direct_sent_at;
 
     struct bd_reservation *reservations; /* owned */
@@ -90,26 +91,26 @@
 struct bd_core;
 
 /* The machine by its index; NULL: none. */
-struct bd_machine *bd_machine_of(struct bd_core *core, uint32_t index);
+struct bd_machine *bd_machine_by_index(struct bd_core *core, uint32_t index);
 /* The machine by its id, added if it is new. Never NULL. */
-struct bd_machine *bd_machine_get(struct bd_core *core, const char *id);
+struct bd_machine *bd_machine_find_or_add(struct bd_core *core, const char *id);
 /* When a lease that was renewed at that moment has expired by every clock. */
 struct timespec bd_lease_expiry(const struct bd_core *core, struct timespec answered);
 /* Whether its heartbeat is overdue: it hangs, or looks for a controller. A direct command would
  * block a sender until its timeout. */
-bool bd_overdue(const struct bd_core *core, const struct bd_machine *machine);
+bool bd_machine_is_overdue(const struct bd_core *core, const struct bd_machine *machine);
 /* Forgets all machines, as at the end of a term. */
 void bd_machines_free(struct bd_core *core);
 /* Whether new work may be placed on it. */
-bool bd_machine_usable(const struct bd_core *core, const struct bd_machine *machine);
+bool bd_machine_is_usable(const struct bd_core *core, const struct bd_machine *machine);
 
 /* Whether the machine holds the image, or fetches it. */
-bool bd_has_image(const struct bd_machine *machine, int image);
+bool bd_machine_has_image(const struct bd_machine *machine, int image);
 /* Seconds until the image of the job would be there: 0 if it is; infinite if not known. */
-double bd_fetch_s(const struct bd_core *core, const struct bd_machine *machine,
-                  const struct bd_spec *spec);
+double bd_image_fetch_s(const struct bd_core *core, const struct bd_machine *machine,
+                        const struct bd_spec *spec);
 /* Moves the image to the front of those most recently used. there: a task ran from it, so that it
  * has been fetched; else it is being fetched from now on. */
-void bd_remember_image(struct bd_core *core, struct bd_machine *machine, const struct bd_spec *spec,
-                       bool there);
+void bd_machine_use_image(struct bd_core *core, struct bd_machine *machine,
+                          const struct bd_spec *spec, bool there);
 #endif
--- a/src/model/machine_images.c
+++ b/src/model/machine_images.c
@@ -14,14 +14,14 @@
     return NULL;
 }
 
-bool bd_has_image(const struct bd_machine *machine, int image)
+bool bd_machine_has_image(const struct bd_machine *machine, int image)
 {
     return find_image(machine, image) != NULL;
 }
 
 static double seconds_until(const struct bd_core *core, struct timespec instant)
 {
-    return bd_before(core->now, instant) ? bd_between(core->now, instant) : 0;
+    return bd_time_is_before(core->now, instant) ? bd_seconds_between(core->now, instant) : 0;
 }
 
 /* NULL: known only by the intents of an earlier term. */
@@ -34,8 +34,8 @@
 }
 
 /* Behind the images that are being fetched; or together with them, which takes as long. */
-double bd_fetch_s(const struct bd_core *core, const struct bd_machine *machine,
-                  const struct bd_spec *spec)
+double bd_image_fetch_s(const struct bd_core *core, const struct bd_machine *machine,
+                        const struct bd_spec *spec)
 {
     const struct bd_held_image *held = find_image(machine, spec->image);
     if (held)
@@ -70,7 +70,7 @@
 {
     struct bd_held_image image = {spec->image, spec->image_gb, core->now};
     if (!there && has_fetch_rate(core, machine)) {
-        image.ready = bd_add(core->now, bd_secs(bd_fetch_s(core, machine, spec)));
+        image.ready = bd_time_add(core->now, bd_secs(bd_image_fetch_s(core, machine, spec)));
         machine->fetched_by = image.ready;
     }
     return image;
@@ -83,8 +83,8 @@
     machine->images[0] = image;
 }
 
-void bd_remember_image(struct bd_core *core, struct bd_machine *machine, const struct bd_spec *spec,
-                       bool there)
+void bd_machine_use_image(struct bd_core *core, struct bd_machine *machine,
+                          const struct bd_spec *spec, bool there)
 {
     const struct bd_held_image *held = find_image(machine, spec->image);
     struct bd_held_image image = held ? *held : new_image(core, machine, spec, there);
--- a/src/model/peer_state.h
+++ b/src/model/peer_state.h
@@ -13,7 +13,7 @@
     uint8_t flags;              /* BD_PEER_... */
     double status_sent_wall_s;  /* when it was sent, by the peer's time of day */
     /* as leader */
-    double contact; /* its newest liveness record, by the peer's time of day */
-    struct timespec maybe_autonomous_until; /* until then it may renew leases on its own */
+    double liveness_wall_s; /* its newest liveness record, by the peer's time of day */
+    struct timespec may_be_autonomous_until; /* until then it may renew leases on its own */
 };
 #endif
--- a/src/model/replica_state.h
+++ b/src/model/replica_state.h
@@ -23,7 +23,7 @@
 /* A user's request that waits for a read barrier. */
 struct bd_pending_read {
     void *request;
-    char id[BD_ID];
+    char id[BD_ID_BYTES];
     enum bd_read_purpose purpose;
     struct bd_admission *accept; /* owned; NULL: no submission */
     struct bd_pending_read *next;
@@ -38,6 +38,6 @@
     struct timespec refreshed_at;    /* when the newest refresh that was answered was sent */
     struct bd_pending_read *waiting; /* reads for the next read barrier */
     struct bd_pending_read *asked;   /* reads for the barrier in flight */
-    bool barrier_out;                /* a barrier is in flight */
+    bool barrier_in_flight;          /* a barrier is in flight */
 };
 #endif
--- a/src/model/reservation.c
+++ b/src/model/reservation.c
@@ -74,7 +74,7 @@
     struct bd_task *task = &job->tasks[index];
     if (!bd_task_has_reservation(task))
         return;
-    struct bd_machine *machine = bd_machine_of(core, task->machine);
+    struct bd_machine *machine = bd_machine_by_index(core, task->machine);
     task->machine = BD_NO_MACHINE;
     add_team_use(core, &job->spec, -1);
     if (!machine)
--- a/src/model/resources.c
+++ b/src/model/resources.c
@@ -16,7 +16,7 @@
     resources->mem += factor * spec->mem;
 }
 
-uint32_t bd_amount_fits(double available, double need, uint32_t max)
+uint32_t bd_amount_fit_count(double available, double need, uint32_t max)
 {
     if (need <= 0)
         return max;
@@ -26,9 +26,10 @@
     return count < max ? (uint32_t)count : max;
 }
 
-uint32_t bd_resources_fit(struct bd_resources resources, const struct bd_spec *spec, uint32_t max)
+uint32_t bd_resources_fit_count(struct bd_resources resources, const struct bd_spec *spec,
+                                uint32_t max)
 {
-    uint32_t count = bd_amount_fits(resources.cpus, spec->cpus, max);
-    count = bd_amount_fits(resources.gpus, spec->gpus, count);
-    return bd_amount_fits(resources.mem, spec->mem, count);
+    uint32_t count = bd_amount_fit_count(resources.cpus, spec->cpus, max);
+    count = bd_amount_fit_count(resources.gpus, spec->gpus, count);
+    return bd_amount_fit_count(resources.mem, spec->mem, count);
 }
--- a/src/model/resources.h
+++ b/src/model/resources.h
@@ -19,7 +19,8 @@
 /* Adds the resources of one task of the job, multiplied by factor. */
 void bd_resources_add(struct bd_resources *resources, const struct bd_spec *spec, double factor);
 /* How many tasks of the job fit, at most max. */
-uint32_t bd_resources_fit(struct bd_resources resources, const struct bd_spec *spec, uint32_t max);
+uint32_t bd_resources_fit_count(struct bd_resources resources, const struct bd_spec *spec,
+                                uint32_t max);
 /* How often `need` fits into `available`, at most max; a need of nothing fits max times. */
-uint32_t bd_amount_fits(double available, double need, uint32_t max);
+uint32_t bd_amount_fit_count(double available, double need, uint32_t max);
 #endif
--- a/src/model/task_state.c
+++ b/src/model/task_state.c
@@ -14,7 +14,7 @@
 
 #define NS_PER_TENTH 100000000u
 
-uint32_t bd_tenths(struct timespec instant)
+uint32_t bd_steady_tenths(struct timespec instant)
 {
     uint64_t tenths = (uint64_t)instant.tv_sec * 10 + (uint64_t)instant.tv_nsec / NS_PER_TENTH;
     return (uint32_t)tenths | 1u;
@@ -72,7 +72,8 @@
     }
 }
 
-void bd_task_set(struct bd_core *core, struct bd_job *job, uint32_t index, enum bd_task_state state)
+void bd_task_set_state(struct bd_core *core, struct bd_job *job, uint32_t index,
+                       enum bd_task_state state)
 {
     struct bd_task *task = &job->tasks[index];
     (void)core;
@@ -101,11 +102,11 @@
     task->attempt = attempt;
     task->started_at = 0;
     clear_attempt(task);
-    bd_task_set(core, job, index, state);
+    bd_task_set_state(core, job, index, state);
     job->last_placed_at = core->now;
     bd_reservation_add(core, job, index, machine);
     if (state != BD_TASK_PLANNED) /* a plan may not be committed, and then fetches nothing */
-        bd_remember_image(core, machine, &job->spec, true);
+        bd_machine_use_image(core, machine, &job->spec, true);
 }
 
 static bool may_be_stopped(const struct bd_task *task)
@@ -139,8 +140,8 @@
     if (task->state == BD_TASK_DONE)
         return;
     clear_attempt(task);
-    bd_task_set(core, job, index, BD_TASK_PENDING);
-    bd_ledger_task(core, job, index);
+    bd_task_set_state(core, job, index, BD_TASK_PENDING);
+    bd_ledger_update_task(core, job, index);
     core->lead.cycle_wanted = true;
     bool is_gang = job->spec.kind == BD_JOB_GANG && job->ntasks > 1;
     if (is_gang && was_sent && job->nplaced > 0)
@@ -156,14 +157,14 @@
     bd_decision_log_release(core, job, index, BD_RELEASE_DONE);
     bd_reservation_remove(core, job, index);
     job->tasks[index].flags = 0;
-    bd_task_set(core, job, index, BD_TASK_DONE);
-    bd_ledger_task(core, job, index);
+    bd_task_set_state(core, job, index, BD_TASK_DONE);
+    bd_ledger_update_task(core, job, index);
     job->dirty = true;
     job->dirty_chunks |= 1u << (index / BD_RECEIPT_CHUNK_TASKS);
     core->lead.cycle_wanted = true;
 }
 
-void bd_task_done(struct bd_core *core, struct bd_job *job, uint32_t index)
+void bd_task_complete(struct bd_core *core, struct bd_job *job, uint32_t index)
 {
     if (job->spec.kind != BD_JOB_GANG) {
         complete_task(core, job, index);
@@ -190,12 +191,12 @@
                       enum bd_stop_reason reason, bool force)
 {
     struct bd_task *task = &job->tasks[index];
-    struct bd_machine *machine = bd_machine_of(core, task->machine);
+    struct bd_machine *machine = bd_machine_by_index(core, task->machine);
     log_stop(core, job, index, reason, force);
     if (force)
         task->flags |= BD_TASK_FLAG_FORCED_STOP;
     task->flags |= BD_TASK_FLAG_STOP_REQUESTED;
-    bd_ledger_task(core, job, index);
+    bd_ledger_update_task(core, job, index);
     bool cannot_start =
         task->state == BD_TASK_LAUNCHING && !(task->flags & BD_TASK_FLAG_LAUNCH_SENT);
     if (cannot_start)
@@ -218,8 +219,8 @@
 
 /* ---- machines that are lost ---- */
 
-void bd_machine_lease_expired(struct bd_core *core, struct bd_machine *machine,
-                              enum bd_release_reason reason)
+void bd_machine_release_reservations(struct bd_core *core, struct bd_machine *machine,
+                                     enum bd_release_reason reason)
 {
     uint32_t i = 0;
     while (i < machine->nreservations) {
@@ -231,12 +232,12 @@
         bd_task_release(core, reservation.job, reservation.task, reason);
         i = 0; /* a release may move or remove others */
     }
-    machine->late_launch_token = 0;
+    machine->unanswered_launch_token = 0;
 }
 
-void bd_machine_gone(struct bd_core *core, struct bd_machine *machine)
+void bd_machine_mark_gone(struct bd_core *core, struct bd_machine *machine)
 {
-    bd_machine_lease_expired(core, machine, BD_RELEASE_MACHINE_GONE);
+    bd_machine_release_reservations(core, machine, BD_RELEASE_MACHINE_GONE);
     machine->gone = true;
     machine->addr[0] = '\0';
 }
--- a/src/runtime/controller.c
+++ b/src/runtime/controller.c
@@ -39,7 +39,7 @@
 /* Unless the operators' file sets it. */
 static void derive_leader_ttl(struct bd_settings *settings)
 {
-    if (!bd_is_zero(settings->leader_ttl))
+    if (!bd_time_is_zero(settings->leader_ttl))
         return;
     double ttl = bd_to_secs(settings->lease) * LEADER_TTL_SHARE;
     if (ttl < LEADER_TTL_MIN_S)
@@ -63,8 +63,8 @@
 static int init_queues(struct bd_node *node)
 {
     if (bd_queue_init(&node->events, EVENT_QUEUE_CAPACITY) != 0 ||
-        bd_queue_init(&node->to_commit, LEADER_TXN_QUEUE_CAPACITY) != 0 ||
-        bd_queue_init(&node->to_users, USER_TXN_QUEUE_CAPACITY) != 0 ||
+        bd_queue_init(&node->leader_txns, LEADER_TXN_QUEUE_CAPACITY) != 0 ||
+        bd_queue_init(&node->user_txns, USER_TXN_QUEUE_CAPACITY) != 0 ||
         bd_queue_init(&node->to_cloud, CLOUD_QUEUE_CAPACITY) != 0 ||
         bd_queue_init(&node->reader_wake, READER_QUEUE_CAPACITY) != 0)
         return -1;
@@ -117,7 +117,7 @@
 
 int bd_controller_start(struct bd_node *node)
 {
-    if (bd_http_start() != 0 || init_queues(node) != 0 || init_core(node) != 0 ||
+    if (bd_http_global_init() != 0 || init_queues(node) != 0 || init_core(node) != 0 ||
         start_clients(node) != 0 || start_servers(node) != 0) {
         bd_log_write(&node->log, BD_LOG_ERROR, "cannot start");
         return -1;
--- a/src/runtime/effect_dispatch.c
+++ b/src/runtime/effect_dispatch.c
@@ -28,7 +28,7 @@
 {
     while (!bd_queue_put(queue, effect)) {
         bd_log_write(&node->log, BD_LOG_ERROR, "an adapter's queue is full");
-        bd_pause(QUEUE_FULL_PAUSE_S);
+        bd_sleep(QUEUE_FULL_PAUSE_S);
     }
 }
 
@@ -36,7 +36,8 @@
 static void send_to_peer(struct bd_node *node, const struct bd_effect *effect)
 {
     struct bd_frame frame;
-    frame.type = effect->kind == BD_EFFECT_FORWARD_HEARTBEAT ? BD_FRAME_HEARTBEAT : BD_FRAME_ANSWER;
+    frame.type =
+        effect->kind == BD_EFFECT_FORWARD_HEARTBEAT ? BD_FRAME_HEARTBEAT : BD_FRAME_HEARTBEAT_REPLY;
     snprintf(frame.name, sizeof frame.name, "%s", node->settings.node);
     frame.id = effect->forward_id;
     frame.status = (uint16_t)effect->status;
@@ -51,7 +52,7 @@
 static void announce_cancellation(struct bd_node *node, const char *job_id)
 {
     struct bd_frame frame;
-    frame.type = BD_FRAME_CANCELLED;
+    frame.type = BD_FRAME_CANCELLATION;
     frame.text = job_id;
     frame.len = (uint32_t)strlen(job_id);
     frame.count = 0;
@@ -77,7 +78,7 @@
 
 static void request_read_barrier(struct bd_node *node, struct bd_effect *effect)
 {
-    atomic_store(&node->want_barrier, true);
+    atomic_store(&node->wants_barrier, true);
     (void)bd_queue_put(&node->reader_wake, node);
     bd_effect_free(effect);
 }
@@ -85,7 +86,7 @@
 /* A lookup that cannot be queued counts as one without an answer. */
 static void look_up_job(struct bd_node *node, struct bd_effect *effect)
 {
-    if (bd_queue_put(&node->to_users, effect))
+    if (bd_queue_put(&node->user_txns, effect))
         return;
     bd_replica_lookup_completed(node->core, effect->request, effect->key, effect->status, 0, NULL);
     bd_effect_free(effect);
@@ -93,7 +94,7 @@
 
 static void commit_for_user(struct bd_node *node, struct bd_effect *effect)
 {
-    if (bd_queue_put(&node->to_users, effect))
+    if (bd_queue_put(&node->user_txns, effect))
         return;
     bd_api_reply(node, effect->request, HTTP_SERVICE_UNAVAILABLE, strdup("{\"error\":\"busy\"}"),
                  BUSY_RETRY_S);
@@ -123,7 +124,7 @@
         bd_effect_free(effect);
         break;
     case BD_EFFECT_DELEGATE_TXN:
-        queue_effect(node, &node->to_users, effect);
+        queue_effect(node, &node->user_txns, effect);
         break;
     case BD_EFFECT_JOB_LOOKUP:
         look_up_job(node, effect);
@@ -133,7 +134,7 @@
         break;
     case BD_EFFECT_LEADER_TXN:
         node->commit_sent = node->core->now;
-        queue_effect(node, &node->to_commit, effect);
+        queue_effect(node, &node->leader_txns, effect);
         break;
     case BD_EFFECT_DIRECT_COMMAND:
         bd_worker_client_send(node, effect);
@@ -157,8 +158,8 @@
     const struct bd_core *core = node->core;
     atomic_store(&node->leading, core->role == BD_LEADER);
     atomic_store(&node->store_revision, core->replica.store_revision);
-    atomic_store(&node->want_drain_sets, bd_drain_wants_sets(core));
-    atomic_store(&node->up, bd_leadership_healthy(core));
+    atomic_store(&node->wants_drain_sets, bd_drain_wants_sets(core));
+    atomic_store(&node->up, bd_leadership_is_healthy(core));
     atomic_store(&node->types_known, core->types_known);
 }
 
--- a/src/runtime/event_apply.c
+++ b/src/runtime/event_apply.c
@@ -75,7 +75,7 @@
     uint64_t grant;
     const struct bd_event_job_lookup *lookup = &event->job_lookup;
     long status = lookup->status;
-    if (status == BD_KV_OK && !bd_wire_pair(lookup->answer, &change, &grant))
+    if (status == BD_KV_OK && !bd_wire_read_pair(lookup->answer, &change, &grant))
         status = BD_KV_NO_ANSWER;
     bd_replica_lookup_completed(node->core, lookup->request, lookup->job_id, lookup->purpose,
                                 status, status == BD_KV_OK ? &change : NULL);
@@ -84,12 +84,13 @@
 static void apply_leader_txn(struct bd_node *node, const struct bd_event *event)
 {
     struct bd_core *core = node->core;
-    bd_metrics_time(node->metrics, BD_TIMING_COMMIT, bd_between(node->commit_sent, core->now));
+    bd_metrics_record_duration(node->metrics, BD_TIMING_COMMIT,
+                               bd_seconds_between(node->commit_sent, core->now));
     /* the outcome of an earlier term's transaction is ignored */
     const struct bd_event_leader_txn *txn = &event->leader_txn;
     if (txn->term == core->lead.base_term && txn->sequence == core->lead.sequence)
         bd_leader_txn_completed(core, txn->outcome, txn->store_revision,
-                                bd_wire_failed(txn->answer));
+                                bd_wire_read_failed_compares(txn->answer));
 }
 
 static void apply_delegate_txn(struct bd_node *node, const struct bd_event *event)
@@ -106,7 +107,7 @@
     size_t i;
     json_array_foreach(changes, i, value)
     {
-        if (bd_wire_change(value, &change))
+        if (bd_wire_read_change(value, &change))
             bd_replica_apply(core, &change);
     }
 }
@@ -115,7 +116,7 @@
 {
     const struct bd_event_refresh *refresh = &event->refresh;
     if (refresh->ok)
-        apply_changes(node->core, bd_wire_log(refresh->answer));
+        apply_changes(node->core, bd_wire_read_change_log(refresh->answer));
     bd_replica_refreshed(node->core, refresh->after, refresh->store_revision, refresh->sent,
                          refresh->is_barrier, refresh->ok);
 }
@@ -127,7 +128,7 @@
     bd_replica_evict(node->core);
     if (page->is_last)
         bd_replica_listed(node->core, page->store_revision, page->sent);
-    atomic_store(&node->page_out, false);
+    atomic_store(&node->is_page_pending, false);
 }
 
 static void apply_delegate_records(struct bd_node *node, const struct bd_event *event)
@@ -137,13 +138,13 @@
 
 static void apply_drain_records(struct bd_node *node, const struct bd_event *event)
 {
-    bd_drain_records(node->core, event->records.records, event->records.sets);
+    bd_drain_apply_records(node->core, event->records.records, event->records.sets);
 }
 
 static void apply_kv_rate_exceeded(struct bd_node *node, const struct bd_event *event)
 {
     (void)event;
-    bd_kv_rate_exceeded(node->core);
+    bd_kv_limits_rate_exceeded(node->core);
 }
 
 /* ---- the election ---- */
@@ -190,13 +191,13 @@
 
 static void apply_machine_types(struct bd_node *node, const struct bd_event *event)
 {
-    bd_inventory_types(node->core, event->types.types, (int)event->types.n);
+    bd_inventory_types_received(node->core, event->types.types, (int)event->types.n);
 }
 
 static void apply_inventory(struct bd_node *node, const struct bd_event *event)
 {
     const struct bd_event_inventory *inventory = &event->inventory;
-    bd_inventory_machines(node->core, inventory->machines, inventory->n, inventory->sent);
+    bd_inventory_machines_received(node->core, inventory->machines, inventory->n, inventory->sent);
 }
 
 static void apply_scale_out(struct bd_node *node, const struct bd_event *event)
@@ -236,20 +237,20 @@
     const struct bd_event_peer_frame *received = &event->peer_frame;
     const struct bd_frame *frame = received->frame;
     switch (frame->type) {
-    case BD_FRAME_STATUS:
+    case BD_FRAME_PEER_STATUS:
         apply_peer_status(core, frame, received->received);
         break;
     case BD_FRAME_HEARTBEAT:
         apply_forwarded_heartbeat(node, frame, received->text, received->len);
         break;
-    case BD_FRAME_ANSWER:
+    case BD_FRAME_HEARTBEAT_REPLY:
         bd_forward_reply_received(core, frame->id, frame->status, received->text, received->len);
         break;
-    case BD_FRAME_CANCELLED:
-        if (received->len < BD_ID)
+    case BD_FRAME_CANCELLATION:
+        if (received->len < BD_ID_BYTES)
             bd_job_cancellation_received(core, received->text);
         break;
-    case BD_FRAME_PROGRESS:
+    case BD_FRAME_JOB_PROGRESS:
         break;
     }
     for (unsigned i = 0; i < frame->count; i++)
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -39,8 +39,8 @@
     node->pending_acquisition = NULL;
     event->acquired.acquisition.nonce = event->acquired.nonce;
     bd_core_leadership_acquired(node->core, &event->acquired.acquisition);
-    bd_metrics_time(node->metrics, BD_TIMING_FAILOVER,
-                    bd_between(event->acquired.acquired_at, bd_now()));
+    bd_metrics_record_duration(node->metrics, BD_TIMING_FAILOVER,
+                               bd_seconds_between(event->acquired.acquired_at, bd_now()));
     bd_event_free(event);
 }
 
@@ -61,8 +61,9 @@
     }
     if (event->kind == BD_EVENT_LEADERSHIP_LOST)
         drop_acquisition(node);
-    if (!bd_is_zero(event->queued))
-        bd_metrics_time(node->metrics, BD_TIMING_QUEUE, bd_between(event->queued, node->core->now));
+    if (!bd_time_is_zero(event->queued))
+        bd_metrics_record_duration(node->metrics, BD_TIMING_QUEUE,
+                                   bd_seconds_between(event->queued, node->core->now));
     bd_event_apply(node, event);
     bd_event_free(event);
 }
@@ -74,7 +75,8 @@
     bool in_cycle = node->core->lead.commit != NULL;
     bd_core_tick(node->core);
     if (!in_cycle && node->core->lead.commit)
-        bd_metrics_time(node->metrics, BD_TIMING_CYCLE, bd_between(began, bd_now()));
+        bd_metrics_record_duration(node->metrics, BD_TIMING_CYCLE,
+                                   bd_seconds_between(began, bd_now()));
 }
 
 /* Logs traffic and times if that is due. */
@@ -82,23 +84,24 @@
 {
     struct timespec now = node->core->now;
     uint32_t all, repeated;
-    if (bd_before(now, node->next_metrics))
+    if (bd_time_is_before(now, node->next_metrics))
         return;
     bd_heartbeat_cache_counts(node->heartbeats, &all, &repeated);
     if (all > 0)
         bd_log_write(&node->log, BD_LOG_INFO, "heartbeats: %u, %u of them unchanged", all,
                      repeated);
-    if (!bd_is_zero(node->metrics_since))
-        bd_metrics_report(node->metrics, &node->log, bd_between(node->metrics_since, now));
+    if (!bd_time_is_zero(node->metrics_since))
+        bd_metrics_write_report(node->metrics, &node->log,
+                                bd_seconds_between(node->metrics_since, now));
     node->metrics_since = now;
-    node->next_metrics = bd_add(now, bd_secs(METRICS_INTERVAL_S));
+    node->next_metrics = bd_time_add(now, bd_secs(METRICS_INTERVAL_S));
 }
 
 void bd_controller_run(struct bd_node *node)
 {
     void *batch[BATCH_EVENTS];
     for (;;) {
-        struct timespec until = bd_min(bd_core_next(node->core), node->next_status);
+        struct timespec until = bd_time_min(bd_core_next(node->core), node->next_status);
         size_t count = bd_queue_take(&node->events, batch, BATCH_EVENTS, until);
         bd_controller_set_clock(node);
         for (size_t i = 0; i < count; i++)
--- a/src/runtime/operators_file.c
+++ b/src/runtime/operators_file.c
@@ -50,7 +50,7 @@
 static void read_draining(struct bd_settings_reader *reader, struct bd_settings *settings,
                           sexp_t *fields)
 {
-    struct bd_rules_fault fault = {"", ""};
+    struct bd_drain_rules_fault fault = {"", ""};
     if (settings->draining) {
         bd_settings_fault(reader, "draining", "is declared twice");
         return;
@@ -112,7 +112,8 @@
     free(wrapped);
 }
 
-int bd_settings_operator(struct bd_settings *settings, const char *path, char *err, size_t errlen)
+int bd_settings_load_operators_file(struct bd_settings *settings, const char *path, char *err,
+                                    size_t errlen)
 {
     struct bd_settings_reader reader = {path, err, errlen, false};
     char *content = read_file(path);
--- a/src/runtime/peer_status.c
+++ b/src/runtime/peer_status.c
@@ -23,13 +23,13 @@
     if (node->progress_count == node->progress_capacity) {
         uint32_t capacity =
             node->progress_capacity ? node->progress_capacity * 2 : PROGRESS_CAPACITY_MIN;
-        struct bd_progress *grown = realloc(node->progress, capacity * sizeof *grown);
+        struct bd_job_progress *grown = realloc(node->progress, capacity * sizeof *grown);
         if (!grown)
             return;
         node->progress = grown;
         node->progress_capacity = capacity;
     }
-    struct bd_progress *progress = &node->progress[node->progress_count++];
+    struct bd_job_progress *progress = &node->progress[node->progress_count++];
     memcpy(progress->id, job->id, sizeof progress->id);
     progress->done = job->ndone;
     progress->running = job->nrunning;
@@ -72,10 +72,10 @@
 void bd_peer_status_update(struct bd_node *node)
 {
     const struct bd_core *core = node->core;
-    if (bd_before(core->now, node->next_status))
+    if (bd_time_is_before(core->now, node->next_status))
         return;
-    node->next_status = bd_add(core->now, bd_secs(STATUS_INTERVAL_S));
-    double kv_age_s = bd_between(core->replica.refreshed_at, core->now);
+    node->next_status = bd_time_add(core->now, bd_secs(STATUS_INTERVAL_S));
+    double kv_age_s = bd_seconds_between(core->replica.refreshed_at, core->now);
     (void)pthread_mutex_lock(&node->status_lock);
     node->status.term = core->role == BD_LEADER ? core->lead.term : 0;
     node->status.flags = status_flags(node, kv_age_s);
--- a/src/runtime/settings.c
+++ b/src/runtime/settings.c
@@ -38,14 +38,14 @@
 
 /* ---- fields of an object: a missing or malformed one is a fault ---- */
 
-/* out holds BD_NAME bytes. */
+/* out holds BD_NAME_BYTES bytes. */
 static void read_text(struct bd_settings_reader *reader, const json_t *object, const char *key,
                       char *out)
 {
     const char *text = json_string_value(json_object_get(object, key));
     if (!text || !*text)
         bd_settings_fault(reader, key, "needs a text");
-    else if (strlen(text) >= BD_NAME)
+    else if (strlen(text) >= BD_NAME_BYTES)
         bd_settings_fault(reader, key, "too long");
     else
         strcpy(out, text);
@@ -95,7 +95,7 @@
 static void read_peers(struct bd_settings_reader *reader, const json_t *root,
                        struct bd_settings *settings)
 {
-    json_t *peers = read_list(reader, root, "others", BD_MAX_PEERS);
+    json_t *peers = read_list(reader, root, "others", BD_PEERS_MAX);
     json_t *entry;
     size_t i;
     if (reader->failed)
@@ -113,7 +113,7 @@
 static void read_teams(struct bd_settings_reader *reader, const json_t *facts,
                        struct bd_settings *settings)
 {
-    json_t *teams = read_list(reader, facts, "teams", BD_MAX_TEAMS);
+    json_t *teams = read_list(reader, facts, "teams", BD_TEAMS_MAX);
     json_t *entry;
     size_t i;
     if (reader->failed)
@@ -148,11 +148,11 @@
     json_t *objectives = json_object_get(facts, "objectives");
     json_t *entry;
     size_t i;
-    if (json_array_size(objectives) > BD_MAX_SLOS)
+    if (json_array_size(objectives) > BD_SLOS_MAX)
         bd_settings_fault(reader, "objectives", "has too many entries");
     json_array_foreach(objectives, i, entry)
     {
-        if (settings->nslos == BD_MAX_SLOS)
+        if (settings->nslos == BD_SLOS_MAX)
             return;
         struct bd_slo *slo = &settings->slos[settings->nslos++];
         const char *job_class = json_string_value(json_object_get(entry, "class"));
@@ -167,7 +167,7 @@
 static void read_zones(struct bd_settings_reader *reader, const json_t *facts,
                        struct bd_settings *settings)
 {
-    json_t *zones = read_list(reader, facts, "zones", BD_MAX_ZONES);
+    json_t *zones = read_list(reader, facts, "zones", BD_ZONES_MAX);
     json_t *entry;
     size_t i;
     if (reader->failed)
@@ -175,7 +175,7 @@
     json_array_foreach(zones, i, entry)
     {
         const char *zone = json_string_value(entry);
-        if (!zone || strlen(zone) >= BD_NAME)
+        if (!zone || strlen(zone) >= BD_NAME_BYTES)
             bd_settings_fault(reader, "zones", "needs short texts");
         else
             strcpy(settings->zones[i], zone);
--- a/src/scheduling/constraints.c
+++ b/src/scheduling/constraints.c
@@ -8,13 +8,13 @@
 #include <string.h>
 
 void bd_count_tasks_by_zone(struct bd_core *core, const struct bd_job *job,
-                            uint32_t counts[BD_MAX_ZONES])
+                            uint32_t counts[BD_ZONES_MAX])
 {
-    memset(counts, 0, BD_MAX_ZONES * sizeof *counts);
+    memset(counts, 0, BD_ZONES_MAX * sizeof *counts);
     if (!job->spec.same_zone && !job->spec.spread_zones)
         return;
     for (uint32_t i = 0; i < job->ntasks; i++) {
-        const struct bd_machine *machine = bd_machine_of(core, job->tasks[i].machine);
+        const struct bd_machine *machine = bd_machine_by_index(core, job->tasks[i].machine);
         if (!machine)
             continue;
         if (machine->zone >= 0) {
--- a/src/scheduling/cost_model.c
+++ b/src/scheduling/cost_model.c
@@ -57,7 +57,7 @@
 }
 
 void bd_find_expensive_types(const struct bd_core *core, const struct bd_spec *spec,
-                             bool is_expensive[BD_MAX_TYPES][2])
+                             bool is_expensive[BD_TYPES_MAX][2])
 {
     double limit = expensive_above(core, spec);
     for (int type = 0; type < core->ntypes; type++)
@@ -68,7 +68,7 @@
 double bd_slo_slack(const struct bd_core *core, int job_class, double estimate,
                     const struct bd_slo *slo)
 {
-    if (strcmp(slo->job_class, bd_class_name(core, job_class)) != 0)
+    if (strcmp(slo->job_class, bd_job_class_name(core, job_class)) != 0)
         return -1;
     if (slo->kind == BD_SLO_WAIT)
         return slo->within_s;
@@ -129,9 +129,9 @@
 }
 
 void bd_find_types_in_cost_tier(const struct bd_core *core, const struct bd_spec *spec,
-                                enum bd_cost_tier cost_tier, bool is_in_tier[BD_MAX_TYPES][2])
+                                enum bd_cost_tier cost_tier, bool is_in_tier[BD_TYPES_MAX][2])
 {
-    bool is_expensive[BD_MAX_TYPES][2] = {{false}};
+    bool is_expensive[BD_TYPES_MAX][2] = {{false}};
     if (cost_tier != BD_TIER_ANY)
         bd_find_expensive_types(core, spec, is_expensive);
     for (int type = 0; type < core->ntypes; type++)
--- a/src/scheduling/cycle.c
+++ b/src/scheduling/cycle.c
@@ -38,16 +38,17 @@
 static bool has_work(const struct bd_core *core)
 {
     return core->lead.cycle_wanted || core->lead.token_raise_wanted ||
-           core->graph.ncancelled_by_parent > 0 || !bd_before(core->now, core->lead.next_gc);
+           core->graph.ncancelled_by_parent > 0 ||
+           !bd_time_is_before(core->now, core->lead.next_gc);
 }
 
 void bd_cycle_run(struct bd_core *core)
 {
-    if (core->lead.commit || bd_before(core->now, core->lead.next_cycle) ||
+    if (core->lead.commit || bd_time_is_before(core->now, core->lead.next_cycle) ||
         core->lead.write_budget < CYCLE_WRITES_MIN || !has_work(core))
         return;
     core->lead.cycle_wanted = false;
-    core->lead.next_cycle = bd_add(core->now, bd_secs(cycle_interval_s(core)));
+    core->lead.next_cycle = bd_time_add(core->now, bd_secs(cycle_interval_s(core)));
     core->lead.commit = calloc(1, sizeof *core->lead.commit);
     if (!core->lead.commit)
         abort();
--- a/src/scheduling/gpu_capacity.c
+++ b/src/scheduling/gpu_capacity.c
@@ -56,12 +56,12 @@
     struct bd_resources for_gpu_tasks = {type->cpus - machine->pinned_cpus,
                                          type->gpus - machine->pinned_gpus,
                                          type->mem - machine->pinned_mem};
-    uint32_t gpu_tasks = bd_resources_fit(for_gpu_tasks, gpu_task, GPU_TASKS_MAX);
+    uint32_t gpu_tasks = bd_resources_fit_count(for_gpu_tasks, gpu_task, GPU_TASKS_MAX);
     if (gpu_tasks == 0) /* services alone keep GPU work away: more of them do no harm here */
         return machine->gpus > 0 || spec->kind == BD_JOB_SERVICE ? most : 0;
     struct bd_resources left = {type->cpus - machine->cpus - gpu_tasks * gpu_task->cpus, 0,
                                 type->mem - machine->mem - gpu_tasks * gpu_task->mem};
-    return left.cpus < 0 || left.mem < 0 ? 0 : bd_resources_fit(left, spec, most);
+    return left.cpus < 0 || left.mem < 0 ? 0 : bd_resources_fit_count(left, spec, most);
 }
 
 bool bd_gpu_use_is_known(const struct bd_core *core, const struct bd_machine *machine)
--- a/src/scheduling/job_order.c
+++ b/src/scheduling/job_order.c
@@ -38,7 +38,7 @@
  * jobs. One that uses nothing of what is guaranteed has no claim on the share. */
 static void mark_guaranteed_shares(struct bd_core *core, struct bd_job **jobs, uint32_t njobs)
 {
-    double cpus[BD_MAX_TEAMS] = {0}, gpus[BD_MAX_TEAMS] = {0};
+    double cpus[BD_TEAMS_MAX] = {0}, gpus[BD_TEAMS_MAX] = {0};
     qsort(jobs, njobs, sizeof *jobs, sort_by_age);
     for (uint32_t i = 0; i < njobs; i++) {
         struct bd_job *job = jobs[i];
--- a/src/scheduling/machine_choice.c
+++ b/src/scheduling/machine_choice.c
@@ -39,7 +39,7 @@
 bool bd_image_is_near(const struct bd_core *core, const struct bd_spec *spec,
                       const struct bd_machine *machine)
 {
-    return bd_fetch_s(core, machine, spec) < NEAR_IMAGE_S;
+    return bd_image_fetch_s(core, machine, spec) < NEAR_IMAGE_S;
 }
 
 /* ---- weights of a job ---- */
@@ -87,8 +87,8 @@
 static double fetch_s(const struct placement_cycle *cycle, const struct bd_machine *machine,
                       const struct bd_spec *spec)
 {
-    double fetch = bd_fetch_s(cycle->core, machine, spec);
-    if (fetch > 0 && !bd_has_image(machine, spec->image))
+    double fetch = bd_image_fetch_s(cycle->core, machine, spec);
+    if (fetch > 0 && !bd_machine_has_image(machine, spec->image))
         return fetch + cycle->machines[machine->index].planned_fetch_s;
     return fetch;
 }
@@ -126,7 +126,7 @@
                          const struct bd_machine *machine)
 {
     if (!cycle->machines[machine->index].is_schedulable || !bd_zone_is_open(cycle, machine) ||
-        !bd_allowed(spec, machine->type, machine->zone, machine->spot))
+        !bd_placement_allowed(spec, machine->type, machine->zone, machine->spot))
         return false;
     return !cycle->only_near_image || bd_image_is_near(cycle->core, spec, machine);
 }
@@ -139,7 +139,7 @@
     const struct bd_core *core = cycle->core;
     const struct bd_spec *spec = &job->spec;
     struct bd_resources capacity = bd_unclaimed_capacity(cycle, machine);
-    if (!bd_resources_fit(capacity, spec, 1) ||
+    if (!bd_resources_fit_count(capacity, spec, 1) ||
         !bd_zone_allowance(core, job, zone_counts, machine->zone, 1))
         return INFINITY;
     bool harms_gpu_work = bd_tasks_beside_gpu_work(core, spec, machine, 1) == 0;
--- a/src/scheduling/placement.c
+++ b/src/scheduling/placement.c
@@ -19,13 +19,13 @@
  * that another team uses beyond its own share. True: such a machine is being freed for it. */
 static bool preempts_beside_image(struct placement_cycle *cycle, struct bd_job *job)
 {
-    uint32_t zone_counts[BD_MAX_ZONES];
+    uint32_t zone_counts[BD_ZONES_MAX];
     if (!job->within_guaranteed_share || job->ntasks != 1)
         return false;
     bd_count_tasks_by_zone(cycle->core, job, zone_counts);
     const struct bd_machine *machine =
         bd_choose_machine(cycle, job, zone_counts, BD_PRICE_ANY, BD_GPU_CAPACITY_SHARED);
-    if (!machine || bd_fetch_s(cycle->core, machine, &job->spec) < FETCH_WORTH_PREEMPTING_S)
+    if (!machine || bd_image_fetch_s(cycle->core, machine, &job->spec) < FETCH_WORTH_PREEMPTING_S)
         return false;
     return bd_preempt_beside_image(cycle, job);
 }
@@ -89,18 +89,18 @@
 
 static bool is_placeable(const struct bd_core *core, const struct bd_job *job)
 {
-    return job->npending > 0 && !job->stale && bd_before(job->hold_until, core->now) &&
-           !bd_before(core->now, job->backoff_until);
+    return job->npending > 0 && !job->stale && bd_time_is_before(job->hold_until, core->now) &&
+           !bd_time_is_before(core->now, job->backoff_until);
 }
 
 static void init_bounds(struct placement_cycle *cycle)
 {
     const struct bd_kv_limits *limits = &cycle->core->kv_limits;
     /* each record but the last may end a group's worth early */
-    uint32_t parts = bd_cycle_intent_records(cycle->core);
+    uint32_t parts = bd_txn_intent_records_max(cycle->core);
     cycle->record_bytes_max =
         (size_t)(BD_VALUE_SHARE * (double)limits->kv_value_bytes_max * parts) -
-        (size_t)(parts - 1) * 2 * BD_LABEL;
+        (size_t)(parts - 1) * 2 * BD_LABEL_BYTES;
     cycle->compares_max = (uint32_t)(3 * limits->kv_txn_ops_max);
 }
 
@@ -113,7 +113,7 @@
     for (uint32_t i = 0; i < core->nmachines; i++) {
         const struct bd_machine *machine = core->by_index[i];
         cycle->machines[i].is_schedulable =
-            bd_machine_usable(core, machine) && !machine->consolidating;
+            bd_machine_is_usable(core, machine) && !machine->consolidating;
     }
 }
 
--- a/src/scheduling/plan.c
+++ b/src/scheduling/plan.c
@@ -38,10 +38,10 @@
 static uint32_t tasks_in_record(const struct placement_cycle *cycle, const struct bd_job *job,
                                 const struct bd_machine *machine, uint32_t most)
 {
-    size_t head = bd_group_bytes(job, machine);
-    if (cycle->record_bytes + head + BD_TASK_BYTES > cycle->record_bytes_max)
+    size_t head = bd_intent_group_bytes(job, machine);
+    if (cycle->record_bytes + head + BD_INTENT_TASK_BYTES > cycle->record_bytes_max)
         return 0;
-    size_t n = (cycle->record_bytes_max - cycle->record_bytes - head) / BD_TASK_BYTES;
+    size_t n = (cycle->record_bytes_max - cycle->record_bytes - head) / BD_INTENT_TASK_BYTES;
     return n < most ? (uint32_t)n : most;
 }
 
@@ -51,7 +51,7 @@
                            uint32_t most)
 {
     struct bd_resources capacity = bd_unclaimed_capacity(cycle, machine);
-    uint32_t n = bd_resources_fit(capacity, &job->spec, most);
+    uint32_t n = bd_resources_fit_count(capacity, &job->spec, most);
     uint32_t harmless = bd_tasks_beside_gpu_work(cycle->core, &job->spec, machine, n);
     if (harmless > 0) /* the next ones may do better elsewhere */
         n = harmless;
@@ -63,10 +63,10 @@
 static uint32_t plan_group(struct placement_cycle *cycle, struct bd_job *job, uint32_t first,
                            struct bd_machine *machine, uint32_t n, uint64_t attempt)
 {
-    if (!bd_has_image(machine, job->spec.image))
+    if (!bd_machine_has_image(machine, job->spec.image))
         cycle->machines[machine->index].planned_fetch_s +=
             job->spec.image_gb / cycle->core->types[machine->type].fetch;
-    cycle->record_bytes += bd_group_bytes(job, machine) + (size_t)n * BD_TASK_BYTES;
+    cycle->record_bytes += bd_intent_group_bytes(job, machine) + (size_t)n * BD_INTENT_TASK_BYTES;
     uint32_t task = first;
     for (; n > 0 && task < job->ntasks; task++) {
         if (job->tasks[task].state != BD_TASK_PENDING)
@@ -80,7 +80,7 @@
 uint32_t bd_plan_tasks(struct placement_cycle *cycle, struct bd_job *job, uint32_t most,
                        uint64_t attempt, enum bd_gpu_capacity gpu_capacity)
 {
-    uint32_t zone_counts[BD_MAX_ZONES], placed = 0, next = 0;
+    uint32_t zone_counts[BD_ZONES_MAX], placed = 0, next = 0;
     /* a machine that is there costs the same idle: only provisioning waits for spot */
     enum bd_price_limit price_limit =
         bd_cost_tier_of(cycle->core, job) == BD_TIER_ANY ? BD_PRICE_ANY : BD_PRICE_CHEAP;
--- a/src/scheduling/preemption.c
+++ b/src/scheduling/preemption.c
@@ -19,12 +19,12 @@
 
 bool bd_preemption_is_due(const struct bd_core *core, const struct bd_job *job)
 {
-    return !bd_before(core->now, job->next_force);
+    return !bd_time_is_before(core->now, job->next_preemption_at);
 }
 
 void bd_preemption_back_off(const struct bd_core *core, struct bd_job *job)
 {
-    job->next_force = bd_add(core->now, bd_secs(PREEMPTION_RETRY_S));
+    job->next_preemption_at = bd_time_add(core->now, bd_secs(PREEMPTION_RETRY_S));
 }
 
 /* ---- what may be preempted ---- */
@@ -138,7 +138,7 @@
 static void preempt_on_machine(struct placement_cycle *cycle, const struct bd_job *wanting,
                                const struct bd_machine *machine, struct bd_resources capacity)
 {
-    while (!bd_resources_fit(capacity, &wanting->spec, 1)) {
+    while (!bd_resources_fit_count(capacity, &wanting->spec, 1)) {
         struct bd_reservation victim = choose_victim(wanting, machine);
         if (!victim.job)
             return;
@@ -161,12 +161,12 @@
                          const struct bd_machine *machine, const struct preemption_search *search)
 {
     if (!cycle->machines[machine->index].is_schedulable || !bd_zone_is_open(cycle, machine) ||
-        !bd_allowed(&job->spec, machine->type, machine->zone, machine->spot))
+        !bd_placement_allowed(&job->spec, machine->type, machine->zone, machine->spot))
         return false;
     if (search->price_limit == BD_PRICE_CHEAP &&
         cycle->weights.is_expensive[machine->type][machine->spot])
         return false;
-    if (search->needs_image && !bd_has_image(machine, job->spec.image))
+    if (search->needs_image && !bd_machine_has_image(machine, job->spec.image))
         return false;
     if (cycle->only_near_image && !bd_image_is_near(cycle->core, &job->spec, machine))
         return false;
@@ -183,10 +183,10 @@
     if (!is_candidate(cycle, job, machine, search))
         return INFINITY;
     struct freeable_capacity capacity = freeable_capacity(cycle, job, machine);
-    if (!bd_resources_fit(capacity.after_preemption, spec, 1))
+    if (!bd_resources_fit_count(capacity.after_preemption, spec, 1))
         return INFINITY;
     const struct bd_resources *free = &capacity.after_stops;
-    double fetch = bd_fetch_s(cycle->core, machine, spec);
+    double fetch = bd_image_fetch_s(cycle->core, machine, spec);
     double lacking = fmax(0, fmax(spec->cpus - free->cpus, 0) / fmax(spec->cpus, 1) +
                                  fmax(spec->gpus - free->gpus, 0) / fmax(spec->gpus, 1));
     return fetch + lacking * PREEMPTION_COST_S;
@@ -241,7 +241,7 @@
 static uint32_t preempt_for_tasks(struct placement_cycle *cycle, struct bd_job *job, uint32_t n,
                                   enum bd_price_limit price_limit, bool needs_image)
 {
-    uint32_t zone_counts[BD_MAX_ZONES], freed = 0;
+    uint32_t zone_counts[BD_ZONES_MAX], freed = 0;
     struct preemption_search search = {zone_counts, price_limit, needs_image};
     bd_count_tasks_by_zone(cycle->core, job, zone_counts);
     update_costs(cycle, job, &search);
@@ -264,7 +264,7 @@
 
 bool bd_preempt_for_gang(struct placement_cycle *cycle, struct bd_job *job, uint32_t lacking)
 {
-    uint32_t zone_counts[BD_MAX_ZONES], possible = 0;
+    uint32_t zone_counts[BD_ZONES_MAX], possible = 0;
     struct preemption_search search = {zone_counts, BD_PRICE_ANY, false};
     bd_count_tasks_by_zone(cycle->core, job, zone_counts);
     for (uint32_t i = 0; i < cycle->core->nmachines && possible < lacking; i++)
--- a/src/scheduling/quotas.c
+++ b/src/scheduling/quotas.c
@@ -9,9 +9,9 @@
                             const struct bd_spec *spec, uint32_t most)
 {
     if (team->cpus_quota > 0)
-        most = bd_amount_fits(team->cpus_quota - cpus, spec->cpus, most);
+        most = bd_amount_fit_count(team->cpus_quota - cpus, spec->cpus, most);
     if (team->gpus_quota > 0)
-        most = bd_amount_fits(team->gpus_quota - gpus, spec->gpus, most);
+        most = bd_amount_fit_count(team->gpus_quota - gpus, spec->gpus, most);
     return most;
 }
 
--- a/src/scheduling/scheduling.h
+++ b/src/scheduling/scheduling.h
@@ -26,7 +26,7 @@
 }
 
 /* ... on machines of the type in the zone, on spot ones if `spot`. */
-static inline bool bd_allowed(const struct bd_spec *spec, int type, int zone, bool spot)
+static inline bool bd_placement_allowed(const struct bd_spec *spec, int type, int zone, bool spot)
 {
     return bd_type_allowed(spec, type) && (spec->zone < 0 || spec->zone == zone) &&
            (spec->spot || !spot);
@@ -57,7 +57,7 @@
                           bool spot);
 /* ... for each type, on demand and spot. */
 void bd_find_expensive_types(const struct bd_core *core, const struct bd_spec *spec,
-                             bool is_expensive[BD_MAX_TYPES][2]);
+                             bool is_expensive[BD_TYPES_MAX][2]);
 /* Seconds that a job of the class may wait and still meet the objective, with an estimated run time
  * in seconds; below 0: the objective is another class's. */
 double bd_slo_slack(const struct bd_core *core, int job_class, double estimate,
@@ -66,5 +66,5 @@
 enum bd_cost_tier bd_cost_tier_of(const struct bd_core *core, const struct bd_job *job);
 /* Whether the tier includes machines of each type, on demand and spot. */
 void bd_find_types_in_cost_tier(const struct bd_core *core, const struct bd_spec *spec,
-                                enum bd_cost_tier cost_tier, bool is_in_tier[BD_MAX_TYPES][2]);
+                                enum bd_cost_tier cost_tier, bool is_in_tier[BD_TYPES_MAX][2]);
 #endif
--- a/src/scheduling/scheduling_internal.h
+++ b/src/scheduling/scheduling_internal.h
@@ -39,7 +39,7 @@
 /* What decides between machines for the job that is being placed; penalties in seconds of later
  * start. */
 struct job_weights {
-    bool is_expensive[BD_MAX_TYPES][2]; /* by type and spot */
+    bool is_expensive[BD_TYPES_MAX][2]; /* by type and spot */
     bool is_urgent;                     /* its objectives leave no time for an image fetch */
     double spot_penalty_s, on_demand_penalty_s;
 };
@@ -64,7 +64,7 @@
 /* Tasks of the job in each zone, with those whose state is unknown or that are stopping. All 0 for
  * a job without constraints on zones. */
 void bd_count_tasks_by_zone(struct bd_core *core, const struct bd_job *job,
-                            uint32_t counts[BD_MAX_ZONES]);
+                            uint32_t counts[BD_ZONES_MAX]);
 /* How many more tasks of the job may go to the zone, up to `most`. */
 uint32_t bd_zone_allowance(const struct bd_core *core, const struct bd_job *job,
                            const uint32_t *counts, int zone, uint32_t most);
--- a/src/wire/frame.c
+++ b/src/wire/frame.c
@@ -68,14 +68,14 @@
 static void write_body(struct frame_writer *writer, const struct bd_frame *frame)
 {
     switch (frame->type) {
-    case BD_FRAME_STATUS:
+    case BD_FRAME_PEER_STATUS:
         write_short_text(writer, frame->name);
         write_unsigned(writer, frame->term, 8);
         write_unsigned(writer, frame->flags, 1);
         write_unsigned(writer, frame->age_ms, 4);
         write_unsigned(writer, frame->at_ms, 8);
         break;
-    case BD_FRAME_PROGRESS:
+    case BD_FRAME_JOB_PROGRESS:
         write_progress(writer, frame);
         break;
     case BD_FRAME_HEARTBEAT:
@@ -83,25 +83,26 @@
         write_short_text(writer, frame->name);
         write_long_text(writer, frame->text, frame->len);
         break;
-    case BD_FRAME_ANSWER:
+    case BD_FRAME_HEARTBEAT_REPLY:
         write_unsigned(writer, frame->id, 8);
         write_unsigned(writer, frame->status, 2);
         write_long_text(writer, frame->text, frame->len);
         break;
-    case BD_FRAME_CANCELLED:
+    case BD_FRAME_CANCELLATION:
         write_long_text(writer, frame->text, frame->len);
         break;
     }
 }
 
-size_t bd_frame_bytes(const struct bd_frame *frame)
+size_t bd_frame_bytes_max(const struct bd_frame *frame)
 {
     return HEADER_BYTES + FIXED_BYTES_MAX + frame->count * sizeof frame->jobs[0] + frame->len;
 }
 
 size_t bd_frame_write(const struct bd_frame *frame, unsigned char *buf, size_t cap)
 {
-    struct frame_writer writer = {buf, 0, cap < BD_FRAME_MAX ? cap : BD_FRAME_MAX, false};
+    struct frame_writer writer = {buf, 0, cap < BD_FRAME_BYTES_MAX ? cap : BD_FRAME_BYTES_MAX,
+                                  false};
     write_unsigned(&writer, MAGIC, 4);
     write_unsigned(&writer, VERSION, 1);
     write_unsigned(&writer, frame->type, 1);
@@ -168,7 +169,7 @@
 static void read_progress(struct frame_reader *reader, struct bd_frame *frame)
 {
     frame->count = (uint16_t)read_unsigned(reader, 2);
-    if (frame->count > BD_FRAME_JOBS)
+    if (frame->count > BD_FRAME_JOBS_MAX)
         reader->has_failed = true;
     for (unsigned i = 0; i < frame->count && !reader->has_failed; i++) {
         read_short_text(reader, frame->jobs[i].id, sizeof frame->jobs[i].id);
@@ -180,14 +181,14 @@
 static void read_body(struct frame_reader *reader, struct bd_frame *frame)
 {
     switch (frame->type) {
-    case BD_FRAME_STATUS:
+    case BD_FRAME_PEER_STATUS:
         read_short_text(reader, frame->name, sizeof frame->name);
         frame->term = read_unsigned(reader, 8);
         frame->flags = (uint8_t)read_unsigned(reader, 1);
         frame->age_ms = (uint32_t)read_unsigned(reader, 4);
         frame->at_ms = read_unsigned(reader, 8);
         break;
-    case BD_FRAME_PROGRESS:
+    case BD_FRAME_JOB_PROGRESS:
         read_progress(reader, frame);
         break;
     case BD_FRAME_HEARTBEAT:
@@ -195,12 +196,12 @@
         read_short_text(reader, frame->name, sizeof frame->name);
         read_long_text(reader, frame);
         break;
-    case BD_FRAME_ANSWER:
+    case BD_FRAME_HEARTBEAT_REPLY:
         frame->id = read_unsigned(reader, 8);
         frame->status = (uint16_t)read_unsigned(reader, 2);
         read_long_text(reader, frame);
         break;
-    case BD_FRAME_CANCELLED:
+    case BD_FRAME_CANCELLATION:
         read_long_text(reader, frame);
         break;
     }
@@ -217,10 +218,10 @@
     *body_len = (size_t)read_unsigned(&reader, LENGTH_BYTES);
     if (magic != MAGIC || version != VERSION || zero != 0)
         return false;
-    if (type_code < BD_FRAME_STATUS || type_code > BD_FRAME_CANCELLED)
+    if (type_code < BD_FRAME_PEER_STATUS || type_code > BD_FRAME_CANCELLATION)
         return false;
     *type = (enum bd_frame_type)type_code;
-    return HEADER_BYTES + *body_len <= BD_FRAME_MAX;
+    return HEADER_BYTES + *body_len <= BD_FRAME_BYTES_MAX;
 }
 
 long bd_frame_read(const unsigned char *buf, size_t len, struct bd_frame *frame)
@@ -229,7 +230,7 @@
     memset(frame, 0, sizeof *frame);
     if (len < HEADER_BYTES)
         return 0;
-    enum bd_frame_type type = BD_FRAME_STATUS;
+    enum bd_frame_type type = BD_FRAME_PEER_STATUS;
     if (!read_header(buf, &type, &body_len))
         return -1;
     if (len < HEADER_BYTES + body_len)
--- a/src/wire/frame.h
+++ b/src/wire/frame.h
@@ -22,16 +22,16 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define BD_FRAME_MAX 70000u /* bytes of a whole frame */
-#define BD_FRAME_JOBS 96u   /* jobs in one progress frame */
+#define BD_FRAME_BYTES_MAX 70000u /* bytes of a whole frame */
+#define BD_FRAME_JOBS_MAX 96u     /* jobs in one progress frame */
 
 /* The values are those on the wire. */
 enum bd_frame_type {
-    BD_FRAME_STATUS = 1,
-    BD_FRAME_PROGRESS = 2,
+    BD_FRAME_PEER_STATUS = 1,
+    BD_FRAME_JOB_PROGRESS = 2,
     BD_FRAME_HEARTBEAT = 3,
-    BD_FRAME_ANSWER = 4,
-    BD_FRAME_CANCELLED = 5
+    BD_FRAME_HEARTBEAT_REPLY = 4,
+    BD_FRAME_CANCELLATION = 5
 };
 
 /* Bits of a peer status: what a controller is and sees, and which features its version has. A
@@ -48,8 +48,8 @@
 };
 
 /* Progress of a job as the leader counts it. */
-struct bd_progress {
-    char id[BD_ID];
+struct bd_job_progress {
+    char id[BD_ID_BYTES];
     uint32_t done;    /* tasks that have completed */
     uint32_t running; /* tasks that run now */
 };
@@ -57,22 +57,23 @@
 /* A frame of any type; its type says which fields are used, the others are zero after a read. */
 struct bd_frame {
     enum bd_frame_type type;
-    char name[BD_LABEL]; /* STATUS, HEARTBEAT: the sender */
-    uint64_t term;       /* STATUS: the term in which the sender leads; 0: it does not */
-    uint8_t flags;       /* STATUS: bits of enum bd_peer_flag */
-    uint32_t age_ms;     /* STATUS: since the key-value store last answered the sender */
-    uint64_t at_ms;      /* STATUS: the sender's time of day, ms since the epoch */
-    uint64_t id;         /* HEARTBEAT: the sender's number for it; ANSWER: the number answered */
-    uint16_t status;     /* ANSWER: HTTP status */
-    const char *text;    /* HEARTBEAT, ANSWER: a body; CANCELLED: a job's id. Borrowed; of a frame
-                          * that was read: inside the buffer, not terminated */
-    uint32_t len;        /* bytes of `text` */
-    uint16_t count;      /* PROGRESS: jobs used */
-    struct bd_progress jobs[BD_FRAME_JOBS]; /* last, so that a copy may end after those used */
+    char name[BD_LABEL_BYTES]; /* STATUS, HEARTBEAT: the sender */
+    uint64_t term;             /* STATUS: the term in which the sender leads; 0: it does not */
+    uint8_t flags;             /* STATUS: bits of enum bd_peer_flag */
+    uint32_t age_ms;           /* STATUS: since the key-value store last answered the sender */
+    uint64_t at_ms;            /* STATUS: the sender's time of day, ms since the epoch */
+    uint64_t id;      /* HEARTBEAT: the sender's number for it; ANSWER: the number answered */
+    uint16_t status;  /* ANSWER: HTTP status */
+    const char *text; /* HEARTBEAT, ANSWER: a body; CANCELLED: a job's id. Borrowed; of a frame
+                       * that was read: inside the buffer, not terminated */
+    uint32_t len;     /* bytes of `text` */
+    uint16_t count;   /* PROGRESS: jobs used */
+    struct bd_job_progress
+        jobs[BD_FRAME_JOBS_MAX]; /* last, so that a copy may end after those used */
 };
 
 /* An upper bound of the bytes that the frame takes when written. */
-size_t bd_frame_bytes(const struct bd_frame *frame);
+size_t bd_frame_bytes_max(const struct bd_frame *frame);
 /* Writes the frame into `buf` of `cap` bytes. Returns the bytes written; 0: it does not fit. */
 size_t bd_frame_write(const struct bd_frame *frame, unsigned char *buf, size_t cap);
 /* Reads the frame at the start of `buf`. Returns the bytes that it took; 0: it is incomplete, more
--- a/src/wire/heartbeat_cache.c
+++ b/src/wire/heartbeat_cache.c
@@ -37,14 +37,14 @@
 {
     HASH_DEL(cache->entries, entry);
     cache->bytes -= entry->bytes;
-    bd_wire_heartbeat_release(&entry->heartbeat);
+    bd_wire_release_heartbeat(&entry->heartbeat);
     free(entry);
 }
 
 static void release_uncached(struct bd_heartbeat_cache *cache)
 {
     if (cache->has_uncached)
-        bd_wire_heartbeat_release(&cache->uncached);
+        bd_wire_release_heartbeat(&cache->uncached);
     cache->has_uncached = false;
 }
 
@@ -101,7 +101,7 @@
 static bool read_uncached(struct bd_heartbeat_cache *cache, const char *text, size_t len)
 {
     json_t *body = text ? json_loadb(text, len, 0, NULL) : NULL;
-    cache->has_uncached = body && bd_wire_heartbeat(body, &cache->uncached);
+    cache->has_uncached = body && bd_wire_read_heartbeat(body, &cache->uncached);
     json_decref(body);
     return cache->has_uncached;
 }
--- a/src/wire/wire_cloud.c
+++ b/src/wire/wire_cloud.c
@@ -10,7 +10,7 @@
 
 /* Copies at most `max` labels of a list; entries that are none are left out. Returns their number.
  */
-static int read_labels(json_t *list, char (*out)[BD_LABEL], int max)
+static int read_labels(json_t *list, char (*out)[BD_LABEL_BYTES], int max)
 {
     json_t *entry;
     size_t i;
@@ -18,13 +18,13 @@
     json_array_foreach(list, i, entry)
     {
         const char *label = json_string_value(entry);
-        if (label && strlen(label) < BD_LABEL && count < max)
+        if (label && strlen(label) < BD_LABEL_BYTES && count < max)
             strcpy(out[count++], label);
     }
     return count;
 }
 
-static bool read_type(json_t *object, struct bd_type_text *out)
+static bool read_type(json_t *object, struct bd_machine_type_text *out)
 {
     memset(out, 0, sizeof *out);
     if (!bd_wire_read_label(object, KEY_TYPE_LABEL, out->label) ||
@@ -46,7 +46,7 @@
     return true;
 }
 
-int bd_wire_types(json_t *body, struct bd_type_text *out, int max)
+int bd_wire_read_machine_types(json_t *body, struct bd_machine_type_text *out, int max)
 {
     json_t *types = json_object_get(body, KEY_MACHINE_TYPES), *type;
     size_t i;
@@ -87,7 +87,7 @@
     return true;
 }
 
-int bd_wire_machines(json_t *body, struct bd_cloud_machine *out, int max, bool *more)
+int bd_wire_read_machines(json_t *body, struct bd_cloud_machine *out, int max, bool *more)
 {
     json_t *machines = json_object_get(body, KEY_MACHINES), *machine;
     size_t i;
@@ -104,15 +104,15 @@
     return count;
 }
 
-char *bd_wire_provision(const char *request, const char *type, const char *zone, bool spot,
-                        int count)
+char *bd_wire_write_provisioning_request(const char *request, const char *type, const char *zone,
+                                         bool spot, int count)
 {
     return bd_wire_write_text(json_pack("{s:s,s:s,s:s,s:b,s:i}", KEY_REQUEST_ID, request,
                                         KEY_MACHINE_TYPE, type, KEY_ZONE, zone, KEY_SPOT, (int)spot,
                                         KEY_MACHINE_COUNT, count));
 }
 
-char *bd_wire_return(char (*names)[BD_LABEL], int n)
+char *bd_wire_write_return_request(char (*names)[BD_LABEL_BYTES], int n)
 {
     json_t *machines = json_array();
     for (int i = 0; i < n; i++)
@@ -120,13 +120,13 @@
     return bd_wire_write_text(json_pack("{s:o}", KEY_MACHINES, machines));
 }
 
-int bd_wire_machine_names(json_t *body, char (*names)[BD_LABEL], int max)
+int bd_wire_read_machine_names(json_t *body, char (*names)[BD_LABEL_BYTES], int max)
 {
     json_t *machines = json_object_get(body, KEY_MACHINES);
     return json_is_array(machines) ? read_labels(machines, names, max) : -1;
 }
 
-bool bd_wire_cloud_outage(json_t *body)
+bool bd_wire_is_cloud_outage(json_t *body)
 {
     const char *error = json_string_value(json_object_get(body, KEY_ERROR));
     return error && strcmp(error, ERROR_CLOUD_OUTAGE) == 0;
--- a/src/wire/wire_cloud.h
+++ b/src/wire/wire_cloud.h
@@ -7,8 +7,8 @@
 #include <jansson.h>
 #include <stdbool.h>
 
-struct bd_type_text {
-    char label[BD_LABEL];
+struct bd_machine_type_text {
+    char label[BD_LABEL_BYTES];
     double cpus;       /* cores */
     double gpus;       /* devices */
     double mem;        /* GB */
@@ -17,7 +17,7 @@
     double price;      /* on demand, per hour */
     double spot_price; /* of a spot machine, per hour */
     double boot;       /* from the request to the first heartbeat, seconds */
-    char zones[BD_TYPE_ZONES_MAX][BD_LABEL];
+    char zones[BD_TYPE_ZONES_MAX][BD_LABEL_BYTES];
     int nzones;
 };
 
@@ -25,10 +25,10 @@
 
 /* A machine in the cloud's list. */
 struct bd_cloud_machine {
-    char id[BD_LABEL];
-    char addr[BD_LABEL]; /* "HOST:PORT" of its worker; empty: not known yet */
-    char type[BD_LABEL];
-    char zone[BD_LABEL];
+    char id[BD_LABEL_BYTES];
+    char addr[BD_LABEL_BYTES]; /* "HOST:PORT" of its worker; empty: not known yet */
+    char type[BD_LABEL_BYTES];
+    char zone[BD_LABEL_BYTES];
     bool spot;
     enum bd_cloud_machine_state state;
     double age; /* since the cloud provided it, seconds */
@@ -36,18 +36,18 @@
 
 /* Reads at most `max` machine types; malformed ones are left out. Returns their number; -1: the
  * answer is malformed. */
-int bd_wire_types(json_t *body, struct bd_type_text *out, int max);
+int bd_wire_read_machine_types(json_t *body, struct bd_machine_type_text *out, int max);
 /* Reads a page of the cloud's list of machines; `more` says whether others follow. Returns their
  * number; -1: malformed, or more than `max`. */
-int bd_wire_machines(json_t *body, struct bd_cloud_machine *out, int max, bool *more);
+int bd_wire_read_machines(json_t *body, struct bd_cloud_machine *out, int max, bool *more);
 /* Writes a provisioning request; `request` is its idempotency key. */
-char *bd_wire_provision(const char *request, const char *type, const char *zone, bool spot,
-                        int count);
+char *bd_wire_write_provisioning_request(const char *request, const char *type, const char *zone,
+                                         bool spot, int count);
 /* Writes a request to return `n` machines. */
-char *bd_wire_return(char (*names)[BD_LABEL], int n);
+char *bd_wire_write_return_request(char (*names)[BD_LABEL_BYTES], int n);
 /* Reads at most `max` machine names, from an answer to a provisioning request or from a request to
  * return machines. Returns their number; -1: malformed. */
-int bd_wire_machine_names(json_t *body, char (*names)[BD_LABEL], int max);
+int bd_wire_read_machine_names(json_t *body, char (*names)[BD_LABEL_BYTES], int max);
 /* Whether a 503 of the cloud means an outage, rather than that it has no such machines left. */
-bool bd_wire_cloud_outage(json_t *body);
+bool bd_wire_is_cloud_outage(json_t *body);
 #endif
--- a/src/wire/wire_fields.c
+++ b/src/wire/wire_fields.c
@@ -6,10 +6,10 @@
 
 #define AMOUNT_MAX 1e9
 
-bool bd_wire_read_label(json_t *object, const char *key, char out[BD_LABEL])
+bool bd_wire_read_label(json_t *object, const char *key, char out[BD_LABEL_BYTES])
 {
     const char *text = json_string_value(json_object_get(object, key));
-    if (!text || !*text || strlen(text) >= BD_LABEL)
+    if (!text || !*text || strlen(text) >= BD_LABEL_BYTES)
         return false;
     strcpy(out, text);
     return true;
--- a/src/wire/wire_internal.h
+++ b/src/wire/wire_internal.h
@@ -15,7 +15,7 @@
 #define COUNT_OF(array) ((int)(sizeof(array) / sizeof((array)[0])))
 
 /* A text that is neither empty nor too long. */
-bool bd_wire_read_label(json_t *object, const char *key, char out[BD_LABEL]);
+bool bd_wire_read_label(json_t *object, const char *key, char out[BD_LABEL_BYTES]);
 /* A number from 0 to 1e9. */
 bool bd_wire_read_amount(json_t *object, const char *key, double *out);
 bool bd_wire_read_bool(json_t *object, const char *key, bool *out);
@@ -31,7 +31,7 @@
 char *bd_wire_write_text(json_t *object);
 
 /* Reads a job's spec. NULL, or the name of the field at fault, a constant. */
-const char *bd_wire_read_spec(json_t *object, struct bd_spec_text *out);
+const char *bd_wire_read_spec(json_t *object, struct bd_job_spec_text *out);
 /* A job's spec as a JSON object. NULL: out of memory. */
-json_t *bd_wire_write_spec(const struct bd_spec_text *spec);
+json_t *bd_wire_write_spec(const struct bd_job_spec_text *spec);
 #endif
--- a/src/wire/wire_job_records.c
+++ b/src/wire/wire_job_records.c
@@ -8,18 +8,18 @@
 /* in the order of enum bd_job_state */
 static const char *const job_states[] = {"live", "done", "cancelled"};
 
-json_t *bd_wire_parents_part(json_t *names)
+json_t *bd_wire_write_parents_part(json_t *names)
 {
     return json_pack("{s:o}", KEY_PARENTS, names);
 }
 
-json_t *bd_wire_read_part(json_t *value)
+json_t *bd_wire_read_parents_part(json_t *value)
 {
     json_t *names = json_object_get(value, KEY_PARENTS);
     return json_is_array(names) ? names : NULL;
 }
 
-json_t *bd_wire_ended_spec(json_t *spec)
+json_t *bd_wire_write_cancelled_spec(json_t *spec)
 {
     json_t *copy = json_copy(spec);
     if (copy)
@@ -27,7 +27,7 @@
     return copy;
 }
 
-static void write_parents(json_t *object, const struct bd_record_parents *parents)
+static void write_parents(json_t *object, const struct bd_job_record_parents *parents)
 {
     if (parents->parts) {
         json_t *parts = json_pack("{s:s,s:i}", KEY_PARTS_HASH, parents->of, KEY_PARTS_COUNT,
@@ -38,7 +38,7 @@
     }
 }
 
-json_t *bd_wire_record(const struct bd_record *record)
+json_t *bd_wire_write_record(const struct bd_job_record *record)
 {
     json_t *value =
         json_pack("{s:s,s:i,s:f}", KEY_RECORD_STATE, job_states[record->state],
@@ -55,7 +55,7 @@
     return value;
 }
 
-static void read_parents(json_t *value, struct bd_record_parents *out)
+static void read_parents(json_t *value, struct bd_job_record_parents *out)
 {
     json_t *names = json_object_get(value, KEY_PARENTS);
     json_t *parts = json_object_get(value, KEY_RECORD_PARTS);
@@ -67,7 +67,7 @@
         out->names = names;
     if (!parts)
         return;
-    if (!hash || strlen(hash) >= BD_HASH ||
+    if (!hash || strlen(hash) >= BD_HASH_BYTES ||
         !bd_wire_read_unsigned(parts, KEY_PARTS_COUNT, &count) || count < 1 ||
         count > BD_PARENT_PARTS_MAX) {
         out->damaged = true;
@@ -77,13 +77,13 @@
     out->parts = (uint32_t)count;
 }
 
-bool bd_wire_read_record(json_t *value, struct bd_record *out)
+bool bd_wire_read_record(json_t *value, struct bd_job_record *out)
 {
     uint64_t tasks = 0;
     memset(out, 0, sizeof *out);
     int state = bd_wire_read_enum(value, KEY_RECORD_STATE, job_states, COUNT_OF(job_states));
     if (state < 0 || !bd_wire_read_unsigned(value, KEY_RECORD_TASK_COUNT, &tasks) || tasks < 1 ||
-        tasks > BD_MAX_TASKS)
+        tasks > BD_TASKS_MAX)
         return false;
     out->state = (enum bd_job_state)state;
     out->tasks = (uint32_t)tasks;
--- a/src/wire/wire_job_spec.c
+++ b/src/wire/wire_job_spec.c
@@ -8,20 +8,20 @@
 static const char *const job_kinds[] = {"sweep", "gang", "service"};
 static const char *const priorities[] = {"idle", "standard", "high", "production"};
 
-static bool read_machine_types(json_t *object, struct bd_spec_text *spec)
+static bool read_machine_types(json_t *object, struct bd_job_spec_text *spec)
 {
     json_t *types = json_object_get(object, KEY_MACHINE_TYPES), *type;
     size_t i;
     spec->ntypes = -1;
     if (bd_wire_is_null(types))
         return true;
-    if (!json_is_array(types) || json_array_size(types) > BD_MAX_TYPES)
+    if (!json_is_array(types) || json_array_size(types) > BD_TYPES_MAX)
         return false;
     spec->ntypes = 0;
     json_array_foreach(types, i, type)
     {
         const char *label = json_string_value(type);
-        if (!label || !*label || strlen(label) >= BD_LABEL)
+        if (!label || !*label || strlen(label) >= BD_LABEL_BYTES)
             return false;
         strcpy(spec->types[spec->ntypes++], label);
     }
@@ -29,7 +29,7 @@
 }
 
 /* NULL, or the name of the field at fault; so do the readers below. */
-static const char *read_amounts(json_t *object, struct bd_spec_text *spec)
+static const char *read_amounts(json_t *object, struct bd_job_spec_text *spec)
 {
     const struct {
         const char *key;
@@ -53,7 +53,7 @@
     return NULL;
 }
 
-static const char *read_kind_and_priority(json_t *object, struct bd_spec_text *spec)
+static const char *read_kind_and_priority(json_t *object, struct bd_job_spec_text *spec)
 {
     int kind = bd_wire_read_enum(object, KEY_JOB_KIND, job_kinds, COUNT_OF(job_kinds));
     if (kind < 0)
@@ -66,7 +66,7 @@
     return NULL;
 }
 
-static const char *read_placement(json_t *object, struct bd_spec_text *spec)
+static const char *read_placement(json_t *object, struct bd_job_spec_text *spec)
 {
     if (!bd_wire_is_null(json_object_get(object, KEY_ZONE)) &&
         !bd_wire_read_label(object, KEY_ZONE, spec->zone))
@@ -82,7 +82,7 @@
     return NULL;
 }
 
-const char *bd_wire_read_spec(json_t *object, struct bd_spec_text *out)
+const char *bd_wire_read_spec(json_t *object, struct bd_job_spec_text *out)
 {
     uint64_t tasks = 0;
     memset(out, 0, sizeof *out);
@@ -93,7 +93,7 @@
     const char *fault = read_kind_and_priority(object, out);
     if (fault)
         return fault;
-    if (!bd_wire_read_unsigned(object, KEY_TASK_COUNT, &tasks) || tasks < 1 || tasks > BD_MAX_TASKS)
+    if (!bd_wire_read_unsigned(object, KEY_TASK_COUNT, &tasks) || tasks < 1 || tasks > BD_TASKS_MAX)
         return KEY_TASK_COUNT;
     out->tasks = (uint32_t)tasks;
     if (!bd_wire_read_label(object, KEY_IMAGE, out->image))
@@ -102,7 +102,7 @@
     return fault ? fault : read_amounts(object, out);
 }
 
-static json_t *write_machine_types(const struct bd_spec_text *spec)
+static json_t *write_machine_types(const struct bd_job_spec_text *spec)
 {
     if (spec->ntypes < 0)
         return json_null();
@@ -112,7 +112,7 @@
     return types;
 }
 
-json_t *bd_wire_write_spec(const struct bd_spec_text *spec)
+json_t *bd_wire_write_spec(const struct bd_job_spec_text *spec)
 {
     json_t *zone = *spec->zone ? json_string(spec->zone) : json_null();
     json_t *deadline = spec->deadline_s < 0 ? json_null() : json_real(spec->deadline_s);
--- a/src/wire/wire_jobs.c
+++ b/src/wire/wire_jobs.c
@@ -13,7 +13,7 @@
 #define DIGITS "0123456789"
 #define REPLY_BYTES 160 /* with room for an id, a state's name and two numbers */
 
-bool bd_wire_job_id(const char *id)
+bool bd_wire_is_job_id(const char *id)
 {
     const size_t prefix_len = sizeof JOB_PREFIX - 1;
     if (!id || strncmp(id, JOB_PREFIX, prefix_len) != 0)
@@ -22,28 +22,29 @@
     return digits >= 1 && digits <= JOB_DIGITS_MAX && id[prefix_len + digits] == '\0';
 }
 
-bool bd_wire_task_name(const char *text, char job[BD_ID], uint32_t *task)
+bool bd_wire_read_task_name(const char *text, char job[BD_ID_BYTES], uint32_t *task)
 {
     const char *slash = text ? strchr(text, '/') : NULL;
-    if (!slash || (size_t)(slash - text) >= BD_ID)
+    if (!slash || (size_t)(slash - text) >= BD_ID_BYTES)
         return false;
     memcpy(job, text, (size_t)(slash - text));
     job[slash - text] = '\0';
     const char *index = slash + 1;
     size_t digits = strspn(index, DIGITS);
-    if (!bd_wire_job_id(job) || digits == 0 || digits > TASK_DIGITS_MAX || index[digits])
+    if (!bd_wire_is_job_id(job) || digits == 0 || digits > TASK_DIGITS_MAX || index[digits])
         return false;
     *task = (uint32_t)strtoul(index, NULL, 10);
-    return *task < BD_MAX_TASKS;
+    return *task < BD_TASKS_MAX;
 }
 
-const char *bd_wire_submission(json_t *body, char id[BD_ID], struct bd_spec_text *out)
+const char *bd_wire_read_submission(json_t *body, char id[BD_ID_BYTES],
+                                    struct bd_job_spec_text *out)
 {
     id[0] = '\0';
     if (!json_is_object(body))
         return "body";
     const char *text = json_string_value(json_object_get(body, KEY_ID));
-    if (!bd_wire_job_id(text))
+    if (!bd_wire_is_job_id(text))
         return KEY_ID;
     strcpy(id, text);
     return bd_wire_read_spec(body, out);
@@ -57,7 +58,7 @@
     json_array_foreach(list, i, entry)
     {
         const char *id = json_string_value(entry);
-        if (!bd_wire_job_id(id)) {
+        if (!bd_wire_is_job_id(id)) {
             json_decref(ids);
             ids = NULL;
             break;
@@ -71,7 +72,7 @@
     return ids;
 }
 
-bool bd_wire_parents(json_t *body, json_t **out)
+bool bd_wire_read_parents(json_t *body, json_t **out)
 {
     json_t *list = json_object_get(body, KEY_PARENTS);
     *out = NULL;
@@ -89,14 +90,14 @@
     return true;
 }
 
-char *bd_wire_accepted(const char *id)
+char *bd_wire_write_accepted(const char *id)
 {
     char reply[REPLY_BYTES];
     snprintf(reply, sizeof reply, "{\"" KEY_ID "\":\"%s\",\"" KEY_STATE "\":\"pending\"}", id);
     return strdup(reply);
 }
 
-char *bd_wire_state(const char *id, const char *state, uint32_t done, uint32_t running)
+char *bd_wire_write_job_state(const char *id, const char *state, uint32_t done, uint32_t running)
 {
     char reply[REPLY_BYTES];
     snprintf(reply, sizeof reply,
--- a/src/wire/wire_jobs.h
+++ b/src/wire/wire_jobs.h
@@ -23,17 +23,17 @@
 };
 
 /* A job as its user wrote it, names not yet looked up. Amounts are per task. */
-struct bd_spec_text {
-    char
-        job_class[BD_LABEL]; /* jobs of a class behave alike: run times, service-level objectives */
-    char team[BD_LABEL];
-    char image[BD_LABEL];
-    char zone[BD_LABEL]; /* empty: any */
-    char types[BD_MAX_TYPES][BD_LABEL];
+struct bd_job_spec_text {
+    char job_class[BD_LABEL_BYTES]; /* jobs of a class behave alike: run times, service-level
+                                       objectives */
+    char team[BD_LABEL_BYTES];
+    char image[BD_LABEL_BYTES];
+    char zone[BD_LABEL_BYTES]; /* empty: any */
+    char types[BD_TYPES_MAX][BD_LABEL_BYTES];
     int ntypes; /* machine types it may run on; -1: any */
     enum bd_job_kind kind;
     enum bd_priority priority;
-    uint32_t tasks;               /* 1 to BD_MAX_TASKS */
+    uint32_t tasks;               /* 1 to BD_TASKS_MAX */
     double cpus;                  /* cores */
     double gpus;                  /* devices */
     double mem;                   /* GB */
@@ -55,53 +55,54 @@
 
 /* A job's parents: the ids of the jobs that it waits for. They stand in its record or, where one
  * value cannot hold them, in parts: keys of their own that are written before the record. */
-struct bd_record_parents {
-    json_t *names;    /* list of ids, borrowed; NULL: none in the record */
-    uint32_t parts;   /* number of parts; 0: none */
-    char of[BD_HASH]; /* hash of the whole list, which names the parts' keys */
-    bool damaged;     /* what the record says of its parents cannot be read */
+struct bd_job_record_parents {
+    json_t *names;          /* list of ids, borrowed; NULL: none in the record */
+    uint32_t parts;         /* number of parts; 0: none */
+    char of[BD_HASH_BYTES]; /* hash of the whole list, which names the parts' keys */
+    bool damaged;           /* what the record says of its parents cannot be read */
 };
 
 /* A job's record in the key-value store. */
-struct bd_record {
+struct bd_job_record {
     enum bd_job_state state;
     uint32_t tasks;
     double at;     /* of the submission, time of day, seconds since the epoch */
     double end;    /* done: of its last task's end, likewise; 0: not known */
     bool has_spec; /* else `spec` holds the job's class only, if that */
-    struct bd_spec_text spec;
-    struct bd_record_parents parents;
+    struct bd_job_spec_text spec;
+    struct bd_job_record_parents parents;
 };
 
 /* Whether the text is a job's id: "job-" and 1 to 18 digits. NULL is none. */
-bool bd_wire_job_id(const char *id);
+bool bd_wire_is_job_id(const char *id);
 /* Reads a task's name, "JOB/INDEX". False: malformed; `job` may have been overwritten. */
-bool bd_wire_task_name(const char *text, char job[BD_ID], uint32_t *task);
+bool bd_wire_read_task_name(const char *text, char job[BD_ID_BYTES], uint32_t *task);
 
 /* Reads a submission. `id` gets the job's id as soon as that was read, else it is empty. NULL, or
  * the name of the field at fault, a constant. */
-const char *bd_wire_submission(json_t *body, char id[BD_ID], struct bd_spec_text *out);
+const char *bd_wire_read_submission(json_t *body, char id[BD_ID_BYTES],
+                                    struct bd_job_spec_text *out);
 /* Reads the parents of a submission. `out` gets a new list of their ids, each once, or NULL if
  * there are none. False: malformed or out of memory, and `out` is NULL. */
-bool bd_wire_parents(json_t *body, json_t **out);
+bool bd_wire_read_parents(json_t *body, json_t **out);
 
 /* The value of a part that holds these parents; `names` is consumed. NULL: out of memory. */
-json_t *bd_wire_parents_part(json_t *names);
+json_t *bd_wire_write_parents_part(json_t *names);
 /* The parents in a part's value, borrowed. NULL: malformed. */
-json_t *bd_wire_read_part(json_t *value);
+json_t *bd_wire_read_parents_part(json_t *value);
 
 /* A copy of a job's spec in its record, made as short as it can still be read, for a job that is
  * cancelled. NULL: out of memory. */
-json_t *bd_wire_ended_spec(json_t *spec);
+json_t *bd_wire_write_cancelled_spec(json_t *spec);
 /* The value of a job's record. NULL: out of memory. */
-json_t *bd_wire_record(const struct bd_record *record);
+json_t *bd_wire_write_record(const struct bd_job_record *record);
 /* Reads a job's record; `out->parents.names` lives as long as `value`. False: malformed, or a job
  * that is not done has no spec. */
-bool bd_wire_read_record(json_t *value, struct bd_record *out);
+bool bd_wire_read_record(json_t *value, struct bd_job_record *out);
 
 /* The reply to a submission that was accepted. */
-char *bd_wire_accepted(const char *id);
+char *bd_wire_write_accepted(const char *id);
 /* The reply to a question for a job's state: its name in the protocol, a constant of the caller,
  * and the numbers of completed and of running tasks. */
-char *bd_wire_state(const char *id, const char *state, uint32_t done, uint32_t running);
+char *bd_wire_write_job_state(const char *id, const char *state, uint32_t done, uint32_t running);
 #endif
--- a/src/wire/wire_paths.h
+++ b/src/wire/wire_paths.h
@@ -12,8 +12,8 @@
 #define BD_PATH_COMMANDS "/do" /* direct commands */
 
 /* served by the cloud */
-#define BD_PATH_MACHINES "/machines"      /* GET: the list; POST: a provisioning request */
-#define BD_PATH_RETURN "/machines/return" /* scale in */
+#define BD_PATH_MACHINES "/machines"               /* GET: the list; POST: a provisioning request */
+#define BD_PATH_RETURN_MACHINES "/machines/return" /* scale in */
 
 /* served by the key-value store */
 #define BD_PATH_COMMIT "/commit"          /* a compare-and-swap transaction */
--- a/src/wire/wire_store.c
+++ b/src/wire/wire_store.c
@@ -45,14 +45,14 @@
     return bd_wire_write_text(body);
 }
 
-json_t *bd_wire_failed(json_t *body)
+json_t *bd_wire_read_failed_compares(json_t *body)
 {
     return json_object_get(body, KEY_FAILED_COMPARES);
 }
 
 /* ---- values and changes ---- */
 
-bool bd_wire_change(json_t *entry, struct bd_change *out)
+bool bd_wire_read_change(json_t *entry, struct bd_change *out)
 {
     out->value = json_object_get(entry, KEY_VALUE);
     out->key = json_string_value(json_object_get(entry, KEY_STORE_KEY));
@@ -65,38 +65,38 @@
     return out->key && bd_wire_read_unsigned(entry, KEY_REVISION, &out->revision);
 }
 
-void bd_wire_set_revision(json_t *change, uint64_t revision)
+void bd_wire_write_revision(json_t *change, uint64_t revision)
 {
     json_object_set_new(change, KEY_REVISION, json_integer((json_int_t)revision));
 }
 
-bool bd_wire_pair(json_t *body, struct bd_change *out, uint64_t *grant)
+bool bd_wire_read_pair(json_t *body, struct bd_change *out, uint64_t *grant)
 {
     *grant = 0;
-    if (!bd_wire_change(body, out) || !out->value)
+    if (!bd_wire_read_change(body, out) || !out->value)
         return false;
     (void)bd_wire_read_unsigned(body, KEY_GRANT, grant);
     return true;
 }
 
-json_t *bd_wire_pairs(json_t *body, bool *more)
+json_t *bd_wire_read_pairs(json_t *body, bool *more)
 {
     *more = json_is_true(json_object_get(body, KEY_MORE));
     return json_object_get(body, KEY_PAIRS);
 }
 
-json_t *bd_wire_log(json_t *body)
+json_t *bd_wire_read_change_log(json_t *body)
 {
     return json_object_get(body, KEY_CHANGE_LOG);
 }
 
-uint64_t bd_wire_store_revision(json_t *body)
+uint64_t bd_wire_read_store_revision(json_t *body)
 {
     uint64_t revision = 0;
     return bd_wire_read_unsigned(body, KEY_STORE_REVISION, &revision) ? revision : 0;
 }
 
-size_t bd_wire_bytes(const json_t *value)
+size_t bd_wire_value_bytes(const json_t *value)
 {
     char *text = json_dumps(value, JSON_COMPACT | JSON_ENCODE_ANY);
     size_t bytes = text ? strlen(text) : SIZE_MAX;
@@ -105,7 +105,7 @@
 }
 
 /* FNV-1a of the texts, with a comma after each */
-uint64_t bd_wire_names_hash(json_t *names)
+uint64_t bd_wire_hash_names(json_t *names)
 {
     const uint64_t prime = 1099511628211u;
     uint64_t hash = 1469598103934665603u;
@@ -122,20 +122,20 @@
 
 /* ---- grants ---- */
 
-uint64_t bd_wire_grant(json_t *body)
+uint64_t bd_wire_read_grant(json_t *body)
 {
     uint64_t grant = 0;
     return bd_wire_read_unsigned(body, KEY_GRANT, &grant) ? grant : 0;
 }
 
-char *bd_wire_ttl(double seconds)
+char *bd_wire_write_grant_request(double seconds)
 {
     char body[GRANT_BODY_BYTES];
     snprintf(body, sizeof body, "{\"" KEY_GRANT_TTL_MS "\":%ld}", lround(seconds * MS_PER_S));
     return strdup(body);
 }
 
-bool bd_wire_no_grant(json_t *body)
+bool bd_wire_is_grant_missing(json_t *body)
 {
     const char *error = json_string_value(json_object_get(body, KEY_ERROR));
     return error && strcmp(error, ERROR_NO_GRANT) == 0;
--- a/src/wire/wire_store.h
+++ b/src/wire/wire_store.h
@@ -30,7 +30,7 @@
 /* Ends the transaction, frees its parts and returns the body of its request. */
 char *bd_txn_finish(struct bd_txn *txn);
 /* The list of compares that did not hold, in the answer to a transaction; borrowed, NULL: none. */
-json_t *bd_wire_failed(json_t *body);
+json_t *bd_wire_read_failed_compares(json_t *body);
 
 /* ---- values and changes ---- */
 
@@ -41,31 +41,32 @@
     uint64_t revision;
 };
 
-/* Reads an entry of bd_wire_pairs or bd_wire_log. False: malformed. */
-bool bd_wire_change(json_t *entry, struct bd_change *out);
-/* Gives a change of a transaction its revision, so that bd_wire_change reads it as one of a log. */
-void bd_wire_set_revision(json_t *change, uint64_t revision);
+/* Reads an entry of bd_wire_read_pairs or bd_wire_read_change_log. False: malformed. */
+bool bd_wire_read_change(json_t *entry, struct bd_change *out);
+/* Gives a change of a transaction its revision, so that bd_wire_read_change reads it as one of a
+ * log. */
+void bd_wire_write_revision(json_t *change, uint64_t revision);
 /* Reads the answer to a GET of one key; `grant` is that of the key, 0: none. False: malformed, or
  * without a value. */
-bool bd_wire_pair(json_t *body, struct bd_change *out, uint64_t *grant);
+bool bd_wire_read_pair(json_t *body, struct bd_change *out, uint64_t *grant);
 /* The entries in a page of a list, borrowed; `more` says whether others follow. NULL: malformed. */
-json_t *bd_wire_pairs(json_t *body, bool *more);
+json_t *bd_wire_read_pairs(json_t *body, bool *more);
 /* The changes in the answer to a refresh, borrowed. NULL: malformed. */
-json_t *bd_wire_log(json_t *body);
+json_t *bd_wire_read_change_log(json_t *body);
 /* The store's revision at an answer; 0: none is given. */
-uint64_t bd_wire_store_revision(json_t *body);
+uint64_t bd_wire_read_store_revision(json_t *body);
 /* Bytes of the value as it is sent; SIZE_MAX: out of memory. */
-size_t bd_wire_bytes(const json_t *value);
+size_t bd_wire_value_bytes(const json_t *value);
 /* A hash of a list of texts, for records that cannot hold the list. It is stored: it must not
  * change. */
-uint64_t bd_wire_names_hash(json_t *names);
+uint64_t bd_wire_hash_names(json_t *names);
 
 /* ---- grants ---- */
 
 /* The grant in the answer to a request for one; 0: none is given. */
-uint64_t bd_wire_grant(json_t *body);
+uint64_t bd_wire_read_grant(json_t *body);
 /* The body of a request for a grant that ends after so many seconds unless renewed. */
-char *bd_wire_ttl(double seconds);
+char *bd_wire_write_grant_request(double seconds);
 /* Whether a refusal says that the grant of a key does not exist any more. */
-bool bd_wire_no_grant(json_t *body);
+bool bd_wire_is_grant_missing(json_t *body);
 #endif
--- a/src/wire/wire_workers.c
+++ b/src/wire/wire_workers.c
@@ -27,8 +27,8 @@
 static bool read_task(json_t *object, struct bd_reported_task *out)
 {
     memset(out, 0, sizeof *out);
-    if (!bd_wire_task_name(json_string_value(json_object_get(object, KEY_TASK)), out->job,
-                           &out->task))
+    if (!bd_wire_read_task_name(json_string_value(json_object_get(object, KEY_TASK)), out->job,
+                                &out->task))
         return false;
     int execution =
         bd_wire_read_enum(object, KEY_STATE, execution_states, COUNT_OF(execution_states));
@@ -68,7 +68,7 @@
     json_array_foreach(list, i, entry)
     {
         if (!read_task(entry, &out->tasks[out->n])) {
-            bd_wire_heartbeat_release(out);
+            bd_wire_release_heartbeat(out);
             return false;
         }
         out->n++;
@@ -76,13 +76,13 @@
     return true;
 }
 
-bool bd_wire_heartbeat(json_t *body, struct bd_heartbeat *out)
+bool bd_wire_read_heartbeat(json_t *body, struct bd_heartbeat *out)
 {
     memset(out, 0, sizeof *out);
     return json_is_object(body) && read_machine(body, out) && read_tasks(body, out);
 }
 
-void bd_wire_heartbeat_release(struct bd_heartbeat *heartbeat)
+void bd_wire_release_heartbeat(struct bd_heartbeat *heartbeat)
 {
     free(heartbeat->tasks);
     heartbeat->tasks = NULL;
@@ -152,8 +152,8 @@
     append(buffer, "}");
 }
 
-char *bd_wire_commands(uint64_t fencing_token, uint64_t incarnation,
-                       const struct bd_command *commands, size_t n)
+char *bd_wire_write_commands(uint64_t fencing_token, uint64_t incarnation,
+                             const struct bd_command *commands, size_t n)
 {
     struct text_buffer buffer = {NULL, 0, COMMANDS_FIXED_BYTES + n * COMMAND_BYTES};
     buffer.bytes = malloc(buffer.capacity);
@@ -172,7 +172,7 @@
     return buffer.bytes;
 }
 
-char *bd_wire_redirect(const char *node)
+char *bd_wire_write_redirect(const char *node)
 {
     char reply[REDIRECT_BYTES];
     if (!node || !*node)
--- a/src/wire/wire_workers.h
+++ b/src/wire/wire_workers.h
@@ -31,7 +31,7 @@
 
 /* A task in a heartbeat. */
 struct bd_reported_task {
-    char job[BD_ID];
+    char job[BD_ID_BYTES];
     uint32_t task;    /* its index in the job */
     uint64_t attempt; /* number of its attempt */
     enum bd_execution_state execution;
@@ -39,17 +39,17 @@
 };
 
 struct bd_heartbeat {
-    char machine[BD_LABEL];
-    char addr[BD_LABEL]; /* "HOST:PORT" where the worker takes direct commands */
-    char type[BD_LABEL]; /* machine type */
-    char zone[BD_LABEL];
+    char machine[BD_LABEL_BYTES];
+    char addr[BD_LABEL_BYTES]; /* "HOST:PORT" where the worker takes direct commands */
+    char type[BD_LABEL_BYTES]; /* machine type */
+    char zone[BD_LABEL_BYTES];
     bool spot;
     uint64_t incarnation;   /* of the worker's agent: it grows with each start of the agent */
     uint64_t seq;           /* number of the heartbeat in the incarnation */
     uint64_t fencing_token; /* the highest one that the worker has seen */
     double notice;          /* seconds until the cloud takes the machine back; < 0: no notice */
     size_t n;               /* of `tasks` */
-    struct bd_reported_task *tasks; /* owned, see bd_wire_heartbeat_release */
+    struct bd_reported_task *tasks; /* owned, see bd_wire_release_heartbeat */
 };
 
 enum bd_command_verb {
@@ -60,7 +60,7 @@
 
 struct bd_command {
     enum bd_command_verb verb;
-    char job[BD_ID];
+    char job[BD_ID_BYTES];
     uint32_t task; /* its index in the job */
     uint64_t attempt;
     double grace; /* HALT: seconds that it has to save its progress */
@@ -74,17 +74,17 @@
 
 /* Reads a heartbeat, which the caller releases. False: malformed or out of memory; there is nothing
  * to be released. */
-bool bd_wire_heartbeat(json_t *body, struct bd_heartbeat *out);
+bool bd_wire_read_heartbeat(json_t *body, struct bd_heartbeat *out);
 /* Frees the heartbeat's tasks. */
-void bd_wire_heartbeat_release(struct bd_heartbeat *heartbeat);
+void bd_wire_release_heartbeat(struct bd_heartbeat *heartbeat);
 /* Finds the sequence number in a heartbeat's text of `len` bytes. False: that cannot be told
  * without parsing the text as JSON. */
 bool bd_wire_find_heartbeat_seq(const char *text, size_t len, struct bd_heartbeat_seq *out);
 
 /* Writes `n` commands. `incarnation` is that of the worker for direct commands, and 0 in the reply
  * to a heartbeat. */
-char *bd_wire_commands(uint64_t fencing_token, uint64_t incarnation,
-                       const struct bd_command *commands, size_t n);
+char *bd_wire_write_commands(uint64_t fencing_token, uint64_t incarnation,
+                             const struct bd_command *commands, size_t n);
 /* Writes the reply that sends a worker to another controller; NULL or empty: to any. */
-char *bd_wire_redirect(const char *node);
+char *bd_wire_write_redirect(const char *node);
 #endif
--- a/src/workers/autonomous_zone.c
+++ b/src/workers/autonomous_zone.c
@@ -32,20 +32,20 @@
 
 void bd_liveness_written(struct bd_core *core, struct timespec sent)
 {
-    core->confirmed = bd_max(core->confirmed, sent);
+    core->confirmed = bd_time_max(core->confirmed, sent);
 }
 
 void bd_liveness_sent(struct bd_core *core, struct timespec sent)
 {
-    core->liveness_sent = bd_max(core->liveness_sent, sent);
+    core->liveness_sent_at = bd_time_max(core->liveness_sent_at, sent);
 }
 
 bool bd_autonomous_zone_active(const struct bd_core *core)
 {
     /* a record that was written, though the response was lost, shows the leader that we are in
      * touch: it would not allow for renewals of ours */
-    struct timespec last = bd_max(core->confirmed, core->liveness_sent);
-    return core->role == BD_FOLLOWER && bd_between(last, core->now) > AUTONOMOUS_AFTER_S;
+    struct timespec last = bd_time_max(core->confirmed, core->liveness_sent_at);
+    return core->role == BD_FOLLOWER && bd_seconds_between(last, core->now) > AUTONOMOUS_AFTER_S;
 }
 
 /* Whether another controller of our zone is cut off too; one that is alone in its zone needs no
@@ -72,7 +72,7 @@
 
 static bool is_within_renewal_window(const struct bd_core *core)
 {
-    return bd_may_renew_leases(core) && bd_within_renewal_window(core, core->confirmed);
+    return bd_may_renew_leases(core) && bd_is_within_renewal_window(core, core->confirmed);
 }
 
 bool bd_autonomous_zone_may_reply(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
@@ -86,7 +86,8 @@
 {
     return core->role == BD_FOLLOWER && core->last_term && is_within_renewal_window(core) &&
            is_of_our_zone(core, heartbeat) && !bd_forward_hears_leader(core) &&
-           bd_between(core->confirmed, core->now) < AUTONOMOUS_AFTER_S + PEER_STATUS_FRESH_S;
+           bd_seconds_between(core->confirmed, core->now) <
+               AUTONOMOUS_AFTER_S + PEER_STATUS_FRESH_S;
 }
 
 /* ---- as leader ---- */
@@ -94,8 +95,9 @@
 void bd_autonomous_zone_liveness_record(struct bd_core *core, const char *node, double wall_s)
 {
     for (int i = 0; i < core->settings->npeers; i++)
-        if (strcmp(core->settings->peers[i].name, node) == 0 && wall_s > core->peers[i].contact)
-            core->peers[i].contact = wall_s;
+        if (strcmp(core->settings->peers[i].name, node) == 0 &&
+            wall_s > core->peers[i].liveness_wall_s)
+            core->peers[i].liveness_wall_s = wall_s;
 }
 
 static double clock_margin_s(const struct bd_core *core)
@@ -105,7 +107,7 @@
 
 static double liveness_age_s(const struct bd_core *core, int peer)
 {
-    return core->wall - core->peers[peer].contact;
+    return core->wall - core->peers[peer].liveness_wall_s;
 }
 
 /* Brings up to date until when the controller may be cut off from the store. True: it may be now.
@@ -114,8 +116,8 @@
 {
     struct bd_peer_view *view = &core->peers[peer];
     if (liveness_age_s(core, peer) > AUTONOMOUS_AFTER_S - clock_margin_s(core))
-        view->maybe_autonomous_until = bd_add(core->now, bd_secs(AUTONOMOUS_MEMORY_S));
-    return bd_before(core->now, view->maybe_autonomous_until);
+        view->may_be_autonomous_until = bd_time_add(core->now, bd_secs(AUTONOMOUS_MEMORY_S));
+    return bd_time_is_before(core->now, view->may_be_autonomous_until);
 }
 
 /* Seconds until the controller can surely renew no more leases. */
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -79,7 +79,7 @@
     return task->state == BD_TASK_LAUNCHING &&
            !(task->flags & (BD_TASK_FLAG_EXITED | BD_TASK_FLAG_STOP_REQUESTED)) &&
            job->state == BD_JOB_ACTIVE && !bd_job_cancellation_announced(core, job) &&
-           (path == BD_COMMAND_IN_REPLY || task->attempt > core->lead.fenced_attempt);
+           (path == BD_COMMAND_IN_REPLY || task->attempt > core->lead.last_fenced_attempt);
 }
 
 bool bd_commands_add_launches(struct bd_core *core, struct bd_machine *machine,
@@ -130,7 +130,7 @@
 
 void bd_machine_exclude_late_launches(struct bd_machine *machine)
 {
-    machine->late_launch_token = 0;
+    machine->unanswered_launch_token = 0;
     clear_flags(machine, BD_TASK_FLAG_DIRECT_LAUNCH_IN_FLIGHT | BD_TASK_FLAG_EXITED);
 }
 
@@ -171,5 +171,5 @@
 {
     add_halts_of_cancelled(core, heartbeat, commands);
     bd_effect_reply(core, request, 200,
-                    bd_wire_commands(fencing_token, 0, commands->items, commands->count), 0);
+                    bd_wire_write_commands(fencing_token, 0, commands->items, commands->count), 0);
 }
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -51,7 +51,8 @@
 static bool is_leader_silent(const struct bd_core *core)
 {
     int leader = bd_leader_index(core);
-    return leader >= 0 && bd_between(core->peers[leader].heard, core->now) > BD_PEER_SILENT_S;
+    return leader >= 0 &&
+           bd_seconds_between(core->peers[leader].heard, core->now) > BD_PEER_SILENT_S;
 }
 
 /* Whether the last leader's key is gone and no other controller has taken the lead. */
@@ -60,8 +61,8 @@
     return !*core->leader_name && !core->leader_term && core->last_term;
 }
 
-void bd_delegate_dismissed(struct bd_core *core, bool dismissed, uint64_t revision,
-                           struct timespec sent)
+void bd_delegate_dismissal_observed(struct bd_core *core, bool dismissed, uint64_t revision,
+                                    struct timespec sent)
 {
     struct bd_delegate *delegate = &core->delegate;
     if (dismissed && (!delegate->dismissed || revision != delegate->dismissed_revision)) {
@@ -78,13 +79,13 @@
 {
     int leader = bd_leader_index(core);
     bool heard_since =
-        leader >= 0 && bd_before(core->delegate.dismissed_since, core->peers[leader].heard);
+        leader >= 0 && bd_time_is_before(core->delegate.dismissed_since, core->peers[leader].heard);
     return core->delegate.dismissed && !heard_since;
 }
 
 static bool has_fresh_leader_view(const struct bd_core *core)
 {
-    return bd_between(core->leader_seen, core->now) < BD_DELEGATE_FRESH_S;
+    return bd_seconds_between(core->leader_seen_at, core->now) < BD_DELEGATE_FRESH_S;
 }
 
 /* By a fresh view another controller leads, and we do not hear it; or nobody does. Redirected
@@ -116,7 +117,8 @@
  * been answered lately. */
 static bool may_reply(const struct bd_core *core)
 {
-    return bd_before(core->now, core->delegate.confirmed_until) && bd_may_renew_leases(core);
+    return bd_time_is_before(core->now, core->delegate.confirmed_until) &&
+           bd_may_renew_leases(core);
 }
 
 /* Logs the first reply to each machine of our record; of an autonomous zone, one per interval. */
@@ -124,7 +126,8 @@
                             uint64_t fencing_token, struct bd_served_machine *served)
 {
     struct timespec *logged_at = &core->decision_log.autonomous_logged_at;
-    if (served ? served->is_logged : bd_between(*logged_at, core->now) < AUTONOMOUS_LOG_INTERVAL_S)
+    if (served ? served->is_logged
+               : bd_seconds_between(*logged_at, core->now) < AUTONOMOUS_LOG_INTERVAL_S)
         return;
     if (served)
         served->is_logged = true;
@@ -135,7 +138,7 @@
                              heartbeat->fencing_token, fencing_token);
     bd_decision_log_note(core, "lease_renewed", "machine=%s by=%s %s refreshed_s=%.2f",
                          heartbeat->machine, served ? "delegate" : "autonomous_zone", evidence,
-                         bd_between(core->replica.refreshed_at, core->now));
+                         bd_seconds_between(core->replica.refreshed_at, core->now));
 }
 
 /* served: the machine's entry in our record; NULL: we reply as an autonomous zone. */
@@ -180,9 +183,9 @@
     }
     bool may_wait =
         (served && action == KEEP_UNCONFIRMED) || bd_autonomous_zone_may_begin(core, heartbeat);
-    if (may_wait && bd_between(waiting->received_at, core->now) < WAIT_MAX_S)
+    if (may_wait && bd_seconds_between(waiting->received_at, core->now) < WAIT_MAX_S)
         return false;
-    bd_effect_reply(core, waiting->request, 421, bd_wire_redirect(""), 0);
+    bd_effect_reply(core, waiting->request, 421, bd_wire_write_redirect(""), 0);
     return true;
 }
 
@@ -247,7 +250,7 @@
         delegate->revision = store_revision;
     if (status == 200) {
         double fresh_s = BD_DELEGATE_FRESH_S * (1 - BD_CLOCK_DRIFT);
-        delegate->confirmed_until = bd_add(sent, bd_secs(fresh_s));
+        delegate->confirmed_until = bd_time_add(sent, bd_secs(fresh_s));
         bd_delegate_confirm_machines(core);
     }
     if (status == 0 && revision_known) { /* the revision was read: now the record itself */
@@ -264,7 +267,7 @@
     settle_all_waiting(core, may_still_serve ? KEEP_UNCONFIRMED : REDIRECT_UNCONFIRMED);
     if (delegate->asking)
         delegate->next_write =
-            status == 200 ? core->now : bd_add(core->now, bd_secs(WRITE_RETRY_S));
+            status == 200 ? core->now : bd_time_add(core->now, bd_secs(WRITE_RETRY_S));
 }
 
 void bd_delegate_end(struct bd_core *core)
@@ -283,7 +286,7 @@
         return;
     bd_delegate_expire_machines(core);
     /* a record without machines is written at once, so that the leader need not wait for its end */
-    if (delegate->nserved > 0 && bd_before(core->now, delegate->next_write))
+    if (delegate->nserved > 0 && bd_time_is_before(core->now, delegate->next_write))
         return;
     /* once the leader is heard again nobody is answered, but the machines stay for their retention
      */
@@ -298,5 +301,5 @@
     core->last_term = 0; /* nobody waits for a better reply any more */
     bd_delegate_end(core);
     bd_forwards_free(core);
-    bd_forward_end(core);
+    bd_redirects_free(core);
 }
--- a/src/workers/delegate_probes.c
+++ b/src/workers/delegate_probes.c
@@ -48,7 +48,8 @@
     const struct bd_delegate *delegate = &core->delegate;
     double wait_s = hears_nobody(core) ? PROBE_INTERVAL_ALONE_S : PROBE_WITH_TASKS_S;
     return heartbeat->n == 0 || bd_to_secs(core->settings->lease) > return_s(core) ||
-           delegate->probe_batch > 1 || bd_between(delegate->serving_since, core->now) > wait_s;
+           delegate->probe_batch > 1 ||
+           bd_seconds_between(delegate->serving_since, core->now) > wait_s;
 }
 
 static bool send_probe(struct bd_core *core, const struct bd_heartbeat *heartbeat)
@@ -56,7 +57,7 @@
     struct bd_delegate *delegate = &core->delegate;
     if (!may_send(core, heartbeat) || delegate->nprobes == BD_PROBES_MAX)
         return false;
-    snprintf(delegate->probes[delegate->nprobes++], BD_LABEL, "%s", heartbeat->machine);
+    snprintf(delegate->probes[delegate->nprobes++], BD_LABEL_BYTES, "%s", heartbeat->machine);
     return true;
 }
 
@@ -88,7 +89,7 @@
 bool bd_delegate_probe_leader(struct bd_core *core, const struct bd_heartbeat *heartbeat)
 {
     struct bd_delegate *delegate = &core->delegate;
-    double since_batch_s = bd_between(delegate->probes_at, core->now);
+    double since_batch_s = bd_seconds_between(delegate->probes_at, core->now);
     if (delegate->nserved == 0) {
         restart_probes(core);
         delegate->serving_since = core->now;
--- a/src/workers/delegate_record.c
+++ b/src/workers/delegate_record.c
@@ -126,7 +126,7 @@
     struct bd_served_machine *machine, *next;
     HASH_ITER(hh, core->delegate.served, machine, next)
     {
-        if (bd_between(machine->heard, core->now) > retention_s(core))
+        if (bd_seconds_between(machine->heard, core->now) > retention_s(core))
             remove_machine(&core->delegate, machine);
     }
 }
@@ -157,7 +157,7 @@
 static void write_part(struct bd_core *core, struct bd_txn *txn, const char *record_key,
                        uint32_t part, struct bd_served_machine **next)
 {
-    char key[BD_LABEL + PART_SUFFIX_BYTES];
+    char key[BD_LABEL_BYTES + PART_SUFFIX_BYTES];
     uint32_t limit = machines_per_part(core);
     json_t *names = json_array();
     snprintf(key, sizeof key, "%s", record_key);
@@ -207,7 +207,7 @@
     struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_DELEGATE_TXN);
     snprintf(effect->key, sizeof effect->key, BD_NODE_RECORD_PREFIX "%.60s", core->settings->node);
     delegate->txn_in_flight = true;
-    delegate->next_write = bd_add(core->now, bd_secs(WRITE_INTERVAL_S));
+    delegate->next_write = bd_time_add(core->now, bd_secs(WRITE_INTERVAL_S));
     /* without a body its revision is read: an earlier process's record may still be there */
     if (delegate->revision_known)
         effect->body = record_txn(core, effect->key);
--- a/src/workers/delegate_view.c
+++ b/src/workers/delegate_view.c
@@ -38,7 +38,7 @@
 static void read_liveness_record(struct bd_core *core, const char *node, size_t node_length,
                                  json_t *value)
 {
-    char name[BD_LABEL];
+    char name[BD_LABEL_BYTES];
     snprintf(name, sizeof name, "%.*s", (int)node_length, node);
     bd_autonomous_zone_liveness_record(core, name, json_number_value(json_object_get(value, "at")));
 }
@@ -67,7 +67,7 @@
         record->revision = change->revision;
         record->changed_at = core->now;
     }
-    if (record && bd_between(record->changed_at, core->now) > RECORD_STALE_S)
+    if (record && bd_seconds_between(record->changed_at, core->now) > RECORD_STALE_S)
         snprintf(view->stale, sizeof view->stale, "%s", change->key);
     json_array_foreach(json_object_get(change->value, "m"), i, name)
     {
@@ -89,7 +89,7 @@
 
 static void extend_lease(struct bd_machine *machine, struct timespec until)
 {
-    machine->lease_expires_at = bd_max(machine->lease_expires_at, until);
+    machine->lease_expires_at = bd_time_max(machine->lease_expires_at, until);
 }
 
 /* Machines of the last read may have been answered until now, and a little longer. So may any, if
@@ -97,7 +97,7 @@
 static void extend_leases_of_last_read(struct bd_core *core, struct timespec sent,
                                        struct timespec until)
 {
-    bool has_gap = bd_between(core->delegates.read_at, sent) > READ_GAP_MAX_S;
+    bool has_gap = bd_seconds_between(core->delegates.read_at, sent) > READ_GAP_MAX_S;
     for (uint32_t i = 0; i < core->nmachines; i++) {
         struct bd_machine *machine = core->by_index[i];
         if (machine->delegated || has_gap)
@@ -120,12 +120,12 @@
     size_t i;
     if (core->role != BD_LEADER)
         return;
-    struct timespec answered_until = bd_add(core->now, bd_secs(BD_DELEGATE_FRESH_S));
+    struct timespec answered_until = bd_time_add(core->now, bd_secs(BD_DELEGATE_FRESH_S));
     struct timespec lease_until = bd_lease_expiry(core, answered_until);
     extend_leases_of_last_read(core, sent, lease_until);
     json_array_foreach(pairs, i, pair)
     {
-        if (bd_wire_change(pair, &change) &&
+        if (bd_wire_read_change(pair, &change) &&
             strncmp(change.key, BD_NODE_RECORD_PREFIX, strlen(BD_NODE_RECORD_PREFIX)) == 0)
             read_record(core, &change);
     }
@@ -138,8 +138,8 @@
 static bool is_dismissal_announced(const struct bd_core *core,
                                    const struct bd_delegate_record *record)
 {
-    return !bd_is_zero(record->dismissed_at) &&
-           bd_between(record->dismissed_at, core->now) <= DISMISSAL_S;
+    return !bd_time_is_zero(record->dismissed_at) &&
+           bd_seconds_between(record->dismissed_at, core->now) <= DISMISSAL_S;
 }
 
 void bd_delegate_not_needed(struct bd_core *core, const struct bd_machine *machine)
@@ -149,7 +149,7 @@
     struct bd_delegate_record *record = &core->delegates.records[machine->delegate];
     /* the delegate may have heard us meanwhile, which ends a dismissal: so it is repeated */
     if (!is_dismissal_announced(core, record) ||
-        bd_between(record->announced_at, core->now) > DISMISSAL_REPEAT_S) {
+        bd_seconds_between(record->announced_at, core->now) > DISMISSAL_REPEAT_S) {
         record->announced_at = core->now;
         bd_log_write(core->log, BD_LOG_INFO, "delegate %s is not needed: %s reports here",
                      record->key, machine->id);
@@ -158,13 +158,13 @@
     record->dismissed_at = core->now;
 }
 
-json_t *bd_delegates_dismissed(const struct bd_core *core)
+json_t *bd_delegates_list_dismissed(const struct bd_core *core)
 {
     json_t *names = json_array();
     for (int i = 0; i < core->delegates.count; i++) {
         const struct bd_delegate_record *record = &core->delegates.records[i];
-        if (bd_is_zero(record->dismissed_at) ||
-            bd_between(record->dismissed_at, core->now) >= DISMISSAL_S)
+        if (bd_time_is_zero(record->dismissed_at) ||
+            bd_seconds_between(record->dismissed_at, core->now) >= DISMISSAL_S)
             continue;
         size_t node_length = strcspn(record->key, "/");
         (void)json_array_append_new(names, json_stringn(record->key, node_length));
--- a/src/workers/direct_commands.c
+++ b/src/workers/direct_commands.c
@@ -28,17 +28,17 @@
 {
     if (machine->zone < 0 || core->cloud.direct[machine->zone].fails < ZONE_FAILURES_TO_OPEN)
         return true;
-    if (bd_before(core->now, core->cloud.direct[machine->zone].until))
+    if (bd_time_is_before(core->now, core->cloud.direct[machine->zone].until))
         return false;
-    core->cloud.direct[machine->zone].until = bd_add(core->now, bd_secs(ZONE_RETRY_S));
+    core->cloud.direct[machine->zone].until = bd_time_add(core->now, bd_secs(ZONE_RETRY_S));
     return true;
 }
 
 static bool can_be_sent(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return !machine->direct_in_flight && !bd_before(core->now, machine->direct_not_before) &&
+    return !machine->direct_in_flight && !bd_time_is_before(core->now, machine->next_direct_at) &&
            machine->fenced && !machine->gone && *machine->addr && bd_leadership_lease_valid(core) &&
-           !bd_overdue(core, machine);
+           !bd_machine_is_overdue(core, machine);
 }
 
 void bd_commands_send_direct(struct bd_core *core, struct bd_machine *machine)
@@ -56,8 +56,8 @@
     effect->launch = launch;
     effect->until = bd_command_deadline(core, launch);
     snprintf(effect->addr, sizeof effect->addr, "%s", machine->addr);
-    effect->body =
-        bd_wire_commands(core->lead.term, machine->incarnation, commands.items, commands.count);
+    effect->body = bd_wire_write_commands(core->lead.term, machine->incarnation, commands.items,
+                                          commands.count);
     machine->direct_in_flight = true;
     machine->direct_sent_at = core->now;
     free(commands.items);
@@ -74,7 +74,7 @@
     if (machine->zone >= 0)
         core->cloud.direct[machine->zone].fails++;
     machine->outbound_partition = true;
-    machine->direct_not_before = bd_add(core->now, bd_secs(pause_s));
+    machine->next_direct_at = bd_time_add(core->now, bd_secs(pause_s));
 }
 
 static void reset_failures(struct bd_core *core, struct bd_machine *machine)
@@ -90,9 +90,9 @@
 static void command_not_sent(struct bd_core *core, struct bd_machine *machine, bool launch)
 {
     bd_decision_log_machine(core, "command_expired", machine, launch ? "launch=1" : "launch=0");
-    if (launch && machine->late_launch_token == 0)
+    if (launch && machine->unanswered_launch_token == 0)
         bd_machine_exclude_late_launches(machine);
-    machine->direct_not_before = bd_add(core->now, core->settings->heartbeat_interval);
+    machine->next_direct_at = bd_time_add(core->now, core->settings->heartbeat_interval);
 }
 
 static void command_answered(struct bd_core *core, struct bd_machine *machine, bool launch,
@@ -104,7 +104,7 @@
         back_off(core, machine); /* the address serves another machine now */
         return;
     }
-    if (launch && machine->late_launch_token == 0)
+    if (launch && machine->unanswered_launch_token == 0)
         bd_machine_exclude_late_launches(machine); /* answered: nothing of it is on its way */
     if (machine->gone)
         return;
@@ -118,12 +118,12 @@
                                         uint64_t fencing_token, bool launch, long status,
                                         const struct bd_heartbeat *heartbeat)
 {
-    struct bd_machine *machine = bd_machine_of(core, machine_index);
+    struct bd_machine *machine = bd_machine_by_index(core, machine_index);
     if (core->role != BD_LEADER || !machine || fencing_token < core->lead.base_term)
         return;
     machine->direct_in_flight = false;
-    bd_metrics_time(core->metrics, BD_TIMING_DIRECT,
-                    bd_between(machine->direct_sent_at, core->now));
+    bd_metrics_record_duration(core->metrics, BD_TIMING_DIRECT_COMMAND,
+                               bd_seconds_between(machine->direct_sent_at, core->now));
     if (status == BD_DIRECT_NOT_SENT) {
         command_not_sent(core, machine, launch);
         return;
@@ -133,6 +133,6 @@
         return;
     }
     back_off(core, machine);
-    if (launch && fencing_token > machine->late_launch_token)
-        machine->late_launch_token = fencing_token;
+    if (launch && fencing_token > machine->unanswered_launch_token)
+        machine->unanswered_launch_token = fencing_token;
 }
--- a/src/workers/forwarding.c
+++ b/src/workers/forwarding.c
@@ -61,7 +61,7 @@
 {
     return core->peers[peer].flags & BD_PEER_KV_REACHABLE &&
            core->peers[peer].flags & BD_PEER_HEARS_LEADER &&
-           bd_between(core->peers[peer].heard, core->now) <= BD_PEER_SILENT_S;
+           bd_seconds_between(core->peers[peer].heard, core->now) <= BD_PEER_SILENT_S;
 }
 
 /* A controller that hears the leader whom we do not hear, one of our own zone first; or -1. */
@@ -96,11 +96,11 @@
 
 void bd_heartbeat_free(struct bd_heartbeat *heartbeat)
 {
-    bd_wire_heartbeat_release(heartbeat);
+    bd_wire_release_heartbeat(heartbeat);
     free(heartbeat);
 }
 
-static void free_forward(struct bd_forward *forward)
+static void free_forward(struct bd_forwarded_heartbeat *forward)
 {
     bd_heartbeat_free(forward->heartbeat);
     free(forward);
@@ -109,7 +109,7 @@
 static int count_in_flight(const struct bd_core *core)
 {
     int n = 0;
-    for (const struct bd_forward *forward = core->forwarding.waiting; forward;
+    for (const struct bd_forwarded_heartbeat *forward = core->forwarding.waiting; forward;
          forward = forward->next)
         n++;
     return n;
@@ -124,13 +124,13 @@
     int in_flight_max = sockets > IN_FLIGHT_MIN ? sockets : IN_FLIGHT_MIN;
     if (peer < 0 || count_in_flight(core) >= in_flight_max)
         return false;
-    struct bd_forward *forward = calloc(1, sizeof *forward);
+    struct bd_forwarded_heartbeat *forward = calloc(1, sizeof *forward);
     if (!forward)
         return false;
     forward->id = ++core->forwarding.last_id;
     forward->request = request;
     forward->heartbeat = bd_heartbeat_copy(heartbeat);
-    forward->until = bd_add(core->now, bd_secs(REPLY_TIMEOUT_S));
+    forward->until = bd_time_add(core->now, bd_secs(REPLY_TIMEOUT_S));
     forward->next = core->forwarding.waiting;
     core->forwarding.waiting = forward;
     struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_FORWARD_HEARTBEAT);
@@ -153,8 +153,8 @@
         return true;
     if (core->peers[leader].flags & BD_PEER_INBOUND_PARTITION)
         forwarding->inbound_partition_until =
-            bd_add(core->now, bd_secs(INBOUND_PARTITION_MEMORY_S));
-    if (bd_before(core->now, forwarding->inbound_partition_until))
+            bd_time_add(core->now, bd_secs(INBOUND_PARTITION_MEMORY_S));
+    if (bd_time_is_before(core->now, forwarding->inbound_partition_until))
         return true;
     return strcmp(heartbeat->zone, core->settings->zone) == 0 &&
            (!bd_peer_is_local(core, leader) || bd_forward_is_zone_silent(core));
@@ -182,11 +182,11 @@
 /* ---- replies and timeouts ---- */
 
 /* The leader did not reply to it in time, or did not accept it. */
-static void fall_back(struct bd_core *core, struct bd_forward *forward)
+static void fall_back(struct bd_core *core, struct bd_forwarded_heartbeat *forward)
 {
     const struct bd_remote *remote = forward->request;
     if (remote && remote->remote) { /* the controller that forwarded it to us decides */
-        bd_effect_reply(core, forward->request, 421, bd_wire_redirect(""), 0);
+        bd_effect_reply(core, forward->request, 421, bd_wire_write_redirect(""), 0);
         return;
     }
     if (core->role == BD_FOLLOWER &&
@@ -198,10 +198,10 @@
 void bd_forward_reply_received(struct bd_core *core, uint64_t id, int status, const char *body,
                                size_t len)
 {
-    struct bd_forward **at = &core->forwarding.waiting;
+    struct bd_forwarded_heartbeat **at = &core->forwarding.waiting;
     while (*at && (*at)->id != id)
         at = &(*at)->next;
-    struct bd_forward *forward = *at;
+    struct bd_forwarded_heartbeat *forward = *at;
     if (!forward)
         return; /* it timed out, and the worker was answered otherwise */
     *at = forward->next;
@@ -214,10 +214,10 @@
 
 void bd_forward_tick(struct bd_core *core)
 {
-    struct bd_forward **at = &core->forwarding.waiting;
+    struct bd_forwarded_heartbeat **at = &core->forwarding.waiting;
     while (*at) {
-        struct bd_forward *forward = *at;
-        if (bd_before(core->now, forward->until)) {
+        struct bd_forwarded_heartbeat *forward = *at;
+        if (bd_time_is_before(core->now, forward->until)) {
             at = &forward->next;
             continue;
         }
@@ -230,7 +230,7 @@
 void bd_forwards_free(struct bd_core *core)
 {
     while (core->forwarding.waiting) {
-        struct bd_forward *forward = core->forwarding.waiting;
+        struct bd_forwarded_heartbeat *forward = core->forwarding.waiting;
         struct bd_remote *remote = forward->request;
         core->forwarding.waiting = forward->next;
         if (remote && remote->remote)
--- a/src/workers/heartbeat_tasks.c
+++ b/src/workers/heartbeat_tasks.c
@@ -37,12 +37,12 @@
                            const struct bd_reported_task *reported,
                            struct bd_command_list *commands)
 {
-    if (reported->attempt <= core->lead.fenced_attempt &&
+    if (reported->attempt <= core->lead.last_fenced_attempt &&
         heartbeat->fencing_token >= core->lead.term)
         bd_commands_append(commands, BD_COMMAND_FORGET, reported->job, reported->task,
                            reported->attempt, 0);
-    else if (core->lead.withheld++ == 0)
-        core->lead.withheld_at = core->now;
+    else if (core->lead.nresults_withheld++ == 0)
+        core->lead.results_withheld_since = core->now;
 }
 
 static void halt_attempt(const struct bd_reported_task *reported, struct bd_command_list *commands)
@@ -55,7 +55,7 @@
 {
     if (!task->started_at)
         return;
-    uint32_t run_tenths = bd_tenths(core->now) - task->started_at;
+    uint32_t run_tenths = bd_steady_tenths(core->now) - task->started_at;
     job->longest_run = run_tenths > job->longest_run ? run_tenths : job->longest_run;
     job->runs++;
 }
@@ -75,7 +75,7 @@
         }
         record_run(core, job, task);
     }
-    bd_task_done(core, job, reported->task);
+    bd_task_complete(core, job, reported->task);
     if (task->flags & BD_TASK_FLAG_RECEIPT_COMMITTED)
         forget_attempt(core, heartbeat, reported, commands);
 }
@@ -120,8 +120,8 @@
     /* one reconciled after a failover began earlier, at a time that is not known */
     bool is_start_known = task->state == BD_TASK_LAUNCHING || task->state == BD_TASK_CONFIRMED;
     job->last_started_at = core->now;
-    bd_remember_image(core, machine, &job->spec, true);
-    task->started_at = is_start_known ? bd_tenths(core->now) : 0;
+    bd_machine_use_image(core, machine, &job->spec, true);
+    task->started_at = is_start_known ? bd_steady_tenths(core->now) : 0;
 }
 
 static void confirm_task(struct bd_core *core, struct bd_job *job,
@@ -130,11 +130,11 @@
     struct bd_task *task = &job->tasks[reported->task];
     uint8_t flags = task->flags;
     /* by way of pending, so that the sums see the new execution state */
-    bd_task_set(core, job, reported->task, BD_TASK_PENDING);
+    bd_task_set_state(core, job, reported->task, BD_TASK_PENDING);
     task->execution = (uint8_t)reported->execution;
-    bd_task_set(core, job, reported->task, BD_TASK_CONFIRMED);
+    bd_task_set_state(core, job, reported->task, BD_TASK_CONFIRMED);
     task->flags = flags | BD_TASK_FLAG_LAUNCH_SENT;
-    bd_ledger_task(core, job, reported->task);
+    bd_ledger_update_task(core, job, reported->task);
 }
 
 static void reconcile_running_task(struct bd_core *core, struct bd_machine *machine,
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -25,8 +25,8 @@
                             const struct bd_heartbeat *heartbeat)
 {
     snprintf(machine->addr, sizeof machine->addr, "%s", heartbeat->addr);
-    machine->type = bd_type_index(core, heartbeat->type);
-    machine->zone = bd_zone_index(core, heartbeat->zone);
+    machine->type = bd_type_find_or_add(core, heartbeat->type);
+    machine->zone = bd_zone_find_or_add(core, heartbeat->zone);
     machine->spot = heartbeat->spot;
     machine->notice_left = heartbeat->notice;
 }
@@ -43,12 +43,13 @@
 static void begin_incarnation(struct bd_core *core, struct bd_machine *machine)
 {
     if (machine->fenced)
-        bd_machine_lease_expired(core, machine, BD_RELEASE_NEW_INCARNATION);
-    machine->asked_seq = 0;
+        bd_machine_release_reservations(core, machine, BD_RELEASE_NEW_INCARNATION);
+    machine->received_seq = 0;
     /* the lease of the old one expired, so replies may not reach it */
     machine->outbound_partition = true;
     /* the lease of the new one began now at the latest, even if no heartbeat is ever answered */
-    machine->lease_expires_at = bd_max(machine->lease_expires_at, bd_lease_expiry(core, core->now));
+    machine->lease_expires_at =
+        bd_time_max(machine->lease_expires_at, bd_lease_expiry(core, core->now));
 }
 
 static void record_heard(struct bd_core *core, struct bd_machine *machine,
@@ -57,7 +58,7 @@
     machine->incarnation = heartbeat->incarnation;
     machine->seq = heartbeat->seq;
     machine->fencing_token = heartbeat->fencing_token;
-    if (bd_between(machine->heard, core->now) >
+    if (bd_seconds_between(machine->heard, core->now) >
         GAP_INTERVALS * bd_to_secs(core->settings->heartbeat_interval))
         machine->steady = core->now;
     machine->heard = core->now;
@@ -77,8 +78,8 @@
     if (!machine->fenced)
         core->lead.cycle_wanted = true;
     machine->fenced = true;
-    if (machine->late_launch_token && heartbeat->fencing_token > machine->late_launch_token &&
-        !machine->direct_in_flight)
+    if (machine->unanswered_launch_token &&
+        heartbeat->fencing_token > machine->unanswered_launch_token && !machine->direct_in_flight)
         bd_machine_exclude_late_launches(machine);
     bd_heartbeat_reconcile_tasks(core, machine, heartbeat, commands);
     return true;
@@ -87,12 +88,12 @@
 /* Logs the first reply of our term, and the first since the machine has seen the term. */
 static void log_first_reply(struct bd_core *core, struct bd_machine *machine)
 {
-    if (machine->answered && (machine->answered_seen || !machine->fenced))
+    if (machine->answered && (machine->answered_since_fenced || !machine->fenced))
         return;
     bd_decision_log_machine(core, "lease_renewed", machine,
                             machine->fenced ? "by=leader fenced=yes" : "by=leader fenced=no");
     machine->answered = true;
-    machine->answered_seen = machine->fenced;
+    machine->answered_since_fenced = machine->fenced;
 }
 
 static void reply_to_heartbeat(struct bd_core *core, void *request, struct bd_machine *machine,
@@ -105,7 +106,7 @@
     machine->lease_expires_at = bd_lease_expiry(core, core->now);
     if (!machine->fenced) /* if this reply is lost, an earlier term may still renew its lease */
         machine->lease_expires_at =
-            bd_max(machine->lease_expires_at, core->lead.earlier_leases_expire_at);
+            bd_time_max(machine->lease_expires_at, core->lead.earlier_leases_expire_at);
     bd_commands_reply(core, request, heartbeat, commands, core->lead.term);
 }
 
@@ -117,7 +118,8 @@
            (machine->expired_incarnation &&
             heartbeat->incarnation <= machine->expired_incarnation) ||
            heartbeat->incarnation < machine->incarnation ||
-           (heartbeat->incarnation == machine->incarnation && heartbeat->seq <= machine->asked_seq);
+           (heartbeat->incarnation == machine->incarnation &&
+            heartbeat->seq <= machine->received_seq);
 }
 
 static void accept_heartbeat(struct bd_core *core, void *request, struct bd_machine *machine,
@@ -128,7 +130,7 @@
     bd_machine_settle_last_reply(machine);
     if (bd_heartbeat_apply(core, machine, heartbeat, &commands))
         machine->direct = via == BD_VIA_NO_PEER;
-    machine->asked_seq = heartbeat->seq;
+    machine->received_seq = heartbeat->seq;
     machine->asked = core->now;
     if (!bd_leadership_lease_valid(core))
         commands.count = 0;
@@ -145,18 +147,19 @@
         /* it would ignore our reply, and stay here until its lease expires */
         if (!bd_leadership_lease_valid(core))
             bd_leadership_lost(core);
-        bd_effect_reply(core, request, 421, bd_wire_redirect(""), 0);
+        bd_effect_reply(core, request, 421, bd_wire_write_redirect(""), 0);
         return;
     }
-    struct bd_machine *machine = bd_machine_get(core, heartbeat->machine);
+    struct bd_machine *machine = bd_machine_find_or_add(core, heartbeat->machine);
     if (is_copy(machine, heartbeat)) { /* no sign of life: it renews no lease */
-        bd_effect_reply(core, request, 503, bd_wire_redirect(""), 0);
+        bd_effect_reply(core, request, 503, bd_wire_write_redirect(""), 0);
         return;
     }
     bool is_direct = via == BD_VIA_NO_PEER;
     int peer = is_direct ? bd_redirect_zone_peer(core, machine, heartbeat) : -1;
     if (peer >= 0) {
-        bd_effect_reply(core, request, 421, bd_wire_redirect(core->settings->peers[peer].name), 0);
+        bd_effect_reply(core, request, 421,
+                        bd_wire_write_redirect(core->settings->peers[peer].name), 0);
         return;
     }
     if (is_direct && machine->delegated)
@@ -190,7 +193,7 @@
     if (bd_leadership_may_reply(core))
         receive_as_leader(core, request, heartbeat, peer);
     else if (!bd_forward_relay(core, request, heartbeat, body, len))
-        bd_effect_reply(core, request, 421, bd_wire_redirect(""), 0);
+        bd_effect_reply(core, request, 421, bd_wire_write_redirect(""), 0);
 }
 
 void bd_worker_heartbeat_forwarded(struct bd_core *core, const char *peer, uint64_t id,
--- a/src/workers/lease_expiry.c
+++ b/src/workers/lease_expiry.c
@@ -16,8 +16,8 @@
  * that none did. */
 static bool has_expired(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return !bd_before(core->now, machine->lease_expires_at) && !machine->delegated &&
-           !bd_before(core->delegates.read_at, machine->lease_expires_at);
+    return !bd_time_is_before(core->now, machine->lease_expires_at) && !machine->delegated &&
+           !bd_time_is_before(core->delegates.read_at, machine->lease_expires_at);
 }
 
 static void expire_lease(struct bd_core *core, struct bd_machine *machine)
@@ -26,13 +26,13 @@
                  machine->nreservations);
     machine->expired_incarnation = machine->incarnation;
     machine->fenced = false;
-    bd_machine_lease_expired(core, machine, BD_RELEASE_LEASE_EXPIRED);
-    machine->lease_expires_at = bd_add(core->now, bd_secs(RECHECK_S));
+    bd_machine_release_reservations(core, machine, BD_RELEASE_LEASE_EXPIRED);
+    machine->lease_expires_at = bd_time_add(core->now, bd_secs(RECHECK_S));
 }
 
 void bd_workers_expire_leases(struct bd_core *core)
 {
-    bool may_be_autonomous_by_zone[BD_MAX_ZONES];
+    bool may_be_autonomous_by_zone[BD_ZONES_MAX];
     bd_autonomous_zones_detect(core, may_be_autonomous_by_zone);
     for (uint32_t i = 0; i < core->nmachines; i++) {
         struct bd_machine *machine = core->by_index[i];
@@ -40,7 +40,7 @@
             continue;
         if (bd_autonomous_zone_may_have_renewed(core, machine, may_be_autonomous_by_zone))
             machine->lease_expires_at =
-                bd_max(machine->lease_expires_at, bd_lease_expiry(core, core->now));
+                bd_time_max(machine->lease_expires_at, bd_lease_expiry(core, core->now));
         if (has_expired(core, machine))
             expire_lease(core, machine);
     }
--- a/src/workers/machine_health.c
+++ b/src/workers/machine_health.c
@@ -50,7 +50,7 @@
     for (uint32_t failure = 2; failure < job->errors && pause_s < RETRY_PAUSE_MAX_S; failure++)
         pause_s *= 2;
     pause_s = pause_s < RETRY_PAUSE_MAX_S ? pause_s : RETRY_PAUSE_MAX_S;
-    job->hold_until = bd_add(core->now, bd_secs(pause_s));
+    job->hold_until = bd_time_add(core->now, bd_secs(pause_s));
 }
 
 void bd_machine_record_exit(struct bd_core *core, struct bd_machine *machine, struct bd_job *job,
@@ -60,9 +60,9 @@
         record_task_failure(core, machine, job);
         back_off_failing_job(core, machine, job);
     } else if (reason == BD_EXIT_NO_CAPACITY || reason == BD_EXIT_BUSY) {
-        machine->refuse_until = bd_add(core->now, bd_secs(REFUSAL_PAUSE_S));
+        machine->refuse_until = bd_time_add(core->now, bd_secs(REFUSAL_PAUSE_S));
     } else if (reason == BD_EXIT_UNKNOWN) {
-        job->hold_until = bd_add(core->now, bd_secs(RETRY_PAUSE_MIN_S));
+        job->hold_until = bd_time_add(core->now, bd_secs(RETRY_PAUSE_MIN_S));
     }
 }
 
@@ -84,7 +84,7 @@
     if (!has_comparable_runs(job, task))
         return false;
     struct timespec started = bd_secs(task->started_at / 10.0);
-    uint32_t run_tenths = bd_tenths(bd_max(machine->heard, started)) - task->started_at;
+    uint32_t run_tenths = bd_steady_tenths(bd_time_max(machine->heard, started)) - task->started_at;
     if (run_tenths <= SLOW_RUN_FACTOR * job->longest_run + SLOW_RUN_EXTRA_TENTHS)
         return false;
     bd_log_write(core->log, BD_LOG_DEBUG, "%s on %s runs for %.1f s, of %u others none over %.1f s",
@@ -98,7 +98,7 @@
     if (machine->gone || machine->quarantined || !machine->fenced)
         return;
     /* a heartbeat that was delayed shows tasks running that ended long ago */
-    if (bd_between(machine->steady, machine->heard) <
+    if (bd_seconds_between(machine->steady, machine->heard) <
         SLOW_HEARD_INTERVALS * bd_to_secs(core->settings->heartbeat_interval))
         return;
     for (uint32_t i = 0; i < machine->nreservations; i++) {
--- a/src/workers/partition_detection.c
+++ b/src/workers/partition_detection.c
@@ -18,14 +18,14 @@
 void bd_machine_detect_outbound_partition(struct bd_machine *machine,
                                           const struct bd_heartbeat *heartbeat, int via)
 {
-    bool is_next = heartbeat->incarnation == machine->incarnation && machine->asked_seq &&
-                   heartbeat->seq == machine->asked_seq + 1;
+    bool is_next = heartbeat->incarnation == machine->incarnation && machine->received_seq &&
+                   heartbeat->seq == machine->received_seq + 1;
     if (is_next && via == machine->via) {
         machine->outbound_partition = false;
-        machine->misrouted = 0;
+        machine->unheard_replies = 0;
     } else if (is_next) {
         machine->outbound_partition =
-            machine->outbound_partition || ++machine->misrouted >= UNHEARD_REPLIES_MAX;
+            machine->outbound_partition || ++machine->unheard_replies >= UNHEARD_REPLIES_MAX;
     }
     machine->via = via;
 }
@@ -43,13 +43,13 @@
     core->lead.outbound_partition_is_ours = partitioned > OUTBOUND_PARTITION_SHARE * known;
 }
 
-void bd_forward_listen(struct bd_core *core)
+void bd_machines_detect_inbound_partition(struct bd_core *core)
 {
     uint32_t known = 0, silent = 0;
     double late_s = LATE_INTERVALS * bd_to_secs(core->settings->heartbeat_interval) + LATE_EXTRA_S;
     for (uint32_t i = 0; i < core->nmachines; i++) {
         const struct bd_machine *machine = core->by_index[i];
-        double silent_s = bd_between(machine->heard, core->now);
+        double silent_s = bd_seconds_between(machine->heard, core->now);
         if (machine->gone || !machine->direct ||
             silent_s > late_s + bd_to_secs(core->settings->lease))
             continue;
--- a/src/workers/worker_redirects.c
+++ b/src/workers/worker_redirects.c
@@ -27,7 +27,7 @@
     if (!worker)
         return false;
     double limit_s = worker->has_returned ? RETURNED_MEMORY_S : RETURN_S;
-    if (bd_between(worker->at, core->now) > limit_s) {
+    if (bd_seconds_between(worker->at, core->now) > limit_s) {
         HASH_DEL(core->forwarding.redirected, worker);
         free(worker);
         return false;
@@ -71,10 +71,11 @@
     bool is_known = bd_forward_other_leads(core);
     if (is_known)
         remember_redirect(core, heartbeat->machine);
-    bd_effect_reply(core, request, 421, bd_wire_redirect(is_known ? core->leader_name : ""), 0);
+    bd_effect_reply(core, request, 421, bd_wire_write_redirect(is_known ? core->leader_name : ""),
+                    0);
 }
 
-void bd_forward_end(struct bd_core *core)
+void bd_redirects_free(struct bd_core *core)
 {
     struct bd_redirected_worker *worker, *next;
     HASH_ITER(hh, core->forwarding.redirected, worker, next)
@@ -93,8 +94,8 @@
                          const char *zone)
 {
     bool was_redirected_lately =
-        !bd_is_zero(machine->redirected) &&
-        bd_between(machine->redirected, core->now) < ZONE_REDIRECT_INTERVAL_S;
+        !bd_time_is_zero(machine->redirected) &&
+        bd_seconds_between(machine->redirected, core->now) < ZONE_REDIRECT_INTERVAL_S;
     bool is_served_best_here =
         strcmp(zone, core->settings->zone) == 0 && !bd_forward_is_zone_silent(core);
     return !is_served_best_here && bd_leadership_lease_valid(core) && !was_redirected_lately;
--- a/src/workers/workers.h
+++ b/src/workers/workers.h
@@ -38,7 +38,7 @@
 void bd_machines_detect_outbound_partition(struct bd_core *core);
 /* As leader: whether most of the machines that reported to us directly are silent at once. They do
  * not fail together; more likely we are cut off from them. */
-void bd_forward_listen(struct bd_core *core);
+void bd_machines_detect_inbound_partition(struct bd_core *core);
 /* As leader: releases what machines with expired leases held. */
 void bd_workers_expire_leases(struct bd_core *core);
 
@@ -58,10 +58,10 @@
 void bd_delegate_tick(struct bd_core *core);
 /* The leader's key was read. dismissed: it names us among the delegates that are not needed;
  * revision: the key's; sent: when the read was sent. */
-void bd_delegate_dismissed(struct bd_core *core, bool dismissed, uint64_t revision,
-                           struct timespec sent);
+void bd_delegate_dismissal_observed(struct bd_core *core, bool dismissed, uint64_t revision,
+                                    struct timespec sent);
 /* As leader: the names of delegates that are not needed, for our key. The caller owns the list. */
-json_t *bd_delegates_dismissed(const struct bd_core *core);
+json_t *bd_delegates_list_dismissed(const struct bd_core *core);
 /* Ends our part as a delegate, as when we lead: heartbeats that wait are answered or redirected. */
 void bd_delegate_end(struct bd_core *core);
 /* As leader: the controllers' records were read. pairs: borrowed; sent: when the read was sent. */
--- a/src/workers/workers_internal.h
+++ b/src/workers/workers_internal.h
@@ -114,7 +114,7 @@
 bool bd_delegate_probe_leader(struct bd_core *core, const struct bd_heartbeat *heartbeat);
 
 /* Frees what is known of redirected workers. */
-void bd_forward_end(struct bd_core *core);
+void bd_redirects_free(struct bd_core *core);
 /* Frees a heartbeat and its tasks. */
 void bd_heartbeat_free(struct bd_heartbeat *heartbeat);
 /* Forgets all machines that we answered for the leader. */
--- a/tests/decision_log.c
+++ b/tests/decision_log.c
@@ -65,18 +65,18 @@
 
 static void rate(struct bd_core *core, struct timespec now, int fd)
 {
-    bd_core_set_clock(core, bd_add(now, bd_secs(100)), 1100);
+    bd_core_set_clock(core, bd_time_add(now, bd_secs(100)), 1100);
     for (int i = 0; i < 5000; i++)
         bd_decision_log_note(core, "lease_renewed", "n=%d", i);
     check("no more lines at once than the bound",
           lines_with(written(fd), "event=lease_renewed") == 400);
-    bd_core_set_clock(core, bd_add(now, bd_secs(100.5)), 1100.5);
+    bd_core_set_clock(core, bd_time_add(now, bd_secs(100.5)), 1100.5);
     bd_decision_log_note(core, "lease_renewed", "n=early");
     check("after that, no line before a second's are free", *written(fd) == '\0');
     bd_decision_log_term(core, "term_acquired", "term=7");
     check("who leads is always written",
           strstr(written(fd), "event=term_acquired term=7\n") != NULL);
-    bd_core_set_clock(core, bd_add(now, bd_secs(101.1)), 1101.1);
+    bd_core_set_clock(core, bd_time_add(now, bd_secs(101.1)), 1101.1);
     bd_decision_log_note(core, "lease_renewed", "n=last");
     check("how many were left out is said",
           strstr(written(fd), "event=suppressed lines=4601\n") != NULL);
--- a/tests/direct_commands.c
+++ b/tests/direct_commands.c
@@ -72,7 +72,7 @@
     node->settings.max_sockets = 400;
     node->log = (struct bd_log){BD_LOG_ERROR, "node-0"};
     node->metrics = bd_metrics_new();
-    if (!node->metrics || bd_http_start() != 0 || bd_queue_init(&node->events, 4096) != 0 ||
+    if (!node->metrics || bd_http_global_init() != 0 || bd_queue_init(&node->events, 4096) != 0 ||
         bd_worker_client_start(node) != 0)
         abort();
     return node;
@@ -86,7 +86,7 @@
     effect->kind = BD_EFFECT_DIRECT_COMMAND;
     effect->machine = number;
     effect->launch = true;
-    effect->until = bd_add(bd_now(), bd_secs(deadline_s));
+    effect->until = bd_time_add(bd_now(), bd_secs(deadline_s));
     effect->body = strdup("{}");
     snprintf(effect->addr, sizeof effect->addr, "127.0.0.1:%d", port);
     bd_worker_client_send(node, effect);
@@ -95,9 +95,9 @@
 /* Takes the owner's events, until `max` came or OVERTIME_MAX_S passed. */
 static int take_events(struct bd_node *node, int max, int *not_sent)
 {
-    struct timespec end = bd_add(bd_now(), bd_secs(OVERTIME_MAX_S));
+    struct timespec end = bd_time_add(bd_now(), bd_secs(OVERTIME_MAX_S));
     int got = 0;
-    while (got < max && bd_before(bd_now(), end)) {
+    while (got < max && bd_time_is_before(bd_now(), end)) {
         void *item;
         if (bd_queue_take(&node->events, &item, 1, end) == 0)
             continue;
--- a/tests/drain_profile.c
+++ b/tests/drain_profile.c
@@ -40,7 +40,7 @@
     for (int half = 0; !fleet_drain_is_over(&fleet) && fleet.now < started + OVERTIME_MAX_S; half++)
         fleet_half_second(&fleet, half);
     uint32_t down, up, steps = fleet.core->drains->steps;
-    bd_ledger_count(fleet.core, "team-0", "", &down, &up);
+    bd_ledger_get_counts(fleet.core, "team-0", "", &down, &up);
     printf("%u of %u machines, %.0f%%, %u in a step: %s%.0f s, %u times told, at most %u and %u of "
            "%u replicas of a team down\n",
            drained, 2 * drained, per_cent, in_step,
@@ -67,7 +67,7 @@
                              fleet.core->replica.store_revision, fleet.core->now, false, true);
         for (uint32_t i = 0; i < fleet.machines; i++)
             fleet_heartbeat(&fleet, i);
-        fleet.core->lead.next_autoscaling = bd_add(fleet.core->now, bd_secs(1000));
+        fleet.core->lead.next_autoscaling = bd_time_add(fleet.core->now, bd_secs(1000));
         CALLGRIND_TOGGLE_COLLECT;
         bd_core_tick(fleet.core);
         CALLGRIND_TOGGLE_COLLECT;
--- a/tests/drain_profile_choice.c
+++ b/tests/drain_profile_choice.c
@@ -23,7 +23,7 @@
         uint32_t team = (uint32_t)gsl_rng_uniform_int(rng, CHOICE_TEAMS);
         for (uint32_t k = 0; k < candidate->nneeds; k++) {
             uint32_t tasks = 1 + (uint32_t)gsl_rng_uniform_int(rng, 7);
-            candidate->needs[k] = (struct bd_need){(team + k) % CHOICE_TEAMS, tasks, 1};
+            candidate->needs[k] = (struct bd_budget_need){(team + k) % CHOICE_TEAMS, tasks, 1};
             candidate->tasks += tasks;
         }
         candidate->moves.cpus = candidate->moves.mem = candidate->tasks;
@@ -50,10 +50,10 @@
 /* The machines of one step. False: the solver gave up, and the choice is the greedy one. */
 static bool choose(const struct bd_step_problem *problem, bool is_solver, roaring_bitmap_t *chosen)
 {
-    bool is_solved = is_solver && bd_steps_solve(problem, chosen);
+    bool is_solved = is_solver && bd_step_choose_by_solver(problem, chosen);
     if (!is_solved) {
         roaring_bitmap_clear(chosen);
-        bd_steps_greedy(problem, chosen);
+        bd_step_choose_greedy(problem, chosen);
     }
     if (!is_allowed(problem, chosen)) {
         fprintf(stderr, "a choice breaks a limit\n");
@@ -67,7 +67,7 @@
 static uint32_t count_steps(const struct bd_candidate *drawn, uint32_t count, bool is_solver,
                             double *seconds, uint32_t *given_up)
 {
-    static const bool apart[BD_MAX_ZONES][BD_MAX_ZONES] = {{false, true}, {true, false}};
+    static const bool apart[BD_ZONES_MAX][BD_ZONES_MAX] = {{false, true}, {true, false}};
     uint32_t left[CHOICE_TEAMS], steps = 0, remaining = count;
     struct bd_candidate *candidates = malloc(count * sizeof *candidates);
     if (!candidates)
--- a/tests/drain_profile_fleet.c
+++ b/tests/drain_profile_fleet.c
@@ -55,7 +55,7 @@
             continue;
         struct bd_reported_task *seen = &tasks[heartbeat->n++];
         bool stops = task->flags & BD_TASK_FLAG_STOP_REQUESTED;
-        bool begins = bd_between(job->last_placed_at, fleet->core->now) < START_S;
+        bool begins = bd_seconds_between(job->last_placed_at, fleet->core->now) < START_S;
         snprintf(seen->job, sizeof seen->job, "%s", job->id);
         seen->task = machine->reservations[k].task;
         seen->attempt = task->attempt;
@@ -72,7 +72,7 @@
     struct bd_heartbeat heartbeat;
     struct bd_reported_task tasks[REPORTED_TASKS_MAX];
     struct bd_machine *machine = NULL;
-    char id[BD_LABEL];
+    char id[BD_LABEL_BYTES];
     snprintf(id, sizeof id, "vm-%06u", number);
     HASH_FIND_STR(fleet->core->machines, id, machine);
     if (machine && machine->gone)
@@ -96,9 +96,9 @@
                                                effect->launch, 200, &heartbeat);
         } else if (effect->kind == BD_EFFECT_SCALE_IN) {
             json_t *request = json_loads(effect->body, 0, NULL);
-            char names[RETURNED_MAX][BD_LABEL];
+            char names[RETURNED_MAX][BD_LABEL_BYTES];
             bd_scale_in_completed(fleet->core, names,
-                                  bd_wire_machine_names(request, names, RETURNED_MAX), true);
+                                  bd_wire_read_machine_names(request, names, RETURNED_MAX), true);
             json_decref(request);
         }
         bd_effect_free(effect);
@@ -113,7 +113,7 @@
     bd_delegate_records_read(fleet->core, NULL, fleet->core->now);
     bd_replica_refreshed(fleet->core, fleet->core->replica.store_revision,
                          fleet->core->replica.store_revision, fleet->core->now,
-                         fleet->core->replica.barrier_out, true);
+                         fleet->core->replica.barrier_in_flight, true);
     for (uint32_t i = (uint32_t)half % 4; i < fleet->machines; i += 4)
         fleet_heartbeat(fleet, i);
     bd_core_tick(fleet->core);
@@ -122,19 +122,19 @@
     fleet_answer_effects(fleet);
     for (int team = 0; team < TEAMS; team++) {
         uint32_t down, up;
-        bd_ledger_count(fleet->core, fleet->settings.teams[team].name, "", &down, &up);
+        bd_ledger_get_counts(fleet->core, fleet->settings.teams[team].name, "", &down, &up);
         fleet->most_down[team] = down > fleet->most_down[team] ? down : fleet->most_down[team];
     }
 }
 
 static void add_service(struct fleet *fleet, uint32_t number)
 {
-    struct bd_record record = {.state = BD_JOB_ACTIVE,
-                               .at = 1000,
-                               .has_spec = true,
-                               .tasks = JOB_TASKS,
-                               .spec = {.ntypes = -1}};
-    char key[BD_LABEL];
+    struct bd_job_record record = {.state = BD_JOB_ACTIVE,
+                                   .at = 1000,
+                                   .has_spec = true,
+                                   .tasks = JOB_TASKS,
+                                   .spec = {.ntypes = -1}};
+    char key[BD_LABEL_BYTES];
     snprintf(key, sizeof key, "j/job-%06u", number);
     snprintf(record.spec.job_class, sizeof record.spec.job_class, "web");
     snprintf(record.spec.team, sizeof record.spec.team, "team-%u", number % TEAMS);
@@ -144,7 +144,7 @@
     record.spec.tasks = JOB_TASKS;
     record.spec.cpus = record.spec.mem = 1;
     record.spec.deadline_s = -1;
-    json_t *value = bd_wire_record(&record);
+    json_t *value = bd_wire_write_record(&record);
     struct bd_change change = {key, value, ++fleet->revision};
     bd_replica_apply(fleet->core, &change);
     json_decref(value);
@@ -156,10 +156,10 @@
     if (!rules)
         abort();
     *rules = (struct bd_drain_rules){.machines_in_step = machines_in_step,
-                                     .stop_s = 60,
+                                     .stop_timeout_s = 60,
                                      .wait_s = 1,
-                                     .replace_s = 60,
-                                     .keep_s = 1e6};
+                                     .replacement_timeout_s = 60,
+                                     .record_retention_s = 1e6};
     rules->budgets[rules->nbudgets++] =
         (struct bd_budget_rule){.per_cent = true, .amount = per_cent};
     fleet->settings.draining = rules;
@@ -173,19 +173,20 @@
     fleet->settings.idle_boots = 1e6; /* idle machines stay */
     fleet->settings.nteams = TEAMS;
     for (int i = 0; i < TEAMS; i++)
-        snprintf(fleet->settings.teams[i].name, BD_NAME, "team-%d", i);
+        snprintf(fleet->settings.teams[i].name, BD_NAME_BYTES, "team-%d", i);
     fleet->log = (struct bd_log){BD_LOG_ERROR, "drain-profile"};
     fleet->machines = machines;
     fleet->core = bd_core_new(&fleet->settings, &fleet->log);
     if (!fleet->core)
         abort();
     fleet_set_time(fleet, 0);
-    struct bd_type_text type = {.label = "small", .cpus = 2 * REPLICAS, .mem = 640, .price = 1};
+    struct bd_machine_type_text type = {
+        .label = "small", .cpus = 2 * REPLICAS, .mem = 640, .price = 1};
     type.spot_price = type.fetch = type.cache_gb = type.boot = 30;
     type.nzones = 2;
-    snprintf(type.zones[0], BD_LABEL, "a");
-    snprintf(type.zones[1], BD_LABEL, "b");
-    bd_inventory_types(fleet->core, &type, 1);
+    snprintf(type.zones[0], BD_LABEL_BYTES, "a");
+    snprintf(type.zones[1], BD_LABEL_BYTES, "b");
+    bd_inventory_types_received(fleet->core, &type, 1);
     bd_replica_listed(fleet->core, 1, fleet->core->now);
     struct bd_acquisition acquisition = {
         .term = 1, .grant = 7, .nonce = "n", .renewed = fleet->core->now};
@@ -194,7 +195,7 @@
     bd_core_leadership_acquired(fleet->core, &acquisition);
     json_decref(acquisition.receipts);
     json_decref(acquisition.intents);
-    bd_inventory_machines(fleet->core, NULL, 0, fleet->core->now);
+    bd_inventory_machines_received(fleet->core, NULL, 0, fleet->core->now);
     fleet->revision = 10;
     for (uint32_t i = 0; i < machines; i++)
         fleet_heartbeat(fleet, i);
@@ -216,22 +217,23 @@
                                      .asked = json_object()};
     struct bd_drain_machine *entries = calloc(machines, sizeof *entries);
     json_t *drains = json_array(), *sets = json_array();
-    uint32_t each = bd_drain_part_machines(&fleet->settings, fleet->settings.kv_value_bytes_max, 9);
-    char key[BD_LABEL];
+    uint32_t each =
+        bd_drain_part_machines_max(&fleet->settings, fleet->settings.kv_value_bytes_max, 9);
+    char key[BD_LABEL_BYTES];
     if (!entries)
         abort();
     for (uint32_t i = 0; i < machines; i++)
-        snprintf(entries[i].id, BD_LABEL, "vm-%06u", i);
+        snprintf(entries[i].id, BD_LABEL_BYTES, "vm-%06u", i);
     for (uint32_t from = 0; from < machines; from += each) {
         uint32_t count = machines - from < each ? machines - from : each;
         bd_drain_part_key(key, sizeof key, record.set, record.parts++);
         json_array_append_new(sets,
                               json_pack("{s:s,s:o,s:i}", "k", key, "value",
-                                        bd_drain_part_value(entries + from, count), "mark", 1));
+                                        bd_drain_part_encode(entries + from, count), "mark", 1));
     }
     json_array_append_new(drains, json_pack("{s:s,s:o,s:i}", "k", BD_DRAIN_KEY "d", "value",
-                                            bd_drain_record_value(&record), "mark", 1));
-    bd_drain_records(fleet->core, drains, sets);
+                                            bd_drain_record_encode(&record), "mark", 1));
+    bd_drain_apply_records(fleet->core, drains, sets);
     json_decref(drains);
     json_decref(sets);
     json_decref(record.asked);
--- a/tests/fake_cloud.c
+++ b/tests/fake_cloud.c
@@ -36,12 +36,12 @@
         const struct fake_worker *worker = &cluster->workers[i];
         if (worker->stop)
             continue;
-        bool failed = worker->dead && bd_between(worker->died, bd_now()) > FAILED_AFTER_S;
-        json_array_append_new(machines,
-                              json_pack("{s:s,s:s,s:s,s:s,s:b,s:s,s:f}", "id", worker->id,
-                                        "endpoint", addr, "breed", "small", "glade", "a",
-                                        "windfall", 0, "mood", failed ? "failed" : "running",
-                                        "heldS", bd_between(worker->provisioned_at, bd_now())));
+        bool failed = worker->dead && bd_seconds_between(worker->died, bd_now()) > FAILED_AFTER_S;
+        json_array_append_new(
+            machines,
+            json_pack("{s:s,s:s,s:s,s:s,s:b,s:s,s:f}", "id", worker->id, "endpoint", addr, "breed",
+                      "small", "glade", "a", "windfall", 0, "mood", failed ? "failed" : "running",
+                      "heldS", bd_seconds_between(worker->provisioned_at, bd_now())));
     }
     return json_pack("{s:o,s:b}", "hearths", machines, "more", 0);
 }
--- a/tests/fake_store.c
+++ b/tests/fake_store.c
@@ -11,7 +11,7 @@
 {
     struct timespec now = bd_now();
     for (int i = 0; i < cluster->ngrants;) {
-        if (bd_before(now, cluster->grants[i].ends)) {
+        if (bd_time_is_before(now, cluster->grants[i].ends)) {
             i++;
             continue;
         }
@@ -50,7 +50,7 @@
 static bool exceeds_rate(struct fake_cluster *cluster, json_t *in)
 {
     struct timespec now = bd_now();
-    if (bd_between(cluster->rate_from, now) >= 1) {
+    if (bd_seconds_between(cluster->rate_from, now) >= 1) {
         cluster->rate_from = now;
         cluster->writes = 0;
     }
@@ -151,7 +151,7 @@
             return 503;
         cluster->grants[cluster->ngrants].id = ++cluster->last_grant;
         cluster->grants[cluster->ngrants].ttl_s = ttl;
-        cluster->grants[cluster->ngrants++].ends = bd_add(bd_now(), bd_secs(ttl));
+        cluster->grants[cluster->ngrants++].ends = bd_time_add(bd_now(), bd_secs(ttl));
         *out = json_pack("{s:I}", "charter", (json_int_t)cluster->last_grant);
         return 200;
     }
@@ -160,7 +160,7 @@
             continue;
         bool ends = strcmp(method, "DELETE") == 0;
         cluster->grants[i].ends =
-            ends ? bd_now() : bd_add(bd_now(), bd_secs(cluster->grants[i].ttl_s));
+            ends ? bd_now() : bd_time_add(bd_now(), bd_secs(cluster->grants[i].ttl_s));
         return 200;
     }
     return 404;
@@ -170,7 +170,7 @@
 {
     for (int i = 0; i < cluster->nlate;) {
         json_t *ignored = NULL;
-        if (bd_before(bd_now(), cluster->late[i].deliver_at)) {
+        if (bd_time_is_before(bd_now(), cluster->late[i].deliver_at)) {
             i++;
             continue;
         }
@@ -193,7 +193,7 @@
 {
     if (draw(cluster, cluster->late_share) && cluster->nlate < LATE_TXNS_MAX) {
         cluster->late[cluster->nlate++] =
-            (struct fake_late_txn){json_incref(in), bd_add(bd_now(), bd_secs(2.5))};
+            (struct fake_late_txn){json_incref(in), bd_time_add(bd_now(), bd_secs(2.5))};
         return NO_ANSWER;
     }
     int status = commit_and_replay(cluster, in, out);
--- a/tests/fake_worker.c
+++ b/tests/fake_worker.c
@@ -88,7 +88,7 @@
         task->attempt = attempt;
         task->state = FAKE_RUNNING;
         task->is_service = strncmp(name, "job-9", 5) == 0; /* the test's services */
-        task->ends = bd_add(bd_now(), bd_secs(RUN_S));
+        task->ends = bd_time_add(bd_now(), bd_secs(RUN_S));
         notify_observer(worker->cluster, FAKE_TASK_RUNS, name);
         return;
     }
@@ -120,7 +120,8 @@
     char addr[32];
     for (int i = 0; i < WORKER_TASKS_MAX; i++) {
         struct fake_task *task = &worker->tasks[i];
-        if (task->state == FAKE_RUNNING && !task->is_service && bd_before(task->ends, now)) {
+        if (task->state == FAKE_RUNNING && !task->is_service &&
+            bd_time_is_before(task->ends, now)) {
             task->state = FAKE_EXITED;
             task->cause = "done";
         }
@@ -180,7 +181,7 @@
 
 static void expire_lease(struct fake_worker *worker)
 {
-    if (bd_between(worker->answered, bd_now()) <= LEASE_S)
+    if (bd_seconds_between(worker->answered, bd_now()) <= LEASE_S)
         return;
     worker->cluster->lease_expiries++;
     worker->incarnation++;
@@ -229,7 +230,7 @@
     struct bd_http *client = bd_http_new(2, NULL);
     int at = 0;
     while (send_heartbeat(worker, client, &at))
-        bd_pause(0.2);
+        bd_sleep(0.2);
     bd_http_free(client);
     return NULL;
 }
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -108,7 +108,7 @@
     if (ok)
         run->seen[node] = run->store_revision;
     bd_replica_refreshed(run->cores[node], after, run->store_revision, run->cores[node]->now,
-                         run->cores[node]->replica.barrier_out, ok);
+                         run->cores[node]->replica.barrier_in_flight, ok);
 }
 
 static void set_clocks(struct graph_run *run)
@@ -137,15 +137,16 @@
 static void start_node(struct graph_run *run, int node)
 {
     static const double cpus = 10000;
-    struct bd_type_text type = {.cpus = cpus, .mem = cpus, .price = 1, .spot_price = 1, .boot = 5};
+    struct bd_machine_type_text type = {
+        .cpus = cpus, .mem = cpus, .price = 1, .spot_price = 1, .boot = 5};
     snprintf(type.label, sizeof type.label, "big");
-    snprintf(type.zones[type.nzones++], BD_LABEL, "a");
+    snprintf(type.zones[type.nzones++], BD_LABEL_BYTES, "a");
     type.fetch = type.cache_gb = 100;
     run->cores[node] = bd_core_new(&run->settings[node], &run->log);
     if (!run->cores[node])
         abort();
     set_clocks(run);
-    bd_inventory_types(run->cores[node], &type, 1);
+    bd_inventory_types_received(run->cores[node], &type, 1);
     unsigned from = run->nkeys ? graph_dice(run, (unsigned)run->nkeys) : 0;
     for (int i = 0; i < run->nkeys; i++) {
         struct graph_key *key = &run->keys[((unsigned)i + from) % (unsigned)run->nkeys];
@@ -320,7 +321,7 @@
     settings->leader_ttl = bd_secs(3);
     snprintf(settings->node, sizeof settings->node, "node-%d", node);
     settings->nteams = 1;
-    snprintf(settings->teams[0].name, BD_NAME, "a");
+    snprintf(settings->teams[0].name, BD_NAME_BYTES, "a");
 }
 
 static int play(unsigned long seed, int *ends, int *cancels)
--- a/tests/graphs_large.c
+++ b/tests/graphs_large.c
@@ -16,15 +16,16 @@
                        uint64_t revision)
 {
     char key[64], name[32];
-    struct bd_record record = {.state = BD_JOB_ACTIVE, .tasks = 1, .at = 1000, .has_spec = true};
+    struct bd_job_record record = {
+        .state = BD_JOB_ACTIVE, .tasks = 1, .at = 1000, .has_spec = true};
     json_t *names = json_array();
     snprintf(key, sizeof key, "j/job-%d", number);
     snprintf(name, sizeof name, "job-%d", parent);
     if (parent >= 0)
         json_array_append_new(names, json_string(name));
-    snprintf(record.spec.job_class, BD_LABEL, "k");
-    snprintf(record.spec.team, BD_LABEL, "a");
-    snprintf(record.spec.image, BD_LABEL, "i");
+    snprintf(record.spec.job_class, BD_LABEL_BYTES, "k");
+    snprintf(record.spec.team, BD_LABEL_BYTES, "a");
+    snprintf(record.spec.image, BD_LABEL_BYTES, "i");
     record.spec.ntypes = -1;
     record.spec.deadline_s = -1;
     record.spec.cpus = 1;
@@ -32,7 +33,7 @@
     record.spec.priority = number == CHAIN_JOBS - 1 ? BD_PRIORITY_HIGH : BD_PRIORITY_IDLE;
     record.parents.names = names;
     record.state = strcmp(state, "cancelled") == 0 ? BD_JOB_CANCELLED : BD_JOB_ACTIVE;
-    json_t *value = bd_wire_record(&record);
+    json_t *value = bd_wire_write_record(&record);
     struct bd_change change = {key, value, revision};
     bd_replica_apply(core, &change);
     json_decref(value);
--- a/tests/graphs_machine.c
+++ b/tests/graphs_machine.c
@@ -61,7 +61,7 @@
         if (!task->used)
             continue;
         struct bd_reported_task *reported = &tasks[heartbeat->n++];
-        (void)bd_wire_task_name(task->name, reported->job, &reported->task);
+        (void)bd_wire_read_task_name(task->name, reported->job, &reported->task);
         reported->attempt = task->attempt;
         reported->execution = task->ended ? BD_EXECUTION_EXITED : BD_EXECUTION_RUNNING;
         reported->exit_reason = !task->ended    ? BD_EXIT_NONE
--- a/tests/inputs_frames.c
+++ b/tests/inputs_frames.c
@@ -9,8 +9,8 @@
 /* Written and read back; cut off at every byte it waits for more. */
 static void status_frame(struct bd_frame *written, struct bd_frame *read)
 {
-    unsigned char bytes[BD_FRAME_MAX];
-    written->type = BD_FRAME_STATUS;
+    unsigned char bytes[BD_FRAME_BYTES_MAX];
+    written->type = BD_FRAME_PEER_STATUS;
     snprintf(written->name, sizeof written->name, "node-7");
     written->term = 0x0102030405060708u;
     written->flags = BD_PEER_KV_REACHABLE;
@@ -35,7 +35,7 @@
             bytes[i] ^= (unsigned char)(1u << bit);
             long used = bd_frame_read(bytes, length, read);
             inputs_check(used <= (long)length &&
-                             read->count <= BD_FRAME_JOBS + 0u + (used < 0 ? 65535u : 0u),
+                             read->count <= BD_FRAME_JOBS_MAX + 0u + (used < 0 ? 65535u : 0u),
                          "a changed frame");
             refused += used < 0;
             bytes[i] ^= (unsigned char)(1u << bit);
@@ -48,12 +48,12 @@
 
 static void progress_frame(struct bd_frame *written, struct bd_frame *read)
 {
-    unsigned char bytes[BD_FRAME_MAX];
-    written->type = BD_FRAME_PROGRESS;
+    unsigned char bytes[BD_FRAME_BYTES_MAX];
+    written->type = BD_FRAME_JOB_PROGRESS;
     written->count = 2;
-    snprintf(written->jobs[0].id, BD_ID, "job-1");
+    snprintf(written->jobs[0].id, BD_ID_BYTES, "job-1");
     written->jobs[0].done = 3;
-    snprintf(written->jobs[1].id, BD_ID, "job-22");
+    snprintf(written->jobs[1].id, BD_ID_BYTES, "job-22");
     written->jobs[1].running = 100000;
     size_t length = bd_frame_write(written, bytes, sizeof bytes);
     inputs_check(length > 0 && bd_frame_read(bytes, length, read) == (long)length &&
@@ -65,15 +65,15 @@
 
 static void text_frames(struct bd_frame *written, struct bd_frame *read)
 {
-    unsigned char bytes[BD_FRAME_MAX];
-    written->type = BD_FRAME_CANCELLED;
+    unsigned char bytes[BD_FRAME_BYTES_MAX];
+    written->type = BD_FRAME_CANCELLATION;
     written->text = "job-23";
     written->len = 6;
     size_t length = bd_frame_write(written, bytes, sizeof bytes);
     inputs_check(length > 0 && bd_frame_read(bytes, length, read) == (long)length &&
                      read->len == 6 && memcmp(read->text, "job-23", 6) == 0,
                  "news of a cancellation survives");
-    written->type = BD_FRAME_ANSWER;
+    written->type = BD_FRAME_HEARTBEAT_REPLY;
     written->id = 77;
     written->status = 421;
     written->text = "{\"steward\":\"node-1\"}";
@@ -104,7 +104,7 @@
 {
     char path[512];
     unsigned char bytes[8192];
-    struct bd_record record;
+    struct bd_job_record record;
     struct bd_frame *frame = calloc(1, sizeof *frame);
     int jobs[3] = {0}, intents = 0, frames = 0;
     json_t *value;
@@ -133,7 +133,7 @@
         (void)fclose(in);
     for (long used = 1; used > 0 && at < length; at += (size_t)(used > 0 ? used : 0)) {
         used = bd_frame_read(bytes + at, length - at, frame);
-        inputs_check(used >= 0 && (used == 0 || frame->type != BD_FRAME_STATUS ||
+        inputs_check(used >= 0 && (used == 0 || frame->type != BD_FRAME_PEER_STATUS ||
                                    (strcmp(frame->name, "node-0") == 0 &&
                                     !(frame->flags & BD_PEER_KNOWS_DAG))),
                      "a frame of production");
--- a/tests/inputs_settings.c
+++ b/tests/inputs_settings.c
@@ -118,7 +118,7 @@
     bad_settings(good, "\"external\": {", "\"external\": [], \"x\": {", "external");
     bad_settings(good, "\"teams\": [", "\"teams\": 3, \"x\": [", "teams");
     char many[4096] = "\"objectives\": [";
-    for (int i = 0; i <= BD_MAX_SLOS; i++) /* one more than the settings can have */
+    for (int i = 0; i <= BD_SLOS_MAX; i++) /* one more than the settings can have */
         strcat(many, "{\"kind\": \"wait\"}, ");
     bad_settings(good, "\"objectives\": [", many, "objectives");
     bad_settings(good, "{", "[", "line");
@@ -136,7 +136,7 @@
         exit(2);
     (void)close(fd);
     write_file(path, text);
-    int status = bd_settings_operator(settings, path, error, capacity);
+    int status = bd_settings_load_operators_file(settings, path, error, capacity);
     (void)unlink(path);
     return status;
 }
--- a/tests/inputs_wire.c
+++ b/tests/inputs_wire.c
@@ -8,10 +8,10 @@
 
 static const char *read_submission(const char *text)
 {
-    char id[BD_ID];
-    struct bd_spec_text spec;
+    char id[BD_ID_BYTES];
+    struct bd_job_spec_text spec;
     json_t *json = json_loads(text, 0, NULL);
-    const char *bad = json ? bd_wire_submission(json, id, &spec) : "body";
+    const char *bad = json ? bd_wire_read_submission(json, id, &spec) : "body";
     json_decref(json);
     return bad;
 }
@@ -77,7 +77,7 @@
                  {"{\"awaits\":[\"job-1234567890123456789\"]}", -1}};
     for (size_t i = 0; i < sizeof forms / sizeof *forms; i++) {
         json_t *submission = json_loads(forms[i].text, 0, NULL), *names = NULL;
-        bool ok = bd_wire_parents(submission, &names);
+        bool ok = bd_wire_read_parents(submission, &names);
         inputs_check(ok == (forms[i].names >= 0) &&
                          json_array_size(names) ==
                              (size_t)(forms[i].names > 0 ? forms[i].names : 0) &&
@@ -92,9 +92,9 @@
 {
     struct bd_heartbeat heartbeat;
     json_t *json = json_loadb(text, length, 0, NULL);
-    bool ok = json && bd_wire_heartbeat(json, &heartbeat);
+    bool ok = json && bd_wire_read_heartbeat(json, &heartbeat);
     if (ok)
-        bd_wire_heartbeat_release(&heartbeat);
+        bd_wire_release_heartbeat(&heartbeat);
     json_decref(json);
     return ok;
 }
@@ -202,8 +202,8 @@
 
 void inputs_records(void)
 {
-    struct bd_record record, back;
-    char id[BD_ID];
+    struct bd_job_record record, back;
+    char id[BD_ID_BYTES];
     json_t *submission =
         json_loads("{\"id\":\"job-1\",\"kin\":\"k\",\"household\":\"t\",\"shape\":\"gang\","
                    "\"rank\":\"high\",\"chores\":3,\"vcpus\":1.5,\"accelerators\":0,"
@@ -212,13 +212,14 @@
                    "\"guessS\":1,\"markS\":2,\"stowS\":3,\"dueS\":null}",
                    0, NULL);
     memset(&record, 0, sizeof record);
-    inputs_check(bd_wire_submission(submission, id, &record.spec) == NULL, "record: submission");
+    inputs_check(bd_wire_read_submission(submission, id, &record.spec) == NULL,
+                 "record: submission");
     json_decref(submission);
     record.state = BD_JOB_ACTIVE;
     record.tasks = 3;
     record.at = 1000.5;
     record.has_spec = true;
-    json_t *value = bd_wire_record(&record);
+    json_t *value = bd_wire_write_record(&record);
     inputs_check(bd_wire_read_record(value, &back) && back.spec.ntypes == 2 && back.tasks == 3 &&
                      back.at == 1000.5 && strcmp(back.spec.zone, "z") == 0 &&
                      back.spec.deadline_s < 0,
@@ -239,22 +240,23 @@
 
 void inputs_cloud(void)
 {
-    struct bd_type_text types[2];
+    struct bd_machine_type_text types[2];
     struct bd_cloud_machine machines[2];
     bool more = false;
     json_t *answer = json_loads("{\"breeds\":[{\"label\":\"x\"},7,{\"label\":\"g\",\"vcpus\":4,"
                                 "\"memGb\":8,\"hourly\":1}]}",
                                 0, NULL);
-    inputs_check(bd_wire_types(answer, types, 2) == 1 && strcmp(types[0].label, "g") == 0,
+    inputs_check(bd_wire_read_machine_types(answer, types, 2) == 1 &&
+                     strcmp(types[0].label, "g") == 0,
                  "types that cannot be read are passed over");
     json_decref(answer);
     answer = json_loads("{\"hearths\":[{\"id\":\"vm-1\"}],\"more\":false}", 0, NULL);
-    inputs_check(bd_wire_machines(answer, machines, 2, &more) == -1,
+    inputs_check(bd_wire_read_machines(answer, machines, 2, &more) == -1,
                  "a list that cannot be read is a failure");
     json_decref(answer);
     answer = json_loads("{}", 0, NULL);
-    inputs_check(bd_wire_types(answer, types, 2) == -1 &&
-                     bd_wire_machines(answer, machines, 2, &more) == -1,
+    inputs_check(bd_wire_read_machine_types(answer, types, 2) == -1 &&
+                     bd_wire_read_machines(answer, machines, 2, &more) == -1,
                  "no list");
     json_decref(answer);
 }
--- a/tests/loopback_drain.c
+++ b/tests/loopback_drain.c
@@ -41,12 +41,12 @@
 static void watch(void *arg, enum fake_task_event event, const char *task)
 {
     struct history *history = arg;
-    char id[BD_ID];
+    char id[BD_ID_BYTES];
     uint32_t number;
-    if (!bd_wire_task_name(task, id, &number) || number_of(id + 4) < FIRST_JOB)
+    if (!bd_wire_read_task_name(task, id, &number) || number_of(id + 4) < FIRST_JOB)
         return;
     int job = number_of(id + 4) - FIRST_JOB;
-    double now = bd_between(history->began, bd_now());
+    double now = bd_seconds_between(history->began, bd_now());
     (void)pthread_mutex_lock(&history->lock);
     if (event == FAKE_TASK_RUNS)
         drain_check_runs(&history->check, job, number, job % 2);
@@ -120,9 +120,9 @@
 
 static bool running(struct loopback *test, int tasks, double seconds)
 {
-    struct timespec end = bd_add(bd_now(), bd_secs(seconds));
-    while (fake_running(test->cluster) != tasks && bd_before(bd_now(), end))
-        bd_pause(0.1);
+    struct timespec end = bd_time_add(bd_now(), bd_secs(seconds));
+    while (fake_running(test->cluster) != tasks && bd_time_is_before(bd_now(), end))
+        bd_sleep(0.1);
     return fake_running(test->cluster) == tasks;
 }
 
@@ -140,7 +140,7 @@
         long status = nodes_ask(test, tries % NODES, "POST", "/submissions", body, NULL, 0);
         if (status == 200 || status == 201)
             return true;
-        bd_pause(0.2);
+        bd_sleep(0.2);
     }
     return false;
 }
@@ -156,7 +156,7 @@
     nodes_check(test, running(test, SERVICES * REPLICAS, 40), "all replicas run");
     char names[2048];
     for (int i = 0; i < 200 && fake_machine_names(test->cluster, names, sizeof names) > 10; i++)
-        bd_pause(0.1);
+        bd_sleep(0.1);
     nodes_check(test, fake_machine_names(test->cluster, names, sizeof names) == 10,
                 "ten workers run them");
 }
@@ -218,7 +218,7 @@
     nodes_check(test, command(test, 2, "pause all") == 0 && command(test, 0, "pause all") == 0,
                 "it is paused, twice");
     uint32_t before = stops(history);
-    bd_pause(3);
+    bd_sleep(3);
     nodes_check(test, stops(history) <= before + BUDGET_BLUE + BUDGET_RED,
                 "paused: no new step begins");
     nodes_check(test, command(test, 1, "resume all") == 0, "it is resumed");
@@ -226,21 +226,21 @@
 
 static bool reach_stops(struct history *history, uint32_t wanted, double seconds)
 {
-    struct timespec end = bd_add(bd_now(), bd_secs(seconds));
-    while (stops(history) < wanted && bd_before(bd_now(), end))
-        bd_pause(0.02);
+    struct timespec end = bd_time_add(bd_now(), bd_secs(seconds));
+    while (stops(history) < wanted && bd_time_is_before(bd_now(), end))
+        bd_sleep(0.02);
     return stops(history) >= wanted;
 }
 
 static bool is_over(struct loopback *test, double seconds)
 {
     char out[8192] = "";
-    struct timespec end = bd_add(bd_now(), bd_secs(seconds));
-    for (int tries = 0; bd_before(bd_now(), end); tries++) {
+    struct timespec end = bd_time_add(bd_now(), bd_secs(seconds));
+    for (int tries = 0; bd_time_is_before(bd_now(), end); tries++) {
         if (ask_admin(test, tries % NODES, "GET", "/all", NULL, out, sizeof out) == 200 &&
             strstr(out, "\"state\": \"done\""))
             return true;
-        bd_pause(0.2);
+        bd_sleep(0.2);
     }
     printf("     last answer: %s\n", out);
     return false;
@@ -280,7 +280,7 @@
     int leader = fake_store_leader(test->cluster);
     if (leader >= 0) {
         nodes_kill(test, leader);
-        bd_pause(1);
+        bd_sleep(1);
         nodes_restart(test, leader, NULL);
     }
     nodes_check(test, is_over(test, DRAIN_S), "the drain is done");
@@ -298,7 +298,7 @@
     nodes_check(test,
                 command(test, 0, "start all --mode replace --selection everything --all") == 0,
                 "a drain is accepted beside an older controller");
-    bd_pause(6);
+    bd_sleep(6);
     uint32_t before = stops(history);
     nodes_check(test, before == 0, "no step begins while an older controller is heard");
     nodes_check(
--- a/tests/loopback_faults.c
+++ b/tests/loopback_faults.c
@@ -10,15 +10,16 @@
 {
     struct timespec told = bd_now();
     fake_store_set_down(test->cluster, true);
-    while (fake_running_of(test->cluster, "job-91") > 0 && bd_between(told, bd_now()) < CANCEL_S)
-        bd_pause(0.1);
-    printf("     gone after %.1f s\n", bd_between(told, bd_now()));
+    while (fake_running_of(test->cluster, "job-91") > 0 &&
+           bd_seconds_between(told, bd_now()) < CANCEL_S)
+        bd_sleep(0.1);
+    printf("     gone after %.1f s\n", bd_seconds_between(told, bd_now()));
     nodes_check(test, fake_running_of(test->cluster, "job-91") == 0,
                 "its tasks are gone in time, though all is out");
-    while (bd_between(told, bd_now()) < CANCEL_S + 2) {
+    while (bd_seconds_between(told, bd_now()) < CANCEL_S + 2) {
         if (fake_running_of(test->cluster, "job-91") > 0)
             break;
-        bd_pause(0.1);
+        bd_sleep(0.1);
     }
     nodes_check(test, fake_running_of(test->cluster, "job-91") == 0, "and none comes back");
 }
@@ -38,7 +39,7 @@
     int leader = fake_store_leader(test->cluster);
     nodes_check(test, leader >= 0, "somebody leads");
     fake_store_refuse(test->cluster, leader, true);
-    bd_pause(0.5);
+    bd_sleep(0.5);
     int other = (leader + 1) % NODES;
     nodes_check(test,
                 nodes_ask(test, other, "POST", "/submissions/job-91/withdraw", "{}", out,
@@ -50,9 +51,9 @@
     fake_store_set_down(test->cluster, false);
     nodes_check(test, nodes_all_wait_for(test, "/submissions/job-91", "cancelled", 20),
                 "all nodes say so");
-    struct timespec end = bd_add(bd_now(), bd_secs(30));
-    while (fake_running_of(test->cluster, "job-92") < 2 && bd_before(bd_now(), end))
-        bd_pause(0.1);
+    struct timespec end = bd_time_add(bd_now(), bd_secs(30));
+    while (fake_running_of(test->cluster, "job-92") < 2 && bd_time_is_before(bd_now(), end))
+        bd_sleep(0.1);
     nodes_check(test,
                 fake_running_of(test->cluster, "job-92") == 2 &&
                     fake_running_of(test->cluster, "job-91") == 0,
@@ -66,10 +67,10 @@
     int leader = fake_store_leader(test->cluster);
     nodes_check(test, leader >= 0, "somebody leads before its reads fail");
     fake_store_refuse_job_reads(test->cluster, leader, true);
-    struct timespec end = bd_add(bd_now(), bd_secs(15));
+    struct timespec end = bd_time_add(bd_now(), bd_secs(15));
     while ((fake_store_leader(test->cluster) == leader || fake_store_leader(test->cluster) < 0) &&
-           bd_before(bd_now(), end))
-        bd_pause(0.05);
+           bd_time_is_before(bd_now(), end))
+        bd_sleep(0.05);
     nodes_check(test,
                 fake_store_leader(test->cluster) >= 0 && fake_store_leader(test->cluster) != leader,
                 "a leader that cannot read the records gives up the lease");
@@ -118,7 +119,7 @@
     for (int k = 0; k < 20; k++) {
         if (nodes_ask(test, k % NODES, "POST", url, "{}", out, sizeof out) == 200)
             break;
-        bd_pause(0.2);
+        bd_sleep(0.2);
     }
     return strstr(out, "cancelled") != NULL;
 }
--- a/tests/loopback_memory.c
+++ b/tests/loopback_memory.c
@@ -60,7 +60,7 @@
     char path[64];
     snprintf(path, sizeof path, "/submissions/job-%d", from + jobs - 1);
     nodes_check(test, nodes_all_wait_for(test, path, "pending", 10), "all nodes know the last");
-    bd_pause(1.0);
+    bd_sleep(1.0);
 }
 
 /* Each has asked once. Returns how many are open; all descriptors are set, some to -1. */
@@ -96,7 +96,7 @@
     wait_until_known(test, 20000, MEMORY_ARRAYS);
     long tasks = memory_kb(test, leader);
     int open = open_connections(test, leader, fd);
-    bd_pause(1.5);
+    bd_sleep(1.5);
     long connections = memory_kb(test, leader);
     nodes_check(test, open == MEMORY_CONNECTIONS, "all connections are open");
     check_memory(test, "KiB at the start", (double)start, START_KB_MAX);
--- a/tests/loopback_nodes.c
+++ b/tests/loopback_nodes.c
@@ -132,12 +132,12 @@
 int nodes_wait_for(struct loopback *test, const char *path, const char *text, double seconds)
 {
     char out[256];
-    struct timespec end = bd_add(bd_now(), bd_secs(seconds));
-    for (int n = 0; bd_before(bd_now(), end); n++) {
+    struct timespec end = bd_time_add(bd_now(), bd_secs(seconds));
+    for (int n = 0; bd_time_is_before(bd_now(), end); n++) {
         if (nodes_ask(test, n % NODES, "GET", path, NULL, out, sizeof out) == 200 &&
             strstr(out, text))
             return 1;
-        bd_pause(0.1);
+        bd_sleep(0.1);
     }
     printf("     last answer to %s: %s\n", path, out);
     return 0;
@@ -146,34 +146,34 @@
 bool nodes_all_wait_for(struct loopback *test, const char *path, const char *text, double seconds)
 {
     char out[256];
-    struct timespec end = bd_add(bd_now(), bd_secs(seconds));
-    for (int i = 0; i < NODES && bd_before(bd_now(), end);) {
+    struct timespec end = bd_time_add(bd_now(), bd_secs(seconds));
+    for (int i = 0; i < NODES && bd_time_is_before(bd_now(), end);) {
         bool good =
             nodes_ask(test, i, "GET", path, NULL, out, sizeof out) == 200 && strstr(out, text);
         i += good;
         if (!good)
-            bd_pause(0.1);
+            bd_sleep(0.1);
     }
-    return bd_before(bd_now(), end);
+    return bd_time_is_before(bd_now(), end);
 }
 
 void nodes_wait_running(struct loopback *test, int tasks, double seconds)
 {
-    struct timespec end = bd_add(bd_now(), bd_secs(seconds));
-    while (fake_running(test->cluster) < tasks && bd_before(bd_now(), end))
-        bd_pause(0.1);
+    struct timespec end = bd_time_add(bd_now(), bd_secs(seconds));
+    while (fake_running(test->cluster) < tasks && bd_time_is_before(bd_now(), end))
+        bd_sleep(0.1);
 }
 
 int nodes_submit_after(struct loopback *test, const char *id, const char *shape, int tasks,
                        const char *awaits, double seconds)
 {
-    struct timespec end = bd_add(bd_now(), bd_secs(seconds));
-    for (int n = 0; bd_before(bd_now(), end); n++) {
+    struct timespec end = bd_time_add(bd_now(), bd_secs(seconds));
+    for (int n = 0; bd_time_is_before(bd_now(), end); n++) {
         long s = nodes_ask(test, n % NODES, "POST", "/submissions",
                            nodes_submission_after(id, shape, tasks, awaits), NULL, 0);
         if (s == 200 || s == 201)
             return 1;
-        bd_pause(0.2);
+        bd_sleep(0.2);
     }
     return 0;
 }
@@ -231,7 +231,7 @@
         return false;
     (void)signal(SIGPIPE, SIG_IGN);
     snprintf(test->dir, sizeof test->dir, "/tmp/bd-loopback-XXXXXX");
-    if (!mkdtemp(test->dir) || bd_http_start() != 0)
+    if (!mkdtemp(test->dir) || bd_http_global_init() != 0)
         return false;
     test->client = bd_http_new(4, NULL);
     for (int i = 0; i < NODES; i++) {
--- a/tests/loopback_overload.c
+++ b/tests/loopback_overload.c
@@ -76,11 +76,11 @@
 /* The connections ask for so long; the counts of answers are added up. */
 static void crowd_run(struct loopback *test, struct crowd *crowd, int node, double seconds)
 {
-    struct timespec end = bd_add(bd_now(), bd_secs(seconds));
+    struct timespec end = bd_time_add(bd_now(), bd_secs(seconds));
     struct pollfd polled[CONNECTIONS];
     for (int i = 0; i < CONNECTIONS; i++)
         crowd_ask(test, crowd, i, node);
-    while (bd_before(bd_now(), end)) {
+    while (bd_time_is_before(bd_now(), end)) {
         for (int i = 0; i < CONNECTIONS; i++)
             polled[i] = (struct pollfd){.fd = crowd->fd[i], .events = POLLIN};
         if (poll(polled, CONNECTIONS, 20) < 0)
@@ -128,7 +128,7 @@
                 "another job is done");
     int before = crowd->refused;
     fake_store_refuse(test->cluster, other, true);
-    bd_pause(2.5);
+    bd_sleep(2.5);
     crowd_run(test, crowd, other, 3);
     fake_store_refuse(test->cluster, other, false);
     printf("     %d refused, %d of them without a time\n", crowd->refused - before,
--- a/tests/loopback_partition.c
+++ b/tests/loopback_partition.c
@@ -30,11 +30,11 @@
                                  long long *fencing_token, long status, double seconds)
 {
     char out[512] = "";
-    struct timespec end = bd_add(bd_now(), bd_secs(seconds));
-    while (bd_before(bd_now(), end)) {
+    struct timespec end = bd_time_add(bd_now(), bd_secs(seconds));
+    while (bd_time_is_before(bd_now(), end)) {
         if (send_heartbeat(test, node, tally, fencing_token, out, sizeof out) == status)
             return 1;
-        bd_pause(0.3);
+        bd_sleep(0.3);
     }
     printf("     last answer to a heartbeat with fencing token %lld: %s\n", *fencing_token, out);
     return 0;
@@ -51,13 +51,13 @@
         nodes_kill(test, i);
         nodes_write_settings(test, i, 1);
     }
-    bd_pause(4); /* whoever led has led */
+    bd_sleep(4); /* whoever led has led */
     nodes_start(test, 0);
     nodes_check(test, send_heartbeats_until(test, 0, &tally, &fencing_token, 200, 20),
                 "the first node leads");
     /* the stand-in's own workers are to be there, and the node between, before the last node
      * starts: one that met it first would end it as a delegate for half a minute */
-    bd_pause(5);
+    bd_sleep(5);
     nodes_start(test, 1);
     nodes_check(test, send_heartbeats_until(test, 1, &tally, &fencing_token, 200, 20),
                 "the node between them passes reports on");
@@ -68,7 +68,7 @@
                     fencing_token >= before,
                 "a report is relayed to a leader who is not heard");
     nodes_kill(test, 1);
-    bd_pause(2);
+    bd_sleep(2);
     tally = 2001; /* one that the leader does not know yet */
     nodes_check(test, send_heartbeats_until(test, 2, &tally, &fencing_token, 200, 25),
                 "without a relay a delegate answers");
--- a/tests/loopback_requests.c
+++ b/tests/loopback_requests.c
@@ -27,9 +27,9 @@
                         200 &&
                     strstr(out, "cancelled"),
                 "it is withdrawn");
-    struct timespec end = bd_add(bd_now(), bd_secs(20));
-    while (fake_running(test->cluster) > 0 && bd_before(bd_now(), end))
-        bd_pause(0.1);
+    struct timespec end = bd_time_add(bd_now(), bd_secs(20));
+    while (fake_running(test->cluster) > 0 && bd_time_is_before(bd_now(), end))
+        bd_sleep(0.1);
     nodes_check(test, fake_running(test->cluster) == 0, "its replicas are gone");
 }
 
@@ -82,7 +82,7 @@
 {
     nodes_check(test, nodes_submit(test, "job-3", "sweep", 12, 10), "a job before the kills");
     nodes_kill(test, 0);
-    bd_pause(0.2);
+    bd_sleep(0.2);
     nodes_kill(test, 1);
     nodes_kill(test, 2);
     for (int i = 0; i < NODES; i++)
@@ -124,12 +124,12 @@
 {
     nodes_check(test, nodes_submit(test, "job-4", "sweep", 4, 10), "a job before the outage");
     fake_store_set_down(test->cluster, true);
-    bd_pause(3);
+    bd_sleep(3);
     struct timespec asked = bd_now();
     nodes_check(test,
                 nodes_ask(test, 0, "POST", "/submissions", nodes_submission("job-6", "sweep", 1),
                           NULL, 0) == 503 &&
-                    bd_between(asked, bd_now()) < 1.5,
+                    bd_seconds_between(asked, bd_now()) < 1.5,
                 "during the outage a submission is refused at once");
     check_closed_after_503(test);
     nodes_check(test, nodes_ask(test, 0, "GET", "/submissions/job-1", NULL, NULL, 0) == 200,
--- a/tests/loopback_upgrade.c
+++ b/tests/loopback_upgrade.c
@@ -106,7 +106,7 @@
     (void)nodes_submit(test, "job-2", "gang", 2, 20);
     (void)nodes_submit(test, "job-3", "sweep", 60, 20);
     (void)nodes_ask(test, 0, "POST", "/submissions/job-3/withdraw", "{}", NULL, 0);
-    bd_pause(0.5);
+    bd_sleep(0.5);
     snprintf(path, sizeof path, "%s/production-records.json", directory);
     if (fd < 0 || !fake_store_dump(test->cluster, path))
         return 1;
--- a/tests/profile_costs.c
+++ b/tests/profile_costs.c
@@ -24,7 +24,7 @@
 static char *heartbeat_text(const struct deployment *deployment, uint32_t i, uint64_t seq)
 {
     json_t *tasks = json_array();
-    char id[BD_LABEL], addr[BD_LABEL], name[2 * BD_LABEL];
+    char id[BD_LABEL_BYTES], addr[BD_LABEL_BYTES], name[2 * BD_LABEL_BYTES];
     struct bd_machine *machine = NULL;
     snprintf(id, sizeof id, "vm-%06u", i);
     snprintf(addr, sizeof addr, "10.1.0.1:%u", i);
@@ -52,7 +52,7 @@
 static void read_heartbeat(const char *text, struct bd_heartbeat *heartbeat)
 {
     json_t *json = json_loads(text, 0, NULL);
-    if (!bd_wire_heartbeat(json, heartbeat))
+    if (!bd_wire_read_heartbeat(json, heartbeat))
         abort();
     json_decref(json);
 }
@@ -64,7 +64,7 @@
     CALLGRIND_TOGGLE_COLLECT;
     read_heartbeat(text, &heartbeat);
     bd_worker_heartbeat_received(deployment->core, NULL, &heartbeat, text, strlen(text));
-    bd_wire_heartbeat_release(&heartbeat);
+    bd_wire_release_heartbeat(&heartbeat);
     bd_effect_free(bd_effects_take(deployment->core));
     CALLGRIND_TOGGLE_COLLECT;
     free(text);
@@ -89,7 +89,7 @@
 static void cost_forwarded_heartbeat(struct deployment *deployment, uint32_t n)
 {
     static struct bd_frame frame, in;
-    static unsigned char bytes[BD_FRAME_MAX];
+    static unsigned char bytes[BD_FRAME_BYTES_MAX];
     struct bd_heartbeat heartbeat;
     char *text = heartbeat_text(deployment, n % deployment->machines, ++deployment->seq);
     frame = (struct bd_frame){
@@ -101,7 +101,7 @@
         abort();
     read_heartbeat(text, &heartbeat);
     bd_worker_heartbeat_forwarded(deployment->core, in.name, in.id, &heartbeat, text, in.len);
-    bd_wire_heartbeat_release(&heartbeat);
+    bd_wire_release_heartbeat(&heartbeat);
     bd_effect_free(bd_effects_take(deployment->core));
     CALLGRIND_TOGGLE_COLLECT;
     free(text);
@@ -109,7 +109,7 @@
 
 static void cost_poll(struct deployment *deployment, uint32_t n)
 {
-    char id[BD_ID];
+    char id[BD_ID_BYTES];
     snprintf(id, sizeof id, "job-%06u", n % 100);
     CALLGRIND_TOGGLE_COLLECT;
     bd_user_status(deployment->core, NULL, id);
@@ -168,7 +168,7 @@
     CALLGRIND_TOGGLE_COLLECT;
     json_t *answer = json_loads(text, 0, NULL);
     bd_replica_refreshed(deployment->core, deployment->core->replica.store_revision,
-                         bd_wire_store_revision(answer), deployment->core->now, false, true);
+                         bd_wire_read_store_revision(answer), deployment->core->now, false, true);
     json_decref(answer);
     CALLGRIND_TOGGLE_COLLECT;
 }
@@ -177,7 +177,8 @@
 {
     static struct bd_frame frame, in;
     static unsigned char bytes[1024];
-    frame = (struct bd_frame){.type = BD_FRAME_STATUS, .flags = BD_PEER_KV_REACHABLE, .at_ms = n};
+    frame =
+        (struct bd_frame){.type = BD_FRAME_PEER_STATUS, .flags = BD_PEER_KV_REACHABLE, .at_ms = n};
     snprintf(frame.name, sizeof frame.name, PEER);
     CALLGRIND_TOGGLE_COLLECT;
     size_t length = bd_frame_write(&frame, bytes, sizeof bytes);
--- a/tests/profile_deployment.c
+++ b/tests/profile_deployment.c
@@ -78,7 +78,7 @@
     settings->idle_boots = 0.7;
     settings->nteams = 2;
     for (int i = 0; i < 2; i++)
-        snprintf(settings->teams[i].name, BD_NAME, "team-%d", i);
+        snprintf(settings->teams[i].name, BD_NAME_BYTES, "team-%d", i);
     settings->teams[0].gpus = 200;
     settings->teams[0].gpus_quota = 1500;
 }
@@ -86,19 +86,19 @@
 static void add_type(struct deployment *deployment, const char *name, double cpus, double gpus,
                      double mem, double price)
 {
-    struct bd_type_text type = {.cpus = cpus,
-                                .gpus = gpus,
-                                .mem = mem,
-                                .price = price,
-                                .spot_price = price / 3,
-                                .boot = 45,
-                                .fetch = 0.2,
-                                .cache_gb = 50,
-                                .nzones = ZONES};
+    struct bd_machine_type_text type = {.cpus = cpus,
+                                        .gpus = gpus,
+                                        .mem = mem,
+                                        .price = price,
+                                        .spot_price = price / 3,
+                                        .boot = 45,
+                                        .fetch = 0.2,
+                                        .cache_gb = 50,
+                                        .nzones = ZONES};
     snprintf(type.label, sizeof type.label, "%s", name);
-    snprintf(type.zones[0], BD_LABEL, "a");
-    snprintf(type.zones[1], BD_LABEL, "b");
-    bd_inventory_types(deployment->core, &type, 1);
+    snprintf(type.zones[0], BD_LABEL_BYTES, "a");
+    snprintf(type.zones[1], BD_LABEL_BYTES, "b");
+    bd_inventory_types_received(deployment->core, &type, 1);
 }
 
 void deployment_set_time(struct deployment *deployment, double now)
@@ -110,9 +110,9 @@
 void deployment_add_job(struct deployment *deployment, int number, enum bd_job_kind kind,
                         uint32_t tasks, double cpus, double gpus, double mem)
 {
-    struct bd_record record = {
+    struct bd_job_record record = {
         .state = BD_JOB_ACTIVE, .at = 1000 + deployment->now, .has_spec = true, .tasks = tasks};
-    char key[BD_LABEL];
+    char key[BD_LABEL_BYTES];
     snprintf(key, sizeof key, "j/job-%06d", number);
     snprintf(record.spec.job_class, sizeof record.spec.job_class, "class-%d", (int)kind);
     snprintf(record.spec.team, sizeof record.spec.team, "team-%d", number % 2);
@@ -129,7 +129,7 @@
     record.spec.deadline_s = -1;
     record.spec.spread_zones = kind == BD_JOB_SERVICE;
     record.spec.spot = kind == BD_JOB_ARRAY;
-    json_t *value = bd_wire_record(&record);
+    json_t *value = bd_wire_write_record(&record);
     struct bd_change change = {key, value, ++deployment->revision};
     bd_replica_apply(deployment->core, &change);
     json_decref(value);
@@ -191,7 +191,7 @@
     bd_core_leadership_acquired(deployment->core, &acquisition);
     json_decref(acquisition.receipts);
     json_decref(acquisition.intents);
-    bd_inventory_machines(deployment->core, NULL, 0, deployment->core->now);
+    bd_inventory_machines_received(deployment->core, NULL, 0, deployment->core->now);
     deployment->revision = 10;
     for (uint32_t i = 0; i < deployment->machines; i++)
         deployment_heartbeat(deployment, i);
@@ -216,7 +216,7 @@
     for (uint32_t i = 0; i < deployment->core->nmachines; i++) {
         const struct bd_machine *machine = deployment->core->by_index[i];
         json_t *groups = json_array();
-        char key[BD_LABEL];
+        char key[BD_LABEL_BYTES];
         /* tasks of one attempt of one job stand together, as they are written */
         json_t *last = NULL;
         const struct bd_job *last_job = NULL;
--- a/tests/profile_full.c
+++ b/tests/profile_full.c
@@ -91,7 +91,7 @@
     for (uint64_t revision = 1; deployment->now < since + 2 * lease; revision++) {
         json_t *names = json_array();
         for (uint32_t i = 0; i < deployment->machines; i += 2) {
-            char id[BD_LABEL];
+            char id[BD_LABEL_BYTES];
             snprintf(id, sizeof id, "vm-%06u", i);
             json_array_append_new(names, json_string(id));
         }
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -77,7 +77,7 @@
 {
     if (play->core)
         return;
-    if (bd_is_zero(play->settings.leader_ttl))
+    if (bd_time_is_zero(play->settings.leader_ttl))
         play->settings.leader_ttl = bd_secs(3);
     play->core = bd_core_new(&play->settings, &play->log);
     if (!play->core)
--- a/tests/scenario_drain.c
+++ b/tests/scenario_drain.c
@@ -26,7 +26,7 @@
 
 void play_draining(struct play *play)
 {
-    struct bd_rules_fault fault = {"", ""};
+    struct bd_drain_rules_fault fault = {"", ""};
     char text[4096];
     snprintf(text, sizeof text, "(%s)", strchr(play->text, '('));
     sexp_t *expression = parse_sexp(text, strlen(text));
@@ -61,17 +61,17 @@
 
 static void add_set(struct play *play, const char *set)
 {
-    char key[BD_LABEL];
+    char key[BD_LABEL_BYTES];
     struct bd_drain_machine machines[PLAY_WORDS_MAX];
     uint32_t count = 0;
     memset(machines, 0, sizeof machines);
     for (int i = 3; i < play->nwords; i++)
         if (!strchr(play->words[i], '='))
-            snprintf(machines[count++].id, BD_LABEL, "%s", play->words[i]);
+            snprintf(machines[count++].id, BD_LABEL_BYTES, "%s", play->words[i]);
     if (count == 0)
         return;
     bd_drain_part_key(key, sizeof key, set, 0);
-    json_array_append_new(play->sets, pair(key, bd_drain_part_value(machines, count), 1));
+    json_array_append_new(play->sets, pair(key, bd_drain_part_encode(machines, count), 1));
 }
 
 static enum bd_drain_state drain_state(const char *text)
@@ -84,7 +84,7 @@
 
 static void step_drain(struct play *play)
 {
-    char key[BD_LABEL + 8];
+    char key[BD_LABEL_BYTES + 8];
     struct bd_drain_record record = {.parts = 1, .machines = 1, .asked = json_object()};
     snprintf(record.name, sizeof record.name, "%s", play->words[1]);
     snprintf(record.set, sizeof record.set, "%.15s", play->words[1]);
@@ -97,16 +97,17 @@
         play->sets = json_array();
     }
     replace_pair(play->drains,
-                 pair(key, bd_drain_record_value(&record), play_number(play, "mark", 1)));
+                 pair(key, bd_drain_record_encode(&record), play_number(play, "mark", 1)));
     add_set(play, record.set);
     json_decref(record.asked);
 }
 
 static void step_drains(struct play *play)
 {
-    bd_drain_records(play->core, play->drains, bd_drain_wants_sets(play->core) ? play->sets : NULL);
+    bd_drain_apply_records(play->core, play->drains,
+                           bd_drain_wants_sets(play->core) ? play->sets : NULL);
     if (bd_drain_wants_sets(play->core)) /* one that is new: its machines come with the next read */
-        bd_drain_records(play->core, play->drains, play->sets);
+        bd_drain_apply_records(play->core, play->drains, play->sets);
 }
 
 /* stage NAME vm-1 STAGE: how far the machine is by the records, as a leader wrote them */
@@ -116,19 +117,19 @@
     uint32_t count = 0;
     json_t *item;
     size_t i;
-    char key[BD_LABEL];
+    char key[BD_LABEL_BYTES];
     bd_drain_part_key(key, sizeof key, play->words[1], 0);
     json_array_foreach(play->sets, i, item)
     {
         if (strcmp(json_string_value(json_object_get(item, "k")), key) != 0 ||
-            !bd_drain_part_read(json_object_get(item, "value"), &machines, &count))
+            !bd_drain_part_decode(json_object_get(item, "value"), &machines, &count))
             continue;
         for (uint32_t k = 0; k < count; k++)
             for (int stage = 0; strcmp(machines[k].id, play->words[2]) == 0 && stage < BD_STAGES;
                  stage++)
                 if (strcmp(bd_drain_stage_name((enum bd_drain_stage)stage), play->words[3]) == 0)
                     machines[k].stage = (enum bd_drain_stage)stage;
-        json_object_set_new(item, "value", bd_drain_part_value(machines, count));
+        json_object_set_new(item, "value", bd_drain_part_encode(machines, count));
     }
     if (count == 0)
         play_fail(play, "no such drain");
@@ -138,7 +139,7 @@
 /* drainrecord NAME JSON: as it stands in the store */
 static void step_drainrecord(struct play *play)
 {
-    char key[BD_LABEL + 8];
+    char key[BD_LABEL_BYTES + 8];
     snprintf(key, sizeof key, BD_DRAIN_KEY "%s", play->words[1]);
     json_t *value = json_loads(strstr(play->text, play->words[2]), JSON_DECODE_ANY, NULL);
     if (!value)
@@ -159,7 +160,7 @@
 static void step_entry(struct play *play)
 {
     struct bd_drain_machine machine;
-    if (!bd_drain_look(play->core, play->words[1], play->words[2], &machine)) {
+    if (!bd_drain_copy_entry(play->core, play->words[1], play->words[2], &machine)) {
         play_fail(play, "no such entry");
         return;
     }
@@ -175,10 +176,10 @@
 
 static void step_ledger(struct play *play)
 {
-    char team[BD_NAME] = "", job_class[BD_NAME] = "";
+    char team[BD_NAME_BYTES] = "", job_class[BD_NAME_BYTES] = "";
     uint32_t down, up;
     (void)sscanf(play->words[1], "%63[^:]:%63s", team, job_class);
-    bd_ledger_count(play->core, team, job_class, &down, &up);
+    bd_ledger_get_counts(play->core, team, job_class, &down, &up);
     if (play_number(play, "down", down) != down || play_number(play, "up", up) != up) {
         fprintf(stderr, "%u down, %u up\n", down, up);
         play_fail(play, "the ledger counts otherwise");
@@ -266,9 +267,9 @@
                                                effect->launch, answers ? 200 : 0, &heartbeat);
         } else if (effect->kind == BD_EFFECT_SCALE_IN) {
             json_t *request = json_loads(effect->body, 0, NULL);
-            char names[128][BD_LABEL];
-            bd_scale_in_completed(play->core, names, bd_wire_machine_names(request, names, 128),
-                                  true);
+            char names[128][BD_LABEL_BYTES];
+            bd_scale_in_completed(play->core, names,
+                                  bd_wire_read_machine_names(request, names, 128), true);
             json_decref(request);
         }
     }
@@ -287,7 +288,7 @@
         bd_delegate_records_read(play->core, NULL, play->core->now);
         bd_replica_refreshed(play->core, play->core->replica.store_revision,
                              play->core->replica.store_revision, play->core->now,
-                             play->core->replica.barrier_out, true);
+                             play->core->replica.barrier_in_flight, true);
         for (int i = 2; i < play->nwords && half % 2 == 0; i++)
             if (!strchr(play->words[i], '='))
                 report_running(play, play->words[i]);
--- a/tests/scenario_expect.c
+++ b/tests/scenario_expect.c
@@ -93,10 +93,10 @@
 static void step_task(struct play *play)
 {
     static const char *const states[] = {"wait", "plan", "launch", "live", "unknown", "done"};
-    char id[BD_ID];
+    char id[BD_ID_BYTES];
     uint32_t index = 0;
     struct bd_job *job = NULL;
-    if (bd_wire_task_name(play->words[1], id, &index))
+    if (bd_wire_read_task_name(play->words[1], id, &index))
         HASH_FIND_STR(play->core->jobs, id, job);
     if (!job || !job->tasks || index >= job->ntasks) {
         play_fail(play, "no such task");
