--- a/tests/scenario_jobs.c
+++ b/tests/scenario_jobs.c
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-static void read_spec(struct play *play, struct bd_spec_text *spec)
+static void read_spec(struct play *play, struct bd_job_spec_text *spec)
 {
     memset(spec, 0, sizeof *spec);
     snprintf(spec->job_class, sizeof spec->job_class, "%s",
@@ -52,9 +52,9 @@
 /* part job-1/HASH/0 job-7,job-8: a part of what a job waits for */
 static void step_part(struct play *play)
 {
-    char key[BD_LABEL + 8];
+    char key[BD_LABEL_BYTES + 8];
     snprintf(key, sizeof key, "j/%s", play->words[1]);
-    json_t *value = bd_wire_parents_part(split_names(play->nwords > 2 ? play->words[2] : ""));
+    json_t *value = bd_wire_write_parents_part(split_names(play->nwords > 2 ? play->words[2] : ""));
     struct bd_change change = {key, value, (uint64_t)play_number(play, "mark", 1)};
     bd_replica_apply(play->core, &change);
     json_decref(value);
@@ -63,7 +63,7 @@
 /* record job-1 MARK {...}: as it stands in the store */
 static void step_record(struct play *play)
 {
-    char key[BD_LABEL];
+    char key[BD_LABEL_BYTES];
     const char *text = strchr(play->text, '{');
     json_t *value = text ? json_loads(text, 0, NULL) : NULL;
     if (!value)
@@ -95,10 +95,10 @@
 
 static void step_job(struct play *play)
 {
-    struct bd_record record = {
+    struct bd_job_record record = {
         .state = BD_JOB_ACTIVE, .at = play_number(play, "mark", 1), .has_spec = true};
     const char *state = play_text(play, "state");
-    char key[BD_LABEL];
+    char key[BD_LABEL_BYTES];
     read_spec(play, &record.spec);
     record.tasks = record.spec.tasks;
     if (state)
@@ -112,7 +112,7 @@
         play_fail(play, "parts");
     record.parents.parts = (uint32_t)parts;
     record.end = play_number(play, "end", 0);
-    json_t *value = bd_wire_record(&record);
+    json_t *value = bd_wire_write_record(&record);
     struct bd_change change = {key, value, (uint64_t)play_number(play, "mark", 1)};
     bd_replica_apply(play->core, &change);
     json_decref(value);
@@ -124,10 +124,10 @@
 {
     int count = number_of(play->words[1]);
     for (int i = 0; i < count; i++) {
-        char key[BD_LABEL];
+        char key[BD_LABEL_BYTES];
         snprintf(key, sizeof key, "j/job-%d", 1000000 + i);
-        struct bd_record record = {.state = BD_JOB_DONE, .tasks = 1, .at = 1, .end = 2};
-        json_t *value = bd_wire_record(&record);
+        struct bd_job_record record = {.state = BD_JOB_DONE, .tasks = 1, .at = 1, .end = 2};
+        json_t *value = bd_wire_write_record(&record);
         struct bd_change change = {key, value, (uint64_t)(i + 1)};
         bd_replica_apply(play->core, &change);
         json_decref(value);
@@ -138,16 +138,16 @@
 static void step_lookedup(struct play *play)
 {
     json_t *value = NULL;
-    char key[BD_LABEL];
+    char key[BD_LABEL_BYTES];
     snprintf(key, sizeof key, "j/%s", play->words[1]);
     long status = strtol(play->words[3], NULL, 10);
-    struct bd_record record = {.state = BD_JOB_DONE, .tasks = 1, .at = 1};
+    struct bd_job_record record = {.state = BD_JOB_DONE, .tasks = 1, .at = 1};
     if (play->nwords > 4 && strcmp(play->words[4], "cancelled") == 0) {
         read_spec(play, &record.spec);
         record.has_spec = true;
         record.state = BD_JOB_CANCELLED;
     }
-    struct bd_change change = {key, value = bd_wire_record(&record), 5};
+    struct bd_change change = {key, value = bd_wire_write_record(&record), 5};
     bd_replica_lookup_completed(play->core, NULL, play->words[1], number_of(play->words[2]), status,
                                 status == 200 ? &change : NULL);
     json_decref(value);
@@ -156,7 +156,7 @@
 static void step_looked(struct play *play)
 {
     bool ok = play->nwords < 2 || strcmp(play->words[1], "fail") != 0;
-    bool barrier = play->core->replica.barrier_out;
+    bool barrier = play->core->replica.barrier_in_flight;
     bd_replica_refreshed(play->core, play->core->replica.store_revision,
                          play->core->replica.store_revision + 1, play->core->now, barrier, ok);
 }
--- a/tests/scenario_leader.c
+++ b/tests/scenario_leader.c
@@ -16,7 +16,7 @@
 /* receipt=JOB:VALUE */
 static bool add_receipt(struct bd_acquisition *acquisition, const char *word)
 {
-    char job[64], value[64], key[BD_LABEL + 8];
+    char job[64], value[64], key[BD_LABEL_BYTES + 8];
     if (sscanf(word, "receipt=%63[^:]:%63s", job, value) != 2)
         return false;
     snprintf(key, sizeof key, "r/%s", job);
@@ -107,7 +107,7 @@
     double to = strtod(play->words[1], NULL), at = bd_to_secs(play->core->now) - 100;
     json_t *pairs = json_array();
     for (int i = 2; i < play->nwords; i++) {
-        char node[64], key[BD_LABEL + 8];
+        char node[64], key[BD_LABEL_BYTES + 8];
         double seen = 0;
         if (numbers_after_name(play->words[i], node, sizeof node, &seen, 1) != 1)
             play_fail(play, "touched");
@@ -171,7 +171,7 @@
 
 static void step_busy(struct play *play)
 {
-    bd_kv_rate_exceeded(play->core);
+    bd_kv_limits_rate_exceeded(play->core);
 }
 
 static void step_confirmed(struct play *play)
@@ -196,7 +196,7 @@
 
 static void step_up(struct play *play)
 {
-    if (bd_leadership_healthy(play->core) != (number_of(play->words[1]) != 0))
+    if (bd_leadership_is_healthy(play->core) != (number_of(play->words[1]) != 0))
         play_fail(play, "up is otherwise");
 }
 
--- a/tests/scenario_machines.c
+++ b/tests/scenario_machines.c
@@ -40,7 +40,7 @@
         if (sscanf(play->words[i], "%63[^:]:%63[^:]:%63s", name, attempt, state) != 3)
             continue;
         struct bd_reported_task *task = &tasks[heartbeat->n];
-        if (!bd_wire_task_name(name, task->job, &task->task)) {
+        if (!bd_wire_read_task_name(name, task->job, &task->task)) {
             play_fail(play, "task name");
             return;
         }
@@ -120,31 +120,31 @@
                                 : *state == 'f' ? BD_MACHINE_FAILED
                                                 : BD_MACHINE_BOOTING;
     }
-    bd_inventory_machines(play->core, machines, count, play->core->now);
+    bd_inventory_machines_received(play->core, machines, count, play->core->now);
 }
 
 static void step_provisioned(struct play *play)
 {
-    char names[PLAY_WORDS_MAX][BD_LABEL];
+    char names[PLAY_WORDS_MAX][BD_LABEL_BYTES];
     int count = 0;
     if (play->core->cloud.nprovision_requests == 0) {
         play_fail(play, "no rental is open");
         return;
     }
-    char request[BD_LABEL];
+    char request[BD_LABEL_BYTES];
     snprintf(request, sizeof request, "%s", play->core->cloud.provision_requests[0].request);
     bool refused = strcmp(play->words[1], "refused") == 0;
     for (int i = 2; i < play->nwords; i++)
-        snprintf(names[count++], BD_LABEL, "%s", play->words[i]);
+        snprintf(names[count++], BD_LABEL_BYTES, "%s", play->words[i]);
     bd_scale_out_completed(play->core, request, refused ? 503 : 200, names, count);
 }
 
 static void step_returned(struct play *play)
 {
-    char names[PLAY_WORDS_MAX][BD_LABEL];
+    char names[PLAY_WORDS_MAX][BD_LABEL_BYTES];
     int count = 0;
     for (int i = 1; i < play->nwords; i++)
-        snprintf(names[count++], BD_LABEL, "%s", play->words[i]);
+        snprintf(names[count++], BD_LABEL_BYTES, "%s", play->words[i]);
     bd_scale_in_completed(play->core, names, count, true);
 }
 
--- a/tests/scenario_settings.c
+++ b/tests/scenario_settings.c
@@ -60,7 +60,7 @@
     snprintf(zones, sizeof zones, "%s", play_text(play, "zones") ? play_text(play, "zones") : "");
     for (char *rest = NULL, *zone = strtok_r(zones, ",", &rest); zone;
          zone = strtok_r(NULL, ",", &rest))
-        snprintf(play->settings.zones[play->settings.nzones++], BD_NAME, "%s", zone);
+        snprintf(play->settings.zones[play->settings.nzones++], BD_NAME_BYTES, "%s", zone);
     if (play_text(play, "zone"))
         snprintf(play->settings.zone, sizeof play->settings.zone, "%s", play_text(play, "zone"));
     if (play_text(play, "peer"))
@@ -73,7 +73,7 @@
 
 static void step_type(struct play *play)
 {
-    struct bd_type_text type = {0};
+    struct bd_machine_type_text type = {0};
     snprintf(type.label, sizeof type.label, "%s", play->words[1]);
     type.cpus = play_number(play, "cpus", 8);
     type.gpus = play_number(play, "gpus", 0);
@@ -88,8 +88,8 @@
              play_text(play, "zones") ? play_text(play, "zones") : "a,b");
     for (char *rest = NULL, *zone = strtok_r(zones, ",", &rest); zone;
          zone = strtok_r(NULL, ",", &rest))
-        snprintf(type.zones[type.nzones++], BD_LABEL, "%s", zone);
-    bd_inventory_types(play->core, &type, 1);
+        snprintf(type.zones[type.nzones++], BD_LABEL_BYTES, "%s", zone);
+    bd_inventory_types_received(play->core, &type, 1);
 }
 
 static void step_at(struct play *play)
--- a/tests/sim_commit.c
+++ b/tests/sim_commit.c
@@ -34,7 +34,8 @@
     node->commit = NULL;
     if (strtoull(effect->key, NULL, 10) == core->lead.base_term &&
         effect->sequence == core->lead.sequence)
-        bd_leader_txn_completed(core, outcome, store_revision, bd_wire_failed(answer));
+        bd_leader_txn_completed(core, outcome, store_revision,
+                                bd_wire_read_failed_compares(answer));
     bd_effect_free(effect);
 }
 
@@ -43,11 +44,11 @@
 {
     struct bd_change change;
     uint64_t grant;
-    json_t *failed = bd_wire_failed(answer);
+    json_t *failed = bd_wire_read_failed_compares(answer);
     if (!node->commit)
         return;
     if (call->purpose == SIM_FOR_COMMIT_OUTCOME) {
-        bool ours = status == 200 && bd_wire_pair(answer, &change, &grant) &&
+        bool ours = status == 200 && bd_wire_read_pair(answer, &change, &grant) &&
                     (uint64_t)json_integer_value(json_object_get(change.value, "t")) ==
                         strtoull(node->commit->key, NULL, 10) &&
                     (uint64_t)json_integer_value(json_object_get(change.value, "n")) ==
@@ -59,7 +60,7 @@
         else
             (void)sim_node_call(sim, node, SIM_GET, SIM_FOR_COMMIT_OUTCOME, "w", NULL, 1.5);
     } else if (status == 200) {
-        complete_commit(node, BD_TXN_COMMITTED, bd_wire_store_revision(answer), NULL);
+        complete_commit(node, BD_TXN_COMMITTED, bd_wire_read_store_revision(answer), NULL);
     } else if (status == 409 && has_key(failed, "w")) {
         (void)sim_node_call(sim, node, SIM_GET, SIM_FOR_COMMIT_OUTCOME, "w", NULL, 1.5);
     } else if (status == 409) {
--- a/tests/sim_day.c
+++ b/tests/sim_day.c
@@ -48,13 +48,13 @@
     settings->cpu = 0.5;
     settings->nodes = SIM_NODES;
     settings->nzones = 2;
-    snprintf(settings->zones[0], BD_NAME, "a");
-    snprintf(settings->zones[1], BD_NAME, "b");
-    snprintf(settings->zone, BD_NAME, "%s", zone_of(sim, i));
+    snprintf(settings->zones[0], BD_NAME_BYTES, "a");
+    snprintf(settings->zones[1], BD_NAME_BYTES, "b");
+    snprintf(settings->zone, BD_NAME_BYTES, "%s", zone_of(sim, i));
     write_peers(sim, i);
     settings->nteams = 2;
     for (int k = 0; k < 2; k++) {
-        snprintf(settings->teams[k].name, BD_NAME, "%s", k ? "b" : "a");
+        snprintf(settings->teams[k].name, BD_NAME_BYTES, "%s", k ? "b" : "a");
         settings->teams[k].cpus = 4;
         settings->teams[k].cpus_quota = sim->team_max[k];
     }
--- a/tests/sim_drain.c
+++ b/tests/sim_drain.c
@@ -24,10 +24,10 @@
         abort();
     *rules =
         (struct bd_drain_rules){.machines_in_step = 1 + (uint32_t)(sim->seed % 4),
-                                .stop_s = 10,
+                                .stop_timeout_s = 10,
                                 .wait_s = 20,
-                                .replace_s = 30,
-                                .keep_s = 60,
+                                .replacement_timeout_s = 30,
+                                .record_retention_s = 60,
                                 .planner = sim->seed % 3 ? BD_PLANNER_SOLVER : BD_PLANNER_GREEDY};
     for (int team = 0; team < TEAMS; team++) {
         struct bd_budget_rule *rule = &rules->budgets[rules->nbudgets++];
@@ -60,7 +60,7 @@
     if (!bd_txn_begin(&txn))
         abort();
     bd_txn_compare(&txn, key, revision_of(sim, key));
-    bd_txn_put(&txn, key, bd_drain_record_value(record), 0);
+    bd_txn_put(&txn, key, bd_drain_record_encode(record), 0);
     commit(sim, &txn);
 }
 
@@ -71,12 +71,12 @@
     struct bd_txn txn;
     uint32_t half = record->machines / record->parts;
     for (uint32_t part = 0, from = 0; part < record->parts; part++, from += half) {
-        char key[BD_LABEL];
+        char key[BD_LABEL_BYTES];
         uint32_t count = part + 1 < record->parts ? half : record->machines - from;
         if (!bd_txn_begin(&txn))
             abort();
         bd_drain_part_key(key, sizeof key, record->set, part);
-        bd_txn_put(&txn, key, bd_drain_part_value(machines + from, count), 0);
+        bd_txn_put(&txn, key, bd_drain_part_encode(machines + from, count), 0);
         commit(sim, &txn);
     }
 }
@@ -88,11 +88,11 @@
                                      .state = BD_DRAIN_ACTIVE,
                                      .at = 1e6 + sim->now,
                                      .asked = json_object()};
-    char key[BD_LABEL + 8];
+    char key[BD_LABEL_BYTES + 8];
     memset(entries, 0, sizeof entries);
     for (int i = 0; i < sim->nworkers && record.machines < machines; i++)
         if (!sim->workers[i].gone && sim->now > sim->workers[i].up_at)
-            snprintf(entries[record.machines++].id, BD_LABEL, "%s", sim->workers[i].id);
+            snprintf(entries[record.machines++].id, BD_LABEL_BYTES, "%s", sim->workers[i].id);
     snprintf(record.name, sizeof record.name, "drain-%d", sim->ndrains);
     snprintf(record.set, sizeof record.set, "set-%d", sim->ndrains);
     record.parts = record.machines > 1 ? 2 : 1;
@@ -109,11 +109,12 @@
 /* False: there is none any more. */
 static bool read_drain(const struct sim *sim, int number, struct bd_drain_record *record)
 {
-    char key[BD_LABEL];
+    char key[BD_LABEL_BYTES];
     snprintf(key, sizeof key, BD_DRAIN_KEY "drain-%d", number);
     const struct table_key *entry = table_find(&sim->table, key);
     return entry && entry->value &&
-           bd_drain_record_read(key + strlen(BD_DRAIN_KEY), entry->value, entry->revision, record);
+           bd_drain_record_decode(key + strlen(BD_DRAIN_KEY), entry->value, entry->revision,
+                                  record);
 }
 
 static bool goes_on(const struct bd_drain_record *record)
@@ -124,12 +125,12 @@
 void sim_drain_change(struct sim *sim, enum bd_drain_state to)
 {
     struct bd_drain_record record;
-    char key[BD_LABEL + 8];
+    char key[BD_LABEL_BYTES + 8];
     for (int i = sim->ndrains - 1; i >= 0; i--) {
         if (!read_drain(sim, i, &record) || !goes_on(&record) || record.state == to)
             continue;
         record.state = to;
-        record.ended = to == BD_DRAIN_CALLED_OFF ? 1e6 + sim->now : 0;
+        record.ended = to == BD_DRAIN_CANCELLED ? 1e6 + sim->now : 0;
         snprintf(key, sizeof key, BD_DRAIN_KEY "%s", record.name);
         write_record(sim, &record, key);
         sim_trace(sim, "%s is %s", record.name, bd_drain_state_name(to));
--- a/tests/sim_effects.c
+++ b/tests/sim_effects.c
@@ -86,7 +86,7 @@
 /* True: the effect asks for a call of the key-value store, which owns it from now on. */
 static bool call_store(struct sim *sim, struct sim_node *node, struct bd_effect *effect)
 {
-    char key[BD_LABEL + 2];
+    char key[BD_LABEL_BYTES + 2];
     switch (effect->kind) {
     case BD_EFFECT_USER_TXN:
         sim_node_call(sim, node, SIM_COMMIT, SIM_FOR_USER, NULL, strdup(effect->body), 2.5)
@@ -123,7 +123,7 @@
                                   const struct bd_effect *effect)
 {
     for (int i = 0; sim->seed / 2 % 2 && i < node->settings.npeers; i++)
-        sim_send_frame(sim, node, i, BD_FRAME_CANCELLED, NULL)->text = strdup(effect->key);
+        sim_send_frame(sim, node, i, BD_FRAME_CANCELLATION, NULL)->text = strdup(effect->key);
 }
 
 void sim_perform_effect(struct sim *sim, struct sim_node *node, struct bd_effect *effect)
@@ -138,7 +138,7 @@
         send_reply(sim, node, effect);
         break;
     case BD_EFFECT_READ_BARRIER:
-        node->want_barrier = true;
+        node->wants_barrier = true;
         sim_node_post(sim, node, 0.01, SIM_READER);
         break;
     case BD_EFFECT_STEP_DOWN:
@@ -153,7 +153,7 @@
         (void)sim_send_frame(sim, node, effect->peer, BD_FRAME_HEARTBEAT, effect);
         break;
     case BD_EFFECT_FORWARD_REPLY:
-        (void)sim_send_frame(sim, node, effect->peer, BD_FRAME_ANSWER, effect);
+        (void)sim_send_frame(sim, node, effect->peer, BD_FRAME_HEARTBEAT_REPLY, effect);
         break;
     case BD_EFFECT_DELEGATE_TXN:
         call_for_delegate(sim, node, effect);
--- a/tests/sim_election.c
+++ b/tests/sim_election.c
@@ -48,8 +48,9 @@
 static void write_liveness(struct sim *sim, struct sim_node *node, uint64_t revision)
 {
     struct bd_txn txn;
-    char key[BD_LABEL + 8];
-    if (bd_between(node->liveness_at, sim_node_monotonic(sim, node)) < 0.8 || !bd_txn_begin(&txn))
+    char key[BD_LABEL_BYTES + 8];
+    if (bd_seconds_between(node->liveness_at, sim_node_monotonic(sim, node)) < 0.8 ||
+        !bd_txn_begin(&txn))
         return;
     node->liveness_at = sim_node_monotonic(sim, node);
     snprintf(key, sizeof key, "p/%.50s/at", node->settings.node);
@@ -75,7 +76,7 @@
             request_grant(sim, node, 0);
         return;
     }
-    if (status == 200 && bd_wire_pair(answer, &change, &grant)) {
+    if (status == 200 && bd_wire_read_pair(answer, &change, &grant)) {
         const char *name = json_string_value(json_object_get(change.value, "node"));
         bool away = false;
         json_t *item;
@@ -99,7 +100,7 @@
                            long status, json_t *answer)
 {
     struct bd_txn txn;
-    node->grant = status == 200 ? bd_wire_grant(answer) : 0;
+    node->grant = status == 200 ? bd_wire_read_grant(answer) : 0;
     if (!node->grant || !bd_txn_begin(&txn)) {
         post_election(sim, node, 0.3);
         return;
@@ -132,14 +133,14 @@
         sim_release_acquisition(node); /* the term is given up: the key ends with its grant */
         post_election(sim, node, 0.3);
     } else if (is_sequence) {
-        if (status == 200 && bd_wire_pair(answer, &change, &grant))
+        if (status == 200 && bd_wire_read_pair(answer, &change, &grant))
             node->acquisition.sequence_revision = change.revision;
         (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_RECEIPTS, "r/", NULL, 1.5);
     } else if (call->purpose == SIM_FOR_RECEIPTS) {
-        node->acquisition.receipts = json_incref(bd_wire_pairs(answer, &ignored));
+        node->acquisition.receipts = json_incref(bd_wire_read_pairs(answer, &ignored));
         (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_INTENTS, "i/", NULL, 1.5);
     } else {
-        node->acquisition.intents = json_incref(bd_wire_pairs(answer, &ignored));
+        node->acquisition.intents = json_incref(bd_wire_read_pairs(answer, &ignored));
         node->acquisition.renewed = node->granted;
         node->step_down = false;
         node->leading = node->leadership_acquired = true;
@@ -161,14 +162,14 @@
         break;
     case SIM_FOR_ACQUISITION:
         if (status == 200)
-            leader_key_written(sim, node, bd_wire_store_revision(answer));
+            leader_key_written(sim, node, bd_wire_read_store_revision(answer));
         else if (status == 409 || status == 400)
             post_election(sim, node, 0.3);
         else
             (void)sim_node_call(sim, node, SIM_GET, SIM_FOR_OWN_KEY, "leader", NULL, TTL_S / 3);
         break;
     case SIM_FOR_OWN_KEY:
-        if (status == 200 && bd_wire_pair(answer, &change, &grant) &&
+        if (status == 200 && bd_wire_read_pair(answer, &change, &grant) &&
             strcmp(json_string_value(json_object_get(change.value, "nonce")), node->nonce) == 0)
             leader_key_written(sim, node, change.revision);
         else
--- a/tests/sim_faults.c
+++ b/tests/sim_faults.c
@@ -148,7 +148,7 @@
     else if (is_verb(fault, "resume"))
         sim_drain_change(sim, BD_DRAIN_ACTIVE);
     else if (is_verb(fault, "calloff"))
-        sim_drain_change(sim, BD_DRAIN_CALLED_OFF);
+        sim_drain_change(sim, BD_DRAIN_CANCELLED);
     else
         return false;
     return true;
--- a/tests/sim_heartbeats.c
+++ b/tests/sim_heartbeats.c
@@ -12,7 +12,7 @@
 
 static char *heartbeat_text(struct sim *sim, struct sim_worker *worker)
 {
-    char name[BD_LABEL], addr[24];
+    char name[BD_LABEL_BYTES], addr[24];
     snprintf(addr, sizeof addr, "w-%d", (int)(worker - sim->workers));
     json_t *list = json_array();
     for (int i = 0; i < worker->nslots; i++) {
@@ -78,7 +78,7 @@
     bool arrives =
         is_reachable(sim, worker->node, worker) && sim->now >= worker->outbound_cut_until;
     worker->is_asking = true;
-    worker->asked_seq = worker->seq;
+    worker->received_seq = worker->seq;
     worker->asked_at = sim->now;
     if (arrives) {
         struct sim_event *event = sim_post(sim, sim_delay(sim), SIM_HEARTBEAT_IN);
@@ -141,7 +141,7 @@
 static void heartbeat_answered(struct sim *sim, struct sim_worker *worker, struct sim_event *event)
 {
     bool is_lost = sim->now < worker->inbound_cut_until || !is_reachable(sim, event->node, worker);
-    bool is_late = !worker->is_asking || worker->asked_seq != event->number;
+    bool is_late = !worker->is_asking || worker->received_seq != event->number;
     if (worker->gone || is_late || is_lost || sim->now < worker->hangs_until)
         return;
     json_t *answer = event->text ? json_loads(event->text, 0, NULL) : NULL;
@@ -213,6 +213,6 @@
     else if (event->kind == SIM_HEARTBEAT_BACK)
         heartbeat_answered(sim, worker, event);
     else if (event->kind == SIM_HEARTBEAT_TIMEOUT && worker->is_asking &&
-             worker->asked_seq == event->number)
+             worker->received_seq == event->number)
         sim_try_next_node(sim, worker, 1);
 }
--- a/tests/sim_reader.c
+++ b/tests/sim_reader.c
@@ -31,8 +31,8 @@
     struct sim_call *refresh =
         sim_node_call(sim, node, SIM_REFRESH, SIM_FOR_REFRESH, NULL, NULL, 1.5);
     refresh->number = node->after;
-    refresh->flag = node->want_barrier;
-    node->want_barrier = false;
+    refresh->flag = node->wants_barrier;
+    node->wants_barrier = false;
 }
 
 static void apply_changes(struct sim_node *node, json_t *list)
@@ -42,7 +42,7 @@
     size_t i;
     json_array_foreach(list, i, item)
     {
-        if (bd_wire_change(item, &change))
+        if (bd_wire_read_change(item, &change))
             bd_replica_apply(node->core, &change);
     }
 }
@@ -52,16 +52,16 @@
                        json_t *answer)
 {
     bool ignored, sets = call->purpose == SIM_FOR_DRAIN_SETS;
-    json_t *pairs = status == 200 ? bd_wire_pairs(answer, &ignored) : NULL;
+    json_t *pairs = status == 200 ? bd_wire_read_pairs(answer, &ignored) : NULL;
     if (!sets && pairs && bd_drain_wants_sets(node->core)) {
         json_decref(node->drains);
         node->drains = json_incref(pairs);
         node->is_reading = true;
-        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_DRAIN_SETS, BD_DRAIN_SET, NULL, 1.5);
+        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_DRAIN_SETS, BD_DRAIN_SET_KEY, NULL, 1.5);
         return;
     }
     if (pairs)
-        bd_drain_records(node->core, sets ? node->drains : pairs, sets ? pairs : NULL);
+        bd_drain_apply_records(node->core, sets ? node->drains : pairs, sets ? pairs : NULL);
     sim_node_post(sim, node, status == 200 ? 0.2 : 0.25, SIM_READER);
 }
 
@@ -71,25 +71,25 @@
     bool ignored;
     node->is_reading = false;
     if (call->purpose == SIM_FOR_LIST && status == 200) {
-        apply_changes(node, bd_wire_pairs(answer, &ignored));
-        bd_replica_listed(node->core, bd_wire_store_revision(answer), call->sent);
+        apply_changes(node, bd_wire_read_pairs(answer, &ignored));
+        bd_replica_listed(node->core, bd_wire_read_store_revision(answer), call->sent);
         node->after = node->core->replica.store_revision;
         node->wants_list = false;
     } else if (call->purpose == SIM_FOR_REFRESH) {
         node->reads_refused = status != 200;
         if (status == 200)
-            apply_changes(node, bd_wire_log(answer));
-        bd_replica_refreshed(node->core, call->number, bd_wire_store_revision(answer), call->sent,
-                             call->flag, status == 200);
-        if (status == 200 && bd_wire_store_revision(answer) > node->after)
-            node->after = bd_wire_store_revision(answer);
+            apply_changes(node, bd_wire_read_change_log(answer));
+        bd_replica_refreshed(node->core, call->number, bd_wire_read_store_revision(answer),
+                             call->sent, call->flag, status == 200);
+        if (status == 200 && bd_wire_read_store_revision(answer) > node->after)
+            node->after = bd_wire_read_store_revision(answer);
     } else if (call->purpose == SIM_FOR_DELEGATES && status == 200) {
         if (sim->is_verbose && getenv("SIM_DEPUTIES")) {
-            char *text = json_dumps(bd_wire_pairs(answer, &ignored), JSON_COMPACT);
+            char *text = json_dumps(bd_wire_read_pairs(answer, &ignored), JSON_COMPACT);
             sim_trace(sim, "%s sees %s", node->settings.node, text);
             free(text);
         }
-        bd_delegate_records_read(node->core, bd_wire_pairs(answer, &ignored), call->sent);
+        bd_delegate_records_read(node->core, bd_wire_read_pairs(answer, &ignored), call->sent);
     }
-    sim_node_post(sim, node, status == 200 ? (node->want_barrier ? 0.04 : 0.2) : 0.25, SIM_READER);
+    sim_node_post(sim, node, status == 200 ? (node->wants_barrier ? 0.04 : 0.2) : 0.25, SIM_READER);
 }
--- a/tests/sim_receive.c
+++ b/tests/sim_receive.c
@@ -27,7 +27,7 @@
 static bool read_heartbeat(const char *text, struct bd_heartbeat *heartbeat)
 {
     json_t *json = text ? json_loads(text, 0, NULL) : NULL;
-    bool ok = json && bd_wire_heartbeat(json, heartbeat);
+    bool ok = json && bd_wire_read_heartbeat(json, heartbeat);
     json_decref(json);
     return ok;
 }
@@ -53,18 +53,18 @@
     struct bd_heartbeat heartbeat;
     if (node->core && node->epoch == event->epoch && !peers_apart(sim, event->node, event->who)) {
         sim_node_set_clock(sim, node);
-        if (frame->type == BD_FRAME_STATUS)
+        if (frame->type == BD_FRAME_PEER_STATUS)
             bd_peer_status_received(node->core, frame->name, frame->term, frame->flags,
                                     frame->age_ms / 1000.0, (double)frame->at_ms / 1000.0,
                                     node->core->now);
         if (frame->type == BD_FRAME_HEARTBEAT && read_heartbeat(event->text, &heartbeat)) {
             bd_worker_heartbeat_forwarded(node->core, frame->name, frame->id, &heartbeat,
                                           event->text, strlen(event->text));
-            bd_wire_heartbeat_release(&heartbeat);
+            bd_wire_release_heartbeat(&heartbeat);
         }
-        if (frame->type == BD_FRAME_CANCELLED)
+        if (frame->type == BD_FRAME_CANCELLATION)
             bd_job_cancellation_received(node->core, event->text);
-        if (frame->type == BD_FRAME_ANSWER)
+        if (frame->type == BD_FRAME_HEARTBEAT_REPLY)
             bd_forward_reply_received(node->core, frame->id, frame->status, event->text,
                                       event->text ? strlen(event->text) : 0);
         sim_node_settle(sim, node);
@@ -96,7 +96,7 @@
     struct sim_request *request = new_request(sim, event);
     sim_node_set_clock(sim, node);
     bd_worker_heartbeat_received(node->core, request, &heartbeat, event->text, strlen(event->text));
-    bd_wire_heartbeat_release(&heartbeat);
+    bd_wire_release_heartbeat(&heartbeat);
     sim_node_settle(sim, node);
 }
 
@@ -109,7 +109,7 @@
         free(command);
         return;
     }
-    if (!bd_before(sim_node_monotonic(sim, node), command->until)) {
+    if (!bd_time_is_before(sim_node_monotonic(sim, node), command->until)) {
         sim_node_set_clock(sim, node);
         bd_worker_direct_command_completed(node->core, command->machine, command->fencing_token,
                                            command->launch, BD_DIRECT_NOT_SENT, NULL);
@@ -141,7 +141,7 @@
                                            command->launch, ok ? event->status : 0,
                                            ok ? &heartbeat : NULL);
         if (ok)
-            bd_wire_heartbeat_release(&heartbeat);
+            bd_wire_release_heartbeat(&heartbeat);
         sim_node_settle(sim, node);
     }
     command->is_over = true;
@@ -169,7 +169,7 @@
 }
 
 /* Machines come within two seconds, or late. Returns how many, their names in `names`. */
-static int provision(struct sim *sim, json_t *request, char (*names)[BD_LABEL])
+static int provision(struct sim *sim, json_t *request, char (*names)[BD_LABEL_BYTES])
 {
     int wanted = (int)json_integer_value(json_object_get(request, "howMany"));
     int count = 0;
@@ -179,7 +179,7 @@
         int worker = sim_provision(sim, zone, boot);
         if (worker < 0)
             break;
-        snprintf(names[count++], BD_LABEL, "%s", sim->workers[worker].id);
+        snprintf(names[count++], BD_LABEL_BYTES, "%s", sim->workers[worker].id);
     }
     return count;
 }
@@ -200,7 +200,7 @@
 {
     struct sim_node *node = &sim->nodes[event->node];
     json_t *request = json_loads(event->text, 0, NULL);
-    char names[PROVISIONED_MAX][BD_LABEL];
+    char names[PROVISIONED_MAX][BD_LABEL_BYTES];
     bool is_scale_out = event->flag;
     int count = 0;
     if (is_scale_out)
@@ -213,8 +213,8 @@
             bd_scale_out_completed(node->core, json_string_value(json_object_get(request, "plea")),
                                    count ? 200 : 503, names, count);
         } else {
-            char(*returned)[BD_LABEL] = calloc(RETURNED_MAX, sizeof *returned);
-            count = bd_wire_machine_names(request, returned, RETURNED_MAX);
+            char(*returned)[BD_LABEL_BYTES] = calloc(RETURNED_MAX, sizeof *returned);
+            count = bd_wire_read_machine_names(request, returned, RETURNED_MAX);
             bd_scale_in_completed(node->core, returned, count, true);
             free(returned);
         }
@@ -233,13 +233,14 @@
         struct sim_worker *worker = &sim->workers[i];
         if (worker->gone || sim->now - worker->provisioned_at < 3) /* the list lags */
             continue;
-        snprintf(machines[count].id, BD_LABEL, "%s", worker->id);
-        snprintf(machines[count].addr, BD_LABEL, "w-%d", i);
-        snprintf(machines[count].type, BD_LABEL, "%s", worker->type);
-        snprintf(machines[count].zone, BD_LABEL, "%s", worker->zone);
+        snprintf(machines[count].id, BD_LABEL_BYTES, "%s", worker->id);
+        snprintf(machines[count].addr, BD_LABEL_BYTES, "w-%d", i);
+        snprintf(machines[count].type, BD_LABEL_BYTES, "%s", worker->type);
+        snprintf(machines[count].zone, BD_LABEL_BYTES, "%s", worker->zone);
         machines[count].state = sim->now < worker->up_at ? BD_MACHINE_BOOTING : BD_MACHINE_UP;
         machines[count++].age = sim->now - worker->provisioned_at;
     }
-    bd_inventory_machines(node->core, machines, count, bd_sub(node->core->now, bd_secs(0.1)));
+    bd_inventory_machines_received(node->core, machines, count,
+                                   bd_time_sub(node->core->now, bd_secs(0.1)));
     free(machines);
 }
--- a/tests/sim_tasks.c
+++ b/tests/sim_tasks.c
@@ -141,8 +141,8 @@
 
 static bool read_task(struct sim *sim, json_t *command, int *job, uint32_t *task)
 {
-    char id[BD_ID];
-    if (!bd_wire_task_name(json_string_value(json_object_get(command, "chore")), id, task))
+    char id[BD_ID_BYTES];
+    if (!bd_wire_read_task_name(json_string_value(json_object_get(command, "chore")), id, task))
         return false;
     struct sim_job *found = sim_job_named(sim, id);
     *job = found ? (int)(found - sim->jobs) : -1;
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -40,7 +40,7 @@
     int from = (int)(sim_random(sim) * SIM_NODES);
     for (int i = 0; i < SIM_NODES; i++) {
         int node = (from + i) % SIM_NODES;
-        if (sim->nodes[node].core && bd_leadership_healthy(sim->nodes[node].core))
+        if (sim->nodes[node].core && bd_leadership_is_healthy(sim->nodes[node].core))
             return node;
     }
     return from;
--- a/tests/sim_worker.c
+++ b/tests/sim_worker.c
@@ -52,7 +52,8 @@
             sim_kill_tasks(sim, worker);
             worker->incarnation++;
             worker->answered = sim->now;
-            worker->asked_seq = 0; /* answers to an earlier incarnation's heartbeats are dropped */
+            worker->received_seq =
+                0; /* answers to an earlier incarnation's heartbeats are dropped */
             if (worker->is_asking)
                 sim_try_next_node(sim, worker, 1);
         }
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -115,12 +115,12 @@
     double senders_stalled_until; /* its direct commands wait in its own queue */
     /* reader of the store */
     uint64_t after;
-    bool wants_list, want_barrier, is_reading, reads_refused;
+    bool wants_list, wants_barrier, is_reading, reads_refused;
     double next_delegates, next_drains;
     json_t *drains; /* as listed, while the machines' records are read */
     /* election */
     bool leading, is_electing, step_down;
-    char nonce[BD_LABEL];
+    char nonce[BD_LABEL_BYTES];
     uint64_t grant;
     struct timespec granted, liveness_at;
     struct bd_acquisition acquisition;
@@ -140,11 +140,11 @@
 };
 
 struct sim_worker {
-    char id[BD_LABEL], zone[BD_LABEL], type[BD_LABEL];
+    char id[BD_LABEL_BYTES], zone[BD_LABEL_BYTES], type[BD_LABEL_BYTES];
     bool gone;
     double provisioned_at, up_at, answered, next_heartbeat;
     uint64_t incarnation, seq, fencing_token;
-    uint64_t asked_seq; /* of the heartbeat under way */
+    uint64_t received_seq; /* of the heartbeat under way */
     bool is_asking;
     double asked_at;
     int node;
@@ -155,7 +155,7 @@
 };
 
 struct sim_job {
-    char id[BD_ID];
+    char id[BD_ID_BYTES];
     enum bd_job_kind kind;
     uint32_t tasks;
     int team, priority;
