--- a/src/adapters/admin_drain_change.c
+++ b/src/adapters/admin_drain_change.c
@@ -3,6 +3,7 @@
 #include "adapters/admin_store_internal.h"
 #include "adapters/kv_client.h"
 #include "drain/drain.h"
+#include "drain/drain_record.h"
 #include <jansson.h>
 #include <stdbool.h>
 
--- a/src/adapters/admin_drain_create.c
+++ b/src/adapters/admin_drain_create.c
@@ -7,7 +7,11 @@
 #include "adapters/kv_client.h"
 #include "adapters/node.h"
 #include "drain/drain.h"
+#include "drain/drain_record.h"
+#include "drain/drain_request.h"
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
+#include "wire/wire_store.h"
 #include <jansson.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/adapters/admin_server.c
+++ b/src/adapters/admin_server.c
@@ -6,7 +6,9 @@
 #include "base/http.h"
 #include "brambledoor/log.h"
 #include "drain/drain.h"
+#include "drain/drain_record.h"
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
 #include <jansson.h>
 #include <microhttpd.h>
 #include <netinet/in.h>
--- a/src/adapters/api_route.c
+++ b/src/adapters/api_route.c
@@ -1,4 +1,6 @@
 #include "adapters/api_route.h"
+#include "adapters/event.h"
+#include "wire/wire_paths.h"
 #include <microhttpd.h>
 #include <stdbool.h>
 #include <string.h>
--- a/src/adapters/api_route.h
+++ b/src/adapters/api_route.h
@@ -3,6 +3,7 @@
 #define BD_API_ROUTE_H
 #include "adapters/event.h"
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
 
 /* Where a request goes: an event of a kind, for the job that the path names, or an error. */
 struct bd_api_route {
--- a/src/adapters/api_server.c
+++ b/src/adapters/api_server.c
@@ -10,6 +10,7 @@
 #include "brambledoor/settings.h"
 #include "model/effect.h"
 #include "wire/wire.h"
+#include "wire/wire_paths.h"
 #include <microhttpd.h>
 #include <netinet/in.h>
 #include <stdatomic.h>
--- a/src/adapters/cloud_client.c
+++ b/src/adapters/cloud_client.c
@@ -8,6 +8,9 @@
 #include "base/timeutil.h"
 #include "model/effect.h"
 #include "wire/wire.h"
+#include "wire/wire_cloud.h"
+#include "wire/wire_limits.h"
+#include "wire/wire_paths.h"
 #include <jansson.h>
 #include <math.h>
 #include <stdatomic.h>
--- a/src/adapters/event.h
+++ b/src/adapters/event.h
@@ -5,7 +5,9 @@
 #ifndef BD_EVENT_H
 #define BD_EVENT_H
 #include "model/leadership_state.h"
+#include "model/replica_state.h"
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
 #include <jansson.h>
 #include <stdbool.h>
 #include <stddef.h>
@@ -60,9 +62,9 @@
 struct bd_event_user_txn {
     void *request;
     char job_id[BD_LABEL_BYTES];
-    char *body;  /* the transaction as it was sent */
-    int purpose; /* enum bd_read_purpose, as in the effect */
-    long status; /* enum bd_kv_status */
+    char *body;                   /* the transaction as it was sent */
+    enum bd_read_purpose purpose; /* as in the effect */
+    long status;                  /* enum bd_kv_status */
     uint64_t store_revision;
 };
 
@@ -70,8 +72,8 @@
 struct bd_event_job_lookup {
     void *request;
     char job_id[BD_LABEL_BYTES];
-    int purpose; /* enum bd_read_purpose, as in the effect */
-    long status; /* enum bd_kv_status */
+    enum bd_read_purpose purpose; /* as in the effect */
+    long status;                  /* enum bd_kv_status */
     json_t *answer;
 };
 
--- a/src/adapters/kv_user_writer.c
+++ b/src/adapters/kv_user_writer.c
@@ -83,7 +83,7 @@
         commit_lines(node, http, lines, event);
     free(lines);
     event->user_txn.request = effect->request;
-    event->user_txn.purpose = effect->status;
+    event->user_txn.purpose = effect->purpose;
     snprintf(event->user_txn.job_id, sizeof event->user_txn.job_id, "%s", effect->key);
     event->user_txn.body = effect->body;
     effect->body = NULL;
@@ -98,7 +98,7 @@
     event->job_lookup.status =
         bd_kv_call(node, http, "GET", path, NULL, BD_KV_TIMEOUT_S, &event->job_lookup.answer);
     event->job_lookup.request = effect->request;
-    event->job_lookup.purpose = effect->status;
+    event->job_lookup.purpose = effect->purpose;
     snprintf(event->job_lookup.job_id, sizeof event->job_lookup.job_id, "%s", effect->key);
     bd_event_post(node, event);
 }
--- a/src/adapters/peer_listener.c
+++ b/src/adapters/peer_listener.c
@@ -11,6 +11,7 @@
 #include "brambledoor/settings.h"
 #include "wire/frame.h"
 #include "wire/wire.h"
+#include "wire/wire_limits.h"
 #include <errno.h>
 #include <netinet/in.h>
 #include <poll.h>
--- a/src/jobs/pending_reads.c
+++ b/src/jobs/pending_reads.c
@@ -31,7 +31,7 @@
 {
     struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_JOB_LOOKUP);
     effect->request = request;
-    effect->status = (int)purpose;
+    effect->purpose = purpose;
     snprintf(effect->key, sizeof effect->key, "%s", id);
 }
 
--- a/src/jobs/user_txn.c
+++ b/src/jobs/user_txn.c
@@ -34,7 +34,7 @@
 {
     struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_USER_TXN);
     effect->request = request;
-    effect->status = (int)purpose;
+    effect->purpose = purpose;
     snprintf(effect->key, sizeof effect->key, "%s", id);
     effect->body = body;
 }
--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -169,7 +169,7 @@
  * transactions for a while. */
 static void back_off_rejected(struct bd_core *core, const struct bd_commit *commit)
 {
-    if (bd_kv_limits_rejected(core, "a round's transaction"))
+    if (bd_kv_limits_rejected(core, "the leader's transaction"))
         return;
     for (uint32_t i = 0; i < commit->nplan; i++)
         bd_kv_limits_back_off(core, commit->plan[i].job);
--- a/src/leadership/leadership.c
+++ b/src/leadership/leadership.c
@@ -94,8 +94,7 @@
     core->delegates.count = 0;
 }
 
-/* reason: BD_STEP_DOWN_LEASE_LOST or BD_STEP_DOWN_RESIGNED, for the election. */
-static void end_term(struct bd_core *core, int reason)
+static void end_term(struct bd_core *core, enum bd_step_down_reason reason)
 {
     if (core->role != BD_LEADER)
         return;
@@ -105,7 +104,7 @@
         core->leader_name[0] = '\0';
     bd_drain_leadership_lost(core);
     free_leader_state(core);
-    bd_effect_emit(core, BD_EFFECT_STEP_DOWN)->status = reason;
+    bd_effect_emit(core, BD_EFFECT_STEP_DOWN)->step_down_reason = reason;
 }
 
 void bd_leadership_lost(struct bd_core *core)
--- a/src/model/effect.h
+++ b/src/model/effect.h
@@ -4,6 +4,7 @@
  * runtime. */
 #ifndef BD_EFFECT_H
 #define BD_EFFECT_H
+#include "model/replica_state.h"
 #include "wire/wire.h"
 #include "wire/wire_limits.h"
 
@@ -23,7 +24,7 @@
     BD_EFFECT_SCALE_OUT,
     BD_EFFECT_SCALE_IN,
     BD_EFFECT_READ_BARRIER,
-    BD_EFFECT_STEP_DOWN, /* the term is over; status: enum bd_step_down_reason */
+    BD_EFFECT_STEP_DOWN, /* the term is over */
     BD_EFFECT_DELEGATE_TXN,
     BD_EFFECT_JOB_LOOKUP,           /* reads one job's record: key is its id */
     BD_EFFECT_FORWARD_HEARTBEAT,    /* to the leader */
@@ -43,9 +44,12 @@
 /* Which fields are set depends on the kind; those of the kinds in brackets. */
 struct bd_effect {
     enum bd_effect_kind kind;
-    void *request;             /* [REPLY, USER_TXN, JOB_LOOKUP] */
-    int status;                /* [REPLY] HTTP status; [USER_TXN, JOB_LOOKUP] enum
-                                  bd_read_purpose; [STEP_DOWN] enum bd_step_down_reason */
+    void *request; /* [REPLY, USER_TXN, JOB_LOOKUP] */
+    union {
+        int status;                                /* [REPLY, FORWARD_REPLY] HTTP status */
+        enum bd_read_purpose purpose;              /* [USER_TXN, JOB_LOOKUP] */
+        enum bd_step_down_reason step_down_reason; /* [STEP_DOWN] */
+    };
     int retry_after;           /* [REPLY] seconds; 0: none */
     char key[BD_LABEL_BYTES];  /* [LEADER_TXN] the term; see the other kinds */
     char *body;                /* owned; NULL: none */
--- a/src/runtime/effect_dispatch.c
+++ b/src/runtime/effect_dispatch.c
@@ -71,7 +71,7 @@
 
 static void step_down(struct bd_node *node, struct bd_effect *effect)
 {
-    atomic_store(&node->resign, effect->status == BD_STEP_DOWN_RESIGNED);
+    atomic_store(&node->resign, effect->step_down_reason == BD_STEP_DOWN_RESIGNED);
     atomic_store(&node->step_down, true);
     bd_effect_free(effect);
 }
@@ -88,7 +88,7 @@
 {
     if (bd_queue_put(&node->user_txns, effect))
         return;
-    bd_replica_lookup_completed(node->core, effect->request, effect->key, effect->status, 0, NULL);
+    bd_replica_lookup_completed(node->core, effect->request, effect->key, effect->purpose, 0, NULL);
     bd_effect_free(effect);
 }
 
--- a/src/runtime/peer_status.c
+++ b/src/runtime/peer_status.c
@@ -4,6 +4,7 @@
 #include "model/core_state.h"
 #include "model/leadership_state.h"
 #include "wire/frame.h"
+#include "wire/wire_jobs.h"
 #include "workers/workers.h"
 #include <pthread.h>
 #include <stdbool.h>
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -69,7 +69,7 @@
     }
     json_decref(failed);
     bd_user_txn_completed(run->cores[node], effect->request, effect->key, effect->body,
-                          effect->status, status, run->store_revision);
+                          effect->purpose, status, run->store_revision);
 }
 
 static void perform_effects(struct graph_run *run, int node)
--- a/tests/profile_costs.c
+++ b/tests/profile_costs.c
@@ -136,7 +136,7 @@
     struct bd_effect *effect = bd_effects_take(deployment->core);
     if (!effect || effect->kind != BD_EFFECT_USER_TXN)
         abort();
-    bd_user_txn_completed(deployment->core, NULL, effect->key, effect->body, effect->status, 200,
+    bd_user_txn_completed(deployment->core, NULL, effect->key, effect->body, effect->purpose, 200,
                           ++deployment->revision);
     bd_effect_free(effect);
     CALLGRIND_TOGGLE_COLLECT;
--- a/tests/scenario_jobs.c
+++ b/tests/scenario_jobs.c
@@ -195,7 +195,7 @@
     }
     *at = effect->next;
     uint64_t revision = play_next_revision(play);
-    bd_user_txn_completed(play->core, NULL, effect->key, effect->body, effect->status,
+    bd_user_txn_completed(play->core, NULL, effect->key, effect->body, effect->purpose,
                           strtol(play->words[1], NULL, 10), revision);
     bd_effect_free(effect);
 }
--- a/tests/sim_effects.c
+++ b/tests/sim_effects.c
@@ -143,7 +143,7 @@
         break;
     case BD_EFFECT_STEP_DOWN:
         node->step_down = true;
-        if (effect->status == BD_STEP_DOWN_RESIGNED)
+        if (effect->step_down_reason == BD_STEP_DOWN_RESIGNED)
             sim_end_grant(sim, node->grant);
         break;
     case BD_EFFECT_ANNOUNCE_CANCELLATION:
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -133,7 +133,7 @@
     switch (call->purpose) {
     case SIM_FOR_USER:
         bd_user_txn_completed(node->core, effect->request, effect->key, effect->body,
-                              effect->status, status, revision);
+                              effect->purpose, status, revision);
         break;
     case SIM_FOR_DELEGATE:
         bd_delegate_txn_completed(node->core, status, revision, call->sent, status == 200);
@@ -144,7 +144,7 @@
         break;
     case SIM_FOR_LOOKUP:
         status = status == 200 && !is_pair ? 0 : status;
-        bd_replica_lookup_completed(node->core, effect->request, effect->key, effect->status,
+        bd_replica_lookup_completed(node->core, effect->request, effect->key, effect->purpose,
                                     status, status == 200 ? &change : NULL);
         break;
     default:
