--- a/src/autoscaling/autoscaling.h
+++ b/src/autoscaling/autoscaling.h
@@ -28,8 +28,9 @@
 /* Asks the cloud for machines. Returns the request's name, which core->cloud owns, or NULL: too
  * many requests are open. */
 const char *bd_request_machines(struct bd_core *core, int type, int zone, bool spot, int count);
-/* The cloud answered a request, with n machines. status: HTTP's. */
-void bd_scale_out_completed(struct bd_core *core, const char *request, long status,
+/* The cloud answered a request, with n machines. status: HTTP's. False: it is not
+ * one of this term's requests. */
+bool bd_scale_out_completed(struct bd_core *core, const char *request, long status,
                             char (*names)[BD_LABEL_BYTES], int n);
 
 /* ---- scale in (scale_in.c) ---- */
--- a/src/autoscaling/provisioning.c
+++ b/src/autoscaling/provisioning.c
@@ -4,7 +4,6 @@
 #include "autoscaling/autoscaling_internal.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
-#include "drain/drain.h"
 #include "model/autoscaling_state.h"
 #include "model/core_state.h"
 #include "model/effect.h"
@@ -125,12 +124,12 @@
     machine->age_known_at = core->now;
 }
 
-void bd_scale_out_completed(struct bd_core *core, const char *request, long status,
+bool bd_scale_out_completed(struct bd_core *core, const char *request, long status,
                             char (*names)[BD_LABEL_BYTES], int n)
 {
     struct bd_provision_request_state state;
     if (core->role != BD_LEADER || !take_request(&core->cloud, request, &state))
-        return;
+        return false;
     bool is_granted = status == 200;
     struct bd_pool *pool = bd_pool_of(core, state.type, state.zone, state.spot);
     pool->asked = false;
@@ -141,8 +140,8 @@
         pool->backoff = 0;
     for (int i = 0; is_granted && i < n; i++)
         add_machine(core, names[i], &state);
-    bd_drain_provisioning_completed(core, request, names, is_granted ? n : 0);
     bd_log_write(core->log, BD_LOG_INFO, "scale out by %d %s in %s%s: status %ld, %d machines",
                  state.count, core->types[state.type].label, core->zones[state.zone],
                  state.spot ? " (spot)" : "", status, n);
+    return true;
 }
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -11,6 +11,7 @@
 #include "model/leadership_state.h"
 #include "model/machine.h"
 #include "scheduling/scheduling.h"
+#include "wire/wire_limits.h"
 #include "workers/workers.h"
 #include <stdlib.h>
 
@@ -172,3 +173,20 @@
     bd_drain_leadership_acquired(core);
     bd_leadership_start_serving(core, acquisition);
 }
+
+/* ---- outcomes that concern several parts ---- */
+
+void bd_core_leader_txn_completed(struct bd_core *core, enum bd_txn_outcome outcome,
+                                  uint64_t store_revision, json_t *failed)
+{
+    if (bd_leader_txn_completed(core, outcome, store_revision, failed))
+        bd_drain_txn_completed(core, outcome == BD_TXN_COMMITTED);
+}
+
+void bd_core_scale_out_completed(struct bd_core *core, const char *request, long status,
+                                 char (*names)[BD_LABEL_BYTES], int n)
+{
+    const long granted = 200;
+    if (bd_scale_out_completed(core, request, status, names, n))
+        bd_drain_provisioning_completed(core, request, names, status == granted ? n : 0);
+}
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -10,6 +10,7 @@
 #include "leadership/leadership.h"
 #include "model/core_state.h"
 #include "model/kv_limits.h"
+#include "wire/wire_limits.h"
 #include "workers/workers.h"
 
 /* The settings and the log must outlive it. NULL: no memory. */
@@ -24,6 +25,13 @@
                              struct timespec sent, bool dismissed);
 /* The lease was acquired, and the replica is as new as the term: failover. */
 void bd_core_leadership_acquired(struct bd_core *core, const struct bd_acquisition *acquisition);
+/* The outcome of the leader's transaction is known. failed: the keys whose comparison failed. */
+void bd_core_leader_txn_completed(struct bd_core *core, enum bd_txn_outcome outcome,
+                                  uint64_t store_revision, json_t *failed);
+/* The cloud answered a provisioning request. status: HTTP's, 0 without an answer; names: the n new
+ * machines. */
+void bd_core_scale_out_completed(struct bd_core *core, const char *request, long status,
+                                 char (*names)[BD_LABEL_BYTES], int n);
 /* The one step: calls the parts in order. */
 void bd_core_tick(struct bd_core *core);
 /* When the next step is due without an event. */
--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -2,7 +2,6 @@
 #include "base/metrics.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
-#include "drain/drain.h"
 #include "jobs/jobs.h"
 #include "leadership/commit.h"
 #include "leadership/leadership.h"
@@ -181,15 +180,15 @@
         bd_kv_limits_back_off(core, commit->cancelled[i]);
 }
 
-void bd_leader_txn_completed(struct bd_core *core, enum bd_txn_outcome outcome,
+bool bd_leader_txn_completed(struct bd_core *core, enum bd_txn_outcome outcome,
                              uint64_t store_revision, json_t *failed)
 {
     struct bd_commit *commit = core->lead.commit;
     if (!commit || core->role != BD_LEADER)
-        return;
+        return false;
     if (outcome == BD_TXN_DEPOSED) {
         bd_leadership_lost(core);
-        return;
+        return false;
     }
     core->lead.commit = NULL;
     if (outcome == BD_TXN_REJECTED)
@@ -199,6 +198,6 @@
     else
         revert_commit(core, commit, failed);
     bd_commit_free(commit);
-    bd_drain_txn_completed(core, outcome == BD_TXN_COMMITTED);
     core->lead.cycle_wanted = true;
+    return true;
 }
--- a/src/leadership/leadership.h
+++ b/src/leadership/leadership.h
@@ -76,8 +76,9 @@
 /* ---- the leader's transaction (commit_outcome.c; see commit.h) ---- */
 
 /* The outcome of the transaction in flight is known; ignored if there is none. store_revision: of
- * the commit. failed: an array of the keys whose comparison failed, or NULL; borrowed. */
-void bd_leader_txn_completed(struct bd_core *core, enum bd_txn_outcome outcome,
+ * the commit. failed: an array of the keys whose comparison failed, or NULL; borrowed. False: it
+ * was not ours to conclude, or the term is over. */
+bool bd_leader_txn_completed(struct bd_core *core, enum bd_txn_outcome outcome,
                              uint64_t store_revision, json_t *failed);
 
 /* ---- fencing (fencing.c) ---- */
--- a/src/runtime/event_apply.c
+++ b/src/runtime/event_apply.c
@@ -89,8 +89,8 @@
     /* the outcome of an earlier term's transaction is ignored */
     const struct bd_event_leader_txn *txn = &event->leader_txn;
     if (txn->term == core->lead.base_term && txn->sequence == core->lead.sequence)
-        bd_leader_txn_completed(core, txn->outcome, txn->store_revision,
-                                bd_wire_read_failed_compares(txn->answer));
+        bd_core_leader_txn_completed(core, txn->outcome, txn->store_revision,
+                                     bd_wire_read_failed_compares(txn->answer));
 }
 
 static void apply_delegate_txn(struct bd_node *node, const struct bd_event *event)
@@ -203,8 +203,8 @@
 static void apply_scale_out(struct bd_node *node, const struct bd_event *event)
 {
     const struct bd_event_scaling *scaling = &event->scaling;
-    bd_scale_out_completed(node->core, scaling->request, scaling->status, scaling->machines,
-                           (int)scaling->n);
+    bd_core_scale_out_completed(node->core, scaling->request, scaling->status, scaling->machines,
+                                (int)scaling->n);
 }
 
 static void apply_scale_in(struct bd_node *node, const struct bd_event *event)
--- a/tests/drain_profile.c
+++ b/tests/drain_profile.c
@@ -72,7 +72,7 @@
         bd_core_tick(fleet.core);
         CALLGRIND_TOGGLE_COLLECT;
         if (fleet.core->lead.commit)
-            bd_leader_txn_completed(fleet.core, BD_TXN_COMMITTED, ++fleet.revision, NULL);
+            bd_core_leader_txn_completed(fleet.core, BD_TXN_COMMITTED, ++fleet.revision, NULL);
         fleet_answer_effects(&fleet);
     }
     fleet_free(&fleet);
--- a/tests/drain_profile_fleet.c
+++ b/tests/drain_profile_fleet.c
@@ -118,7 +118,7 @@
         fleet_heartbeat(fleet, i);
     bd_core_tick(fleet->core);
     if (fleet->core->lead.commit)
-        bd_leader_txn_completed(fleet->core, BD_TXN_COMMITTED, ++fleet->revision, NULL);
+        bd_core_leader_txn_completed(fleet->core, BD_TXN_COMMITTED, ++fleet->revision, NULL);
     fleet_answer_effects(fleet);
     for (int team = 0; team < TEAMS; team++) {
         uint32_t down, up;
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -127,8 +127,9 @@
         return;
     run->commit[node] = NULL;
     long status = graph_apply(run, effect->body, &failed);
-    bd_leader_txn_completed(run->cores[node], status == 200 ? BD_TXN_COMMITTED : BD_TXN_CONFLICT,
-                            run->store_revision, failed);
+    bd_core_leader_txn_completed(run->cores[node],
+                                 status == 200 ? BD_TXN_COMMITTED : BD_TXN_CONFLICT,
+                                 run->store_revision, failed);
     json_decref(failed);
     bd_effect_free(effect);
 }
--- a/tests/layers.sh
+++ b/tests/layers.sh
@@ -11,11 +11,9 @@
 src/leadership/leadership.c drain/drain.h      # a lost term ends the drains' view in the same step
 src/leadership/commit.c drain/drain.h          # the leader's transaction carries the drains' records
 src/leadership/commit.c workers/workers.h      # ... and names the delegates that are not needed
-src/leadership/commit_outcome.c drain/drain.h  # ... whose fate the drains are told
 src/leadership/commit_outcome.c workers/commands.h # a committed launch is sent at once
 src/autoscaling/autoscaler.c drain/drain.h     # demand and keeping of drained machines
 src/autoscaling/consolidation.c drain/drain.h  # moves ask the budgets first
-src/autoscaling/provisioning.c drain/drain.h   # a replacement's request is answered here
 LIST
 )
 
--- a/tests/profile_costs.c
+++ b/tests/profile_costs.c
@@ -154,7 +154,8 @@
     CALLGRIND_TOGGLE_COLLECT;
     bd_core_tick(deployment->core);
     if (deployment->core->lead.commit)
-        bd_leader_txn_completed(deployment->core, BD_TXN_COMMITTED, ++deployment->revision, NULL);
+        bd_core_leader_txn_completed(deployment->core, BD_TXN_COMMITTED, ++deployment->revision,
+                                     NULL);
     CALLGRIND_TOGGLE_COLLECT;
     deployment_drop_effects(deployment);
 }
--- a/tests/profile_deployment.c
+++ b/tests/profile_deployment.c
@@ -170,7 +170,8 @@
     bd_leadership_renewed(deployment->core, 7, deployment->core->now);
     bd_core_tick(deployment->core);
     if (deployment->core->lead.commit)
-        bd_leader_txn_completed(deployment->core, BD_TXN_COMMITTED, ++deployment->revision, NULL);
+        bd_core_leader_txn_completed(deployment->core, BD_TXN_COMMITTED, ++deployment->revision,
+                                     NULL);
     deployment_drop_effects(deployment);
 }
 
--- a/tests/scenario_drain.c
+++ b/tests/scenario_drain.c
@@ -296,7 +296,7 @@
         bd_core_tick(play->core);
         uint64_t revision = play_next_revision(play);
         if (play->core->lead.commit)
-            bd_leader_txn_completed(play->core, BD_TXN_COMMITTED, revision, NULL);
+            bd_core_leader_txn_completed(play->core, BD_TXN_COMMITTED, revision, NULL);
         answer_effects(play);
     }
 }
--- a/tests/scenario_leader.c
+++ b/tests/scenario_leader.c
@@ -160,7 +160,7 @@
                                                                          : BD_TXN_CONFLICT;
     if (!play->core->lead.commit)
         play_fail(play, "nothing is being committed");
-    bd_leader_txn_completed(play->core, outcome, play_next_revision(play), failed);
+    bd_core_leader_txn_completed(play->core, outcome, play_next_revision(play), failed);
     json_decref(failed);
 }
 
--- a/tests/scenario_machines.c
+++ b/tests/scenario_machines.c
@@ -136,7 +136,7 @@
     bool refused = strcmp(play->words[1], "refused") == 0;
     for (int i = 2; i < play->nwords; i++)
         snprintf(names[count++], BD_LABEL_BYTES, "%s", play->words[i]);
-    bd_scale_out_completed(play->core, request, refused ? 503 : 200, names, count);
+    bd_core_scale_out_completed(play->core, request, refused ? 503 : 200, names, count);
 }
 
 static void step_returned(struct play *play)
--- a/tests/sim_commit.c
+++ b/tests/sim_commit.c
@@ -34,8 +34,8 @@
     node->commit = NULL;
     if (strtoull(effect->key, NULL, 10) == core->lead.base_term &&
         effect->sequence == core->lead.sequence)
-        bd_leader_txn_completed(core, outcome, store_revision,
-                                bd_wire_read_failed_compares(answer));
+        bd_core_leader_txn_completed(core, outcome, store_revision,
+                                     bd_wire_read_failed_compares(answer));
     bd_effect_free(effect);
 }
 
--- a/tests/sim_receive.c
+++ b/tests/sim_receive.c
@@ -210,8 +210,9 @@
     if (node->core && node->epoch == event->epoch) {
         sim_node_set_clock(sim, node);
         if (is_scale_out) {
-            bd_scale_out_completed(node->core, json_string_value(json_object_get(request, "plea")),
-                                   count ? 200 : 503, names, count);
+            bd_core_scale_out_completed(node->core,
+                                        json_string_value(json_object_get(request, "plea")),
+                                        count ? 200 : 503, names, count);
         } else {
             char(*returned)[BD_LABEL_BYTES] = calloc(RETURNED_MAX, sizeof *returned);
             count = bd_wire_read_machine_names(request, returned, RETURNED_MAX);
