--- a/src/autoscaling/demand.c
+++ b/src/autoscaling/demand.c
@@ -234,8 +234,8 @@
 static uint32_t take_quota(struct bd_demand *demand, const struct bd_spec *spec, uint32_t n)
 {
     int team = spec->team;
-    n = bd_team_free_quota(&demand->core->settings->teams[team], demand->team_cpus[team],
-                           demand->team_gpus[team], spec, n);
+    n = bd_team_quota_fit_count(&demand->core->settings->teams[team], demand->team_cpus[team],
+                                demand->team_gpus[team], spec, n);
     demand->team_cpus[team] += n * spec->cpus;
     demand->team_gpus[team] += n * spec->gpus;
     return n;
@@ -245,13 +245,13 @@
 {
     struct bd_core *core = demand->core;
     struct bd_job **jobs = NULL;
-    uint32_t njobs = bd_jobs_in_order(core, &jobs);
+    uint32_t njobs = bd_jobs_in_scheduling_order(core, &jobs);
     for (uint32_t i = 0; i < njobs; i++) {
         const struct bd_job *job = jobs[i];
         if (job->npending == 0 || !bd_time_is_before(job->hold_until, core->now))
             continue;
         uint32_t n = take_quota(demand, &job->spec, job->npending);
-        bd_demand_add_tasks(demand, &job->spec, n, bd_cost_tier_of(core, job));
+        bd_demand_add_tasks(demand, &job->spec, n, bd_job_cost_tier(core, job));
     }
     free(jobs);
 }
--- a/src/autoscaling/headroom.c
+++ b/src/autoscaling/headroom.c
@@ -110,7 +110,7 @@
     double lead_s = type->boot + group->image_gb / group->jobs / type->fetch;
     for (int i = 0; i < core->settings->nslos; i++) {
         const struct bd_slo *slo = &core->settings->slos[i];
-        double slack = bd_slo_slack(core, group->job_class, group->estimate / group->jobs, slo);
+        double slack = bd_slo_slack_s(core, group->job_class, group->estimate / group->jobs, slo);
         if (slack < 0 || slack >= lead_s)
             continue;
         double z = gsl_cdf_ugaussian_Pinv(fmin(QUANTILE_MAX, (1 + slo->share) / 2));
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -128,7 +128,7 @@
     evict_records(core);
     bd_pending_reads_start_barrier(core);
     bd_leadership_step_down(core);
-    bd_dag_tick(core);
+    bd_dag_look_up_unknown_parents(core);
     bd_forward_tick(core);
     if (core->role == BD_LEADER)
         lead(core);
--- a/src/jobs/dependency_graph.c
+++ b/src/jobs/dependency_graph.c
@@ -247,7 +247,7 @@
 }
 
 /* A parent's record may have been evicted before its dependent's record was read. */
-void bd_dag_tick(struct bd_core *core)
+void bd_dag_look_up_unknown_parents(struct bd_core *core)
 {
     uint32_t sent = 0;
     if (core->graph.nunknown_parents == 0 || !core->replica.ready ||
--- a/src/jobs/dependency_priorities.c
+++ b/src/jobs/dependency_priorities.c
@@ -15,7 +15,7 @@
     return SLOWEST_TASK_FACTOR * job->spec.estimate + START_DELAY_S;
 }
 
-double bd_deadline_slack(const struct bd_core *core, const struct bd_job *job)
+double bd_deadline_slack_s(const struct bd_core *core, const struct bd_job *job)
 {
     return job->finish_by - duration_s(job) - core->wall;
 }
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -46,7 +46,7 @@
                                  const struct bd_change *change);
 /* A peer announced that the job's cancellation was confirmed. Until the record shows it, its tasks
  * are stopped and none is started; nothing else depends on the announcement. */
-void bd_job_cancellation_received(struct bd_core *core, const char *id);
+void bd_job_cancellation_announcement_received(struct bd_core *core, const char *id);
 /* Whether a peer has recently announced the job's cancellation. */
 bool bd_job_cancellation_announced(const struct bd_core *core, const struct bd_job *job);
 /* Sets the job's state; the tasks of a cancelled job are stopped. */
@@ -64,11 +64,11 @@
 void bd_dag_cancellation_written(struct bd_core *core, struct bd_job *job);
 /* Seconds by which the job's start may still be delayed so that it and its dependents meet their
  * deadlines; infinite: none of them has one. */
-double bd_deadline_slack(const struct bd_core *core, const struct bd_job *job);
+double bd_deadline_slack_s(const struct bd_core *core, const struct bd_job *job);
 /* Recomputes the jobs' priorities and latest finish times if the graph has changed. */
 void bd_dag_update_priorities(struct bd_core *core);
 /* Looks up the records of parents that are not in memory. */
-void bd_dag_tick(struct bd_core *core);
+void bd_dag_look_up_unknown_parents(struct bd_core *core);
 
 /* ---- the step and the end ---- */
 
--- a/src/jobs/replica.c
+++ b/src/jobs/replica.c
@@ -153,7 +153,7 @@
 
 /* The record comes with the next refresh, up to seconds later; starts and stops need not wait for
  * it. If it does not come the announcement expires, and the job is served as before. */
-void bd_job_cancellation_received(struct bd_core *core, const char *id)
+void bd_job_cancellation_announcement_received(struct bd_core *core, const char *id)
 {
     struct bd_job *job = bd_job_find(core, id);
     if (!job || job->state != BD_JOB_ACTIVE || bd_job_cancellation_announced(core, job))
--- a/src/scheduling/cost_model.c
+++ b/src/scheduling/cost_model.c
@@ -65,8 +65,8 @@
             is_expensive[type][spot] = place_price(core, spec, type, spot) > limit;
 }
 
-double bd_slo_slack(const struct bd_core *core, int job_class, double estimate,
-                    const struct bd_slo *slo)
+double bd_slo_slack_s(const struct bd_core *core, int job_class, double estimate,
+                      const struct bd_slo *slo)
 {
     if (strcmp(slo->job_class, bd_job_class_name(core, job_class)) != 0)
         return -1;
@@ -96,7 +96,7 @@
     bool has_objective = false;
     for (int i = 0; i < core->settings->nslos; i++) {
         const struct bd_slo *slo = &core->settings->slos[i];
-        double slack = bd_slo_slack(core, spec->job_class, spec->estimate, slo);
+        double slack = bd_slo_slack_s(core, spec->job_class, spec->estimate, slo);
         double spare = slack - lead;
         if (slack < 0)
             continue;
@@ -117,11 +117,11 @@
            job->spec.kind == BD_JOB_ARRAY && job->priority <= BD_PRIORITY_STANDARD;
 }
 
-enum bd_cost_tier bd_cost_tier_of(const struct bd_core *core, const struct bd_job *job)
+enum bd_cost_tier bd_job_cost_tier(const struct bd_core *core, const struct bd_job *job)
 {
     double may_wait = cheap_wait_s(core, &job->spec), waited = core->wall - job->ready;
     if (isfinite(job->finish_by)) /* the jobs that wait for it leave it no more than that */
-        may_wait = fmin(may_wait, fmax(0, bd_deadline_slack(core, job) - SLACK_MIN_S + waited));
+        may_wait = fmin(may_wait, fmax(0, bd_deadline_slack_s(core, job) - SLACK_MIN_S + waited));
     double until_any = yields_to_gpu_work(core, job) ? fmax(may_wait, GPU_YIELD_MIN_S) : may_wait;
     if (waited >= until_any)
         return BD_TIER_ANY;
--- a/src/scheduling/job_order.c
+++ b/src/scheduling/job_order.c
@@ -62,7 +62,7 @@
            !bd_job_cancellation_announced(core, job);
 }
 
-uint32_t bd_jobs_in_order(struct bd_core *core, struct bd_job ***out)
+uint32_t bd_jobs_in_scheduling_order(struct bd_core *core, struct bd_job ***out)
 {
     bd_dag_update_priorities(core);
     struct bd_job **jobs = calloc(HASH_COUNT(core->jobs) + 1, sizeof *jobs);
--- a/src/scheduling/machine_choice.c
+++ b/src/scheduling/machine_choice.c
@@ -50,7 +50,7 @@
     /* a second run costs the jobs that wait for this one more than a spot machine saves */
     weights->spot_penalty_s = SPOT_LOSS_COST_S;
     weights->on_demand_penalty_s = 0;
-    weights->is_urgent = bd_deadline_slack(cycle->core, job) < URGENT_DEADLINE_S;
+    weights->is_urgent = bd_deadline_slack_s(cycle->core, job) < URGENT_DEADLINE_S;
 }
 
 static void apply_objectives(struct placement_cycle *cycle, const struct bd_spec *spec)
@@ -59,7 +59,7 @@
     struct job_weights *weights = &cycle->weights;
     for (int i = 0; i < settings->nslos; i++) {
         double slack =
-            bd_slo_slack(cycle->core, spec->job_class, spec->estimate, &settings->slos[i]);
+            bd_slo_slack_s(cycle->core, spec->job_class, spec->estimate, &settings->slos[i]);
         if (slack < 0)
             continue;
         weights->on_demand_penalty_s =
--- a/src/scheduling/placement.c
+++ b/src/scheduling/placement.c
@@ -122,7 +122,7 @@
     struct placement_cycle cycle = {
         .core = core, .commit = core->lead.commit, .only_zone = -1, .generation = 1};
     struct bd_job **jobs = NULL;
-    uint32_t njobs = bd_jobs_in_order(core, &jobs);
+    uint32_t njobs = bd_jobs_in_scheduling_order(core, &jobs);
     bd_gpu_demand_update(core, jobs, njobs);
     init_bounds(&cycle);
     init_machines(&cycle);
--- a/src/scheduling/plan.c
+++ b/src/scheduling/plan.c
@@ -83,7 +83,7 @@
     uint32_t zone_counts[BD_ZONES_MAX], placed = 0, next = 0;
     /* a machine that is there costs the same idle: only provisioning waits for spot */
     enum bd_price_limit price_limit =
-        bd_cost_tier_of(cycle->core, job) == BD_TIER_ANY ? BD_PRICE_ANY : BD_PRICE_CHEAP;
+        bd_job_cost_tier(cycle->core, job) == BD_TIER_ANY ? BD_PRICE_ANY : BD_PRICE_CHEAP;
     bd_count_tasks_by_zone(cycle->core, job, zone_counts);
     while (placed < most) {
         struct bd_machine *machine =
--- a/src/scheduling/scheduling.h
+++ b/src/scheduling/scheduling.h
@@ -36,14 +36,14 @@
 
 /* How many such tasks the team's quota leaves free, up to `most`, with so many cores and GPUs of it
  * in use. */
-uint32_t bd_team_free_quota(const struct bd_team_quota *team, double cpus, double gpus,
-                            const struct bd_spec *spec, uint32_t most);
+uint32_t bd_team_quota_fit_count(const struct bd_team_quota *team, double cpus, double gpus,
+                                 const struct bd_spec *spec, uint32_t most);
 
 /* ---- job order (job_order.c) ---- */
 
 /* The unfinished jobs that wait for no other, in the order in which they are served; returns their
  * number. The caller frees the list. */
-uint32_t bd_jobs_in_order(struct bd_core *core, struct bd_job ***out);
+uint32_t bd_jobs_in_scheduling_order(struct bd_core *core, struct bd_job ***out);
 
 /* ---- cost model (cost_model.c) ---- */
 
@@ -60,10 +60,10 @@
                              bool is_expensive[BD_TYPES_MAX][2]);
 /* Seconds that a job of the class may wait and still meet the objective, with an estimated run time
  * in seconds; below 0: the objective is another class's. */
-double bd_slo_slack(const struct bd_core *core, int job_class, double estimate,
-                    const struct bd_slo *slo);
+double bd_slo_slack_s(const struct bd_core *core, int job_class, double estimate,
+                      const struct bd_slo *slo);
 /* Which machines the job may take now. */
-enum bd_cost_tier bd_cost_tier_of(const struct bd_core *core, const struct bd_job *job);
+enum bd_cost_tier bd_job_cost_tier(const struct bd_core *core, const struct bd_job *job);
 /* Whether the tier includes machines of each type, on demand and spot. */
 void bd_find_types_in_cost_tier(const struct bd_core *core, const struct bd_spec *spec,
                                 enum bd_cost_tier cost_tier, bool is_in_tier[BD_TYPES_MAX][2]);
--- a/tests/scenario_jobs.c
+++ b/tests/scenario_jobs.c
@@ -202,7 +202,7 @@
 
 static void step_heard(struct play *play)
 {
-    bd_job_cancellation_received(play->core, play->words[1]);
+    bd_job_cancellation_announcement_received(play->core, play->words[1]);
 }
 
 bool play_job_step(struct play *play)
--- a/tests/sim_receive.c
+++ b/tests/sim_receive.c
@@ -63,7 +63,7 @@
             bd_wire_release_heartbeat(&heartbeat);
         }
         if (frame->type == BD_FRAME_CANCELLATION)
-            bd_job_cancellation_received(node->core, event->text);
+            bd_job_cancellation_announcement_received(node->core, event->text);
         if (frame->type == BD_FRAME_HEARTBEAT_REPLY)
             bd_forward_reply_received(node->core, frame->id, frame->status, event->text,
                                       event->text ? strlen(event->text) : 0);
