--- a/src/jobs/admission.c
+++ b/src/jobs/admission.c
@@ -1,10 +1,10 @@
-/* The admission of a valid submission, which is accepted by a transaction that is conditional on
- * the job's record being absent.
+/* Admission of a valid submission: a transaction accepts the job on the condition that it has no
+ * record yet.
  *
- * A submission that names parents is decided by their records: each must have been accepted. Once
- * that is so it stays so, and it is shown by the replica, or by the replica behind a read barrier,
- * or by a look-up of the record where final records have been evicted. Only then is the reply 422.
- */
+ * A submission that names parents is accepted only if each parent was accepted before; an accepted
+ * job stays accepted. A parent is searched for in the replica, then in the replica after a read
+ * barrier, and then, if final records have been evicted, by a look-up of its record. The reply
+ * for an unknown parent is 422 only after all of these have failed to find it. */
 #include "jobs/jobs.h"
 #include "jobs/jobs_internal.h"
 #include "model/catalog.h"
@@ -18,14 +18,14 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define EXTRA_LOOKUPS_MAX 16u /* of one submission, beyond one for each parent */
-#define NOT_READY_RETRY_S 1
+#define EXTRA_LOOKUPS_MAX 16u /* per submission, in addition to one for each parent */
+#define NOT_READY_RETRY_AFTER_S 1
 
 /* What the replica knows of a submission's parents. */
 struct parents_status {
-    const char
-        *missing;     /* the first that is not in memory; the rest was not read then. NULL: none */
-    bool has_service; /* an active service, which is never done */
+    /* The first parent that is not in memory; NULL: none. The parents after it are not checked. */
+    const char *first_unknown;
+    bool has_active_service; /* it is never done, so that the job could never start */
     bool has_cancelled;
 };
 
@@ -54,19 +54,19 @@
     {
         const struct bd_job *parent = bd_job_find(core, json_string_value(name));
         if (!parent) {
-            status.missing = json_string_value(name);
+            status.first_unknown = json_string_value(name);
             return status;
         }
         if (parent->state == BD_JOB_CANCELLED)
             status.has_cancelled = true;
         if (parent->state == BD_JOB_ACTIVE && parent->has_spec &&
             parent->spec.kind == BD_JOB_SERVICE)
-            status.has_service = true;
+            status.has_active_service = true;
     }
     return status;
 }
 
-/* Takes the admission over. */
+/* Takes ownership of the admission. */
 static void look_up_parent(struct bd_core *core, struct bd_admission *admission, const char *name)
 {
     bd_job_lookup_emit(core, admission->request, name, BD_READ_ADMISSION);
@@ -75,7 +75,7 @@
     core->graph.awaiting_lookup = admission;
 }
 
-static bool may_look_up(const struct bd_admission *admission)
+static bool has_lookups_left(const struct bd_admission *admission)
 {
     return admission->lookups < json_array_size(admission->parents) + EXTRA_LOOKUPS_MAX;
 }
@@ -85,9 +85,11 @@
     bd_effect_reply_error(core, request, 422, "awaits a job that was never accepted", 0);
 }
 
-static void accept(struct bd_core *core, struct bd_admission *admission, bool cancelled)
+/* is_cancelled: a parent is cancelled, and so is this job. */
+static void accept_submission(struct bd_core *core, struct bd_admission *admission,
+                              bool is_cancelled)
 {
-    admission->record.state = cancelled ? BD_JOB_CANCELLED : BD_JOB_ACTIVE;
+    admission->record.state = is_cancelled ? BD_JOB_CANCELLED : BD_JOB_ACTIVE;
     char *body = bd_admission_txns(core, admission);
     if (body)
         bd_user_txns_emit(core, admission->request, admission->id, body, BD_READ_STATUS);
@@ -96,48 +98,49 @@
                               0);
 }
 
-/* Accepts or rejects the submission. */
-static void decide(struct bd_core *core, struct bd_admission *admission,
-                   const struct parents_status *parents)
+static void accept_or_reject(struct bd_core *core, struct bd_admission *admission,
+                             const struct parents_status *parents)
 {
     void *request = admission->request;
-    if (parents->missing && core->replica.evicted)
-        bd_effect_reply_error(core, request, 503, "not ready", NOT_READY_RETRY_S);
-    else if (parents->missing)
+    if (parents->first_unknown && core->replica.evicted)
+        bd_effect_reply_error(core, request, 503, "not ready", NOT_READY_RETRY_AFTER_S);
+    else if (parents->first_unknown)
         reply_unknown_parent(core, request);
-    else if (parents->has_service)
+    else if (parents->has_active_service)
         bd_effect_reply_error(core, request, 422, "awaits a service, which is never done", 0);
-    /* an older controller that leads would start the job too early, and lose its parents */
+    /* an older controller, if elected leader, would start the job too early and lose its parents */
     else if (admission->parents && bd_peer_lacks_feature(core, BD_PEER_KNOWS_DAG))
         bd_effect_reply_error(core, request, 503, "an older controller serves beside this one",
                               BD_KV_OUTAGE_RETRY_S);
     else
-        accept(core, admission, parents->has_cancelled);
+        accept_submission(core, admission, parents->has_cancelled);
 }
 
-/* Decides, or waits for what is missing. Takes the admission over. */
-static void advance(struct bd_core *core, struct bd_admission *admission, bool behind_barrier)
+/* Accepts or rejects the submission if all parents are known; otherwise starts the next read that
+ * may find them. Takes ownership of the admission. */
+static void continue_admission(struct bd_core *core, struct bd_admission *admission,
+                               bool after_barrier)
 {
     struct parents_status parents = check_parents(core, admission->parents);
-    if (parents.missing && !behind_barrier) {
+    if (parents.first_unknown && !after_barrier) {
         bd_read_after_barrier(core, admission->request, admission->id, BD_READ_ADMISSION)->accept =
             admission;
         return;
     }
-    if (parents.missing && core->replica.evicted && may_look_up(admission)) {
-        look_up_parent(core, admission, parents.missing);
+    if (parents.first_unknown && core->replica.evicted && has_lookups_left(admission)) {
+        look_up_parent(core, admission, parents.first_unknown);
         return;
     }
-    decide(core, admission, &parents);
+    accept_or_reject(core, admission, &parents);
     bd_admission_free(admission);
 }
 
 void bd_admission_resume(struct bd_core *core, struct bd_admission *admission)
 {
-    advance(core, admission, true);
+    continue_admission(core, admission, true);
 }
 
-/* The caller owns it. NULL: none waits for this request. */
+/* Removes the request's admission from the list; NULL: none. The caller owns it. */
 static struct bd_admission *take_awaiting_lookup(struct bd_core *core, const void *request)
 {
     struct bd_admission **link = &core->graph.awaiting_lookup;
@@ -155,7 +158,7 @@
     if (!admission)
         return;
     if (status == 200) {
-        advance(core, admission, true);
+        continue_admission(core, admission, true);
         return;
     }
     if (status == 404)
@@ -176,5 +179,5 @@
     admission->record.tasks = record->spec.tasks;
     admission->parents = parents;
     snprintf(admission->id, sizeof admission->id, "%s", id);
-    advance(core, admission, false);
+    continue_admission(core, admission, false);
 }
--- a/src/jobs/admission_record.c
+++ b/src/jobs/admission_record.c
@@ -1,9 +1,9 @@
-/* What the acceptance of a job writes: its record, and where a value does not hold the names of its
- * parents, parts with those names (j/JOB/HASH/N), which are committed before the record that
- * counts.
+/* Builds the transactions that accept a job. They write its record and, if the names of its parents
+ * do not fit into the record's value, parts with those names (j/JOB/HASH/N). The parts are
+ * committed before the record, which alone makes the job accepted.
  *
- * The parts' keys hold a hash of the names: a retry by another controller writes the same parts,
- * and a submission that differs does not overwrite them. */
+ * The keys of the parts contain a hash of the names, so that a retry by another controller writes
+ * the same parts, and a different submission of the same id does not overwrite them. */
 #include "jobs/jobs_internal.h"
 #include "model/core_state.h"
 #include "model/kv_limits.h"
@@ -15,17 +15,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PARTS_TXN_BYTES_MAX 50000u /* of one transaction that writes parts */
-#define PART_OVERHEAD_BYTES 32     /* of a part's value besides its names */
-#define NAME_OVERHEAD_BYTES 3      /* quotes and comma */
+#define PARTS_TXN_BYTES_MAX 50000u /* of all values in one transaction that writes parts */
+#define PART_OVERHEAD_BYTES 32     /* of a part's value, without the names */
+#define NAME_OVERHEAD_BYTES 3      /* quotes and comma of a name */
 
-/* Transactions as text, one a line. */
+/* Transactions as text, one a line. Owns the text. */
 struct txn_lines {
     char *text; /* NULL: none yet */
     size_t len;
 };
 
-/* Takes the line over. */
+/* Takes ownership of the line. */
 static void append_line(struct txn_lines *lines, char *line)
 {
     size_t len = strlen(line);
@@ -56,7 +56,8 @@
     return bd_wire_write_record(&admission->record);
 }
 
-/* The names from *next on that fit one value; moves *next behind them. The caller owns the list. */
+/* Returns the names from index *next on that fit into one value, and sets *next to the index after
+ * the last of them. The caller owns the list. */
 static json_t *take_names_for_part(const struct bd_core *core, const json_t *parents, size_t *next)
 {
     double free_bytes = usable_value_bytes(core) - PART_OVERHEAD_BYTES;
@@ -71,6 +72,7 @@
     return names;
 }
 
+/* Adds a part with the names from index *next on to the transaction. */
 static void put_part(const struct bd_core *core, struct bd_admission *admission, struct bd_txn *txn,
                      size_t *next)
 {
@@ -81,42 +83,42 @@
     bd_txn_put(txn, key, bd_wire_write_parents_part(names), 0);
 }
 
-/* Appends a transaction with the parts for the names from *next on. False: a value holds no name.
- */
+/* Appends a transaction that writes parts for the names from index *next on. Returns false if a
+ * name does not fit into a value. */
 static bool append_parts_txn(const struct bd_core *core, struct bd_admission *admission,
                              size_t *next, struct txn_lines *lines)
 {
     const struct bd_kv_limits *limits = &core->kv_limits;
-    size_t count = json_array_size(admission->parents), bytes = 0;
+    size_t name_count = json_array_size(admission->parents), value_bytes = 0;
     struct bd_txn txn;
     char key[BD_LABEL_BYTES];
-    bool progress = true;
+    bool made_progress = true;
     snprintf(key, sizeof key, "j/%s", admission->id);
     if (!bd_txn_begin(&txn))
         abort();
-    bd_txn_compare(&txn, key, 0); /* once the job is accepted its parts are not needed any more */
-    for (size_t ops = 0; progress && *next < count && ops < limits->kv_txn_ops_max &&
-                         bytes + limits->kv_value_bytes_max < PARTS_TXN_BYTES_MAX;
+    bd_txn_compare(&txn, key, 0); /* parts are not written once the job is accepted */
+    for (size_t ops = 0; made_progress && *next < name_count && ops < limits->kv_txn_ops_max &&
+                         value_bytes + limits->kv_value_bytes_max < PARTS_TXN_BYTES_MAX;
          ops++) {
         size_t first = *next;
         put_part(core, admission, &txn, next);
-        progress = *next > first;
-        bytes += limits->kv_value_bytes_max;
+        made_progress = *next > first;
+        value_bytes += limits->kv_value_bytes_max;
     }
     append_line(lines, bd_txn_finish(&txn));
-    return progress;
+    return made_progress;
 }
 
-/* Appends the transactions that write all parts. False: there are too many, or a name is too long.
- */
+/* Appends the transactions that write all parts. Returns false if there are too many parts or a
+ * name is too long. */
 static bool append_all_parts(const struct bd_core *core, struct bd_admission *admission,
                              struct txn_lines *lines)
 {
     struct bd_job_record_parents *parents = &admission->record.parents;
-    size_t next = 0, count = json_array_size(admission->parents);
+    size_t next = 0, name_count = json_array_size(admission->parents);
     snprintf(parents->of, sizeof parents->of, "%016llx",
              (unsigned long long)bd_wire_hash_names(admission->parents));
-    while (next < count)
+    while (next < name_count)
         if (!append_parts_txn(core, admission, &next, lines))
             return false;
     return parents->parts <= BD_PARENT_PARTS_MAX;
@@ -127,7 +129,7 @@
     struct txn_lines lines = {0};
     json_t *record = build_record(admission, true);
     if (fits_value(core, record))
-        return bd_record_txn(admission->id, 0, record);
+        return bd_job_record_txn(admission->id, 0, record);
     json_decref(record);
     record = NULL;
     if (!admission->parents || !append_all_parts(core, admission, &lines))
@@ -135,7 +137,7 @@
     record = build_record(admission, false);
     if (!fits_value(core, record))
         goto too_large;
-    append_line(&lines, bd_record_txn(admission->id, 0, record));
+    append_line(&lines, bd_job_record_txn(admission->id, 0, record));
     return lines.text;
 
 too_large:
--- a/src/jobs/dependency_graph.c
+++ b/src/jobs/dependency_graph.c
@@ -1,14 +1,14 @@
-/* The dependency graph: jobs that wait until others, their parents, are done.
+/* The dependency graph: jobs that wait until other jobs, their parents, are done.
  *
- * A job is ready only when the done record of each parent is committed; heartbeats and receipts in
- * flight do not count. A done record is never undone, and an active record becomes either done or
- * cancelled, by one compare-and-swap transaction. So a parent's cancellation and a dependent's
- * start cannot both happen: the start needs the parent's record to be done, the cancellation needs
- * it not to be. No further fencing is needed.
+ * A job is ready only when the done record of each parent is committed; heartbeats and uncommitted
+ * receipts do not count. A done record never changes back, and an active record becomes either done
+ * or cancelled by one compare-and-swap transaction. So a parent's cancellation and a dependent's
+ * start cannot both happen: the start requires that the parent's record is done, the cancellation
+ * that it is not. No further fencing is needed.
  *
- * Cancellation is transitive: a job with a cancelled parent is cancelled, here and on every
- * controller, by derivation from the records behind a read barrier. The leader writes it into the
- * job's own record later; nothing depends on when. */
+ * Cancellation is transitive: a job with a cancelled parent is cancelled. Every controller derives
+ * this from the records after a read barrier. The leader writes it into the job's own record later;
+ * nothing depends on when it does. */
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "jobs/jobs.h"
@@ -26,7 +26,7 @@
 
 #define LOOKUP_INTERVAL_S 2.0 /* between two batches of look-ups */
 #define LOOKUP_BATCH_MAX 8u
-#define LOOKUP_RETRY_S (LOOKUP_INTERVAL_S * LOOKUP_BATCH_MAX) /* for one parent */
+#define LOOKUP_RETRY_S (LOOKUP_INTERVAL_S * LOOKUP_BATCH_MAX) /* between look-ups of one parent */
 
 bool bd_job_has_open_parents(const struct bd_job *job)
 {
@@ -77,7 +77,7 @@
 
 /* ---- edges ---- */
 
-/* Removes the job's edges to its parents: it is final, or ready. */
+/* Removes all edges from the job to its parents, because it is final or ready. */
 static void remove_edges(struct bd_core *core, struct bd_job *job)
 {
     for (uint32_t i = 0; i < job->nparent_edges; i++) {
@@ -95,16 +95,16 @@
     core->graph.priorities_stale = true;
 }
 
-static void set_ready_after(struct bd_job *job, double parent_end)
+static void delay_ready_until(struct bd_job *job, double parent_end)
 {
     if (parent_end > job->ready)
         job->ready = parent_end;
 }
 
-/* One of the job's open parents is done. */
+/* Called when one of the job's open parents is done. */
 static void close_parent(struct bd_core *core, struct bd_job *job, double parent_end)
 {
-    set_ready_after(job, parent_end);
+    delay_ready_until(job, parent_end);
     if (--job->nopen_parents > 0)
         return;
     remove_edges(core, job);
@@ -121,7 +121,7 @@
     core->graph.ncancelled_by_parent++;
 }
 
-/* Takes one edge away from the parent. Returns the job that waited. */
+/* Removes one of the parent's edges and returns its dependent. */
 static struct bd_job *detach_dependent(struct bd_parent_job *parent)
 {
     struct bd_dependency_edge *edge = parent->dependents;
@@ -131,8 +131,8 @@
     return edge->job;
 }
 
-/* Updates the dependents of a job that is done or cancelled. Those that are cancelled with it are
- * put onto the work list. */
+/* Updates the direct dependents of a job that is done or cancelled. Dependents that this cancels
+ * are added to the work list. */
 static void update_dependents(struct bd_core *core, const struct bd_job *job,
                               struct bd_job **work_list)
 {
@@ -152,7 +152,7 @@
     remove_parent(core, parent);
 }
 
-/* A work list, not a recursion: chains may be long. */
+/* Uses a work list instead of recursion, because dependency chains may be long. */
 void bd_dag_job_ended(struct bd_core *core, struct bd_job *job)
 {
     struct bd_job *work_list = job;
@@ -197,7 +197,7 @@
     if (parent && parent->state == BD_JOB_CANCELLED)
         return true;
     if (parent && parent->state == BD_JOB_DONE)
-        set_ready_after(job, parent->end);
+        delay_ready_until(job, parent->end);
     else
         add_open_edge(core, edge, name);
     return false;
@@ -212,9 +212,9 @@
     json_array_foreach(names, i, value)
     {
         const char *name = json_string_value(value);
-        bool is_readable = bd_wire_is_job_id(name) && strcmp(name, job->id) != 0;
-        if (!is_readable)
-            job->nopen_parents++; /* is never known to be done */
+        bool is_valid = bd_wire_is_job_id(name) && strcmp(name, job->id) != 0;
+        if (!is_valid)
+            job->nopen_parents++; /* no such parent can be done: the job never starts */
         else if (add_edge(core, job, name))
             has_cancelled = true;
     }
@@ -226,7 +226,7 @@
     job->parent_edges = calloc(json_array_size(names) + 1, sizeof *job->parent_edges);
     if (!job->parent_edges)
         abort();
-    job->nopen_parents = 1; /* until all edges are added */
+    job->nopen_parents = 1; /* keeps the job from being ready until all edges are added */
     bool has_cancelled = add_edges(core, job, names);
     core->graph.priorities_stale = true;
     if (has_cancelled) {
@@ -239,14 +239,14 @@
 
 /* ---- parents that are not in memory ---- */
 
-static bool wants_lookup(const struct bd_core *core, const struct bd_parent_job *parent)
+static bool is_lookup_due(const struct bd_core *core, const struct bd_parent_job *parent)
 {
     return !parent->job &&
            (bd_time_is_zero(parent->lookup_sent_at) ||
             bd_seconds_between(parent->lookup_sent_at, core->now) >= LOOKUP_RETRY_S);
 }
 
-/* A parent's record may have been evicted before its dependent's record was read. */
+/* Needed because a parent's record may have been evicted before its dependent's record was read. */
 void bd_dag_look_up_unknown_parents(struct bd_core *core)
 {
     uint32_t sent = 0;
@@ -255,7 +255,7 @@
         return;
     for (struct bd_parent_job *parent = core->graph.parents; parent && sent < LOOKUP_BATCH_MAX;
          parent = parent->hh.next) {
-        if (!wants_lookup(core, parent))
+        if (!is_lookup_due(core, parent))
             continue;
         parent->lookup_sent_at = core->now;
         bd_job_lookup_emit(core, NULL, parent->id, BD_READ_PARENT);
--- a/src/jobs/dependency_names.c
+++ b/src/jobs/dependency_names.c
@@ -1,6 +1,6 @@
-/* How a job's list of parents is read: from its record, or where a value does not hold the names,
- * from parts (j/JOB/HASH/N). Parts are committed before the record that names their hash and
- * number, but may be read before or after it; they are kept until both are there. */
+/* Reads a job's list of parents from its record or, if the names do not fit into one value, from
+ * parts (j/JOB/HASH/N). Parts are committed before the record that states their hash and count, but
+ * may be read before or after it. Parts are kept until the record and all parts have been read. */
 #include "brambledoor/log.h"
 #include "jobs/jobs_internal.h"
 #include "model/catalog.h"
@@ -52,7 +52,7 @@
     return true;
 }
 
-/* Joins the parts to the list of parents once all have been read. */
+/* If all parts have been read, adds the parents in them to the graph and frees the parts. */
 static void join_parts_if_complete(struct bd_core *core, struct bd_job *job)
 {
     if (!has_all_parts(core, job))
@@ -74,13 +74,14 @@
     json_t *names = bd_wire_read_parents_part(value);
     size_t id_len = strcspn(key, "/");
     if (!names || id_len >= sizeof id || strlen(key) >= BD_LABEL_BYTES) {
-        bd_log_write(core->log, BD_LOG_ERROR, "record j/%s cannot be read", key);
+        bd_log_write(core->log, BD_LOG_ERROR, "record j/%s is malformed, ignored", key);
         return;
     }
     snprintf(id, sizeof id, "%.*s", (int)id_len, key);
     struct bd_job *job = bd_job_find(core, id);
-    bool is_superfluous = job && !job->parent_parts; /* the list is complete, or the job final */
-    if (is_superfluous)
+    /* the list is complete, or the job is final */
+    bool is_part_obsolete = job && !job->parent_parts;
+    if (is_part_obsolete)
         return;
     if (!find_part(core, key))
         add_part(core, key, names);
@@ -94,8 +95,8 @@
     bool has_names = json_array_size(parents->names) > 0;
     job->has_had_parents = parents->damaged || parents->parts || has_names;
     if (parents->damaged) {
-        bd_log_write(core->log, BD_LOG_ERROR, "%s: its parents cannot be read: it is not started",
-                     job->id);
+        bd_log_write(core->log, BD_LOG_ERROR,
+                     "job %s is not started: its list of parents is malformed", job->id);
         job->nopen_parents = 1;
     } else if (parents->parts) {
         job->parent_parts = parents->parts;
--- a/src/jobs/dependency_priorities.c
+++ b/src/jobs/dependency_priorities.c
@@ -1,15 +1,16 @@
-/* Priorities and latest finish times along the dependency graph: a job has the highest priority
- * among its own and those of all its dependents, and must finish early enough for all of them. */
+/* Priorities and latest finish times in the dependency graph. A job's effective priority is the
+ * highest among its own and those of all its dependents, and it must finish early enough for all of
+ * them to meet their deadlines. */
 #include "jobs/jobs.h"
 #include "model/core_state.h"
 #include "wire/wire.h"
 #include "wire/wire_jobs.h"
 #include <math.h>
 
-#define SLOWEST_TASK_FACTOR 1.3 /* a job's slowest task against the user's estimate */
-#define START_DELAY_S 4.0       /* from a parent's end to the dependent's start, with its image */
+#define SLOWEST_TASK_FACTOR 1.3 /* run time of a job's slowest task, relative to the estimate */
+#define START_DELAY_S 4.0       /* from a parent's end to the dependent's start, with image fetch */
 
-/* Seconds from when the job is ready until it is done, by the user's estimate. */
+/* Expected seconds from when the job is ready until it is done, by the user's estimate. */
 static double duration_s(const struct bd_job *job)
 {
     return SLOWEST_TASK_FACTOR * job->spec.estimate + START_DELAY_S;
@@ -27,7 +28,8 @@
     job->finish_by = has_deadline ? job->at + job->spec.deadline_s : INFINITY;
 }
 
-/* Resets all active jobs. Returns the work list of those that nobody waits for. */
+/* Resets the priorities of all active jobs. Returns a work list of the jobs that have parents but
+ * no dependents. */
 static struct bd_job *reset_priorities(struct bd_core *core)
 {
     struct bd_job *work_list = NULL;
@@ -45,16 +47,16 @@
     return work_list;
 }
 
-static void raise_parent(struct bd_job *parent, const struct bd_job *dependent)
+static void propagate_to_parent(struct bd_job *parent, const struct bd_job *dependent)
 {
     if (dependent->priority > parent->priority)
         parent->priority = dependent->priority;
     parent->finish_by = fmin(parent->finish_by, dependent->finish_by - duration_s(dependent));
 }
 
-/* From the last jobs back to the first, each edge once: a job's values are final when all its
- * dependents have been processed. Nothing is kept when the graph changes, so that a raised priority
- * lasts no longer than the dependents that raised it. */
+/* Goes from dependents to parents in topological order, over each edge once: a job's values are
+ * final when all its dependents have been processed. All values are recomputed when the graph
+ * changes, so that a raised priority lasts no longer than the dependents that raised it. */
 void bd_dag_update_priorities(struct bd_core *core)
 {
     if (!core->graph.priorities_stale)
@@ -69,7 +71,7 @@
             struct bd_job *parent = entry ? entry->job : NULL;
             if (!parent)
                 continue;
-            raise_parent(parent, job);
+            propagate_to_parent(parent, job);
             if (--entry->dependents_left == 0 && parent->parent_edges) {
                 parent->next_work = work_list;
                 work_list = parent;
--- a/src/jobs/pending_reads.c
+++ b/src/jobs/pending_reads.c
@@ -1,5 +1,5 @@
-/* Reads that the replica cannot answer at once: they wait for a read barrier, and where final
- * records have been evicted, for a look-up of the record itself. */
+/* Reads that the replica cannot answer at once. They wait for a read barrier and then, if the job
+ * is not in memory and final records have been evicted, for a look-up of its record. */
 #include "base/timeutil.h"
 #include "jobs/jobs.h"
 #include "jobs/jobs_internal.h"
@@ -35,8 +35,7 @@
     snprintf(effect->key, sizeof effect->key, "%s", id);
 }
 
-/* There is no such job. */
-static void reply_absent(struct bd_core *core, void *request, enum bd_read_purpose purpose)
+static void reply_no_such_job(struct bd_core *core, void *request, enum bd_read_purpose purpose)
 {
     if (purpose == BD_READ_INVALID_SUBMISSION)
         bd_effect_reply_error(core, request, 400, "malformed", 0);
@@ -46,6 +45,8 @@
         bd_effect_reply_error(core, request, 404, "no such job", 0);
 }
 
+/* Replies with the job's status, or cancels the job if that is the read's purpose and it is active.
+ */
 static void answer_with_job(struct bd_core *core, void *request, enum bd_read_purpose purpose,
                             const struct bd_job *job)
 {
@@ -55,7 +56,7 @@
         bd_user_reply_status(core, request, job);
 }
 
-/* Answers a read from the replica behind its barrier. */
+/* Answers a read from the replica, after the read's barrier has completed. */
 static void answer_read(struct bd_core *core, const struct bd_pending_read *read)
 {
     const struct bd_job *job = bd_job_find(core, read->id);
@@ -69,7 +70,7 @@
     else if (core->replica.evicted)
         bd_job_lookup_emit(core, read->request, read->id, read->purpose);
     else
-        reply_absent(core, read->request, read->purpose);
+        reply_no_such_job(core, read->request, read->purpose);
 }
 
 static void fail_read(struct bd_core *core, const struct bd_pending_read *read)
@@ -78,6 +79,7 @@
     bd_user_reply_kv_unreachable(core, read->request, BD_KV_OUTAGE_RETRY_S);
 }
 
+/* Answers the reads that wait for the barrier; ok: it succeeded. */
 static void complete_barrier(struct bd_core *core, bool ok)
 {
     struct bd_pending_read *read = core->replica.asked;
@@ -98,8 +100,9 @@
                           struct timespec sent, bool barrier, bool ok)
 {
     struct bd_replica *replica = &core->replica;
-    bool without_gap = after <= replica->store_revision;
-    if (ok && without_gap && store_revision > replica->store_revision)
+    /* otherwise changes between the two revisions may be missing */
+    bool is_contiguous = after <= replica->store_revision;
+    if (ok && is_contiguous && store_revision > replica->store_revision)
         replica->store_revision = store_revision;
     if (ok)
         replica->refreshed_at = bd_time_max(replica->refreshed_at, sent);
@@ -116,13 +119,13 @@
     if (purpose == BD_READ_PARENT)
         return;
     const struct bd_job *job = bd_job_find(core, id);
-    bool is_unreadable = status == 200 && !job;
+    bool is_malformed = status == 200 && !job; /* there is a record, but it was not applied */
     if (purpose == BD_READ_ADMISSION)
-        bd_admission_lookup_completed(core, request, is_unreadable ? 0 : status);
+        bd_admission_lookup_completed(core, request, is_malformed ? 0 : status);
     else if (status == 200 && job)
         answer_with_job(core, request, purpose, job);
     else if (status == 404)
-        reply_absent(core, request, purpose);
+        reply_no_such_job(core, request, purpose);
     else
         bd_user_reply_kv_unreachable(core, request, BD_KV_OUTAGE_RETRY_S);
 }
--- a/src/jobs/replica.c
+++ b/src/jobs/replica.c
@@ -1,4 +1,4 @@
-/* The replica of the jobs' records: how a change of the store is applied to the jobs in memory. */
+/* The replica of the job records: applies changes of the store to the jobs in memory. */
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "jobs/jobs.h"
@@ -19,7 +19,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define ANNOUNCEMENT_VALID_S 5.0 /* of a cancellation whose record has not been read */
+#define ANNOUNCEMENT_VALID_S 5.0 /* of a peer's announcement that a job is cancelled */
 
 static void stop_tasks(struct bd_core *core, struct bd_job *job)
 {
@@ -75,18 +75,19 @@
 static void start_tracking(struct bd_core *core, struct bd_job *job)
 {
     if (!bd_job_start_tracking(core, job))
-        bd_log_write(core->log, BD_LOG_ERROR, "%s: no memory for its tasks yet", job->id);
+        bd_log_write(core->log, BD_LOG_ERROR,
+                     "job %s: out of memory for its tasks, not scheduled yet", job->id);
 }
 
-/* When a final job ended, by the time of day. */
-static double end_of(const struct bd_core *core, const struct bd_job_record *record)
+/* When a final job ended, as time of day in seconds; an estimate if the record does not say so. */
+static double end_time(const struct bd_core *core, const struct bd_job_record *record)
 {
     if (record->end > 0)
         return record->end;
     return core->replica.ready ? core->wall : record->at;
 }
 
-/* A job that was cancelled by derivation from a parent stays so until its own record is final. */
+/* An active record does not undo a cancellation that was derived from a parent. */
 static void apply_state(struct bd_core *core, struct bd_job *job,
                         const struct bd_job_record *record)
 {
@@ -95,7 +96,7 @@
     bd_dag_cancellation_written(core, job);
     if (job->state == record->state)
         return;
-    job->end = end_of(core, record);
+    job->end = end_time(core, record);
     bd_job_set_state(core, job, record->state);
     bd_dag_job_ended(core, job);
 }
@@ -130,7 +131,7 @@
     if (strchr(id, '/'))
         bd_dag_parents_part_loaded(core, id, change->value);
     else if (strlen(id) >= BD_ID_BYTES || !bd_wire_read_record(change->value, &record))
-        bd_log_write(core->log, BD_LOG_ERROR, "record %s cannot be read", change->key);
+        bd_log_write(core->log, BD_LOG_ERROR, "record %s is malformed, ignored", change->key);
     else
         apply_record(core, id, &record, change);
 }
@@ -151,8 +152,9 @@
            bd_seconds_between(job->cancellation_announced_at, core->now) < ANNOUNCEMENT_VALID_S;
 }
 
-/* The record comes with the next refresh, up to seconds later; starts and stops need not wait for
- * it. If it does not come the announcement expires, and the job is served as before. */
+/* The cancelled record arrives with a refresh up to seconds later; the announcement stops tasks and
+ * prevents starts before that. If the record does not arrive, the announcement expires and the job
+ * is scheduled again. */
 void bd_job_cancellation_announcement_received(struct bd_core *core, const char *id)
 {
     struct bd_job *job = bd_job_find(core, id);
--- a/src/jobs/replica_eviction.c
+++ b/src/jobs/replica_eviction.c
@@ -1,4 +1,4 @@
-/* Which final records stay in memory: the younger ones, and those that something else points to. */
+/* Evicts final jobs from memory, except recent ones and those that other state refers to. */
 #include "jobs/jobs.h"
 #include "model/core_state.h"
 #include "model/leadership_state.h"
@@ -8,16 +8,16 @@
 #include <math.h>
 #include <stdlib.h>
 
-#define JOBS_MEMORY_SHARE 0.12  /* of the memory setting */
-#define JOBS_MIN 100            /* are always allowed */
-#define EVICTABLE_AFTER_S 600.0 /* users ask about younger ones */
+#define JOBS_MEMORY_SHARE 0.12  /* of the memory setting, for job structs */
+#define JOBS_ALLOWED_MIN 100    /* however small the memory setting is */
+#define EVICTABLE_AFTER_S 600.0 /* users query the status of jobs that ended recently */
 #define BYTES_PER_MB 1048576.0
 
 static uint32_t jobs_max(const struct bd_core *core)
 {
     double bytes = core->settings->ram_mb * BYTES_PER_MB * JOBS_MEMORY_SHARE;
     double jobs = bytes / sizeof(struct bd_job);
-    return jobs < JOBS_MIN ? JOBS_MIN : (uint32_t)jobs;
+    return jobs < JOBS_ALLOWED_MIN ? JOBS_ALLOWED_MIN : (uint32_t)jobs;
 }
 
 static void pin_intent_records(struct bd_core *core)
@@ -41,7 +41,7 @@
         commit->cancelled[i]->pinned = true;
 }
 
-/* Marks the jobs that something else points to. */
+/* Pins the jobs that must stay in memory: active ones and those that other state points to. */
 static void pin_jobs(struct bd_core *core)
 {
     for (struct bd_job *job = core->jobs; job; job = job->hh.next)
@@ -52,8 +52,8 @@
         pin_commit(core->lead.commit);
 }
 
-/* By its end: a job that was cancelled just now may still run, and be asked about, however long ago
- * it was submitted. */
+/* The age counts from the job's end: a job that was cancelled just now may still run and be
+ * queried, however long ago it was submitted. */
 static bool is_evictable(const struct bd_core *core, const struct bd_job *job)
 {
     return !job->pinned && core->wall - fmax(job->at, job->end) >= EVICTABLE_AFTER_S;
--- a/src/jobs/submission.c
+++ b/src/jobs/submission.c
@@ -1,7 +1,8 @@
-/* A user's submission: reads and validates it, and starts its admission.
+/* Parses and validates a user's submission, and starts its admission.
  *
- * A submission of a known id is a repeated request and gets the job's status, whatever its body
- * says now. Nothing is kept of one that is rejected: invalid names must not fill the catalog. */
+ * A submission of a known id is treated as a repeated request: the reply is the job's status,
+ * whatever the body contains. A rejected submission leaves no state behind, so that invalid names
+ * cannot fill the catalog. */
 #include "jobs/jobs.h"
 #include "jobs/jobs_internal.h"
 #include "model/catalog.h"
@@ -14,10 +15,10 @@
 #include <stdio.h>
 
 struct submission {
-    char id[BD_ID_BYTES]; /* empty: none could be read */
+    char id[BD_ID_BYTES]; /* empty: missing or invalid */
     struct bd_job_record record;
-    json_t *parents;       /* owned; NULL: none */
-    const char *bad_field; /* NULL: well formed */
+    json_t *parents;           /* owned; NULL: none */
+    const char *invalid_field; /* the first one; NULL: all fields are valid */
 };
 
 static void read_submission(const struct bd_core *core, const char *body, size_t len,
@@ -26,37 +27,38 @@
     *out =
         (struct submission){.record = {.state = BD_JOB_ACTIVE, .at = core->wall, .has_spec = true}};
     json_t *json = json_loadb(body, len, JSON_REJECT_DUPLICATES, NULL);
-    out->bad_field = json ? bd_wire_read_submission(json, out->id, &out->record.spec) : "body";
-    if (!out->bad_field && !bd_wire_read_parents(json, &out->parents))
-        out->bad_field = "awaits";
+    out->invalid_field = json ? bd_wire_read_submission(json, out->id, &out->record.spec) : "body";
+    if (!out->invalid_field && !bd_wire_read_parents(json, &out->parents))
+        out->invalid_field = "awaits";
     json_decref(json);
 }
 
-static void reply_malformed(struct bd_core *core, void *request, const char *bad_field)
+static void reply_malformed(struct bd_core *core, void *request, const char *invalid_field)
 {
-    char why[96];
-    snprintf(why, sizeof why, "malformed: %s", bad_field);
-    bd_effect_reply_error(core, request, 400, why, 0);
+    char message[96];
+    snprintf(message, sizeof message, "malformed: %s", invalid_field);
+    bd_effect_reply_error(core, request, 400, message, 0);
 }
 
-/* Replies to a submission that is rejected. One with an id waits for a read barrier first: an id
- * that another controller may have accepted must not get 400 or 422. */
+/* Rejects a submission. If it has an id, the reply waits for a read barrier: another controller may
+ * have accepted a job with this id, which must not get 400 or 422. */
 static void reject(struct bd_core *core, void *request, const struct submission *submission)
 {
     if (!*submission->id)
-        reply_malformed(core, request, submission->bad_field);
-    else if (submission->bad_field)
+        reply_malformed(core, request, submission->invalid_field);
+    else if (submission->invalid_field)
         (void)bd_read_after_barrier(core, request, submission->id, BD_READ_INVALID_SUBMISSION);
     else
         (void)bd_read_after_barrier(core, request, submission->id, BD_READ_IMPOSSIBLE_SUBMISSION);
 }
 
-/* Takes the submission's parents over. */
-static void process_new(struct bd_core *core, void *request, struct submission *submission)
+/* Handles a submission whose id is not in memory. Takes ownership of the submission's parents. */
+static void process_new_submission(struct bd_core *core, void *request,
+                                   struct submission *submission)
 {
-    bool infeasible = !submission->bad_field && core->types_known &&
-                      !bd_submission_is_feasible(core, &submission->record.spec);
-    if (submission->bad_field || infeasible)
+    bool is_infeasible = !submission->invalid_field && core->types_known &&
+                         !bd_submission_is_feasible(core, &submission->record.spec);
+    if (submission->invalid_field || is_infeasible)
         reject(core, request, submission);
     else if (!core->types_known || !bd_kv_reachable(core))
         bd_effect_reply_error(core, request, 503, "not ready", BD_KV_OUTAGE_RETRY_S);
@@ -75,5 +77,5 @@
         bd_user_status(core, request, submission.id);
         return;
     }
-    process_new(core, request, &submission);
+    process_new_submission(core, request, &submission);
 }
--- a/src/jobs/submission_feasibility.c
+++ b/src/jobs/submission_feasibility.c
@@ -1,4 +1,4 @@
-/* Whether a submitted job could ever run: machine types, zones and the team's quota. */
+/* Checks whether a submitted job could ever run, by machine types, zones and the team's quota. */
 #include "brambledoor/settings.h"
 #include "jobs/jobs_internal.h"
 #include "model/catalog.h"
@@ -7,8 +7,9 @@
 #include "wire/wire_jobs.h"
 #include <string.h>
 
-#define ROUNDING 1e-9 /* of amounts that were read as decimal numbers */
+#define ROUNDING 1e-9 /* tolerance for amounts that were parsed from decimal numbers */
 
+/* Whether one task fits on a machine of the type that the zone offers; zone -1: any. */
 static bool fits_type(const struct bd_type *type, const struct bd_job_spec_text *spec, int zone)
 {
     return type->known && spec->cpus <= type->cpus + ROUNDING &&
@@ -29,17 +30,17 @@
     return spec->ntypes < 0;
 }
 
-/* The zones, as bits, in which the job's tasks could run. */
+/* The zones in which the job's tasks could run, as a bit mask. */
 static uint32_t feasible_zones(const struct bd_core *core, const struct bd_job_spec_text *spec)
 {
     uint32_t zones = 0;
-    int only = bd_zone_find(core, spec->zone);
-    if (*spec->zone && only < 0)
+    int required_zone = bd_zone_find(core, spec->zone);
+    if (*spec->zone && required_zone < 0)
         return 0;
     for (int i = 0; i < core->ntypes; i++) {
         const struct bd_type *type = &core->types[i];
-        if (allows_type(spec, type->label) && fits_type(type, spec, only))
-            zones |= type->zones & (only < 0 ? UINT32_MAX : 1u << only);
+        if (allows_type(spec, type->label) && fits_type(type, spec, required_zone))
+            zones |= type->zones & (required_zone < 0 ? UINT32_MAX : 1u << required_zone);
     }
     return zones;
 }
@@ -50,12 +51,12 @@
     if (team < 0)
         return false;
     const struct bd_team_quota *quota = &core->settings->teams[team];
-    double tasks_at_once = spec->kind == BD_JOB_ARRAY ? 1 : spec->tasks;
-    if (exceeds_quota(quota->cpus_quota, spec->cpus * tasks_at_once) ||
-        exceeds_quota(quota->gpus_quota, spec->gpus * tasks_at_once))
+    double concurrent_tasks = spec->kind == BD_JOB_ARRAY ? 1 : spec->tasks;
+    if (exceeds_quota(quota->cpus_quota, spec->cpus * concurrent_tasks) ||
+        exceeds_quota(quota->gpus_quota, spec->gpus * concurrent_tasks))
         return false;
     uint32_t zones = feasible_zones(core, spec);
-    bool single_zone = spec->same_zone || (zones & (zones - 1)) == 0;
+    bool is_limited_to_one_zone = spec->same_zone || (zones & (zones - 1)) == 0;
     bool needs_several_zones = spec->kind != BD_JOB_ARRAY && spec->tasks > 1 && spec->spread_zones;
-    return zones != 0 && !(needs_several_zones && single_zone);
+    return zones != 0 && !(needs_several_zones && is_limited_to_one_zone);
 }
--- a/src/jobs/user_requests.c
+++ b/src/jobs/user_requests.c
@@ -12,7 +12,7 @@
 #include "wire/wire_limits.h"
 #include <string.h>
 
-#define KV_REACHABLE_S 2.0 /* since the newest refresh that was answered */
+#define KV_REACHABLE_S 2.0 /* after the newest successful refresh was sent */
 
 static const char *state_name(const struct bd_job *job, uint32_t running)
 {
@@ -28,9 +28,9 @@
 
 void bd_user_reply_status(struct bd_core *core, void *request, const struct bd_job *job)
 {
-    bool leads = core->role == BD_LEADER;
-    uint32_t done = leads ? job->ndone : job->shown_done;
-    uint32_t running = leads ? job->nrunning : job->shown_running;
+    bool is_leader = core->role == BD_LEADER;
+    uint32_t done = is_leader ? job->ndone : job->shown_done;
+    uint32_t running = is_leader ? job->nrunning : job->shown_running;
     if (job->state != BD_JOB_ACTIVE)
         running = 0;
     if (job->state == BD_JOB_DONE)
@@ -55,7 +55,7 @@
     return bd_wire_is_job_id(id) && strlen(id) < BD_ID_BYTES - 1;
 }
 
-/* Replies if the request needs neither a read barrier nor a transaction. True: it did. */
+/* Replies if neither a read barrier nor a transaction is needed. Returns whether it replied. */
 static bool reply_at_once(struct bd_core *core, void *request, const char *id,
                           const struct bd_job *job)
 {
@@ -83,12 +83,12 @@
         return;
     if (job)
         bd_user_cancel_emit(core, request, job);
-    else /* perhaps another controller has just accepted it */
+    else /* another controller may have accepted it since the last refresh */
         bd_read_after_barrier(core, request, id, BD_READ_CANCEL);
 }
 
-/* Without what only placement needs: it is no longer than what was accepted, so that it fits limits
- * that have been lowered since. */
+/* Omits what only placement needs: the record is no longer than the accepted one, so that it fits
+ * store limits that have been lowered since. */
 json_t *bd_job_cancelled_record(const struct bd_job *job)
 {
     struct bd_job_record record = {.state = BD_JOB_CANCELLED, .tasks = job->ntasks, .at = job->at};
--- a/src/jobs/user_txn.c
+++ b/src/jobs/user_txn.c
@@ -1,4 +1,4 @@
-/* Users' transactions: how they are emitted, and what their outcome means to the user. */
+/* Users' transactions: emits them, and turns their outcomes into replies. */
 #include "jobs/jobs.h"
 #include "jobs/jobs_internal.h"
 #include "model/catalog.h"
@@ -15,9 +15,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define RETRY_S 1 /* Retry-After when the outcome is unknown */
+#define USER_TXN_RETRY_AFTER_S 1 /* Retry-After if the outcome is unknown */
 
-char *bd_record_txn(const char *id, uint64_t revision, json_t *record)
+char *bd_job_record_txn(const char *id, uint64_t revision, json_t *record)
 {
     struct bd_txn txn;
     char key[BD_LABEL_BYTES];
@@ -41,11 +41,11 @@
 
 void bd_user_cancel_emit(struct bd_core *core, void *request, const struct bd_job *job)
 {
-    char *body = bd_record_txn(job->id, job->revision, bd_job_cancelled_record(job));
+    char *body = bd_job_record_txn(job->id, job->revision, bd_job_cancelled_record(job));
     bd_user_txns_emit(core, request, job->id, body, BD_READ_CANCEL);
 }
 
-/* Applies the changes of one transaction that was committed. */
+/* Applies the changes of one committed transaction to the replica. */
 static void apply_txn(struct bd_core *core, const char *text, size_t len, uint64_t store_revision)
 {
     json_t *txn = json_loadb(text, len, 0, NULL), *op;
@@ -60,7 +60,8 @@
     json_decref(txn);
 }
 
-/* Applies what was committed, without waiting for the next refresh. */
+/* Applies the committed transactions to the replica, without waiting for the next refresh. body:
+ * one transaction a line. */
 static void apply_txns(struct bd_core *core, const char *body, uint64_t store_revision)
 {
     const char *line = body;
@@ -79,10 +80,10 @@
     struct bd_job *job = bd_job_find(core, id);
     bool is_submission = purpose == BD_READ_STATUS;
     if (!job)
-        bd_effect_reply_error(core, request, 503, "not ready", RETRY_S);
+        bd_effect_reply_error(core, request, 503, "not ready", USER_TXN_RETRY_AFTER_S);
     else if (job->state == BD_JOB_ACTIVE)
         bd_effect_reply(core, request, 201, bd_wire_write_accepted(id), 0);
-    else if (is_submission && job->state == BD_JOB_CANCELLED) /* since a parent is */
+    else if (is_submission && job->state == BD_JOB_CANCELLED) /* because a parent is */
         bd_effect_reply(core, request, 201, bd_wire_write_job_state(id, "cancelled", 0, 0), 0);
     else
         bd_user_reply_status(core, request, job);
@@ -115,11 +116,12 @@
         complete_committed(core, request, id, body, purpose, store_revision);
         return;
     }
-    if (status == 409) { /* another transaction was first: reads again, then replies what is */
+    if (status == 409) {
+        /* a concurrent transaction was committed first: reads the record again, then replies */
         (void)bd_read_after_barrier(core, request, id, purpose);
         return;
     }
-    if (status == 400) /* the user's retry is sent in smaller transactions */
+    if (status == 400) /* the lowered limits make the user's retry use smaller transactions */
         (void)bd_kv_limits_rejected(core, id);
-    bd_user_reply_kv_unreachable(core, request, RETRY_S);
+    bd_user_reply_kv_unreachable(core, request, USER_TXN_RETRY_AFTER_S);
 }
