--- a/src/scheduling/constraints.c
+++ b/src/scheduling/constraints.c
@@ -1,4 +1,4 @@
-/* Constraints on zones: all tasks of a job in the same one, or spread over them. */
+/* Zone constraints: all tasks of a job in one zone, or spread over zones. */
 #include "brambledoor/settings.h"
 #include "model/core_state.h"
 #include "model/machine.h"
@@ -21,7 +21,7 @@
             counts[machine->zone]++;
             continue;
         }
-        /* a machine whose zone is not known may be in any */
+        /* a machine whose zone is unknown may be in any zone */
         for (int zone = 0; zone < core->nzones; zone++)
             counts[zone]++;
     }
@@ -36,13 +36,13 @@
 }
 
 uint32_t bd_zone_allowance(const struct bd_core *core, const struct bd_job *job,
-                           const uint32_t *counts, int zone, uint32_t most)
+                           const uint32_t *counts, int zone, uint32_t max_tasks)
 {
     if (job->spec.same_zone && is_in_another_zone(core, counts, zone))
         return 0;
     if (!job->spec.spread_zones)
-        return most;
-    uint32_t half = (job->ntasks + 1) / 2;
-    uint32_t left = counts[zone] >= half ? 0 : half - counts[zone];
-    return left < most ? left : most;
+        return max_tasks;
+    uint32_t zone_max = (job->ntasks + 1) / 2; /* half of the tasks, rounded up */
+    uint32_t remaining = counts[zone] >= zone_max ? 0 : zone_max - counts[zone];
+    return remaining < max_tasks ? remaining : max_tasks;
 }
--- a/src/scheduling/cost_model.c
+++ b/src/scheduling/cost_model.c
@@ -1,5 +1,5 @@
-/* What a place costs, and how long a job may wait for a cheap one before its objectives are in
- * danger. */
+/* The cost model: the price of running a task on a machine type, and how long a job can wait for a
+ * cheap machine without missing its objectives. */
 #include "brambledoor/settings.h"
 #include "jobs/jobs.h"
 #include "model/catalog.h"
@@ -11,61 +11,61 @@
 #include <math.h>
 #include <string.h>
 
-#define EXPENSIVE_FACTOR 2.5    /* times the cheapest on-demand place for the task */
-#define SLACK_MIN_S 20.0        /* with less to spare an objective is not counted on */
-#define GPU_YIELD_MIN_S 15.0    /* arrays leave expensive places to GPU work that waits, at least */
-#define SLOWEST_TASK_FACTOR 1.5 /* a job's slowest task against the estimate */
-#define ROUNDING 1e-9           /* of a quotient of amounts */
-#define TASKS_MAX 1e6           /* for a task that needs nothing */
+#define EXPENSIVE_FACTOR 2.5    /* times the task's lowest on-demand price */
+#define SLACK_MIN_S 20.0        /* least slack with which an objective counts as attainable */
+#define GPU_YIELD_MIN_S 15.0    /* least time that arrays leave expensive machines to GPU tasks */
+#define SLOWEST_TASK_FACTOR 1.5 /* run time of a job's slowest task, relative to the estimate */
+#define ROUNDING 1e-9           /* tolerance of a quotient of amounts */
+#define TASKS_MAX 1e6           /* on one machine, for a task that requests no resources */
 
 int bd_tasks_per_machine(const struct bd_type *type, const struct bd_spec *spec)
 {
-    double n = TASKS_MAX;
+    double tasks = TASKS_MAX;
     if (spec->cpus > 0)
-        n = fmin(n, floor(type->cpus / spec->cpus + ROUNDING));
+        tasks = fmin(tasks, floor(type->cpus / spec->cpus + ROUNDING));
     if (spec->gpus > 0)
-        n = fmin(n, floor(type->gpus / spec->gpus + ROUNDING));
+        tasks = fmin(tasks, floor(type->gpus / spec->gpus + ROUNDING));
     if (spec->mem > 0)
-        n = fmin(n, floor(type->mem / spec->mem + ROUNDING));
-    return (int)n;
+        tasks = fmin(tasks, floor(type->mem / spec->mem + ROUNDING));
+    return (int)tasks;
 }
 
-/* Of one task on a full machine; infinite: it may not run there. */
-static double place_price(const struct bd_core *core, const struct bd_spec *spec, int type,
-                          bool spot)
+/* Price per hour of one task on a fully used machine; infinite: the task may not run there. */
+static double task_price(const struct bd_core *core, const struct bd_spec *spec, int type,
+                         bool spot)
 {
     const struct bd_type *machine_type = &core->types[type];
-    int n = machine_type->known ? bd_tasks_per_machine(machine_type, spec) : 0;
-    if (n < 1 || !bd_type_allowed(spec, type) || (spot && !spec->spot))
+    int tasks = machine_type->known ? bd_tasks_per_machine(machine_type, spec) : 0;
+    if (tasks < 1 || !bd_type_allowed(spec, type) || (spot && !spec->spot))
         return INFINITY;
-    return (spot ? machine_type->spot_price : machine_type->price) / n;
+    return (spot ? machine_type->spot_price : machine_type->price) / tasks;
 }
 
-/* A place that costs more is expensive. */
-static double expensive_above(const struct bd_core *core, const struct bd_spec *spec)
+/* The price per task and hour above which a machine is expensive for the task. */
+static double expensive_price_limit(const struct bd_core *core, const struct bd_spec *spec)
 {
     double lowest = INFINITY;
     for (int type = 0; type < core->ntypes; type++)
-        lowest = fmin(lowest, place_price(core, spec, type, false));
+        lowest = fmin(lowest, task_price(core, spec, type, false));
     return EXPENSIVE_FACTOR * lowest;
 }
 
 bool bd_type_is_expensive(const struct bd_core *core, const struct bd_spec *spec, int type,
                           bool spot)
 {
-    return place_price(core, spec, type, spot) > expensive_above(core, spec);
+    return task_price(core, spec, type, spot) > expensive_price_limit(core, spec);
 }
 
 void bd_find_expensive_types(const struct bd_core *core, const struct bd_spec *spec,
                              bool is_expensive[BD_TYPES_MAX][2])
 {
-    double limit = expensive_above(core, spec);
+    double limit = expensive_price_limit(core, spec);
     for (int type = 0; type < core->ntypes; type++)
         for (int spot = 0; spot < 2; spot++)
-            is_expensive[type][spot] = place_price(core, spec, type, spot) > limit;
+            is_expensive[type][spot] = task_price(core, spec, type, spot) > limit;
 }
 
-double bd_slo_slack_s(const struct bd_core *core, int job_class, double estimate,
+double bd_slo_slack_s(const struct bd_core *core, int job_class, double estimated_run_s,
                       const struct bd_slo *slo)
 {
     if (strcmp(slo->job_class, bd_job_class_name(core, job_class)) != 0)
@@ -73,44 +73,45 @@
     if (slo->kind == BD_SLO_WAIT)
         return slo->within_s;
     if (slo->kind == BD_SLO_FINISHED)
-        return fmax(0, slo->within_s - SLOWEST_TASK_FACTOR * estimate);
+        return fmax(0, slo->within_s - SLOWEST_TASK_FACTOR * estimated_run_s);
     return -1;
 }
 
-/* Seconds until a new machine for the job could begin its first task, at worst. */
+/* Longest time in seconds until a newly provisioned machine could start a task of the job. */
 static double provisioning_lead_s(const struct bd_core *core, const struct bd_spec *spec)
 {
-    double lead = 0;
+    double lead_s = 0;
     for (int type = 0; type < core->ntypes; type++)
-        if (place_price(core, spec, type, false) < INFINITY)
-            lead = fmax(lead, core->types[type].boot + spec->image_gb / core->types[type].fetch);
-    return lead;
+        if (task_price(core, spec, type, false) < INFINITY)
+            lead_s =
+                fmax(lead_s, core->types[type].boot + spec->image_gb / core->types[type].fetch);
+    return lead_s;
 }
 
-/* Seconds from its submission that the job can wait for a cheap place. A class whose objective for
- * its start leaves no time for a new machine waits for nothing; a job that is too long for the
- * tightest objective for its end goes by the next one. */
+/* Seconds from when the job is ready that it can wait for a cheap machine. 0 if an objective for
+ * the class's start leaves no time to provision a machine. If the job is too long to meet its
+ * tightest objective for the end, the next one applies. */
 static double cheap_wait_s(const struct bd_core *core, const struct bd_spec *spec)
 {
-    double tightest = INFINITY, loosest = 0, lead = provisioning_lead_s(core, spec);
+    double tightest_s = INFINITY, loosest_s = 0, lead_s = provisioning_lead_s(core, spec);
     bool has_objective = false;
     for (int i = 0; i < core->settings->nslos; i++) {
         const struct bd_slo *slo = &core->settings->slos[i];
-        double slack = bd_slo_slack_s(core, spec->job_class, spec->estimate, slo);
-        double spare = slack - lead;
-        if (slack < 0)
+        double slack_s = bd_slo_slack_s(core, spec->job_class, spec->estimate, slo);
+        double spare_s = slack_s - lead_s;
+        if (slack_s < 0)
             continue;
-        if (slo->kind == BD_SLO_WAIT && spare < SLACK_MIN_S)
+        if (slo->kind == BD_SLO_WAIT && spare_s < SLACK_MIN_S)
             return 0;
         has_objective = true;
-        loosest = fmax(loosest, spare);
-        if (spare >= SLACK_MIN_S)
-            tightest = fmin(tightest, spare);
+        loosest_s = fmax(loosest_s, spare_s);
+        if (spare_s >= SLACK_MIN_S)
+            tightest_s = fmin(tightest_s, spare_s);
     }
-    return has_objective ? fmin(tightest, loosest) : 0;
+    return has_objective ? fmin(tightest_s, loosest_s) : 0;
 }
 
-/* Whether the job leaves expensive machines to GPU work that waits for them. */
+/* Whether the job leaves expensive machines to pending GPU tasks for a while. */
 static bool yields_to_gpu_work(const struct bd_core *core, const struct bd_job *job)
 {
     return core->cloud.has_pending_gpu_work && job->spec.gpus <= 0 &&
@@ -119,13 +120,15 @@
 
 enum bd_cost_tier bd_job_cost_tier(const struct bd_core *core, const struct bd_job *job)
 {
-    double may_wait = cheap_wait_s(core, &job->spec), waited = core->wall - job->ready;
-    if (isfinite(job->finish_by)) /* the jobs that wait for it leave it no more than that */
-        may_wait = fmin(may_wait, fmax(0, bd_deadline_slack_s(core, job) - SLACK_MIN_S + waited));
-    double until_any = yields_to_gpu_work(core, job) ? fmax(may_wait, GPU_YIELD_MIN_S) : may_wait;
-    if (waited >= until_any)
+    double max_wait_s = cheap_wait_s(core, &job->spec), waited_s = core->wall - job->ready;
+    if (isfinite(job->finish_by)) /* its own and its dependents' deadlines limit the wait */
+        max_wait_s =
+            fmin(max_wait_s, fmax(0, bd_deadline_slack_s(core, job) - SLACK_MIN_S + waited_s));
+    double any_tier_after_s =
+        yields_to_gpu_work(core, job) ? fmax(max_wait_s, GPU_YIELD_MIN_S) : max_wait_s;
+    if (waited_s >= any_tier_after_s)
         return BD_TIER_ANY;
-    return job->spec.spot && waited < may_wait / 2 ? BD_TIER_SPOT : BD_TIER_CHEAP;
+    return job->spec.spot && waited_s < max_wait_s / 2 ? BD_TIER_SPOT : BD_TIER_CHEAP;
 }
 
 void bd_find_types_in_cost_tier(const struct bd_core *core, const struct bd_spec *spec,
--- a/src/scheduling/cycle.c
+++ b/src/scheduling/cycle.c
@@ -1,5 +1,5 @@
-/* When a scheduling cycle runs: placement fills a plan, which leadership/ writes in one fenced
- * transaction at a time. */
+/* Decides when a scheduling cycle runs. Placement fills a plan, which leadership/ commits in a
+ * fenced transaction; only one is in flight at a time. */
 #include "base/timeutil.h"
 #include "jobs/jobs.h"
 #include "leadership/commit.h"
@@ -13,26 +13,27 @@
 #include <stdlib.h>
 
 #define CYCLE_INTERVAL_MAX_S 0.5
-#define CYCLE_CPU_SHARE 0.3 /* of the processor that cycles may take */
-#define JOB_MACHINE_S 1e-7  /* processor time to weigh one machine for one job, on a whole core */
-#define CYCLE_WRITES_MIN 2  /* in the write budget, for a cycle to run */
+#define CYCLE_CPU_SHARE 0.3    /* share of the processor that cycles may use */
+#define JOB_MACHINE_CPU_S 1e-7 /* time of one core to rate one machine for one job */
+#define CYCLE_WRITES_MIN 2     /* least write budget with which a cycle runs */
 
 static double pending_jobs(const struct bd_core *core)
 {
-    double n = 0;
+    double count = 0;
     for (const struct bd_job *job = core->jobs; job; job = job->hh.next)
-        n += job->state == BD_JOB_ACTIVE && job->npending > 0 && !bd_job_has_open_parents(job);
-    return n;
+        count += job->state == BD_JOB_ACTIVE && job->npending > 0 && !bd_job_has_open_parents(job);
+    return count;
 }
 
-/* A cycle weighs each machine for each pending job: with many of both, cycles are rarer, so that
- * they leave most of the processor to everything else. */
+/* A cycle rates each machine for each pending job. With many of both, the interval grows, so that
+ * most of the processor time remains for other work. */
 static double cycle_interval_s(const struct bd_core *core)
 {
-    double cpu = core->settings->cpu, interval = 0;
-    if (cpu > 0)
-        interval = pending_jobs(core) * core->nmachines * JOB_MACHINE_S / cpu / CYCLE_CPU_SHARE;
-    return fmin(fmax(interval, BD_CYCLE_INTERVAL_S), CYCLE_INTERVAL_MAX_S);
+    double cores = core->settings->cpu, interval_s = 0;
+    if (cores > 0)
+        interval_s =
+            pending_jobs(core) * core->nmachines * JOB_MACHINE_CPU_S / cores / CYCLE_CPU_SHARE;
+    return fmin(fmax(interval_s, BD_CYCLE_INTERVAL_S), CYCLE_INTERVAL_MAX_S);
 }
 
 static bool has_work(const struct bd_core *core)
--- a/src/scheduling/gang_placement.c
+++ b/src/scheduling/gang_placement.c
@@ -1,17 +1,17 @@
-/* Gangs: all tasks are placed in one cycle, or none. */
+/* Gang placement: all tasks of a gang are placed in one cycle, or none. */
 #include "model/core_state.h"
 #include "model/resources.h"
 #include "scheduling/scheduling_internal.h"
 #include "wire/wire.h"
 #include "wire/wire_jobs.h"
 
-#define CLAIM_AFTER_S 10.0 /* a gang that has waited so long claims capacity, and preempts */
+#define CLAIM_AFTER_S 10.0 /* wait after which a gang claims capacity and preempts others */
 
-/* What becomes of the capacity that was found for a part of a gang. */
+/* What happens to capacity that was found for only a part of a gang. */
 enum partial_gang { PARTIAL_GANG_DROP, PARTIAL_GANG_CLAIM };
 
-/* Claims what a waiting gang could have already, so that smaller jobs that are served later do not
- * overtake it for ever. */
+/* Claims the capacity that a waiting gang has found so far, so that smaller jobs later in the order
+ * do not starve it. */
 static void claim_planned(struct placement_cycle *cycle, const struct bd_job *job, uint32_t from)
 {
     const struct bd_commit *commit = cycle->commit;
@@ -19,7 +19,7 @@
         bd_resources_add(&cycle->machines[commit->plan[i].machine].claimed, &job->spec, 1);
 }
 
-/* Plans the whole gang or nothing; returns how many of its tasks found capacity. */
+/* Plans all tasks of the gang or none, and returns how many of them found capacity. */
 static uint32_t plan_whole_gang(struct placement_cycle *cycle, struct bd_job *job, uint64_t attempt,
                                 enum partial_gang partial)
 {
@@ -35,18 +35,19 @@
     return fitting;
 }
 
-/* Tries one zone after the other. Where none takes the whole gang, the cycle stays limited to the
- * one that takes most of it. Returns how many tasks found capacity in the zone tried last. */
+/* Tries the zones in turn until one has capacity for the whole gang. If none has, the cycle stays
+ * limited to the zone with capacity for most of its tasks. Returns how many tasks found capacity in
+ * the zone that was tried last. */
 static uint32_t plan_in_each_zone(struct placement_cycle *cycle, struct bd_job *job,
                                   uint64_t attempt)
 {
-    uint32_t fitting = 0, most = 0;
+    uint32_t fitting = 0, best_fitting = 0;
     int best_zone = -1;
     for (int zone = 0; zone < cycle->core->nzones && fitting < job->ntasks; zone++) {
         cycle->only_zone = zone;
         fitting = plan_whole_gang(cycle, job, attempt, PARTIAL_GANG_DROP);
-        if (best_zone < 0 || fitting > most) {
-            most = fitting;
+        if (best_zone < 0 || fitting > best_fitting) {
+            best_fitting = fitting;
             best_zone = zone;
         }
     }
@@ -54,6 +55,7 @@
     return fitting;
 }
 
+/* Preempts others for the gang's tasks that found no capacity, if that is due. */
 static void preempt_for_rest(struct placement_cycle *cycle, struct bd_job *job, uint32_t fitting)
 {
     if (job->priority <= BD_PRIORITY_IDLE || !bd_preemption_is_due(cycle->core, job))
@@ -64,15 +66,15 @@
 
 bool bd_place_gang(struct placement_cycle *cycle, struct bd_job *job, uint64_t attempt)
 {
-    bool wants_one_zone = job->spec.same_zone && job->ntasks > 1 && cycle->core->nzones > 0;
+    bool needs_one_zone = job->spec.same_zone && job->ntasks > 1 && cycle->core->nzones > 0;
     bool has_waited = cycle->core->wall - job->ready > CLAIM_AFTER_S;
     enum partial_gang partial = has_waited ? PARTIAL_GANG_CLAIM : PARTIAL_GANG_DROP;
     uint32_t fitting =
-        plan_whole_gang(cycle, job, attempt, wants_one_zone ? PARTIAL_GANG_DROP : partial);
-    if (fitting < job->ntasks && wants_one_zone)
+        plan_whole_gang(cycle, job, attempt, needs_one_zone ? PARTIAL_GANG_DROP : partial);
+    if (fitting < job->ntasks && needs_one_zone)
         fitting = plan_in_each_zone(cycle, job, attempt);
     bool is_placed = fitting == job->ntasks;
-    if (!is_placed && wants_one_zone && has_waited)
+    if (!is_placed && needs_one_zone && has_waited)
         fitting = plan_whole_gang(cycle, job, attempt, PARTIAL_GANG_CLAIM);
     if (!is_placed && (has_waited || job->ntasks == 1))
         preempt_for_rest(cycle, job, fitting);
--- a/src/scheduling/gpu_capacity.c
+++ b/src/scheduling/gpu_capacity.c
@@ -1,7 +1,7 @@
-/* Protects capacity that GPU work could use from work without GPUs.
+/* Protects capacity that GPU tasks could use from tasks without GPUs.
  *
- * Cores and memory of a GPU machine that other work takes can leave its GPUs idle, which are most
- * of its price. */
+ * Tasks without GPUs that use the cores and memory of a GPU machine can leave its GPUs idle, and
+ * GPUs are most of the machine's price. */
 #include "model/core_state.h"
 #include "model/machine.h"
 #include "model/resources.h"
@@ -11,9 +11,9 @@
 #include "wire/wire_jobs.h"
 #include <string.h>
 
-#define GPU_TASKS_MAX 64u /* that are counted on one machine */
+#define GPU_TASKS_MAX 64u /* counted on one machine */
 
-/* Whether the GPU task is the largest so far for such machines. */
+/* Whether the GPU task can run on such machines and is the largest so far of those that can. */
 static bool is_largest_gpu_task(const struct bd_core *core, const struct bd_spec *spec, int type,
                                 int spot)
 {
@@ -39,29 +39,30 @@
         if (spec->gpus <= 0)
             continue;
         core->cloud.has_pending_gpu_work |=
-            jobs[i]->npending > 0 && bd_free_quota(core, spec, 1) > 0;
+            jobs[i]->npending > 0 && bd_quota_fit_count(core, spec, 1) > 0;
         add_gpu_demand(core, spec);
     }
 }
 
-/* Arrays end and free what they hold, services do not: so GPU tasks are fitted beside the services
- * and GPU tasks that run there, and other work may only use what they would leave. */
-uint32_t bd_tasks_beside_gpu_work(const struct bd_core *core, const struct bd_spec *spec,
-                                  const struct bd_machine *machine, uint32_t most)
+/* Array tasks end and free their capacity, but services do not. Therefore the potential GPU tasks
+ * are fitted beside the services and GPU tasks that run on the machine; tasks without GPUs may use
+ * only what remains. */
+uint32_t bd_fit_count_beside_gpu_tasks(const struct bd_core *core, const struct bd_spec *spec,
+                                       const struct bd_machine *machine, uint32_t max_tasks)
 {
     const struct bd_spec *gpu_task = &core->cloud.largest_gpu_task[machine->type][machine->spot];
     const struct bd_type *type = &core->types[machine->type];
     if (spec->gpus > 0 || gpu_task->gpus <= 0)
-        return most;
+        return max_tasks;
     struct bd_resources for_gpu_tasks = {type->cpus - machine->pinned_cpus,
                                          type->gpus - machine->pinned_gpus,
                                          type->mem - machine->pinned_mem};
     uint32_t gpu_tasks = bd_resources_fit_count(for_gpu_tasks, gpu_task, GPU_TASKS_MAX);
-    if (gpu_tasks == 0) /* services alone keep GPU work away: more of them do no harm here */
-        return machine->gpus > 0 || spec->kind == BD_JOB_SERVICE ? most : 0;
-    struct bd_resources left = {type->cpus - machine->cpus - gpu_tasks * gpu_task->cpus, 0,
+    if (gpu_tasks == 0) /* no room for GPU tasks beside the services: more services do no harm */
+        return machine->gpus > 0 || spec->kind == BD_JOB_SERVICE ? max_tasks : 0;
+    struct bd_resources rest = {type->cpus - machine->cpus - gpu_tasks * gpu_task->cpus, 0,
                                 type->mem - machine->mem - gpu_tasks * gpu_task->mem};
-    return left.cpus < 0 || left.mem < 0 ? 0 : bd_resources_fit_count(left, spec, most);
+    return rest.cpus < 0 || rest.mem < 0 ? 0 : bd_resources_fit_count(rest, spec, max_tasks);
 }
 
 bool bd_gpu_use_is_known(const struct bd_core *core, const struct bd_machine *machine)
--- a/src/scheduling/job_order.c
+++ b/src/scheduling/job_order.c
@@ -1,4 +1,4 @@
-/* The order in which jobs are served: priority, guaranteed share, deadline, age. */
+/* The order in which jobs are scheduled: by priority, guaranteed share, deadline and age. */
 #include "brambledoor/settings.h"
 #include "jobs/jobs.h"
 #include "model/core_state.h"
@@ -17,12 +17,12 @@
     return strcmp(a->id, b->id);
 }
 
-static int sort_by_age(const void *x, const void *y)
+static int compare_by_age(const void *x, const void *y)
 {
     return compare_ages(*(struct bd_job *const *)x, *(struct bd_job *const *)y);
 }
 
-static int sort_by_service_order(const void *x, const void *y)
+static int compare_by_scheduling_order(const void *x, const void *y)
 {
     const struct bd_job *a = *(struct bd_job *const *)x, *b = *(struct bd_job *const *)y;
     if (a->priority != b->priority)
@@ -34,12 +34,13 @@
     return compare_ages(a, b);
 }
 
-/* A job is within its team's guaranteed share if it fits there with the team's earlier unfinished
- * jobs. One that uses nothing of what is guaranteed has no claim on the share. */
+/* A job is within its team's guaranteed share if its unfinished tasks and those of the team's
+ * earlier jobs together fit into the share. A job that uses none of the guaranteed resources is
+ * not. */
 static void mark_guaranteed_shares(struct bd_core *core, struct bd_job **jobs, uint32_t njobs)
 {
     double cpus[BD_TEAMS_MAX] = {0}, gpus[BD_TEAMS_MAX] = {0};
-    qsort(jobs, njobs, sizeof *jobs, sort_by_age);
+    qsort(jobs, njobs, sizeof *jobs, compare_by_age);
     for (uint32_t i = 0; i < njobs; i++) {
         struct bd_job *job = jobs[i];
         int team = job->spec.team;
@@ -47,15 +48,15 @@
         double unfinished = job->ntasks - job->ndone;
         cpus[team] += unfinished * job->spec.cpus;
         gpus[team] += unfinished * job->spec.gpus;
-        bool has_claim =
+        bool uses_share =
             (share->cpus > 0 && job->spec.cpus > 0) || (share->gpus > 0 && job->spec.gpus > 0);
         job->within_guaranteed_share =
-            has_claim && (share->cpus <= 0 || cpus[team] <= share->cpus + BD_RESOURCE_ROUNDING) &&
+            uses_share && (share->cpus <= 0 || cpus[team] <= share->cpus + BD_RESOURCE_ROUNDING) &&
             (share->gpus <= 0 || gpus[team] <= share->gpus + BD_RESOURCE_ROUNDING);
     }
 }
 
-static bool is_served(const struct bd_core *core, const struct bd_job *job)
+static bool is_schedulable(const struct bd_core *core, const struct bd_job *job)
 {
     return job->state == BD_JOB_ACTIVE && job->tasks && job->has_spec && job->spec.team >= 0 &&
            job->ndone < job->ntasks && !bd_job_has_open_parents(job) &&
@@ -70,10 +71,10 @@
         abort();
     uint32_t njobs = 0;
     for (struct bd_job *job = core->jobs; job; job = job->hh.next)
-        if (is_served(core, job))
+        if (is_schedulable(core, job))
             jobs[njobs++] = job;
     mark_guaranteed_shares(core, jobs, njobs);
-    qsort(jobs, njobs, sizeof *jobs, sort_by_service_order);
+    qsort(jobs, njobs, sizeof *jobs, compare_by_scheduling_order);
     *out = jobs;
     return njobs;
 }
--- a/src/scheduling/placement.c
+++ b/src/scheduling/placement.c
@@ -1,5 +1,5 @@
-/* The placement of a scheduling cycle: for each job in order, where its pending tasks go, and
- * whether others are preempted for them. */
+/* The placement step of a scheduling cycle: for each job in scheduling order, chooses machines for
+ * its pending tasks, and preempts other tasks for them. */
 #include "base/timeutil.h"
 #include "brambledoor/settings.h"
 #include "leadership/commit.h"
@@ -13,11 +13,12 @@
 #include "wire/wire_limits.h"
 #include <stdlib.h>
 
-#define FETCH_WORTH_PREEMPTING_S 12.0 /* a longer fetch is worth preempting borrowed capacity */
+#define FETCH_WORTH_PREEMPTING_S 12.0 /* a longer fetch justifies preempting borrowed capacity */
 
-/* A job within its guaranteed share need not wait for a long fetch while its image is on a machine
- * that another team uses beyond its own share. True: such a machine is being freed for it. */
-static bool preempts_beside_image(struct placement_cycle *cycle, struct bd_job *job)
+/* A gang of one task within its guaranteed share need not wait for a long image fetch while another
+ * team uses a machine that holds the image beyond that team's share. Preempts there; returns
+ * whether capacity on such a machine is being freed for the job. */
+static bool preempt_instead_of_fetch(struct placement_cycle *cycle, struct bd_job *job)
 {
     uint32_t zone_counts[BD_ZONES_MAX];
     if (!job->within_guaranteed_share || job->ntasks != 1)
@@ -27,34 +28,35 @@
         bd_choose_machine(cycle, job, zone_counts, BD_PRICE_ANY, BD_GPU_CAPACITY_SHARED);
     if (!machine || bd_image_fetch_s(cycle->core, machine, &job->spec) < FETCH_WORTH_PREEMPTING_S)
         return false;
-    return bd_preempt_beside_image(cycle, job);
+    return bd_preempt_where_image_is_held(cycle, job);
 }
 
-/* Plans tasks where their image is near, in free capacity or in what preemption frees there, which
- * is sooner than a fetch. Returns how many were planned; *wanted loses those that wait for
- * preempted tasks. */
-static uint32_t place_near_image(struct placement_cycle *cycle, struct bd_job *job,
-                                 uint32_t *wanted, uint64_t attempt)
+/* Plans tasks only on machines where their image is ready soon, and preempts others there if
+ * capacity is lacking, because that is faster than an image fetch. Returns how many were planned,
+ * and subtracts from *wanted the tasks that wait for preempted ones to stop. */
+static uint32_t place_where_image_is_ready_soon(struct placement_cycle *cycle, struct bd_job *job,
+                                                uint32_t *wanted, uint64_t attempt)
 {
-    cycle->only_near_image = true;
+    cycle->requires_image_soon = true;
     uint32_t placed = bd_plan_tasks(cycle, job, *wanted, attempt, BD_GPU_CAPACITY_PROTECTED);
     if (placed < *wanted)
         *wanted -= bd_preempt(cycle, job, *wanted - placed, BD_PRICE_CHEAP);
-    cycle->only_near_image = false;
+    cycle->requires_image_soon = false;
     return placed;
 }
 
-/* Plans tasks of an array or a service, the best places first. As place_near_image. */
+/* Plans tasks of an array or a service, the best machines first. The result and *wanted are as for
+ * place_where_image_is_ready_soon. */
 static uint32_t place_tasks(struct placement_cycle *cycle, struct bd_job *job, uint32_t *wanted,
                             uint64_t attempt)
 {
     bool may_preempt = job->priority > BD_PRIORITY_IDLE;
     uint32_t placed = 0;
     if (cycle->weights.is_urgent && may_preempt)
-        placed = place_near_image(cycle, job, wanted, attempt);
+        placed = place_where_image_is_ready_soon(cycle, job, wanted, attempt);
     if (placed < *wanted)
         placed += bd_plan_tasks(cycle, job, *wanted - placed, attempt, BD_GPU_CAPACITY_PROTECTED);
-    /* a preempted short task costs less than a GPU machine taken for a long service */
+    /* preempting a short task costs less than occupying a GPU machine with a long service */
     if (placed < *wanted && job->spec.kind == BD_JOB_SERVICE && may_preempt)
         *wanted -= bd_preempt(cycle, job, *wanted - placed, BD_PRICE_CHEAP);
     if (placed < *wanted)
@@ -62,20 +64,21 @@
     return placed;
 }
 
+/* Plans the job's pending tasks within its team's quota, and preempts others if it must. */
 static void place_job(struct placement_cycle *cycle, struct bd_job *job)
 {
     struct bd_core *core = cycle->core;
     bool is_gang = job->spec.kind == BD_JOB_GANG;
-    uint32_t wanted = bd_free_quota(core, &job->spec, job->npending), placed = 0;
+    uint32_t wanted = bd_quota_fit_count(core, &job->spec, job->npending), placed = 0;
     if (cycle->compares >= cycle->compares_max || wanted == 0 || (is_gang && wanted < job->ntasks))
         return;
     uint64_t attempt = (core->lead.base_term << 20) + core->lead.counter + 1;
     bd_job_weights_update(cycle, job);
-    if (is_gang && preempts_beside_image(cycle, job))
+    if (is_gang && preempt_instead_of_fetch(cycle, job))
         return;
     if (is_gang) {
         placed = bd_place_gang(cycle, job, attempt) ? job->ntasks : 0;
-        wanted = placed; /* it has preempted for the rest itself */
+        wanted = placed; /* bd_place_gang has preempted for the rest, if at all */
     } else {
         placed = place_tasks(cycle, job, &wanted, attempt);
     }
@@ -93,14 +96,14 @@
            !bd_time_is_before(core->now, job->backoff_until);
 }
 
-static void init_bounds(struct placement_cycle *cycle)
+static void init_txn_limits(struct placement_cycle *cycle)
 {
     const struct bd_kv_limits *limits = &cycle->core->kv_limits;
-    /* each record but the last may end a group's worth early */
-    uint32_t parts = bd_txn_intent_records_max(cycle->core);
+    /* a record other than the last may have up to one group's bytes unused */
+    uint32_t records_max = bd_txn_intent_records_max(cycle->core);
     cycle->record_bytes_max =
-        (size_t)(BD_VALUE_SHARE * (double)limits->kv_value_bytes_max * parts) -
-        (size_t)(parts - 1) * 2 * BD_LABEL_BYTES;
+        (size_t)(BD_VALUE_SHARE * (double)limits->kv_value_bytes_max * records_max) -
+        (size_t)(records_max - 1) * 2 * BD_LABEL_BYTES;
     cycle->compares_max = (uint32_t)(3 * limits->kv_txn_ops_max);
 }
 
@@ -124,7 +127,7 @@
     struct bd_job **jobs = NULL;
     uint32_t njobs = bd_jobs_in_scheduling_order(core, &jobs);
     bd_gpu_demand_update(core, jobs, njobs);
-    init_bounds(&cycle);
+    init_txn_limits(&cycle);
     init_machines(&cycle);
     for (uint32_t i = 0; i < njobs; i++)
         if (is_placeable(core, jobs[i]))
--- a/src/scheduling/plan.c
+++ b/src/scheduling/plan.c
@@ -1,5 +1,5 @@
-/* The cycle's plan: which pending tasks go to which machine, within the bounds of the intent
- * records. Like tasks of a job are placed as a group. */
+/* The cycle's plan: the assignment of pending tasks to machines, as far as the intent records can
+ * hold it. Tasks of a job that go to the same machine are planned as a group. */
 #include "brambledoor/settings.h"
 #include "leadership/commit.h"
 #include "model/core_state.h"
@@ -12,16 +12,16 @@
 #include "wire/wire.h"
 #include <stdlib.h>
 
-#define PLAN_CAPACITY_FIRST 32u
+#define PLAN_CAPACITY_INITIAL 32u /* entries */
 
 static void grow_plan(struct bd_commit *commit)
 {
-    uint32_t cap = commit->cap ? commit->cap * 2 : PLAN_CAPACITY_FIRST;
-    struct bd_intent *plan = realloc(commit->plan, cap * sizeof *plan);
+    uint32_t capacity = commit->cap ? commit->cap * 2 : PLAN_CAPACITY_INITIAL;
+    struct bd_intent *plan = realloc(commit->plan, capacity * sizeof *plan);
     if (!plan)
         abort();
     commit->plan = plan;
-    commit->cap = cap;
+    commit->cap = capacity;
 }
 
 static void plan_task(struct placement_cycle *cycle, struct bd_job *job, uint32_t task,
@@ -34,68 +34,72 @@
     commit->plan[commit->nplan++] = (struct bd_intent){job, task, machine->index, attempt};
 }
 
-/* How many tasks of the job on the machine the intent records still take, up to `most`. */
-static uint32_t tasks_in_record(const struct placement_cycle *cycle, const struct bd_job *job,
-                                const struct bd_machine *machine, uint32_t most)
+/* How many tasks of the job on the machine still fit into the intent records, up to `max_tasks`. */
+static uint32_t record_fit_count(const struct placement_cycle *cycle, const struct bd_job *job,
+                                 const struct bd_machine *machine, uint32_t max_tasks)
 {
-    size_t head = bd_intent_group_bytes(job, machine);
-    if (cycle->record_bytes + head + BD_INTENT_TASK_BYTES > cycle->record_bytes_max)
+    size_t group_bytes = bd_intent_group_bytes(job, machine);
+    if (cycle->record_bytes + group_bytes + BD_INTENT_TASK_BYTES > cycle->record_bytes_max)
         return 0;
-    size_t n = (cycle->record_bytes_max - cycle->record_bytes - head) / BD_INTENT_TASK_BYTES;
-    return n < most ? (uint32_t)n : most;
+    size_t tasks =
+        (cycle->record_bytes_max - cycle->record_bytes - group_bytes) / BD_INTENT_TASK_BYTES;
+    return tasks < max_tasks ? (uint32_t)tasks : max_tasks;
 }
 
-/* How many tasks of the job to plan on the machine, which has capacity for one at least. */
+/* How many tasks of the job to plan on the machine, which has capacity for at least one. */
 static uint32_t group_size(const struct placement_cycle *cycle, const struct bd_job *job,
                            const struct bd_machine *machine, const uint32_t *zone_counts,
-                           uint32_t most)
+                           uint32_t max_tasks)
 {
     struct bd_resources capacity = bd_unclaimed_capacity(cycle, machine);
-    uint32_t n = bd_resources_fit_count(capacity, &job->spec, most);
-    uint32_t harmless = bd_tasks_beside_gpu_work(cycle->core, &job->spec, machine, n);
-    if (harmless > 0) /* the next ones may do better elsewhere */
-        n = harmless;
-    n = bd_zone_allowance(cycle->core, job, zone_counts, machine->zone, n);
-    return tasks_in_record(cycle, job, machine, n);
+    uint32_t tasks = bd_resources_fit_count(capacity, &job->spec, max_tasks);
+    uint32_t beside_gpu_tasks =
+        bd_fit_count_beside_gpu_tasks(cycle->core, &job->spec, machine, tasks);
+    if (beside_gpu_tasks > 0) /* the other tasks may find a better machine */
+        tasks = beside_gpu_tasks;
+    tasks = bd_zone_allowance(cycle->core, job, zone_counts, machine->zone, tasks);
+    return record_fit_count(cycle, job, machine, tasks);
 }
 
-/* Plans n tasks of the job on the machine; returns the index up to which tasks were considered. */
+/* Plans `count` pending tasks of the job, from index `first` on, on the machine. Returns the index
+ * after the last task that was considered. */
 static uint32_t plan_group(struct placement_cycle *cycle, struct bd_job *job, uint32_t first,
-                           struct bd_machine *machine, uint32_t n, uint64_t attempt)
+                           struct bd_machine *machine, uint32_t count, uint64_t attempt)
 {
     if (!bd_machine_has_image(machine, job->spec.image))
         cycle->machines[machine->index].planned_fetch_s +=
             job->spec.image_gb / cycle->core->types[machine->type].fetch;
-    cycle->record_bytes += bd_intent_group_bytes(job, machine) + (size_t)n * BD_INTENT_TASK_BYTES;
+    cycle->record_bytes +=
+        bd_intent_group_bytes(job, machine) + (size_t)count * BD_INTENT_TASK_BYTES;
     uint32_t task = first;
-    for (; n > 0 && task < job->ntasks; task++) {
+    for (; count > 0 && task < job->ntasks; task++) {
         if (job->tasks[task].state != BD_TASK_PENDING)
             continue;
         plan_task(cycle, job, task, machine, attempt);
-        n--;
+        count--;
     }
     return task;
 }
 
-uint32_t bd_plan_tasks(struct placement_cycle *cycle, struct bd_job *job, uint32_t most,
+uint32_t bd_plan_tasks(struct placement_cycle *cycle, struct bd_job *job, uint32_t max_tasks,
                        uint64_t attempt, enum bd_gpu_capacity gpu_capacity)
 {
     uint32_t zone_counts[BD_ZONES_MAX], placed = 0, next = 0;
-    /* a machine that is there costs the same idle: only provisioning waits for spot */
+    /* an existing machine costs the same when idle: only provisioning is limited to spot */
     enum bd_price_limit price_limit =
         bd_job_cost_tier(cycle->core, job) == BD_TIER_ANY ? BD_PRICE_ANY : BD_PRICE_CHEAP;
     bd_count_tasks_by_zone(cycle->core, job, zone_counts);
-    while (placed < most) {
+    while (placed < max_tasks) {
         struct bd_machine *machine =
             bd_choose_machine(cycle, job, zone_counts, price_limit, gpu_capacity);
         if (!machine)
             break;
-        uint32_t n = group_size(cycle, job, machine, zone_counts, most - placed);
-        if (n == 0)
+        uint32_t count = group_size(cycle, job, machine, zone_counts, max_tasks - placed);
+        if (count == 0)
             break;
-        uint32_t before = cycle->commit->nplan;
-        next = plan_group(cycle, job, next, machine, n, attempt);
-        uint32_t planned = cycle->commit->nplan - before;
+        uint32_t nplan_before = cycle->commit->nplan;
+        next = plan_group(cycle, job, next, machine, count, attempt);
+        uint32_t planned = cycle->commit->nplan - nplan_before;
         zone_counts[machine->zone] += planned;
         placed += planned;
     }
--- a/src/scheduling/preemption.c
+++ b/src/scheduling/preemption.c
@@ -1,4 +1,5 @@
-/* Which tasks may be preempted for a job, what that costs, and doing it. */
+/* Preemption: which tasks may be preempted for a job, on which machine that costs least, and the
+ * preemption itself. */
 #include "base/timeutil.h"
 #include "brambledoor/settings.h"
 #include "model/core_state.h"
@@ -13,9 +14,9 @@
 #include "wire/wire_workers.h"
 #include <math.h>
 
-#define PREEMPTION_COST_S 10.0 /* all resources of a task freed by preempting others */
-#define PREEMPTIONS_MAX 32u    /* tasks that one call frees capacity for */
-#define PREEMPTION_RETRY_S 0.5 /* until a job for which nothing was found is tried again */
+#define PREEMPTION_COST_S 10.0 /* to free all cores, or all GPUs, that a task needs */
+#define PREEMPTIONS_MAX 32u    /* tasks for which one call frees capacity */
+#define PREEMPTION_RETRY_S 0.5 /* delay after a search that found nothing for the job */
 
 bool bd_preemption_is_due(const struct bd_core *core, const struct bd_job *job)
 {
@@ -36,27 +37,28 @@
            job->spec.kind != BD_JOB_SERVICE;
 }
 
-/* Whether the task runs beyond its team's guaranteed share on what another team's job is
- * guaranteed. The few short tasks that others need by a deadline are exempt: there is enough
- * beside them. */
-static bool may_reclaim(const struct bd_job *wanting, const struct bd_job *job,
+/* Whether a job within its team's guaranteed share may preempt another team's task that runs beyond
+ * that team's share. Tasks of jobs with a deadline and a higher priority are exempt: they are few
+ * and short, and there is enough other borrowed capacity. */
+static bool may_reclaim(const struct bd_job *preemptor, const struct bd_job *job,
                         const struct bd_task *task)
 {
-    bool is_exempt = isfinite(job->finish_by) && job->priority > wanting->priority;
-    return wanting->within_guaranteed_share && !job->within_guaranteed_share &&
-           wanting->spec.team != job->spec.team && !is_exempt && task->state == BD_TASK_CONFIRMED &&
-           task->execution == BD_EXECUTION_RUNNING;
+    bool is_exempt = isfinite(job->finish_by) && job->priority > preemptor->priority;
+    return preemptor->within_guaranteed_share && !job->within_guaranteed_share &&
+           preemptor->spec.team != job->spec.team && !is_exempt &&
+           task->state == BD_TASK_CONFIRMED && task->execution == BD_EXECUTION_RUNNING;
 }
 
-static bool may_preempt(const struct bd_job *wanting, const struct bd_job *job,
+static bool may_preempt(const struct bd_job *preemptor, const struct bd_job *job,
                         const struct bd_task *task)
 {
-    return (job->priority < wanting->priority || may_reclaim(wanting, job, task)) &&
+    return (job->priority < preemptor->priority || may_reclaim(preemptor, job, task)) &&
            is_preemptible(job, task);
 }
 
-static const struct preemption_summary *summarize(struct placement_cycle *cycle,
-                                                  const struct bd_machine *machine)
+/* The machine's summary, computed again if a task was preempted since. */
+static const struct preemption_summary *get_preemption_summary(struct placement_cycle *cycle,
+                                                               const struct bd_machine *machine)
 {
     struct preemption_summary *summary = &cycle->machines[machine->index].preemption;
     if (summary->generation == cycle->generation)
@@ -77,22 +79,23 @@
     return summary;
 }
 
-/* Capacity of a machine that is not claimed: once the tasks that are stopping have gone, and with
- * all that could be preempted for a job. */
+/* Unclaimed capacity of a machine once all stopping tasks have exited, and once all tasks that may
+ * be preempted for a job have exited too. */
 struct freeable_capacity {
     struct bd_resources after_stops, after_preemption;
 };
 
 static struct freeable_capacity freeable_capacity(struct placement_cycle *cycle,
-                                                  const struct bd_job *wanting,
+                                                  const struct bd_job *preemptor,
                                                   const struct bd_machine *machine)
 {
-    const struct preemption_summary *summary = summarize(cycle, machine);
+    const struct preemption_summary *summary = get_preemption_summary(cycle, machine);
     struct bd_resources unclaimed = bd_unclaimed_capacity(cycle, machine);
     struct freeable_capacity capacity = {unclaimed, unclaimed};
-    bool has_lower = summary->has_preemptible && summary->lowest_priority < wanting->priority;
-    bool has_reclaimable = wanting->within_guaranteed_share && summary->has_borrowed;
-    if (!summary->has_stopping && !has_lower && !has_reclaimable)
+    bool has_lower_priority =
+        summary->has_preemptible && summary->lowest_priority < preemptor->priority;
+    bool has_reclaimable = preemptor->within_guaranteed_share && summary->has_borrowed;
+    if (!summary->has_stopping && !has_lower_priority && !has_reclaimable)
         return capacity;
     for (uint32_t i = 0; i < machine->nreservations; i++) {
         const struct bd_job *job = machine->reservations[i].job;
@@ -100,16 +103,16 @@
         bool is_stopping = task->flags & BD_TASK_FLAG_STOP_REQUESTED;
         if (is_stopping)
             bd_resources_add(&capacity.after_stops, &job->spec, 1);
-        if (is_stopping || may_preempt(wanting, job, task))
+        if (is_stopping || may_preempt(preemptor, job, task))
             bd_resources_add(&capacity.after_preemption, &job->spec, 1);
     }
     return capacity;
 }
 
-/* ---- the victims on a machine ---- */
+/* ---- victims on a machine ---- */
 
-/* Whether x is preempted before y: the lower priority, then the younger job, which has more time
- * to make up for it, then the newer start. */
+/* Whether x is preempted before y: the lower priority first, then the younger job, which has more
+ * time to recover the lost work, then the newer attempt. */
 static bool is_better_victim(const struct bd_reservation *x, const struct bd_reservation *y)
 {
     const struct bd_job *a = x->job, *b = y->job;
@@ -120,26 +123,27 @@
     return a->tasks[x->task].attempt > b->tasks[y->task].attempt;
 }
 
-/* The task to preempt next; its job is NULL if there is none. */
-static struct bd_reservation choose_victim(const struct bd_job *wanting,
+/* The task to preempt next for the job; the result's job is NULL if there is none. */
+static struct bd_reservation choose_victim(const struct bd_job *preemptor,
                                            const struct bd_machine *machine)
 {
     struct bd_reservation victim = {0};
     for (uint32_t i = 0; i < machine->nreservations; i++) {
         const struct bd_reservation *reservation = &machine->reservations[i];
         const struct bd_job *job = reservation->job;
-        if (may_preempt(wanting, job, &job->tasks[reservation->task]) &&
+        if (may_preempt(preemptor, job, &job->tasks[reservation->task]) &&
             (!victim.job || is_better_victim(reservation, &victim)))
             victim = *reservation;
     }
     return victim;
 }
 
-static void preempt_on_machine(struct placement_cycle *cycle, const struct bd_job *wanting,
+/* Preempts tasks on the machine until one task of the job fits into the capacity. */
+static void preempt_on_machine(struct placement_cycle *cycle, const struct bd_job *preemptor,
                                const struct bd_machine *machine, struct bd_resources capacity)
 {
-    while (!bd_resources_fit_count(capacity, &wanting->spec, 1)) {
-        struct bd_reservation victim = choose_victim(wanting, machine);
+    while (!bd_resources_fit_count(capacity, &preemptor->spec, 1)) {
+        struct bd_reservation victim = choose_victim(preemptor, machine);
         if (!victim.job)
             return;
         bd_resources_add(&capacity, &victim.job->spec, 1);
@@ -148,9 +152,9 @@
     }
 }
 
-/* ---- the machine to preempt on ---- */
+/* ---- choice of the machine ---- */
 
-/* Where a search for a machine may preempt. */
+/* Limits on the machines where a search may preempt. */
 struct preemption_search {
     const uint32_t *zone_counts;
     enum bd_price_limit price_limit;
@@ -160,7 +164,7 @@
 static bool is_candidate(const struct placement_cycle *cycle, const struct bd_job *job,
                          const struct bd_machine *machine, const struct preemption_search *search)
 {
-    if (!cycle->machines[machine->index].is_schedulable || !bd_zone_is_open(cycle, machine) ||
+    if (!cycle->machines[machine->index].is_schedulable || !bd_zone_is_eligible(cycle, machine) ||
         !bd_placement_allowed(&job->spec, machine->type, machine->zone, machine->spot))
         return false;
     if (search->price_limit == BD_PRICE_CHEAP &&
@@ -168,13 +172,13 @@
         return false;
     if (search->needs_image && !bd_machine_has_image(machine, job->spec.image))
         return false;
-    if (cycle->only_near_image && !bd_image_is_near(cycle->core, &job->spec, machine))
+    if (cycle->requires_image_soon && !bd_image_is_ready_soon(cycle->core, &job->spec, machine))
         return false;
     return bd_zone_allowance(cycle->core, job, search->zone_counts, machine->zone, 1) > 0;
 }
 
-/* What capacity for one task would cost on the machine, in seconds of later start; infinite: it
- * cannot be had there. */
+/* The cost of freeing capacity for one task on the machine, in seconds of start delay; infinite:
+ * not possible. */
 static double preemption_cost_s(struct placement_cycle *cycle, const struct bd_job *job,
                                 const struct bd_machine *machine,
                                 const struct preemption_search *search)
@@ -185,37 +189,38 @@
     struct freeable_capacity capacity = freeable_capacity(cycle, job, machine);
     if (!bd_resources_fit_count(capacity.after_preemption, spec, 1))
         return INFINITY;
-    const struct bd_resources *free = &capacity.after_stops;
-    double fetch = bd_image_fetch_s(cycle->core, machine, spec);
-    double lacking = fmax(0, fmax(spec->cpus - free->cpus, 0) / fmax(spec->cpus, 1) +
-                                 fmax(spec->gpus - free->gpus, 0) / fmax(spec->gpus, 1));
-    return fetch + lacking * PREEMPTION_COST_S;
+    const struct bd_resources *available = &capacity.after_stops;
+    double fetch_s = bd_image_fetch_s(cycle->core, machine, spec);
+    double lacking_share = fmax(0, fmax(spec->cpus - available->cpus, 0) / fmax(spec->cpus, 1) +
+                                       fmax(spec->gpus - available->gpus, 0) / fmax(spec->gpus, 1));
+    return fetch_s + lacking_share * PREEMPTION_COST_S;
 }
 
-static void update_costs(struct placement_cycle *cycle, const struct bd_job *job,
-                         const struct preemption_search *search)
+static void update_preemption_costs(struct placement_cycle *cycle, const struct bd_job *job,
+                                    const struct preemption_search *search)
 {
     for (uint32_t i = 0; i < cycle->core->nmachines; i++)
         cycle->machines[i].preemption_cost_s =
             preemption_cost_s(cycle, job, cycle->core->by_index[i], search);
 }
 
-/* The machine with the lowest cost; NULL: all are infinite. */
+/* The machine with the lowest preemption cost; NULL: it is infinite on all machines. */
 static struct bd_machine *cheapest_machine(const struct placement_cycle *cycle)
 {
     struct bd_machine *cheapest = NULL;
-    double lowest = INFINITY;
+    double lowest_s = INFINITY;
     for (uint32_t i = 0; i < cycle->core->nmachines; i++) {
-        if (cycle->machines[i].preemption_cost_s < lowest) {
-            lowest = cycle->machines[i].preemption_cost_s;
+        if (cycle->machines[i].preemption_cost_s < lowest_s) {
+            lowest_s = cycle->machines[i].preemption_cost_s;
             cheapest = cycle->core->by_index[i];
         }
     }
     return cheapest;
 }
 
-/* Preempts for one task where that costs least, and claims the capacity. The costs are worked out
- * once for all tasks of a job, and again only for the machine that is picked. False: nowhere. */
+/* Preempts for one task on the machine where that costs least, and claims the capacity. The costs
+ * are computed once for all tasks of a job, and again only for the chosen machine. Returns false if
+ * no machine is possible. */
 static bool preempt_for_task(struct placement_cycle *cycle, const struct bd_job *job,
                              const struct preemption_search *search, uint32_t *zone_counts)
 {
@@ -223,51 +228,54 @@
         struct bd_machine *machine = cheapest_machine(cycle);
         if (!machine)
             return false;
-        struct cycle_machine *picked = &cycle->machines[machine->index];
-        double cost = preemption_cost_s(cycle, job, machine, search);
-        if (cost > picked->preemption_cost_s) { /* an earlier preemption has changed it */
-            picked->preemption_cost_s = cost;
+        struct cycle_machine *chosen = &cycle->machines[machine->index];
+        double cost_s = preemption_cost_s(cycle, job, machine, search);
+        if (cost_s > chosen->preemption_cost_s) { /* raised by an earlier preemption */
+            chosen->preemption_cost_s = cost_s;
             continue;
         }
         struct freeable_capacity capacity = freeable_capacity(cycle, job, machine);
         preempt_on_machine(cycle, job, machine, capacity.after_stops);
-        bd_resources_add(&picked->claimed, &job->spec, 1);
+        bd_resources_add(&chosen->claimed, &job->spec, 1);
         zone_counts[machine->zone]++;
-        picked->preemption_cost_s = preemption_cost_s(cycle, job, machine, search);
+        chosen->preemption_cost_s = preemption_cost_s(cycle, job, machine, search);
         return true;
     }
 }
 
-static uint32_t preempt_for_tasks(struct placement_cycle *cycle, struct bd_job *job, uint32_t n,
-                                  enum bd_price_limit price_limit, bool needs_image)
+static uint32_t preempt_for_tasks(struct placement_cycle *cycle, struct bd_job *job,
+                                  uint32_t max_tasks, enum bd_price_limit price_limit,
+                                  bool needs_image)
 {
     uint32_t zone_counts[BD_ZONES_MAX], freed = 0;
     struct preemption_search search = {zone_counts, price_limit, needs_image};
     bd_count_tasks_by_zone(cycle->core, job, zone_counts);
-    update_costs(cycle, job, &search);
-    n = n < PREEMPTIONS_MAX ? n : PREEMPTIONS_MAX;
-    while (freed < n && preempt_for_task(cycle, job, &search, zone_counts))
+    update_preemption_costs(cycle, job, &search);
+    max_tasks = max_tasks < PREEMPTIONS_MAX ? max_tasks : PREEMPTIONS_MAX;
+    while (freed < max_tasks && preempt_for_task(cycle, job, &search, zone_counts))
         freed++;
     return freed;
 }
 
-uint32_t bd_preempt(struct placement_cycle *cycle, struct bd_job *job, uint32_t n,
+uint32_t bd_preempt(struct placement_cycle *cycle, struct bd_job *job, uint32_t max_tasks,
                     enum bd_price_limit price_limit)
 {
-    return preempt_for_tasks(cycle, job, n, price_limit, false);
+    return preempt_for_tasks(cycle, job, max_tasks, price_limit, false);
 }
 
-bool bd_preempt_beside_image(struct placement_cycle *cycle, struct bd_job *job)
+bool bd_preempt_where_image_is_held(struct placement_cycle *cycle, struct bd_job *job)
 {
     return preempt_for_tasks(cycle, job, 1, BD_PRICE_ANY, true) > 0;
 }
 
-bool bd_preempt_for_gang(struct placement_cycle *cycle, struct bd_job *job, uint32_t lacking)
+bool bd_preempt_for_gang(struct placement_cycle *cycle, struct bd_job *job, uint32_t unplaced_tasks)
 {
-    uint32_t zone_counts[BD_ZONES_MAX], possible = 0;
+    uint32_t zone_counts[BD_ZONES_MAX], possible_machines = 0;
     struct preemption_search search = {zone_counts, BD_PRICE_ANY, false};
     bd_count_tasks_by_zone(cycle->core, job, zone_counts);
-    for (uint32_t i = 0; i < cycle->core->nmachines && possible < lacking; i++)
-        possible += preemption_cost_s(cycle, job, cycle->core->by_index[i], &search) < INFINITY;
-    return possible >= lacking && bd_preempt(cycle, job, lacking, BD_PRICE_ANY) > 0;
+    for (uint32_t i = 0; i < cycle->core->nmachines && possible_machines < unplaced_tasks; i++)
+        possible_machines +=
+            preemption_cost_s(cycle, job, cycle->core->by_index[i], &search) < INFINITY;
+    return possible_machines >= unplaced_tasks &&
+           bd_preempt(cycle, job, unplaced_tasks, BD_PRICE_ANY) > 0;
 }
--- a/src/scheduling/quotas.c
+++ b/src/scheduling/quotas.c
@@ -1,4 +1,4 @@
-/* Teams' quotas: how much more of their resources may be in use. */
+/* Teams' quotas: limits on the resources that a team's tasks may use. */
 #include "brambledoor/settings.h"
 #include "model/core_state.h"
 #include "model/resources.h"
@@ -6,18 +6,19 @@
 #include "scheduling/scheduling_internal.h"
 
 uint32_t bd_team_quota_fit_count(const struct bd_team_quota *team, double cpus, double gpus,
-                                 const struct bd_spec *spec, uint32_t most)
+                                 const struct bd_spec *spec, uint32_t max_tasks)
 {
     if (team->cpus_quota > 0)
-        most = bd_amount_fit_count(team->cpus_quota - cpus, spec->cpus, most);
+        max_tasks = bd_amount_fit_count(team->cpus_quota - cpus, spec->cpus, max_tasks);
     if (team->gpus_quota > 0)
-        most = bd_amount_fit_count(team->gpus_quota - gpus, spec->gpus, most);
-    return most;
+        max_tasks = bd_amount_fit_count(team->gpus_quota - gpus, spec->gpus, max_tasks);
+    return max_tasks;
 }
 
-uint32_t bd_free_quota(const struct bd_core *core, const struct bd_spec *spec, uint32_t most)
+uint32_t bd_quota_fit_count(const struct bd_core *core, const struct bd_spec *spec,
+                            uint32_t max_tasks)
 {
     int team = spec->team;
     return bd_team_quota_fit_count(&core->settings->teams[team], core->team_cpus[team],
-                                   core->team_gpus[team], spec, most);
+                                   core->team_gpus[team], spec, max_tasks);
 }
