--- a/src/jobs/admission.c
+++ b/src/jobs/admission.c
@@ -111,7 +111,7 @@
     /* an older controller, if elected leader, would start the job too early and lose its parents */
     else if (admission->parents && bd_peer_lacks_feature(core, BD_PEER_KNOWS_DAG))
         bd_effect_reply_error(core, request, 503, "an older controller serves beside this one",
-                              BD_KV_OUTAGE_RETRY_S);
+                              BD_KV_OUTAGE_RETRY_AFTER_S);
     else
         accept_submission(core, admission, parents->has_cancelled);
 }
@@ -164,7 +164,7 @@
     if (status == 404)
         reply_unknown_parent(core, request);
     else
-        bd_user_reply_kv_unreachable(core, request, BD_KV_OUTAGE_RETRY_S);
+        bd_user_reply_kv_unreachable(core, request, BD_KV_OUTAGE_RETRY_AFTER_S);
     bd_admission_free(admission);
 }
 
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -31,13 +31,12 @@
 /* Applies one change of the store to the job that its key names. Ignores keys outside j/,
  * deletions, and revisions that are not newer than the job's. */
 void bd_replica_apply(struct bd_core *core, const struct bd_change *change);
-/* Completes a refresh that requested the changes after revision `after` and was sent at `sent`. The
- * caller has applied the changes. barrier: the refresh was the read barrier, so that the reads that
- * wait for it are answered. ok: the refresh succeeded. */
-void bd_replica_refreshed(struct bd_core *core, uint64_t after, uint64_t store_revision,
-                          struct timespec sent, bool barrier, bool ok);
+/* Completes a refresh that requested the changes after after_revision. The caller has applied them.
+ * is_barrier: the refresh was the read barrier, so that the reads that wait for it are answered. */
+void bd_replica_refreshed(struct bd_core *core, uint64_t after_revision, uint64_t store_revision,
+                          struct timespec sent_at, bool is_barrier, bool succeeded);
 /* Completes the initial listing of all records, which makes the replica ready. */
-void bd_replica_listed(struct bd_core *core, uint64_t store_revision, struct timespec sent);
+void bd_replica_listed(struct bd_core *core, uint64_t store_revision, struct timespec sent_at);
 /* Evicts old final records while the replica holds more than the memory setting allows. */
 void bd_replica_evict(struct bd_core *core);
 /* Completes the look-up of one job's record. status: 200 the record is in change, 404 there is no
--- a/src/jobs/jobs_internal.h
+++ b/src/jobs/jobs_internal.h
@@ -3,7 +3,7 @@
 #define BD_JOBS_INTERNAL_H
 #include "jobs/jobs.h"
 
-#define BD_KV_OUTAGE_RETRY_S 2 /* Retry-After while the key-value store is unreachable */
+#define BD_KV_OUTAGE_RETRY_AFTER_S 2 /* Retry-After while the key-value store is unreachable */
 
 /* ---- replies (user_requests.c) ---- */
 
--- a/src/jobs/pending_reads.c
+++ b/src/jobs/pending_reads.c
@@ -45,8 +45,7 @@
         bd_effect_reply_error(core, request, 404, "no such job", 0);
 }
 
-/* Replies with the job's status, or cancels the job if that is the read's purpose and it is active.
- */
+/* Cancels the job if that is the purpose and it is active; otherwise replies with its status. */
 static void answer_with_job(struct bd_core *core, void *request, enum bd_read_purpose purpose,
                             const struct bd_job *job)
 {
@@ -76,18 +75,18 @@
 static void fail_read(struct bd_core *core, const struct bd_pending_read *read)
 {
     bd_admission_free(read->accept);
-    bd_user_reply_kv_unreachable(core, read->request, BD_KV_OUTAGE_RETRY_S);
+    bd_user_reply_kv_unreachable(core, read->request, BD_KV_OUTAGE_RETRY_AFTER_S);
 }
 
-/* Answers the reads that wait for the barrier; ok: it succeeded. */
-static void complete_barrier(struct bd_core *core, bool ok)
+/* Answers the reads that wait for the barrier. */
+static void complete_barrier(struct bd_core *core, bool succeeded)
 {
     struct bd_pending_read *read = core->replica.asked;
     core->replica.barrier_in_flight = false;
     core->replica.asked = NULL;
     while (read) {
         struct bd_pending_read *next = read->next;
-        if (ok)
+        if (succeeded)
             answer_read(core, read);
         else
             fail_read(core, read);
@@ -96,18 +95,18 @@
     }
 }
 
-void bd_replica_refreshed(struct bd_core *core, uint64_t after, uint64_t store_revision,
-                          struct timespec sent, bool barrier, bool ok)
+void bd_replica_refreshed(struct bd_core *core, uint64_t after_revision, uint64_t store_revision,
+                          struct timespec sent_at, bool is_barrier, bool succeeded)
 {
     struct bd_replica *replica = &core->replica;
     /* otherwise changes between the two revisions may be missing */
-    bool is_contiguous = after <= replica->store_revision;
-    if (ok && is_contiguous && store_revision > replica->store_revision)
+    bool is_contiguous = after_revision <= replica->store_revision;
+    if (succeeded && is_contiguous && store_revision > replica->store_revision)
         replica->store_revision = store_revision;
-    if (ok)
-        replica->refreshed_at = bd_time_max(replica->refreshed_at, sent);
-    if (barrier)
-        complete_barrier(core, ok);
+    if (succeeded)
+        replica->refreshed_at = bd_time_max(replica->refreshed_at, sent_at);
+    if (is_barrier)
+        complete_barrier(core, succeeded);
 }
 
 void bd_replica_lookup_completed(struct bd_core *core, void *request, const char *id,
@@ -127,7 +126,7 @@
     else if (status == 404)
         reply_no_such_job(core, request, purpose);
     else
-        bd_user_reply_kv_unreachable(core, request, BD_KV_OUTAGE_RETRY_S);
+        bd_user_reply_kv_unreachable(core, request, BD_KV_OUTAGE_RETRY_AFTER_S);
 }
 
 void bd_pending_reads_start_barrier(struct bd_core *core)
--- a/src/jobs/replica.c
+++ b/src/jobs/replica.c
@@ -136,14 +136,14 @@
         apply_record(core, id, &record, change);
 }
 
-void bd_replica_listed(struct bd_core *core, uint64_t store_revision, struct timespec sent)
+void bd_replica_listed(struct bd_core *core, uint64_t store_revision, struct timespec sent_at)
 {
     core->replica.store_revision = store_revision;
     core->replica.ready = true;
     bd_decision_log_term(core, "replica_listed", "revision=%llu age_ms=%.0f jobs=%u",
                          (unsigned long long)store_revision,
-                         1000 * bd_seconds_between(sent, core->now), HASH_COUNT(core->jobs));
-    core->replica.refreshed_at = bd_time_max(core->replica.refreshed_at, sent);
+                         1000 * bd_seconds_between(sent_at, core->now), HASH_COUNT(core->jobs));
+    core->replica.refreshed_at = bd_time_max(core->replica.refreshed_at, sent_at);
 }
 
 bool bd_job_cancellation_announced(const struct bd_core *core, const struct bd_job *job)
--- a/src/jobs/submission.c
+++ b/src/jobs/submission.c
@@ -61,7 +61,7 @@
     if (submission->invalid_field || is_infeasible)
         reject(core, request, submission);
     else if (!core->types_known || !bd_kv_reachable(core))
-        bd_effect_reply_error(core, request, 503, "not ready", BD_KV_OUTAGE_RETRY_S);
+        bd_effect_reply_error(core, request, 503, "not ready", BD_KV_OUTAGE_RETRY_AFTER_S);
     else
         bd_admission_start(core, request, submission->id, &submission->record,
                            json_incref(submission->parents));
--- a/src/jobs/user_requests.c
+++ b/src/jobs/user_requests.c
@@ -64,7 +64,7 @@
     else if (!is_valid_id(id))
         bd_effect_reply_error(core, request, 404, "no such job", 0);
     else if (!bd_kv_reachable(core))
-        bd_user_reply_kv_unreachable(core, request, BD_KV_OUTAGE_RETRY_S);
+        bd_user_reply_kv_unreachable(core, request, BD_KV_OUTAGE_RETRY_AFTER_S);
     else
         return false;
     return true;
--- a/src/scheduling/gang_placement.c
+++ b/src/scheduling/gang_placement.c
@@ -12,10 +12,11 @@
 
 /* Claims the capacity that a waiting gang has found so far, so that smaller jobs later in the order
  * do not starve it. */
-static void claim_planned(struct placement_cycle *cycle, const struct bd_job *job, uint32_t from)
+static void claim_planned(struct placement_cycle *cycle, const struct bd_job *job,
+                          uint32_t first_entry)
 {
     const struct bd_commit *commit = cycle->commit;
-    for (uint32_t i = from; i < commit->nplan; i++)
+    for (uint32_t i = first_entry; i < commit->nplan; i++)
         bd_resources_add(&cycle->machines[commit->plan[i].machine].claimed, &job->spec, 1);
 }
 
@@ -23,14 +24,14 @@
 static uint32_t plan_whole_gang(struct placement_cycle *cycle, struct bd_job *job, uint64_t attempt,
                                 enum partial_gang partial)
 {
-    uint32_t from = cycle->commit->nplan;
+    uint32_t first_entry = cycle->commit->nplan;
     size_t record_bytes = cycle->record_bytes;
     uint32_t fitting = bd_plan_tasks(cycle, job, job->ntasks, attempt, BD_GPU_CAPACITY_SHARED);
     if (fitting == job->ntasks)
         return fitting;
     if (partial == PARTIAL_GANG_CLAIM)
-        claim_planned(cycle, job, from);
-    bd_plan_discard(cycle, from);
+        claim_planned(cycle, job, first_entry);
+    bd_plan_discard(cycle, first_entry);
     cycle->record_bytes = record_bytes;
     return fitting;
 }
--- a/src/scheduling/placement.c
+++ b/src/scheduling/placement.c
@@ -33,7 +33,7 @@
 
 /* Plans tasks only on machines where their image is ready soon, and preempts others there if
  * capacity is lacking, because that is faster than an image fetch. Returns how many were planned,
- * and subtracts from *wanted the tasks that wait for preempted ones to stop. */
+ * and subtracts from *wanted the tasks for which bd_preempt claimed capacity. */
 static uint32_t place_where_image_is_ready_soon(struct placement_cycle *cycle, struct bd_job *job,
                                                 uint32_t *wanted, uint64_t attempt)
 {
--- a/src/scheduling/plan.c
+++ b/src/scheduling/plan.c
@@ -84,7 +84,7 @@
 uint32_t bd_plan_tasks(struct placement_cycle *cycle, struct bd_job *job, uint32_t max_tasks,
                        uint64_t attempt, enum bd_gpu_capacity gpu_capacity)
 {
-    uint32_t zone_counts[BD_ZONES_MAX], placed = 0, next = 0;
+    uint32_t zone_counts[BD_ZONES_MAX], placed = 0, next_task = 0;
     /* an existing machine costs the same when idle: only provisioning is limited to spot */
     enum bd_price_limit price_limit =
         bd_job_cost_tier(cycle->core, job) == BD_TIER_ANY ? BD_PRICE_ANY : BD_PRICE_CHEAP;
@@ -98,7 +98,7 @@
         if (count == 0)
             break;
         uint32_t nplan_before = cycle->commit->nplan;
-        next = plan_group(cycle, job, next, machine, count, attempt);
+        next_task = plan_group(cycle, job, next_task, machine, count, attempt);
         uint32_t planned = cycle->commit->nplan - nplan_before;
         zone_counts[machine->zone] += planned;
         placed += planned;
@@ -106,11 +106,11 @@
     return placed;
 }
 
-void bd_plan_discard(struct placement_cycle *cycle, uint32_t from)
+void bd_plan_discard(struct placement_cycle *cycle, uint32_t first_entry)
 {
     struct bd_commit *commit = cycle->commit;
-    for (uint32_t i = from; i < commit->nplan; i++)
+    for (uint32_t i = first_entry; i < commit->nplan; i++)
         bd_task_release(cycle->core, commit->plan[i].job, commit->plan[i].task,
                         BD_RELEASE_INTENT_NOT_COMMITTED);
-    commit->nplan = from;
+    commit->nplan = first_entry;
 }
--- a/src/scheduling/preemption.c
+++ b/src/scheduling/preemption.c
@@ -37,9 +37,9 @@
            job->spec.kind != BD_JOB_SERVICE;
 }
 
-/* Whether a job within its team's guaranteed share may preempt another team's task that runs beyond
- * that team's share. Tasks of jobs with a deadline and a higher priority are exempt: they are few
- * and short, and there is enough other borrowed capacity. */
+/* Whether the preemptor, within its team's guaranteed share, may preempt a running task that
+ * another team has beyond its own share. Tasks of jobs with a deadline and a higher priority are
+ * exempt: they are few and short, and there is enough other borrowed capacity. */
 static bool may_reclaim(const struct bd_job *preemptor, const struct bd_job *job,
                         const struct bd_task *task)
 {
--- a/src/scheduling/scheduling_internal.h
+++ b/src/scheduling/scheduling_internal.h
@@ -108,8 +108,8 @@
 /* Plans up to `max_tasks` pending tasks of the job and returns how many were planned. */
 uint32_t bd_plan_tasks(struct placement_cycle *cycle, struct bd_job *job, uint32_t max_tasks,
                        uint64_t attempt, enum bd_gpu_capacity gpu_capacity);
-/* Removes the plan's entries from this index on and releases their reservations. */
-void bd_plan_discard(struct placement_cycle *cycle, uint32_t from);
+/* Removes the plan's entries from index first_entry on and releases their reservations. */
+void bd_plan_discard(struct placement_cycle *cycle, uint32_t first_entry);
 
 /* ---- gang_placement.c ---- */
 
