--- a/src/core/core.c
+++ b/src/core/core.c
@@ -168,7 +168,7 @@
     bd_leadership_begin_term(core, acquisition);
     bd_core_leader_observed(core, core->settings->node, acquisition->term, acquisition->renewed,
                             false);
-    bd_delegate_end(core);
+    bd_delegate_stop(core);
     bd_leadership_reconcile(core, acquisition);
     bd_drain_leadership_acquired(core);
     bd_leadership_start_serving(core, acquisition);
--- a/src/runtime/event_apply.c
+++ b/src/runtime/event_apply.c
@@ -164,12 +164,12 @@
 
 static void apply_liveness_sent(struct bd_node *node, const struct bd_event *event)
 {
-    bd_liveness_sent(node->core, event->liveness.sent);
+    bd_liveness_record_sent(node->core, event->liveness.sent);
 }
 
 static void apply_liveness_written(struct bd_node *node, const struct bd_event *event)
 {
-    bd_liveness_written(node->core, event->liveness.sent);
+    bd_liveness_record_written(node->core, event->liveness.sent);
 }
 
 static void apply_leadership_lost(struct bd_node *node, const struct bd_event *event)
--- a/src/runtime/peer_status.c
+++ b/src/runtime/peer_status.c
@@ -47,7 +47,7 @@
         flags |= BD_PEER_INBOUND_PARTITION;
     if (node->settings.draining)
         flags |= BD_PEER_KNOWS_DRAINS;
-    if (bd_forward_hears_leader(core))
+    if (bd_forward_is_leader_reachable(core))
         flags |= BD_PEER_HEARS_LEADER;
     if (kv_age_s < KV_FRESH_S && core->replica.ready)
         flags |= BD_PEER_KV_REACHABLE;
--- a/src/workers/autonomous_zone.c
+++ b/src/workers/autonomous_zone.c
@@ -30,12 +30,12 @@
 
 /* ---- as follower ---- */
 
-void bd_liveness_written(struct bd_core *core, struct timespec sent)
+void bd_liveness_record_written(struct bd_core *core, struct timespec sent)
 {
     core->confirmed = bd_time_max(core->confirmed, sent);
 }
 
-void bd_liveness_sent(struct bd_core *core, struct timespec sent)
+void bd_liveness_record_sent(struct bd_core *core, struct timespec sent)
 {
     core->liveness_sent_at = bd_time_max(core->liveness_sent_at, sent);
 }
@@ -78,21 +78,21 @@
 bool bd_autonomous_zone_may_reply(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
 {
     return core->last_term && core->replica.ready && bd_autonomous_zone_active(core) &&
-           !bd_forward_hears_leader(core) && is_within_renewal_window(core) &&
+           !bd_forward_is_leader_reachable(core) && is_within_renewal_window(core) &&
            is_of_our_zone(core, heartbeat) && is_cut_confirmed(core);
 }
 
 bool bd_autonomous_zone_may_begin(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
 {
     return core->role == BD_FOLLOWER && core->last_term && is_within_renewal_window(core) &&
-           is_of_our_zone(core, heartbeat) && !bd_forward_hears_leader(core) &&
+           is_of_our_zone(core, heartbeat) && !bd_forward_is_leader_reachable(core) &&
            bd_seconds_between(core->confirmed, core->now) <
                AUTONOMOUS_AFTER_S + PEER_STATUS_FRESH_S;
 }
 
 /* ---- as leader ---- */
 
-void bd_autonomous_zone_liveness_record(struct bd_core *core, const char *node, double wall_s)
+void bd_autonomous_zone_liveness_record_read(struct bd_core *core, const char *node, double wall_s)
 {
     for (int i = 0; i < core->settings->npeers; i++)
         if (strcmp(core->settings->peers[i].name, node) == 0 &&
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -106,8 +106,8 @@
     return has_launch;
 }
 
-void bd_commands_pending(struct bd_core *core, struct bd_machine *machine,
-                         struct bd_command_list *commands)
+void bd_commands_add_pending(struct bd_core *core, struct bd_machine *machine,
+                             struct bd_command_list *commands)
 {
     if (machine->direct_in_flight) /* it carries them already */
         return;
@@ -123,7 +123,7 @@
     }
 }
 
-void bd_machine_settle_last_reply(struct bd_machine *machine)
+void bd_machine_clear_launches_in_reply(struct bd_machine *machine)
 {
     clear_flags(machine, BD_TASK_FLAG_LAUNCH_IN_REPLY);
 }
--- a/src/workers/commands.h
+++ b/src/workers/commands.h
@@ -30,8 +30,8 @@
                               struct bd_command_list *commands, enum bd_command_path path);
 /* Appends what is pending for the reply to a heartbeat; nothing while a direct command is in
  * flight. Halts of cancelled jobs, which must not wait for that, are added by bd_commands_reply. */
-void bd_commands_pending(struct bd_core *core, struct bd_machine *machine,
-                         struct bd_command_list *commands);
+void bd_commands_add_pending(struct bd_core *core, struct bd_machine *machine,
+                             struct bd_command_list *commands);
 /* Replies to a heartbeat with 200, which renews the machine's lease: the one way to do so, for
  * leaders, delegates and autonomous zones. Appends halts of all that the heartbeat shows of
  * cancelled jobs. The caller knows whether this controller may reply (lease_renewal.c). */
@@ -42,7 +42,7 @@
 
 /* The machine sent its next heartbeat: the reply to the last one has arrived, or never will. The
  * answer to a direct command shows nothing of the kind. */
-void bd_machine_settle_last_reply(struct bd_machine *machine);
+void bd_machine_clear_launches_in_reply(struct bd_machine *machine);
 /* No direct launch without an answer can start anything any more, by a new incarnation or a higher
  * fencing token. */
 void bd_machine_exclude_late_launches(struct bd_machine *machine);
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -52,7 +52,7 @@
 {
     int leader = bd_leader_index(core);
     return leader >= 0 &&
-           bd_seconds_between(core->peers[leader].heard, core->now) > BD_PEER_SILENT_S;
+           bd_seconds_between(core->peers[leader].heard, core->now) > BD_PEER_STATUS_TIMEOUT_S;
 }
 
 /* Whether the last leader's key is gone and no other controller has taken the lead. */
@@ -106,7 +106,7 @@
         if (bd_peer_is_local(core, i) && i != bd_leader_index(core) &&
             core->peers[i].flags & BD_PEER_KV_REACHABLE &&
             !(core->peers[i].flags & BD_PEER_HEARS_LEADER) &&
-            bd_peer_heard(core, i, BD_PEER_SILENT_S))
+            bd_peer_heard(core, i, BD_PEER_STATUS_TIMEOUT_S))
             return true;
     return false;
 }
@@ -270,11 +270,11 @@
             status == 200 ? core->now : bd_time_add(core->now, bd_secs(WRITE_RETRY_S));
 }
 
-void bd_delegate_end(struct bd_core *core)
+void bd_delegate_stop(struct bd_core *core)
 {
     core->delegate.confirmed_until = (struct timespec){0, 0};
     settle_all_waiting(core, REDIRECT_UNCONFIRMED);
-    bd_delegate_forget(core);
+    bd_delegate_remove_all_machines(core);
 }
 
 void bd_delegate_tick(struct bd_core *core)
@@ -299,7 +299,7 @@
 void bd_workers_free(struct bd_core *core)
 {
     core->last_term = 0; /* nobody waits for a better reply any more */
-    bd_delegate_end(core);
-    bd_forwards_free(core);
+    bd_delegate_stop(core);
+    bd_forwarded_heartbeats_free(core);
     bd_redirects_free(core);
 }
--- a/src/workers/delegate_record.c
+++ b/src/workers/delegate_record.c
@@ -112,7 +112,7 @@
         delegate->longest_id_length = 0;
 }
 
-void bd_delegate_forget(struct bd_core *core)
+void bd_delegate_remove_all_machines(struct bd_core *core)
 {
     struct bd_served_machine *machine, *next;
     HASH_ITER(hh, core->delegate.served, machine, next)
--- a/src/workers/delegate_view.c
+++ b/src/workers/delegate_view.c
@@ -40,7 +40,8 @@
 {
     char name[BD_LABEL_BYTES];
     snprintf(name, sizeof name, "%.*s", (int)node_length, node);
-    bd_autonomous_zone_liveness_record(core, name, json_number_value(json_object_get(value, "at")));
+    bd_autonomous_zone_liveness_record_read(core, name,
+                                            json_number_value(json_object_get(value, "at")));
 }
 
 /* record: NULL if there are more than the view can hold. */
@@ -142,7 +143,7 @@
            bd_seconds_between(record->dismissed_at, core->now) <= DISMISSAL_S;
 }
 
-void bd_delegate_not_needed(struct bd_core *core, const struct bd_machine *machine)
+void bd_delegate_dismiss(struct bd_core *core, const struct bd_machine *machine)
 {
     if (machine->delegate >= core->delegates.count)
         return;
--- a/src/workers/forwarding.c
+++ b/src/workers/forwarding.c
@@ -26,15 +26,15 @@
 static int heard_leader(const struct bd_core *core)
 {
     int leader = bd_leader_index(core);
-    return leader >= 0 && bd_peer_heard(core, leader, BD_PEER_SILENT_S) ? leader : -1;
+    return leader >= 0 && bd_peer_heard(core, leader, BD_PEER_STATUS_TIMEOUT_S) ? leader : -1;
 }
 
-bool bd_forward_hears_leader(const struct bd_core *core)
+bool bd_forward_is_leader_reachable(const struct bd_core *core)
 {
     return heard_leader(core) >= 0;
 }
 
-bool bd_forward_other_leads(const struct bd_core *core)
+bool bd_forward_is_peer_leading(const struct bd_core *core)
 {
     return *core->leader_name && strcmp(core->leader_name, core->settings->node) != 0;
 }
@@ -43,7 +43,7 @@
 {
     for (int i = 0; i < core->settings->npeers; i++)
         if (strcmp(core->settings->peers[i].zone, zone) == 0 &&
-            bd_peer_heard(core, i, BD_PEER_SILENT_S))
+            bd_peer_heard(core, i, BD_PEER_STATUS_TIMEOUT_S))
             return true;
     return false;
 }
@@ -61,7 +61,7 @@
 {
     return core->peers[peer].flags & BD_PEER_KV_REACHABLE &&
            core->peers[peer].flags & BD_PEER_HEARS_LEADER &&
-           bd_seconds_between(core->peers[peer].heard, core->now) <= BD_PEER_SILENT_S;
+           bd_seconds_between(core->peers[peer].heard, core->now) <= BD_PEER_STATUS_TIMEOUT_S;
 }
 
 /* A controller that hears the leader whom we do not hear, one of our own zone first; or -1. */
@@ -167,7 +167,7 @@
     if (peer >= 0 && !decide_forwarding(core, heartbeat, peer))
         return false;
     /* where two zones are cut off from each other, a third one may be in touch with both */
-    if (peer < 0 && bd_forward_other_leads(core))
+    if (peer < 0 && bd_forward_is_peer_leading(core))
         peer = find_relay(core);
     return forward_to_peer(core, request, heartbeat, body, len, peer);
 }
@@ -227,7 +227,7 @@
     }
 }
 
-void bd_forwards_free(struct bd_core *core)
+void bd_forwarded_heartbeats_free(struct bd_core *core)
 {
     while (core->forwarding.waiting) {
         struct bd_forwarded_heartbeat *forward = core->forwarding.waiting;
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -101,7 +101,7 @@
                                struct bd_command_list *commands)
 {
     if (machine->fenced)
-        bd_commands_pending(core, machine, commands);
+        bd_commands_add_pending(core, machine, commands);
     log_first_reply(core, machine);
     machine->lease_expires_at = bd_lease_expiry(core, core->now);
     if (!machine->fenced) /* if this reply is lost, an earlier term may still renew its lease */
@@ -127,9 +127,9 @@
 {
     struct bd_command_list commands = {0};
     bd_machine_detect_outbound_partition(machine, heartbeat, via);
-    bd_machine_settle_last_reply(machine);
+    bd_machine_clear_launches_in_reply(machine);
     if (bd_heartbeat_apply(core, machine, heartbeat, &commands))
-        machine->direct = via == BD_VIA_NO_PEER;
+        machine->direct = via == BD_NOT_FORWARDED;
     machine->received_seq = heartbeat->seq;
     machine->asked = core->now;
     if (!bd_leadership_lease_valid(core))
@@ -155,7 +155,7 @@
         bd_effect_reply(core, request, 503, bd_wire_write_redirect(""), 0);
         return;
     }
-    bool is_direct = via == BD_VIA_NO_PEER;
+    bool is_direct = via == BD_NOT_FORWARDED;
     int peer = is_direct ? bd_redirect_zone_peer(core, machine, heartbeat) : -1;
     if (peer >= 0) {
         bd_effect_reply(core, request, 421,
@@ -163,7 +163,7 @@
         return;
     }
     if (is_direct && machine->delegated)
-        bd_delegate_not_needed(core, machine);
+        bd_delegate_dismiss(core, machine);
     accept_heartbeat(core, request, machine, heartbeat, via);
 }
 
@@ -172,7 +172,7 @@
                                   size_t len)
 {
     if (bd_leadership_may_reply(core)) {
-        receive_as_leader(core, request, heartbeat, BD_VIA_NO_PEER);
+        receive_as_leader(core, request, heartbeat, BD_NOT_FORWARDED);
         return;
     }
     if (core->role == BD_FOLLOWER && (bd_forward_heartbeat(core, request, heartbeat, body, len) ||
--- a/src/workers/worker_redirects.c
+++ b/src/workers/worker_redirects.c
@@ -68,7 +68,7 @@
 void bd_redirect_to_leader(struct bd_core *core, void *request,
                            const struct bd_heartbeat *heartbeat)
 {
-    bool is_known = bd_forward_other_leads(core);
+    bool is_known = bd_forward_is_peer_leading(core);
     if (is_known)
         remember_redirect(core, heartbeat->machine);
     bd_effect_reply(core, request, 421, bd_wire_write_redirect(is_known ? core->leader_name : ""),
--- a/src/workers/workers.h
+++ b/src/workers/workers.h
@@ -48,7 +48,7 @@
 void bd_forward_reply_received(struct bd_core *core, uint64_t id, int status, const char *body,
                                size_t len);
 /* Whether another controller leads and we have heard it lately. */
-bool bd_forward_hears_leader(const struct bd_core *core);
+bool bd_forward_is_leader_reachable(const struct bd_core *core);
 /* Gives up forwarded heartbeats that the leader has not replied to in time. */
 void bd_forward_tick(struct bd_core *core);
 
@@ -63,7 +63,7 @@
 /* As leader: the names of delegates that are not needed, for our key. The caller owns the list. */
 json_t *bd_delegates_list_dismissed(const struct bd_core *core);
 /* Ends our part as a delegate, as when we lead: heartbeats that wait are answered or redirected. */
-void bd_delegate_end(struct bd_core *core);
+void bd_delegate_stop(struct bd_core *core);
 /* As leader: the controllers' records were read. pairs: borrowed; sent: when the read was sent. */
 void bd_delegate_records_read(struct bd_core *core, json_t *pairs, struct timespec sent);
 /* As follower: the outcome of writing our own record, or of reading its revision (status 0, and
@@ -76,9 +76,9 @@
 /* Whether we have lost the key-value store for so long that our zone may be autonomous. */
 bool bd_autonomous_zone_active(const struct bd_core *core);
 /* Our own liveness record is about to be sent, at that moment. */
-void bd_liveness_sent(struct bd_core *core, struct timespec sent);
+void bd_liveness_record_sent(struct bd_core *core, struct timespec sent);
 /* The liveness record that was sent at that moment was written. */
-void bd_liveness_written(struct bd_core *core, struct timespec sent);
+void bd_liveness_record_written(struct bd_core *core, struct timespec sent);
 
 /* ---- the end ---- */
 
--- a/src/workers/workers_internal.h
+++ b/src/workers/workers_internal.h
@@ -7,12 +7,12 @@
 struct bd_command_list;
 
 /* Where a heartbeat came from: a peer's index, or this, from the worker itself. */
-#define BD_VIA_NO_PEER (-1)
+#define BD_NOT_FORWARDED (-1)
 
 /* A controller's records in the key-value store: this and its name. */
 #define BD_NODE_RECORD_PREFIX "p/"
 
-#define BD_PEER_SILENT_S 1.3 /* without a status: the peer may be cut off from us */
+#define BD_PEER_STATUS_TIMEOUT_S 1.3 /* without a status: the peer may be cut off from us */
 
 /* ---- heartbeats (heartbeats.c, heartbeat_tasks.c) ---- */
 
@@ -31,7 +31,7 @@
 void bd_machine_record_exit(struct bd_core *core, struct bd_machine *machine, struct bd_job *job,
                             enum bd_exit_reason reason);
 /* A worker that receives replies stays with the controller that sent them, one that receives none
- * goes to the next: two heartbeats in a row show which. via: a peer's index or BD_VIA_NO_PEER.
+ * goes to the next: two heartbeats in a row show which. via: a peer's index or BD_NOT_FORWARDED.
  * Called before the heartbeat is applied. */
 void bd_machine_detect_outbound_partition(struct bd_machine *machine,
                                           const struct bd_heartbeat *heartbeat, int via);
@@ -49,7 +49,7 @@
 bool bd_forward_relay(struct bd_core *core, struct bd_remote *request,
                       const struct bd_heartbeat *heartbeat, const char *body, size_t len);
 /* Whether another controller leads, by the leader's key. */
-bool bd_forward_other_leads(const struct bd_core *core);
+bool bd_forward_is_peer_leading(const struct bd_core *core);
 /* Whether no controller of some other zone is heard: that zone is likely cut off from ours. */
 bool bd_forward_is_zone_silent(const struct bd_core *core);
 /* Whether the peer is in touch with the key-value store, the leader and us. */
@@ -74,7 +74,7 @@
 /* As follower: whether it is worthwhile to let a worker wait, since the cut may just have begun. */
 bool bd_autonomous_zone_may_begin(const struct bd_core *core, const struct bd_heartbeat *heartbeat);
 /* As leader: a controller's liveness record was read. wall_s: its time of day. */
-void bd_autonomous_zone_liveness_record(struct bd_core *core, const char *node, double wall_s);
+void bd_autonomous_zone_liveness_record_read(struct bd_core *core, const char *node, double wall_s);
 /* As leader: for each zone, by index, whether controllers there may be renewing leases on their own
  * now. */
 void bd_autonomous_zones_detect(struct bd_core *core, bool *may_be_autonomous_by_zone);
@@ -93,7 +93,7 @@
 /* As leader: a worker in a delegate's record sent its heartbeat here itself, so it is not cut off;
  * only the two controllers do not hear each other. Has the leader's key dismiss the delegate, which
  * then redirects its workers here. */
-void bd_delegate_not_needed(struct bd_core *core, const struct bd_machine *machine);
+void bd_delegate_dismiss(struct bd_core *core, const struct bd_machine *machine);
 
 /* ---- the delegate's record (delegate_record.c) ---- */
 
@@ -118,7 +118,7 @@
 /* Frees a heartbeat and its tasks. */
 void bd_heartbeat_free(struct bd_heartbeat *heartbeat);
 /* Forgets all machines that we answered for the leader. */
-void bd_delegate_forget(struct bd_core *core);
+void bd_delegate_remove_all_machines(struct bd_core *core);
 /* Frees the heartbeats that wait for the leader's reply. */
-void bd_forwards_free(struct bd_core *core);
+void bd_forwarded_heartbeats_free(struct bd_core *core);
 #endif
--- a/tests/scenario_leader.c
+++ b/tests/scenario_leader.c
@@ -176,12 +176,12 @@
 
 static void step_confirmed(struct play *play)
 {
-    bd_liveness_written(play->core, play->core->now);
+    bd_liveness_record_written(play->core, play->core->now);
 }
 
 static void step_offered(struct play *play)
 {
-    bd_liveness_sent(play->core, play->core->now);
+    bd_liveness_record_sent(play->core, play->core->now);
 }
 
 static void step_renew(struct play *play)
--- a/tests/sim_election.c
+++ b/tests/sim_election.c
@@ -56,7 +56,7 @@
     snprintf(key, sizeof key, "p/%.50s/at", node->settings.node);
     bd_txn_compare(&txn, "leader", revision);
     bd_txn_put(&txn, key, json_pack("{s:f}", "at", sim_node_wall(sim, node)), 0);
-    bd_liveness_sent(node->core, node->liveness_at);
+    bd_liveness_record_sent(node->core, node->liveness_at);
     (void)sim_node_call(sim, node, SIM_COMMIT, SIM_FOR_LIVENESS, NULL, bd_txn_finish(&txn),
                         TTL_S / 3);
 }
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -93,7 +93,7 @@
     double age = bd_seconds_between(core->replica.refreshed_at, core->now);
     uint8_t flags = (uint8_t)(BD_PEER_KNOWS_DAG | (sim->draining ? BD_PEER_KNOWS_DRAINS : 0));
     flags |= core->role == BD_LEADER ? BD_PEER_LEADS : 0;
-    flags |= bd_forward_hears_leader(core) ? BD_PEER_HEARS_LEADER : 0;
+    flags |= bd_forward_is_leader_reachable(core) ? BD_PEER_HEARS_LEADER : 0;
     flags |=
         core->role == BD_LEADER && core->lead.inbound_partition ? BD_PEER_INBOUND_PARTITION : 0;
     flags |= age < 1.0 && core->replica.ready ? BD_PEER_KV_REACHABLE : 0;
@@ -171,7 +171,7 @@
         break;
     case SIM_FOR_LIVENESS:
         if (status == 200)
-            bd_liveness_written(node->core, call->sent);
+            bd_liveness_record_written(node->core, call->sent);
         break;
     case SIM_FOR_RENEW:
         sim_election_renewed(sim, node, call, status);
