--- a/src/workers/autonomous_zone.c
+++ b/src/workers/autonomous_zone.c
@@ -1,17 +1,25 @@
-/* Autonomous zones: a follower whose whole zone is cut off from everything, also from the key-value
- * store, goes on renewing the leases of the workers in its zone, as a leader does at the end of its
- * term. Otherwise all work there would end one lease after the cut, though nothing is wrong inside.
+/* Autonomous zones: if a whole zone is cut off from all other zones and from the key-value store,
+ * its followers go on renewing the leases of the workers in their zone, as a leader does at the end
+ * of its term. Otherwise all work in the zone would end one lease after the partition began, though
+ * nothing is wrong inside the zone.
  *
- * What makes it safe: while it is in touch, each follower writes the time of day into its own
- * liveness record, conditional on the leader's key. Its zone may be autonomous from
- * AUTONOMOUS_AFTER_S after it sent the last write that may have been carried out (the response may
- * be lost), until the end of the renewal window after the last one that surely was: a cancellation
- * that it cannot see still ends in time. The leader reads these records with the delegates'. A
- * controller whose newest record is old may be autonomous: while two controllers of a zone may be
- * (or its only one), no lease there counts as expired before the last moment at which they can have
- * renewed it, and a whole lease after that. A record that is applied late carries its own time. A
- * follower renews only if another controller of its zone says, in a status of this moment, that it
- * is cut off too: so one that crashes, or is cut off alone, delays nothing. */
+ * Why this is safe:
+ *
+ * - While a follower can reach the store, it writes the time of day into its own liveness record,
+ *   conditional on the leader's key. Its zone may be autonomous from AUTONOMOUS_AFTER_S after the
+ *   follower sent the last write that may have been carried out (the response may be lost). The
+ *   zone may be autonomous until the end of the renewal window after the last write that was
+ *   certainly carried out. So a cancellation that the follower cannot see still takes effect in
+ *   time.
+ * - The leader reads the liveness records together with the delegates' records. A controller whose
+ *   newest liveness record is old may be autonomous. While two controllers of a zone (or its only
+ *   one) may be autonomous, a lease in that zone counts as expired only a whole lease after the
+ * last moment at which these controllers can have renewed it. A record that is applied late still
+ *   contains the time at which it was written.
+ * - A follower renews leases only if another controller of its zone reports in a current status
+ * that it has lost the store too. So a controller that crashes, or is cut off alone, delays no
+ * expiry.
+ */
 #include "base/timeutil.h"
 #include "leadership/leadership.h"
 #include "model/core_state.h"
@@ -23,10 +31,13 @@
 #include "workers/workers_internal.h"
 #include <string.h>
 
-#define AUTONOMOUS_AFTER_S 3.0   /* without a response of the key-value store */
-#define AUTONOMOUS_MEMORY_S 3.0  /* a controller may still be heard as cut off */
-#define PEER_STATUS_FRESH_S 2.0  /* what another controller says of itself is valid so long */
-#define CLOCK_MARGIN_EXTRA_S 0.3 /* of the leader, beside the clocks' error */
+#define AUTONOMOUS_AFTER_S 3.0 /* without a response of the key-value store */
+/* How long after a controller's liveness record was last too old the leader takes the controller to
+ * be possibly autonomous: others in its zone may still rely on its status that it lost the store.
+ */
+#define POSSIBLY_AUTONOMOUS_S 3.0
+#define PEER_STATUS_FRESH_S 2.0  /* how long a peer's status is taken as current */
+#define CLOCK_MARGIN_EXTRA_S 0.3 /* of the leader, in addition to the error of both clocks */
 
 /* ---- as follower ---- */
 
@@ -42,30 +53,31 @@
 
 bool bd_autonomous_zone_active(const struct bd_core *core)
 {
-    /* a record that was written, though the response was lost, shows the leader that we are in
-     * touch: it would not allow for renewals of ours */
-    struct timespec last = bd_time_max(core->confirmed, core->liveness_sent_at);
-    return core->role == BD_FOLLOWER && bd_seconds_between(last, core->now) > AUTONOMOUS_AFTER_S;
+    /* If a record was written but the response was lost, the leader takes this controller to be in
+     * touch with the store, and does not allow for renewals by it. */
+    struct timespec last_write = bd_time_max(core->confirmed, core->liveness_sent_at);
+    return core->role == BD_FOLLOWER &&
+           bd_seconds_between(last_write, core->now) > AUTONOMOUS_AFTER_S;
 }
 
-/* Whether another controller of our zone is cut off too; one that is alone in its zone needs no
- * other. */
-static bool is_cut_confirmed(const struct bd_core *core)
+/* Whether another controller of this zone reports that it has lost the key-value store too. A
+ * controller that is the only one in its zone needs no such report. */
+static bool is_partition_confirmed(const struct bd_core *core)
 {
     bool is_alone = true;
-    double late_s = PEER_STATUS_FRESH_S + 2 * bd_to_secs(core->settings->clock_error);
+    double status_age_max_s = PEER_STATUS_FRESH_S + 2 * bd_to_secs(core->settings->clock_error);
     for (int i = 0; i < core->settings->npeers; i++) {
         if (!bd_peer_is_local(core, i))
             continue;
         is_alone = false;
         if (core->peers[i].flags & BD_PEER_KV_LOST && bd_peer_heard(core, i, PEER_STATUS_FRESH_S) &&
-            core->wall - core->peers[i].status_sent_wall_s < late_s)
+            core->wall - core->peers[i].status_sent_wall_s < status_age_max_s)
             return true;
     }
     return is_alone;
 }
 
-static bool is_of_our_zone(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
+static bool is_worker_of_own_zone(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
 {
     return strcmp(heartbeat->zone, core->settings->zone) == 0;
 }
@@ -79,13 +91,13 @@
 {
     return core->last_term && core->replica.ready && bd_autonomous_zone_active(core) &&
            !bd_forward_is_leader_reachable(core) && is_within_renewal_window(core) &&
-           is_of_our_zone(core, heartbeat) && is_cut_confirmed(core);
+           is_worker_of_own_zone(core, heartbeat) && is_partition_confirmed(core);
 }
 
 bool bd_autonomous_zone_may_begin(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
 {
     return core->role == BD_FOLLOWER && core->last_term && is_within_renewal_window(core) &&
-           is_of_our_zone(core, heartbeat) && !bd_forward_is_leader_reachable(core) &&
+           is_worker_of_own_zone(core, heartbeat) && !bd_forward_is_leader_reachable(core) &&
            bd_seconds_between(core->confirmed, core->now) <
                AUTONOMOUS_AFTER_S + PEER_STATUS_FRESH_S;
 }
@@ -110,38 +122,42 @@
     return core->wall - core->peers[peer].liveness_wall_s;
 }
 
-/* Brings up to date until when the controller may be cut off from the store. True: it may be now.
- * One without a record may have had one that we did not see. */
-static bool update_suspicion(struct bd_core *core, int peer)
+/* Updates until when the controller may be autonomous. True: it may be autonomous now. That holds
+ * for a controller without a liveness record too: it may have had one that the leader did not see.
+ */
+static bool update_may_be_autonomous(struct bd_core *core, int peer)
 {
     struct bd_peer_view *view = &core->peers[peer];
     if (liveness_age_s(core, peer) > AUTONOMOUS_AFTER_S - clock_margin_s(core))
-        view->may_be_autonomous_until = bd_time_add(core->now, bd_secs(AUTONOMOUS_MEMORY_S));
+        view->may_be_autonomous_until = bd_time_add(core->now, bd_secs(POSSIBLY_AUTONOMOUS_S));
     return bd_time_is_before(core->now, view->may_be_autonomous_until);
 }
 
-/* Seconds until the controller can surely renew no more leases. */
+/* Seconds until the controller can certainly no longer renew leases; not positive: it cannot now.
+ */
 static double renewal_left_s(const struct bd_core *core, int peer)
 {
     return bd_renewal_window_s(core->settings) - liveness_age_s(core, peer) + clock_margin_s(core);
 }
 
-/* True: controllers of the zone may be renewing leases on their own now. */
+/* Whether controllers of the zone may be renewing leases on their own now. Counts the leader itself
+ * if the zone is its own. */
 static bool detect_autonomous_zone(struct bd_core *core, const char *zone)
 {
     int controllers = strcmp(core->settings->zone, zone) == 0 ? 1 : 0;
-    int suspects = 0;
+    int possibly_autonomous = 0;
     bool may_renew = false;
     for (int i = 0; i < core->settings->npeers; i++) {
         if (strcmp(core->settings->peers[i].zone, zone) != 0)
             continue;
         controllers++;
-        if (!update_suspicion(core, i))
+        if (!update_may_be_autonomous(core, i))
             continue;
-        suspects++;
+        possibly_autonomous++;
         may_renew |= renewal_left_s(core, i) > 0;
     }
-    return may_renew && (suspects >= 2 || (controllers == 1 && suspects == 1));
+    return may_renew &&
+           (possibly_autonomous >= 2 || (controllers == 1 && possibly_autonomous == 1));
 }
 
 void bd_autonomous_zones_detect(struct bd_core *core, bool *may_be_autonomous_by_zone)
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -17,7 +17,7 @@
 #include <string.h>
 
 #define COMMANDS_CAPACITY_MIN 8u
-#define CHECKPOINT_EXTRA_S 1.0 /* beside the time that saving takes */
+#define CHECKPOINT_EXTRA_S 1.0 /* in addition to the job's checkpoint save time */
 
 static void reserve_one(struct bd_command_list *commands)
 {
@@ -43,7 +43,7 @@
     command->grace = grace_s;
 }
 
-/* The time for a checkpoint before the task is killed. */
+/* Seconds allowed for a checkpoint before the task is killed; 0: none. */
 static double halt_grace_s(const struct bd_job *job, const struct bd_task *task)
 {
     if (task->flags & BD_TASK_FLAG_FORCED_STOP || job->spec.checkpoint_interval_s <= 0)
@@ -71,8 +71,8 @@
     }
 }
 
-/* An attempt that an earlier token's direct launch may have carried is launched in replies only: a
- * late copy of that launch may still arrive. */
+/* If a direct launch with an earlier fencing token may have contained the attempt, the attempt is
+ * launched in replies only: a late copy of that direct launch may still arrive. */
 static bool wants_launch(struct bd_core *core, const struct bd_job *job, const struct bd_task *task,
                          enum bd_command_path path)
 {
@@ -109,7 +109,7 @@
 void bd_commands_add_pending(struct bd_core *core, struct bd_machine *machine,
                              struct bd_command_list *commands)
 {
-    if (machine->direct_in_flight) /* it carries them already */
+    if (machine->direct_in_flight) /* the direct command contains them already */
         return;
     bd_commands_add_halts(machine, commands);
     (void)bd_commands_add_launches(core, machine, commands, BD_COMMAND_IN_REPLY);
@@ -146,9 +146,10 @@
     return false;
 }
 
-/* Halts what users have cancelled. This needs no lease, and the machine need not have seen our
- * term. A direct command with the halt may still wait in our own queue, while each reply renews the
- * machine's lease. */
+/* Appends halts of tasks whose jobs users have cancelled. A halt needs no valid lease of the
+ * leader, and the machine need not have seen a fencing token of this term. The halt does not rely
+ * on a direct command: that command may still wait in this controller's queue, while each reply
+ * renews the machine's lease. */
 static void add_halts_of_cancelled(struct bd_core *core, const struct bd_heartbeat *heartbeat,
                                    struct bd_command_list *commands)
 {
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -1,18 +1,22 @@
-/* Delegates: a follower whose workers cannot reach the leader, since their zone is cut off from it,
- * replies to their heartbeats in its stead, so that their leases are renewed and their work
- * survives.
+/* Delegates: if the workers of a zone cannot reach the leader because the zone is cut off from it,
+ * a follower replies to their heartbeats in place of the leader. Their leases are then renewed, and
+ * their work continues.
  *
- * What makes it safe: a delegate writes the machines that it answers into its own record,
- * conditional on the leader's key, before it answers them. It writes the record again at a short
- * interval, and stops BD_DELEGATE_FRESH_S after the last write that succeeded was sent. A machine
- * stays in the record for a while after its last heartbeat (see delegate_record.c). The leader
- * reads all records; no lease counts as expired while the newest read shows the machine, nor before
- * a read that began after the lease's end. The leader deletes the record of a delegate that does
- * not confirm it any more. A delegate sends no commands but halts of cancelled jobs.
+ * Why this is safe:
  *
- * While nobody leads, the record is conditional on the leader's key being absent, and replies carry
- * the last term's fencing token: a new leader allows for such replies until BD_DELEGATE_FRESH_S
- * after it acquired the term, and no such record is written once it has its key. */
+ * - A delegate answers a machine only after it has written the machine into its own record in the
+ *   key-value store, conditional on the leader's key. It writes the record again at a short
+ *   interval. It stops answering BD_DELEGATE_FRESH_S after the last successful write was sent. A
+ *   machine stays in the record for a while after its last heartbeat (see delegate_record.c).
+ * - The leader reads all records. A lease does not count as expired while the newest read contains
+ *   the machine, nor before a read that began after the end of the lease. The leader deletes the
+ *   record of a delegate that no longer confirms it.
+ * - A delegate sends no commands but halts of cancelled jobs.
+ *
+ * While no controller leads, the record is conditional on the absence of the leader's key, and
+ * replies carry the last term's fencing token. A new leader allows for such replies until
+ * BD_DELEGATE_FRESH_S after it acquired the term. No such record can be written once the new leader
+ * has written its key. */
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "leadership/leadership.h"
@@ -31,11 +35,11 @@
 #include "workers/workers_internal.h"
 #include <stdlib.h>
 
-#define WAIT_MAX_S 2.4     /* for the record; a worker gives up after 4 s */
-#define WRITE_RETRY_S 0.15 /* after a refused write; the leader's key is read about as often */
-#define AUTONOMOUS_LOG_INTERVAL_S 5.0 /* between log lines on replies of an autonomous zone */
+#define HEARTBEAT_WAIT_MAX_S 2.4 /* until the record is written; a worker gives up after 4 s */
+#define WRITE_RETRY_S 0.15 /* after a rejected write; the leader's key is read about as often */
+#define AUTONOMOUS_LOG_INTERVAL_S 5.0 /* between log lines about replies of an autonomous zone */
 
-/* A heartbeat that is answered once its machine is in the record, or the zone autonomous. */
+/* A heartbeat that waits until its machine is in the record or the zone is autonomous. */
 struct bd_waiting_heartbeat {
     void *request;
     struct bd_heartbeat *heartbeat;
@@ -43,7 +47,7 @@
     struct bd_waiting_heartbeat *next;
 };
 
-/* What becomes of waiting heartbeats whose machines are not in a written record. */
+/* What to do with waiting heartbeats whose machines are not in a written record yet. */
 enum unconfirmed_action { KEEP_UNCONFIRMED, REDIRECT_UNCONFIRMED };
 
 /* ---- whether a delegate is needed ---- */
@@ -55,7 +59,7 @@
            bd_seconds_between(core->peers[leader].heard, core->now) > BD_PEER_STATUS_TIMEOUT_S;
 }
 
-/* Whether the last leader's key is gone and no other controller has taken the lead. */
+/* Whether the last leader's key has been deleted and no controller has become the leader since. */
 static bool is_leaderless(const struct bd_core *core)
 {
     return !*core->leader_name && !core->leader_term && core->last_term;
@@ -72,34 +76,37 @@
     delegate->dismissed = dismissed;
 }
 
-/* A dismissal holds until the leader is heard once more: a silence after that is a new one. Just
- * after a failover, the record of a delegate that was needed is still there, and the new leader
- * takes it for one that is not. If the zone is cut off soon after, it needs its delegate again. */
+/* Whether the leader has dismissed this delegate. A dismissal ends when a status of the leader
+ * arrives after it: if the leader falls silent later, that is a new partition. Just after a
+ * failover, the record of a delegate that was needed still exists, and the new leader dismisses
+ * that delegate as not needed. If the zone is cut off soon after that, it needs its delegate again.
+ */
 static bool is_dismissed(const struct bd_core *core)
 {
     int leader = bd_leader_index(core);
-    bool heard_since =
+    bool status_arrived_since =
         leader >= 0 && bd_time_is_before(core->delegate.dismissed_since, core->peers[leader].heard);
-    return core->delegate.dismissed && !heard_since;
+    return core->delegate.dismissed && !status_arrived_since;
 }
 
+/* Whether the leader's key was read recently. */
 static bool has_fresh_leader_view(const struct bd_core *core)
 {
     return bd_seconds_between(core->leader_seen_at, core->now) < BD_DELEGATE_FRESH_S;
 }
 
-/* By a fresh view another controller leads, and we do not hear it; or nobody does. Redirected
- * workers would then find nobody either, and in a zone that is cut off many nodes would let them
- * time out. */
+/* Whether, according to a recent read of the leader's key, another controller leads but sends this
+ * one no statuses, or no controller leads. Redirected workers would not find a leader either then,
+ * and in a zone that is cut off their requests to many nodes would time out. */
 static bool is_delegate_needed(const struct bd_core *core)
 {
-    bool other_leads_silently = *core->leader_name && core->leader_term && is_leader_silent(core);
+    bool is_other_leader_silent = *core->leader_name && core->leader_term && is_leader_silent(core);
     return core->role == BD_FOLLOWER && !is_dismissed(core) &&
-           (other_leads_silently || is_leaderless(core)) && has_fresh_leader_view(core);
+           (is_other_leader_silent || is_leaderless(core)) && has_fresh_leader_view(core);
 }
 
-/* Whether another controller of our zone does not hear the leader either: then the zone is cut off
- * from it, not we alone. */
+/* Whether another controller of this zone receives no statuses of the leader either. The zone is
+ * then cut off from the leader, not this controller alone. */
 static bool is_zone_cut_off(const struct bd_core *core)
 {
     for (int i = 0; i < core->settings->npeers; i++)
@@ -113,15 +120,16 @@
 
 /* ---- replies ---- */
 
-/* The record is written by other requests than those that refresh the jobs' records: both must have
- * been answered lately. */
+/* Whether this controller may reply as a delegate. The delegate's record and the refresh of the
+ * jobs' records are separate requests to the store: both must have been answered recently. */
 static bool may_reply(const struct bd_core *core)
 {
     return bd_time_is_before(core->now, core->delegate.confirmed_until) &&
            bd_may_renew_leases(core);
 }
 
-/* Logs the first reply to each machine of our record; of an autonomous zone, one per interval. */
+/* Logs the first reply to each machine in the record. Of the replies of an autonomous zone, logs
+ * one per interval. */
 static void log_first_reply(struct bd_core *core, const struct bd_heartbeat *heartbeat,
                             uint64_t fencing_token, struct bd_served_machine *served)
 {
@@ -141,7 +149,7 @@
                          bd_seconds_between(core->replica.refreshed_at, core->now));
 }
 
-/* served: the machine's entry in our record; NULL: we reply as an autonomous zone. */
+/* served: the machine's entry in the record; NULL: the reply is that of an autonomous zone. */
 static void reply(struct bd_core *core, void *request, const struct bd_heartbeat *heartbeat,
                   struct bd_served_machine *served)
 {
@@ -166,8 +174,9 @@
     core->delegate.asking = waiting;
 }
 
-/* Replies to the heartbeat if it can be done now, or redirects it if it should not wait any longer.
- * False: it waits on, as do those that came while the record was being written. */
+/* Replies to the heartbeat if that is allowed now, or redirects its worker if it should not wait
+ * any longer. False: the heartbeat goes on waiting, as one that came while the record was being
+ * written does. */
 static bool settle_waiting(struct bd_core *core, const struct bd_waiting_heartbeat *waiting,
                            enum unconfirmed_action action)
 {
@@ -183,7 +192,7 @@
     }
     bool may_wait =
         (served && action == KEEP_UNCONFIRMED) || bd_autonomous_zone_may_begin(core, heartbeat);
-    if (may_wait && bd_seconds_between(waiting->received_at, core->now) < WAIT_MAX_S)
+    if (may_wait && bd_seconds_between(waiting->received_at, core->now) < HEARTBEAT_WAIT_MAX_S)
         return false;
     bd_effect_reply(core, waiting->request, 421, bd_wire_write_redirect(""), 0);
     return true;
@@ -232,13 +241,14 @@
     }
     add_waiting(core, request, heartbeat);
     if (delegate->nserved == 1)
-        bd_log_write(core->log, BD_LOG_INFO, "acts as delegate: %s is not heard; first worker %s",
+        bd_log_write(core->log, BD_LOG_INFO,
+                     "acting as delegate: no status from leader %s; first worker %s",
                      core->leader_name, heartbeat->machine);
     delegate->next_write = core->now;
     return true;
 }
 
-/* ---- the record's life ---- */
+/* ---- writing and ending the record ---- */
 
 void bd_delegate_txn_completed(struct bd_core *core, long status, uint64_t store_revision,
                                struct timespec sent, bool revision_known)
@@ -253,16 +263,15 @@
         delegate->confirmed_until = bd_time_add(sent, bd_secs(fresh_s));
         bd_delegate_confirm_machines(core);
     }
-    if (status == 0 && revision_known) { /* the revision was read: now the record itself */
+    if (status == 0 && revision_known) { /* the revision was read: write the record next */
         delegate->next_write = core->now;
         return;
     }
     if (status == 400)
         (void)bd_kv_limits_rejected(core, "the delegate's record");
     if (status != 200)
-        bd_log_write(core->log, BD_LOG_INFO, "the delegate record was not written: status %ld",
-                     status);
-    /* a conflict may mean no more than that the leader's key was rewritten */
+        bd_log_write(core->log, BD_LOG_INFO, "delegate record not written: status %ld", status);
+    /* the cause of a conflict may only be that the leader's key was rewritten */
     bool may_still_serve = status == 200 || status == 409;
     settle_all_waiting(core, may_still_serve ? KEEP_UNCONFIRMED : REDIRECT_UNCONFIRMED);
     if (delegate->asking)
@@ -285,11 +294,12 @@
     if (delegate->nserved == 0 || delegate->txn_in_flight)
         return;
     bd_delegate_expire_machines(core);
-    /* a record without machines is written at once, so that the leader need not wait for its end */
+    /* a record that has become empty is written at once, so that the leader need not wait until it
+     * is stale */
     if (delegate->nserved > 0 && bd_time_is_before(core->now, delegate->next_write))
         return;
-    /* once the leader is heard again nobody is answered, but the machines stay for their retention
-     */
+    /* once the leader's statuses arrive again, no machine is answered, but the machines stay in the
+     * record for the retention time */
     if ((core->leader_term || is_leaderless(core)) && has_fresh_leader_view(core))
         bd_delegate_write_record(core);
     else if (delegate->asking)
@@ -298,7 +308,7 @@
 
 void bd_workers_free(struct bd_core *core)
 {
-    core->last_term = 0; /* nobody waits for a better reply any more */
+    core->last_term = 0; /* so that no heartbeat goes on waiting for an autonomous zone */
     bd_delegate_stop(core);
     bd_forwarded_heartbeats_free(core);
     bd_redirects_free(core);
--- a/src/workers/delegate_probes.c
+++ b/src/workers/delegate_probes.c
@@ -1,8 +1,9 @@
-/* Probes of a delegate: it may be the one that is cut off from the leader while its workers are
- * not, and then it keeps them from the leader for nothing. So it sends a worker with nothing to
- * lose there; if that one does not come back, two more, and so on. A worker may stay away for
- * another reason, such as that its machine is gone, which is why not all are sent at once. One that
- * does come back shows that the zone is cut off. */
+/* Probes of a delegate: whether its workers can reach the leader. The delegate may be cut off from
+ * the leader while its workers are not, and would then keep them from the leader for no reason. So
+ * it redirects a worker that has nothing to lose to the leader. If that worker does not come back,
+ * the delegate redirects two more, and so on with batches of twice the size. A worker may also stay
+ * away for another reason, such as that its machine is gone, so the delegate does not redirect all
+ * workers at once. A worker that comes back shows that the zone is cut off. */
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "model/core_state.h"
@@ -15,23 +16,25 @@
 #include <stdio.h>
 #include <string.h>
 
-#define PROBE_INTERVAL_S 6.0       /* before a probe is sent, and after one came back */
-#define PROBE_INTERVAL_ALONE_S 1.5 /* ... when no other controller is heard at all */
-#define PROBE_BATCH_S 2.5          /* in which the workers of one batch are sent */
-#define PROBE_WITH_TASKS_S 40.0    /* of serving, before a worker with tasks may be sent */
-#define WORKER_TIMEOUT_S 4.0       /* the platform's: a worker waits so long for a reply, */
-#define WORKER_PAUSE_S 1.0         /* ... and tries the next node after this */
-#define RETURN_EXTRA_S 2.0         /* beside a worker's attempts */
+#define PROBE_INTERVAL_S 6.0       /* before the first probe, and after a probe came back */
+#define PROBE_INTERVAL_ALONE_S 1.5 /* the same while no peer's status arrives at all */
+#define PROBE_BATCH_S 2.5          /* within which the workers of one batch are redirected */
+#define PROBE_WITH_TASKS_S 40.0    /* acting as delegate before a worker with tasks is a probe */
+#define WORKER_TIMEOUT_S 4.0       /* the platform's: a worker's wait for a reply */
+#define WORKER_PAUSE_S 1.0         /* the platform's: after a timeout, before the next node */
+#define RETURN_EXTRA_S 2.0         /* in addition to a worker's attempts at the other nodes */
 
-/* The longest way of a worker back to us: every other node lets it time out. */
-static double return_s(const struct bd_core *core)
+/* Seconds until a redirected worker is back at the latest: its request to every other node times
+ * out. */
+static double return_max_s(const struct bd_core *core)
 {
     return core->settings->npeers * (WORKER_TIMEOUT_S + WORKER_PAUSE_S) + RETURN_EXTRA_S;
 }
 
-/* Not even the others of our own zone are heard, so it is not the zone that is cut off: connections
- * between the controllers may be refused while the workers reach them all. */
-static bool hears_nobody(const struct bd_core *core)
+/* Whether no peer's status arrives, not even from this controller's own zone. Then it is not the
+ * zone that is cut off: connections between the controllers may fail while the workers reach them
+ * all. */
+static bool are_all_peers_silent(const struct bd_core *core)
 {
     bool has_local_peer = false;
     for (int i = 0; i < core->settings->npeers; i++) {
@@ -42,20 +45,23 @@
     return has_local_peer;
 }
 
-/* Whether the worker would lose nothing, or it is likely enough that it reaches the leader. */
-static bool may_send(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
+/* Whether the worker may be a probe: it has nothing to lose, or is likely enough to reach the
+ * leader.
+ */
+static bool may_be_probe(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
 {
     const struct bd_delegate *delegate = &core->delegate;
-    double wait_s = hears_nobody(core) ? PROBE_INTERVAL_ALONE_S : PROBE_WITH_TASKS_S;
-    return heartbeat->n == 0 || bd_to_secs(core->settings->lease) > return_s(core) ||
+    double wait_s = are_all_peers_silent(core) ? PROBE_INTERVAL_ALONE_S : PROBE_WITH_TASKS_S;
+    return heartbeat->n == 0 || bd_to_secs(core->settings->lease) > return_max_s(core) ||
            delegate->probe_batch > 1 ||
            bd_seconds_between(delegate->serving_since, core->now) > wait_s;
 }
 
-static bool send_probe(struct bd_core *core, const struct bd_heartbeat *heartbeat)
+/* False: the worker is not redirected as a probe. */
+static bool add_probe(struct bd_core *core, const struct bd_heartbeat *heartbeat)
 {
     struct bd_delegate *delegate = &core->delegate;
-    if (!may_send(core, heartbeat) || delegate->nprobes == BD_PROBES_MAX)
+    if (!may_be_probe(core, heartbeat) || delegate->nprobes == BD_PROBES_MAX)
         return false;
     snprintf(delegate->probes[delegate->nprobes++], BD_LABEL_BYTES, "%s", heartbeat->machine);
     return true;
@@ -79,7 +85,8 @@
 static void enlarge_batch(struct bd_core *core)
 {
     struct bd_delegate *delegate = &core->delegate;
-    bd_log_write(core->log, BD_LOG_INFO, "%u workers reach %s, which this node does not hear",
+    bd_log_write(core->log, BD_LOG_INFO,
+                 "%u workers did not return from leader %s, whose status does not arrive",
                  delegate->nprobes, core->leader_name);
     uint32_t batch = delegate->probe_batch * 2;
     delegate->probe_batch = batch < BD_PROBES_MAX ? batch : BD_PROBES_MAX;
@@ -99,14 +106,15 @@
         restart_probes(core);
         return false;
     }
-    if (delegate->nprobes > 0 && since_batch_s <= return_s(core))
+    if (delegate->nprobes > 0 && since_batch_s <= return_max_s(core))
         return delegate->nprobes < delegate->probe_batch && since_batch_s < PROBE_BATCH_S &&
-               send_probe(core, heartbeat);
+               add_probe(core, heartbeat);
     if (delegate->nprobes > 0)
         enlarge_batch(core);
-    else if (since_batch_s < (hears_nobody(core) ? PROBE_INTERVAL_ALONE_S : PROBE_INTERVAL_S))
+    else if (since_batch_s <
+             (are_all_peers_silent(core) ? PROBE_INTERVAL_ALONE_S : PROBE_INTERVAL_S))
         return false;
-    if (!send_probe(core, heartbeat))
+    if (!add_probe(core, heartbeat))
         return false;
     delegate->probes_at = core->now;
     return true;
--- a/src/workers/delegate_record.c
+++ b/src/workers/delegate_record.c
@@ -1,6 +1,6 @@
-/* The record of a delegate: the machines that it answers for the leader, by name, in the key-value
- * store. Several hundred names do not fit one value, so the record has parts, which are written in
- * one transaction. */
+/* The record of a delegate in the key-value store: the names of the machines that it answers in
+ * place of the leader. Several hundred names do not fit into one value, so the record has parts,
+ * which are written in one transaction. */
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "model/core_state.h"
@@ -17,16 +17,18 @@
 #include <string.h>
 
 #define WRITE_INTERVAL_S 0.5
-/* How long a machine stays in the record after its last heartbeat: longer than a worker's pause
- * between two, or it would be new to the record each time. */
+/* How long a machine stays in the record after its last heartbeat: RETENTION_INTERVALS heartbeat
+ * intervals and RETENTION_EXTRA_S, but at least RETENTION_MIN_S. This is longer than the time
+ * between two heartbeats of a worker; otherwise the machine would be added anew with each
+ * heartbeat. */
 #define RETENTION_MIN_S 3.0
-#define RETENTION_INTERVALS 1.25 /* heartbeat intervals, */
-#define RETENTION_EXTRA_S 2.0    /* ... and so much more */
+#define RETENTION_INTERVALS 1.25
+#define RETENTION_EXTRA_S 2.0
 
-#define NAME_OVERHEAD_BYTES 3u     /* of a name in the record: quotes and a comma */
-#define PART_OVERHEAD_BYTES 64u    /* of a part, beside the names */
-#define TXN_NAMES_BYTES_MAX 56000u /* of a transaction, whose limit is 64 KiB */
-#define PART_SUFFIX_BYTES 16u      /* of a part's key */
+#define NAME_OVERHEAD_BYTES 3u     /* per name in the record: quotes and a comma */
+#define PART_OVERHEAD_BYTES 64u    /* per part, in addition to the names */
+#define TXN_NAMES_BYTES_MAX 56000u /* of the names in a transaction, whose limit is 64 KiB */
+#define PART_SUFFIX_BYTES 16u      /* of a part's key, after the record's key */
 
 static double retention_s(const struct bd_core *core)
 {
@@ -89,7 +91,7 @@
     if (strlen(id) > delegate->longest_id_length)
         delegate->longest_id_length = strlen(id);
     if (!has_capacity_for(core, id)) {
-        bd_log_write(core->log, BD_LOG_ERROR, "the delegate record is full with %u machines",
+        bd_log_write(core->log, BD_LOG_ERROR, "delegate record is full: %u machines",
                      delegate->nserved);
         return NULL;
     }
@@ -138,8 +140,8 @@
         machine->is_confirmed |= machine->is_sent;
 }
 
-/* Removes the newest machines beyond the limit, which the store may have lowered: workers that are
- * not in the record are redirected. */
+/* Removes the newest machines beyond the limit, which may have become lower with the store's
+ * limits. Workers that are not in the record are redirected. */
 static void truncate_machines(struct bd_delegate *delegate, uint32_t limit)
 {
     struct bd_served_machine *machine, *next;
@@ -153,7 +155,8 @@
 
 /* ---- writing ---- */
 
-/* Writes a part with as many names as it takes. next: the first machine that no part names yet. */
+/* Adds a part with as many names as fit to the transaction. next: in and out, the first machine
+ * that is in no part yet. */
 static void write_part(struct bd_core *core, struct bd_txn *txn, const char *record_key,
                        uint32_t part, struct bd_served_machine **next)
 {
@@ -172,14 +175,15 @@
     bd_txn_put(txn, key, value, 0);
 }
 
-/* A part that is not needed any more is written without names, so never fewer than before. */
+/* The number of parts to write: never fewer than before, since a part that is no longer needed is
+ * written without names. */
 static uint32_t parts_to_write(const struct bd_core *core)
 {
     const struct bd_delegate *delegate = &core->delegate;
     uint32_t per_part = machines_per_part(core);
     uint32_t needed = (delegate->nserved + per_part - 1) / per_part;
-    uint32_t before = delegate->parts < parts_max(core) ? delegate->parts : parts_max(core);
-    uint32_t parts = needed > before ? needed : before;
+    uint32_t written_before = delegate->parts < parts_max(core) ? delegate->parts : parts_max(core);
+    uint32_t parts = needed > written_before ? needed : written_before;
     return parts > 0 ? parts : 1;
 }
 
@@ -208,7 +212,8 @@
     snprintf(effect->key, sizeof effect->key, BD_NODE_RECORD_PREFIX "%.60s", core->settings->node);
     delegate->txn_in_flight = true;
     delegate->next_write = bd_time_add(core->now, bd_secs(WRITE_INTERVAL_S));
-    /* without a body its revision is read: an earlier process's record may still be there */
+    /* An effect without a body reads the record's revision: the record of an earlier process may
+     * still exist. */
     if (delegate->revision_known)
         effect->body = record_txn(core, effect->key);
 }
--- a/src/workers/delegate_view.c
+++ b/src/workers/delegate_view.c
@@ -1,5 +1,5 @@
 /* The leader's view of the delegates' records: which machines a delegate may have answered, and
- * which delegates are not needed. */
+ * which delegates are no longer needed. */
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "leadership/leadership.h"
@@ -15,10 +15,13 @@
 #include <stdio.h>
 #include <string.h>
 
-#define DISMISSAL_S 30.0       /* a dismissed delegate is named so long in the leader's key */
-#define DISMISSAL_REPEAT_S 8.0 /* then the key is rewritten, if its workers still come here */
-#define RECORD_STALE_S 5.0     /* without a change, when a delegate writes twice a second */
-#define READ_GAP_MAX_S 2.5     /* shorter than a machine stays in a record: no read misses one */
+#define DISMISSAL_S 30.0 /* how long the leader's key lists a dismissed delegate */
+#define DISMISSAL_REPEAT_S                                                                         \
+    8.0                    /* until the key is rewritten if its workers still come to the leader */
+#define RECORD_STALE_S 5.0 /* without a change; a delegate writes its record twice a second */
+#define READ_GAP_MAX_S                                                                             \
+    2.5 /* less than the retention of a record, so that reads miss no machine                      \
+         */
 
 static struct bd_delegate_record *find_or_add_record(struct bd_delegate_view *view, const char *key)
 {
@@ -44,7 +47,7 @@
                                             json_number_value(json_object_get(value, "at")));
 }
 
-/* record: NULL if there are more than the view can hold. */
+/* record: NULL if there are more records than the view can hold. */
 static void mark_delegated(struct bd_core *core, const char *id,
                            const struct bd_delegate_record *record)
 {
@@ -77,7 +80,8 @@
     }
 }
 
-/* A controller writes NODE/at for its liveness, and NODE or NODE/PART as a delegate. */
+/* A controller writes its liveness record to NODE/at. As a delegate it writes its record to NODE,
+ * and further parts to NODE/PART. */
 static void read_record(struct bd_core *core, const struct bd_change *change)
 {
     const char *node = change->key + strlen(BD_NODE_RECORD_PREFIX);
@@ -93,8 +97,9 @@
     machine->lease_expires_at = bd_time_max(machine->lease_expires_at, until);
 }
 
-/* Machines of the last read may have been answered until now, and a little longer. So may any, if
- * that read was too long ago. */
+/* Extends the leases of the machines in the last read of the records: a delegate may have answered
+ * them until now, and may do so for a little longer. Extends all leases if that read was too long
+ * ago. */
 static void extend_leases_of_last_read(struct bd_core *core, struct timespec sent,
                                        struct timespec until)
 {
@@ -148,12 +153,14 @@
     if (machine->delegate >= core->delegates.count)
         return;
     struct bd_delegate_record *record = &core->delegates.records[machine->delegate];
-    /* the delegate may have heard us meanwhile, which ends a dismissal: so it is repeated */
+    /* A status of the leader may have reached the delegate meanwhile, which ends a dismissal. So
+     * the dismissal is repeated. */
     if (!is_dismissal_announced(core, record) ||
         bd_seconds_between(record->announced_at, core->now) > DISMISSAL_REPEAT_S) {
         record->announced_at = core->now;
-        bd_log_write(core->log, BD_LOG_INFO, "delegate %s is not needed: %s reports here",
-                     record->key, machine->id);
+        bd_log_write(core->log, BD_LOG_INFO,
+                     "dismissing delegate %s: %s sent its heartbeat to the leader", record->key,
+                     machine->id);
         core->lead.token_raise_wanted = true;
     }
     record->dismissed_at = core->now;
--- a/src/workers/direct_commands.c
+++ b/src/workers/direct_commands.c
@@ -1,6 +1,6 @@
-/* Commands that are sent to a worker directly, ahead of its next heartbeat, and their completion.
- * One is in flight to a machine at a time. A machine that does not answer is left to its heartbeats
- * for a growing pause, and a zone whose machines do not answer is tried only now and then. */
+/* Direct commands: sent to a worker ahead of its next heartbeat. At most one is in flight to a
+ * machine. After a machine did not answer, its commands wait for its heartbeats during a pause that
+ * grows with each failure. A zone whose machines do not answer is retried once per ZONE_RETRY_S. */
 #include "base/metrics.h"
 #include "base/timeutil.h"
 #include "leadership/leadership.h"
@@ -19,11 +19,12 @@
 #include <string.h>
 
 #define PAUSE_DOUBLINGS_MAX 4u   /* of the heartbeat interval */
-#define ZONE_FAILURES_TO_OPEN 4u /* direct commands without an answer, in a row, of one zone */
-#define ZONE_RETRY_S 4.0
+#define ZONE_FAILURES_TO_OPEN 4u /* consecutive direct commands without an answer from one zone */
+#define ZONE_RETRY_S 4.0         /* between commands to a zone whose circuit breaker is open */
 
-/* The zone's circuit breaker, for one that is cut off from us: each try would occupy a sender until
- * it times out. Admits one command per retry interval while it is open. */
+/* Circuit breaker per zone: whether a command may be sent to the machine's zone. To a zone that is
+ * cut off from the leader, each command would occupy a sender until it times out. While the circuit
+ * breaker is open, it admits one command per retry interval. */
 static bool admit_to_zone(struct bd_core *core, const struct bd_machine *machine)
 {
     if (machine->zone < 0 || core->cloud.direct[machine->zone].fails < ZONE_FAILURES_TO_OPEN)
@@ -63,8 +64,8 @@
     free(commands.items);
 }
 
-/* The machine did not answer. Nothing new is launched there until a heartbeat shows that replies
- * reach it. */
+/* Handles a direct command that the machine did not answer. Nothing new is launched on the machine
+ * until a heartbeat shows that replies reach it. */
 static void back_off(struct bd_core *core, struct bd_machine *machine)
 {
     double pause_s = bd_to_secs(core->settings->heartbeat_interval);
@@ -85,9 +86,9 @@
         core->cloud.direct[machine->zone].fails = 0;
 }
 
-/* Nothing of the command is on its way, and the machine is not to blame: its commands come with the
- * reply to its next heartbeat. */
-static void command_not_sent(struct bd_core *core, struct bd_machine *machine, bool launch)
+/* Handles a direct command that was not sent. No launch of it can arrive late, and the machine did
+ * not fail. The commands are sent in the reply to its next heartbeat. */
+static void handle_command_not_sent(struct bd_core *core, struct bd_machine *machine, bool launch)
 {
     bd_decision_log_machine(core, "command_expired", machine, launch ? "launch=1" : "launch=0");
     if (launch && machine->unanswered_launch_token == 0)
@@ -95,21 +96,22 @@
     machine->next_direct_at = bd_time_add(core->now, core->settings->heartbeat_interval);
 }
 
-static void command_answered(struct bd_core *core, struct bd_machine *machine, bool launch,
-                             const struct bd_heartbeat *heartbeat)
+/* Handles a direct command that was answered with a heartbeat. */
+static void handle_command_answered(struct bd_core *core, struct bd_machine *machine, bool launch,
+                                    const struct bd_heartbeat *heartbeat)
 {
     struct bd_command_list commands = {0};
     reset_failures(core, machine);
     if (strcmp(heartbeat->machine, machine->id) != 0) {
-        back_off(core, machine); /* the address serves another machine now */
+        back_off(core, machine); /* another machine has this address now */
         return;
     }
     if (launch && machine->unanswered_launch_token == 0)
-        bd_machine_exclude_late_launches(machine); /* answered: nothing of it is on its way */
+        bd_machine_exclude_late_launches(machine); /* answered: no launch of it can arrive late */
     if (machine->gone)
         return;
     (void)bd_heartbeat_apply(core, machine, heartbeat, &commands);
-    free(commands.items); /* they arise again from the next heartbeat */
+    free(commands.items); /* the next heartbeat causes the same commands again */
     if (machine->nreservations)
         bd_commands_send_direct(core, machine);
 }
@@ -125,11 +127,11 @@
     bd_metrics_record_duration(core->metrics, BD_TIMING_DIRECT_COMMAND,
                                bd_seconds_between(machine->direct_sent_at, core->now));
     if (status == BD_DIRECT_NOT_SENT) {
-        command_not_sent(core, machine, launch);
+        handle_command_not_sent(core, machine, launch);
         return;
     }
     if (heartbeat && (status == 200 || status == 409)) {
-        command_answered(core, machine, launch, heartbeat);
+        handle_command_answered(core, machine, launch, heartbeat);
         return;
     }
     back_off(core, machine);
--- a/src/workers/forwarding.c
+++ b/src/workers/forwarding.c
@@ -1,7 +1,7 @@
-/* Forwarding: workers send heartbeats to a controller of their own zone, which forwards them to the
- * leader and the replies back. If the zone is cut off, its workers are already with a controller
- * that goes on answering them (see delegate.c), instead of trying nodes that they cannot reach
- * while their leases expire. */
+/* Forwarding: workers send heartbeats to a controller of their own zone, which forwards the
+ * heartbeats to the leader and the replies to the workers. If the zone is cut off, its workers are
+ * already connected to a controller that goes on answering them (see delegate.c). Otherwise they
+ * would try nodes that they cannot reach while their leases expire. */
 #include "base/timeutil.h"
 #include "model/core_state.h"
 #include "model/effect.h"
@@ -17,13 +17,17 @@
 #include <string.h>
 
 #define REPLY_TIMEOUT_S 1.2 /* then a delegate answers, or the worker is redirected */
-#define IN_FLIGHT_MIN 512   /* more where there are more sockets, of which each holds one */
-#define INBOUND_PARTITION_MEMORY_S 60.0 /* after the leader said that it does not hear workers */
+/* Limit of forwarded heartbeats in flight, or max_sockets if that is higher: each holds a socket.
+ */
+#define IN_FLIGHT_LIMIT_MIN 512
+/* How long heartbeats are forwarded after the leader last reported an inbound partition. */
+#define INBOUND_PARTITION_HOLD_S 60.0
 
-/* ---- whom we hear ---- */
+/* ---- which controllers are reachable ---- */
 
-/* The leader's index among the peers; -1: it is not heard, or we lead, or nobody does. */
-static int heard_leader(const struct bd_core *core)
+/* The leader's index among the peers. -1: its status has not arrived recently, this controller
+ * leads, or no controller leads. */
+static int find_reachable_leader(const struct bd_core *core)
 {
     int leader = bd_leader_index(core);
     return leader >= 0 && bd_peer_heard(core, leader, BD_PEER_STATUS_TIMEOUT_S) ? leader : -1;
@@ -31,7 +35,7 @@
 
 bool bd_forward_is_leader_reachable(const struct bd_core *core)
 {
-    return heard_leader(core) >= 0;
+    return find_reachable_leader(core) >= 0;
 }
 
 bool bd_forward_is_peer_leading(const struct bd_core *core)
@@ -39,7 +43,7 @@
     return *core->leader_name && strcmp(core->leader_name, core->settings->node) != 0;
 }
 
-static bool is_any_heard_of_zone(const struct bd_core *core, const char *zone)
+static bool is_zone_reachable(const struct bd_core *core, const char *zone)
 {
     for (int i = 0; i < core->settings->npeers; i++)
         if (strcmp(core->settings->peers[i].zone, zone) == 0 &&
@@ -51,8 +55,7 @@
 bool bd_forward_is_zone_silent(const struct bd_core *core)
 {
     for (int i = 0; i < core->settings->npeers; i++)
-        if (!bd_peer_is_local(core, i) &&
-            !is_any_heard_of_zone(core, core->settings->peers[i].zone))
+        if (!bd_peer_is_local(core, i) && !is_zone_reachable(core, core->settings->peers[i].zone))
             return true;
     return false;
 }
@@ -64,7 +67,8 @@
            bd_seconds_between(core->peers[peer].heard, core->now) <= BD_PEER_STATUS_TIMEOUT_S;
 }
 
-/* A controller that hears the leader whom we do not hear, one of our own zone first; or -1. */
+/* The index of a peer that is in touch with the leader while this controller is not. A peer of this
+ * zone is preferred. -1: none. */
 static int find_relay(const struct bd_core *core)
 {
     int found = -1;
@@ -108,20 +112,21 @@
 
 static int count_in_flight(const struct bd_core *core)
 {
-    int n = 0;
+    int count = 0;
     for (const struct bd_forwarded_heartbeat *forward = core->forwarding.waiting; forward;
          forward = forward->next)
-        n++;
-    return n;
+        count++;
+    return count;
 }
 
-/* False: there is no peer to forward it to, or too many are in flight. */
+/* False: there is no peer to forward the heartbeat to (peer < 0), or too many heartbeats are in
+ * flight. */
 static bool forward_to_peer(struct bd_core *core, void *request,
                             const struct bd_heartbeat *heartbeat, const char *body, size_t len,
                             int peer)
 {
     int sockets = core->settings->max_sockets;
-    int in_flight_max = sockets > IN_FLIGHT_MIN ? sockets : IN_FLIGHT_MIN;
+    int in_flight_max = sockets > IN_FLIGHT_LIMIT_MIN ? sockets : IN_FLIGHT_LIMIT_MIN;
     if (peer < 0 || count_in_flight(core) >= in_flight_max)
         return false;
     struct bd_forwarded_heartbeat *forward = calloc(1, sizeof *forward);
@@ -142,18 +147,18 @@
 
 /* ---- which heartbeats are forwarded ---- */
 
-/* True: the heartbeat is better forwarded than its worker redirected to the leader: the worker is
- * of our zone, or has tried the leader in vain, or the leader says that it does not hear workers.
- */
-static bool decide_forwarding(struct bd_core *core, const struct bd_heartbeat *heartbeat,
-                              int leader)
+/* Whether it is better to forward the heartbeat than to redirect its worker to the leader. It is if
+ * the worker has tried the leader without success, or the leader reports an inbound partition. It
+ * is also better for a worker of this zone if the leader is in another zone, or another zone is cut
+ * off. */
+static bool should_forward(struct bd_core *core, const struct bd_heartbeat *heartbeat, int leader)
 {
     struct bd_forwarding *forwarding = &core->forwarding;
     if (bd_redirect_record_return(core, heartbeat->machine))
         return true;
     if (core->peers[leader].flags & BD_PEER_INBOUND_PARTITION)
         forwarding->inbound_partition_until =
-            bd_time_add(core->now, bd_secs(INBOUND_PARTITION_MEMORY_S));
+            bd_time_add(core->now, bd_secs(INBOUND_PARTITION_HOLD_S));
     if (bd_time_is_before(core->now, forwarding->inbound_partition_until))
         return true;
     return strcmp(heartbeat->zone, core->settings->zone) == 0 &&
@@ -163,10 +168,10 @@
 bool bd_forward_heartbeat(struct bd_core *core, void *request, const struct bd_heartbeat *heartbeat,
                           const char *body, size_t len)
 {
-    int peer = heard_leader(core);
-    if (peer >= 0 && !decide_forwarding(core, heartbeat, peer))
+    int peer = find_reachable_leader(core);
+    if (peer >= 0 && !should_forward(core, heartbeat, peer))
         return false;
-    /* where two zones are cut off from each other, a third one may be in touch with both */
+    /* if two zones are cut off from each other, a third zone may be in touch with both */
     if (peer < 0 && bd_forward_is_peer_leading(core))
         peer = find_relay(core);
     return forward_to_peer(core, request, heartbeat, body, len, peer);
@@ -175,17 +180,18 @@
 bool bd_forward_relay(struct bd_core *core, struct bd_remote *request,
                       const struct bd_heartbeat *heartbeat, const char *body, size_t len)
 {
-    int leader = heard_leader(core);
+    int leader = find_reachable_leader(core);
     return leader != request->peer && forward_to_peer(core, request, heartbeat, body, len, leader);
 }
 
 /* ---- replies and timeouts ---- */
 
-/* The leader did not reply to it in time, or did not accept it. */
-static void fall_back(struct bd_core *core, struct bd_forwarded_heartbeat *forward)
+/* Answers a heartbeat without the leader: its reply has timed out, or it did not accept the
+ * heartbeat. */
+static void answer_without_leader(struct bd_core *core, struct bd_forwarded_heartbeat *forward)
 {
     const struct bd_remote *remote = forward->request;
-    if (remote && remote->remote) { /* the controller that forwarded it to us decides */
+    if (remote && remote->remote) { /* the controller that forwarded it to this one decides */
         bd_effect_reply(core, forward->request, 421, bd_wire_write_redirect(""), 0);
         return;
     }
@@ -198,31 +204,31 @@
 void bd_forward_reply_received(struct bd_core *core, uint64_t id, int status, const char *body,
                                size_t len)
 {
-    struct bd_forwarded_heartbeat **at = &core->forwarding.waiting;
-    while (*at && (*at)->id != id)
-        at = &(*at)->next;
-    struct bd_forwarded_heartbeat *forward = *at;
+    struct bd_forwarded_heartbeat **link = &core->forwarding.waiting;
+    while (*link && (*link)->id != id)
+        link = &(*link)->next;
+    struct bd_forwarded_heartbeat *forward = *link;
     if (!forward)
-        return; /* it timed out, and the worker was answered otherwise */
-    *at = forward->next;
+        return; /* the reply timed out, and the worker was answered without the leader */
+    *link = forward->next;
     if (status == 200 && body)
         bd_effect_reply(core, forward->request, 200, strndup(body, len), 0);
     else
-        fall_back(core, forward);
+        answer_without_leader(core, forward);
     free_forward(forward);
 }
 
 void bd_forward_tick(struct bd_core *core)
 {
-    struct bd_forwarded_heartbeat **at = &core->forwarding.waiting;
-    while (*at) {
-        struct bd_forwarded_heartbeat *forward = *at;
+    struct bd_forwarded_heartbeat **link = &core->forwarding.waiting;
+    while (*link) {
+        struct bd_forwarded_heartbeat *forward = *link;
         if (bd_time_is_before(core->now, forward->until)) {
-            at = &forward->next;
+            link = &forward->next;
             continue;
         }
-        *at = forward->next;
-        fall_back(core, forward);
+        *link = forward->next;
+        answer_without_leader(core, forward);
         free_forward(forward);
     }
 }
@@ -234,7 +240,7 @@
         struct bd_remote *remote = forward->request;
         core->forwarding.waiting = forward->next;
         if (remote && remote->remote)
-            free(remote); /* the core's own: see bd_worker_heartbeat_forwarded */
+            free(remote); /* allocated in bd_worker_heartbeat_forwarded */
         free_forward(forward);
     }
 }
--- a/src/workers/heartbeat_tasks.c
+++ b/src/workers/heartbeat_tasks.c
@@ -1,5 +1,6 @@
-/* Reconciliation of one heartbeat with the leader's records: which tasks it confirms, which have
- * exited, which are not there and which must not be. */
+/* Reconciliation of one heartbeat with the leader's records: confirms tasks that run, completes or
+ * releases tasks that have exited, releases tasks that the heartbeat does not contain, and halts
+ * tasks that must not run. */
 #include "model/catalog.h"
 #include "model/core_state.h"
 #include "model/decision_log.h"
@@ -15,6 +16,7 @@
 #include "workers/workers.h"
 #include "workers/workers_internal.h"
 
+/* Whether, in the leader's records, the attempt is the task's newest and belongs to the machine. */
 static bool is_current_attempt(const struct bd_machine *machine, const struct bd_task *task,
                                uint64_t attempt)
 {
@@ -22,7 +24,8 @@
            task->state != BD_TASK_PLANNED && task->state != BD_TASK_PENDING;
 }
 
-/* The job of a reported task, if its tasks are tracked and the task is one of them; else NULL. */
+/* The job of a reported task; NULL if the job is not known, its tasks are not tracked, or the task
+ * is not one of them. */
 static struct bd_job *find_tracked_job(struct bd_core *core,
                                        const struct bd_reported_task *reported)
 {
@@ -30,9 +33,11 @@
     return job && job->tasks && reported->task < job->ntasks ? job : NULL;
 }
 
-/* A direct launch that was answered may still arrive once more, as a late copy. The worker ignores
- * it while it remembers the attempt, or once it has seen a higher fencing token: until then, what a
- * token's direct launches may have carried must not be forgotten. */
+/* Appends a command that lets the worker forget the attempt, if that is safe; else counts a
+ * withheld result. A direct launch that was answered may arrive once more, as a late copy. The
+ * worker ignores the copy while it remembers the attempt, or once it has seen a higher fencing
+ * token. So an attempt that a direct launch may have contained must not be forgotten before the
+ * worker has seen a higher token than that launch had. */
 static void forget_attempt(struct bd_core *core, const struct bd_heartbeat *heartbeat,
                            const struct bd_reported_task *reported,
                            struct bd_command_list *commands)
@@ -51,6 +56,7 @@
                        0);
 }
 
+/* Records the run time of a completed task, if its start is known. */
 static void record_run(const struct bd_core *core, struct bd_job *job, const struct bd_task *task)
 {
     if (!task->started_at)
@@ -66,7 +72,8 @@
                                      struct bd_command_list *commands)
 {
     struct bd_task *task = &job->tasks[reported->task];
-    /* earlier attempts are reported until they are forgotten, and say nothing of the machine now */
+    /* earlier attempts are reported until they are forgotten, and show nothing about the machine's
+     * present health */
     if (is_current_attempt(machine, task, reported->attempt)) {
         machine->errors = 0;
         if (task->flags & BD_TASK_FLAG_DIRECT_LAUNCH_IN_FLIGHT) {
@@ -91,7 +98,7 @@
         return;
     }
     if (is_current_attempt(machine, task, reported->attempt)) {
-        /* a late copy of the launch would start a forgotten attempt again */
+        /* if the attempt were forgotten, a late copy of the launch would start it again */
         if (task->flags & BD_TASK_FLAG_DIRECT_LAUNCH_IN_FLIGHT) {
             task->flags |= BD_TASK_FLAG_EXITED;
             return;
@@ -102,8 +109,8 @@
     forget_attempt(core, heartbeat, reported, commands);
 }
 
-/* No intent names the attempt, yet it runs: with its reservation here the task cannot be started a
- * second time. */
+/* Assigns the task to the machine, which runs an attempt of it that no intent contains. With the
+ * reservation the task cannot be started a second time. */
 static void adopt_attempt(struct bd_core *core, struct bd_machine *machine, struct bd_job *job,
                           const struct bd_reported_task *reported)
 {
@@ -117,7 +124,7 @@
 static void record_start(struct bd_core *core, struct bd_machine *machine, struct bd_job *job,
                          struct bd_task *task)
 {
-    /* one reconciled after a failover began earlier, at a time that is not known */
+    /* a task that is reconciled after a failover started earlier, at an unknown time */
     bool is_start_known = task->state == BD_TASK_LAUNCHING || task->state == BD_TASK_CONFIRMED;
     job->last_started_at = core->now;
     bd_machine_use_image(core, machine, &job->spec, true);
@@ -129,7 +136,7 @@
 {
     struct bd_task *task = &job->tasks[reported->task];
     uint8_t flags = task->flags;
-    /* by way of pending, so that the sums see the new execution state */
+    /* set to pending in between, so that the sums are updated for the new execution state */
     bd_task_set_state(core, job, reported->task, BD_TASK_PENDING);
     task->execution = (uint8_t)reported->execution;
     bd_task_set_state(core, job, reported->task, BD_TASK_CONFIRMED);
@@ -143,7 +150,7 @@
 {
     struct bd_task *task = &job->tasks[reported->task];
     if (!is_current_attempt(machine, task, reported->attempt)) {
-        if (task->state != BD_TASK_PENDING) { /* it runs elsewhere, or is done */
+        if (task->state != BD_TASK_PENDING) { /* the task runs elsewhere, or is done */
             halt_attempt(reported, commands);
             return;
         }
@@ -169,7 +176,7 @@
     }
 }
 
-/* Whether a task that the heartbeat does not show may still start, or be launched again. */
+/* Whether a task that the heartbeat does not contain may still start, or may be launched again. */
 static bool may_still_start(const struct bd_task *task)
 {
     if (task->state == BD_TASK_PLANNED ||
@@ -178,7 +185,7 @@
     return task->state == BD_TASK_LAUNCHING && !(task->flags & BD_TASK_FLAG_STOP_REQUESTED);
 }
 
-/* Releases the machine's reservations whose tasks the heartbeat does not show. */
+/* Releases the machine's reservations whose tasks the heartbeat does not contain. */
 static void release_unreported_tasks(struct bd_core *core, struct bd_machine *machine)
 {
     uint32_t i = 0;
@@ -193,11 +200,11 @@
             continue;
         }
         bd_task_release(core, job, index, BD_RELEASE_NOT_REPORTED);
-        i = 0; /* more may have gone with it, such as others of a gang */
+        i = 0; /* further reservations may have been released too, such as those of a gang */
     }
 }
 
-/* A task that is not tracked here: of a job that ended, or that our records do not have. */
+/* Handles a task that is not tracked: its job has ended, or is not in the leader's records. */
 static void reconcile_untracked_task(struct bd_core *core, const struct bd_heartbeat *heartbeat,
                                      const struct bd_reported_task *reported,
                                      struct bd_command_list *commands)
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -1,5 +1,5 @@
-/* Heartbeats of workers, as they come in: which are copies, who replies to them, and what the
- * leader takes from one. */
+/* Incoming heartbeats of workers: detects copies, decides which controller replies, and updates the
+ * leader's view of the machine. */
 #include "base/timeutil.h"
 #include "leadership/leadership.h"
 #include "model/catalog.h"
@@ -19,7 +19,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define GAP_INTERVALS 2.0 /* without a heartbeat are a gap */
+#define GAP_INTERVALS 2.0 /* heartbeat intervals; a longer time between heartbeats is a gap */
 
 static void update_identity(struct bd_core *core, struct bd_machine *machine,
                             const struct bd_heartbeat *heartbeat)
@@ -37,23 +37,25 @@
            (heartbeat->incarnation == machine->incarnation && heartbeat->seq > machine->seq);
 }
 
-/* All that we know to be of the old incarnation is gone. But we may know the old one only from a
- * copy that arrived before the first heartbeat itself: then intents of earlier leaders may be of
- * the new one, and only a heartbeat that has seen our term shows which. */
+/* Updates the machine for a new incarnation. If the machine has seen a fencing token of this term,
+ * its reservations belong to the old incarnation and are released. Otherwise the leader may know
+ * the old incarnation only from a copy of a heartbeat that arrived before the first heartbeat
+ * itself. Intents of earlier leaders may then belong to the new incarnation, and only a heartbeat
+ * that has seen a fencing token of this term shows which do. */
 static void begin_incarnation(struct bd_core *core, struct bd_machine *machine)
 {
     if (machine->fenced)
         bd_machine_release_reservations(core, machine, BD_RELEASE_NEW_INCARNATION);
     machine->received_seq = 0;
-    /* the lease of the old one expired, so replies may not reach it */
+    /* the lease of the old incarnation expired, so replies may not reach the machine */
     machine->outbound_partition = true;
-    /* the lease of the new one began now at the latest, even if no heartbeat is ever answered */
+    /* the lease of the new incarnation has begun by now, even if no heartbeat is ever answered */
     machine->lease_expires_at =
         bd_time_max(machine->lease_expires_at, bd_lease_expiry(core, core->now));
 }
 
-static void record_heard(struct bd_core *core, struct bd_machine *machine,
-                         const struct bd_heartbeat *heartbeat)
+static void record_heartbeat(struct bd_core *core, struct bd_machine *machine,
+                             const struct bd_heartbeat *heartbeat)
 {
     machine->incarnation = heartbeat->incarnation;
     machine->seq = heartbeat->seq;
@@ -72,9 +74,10 @@
     if (machine->incarnation && heartbeat->incarnation > machine->incarnation)
         begin_incarnation(core, machine);
     update_identity(core, machine, heartbeat);
-    record_heard(core, machine, heartbeat);
+    record_heartbeat(core, machine, heartbeat);
     if (heartbeat->fencing_token < core->lead.base_term)
-        return true; /* an earlier term may still command it: no evidence of its tasks yet */
+        return true; /* an earlier term may still command the machine: its tasks prove nothing yet
+                      */
     if (!machine->fenced)
         core->lead.cycle_wanted = true;
     machine->fenced = true;
@@ -85,7 +88,8 @@
     return true;
 }
 
-/* Logs the first reply of our term, and the first since the machine has seen the term. */
+/* Logs the first reply of this term to the machine, and the first reply after the machine has seen
+ * a fencing token of this term. */
 static void log_first_reply(struct bd_core *core, struct bd_machine *machine)
 {
     if (machine->answered && (machine->answered_since_fenced || !machine->fenced))
@@ -96,6 +100,7 @@
     machine->answered_since_fenced = machine->fenced;
 }
 
+/* As leader: replies with the pending commands, and extends the machine's lease. */
 static void reply_to_heartbeat(struct bd_core *core, void *request, struct bd_machine *machine,
                                const struct bd_heartbeat *heartbeat,
                                struct bd_command_list *commands)
@@ -104,14 +109,15 @@
         bd_commands_add_pending(core, machine, commands);
     log_first_reply(core, machine);
     machine->lease_expires_at = bd_lease_expiry(core, core->now);
-    if (!machine->fenced) /* if this reply is lost, an earlier term may still renew its lease */
+    if (!machine->fenced) /* if this reply is lost, an earlier term may still renew the lease */
         machine->lease_expires_at =
             bd_time_max(machine->lease_expires_at, core->lead.earlier_leases_expire_at);
     bd_commands_reply(core, request, heartbeat, commands, core->lead.term);
 }
 
-/* A worker has one heartbeat in flight and numbers them upwards: one that is not newer than the
- * newest is a copy. So is one of a machine that is gone, or of an incarnation that has ended. */
+/* Whether the heartbeat is a copy. A worker has one heartbeat in flight and numbers its heartbeats
+ * in ascending order, so a heartbeat that is not newer than the newest one is a copy. A heartbeat
+ * of a machine that no longer exists, or of an incarnation that has ended, counts as a copy too. */
 static bool is_copy(const struct bd_machine *machine, const struct bd_heartbeat *heartbeat)
 {
     return machine->gone ||
@@ -123,13 +129,13 @@
 }
 
 static void accept_heartbeat(struct bd_core *core, void *request, struct bd_machine *machine,
-                             const struct bd_heartbeat *heartbeat, int via)
+                             const struct bd_heartbeat *heartbeat, int forwarding_peer)
 {
     struct bd_command_list commands = {0};
-    bd_machine_detect_outbound_partition(machine, heartbeat, via);
+    bd_machine_detect_outbound_partition(machine, heartbeat, forwarding_peer);
     bd_machine_clear_launches_in_reply(machine);
     if (bd_heartbeat_apply(core, machine, heartbeat, &commands))
-        machine->direct = via == BD_NOT_FORWARDED;
+        machine->direct = forwarding_peer == BD_NOT_FORWARDED;
     machine->received_seq = heartbeat->seq;
     machine->asked = core->now;
     if (!bd_leadership_lease_valid(core))
@@ -139,23 +145,27 @@
     bd_commands_send_direct(core, machine);
 }
 
-/* As leader, or while it may still reply as one. */
+/* Handles a heartbeat as the leader, or as a former leader that may still reply as one.
+ * forwarding_peer: a peer's index or BD_NOT_FORWARDED. */
 static void receive_as_leader(struct bd_core *core, void *request,
-                              const struct bd_heartbeat *heartbeat, int via)
+                              const struct bd_heartbeat *heartbeat, int forwarding_peer)
 {
     if (heartbeat->fencing_token > core->lead.term) {
-        /* it would ignore our reply, and stay here until its lease expires */
+        /* the worker would ignore a reply with the lower token, and send its heartbeats to this
+         * controller until its lease expires */
         if (!bd_leadership_lease_valid(core))
             bd_leadership_lost(core);
         bd_effect_reply(core, request, 421, bd_wire_write_redirect(""), 0);
         return;
     }
     struct bd_machine *machine = bd_machine_find_or_add(core, heartbeat->machine);
-    if (is_copy(machine, heartbeat)) { /* no sign of life: it renews no lease */
+    if (is_copy(
+            machine,
+            heartbeat)) { /* a copy does not show that the worker is alive, and renews no lease */
         bd_effect_reply(core, request, 503, bd_wire_write_redirect(""), 0);
         return;
     }
-    bool is_direct = via == BD_NOT_FORWARDED;
+    bool is_direct = forwarding_peer == BD_NOT_FORWARDED;
     int peer = is_direct ? bd_redirect_zone_peer(core, machine, heartbeat) : -1;
     if (peer >= 0) {
         bd_effect_reply(core, request, 421,
@@ -164,7 +174,7 @@
     }
     if (is_direct && machine->delegated)
         bd_delegate_dismiss(core, machine);
-    accept_heartbeat(core, request, machine, heartbeat, via);
+    accept_heartbeat(core, request, machine, heartbeat, forwarding_peer);
 }
 
 void bd_worker_heartbeat_received(struct bd_core *core, void *request,
--- a/src/workers/lease_expiry.c
+++ b/src/workers/lease_expiry.c
@@ -1,5 +1,5 @@
-/* Expiry of workers' leases: once a lease has surely expired, all that its machine held is
- * released. */
+/* Expiry of workers' leases: once a lease has certainly expired, the reservations of its machine
+ * are released. */
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "brambledoor/settings.h"
@@ -10,10 +10,10 @@
 #include "workers/workers.h"
 #include "workers/workers_internal.h"
 
-#define RECHECK_S 1.0 /* after an expiry, for planned tasks that were not released */
+#define EXPIRY_RECHECK_S 1.0 /* after an expiry, for planned tasks that were not released */
 
-/* A delegate may have renewed the lease unless a read of the records that began after its end shows
- * that none did. */
+/* Whether the machine's lease has certainly expired. A delegate may have renewed the lease, unless
+ * a read of the delegates' records that began after the end of the lease shows that none did. */
 static bool has_expired(const struct bd_core *core, const struct bd_machine *machine)
 {
     return !bd_time_is_before(core->now, machine->lease_expires_at) && !machine->delegated &&
@@ -27,7 +27,7 @@
     machine->expired_incarnation = machine->incarnation;
     machine->fenced = false;
     bd_machine_release_reservations(core, machine, BD_RELEASE_LEASE_EXPIRED);
-    machine->lease_expires_at = bd_time_add(core->now, bd_secs(RECHECK_S));
+    machine->lease_expires_at = bd_time_add(core->now, bd_secs(EXPIRY_RECHECK_S));
 }
 
 void bd_workers_expire_leases(struct bd_core *core)
--- a/src/workers/machine_health.c
+++ b/src/workers/machine_health.c
@@ -1,6 +1,6 @@
-/* The health of machines, judged by how their tasks run: a machine whose tasks fail, or run far too
- * slowly, is quarantined. A job whose tasks fail everywhere is retried with a growing pause, and no
- * machine is blamed for it. */
+/* Health of machines, judged by how their tasks run: a machine whose tasks fail or run far too
+ * slowly is quarantined. A job whose tasks fail on every machine is retried after a pause that
+ * grows with each failure, and does not count against any machine. */
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "model/core_state.h"
@@ -13,30 +13,33 @@
 #include "workers/workers.h"
 #include "workers/workers_internal.h"
 
-#define QUARANTINE_FAILURES 3u /* in a row */
-#define PROVEN_JOB_FAILURES 2u /* that one failure counts for, if the job runs elsewhere */
-#define REFUSAL_PAUSE_S 3.0    /* without launches on a machine that refused one */
-#define RETRY_PAUSE_MIN_S 1.0  /* of a job whose tasks fail; doubled with each failure */
+#define QUARANTINE_FAILURES 3u       /* consecutive failures on a machine */
+#define PROVEN_JOB_FAILURE_WEIGHT 2u /* of a failure if other tasks of the job run or are done */
+#define REFUSAL_PAUSE_S 3.0          /* without launches on a machine that refused one */
+#define RETRY_PAUSE_MIN_S 1.0        /* of a job whose tasks fail; doubled with each failure */
 #define RETRY_PAUSE_MAX_S 30.0
 
-#define SLOW_TASKS_MIN 2u /* of a machine */
-#define SLOW_FINISHED_RUNS_MIN 4u
-#define SLOW_RUN_FACTOR 1.6       /* of the job's longest finished run, */
-#define SLOW_RUN_EXTRA_TENTHS 50u /* ... and so much more */
-#define SLOW_HEARD_INTERVALS 3.0  /* heard without a gap before a machine is judged */
+#define SLOW_TASKS_MIN 2u         /* on a machine before it is quarantined as slow */
+#define SLOW_FINISHED_RUNS_MIN 4u /* of a job before its tasks are compared with them */
+/* A task is slow if it runs longer than the job's longest finished run times SLOW_RUN_FACTOR, plus
+ * SLOW_RUN_EXTRA_TENTHS tenths of a second. */
+#define SLOW_RUN_FACTOR 1.6
+#define SLOW_RUN_EXTRA_TENTHS 50u
+#define SLOW_GAPLESS_INTERVALS                                                                     \
+    3.0 /* heartbeat intervals without a gap before a machine is judged */
 
 static void record_task_failure(struct bd_core *core, struct bd_machine *machine,
                                 struct bd_job *job)
 {
     bool runs_elsewhere = job->ndone > 0 || job->nrunning > 0;
     if (runs_elsewhere)
-        machine->errors += PROVEN_JOB_FAILURES;
+        machine->errors += PROVEN_JOB_FAILURE_WEIGHT;
     else if (machine->error_job != job)
         machine->errors++;
     machine->error_job = job;
     if (machine->errors >= QUARANTINE_FAILURES && !machine->quarantined) {
         machine->quarantined = true;
-        bd_log_write(core->log, BD_LOG_INFO, "%s is quarantined: its tasks fail", machine->id);
+        bd_log_write(core->log, BD_LOG_INFO, "%s quarantined: its tasks fail", machine->id);
     }
 }
 
@@ -66,8 +69,8 @@
     }
 }
 
-/* Whether the task runs, and enough others of its job have finished to compare it with: the first
- * that finish are the short ones. */
+/* Whether the task runs and enough other tasks of its job have finished to compare it with. The
+ * tasks that finish first are the short ones, so a few finished tasks are not enough. */
 static bool has_comparable_runs(const struct bd_job *job, const struct bd_task *task)
 {
     return task->state == BD_TASK_CONFIRMED && task->execution == BD_EXECUTION_RUNNING &&
@@ -76,8 +79,8 @@
            2 * job->runs >= job->ntasks;
 }
 
-/* Whether the task runs far longer than the finished ones of its job. Its run counts up to the last
- * heartbeat: on a machine that is not heard it may have ended since. */
+/* Whether the task runs far longer than the finished tasks of its job did. Its run time counts up
+ * to the machine's last heartbeat: the task may have ended since then. */
 static bool is_slow_task(const struct bd_core *core, const struct bd_machine *machine,
                          const struct bd_job *job, const struct bd_task *task)
 {
@@ -87,8 +90,9 @@
     uint32_t run_tenths = bd_steady_tenths(bd_time_max(machine->heard, started)) - task->started_at;
     if (run_tenths <= SLOW_RUN_FACTOR * job->longest_run + SLOW_RUN_EXTRA_TENTHS)
         return false;
-    bd_log_write(core->log, BD_LOG_DEBUG, "%s on %s runs for %.1f s, of %u others none over %.1f s",
-                 job->id, machine->id, run_tenths / 10.0, job->runs, job->longest_run / 10.0);
+    bd_log_write(core->log, BD_LOG_DEBUG,
+                 "%s on %s has run for %.1f s; longest of %u finished tasks: %.1f s", job->id,
+                 machine->id, run_tenths / 10.0, job->runs, job->longest_run / 10.0);
     return true;
 }
 
@@ -97,9 +101,9 @@
     uint32_t slow = 0;
     if (machine->gone || machine->quarantined || !machine->fenced)
         return;
-    /* a heartbeat that was delayed shows tasks running that ended long ago */
+    /* a delayed heartbeat shows tasks as running that ended long ago */
     if (bd_seconds_between(machine->steady, machine->heard) <
-        SLOW_HEARD_INTERVALS * bd_to_secs(core->settings->heartbeat_interval))
+        SLOW_GAPLESS_INTERVALS * bd_to_secs(core->settings->heartbeat_interval))
         return;
     for (uint32_t i = 0; i < machine->nreservations; i++) {
         const struct bd_job *job = machine->reservations[i].job;
@@ -108,6 +112,6 @@
     if (slow < SLOW_TASKS_MIN)
         return;
     machine->quarantined = true;
-    bd_log_write(core->log, BD_LOG_INFO, "%s is quarantined: it runs %u tasks far too slowly",
+    bd_log_write(core->log, BD_LOG_INFO, "%s quarantined: %u of its tasks are far too slow",
                  machine->id, slow);
 }
--- a/src/workers/partition_detection.c
+++ b/src/workers/partition_detection.c
@@ -1,6 +1,6 @@
-/* Asymmetric partitions, as the leader detects them. Outbound: heartbeats arrive, but our replies
- * and direct commands do not. Inbound: heartbeats of most workers do not arrive. Where very many
- * machines are affected at once, it is rather our own link than theirs. */
+/* Detection of asymmetric partitions by the leader. Outbound: heartbeats arrive, but the leader's
+ * replies and direct commands do not. Inbound: heartbeats of most workers do not arrive. If very
+ * many machines are affected at once, the cause is likely the leader's own link, not theirs. */
 #include "base/timeutil.h"
 #include "model/core_state.h"
 #include "model/leadership_state.h"
@@ -8,26 +8,27 @@
 #include "workers/workers.h"
 #include "workers/workers_internal.h"
 
-#define UNHEARD_REPLIES_MAX 2u            /* then a machine is taken not to receive replies */
-#define OUTBOUND_PARTITION_SHARE 0.34     /* of the machines */
-#define INBOUND_PARTITION_SHARE 0.6       /* of the machines heard before */
+#define LOST_REPLIES_MIN 2u               /* consecutive, to assume that replies do not arrive */
+#define OUTBOUND_PARTITION_SHARE 0.34     /* of the machines that have seen this term */
+#define INBOUND_PARTITION_SHARE 0.6       /* of the machines that sent heartbeats until recently */
 #define INBOUND_PARTITION_MACHINES_MIN 3u /* fewer may well fail together */
-#define LATE_INTERVALS 1.5                /* without a heartbeat, */
-#define LATE_EXTRA_S 0.5                  /* ... and so much more, is late */
+/* A heartbeat is late after LATE_INTERVALS heartbeat intervals and LATE_EXTRA_S. */
+#define LATE_INTERVALS 1.5
+#define LATE_EXTRA_S 0.5
 
 void bd_machine_detect_outbound_partition(struct bd_machine *machine,
-                                          const struct bd_heartbeat *heartbeat, int via)
+                                          const struct bd_heartbeat *heartbeat, int forwarding_peer)
 {
     bool is_next = heartbeat->incarnation == machine->incarnation && machine->received_seq &&
                    heartbeat->seq == machine->received_seq + 1;
-    if (is_next && via == machine->via) {
+    if (is_next && forwarding_peer == machine->via) {
         machine->outbound_partition = false;
         machine->unheard_replies = 0;
     } else if (is_next) {
         machine->outbound_partition =
-            machine->outbound_partition || ++machine->unheard_replies >= UNHEARD_REPLIES_MAX;
+            machine->outbound_partition || ++machine->unheard_replies >= LOST_REPLIES_MIN;
     }
-    machine->via = via;
+    machine->via = forwarding_peer;
 }
 
 void bd_machines_detect_outbound_partition(struct bd_core *core)
--- a/src/workers/worker_redirects.c
+++ b/src/workers/worker_redirects.c
@@ -1,5 +1,6 @@
-/* Redirects of workers: a follower sends them to the leader, and remembers whom, to tell those that
- * cannot reach it; the leader sends them to a controller of their own zone. */
+/* Redirects of workers. A follower redirects workers to the leader and remembers which, to detect
+ * workers that cannot reach the leader. The leader redirects workers to a controller of their own
+ * zone. */
 #include "base/timeutil.h"
 #include "leadership/leadership.h"
 #include "model/core_state.h"
@@ -15,8 +16,12 @@
 #include <string.h>
 
 #define ZONE_REDIRECT_INTERVAL_S 8.0 /* between redirects of a worker to its zone's controller */
-#define RETURN_S 12.0          /* a worker timed out at the leader, and perhaps at another node */
-#define RETURNED_MEMORY_S 40.0 /* then the leader is tried again */
+/* A redirected worker that comes back within this time cannot reach the leader: its requests to the
+ * leader, and perhaps to another node, timed out. */
+#define RETURN_MAX_S 12.0
+#define LEADER_RETRY_S                                                                             \
+    40.0 /* after a return, until the worker is redirected to the leader again                     \
+          */
 
 /* ---- as follower ---- */
 
@@ -26,7 +31,7 @@
     HASH_FIND_STR(core->forwarding.redirected, machine, worker);
     if (!worker)
         return false;
-    double limit_s = worker->has_returned ? RETURNED_MEMORY_S : RETURN_S;
+    double limit_s = worker->has_returned ? LEADER_RETRY_S : RETURN_MAX_S;
     if (bd_seconds_between(worker->at, core->now) > limit_s) {
         HASH_DEL(core->forwarding.redirected, worker);
         free(worker);
@@ -38,8 +43,9 @@
     return true;
 }
 
-/* Takes the worker's entry out of the table, or the oldest if the table is full, or makes one. The
- * table is in the order of insertion. */
+/* Removes the worker's entry from the table and returns it. If the worker has none, removes and
+ * returns the oldest entry if the table is full, else a new one. The table is in the order of
+ * insertion. */
 static struct bd_redirected_worker *take_entry(struct bd_forwarding *forwarding,
                                                const char *machine)
 {
@@ -68,11 +74,11 @@
 void bd_redirect_to_leader(struct bd_core *core, void *request,
                            const struct bd_heartbeat *heartbeat)
 {
-    bool is_known = bd_forward_is_peer_leading(core);
-    if (is_known)
+    bool is_leader_known = bd_forward_is_peer_leading(core);
+    if (is_leader_known)
         remember_redirect(core, heartbeat->machine);
-    bd_effect_reply(core, request, 421, bd_wire_write_redirect(is_known ? core->leader_name : ""),
-                    0);
+    bd_effect_reply(core, request, 421,
+                    bd_wire_write_redirect(is_leader_known ? core->leader_name : ""), 0);
 }
 
 void bd_redirects_free(struct bd_core *core)
@@ -87,9 +93,10 @@
 
 /* ---- as leader ---- */
 
-/* Workers of our own zone go to its other controllers only while another zone is cut off: if we
- * fail, all workers that were with us try the next nodes in turn, and those beyond the cut let them
- * time out. */
+/* Whether the machine may be redirected to another controller of its zone. Workers of the leader's
+ * own zone are redirected only while another zone is cut off. If the leader fails in that case, all
+ * workers that were connected to it try the next nodes in turn, and time out at the nodes that are
+ * cut off. */
 static bool may_redirect(const struct bd_core *core, const struct bd_machine *machine,
                          const char *zone)
 {
