--- a/src/workers/autonomous_zone.c
+++ b/src/workers/autonomous_zone.c
@@ -13,13 +13,11 @@
  *   time.
  * - The leader reads the liveness records together with the delegates' records. A controller whose
  *   newest liveness record is old may be autonomous. While two controllers of a zone (or its only
- *   one) may be autonomous, a lease in that zone counts as expired only a whole lease after the
- * last moment at which these controllers can have renewed it. A record that is applied late still
- *   contains the time at which it was written.
+ *   one) may be autonomous, a lease in that zone does not count as expired before a whole lease has
+ *   passed since the last moment at which these controllers can have renewed it. A record that is
+ *   applied late still contains the time at which it was written.
  * - A follower renews leases only if another controller of its zone reports in a current status
- * that it has lost the store too. So a controller that crashes, or is cut off alone, delays no
- * expiry.
- */
+ *   that it is cut off too. So a controller that crashes, or is cut off alone, delays no expiry. */
 #include "base/timeutil.h"
 #include "leadership/leadership.h"
 #include "model/core_state.h"
@@ -32,9 +30,8 @@
 #include <string.h>
 
 #define AUTONOMOUS_AFTER_S 3.0 /* without a response of the key-value store */
-/* How long after a controller's liveness record was last too old the leader takes the controller to
- * be possibly autonomous: others in its zone may still rely on its status that it lost the store.
- */
+/* How long a controller counts as possibly autonomous after its liveness record was last too old:
+ * its status that it is cut off may still be current for the other controllers of its zone. */
 #define POSSIBLY_AUTONOMOUS_S 3.0
 #define PEER_STATUS_FRESH_S 2.0  /* how long a peer's status is taken as current */
 #define CLOCK_MARGIN_EXTRA_S 0.3 /* of the leader, in addition to the error of both clocks */
@@ -122,9 +119,8 @@
     return core->wall - core->peers[peer].liveness_wall_s;
 }
 
-/* Updates until when the controller may be autonomous. True: it may be autonomous now. That holds
- * for a controller without a liveness record too: it may have had one that the leader did not see.
- */
+/* Updates until when the controller may be autonomous. True: it may be autonomous now. A controller
+ * without a liveness record may be too: it may have had a record that the leader did not see. */
 static bool update_may_be_autonomous(struct bd_core *core, int peer)
 {
     struct bd_peer_view *view = &core->peers[peer];
@@ -133,8 +129,7 @@
     return bd_time_is_before(core->now, view->may_be_autonomous_until);
 }
 
-/* Seconds until the controller can certainly no longer renew leases; not positive: it cannot now.
- */
+/* Seconds until the controller can certainly renew no more leases; not positive: it cannot now. */
 static double renewal_left_s(const struct bd_core *core, int peer)
 {
     return bd_renewal_window_s(core->settings) - liveness_age_s(core, peer) + clock_margin_s(core);
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -86,7 +86,7 @@
                               struct bd_command_list *commands, enum bd_command_path path)
 {
     bool is_direct = path == BD_COMMAND_DIRECT;
-    uint8_t in_flight =
+    uint8_t in_flight_flag =
         is_direct ? BD_TASK_FLAG_DIRECT_LAUNCH_IN_FLIGHT : BD_TASK_FLAG_LAUNCH_IN_REPLY;
     bool has_launch = false;
     if (!bd_may_launch(core))
@@ -100,7 +100,7 @@
         bd_commands_append(commands, BD_COMMAND_LAUNCH, job->id, index, task->attempt, 0);
         bd_decision_log_task(core, "launch_sent", job, index, task->attempt, machine,
                              is_direct ? "via=direct" : "via=reply");
-        task->flags |= BD_TASK_FLAG_LAUNCH_SENT | in_flight;
+        task->flags |= BD_TASK_FLAG_LAUNCH_SENT | in_flight_flag;
         has_launch = true;
     }
     return has_launch;
@@ -115,7 +115,7 @@
     (void)bd_commands_add_launches(core, machine, commands, BD_COMMAND_IN_REPLY);
 }
 
-static void clear_flags(struct bd_machine *machine, unsigned flags)
+static void clear_task_flags(struct bd_machine *machine, unsigned flags)
 {
     for (uint32_t i = 0; i < machine->nreservations; i++) {
         const struct bd_reservation *reservation = &machine->reservations[i];
@@ -125,13 +125,13 @@
 
 void bd_machine_clear_launches_in_reply(struct bd_machine *machine)
 {
-    clear_flags(machine, BD_TASK_FLAG_LAUNCH_IN_REPLY);
+    clear_task_flags(machine, BD_TASK_FLAG_LAUNCH_IN_REPLY);
 }
 
 void bd_machine_exclude_late_launches(struct bd_machine *machine)
 {
     machine->unanswered_launch_token = 0;
-    clear_flags(machine, BD_TASK_FLAG_DIRECT_LAUNCH_IN_FLIGHT | BD_TASK_FLAG_EXITED);
+    clear_task_flags(machine, BD_TASK_FLAG_DIRECT_LAUNCH_IN_FLIGHT | BD_TASK_FLAG_EXITED);
 }
 
 static bool has_halt(const struct bd_command_list *commands,
@@ -146,10 +146,10 @@
     return false;
 }
 
-/* Appends halts of tasks whose jobs users have cancelled. A halt needs no valid lease of the
- * leader, and the machine need not have seen a fencing token of this term. The halt does not rely
- * on a direct command: that command may still wait in this controller's queue, while each reply
- * renews the machine's lease. */
+/* Appends halts of tasks whose jobs users have cancelled. A halt may be sent without a
+ * valid leader lease, and to a machine that has not seen a fencing token of this term. The halt
+ * does not rely on a direct command: that command may still wait in this controller's queue, while
+ * each reply renews the machine's lease. */
 static void add_halts_of_cancelled(struct bd_core *core, const struct bd_heartbeat *heartbeat,
                                    struct bd_command_list *commands)
 {
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -79,8 +79,7 @@
 /* Whether the leader has dismissed this delegate. A dismissal ends when a status of the leader
  * arrives after it: if the leader falls silent later, that is a new partition. Just after a
  * failover, the record of a delegate that was needed still exists, and the new leader dismisses
- * that delegate as not needed. If the zone is cut off soon after that, it needs its delegate again.
- */
+ * that delegate as not needed. If the zone is cut off soon after, it needs its delegate again. */
 static bool is_dismissed(const struct bd_core *core)
 {
     int leader = bd_leader_index(core);
@@ -105,8 +104,8 @@
            (is_other_leader_silent || is_leaderless(core)) && has_fresh_leader_view(core);
 }
 
-/* Whether another controller of this zone receives no statuses of the leader either. The zone is
- * then cut off from the leader, not this controller alone. */
+/* Whether another controller of this zone receives no statuses of the leader either. If so, the
+ * zone is cut off from the leader, not only this controller. */
 static bool is_zone_cut_off(const struct bd_core *core)
 {
     for (int i = 0; i < core->settings->npeers; i++)
@@ -149,9 +148,11 @@
                          bd_seconds_between(core->replica.refreshed_at, core->now));
 }
 
-/* served: the machine's entry in the record; NULL: the reply is that of an autonomous zone. */
-static void reply(struct bd_core *core, void *request, const struct bd_heartbeat *heartbeat,
-                  struct bd_served_machine *served)
+/* Replies with status 200, which renews the machine's lease. served: the machine's entry in the
+ * record; NULL: the reply is that of an autonomous zone. */
+static void reply_to_heartbeat(struct bd_core *core, void *request,
+                               const struct bd_heartbeat *heartbeat,
+                               struct bd_served_machine *served)
 {
     struct bd_command_list commands = {0};
     uint64_t fencing_token = served ? core->delegate.term : core->last_term;
@@ -183,11 +184,11 @@
     const struct bd_heartbeat *heartbeat = waiting->heartbeat;
     struct bd_served_machine *served = bd_delegate_find(core, heartbeat->machine);
     if (served && served->is_confirmed && may_reply(core)) {
-        reply(core, waiting->request, heartbeat, served);
+        reply_to_heartbeat(core, waiting->request, heartbeat, served);
         return true;
     }
     if (bd_autonomous_zone_may_reply(core, heartbeat)) {
-        reply(core, waiting->request, heartbeat, NULL);
+        reply_to_heartbeat(core, waiting->request, heartbeat, NULL);
         return true;
     }
     bool may_wait =
@@ -220,7 +221,7 @@
 {
     struct bd_delegate *delegate = &core->delegate;
     if (bd_autonomous_zone_may_reply(core, heartbeat)) {
-        reply(core, request, heartbeat, NULL);
+        reply_to_heartbeat(core, request, heartbeat, NULL);
         return true;
     }
     if (!is_delegate_needed(core)) {
@@ -236,7 +237,7 @@
         return false;
     served->heard = core->now;
     if (served->is_confirmed && delegate->leader_revision == core->leader_term && may_reply(core)) {
-        reply(core, request, heartbeat, served);
+        reply_to_heartbeat(core, request, heartbeat, served);
         return true;
     }
     add_waiting(core, request, heartbeat);
@@ -294,8 +295,8 @@
     if (delegate->nserved == 0 || delegate->txn_in_flight)
         return;
     bd_delegate_expire_machines(core);
-    /* a record that has become empty is written at once, so that the leader need not wait until it
-     * is stale */
+    /* a record that has become empty is written at once, so that the leader need not wait until
+     * the record ends by its age */
     if (delegate->nserved > 0 && bd_time_is_before(core->now, delegate->next_write))
         return;
     /* once the leader's statuses arrive again, no machine is answered, but the machines stay in the
--- a/src/workers/delegate_probes.c
+++ b/src/workers/delegate_probes.c
@@ -2,8 +2,8 @@
  * the leader while its workers are not, and would then keep them from the leader for no reason. So
  * it redirects a worker that has nothing to lose to the leader. If that worker does not come back,
  * the delegate redirects two more, and so on with batches of twice the size. A worker may also stay
- * away for another reason, such as that its machine is gone, so the delegate does not redirect all
- * workers at once. A worker that comes back shows that the zone is cut off. */
+ * away for another reason, such as that its machine has failed, so the delegate does not redirect
+ * all workers at once. A worker that comes back shows that the zone is cut off. */
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "model/core_state.h"
@@ -19,7 +19,7 @@
 #define PROBE_INTERVAL_S 6.0       /* before the first probe, and after a probe came back */
 #define PROBE_INTERVAL_ALONE_S 1.5 /* the same while no peer's status arrives at all */
 #define PROBE_BATCH_S 2.5          /* within which the workers of one batch are redirected */
-#define PROBE_WITH_TASKS_S 40.0    /* acting as delegate before a worker with tasks is a probe */
+#define PROBE_WITH_TASKS_S 40.0    /* acting as delegate before a worker with tasks may be one */
 #define WORKER_TIMEOUT_S 4.0       /* the platform's: a worker's wait for a reply */
 #define WORKER_PAUSE_S 1.0         /* the platform's: after a timeout, before the next node */
 #define RETURN_EXTRA_S 2.0         /* in addition to a worker's attempts at the other nodes */
@@ -45,9 +45,7 @@
     return has_local_peer;
 }
 
-/* Whether the worker may be a probe: it has nothing to lose, or is likely enough to reach the
- * leader.
- */
+/* Whether the worker may be a probe: it loses nothing, or is likely enough to reach the leader. */
 static bool may_be_probe(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
 {
     const struct bd_delegate *delegate = &core->delegate;
@@ -57,7 +55,7 @@
            bd_seconds_between(delegate->serving_since, core->now) > wait_s;
 }
 
-/* False: the worker is not redirected as a probe. */
+/* Records the worker as a probe. False: it may not be one, or there are too many. */
 static bool add_probe(struct bd_core *core, const struct bd_heartbeat *heartbeat)
 {
     struct bd_delegate *delegate = &core->delegate;
--- a/src/workers/delegate_record.c
+++ b/src/workers/delegate_record.c
@@ -16,7 +16,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define WRITE_INTERVAL_S 0.5
+#define WRITE_INTERVAL_S 0.5 /* between writes of the record */
+
 /* How long a machine stays in the record after its last heartbeat: RETENTION_INTERVALS heartbeat
  * intervals and RETENTION_EXTRA_S, but at least RETENTION_MIN_S. This is longer than the time
  * between two heartbeats of a worker; otherwise the machine would be added anew with each
@@ -32,9 +33,9 @@
 
 static double retention_s(const struct bd_core *core)
 {
-    double s =
+    double retention =
         RETENTION_INTERVALS * bd_to_secs(core->settings->heartbeat_interval) + RETENTION_EXTRA_S;
-    return s > RETENTION_MIN_S ? s : RETENTION_MIN_S;
+    return retention > RETENTION_MIN_S ? retention : RETENTION_MIN_S;
 }
 
 /* ---- how many machines the record can name ---- */
@@ -187,7 +188,7 @@
     return parts > 0 ? parts : 1;
 }
 
-static char *record_txn(struct bd_core *core, const char *key)
+static char *build_record_txn(struct bd_core *core, const char *key)
 {
     struct bd_delegate *delegate = &core->delegate;
     struct bd_txn txn;
@@ -215,5 +216,5 @@
     /* An effect without a body reads the record's revision: the record of an earlier process may
      * still exist. */
     if (delegate->revision_known)
-        effect->body = record_txn(core, effect->key);
+        effect->body = build_record_txn(core, effect->key);
 }
--- a/src/workers/direct_commands.c
+++ b/src/workers/direct_commands.c
@@ -48,14 +48,14 @@
     if (!can_be_sent(core, machine) || !admit_to_zone(core, machine))
         return;
     bd_commands_add_halts(machine, &commands);
-    bool launch = bd_commands_add_launches(core, machine, &commands, BD_COMMAND_DIRECT);
+    bool has_launch = bd_commands_add_launches(core, machine, &commands, BD_COMMAND_DIRECT);
     if (commands.count == 0)
         return;
     struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_DIRECT_COMMAND);
     effect->machine = machine->index;
     effect->fencing_token = core->lead.term;
-    effect->launch = launch;
-    effect->until = bd_command_deadline(core, launch);
+    effect->launch = has_launch;
+    effect->until = bd_command_deadline(core, has_launch);
     snprintf(effect->addr, sizeof effect->addr, "%s", machine->addr);
     effect->body = bd_wire_write_commands(core->lead.term, machine->incarnation, commands.items,
                                           commands.count);
@@ -86,19 +86,20 @@
         core->cloud.direct[machine->zone].fails = 0;
 }
 
-/* Handles a direct command that was not sent. No launch of it can arrive late, and the machine did
- * not fail. The commands are sent in the reply to its next heartbeat. */
-static void handle_command_not_sent(struct bd_core *core, struct bd_machine *machine, bool launch)
+/* Handles a direct command that was not sent. No launch of it can arrive late, and the machine
+ * did not fail. The commands are sent in the reply to its next heartbeat. */
+static void handle_command_not_sent(struct bd_core *core, struct bd_machine *machine,
+                                    bool has_launch)
 {
-    bd_decision_log_machine(core, "command_expired", machine, launch ? "launch=1" : "launch=0");
-    if (launch && machine->unanswered_launch_token == 0)
+    bd_decision_log_machine(core, "command_expired", machine, has_launch ? "launch=1" : "launch=0");
+    if (has_launch && machine->unanswered_launch_token == 0)
         bd_machine_exclude_late_launches(machine);
     machine->next_direct_at = bd_time_add(core->now, core->settings->heartbeat_interval);
 }
 
 /* Handles a direct command that was answered with a heartbeat. */
-static void handle_command_answered(struct bd_core *core, struct bd_machine *machine, bool launch,
-                                    const struct bd_heartbeat *heartbeat)
+static void handle_command_answered(struct bd_core *core, struct bd_machine *machine,
+                                    bool has_launch, const struct bd_heartbeat *heartbeat)
 {
     struct bd_command_list commands = {0};
     reset_failures(core, machine);
@@ -106,7 +107,7 @@
         back_off(core, machine); /* another machine has this address now */
         return;
     }
-    if (launch && machine->unanswered_launch_token == 0)
+    if (has_launch && machine->unanswered_launch_token == 0)
         bd_machine_exclude_late_launches(machine); /* answered: no launch of it can arrive late */
     if (machine->gone)
         return;
@@ -117,7 +118,7 @@
 }
 
 void bd_worker_direct_command_completed(struct bd_core *core, uint32_t machine_index,
-                                        uint64_t fencing_token, bool launch, long status,
+                                        uint64_t fencing_token, bool has_launch, long status,
                                         const struct bd_heartbeat *heartbeat)
 {
     struct bd_machine *machine = bd_machine_by_index(core, machine_index);
@@ -127,14 +128,14 @@
     bd_metrics_record_duration(core->metrics, BD_TIMING_DIRECT_COMMAND,
                                bd_seconds_between(machine->direct_sent_at, core->now));
     if (status == BD_DIRECT_NOT_SENT) {
-        handle_command_not_sent(core, machine, launch);
+        handle_command_not_sent(core, machine, has_launch);
         return;
     }
     if (heartbeat && (status == 200 || status == 409)) {
-        handle_command_answered(core, machine, launch, heartbeat);
+        handle_command_answered(core, machine, has_launch, heartbeat);
         return;
     }
     back_off(core, machine);
-    if (launch && fencing_token > machine->unanswered_launch_token)
+    if (has_launch && fencing_token > machine->unanswered_launch_token)
         machine->unanswered_launch_token = fencing_token;
 }
--- a/src/workers/forwarding.c
+++ b/src/workers/forwarding.c
@@ -17,8 +17,7 @@
 #include <string.h>
 
 #define REPLY_TIMEOUT_S 1.2 /* then a delegate answers, or the worker is redirected */
-/* Limit of forwarded heartbeats in flight, or max_sockets if that is higher: each holds a socket.
- */
+/* Heartbeats in flight to the leader, or max_sockets if that is more: each holds a socket. */
 #define IN_FLIGHT_LIMIT_MIN 512
 /* How long heartbeats are forwarded after the leader last reported an inbound partition. */
 #define INBOUND_PARTITION_HOLD_S 60.0
--- a/src/workers/heartbeat_tasks.c
+++ b/src/workers/heartbeat_tasks.c
@@ -16,7 +16,7 @@
 #include "workers/workers.h"
 #include "workers/workers_internal.h"
 
-/* Whether, in the leader's records, the attempt is the task's newest and belongs to the machine. */
+/* Whether the task is on the machine under that attempt, according to the leader's records. */
 static bool is_current_attempt(const struct bd_machine *machine, const struct bd_task *task,
                                uint64_t attempt)
 {
@@ -38,9 +38,9 @@
  * worker ignores the copy while it remembers the attempt, or once it has seen a higher fencing
  * token. So an attempt that a direct launch may have contained must not be forgotten before the
  * worker has seen a higher token than that launch had. */
-static void forget_attempt(struct bd_core *core, const struct bd_heartbeat *heartbeat,
-                           const struct bd_reported_task *reported,
-                           struct bd_command_list *commands)
+static void forget_attempt_if_safe(struct bd_core *core, const struct bd_heartbeat *heartbeat,
+                                   const struct bd_reported_task *reported,
+                                   struct bd_command_list *commands)
 {
     if (reported->attempt <= core->lead.last_fenced_attempt &&
         heartbeat->fencing_token >= core->lead.term)
@@ -84,7 +84,7 @@
     }
     bd_task_complete(core, job, reported->task);
     if (task->flags & BD_TASK_FLAG_RECEIPT_COMMITTED)
-        forget_attempt(core, heartbeat, reported, commands);
+        forget_attempt_if_safe(core, heartbeat, reported, commands);
 }
 
 static void reconcile_exited_task(struct bd_core *core, struct bd_machine *machine,
@@ -106,7 +106,7 @@
         bd_machine_record_exit(core, machine, job, reported->exit_reason);
         bd_task_release(core, job, reported->task, BD_RELEASE_EXITED);
     }
-    forget_attempt(core, heartbeat, reported, commands);
+    forget_attempt_if_safe(core, heartbeat, reported, commands);
 }
 
 /* Assigns the task to the machine, which runs an attempt of it that no intent contains. With the
@@ -213,7 +213,7 @@
     if (reported->execution != BD_EXECUTION_EXITED)
         halt_attempt(reported, commands);
     else if (job && job->state == BD_JOB_DONE)
-        forget_attempt(core, heartbeat, reported, commands);
+        forget_attempt_if_safe(core, heartbeat, reported, commands);
 }
 
 void bd_heartbeat_reconcile_tasks(struct bd_core *core, struct bd_machine *machine,
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -76,8 +76,7 @@
     update_identity(core, machine, heartbeat);
     record_heartbeat(core, machine, heartbeat);
     if (heartbeat->fencing_token < core->lead.base_term)
-        return true; /* an earlier term may still command the machine: its tasks prove nothing yet
-                      */
+        return true; /* an earlier term may still command it: its tasks are no evidence yet */
     if (!machine->fenced)
         core->lead.cycle_wanted = true;
     machine->fenced = true;
@@ -159,9 +158,7 @@
         return;
     }
     struct bd_machine *machine = bd_machine_find_or_add(core, heartbeat->machine);
-    if (is_copy(
-            machine,
-            heartbeat)) { /* a copy does not show that the worker is alive, and renews no lease */
+    if (is_copy(machine, heartbeat)) { /* no evidence that the worker is alive: renews no lease */
         bd_effect_reply(core, request, 503, bd_wire_write_redirect(""), 0);
         return;
     }
--- a/src/workers/machine_health.c
+++ b/src/workers/machine_health.c
@@ -1,6 +1,6 @@
 /* Health of machines, judged by how their tasks run: a machine whose tasks fail or run far too
  * slowly is quarantined. A job whose tasks fail on every machine is retried after a pause that
- * grows with each failure, and does not count against any machine. */
+ * grows with each failure, and no machine is quarantined for that job alone. */
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "model/core_state.h"
@@ -25,8 +25,8 @@
  * SLOW_RUN_EXTRA_TENTHS tenths of a second. */
 #define SLOW_RUN_FACTOR 1.6
 #define SLOW_RUN_EXTRA_TENTHS 50u
-#define SLOW_GAPLESS_INTERVALS                                                                     \
-    3.0 /* heartbeat intervals without a gap before a machine is judged */
+/* Heartbeat intervals without a gap before a machine is judged. */
+#define SLOW_GAPLESS_INTERVALS 3.0
 
 static void record_task_failure(struct bd_core *core, struct bd_machine *machine,
                                 struct bd_job *job)
--- a/src/workers/partition_detection.c
+++ b/src/workers/partition_detection.c
@@ -33,30 +33,31 @@
 
 void bd_machines_detect_outbound_partition(struct bd_core *core)
 {
-    uint32_t known = 0, partitioned = 0;
+    uint32_t fenced = 0, partitioned = 0;
     for (uint32_t i = 0; i < core->nmachines; i++) {
         const struct bd_machine *machine = core->by_index[i];
         if (machine->gone || !machine->fenced)
             continue;
-        known++;
+        fenced++;
         partitioned += machine->outbound_partition;
     }
-    core->lead.outbound_partition_is_ours = partitioned > OUTBOUND_PARTITION_SHARE * known;
+    core->lead.outbound_partition_is_ours = partitioned > OUTBOUND_PARTITION_SHARE * fenced;
 }
 
 void bd_machines_detect_inbound_partition(struct bd_core *core)
 {
-    uint32_t known = 0, silent = 0;
-    double late_s = LATE_INTERVALS * bd_to_secs(core->settings->heartbeat_interval) + LATE_EXTRA_S;
+    uint32_t reporting = 0, silent = 0;
+    double late_after_s =
+        LATE_INTERVALS * bd_to_secs(core->settings->heartbeat_interval) + LATE_EXTRA_S;
     for (uint32_t i = 0; i < core->nmachines; i++) {
         const struct bd_machine *machine = core->by_index[i];
         double silent_s = bd_seconds_between(machine->heard, core->now);
         if (machine->gone || !machine->direct ||
-            silent_s > late_s + bd_to_secs(core->settings->lease))
+            silent_s > late_after_s + bd_to_secs(core->settings->lease))
             continue;
-        known++;
-        silent += silent_s > late_s;
+        reporting++;
+        silent += silent_s > late_after_s;
     }
-    core->lead.inbound_partition =
-        known >= INBOUND_PARTITION_MACHINES_MIN && silent >= INBOUND_PARTITION_SHARE * known;
+    core->lead.inbound_partition = reporting >= INBOUND_PARTITION_MACHINES_MIN &&
+                                   silent >= INBOUND_PARTITION_SHARE * reporting;
 }
--- a/src/workers/worker_redirects.c
+++ b/src/workers/worker_redirects.c
@@ -19,9 +19,8 @@
 /* A redirected worker that comes back within this time cannot reach the leader: its requests to the
  * leader, and perhaps to another node, timed out. */
 #define RETURN_MAX_S 12.0
-#define LEADER_RETRY_S                                                                             \
-    40.0 /* after a return, until the worker is redirected to the leader again                     \
-          */
+/* How long after its return a worker is not redirected to the leader again. */
+#define LEADER_RETRY_S 40.0
 
 /* ---- as follower ---- */
 
--- a/src/workers/workers.h
+++ b/src/workers/workers.h
@@ -24,11 +24,11 @@
 void bd_worker_heartbeat_forwarded(struct bd_core *core, const char *peer, uint64_t id,
                                    const struct bd_heartbeat *heartbeat, const char *body,
                                    size_t len);
-/* As leader: handles the outcome of a direct command: answered, failed or not sent. launch: the
- * command contained launches. status: the HTTP status, 0 without a response, or BD_DIRECT_NOT_SENT.
- * heartbeat: the machine's response, borrowed, or NULL. */
+/* As leader: handles the outcome of a direct command: answered, failed or not sent. has_launch:
+ * the command contained launches. status: the HTTP status, 0 without a response, or
+ * BD_DIRECT_NOT_SENT. heartbeat: the machine's response, borrowed, or NULL. */
 void bd_worker_direct_command_completed(struct bd_core *core, uint32_t machine_index,
-                                        uint64_t fencing_token, bool launch, long status,
+                                        uint64_t fencing_token, bool has_launch, long status,
                                         const struct bd_heartbeat *heartbeat);
 
 /* ---- health, partitions and leases of machines (machine_health.c, partition_detection.c,
--- a/src/workers/workers_internal.h
+++ b/src/workers/workers_internal.h
@@ -9,8 +9,7 @@
 /* In place of the index of the peer that forwarded a heartbeat: the worker sent it itself. */
 #define BD_NOT_FORWARDED (-1)
 
-/* Prefix of the keys of controllers' records in the key-value store; the controller's name follows.
- */
+/* Key prefix of controllers' records in the key-value store; the controller's name follows. */
 #define BD_NODE_RECORD_PREFIX "p/"
 
 /* A peer without a status for so many seconds may be cut off from this controller. */
@@ -82,8 +81,7 @@
 
 /* ---- autonomous zones (autonomous_zone.c) ---- */
 
-/* As follower: whether this controller may renew the worker's lease because its zone is autonomous.
- */
+/* As follower: whether it may renew the worker's lease because its zone is autonomous. */
 bool bd_autonomous_zone_may_reply(const struct bd_core *core, const struct bd_heartbeat *heartbeat);
 /* As follower: whether a worker should wait for a reply because the zone may be about to become
  * autonomous: a partition may just have begun. */
@@ -127,8 +125,7 @@
 
 /* ---- probes of a delegate (delegate_probes.c) ---- */
 
-/* Whether to redirect the worker to the leader, as a probe of whether workers can reach the leader.
- */
+/* Whether to redirect the worker to the leader, to probe whether workers can reach it. */
 bool bd_delegate_probe_leader(struct bd_core *core, const struct bd_heartbeat *heartbeat);
 
 /* Frees the table of redirected workers. */
