--- a/src/workers/delegate_view.c
+++ b/src/workers/delegate_view.c
@@ -16,7 +16,7 @@
 #include <string.h>
 
 #define DISMISSAL_S 30.0       /* how long the leader's key lists a dismissed delegate */
-#define DISMISSAL_REPEAT_S 8.0 /* until the key is rewritten if its workers come to the leader */
+#define DISMISSAL_REPEAT_S 8.0 /* between rewrites while its workers come to the leader */
 #define RECORD_STALE_S 5.0     /* without a change; a delegate writes its record twice a second */
 #define READ_GAP_MAX_S 2.5     /* less than the retention of a record: no machine is missed */
 
