--- a/include/brambledoor/settings.h
+++ b/include/brambledoor/settings.h
@@ -27,10 +27,10 @@
 /* What a team may use. An amount of 0 means that there is no guarantee or no quota. */
 struct bd_team_quota {
     char name[BD_NAME_BYTES];
-    double cpus;       /* guaranteed share, CPU cores */
-    double cpus_quota; /* at most, CPU cores */
-    double gpus;       /* guaranteed share, GPUs */
-    double gpus_quota; /* at most, GPUs */
+    double cpus_guaranteed; /* guaranteed share, CPU cores */
+    double cpus_quota;      /* at most, CPU cores */
+    double gpus_guaranteed; /* guaranteed share, GPUs */
+    double gpus_quota;      /* at most, GPUs */
 };
 
 enum bd_slo_kind {
@@ -58,24 +58,25 @@
     char peer_addr[BD_NAME_BYTES]; /* "HOST:PORT" on which it listens for other controllers */
     struct bd_peer peers[BD_PEERS_MAX];
     int npeers;
-    char cloud[BD_NAME_BYTES];   /* "HOST:PORT" of the cloud's provisioning interface */
-    char kv_addr[BD_NAME_BYTES]; /* "HOST:PORT" of the key-value store */
+    char cloud_addr[BD_NAME_BYTES]; /* "HOST:PORT" of the cloud's provisioning interface */
+    char kv_addr[BD_NAME_BYTES];    /* "HOST:PORT" of the key-value store */
     char zones[BD_ZONES_MAX][BD_NAME_BYTES];
     int nzones;
     struct bd_team_quota teams[BD_TEAMS_MAX];
     int nteams;
     struct bd_slo slos[BD_SLOS_MAX];
     int nslos;
-    int nodes; /* controllers of the cluster, this one included; validated only */
+    int ncontrollers; /* controllers of the cluster, this one included; validated only */
 
     /* workers */
     struct timespec heartbeat_interval; /* between two heartbeats of a worker */
-    struct timespec lease;              /* of a worker, from the heartbeat that renewed it */
+    struct timespec worker_lease;       /* of a worker, from the heartbeat that renewed it */
     struct timespec gang_wait; /* a gang's task waits so long for the others; validated only */
     struct timespec gang_peer; /* it ends so long after another one; validated only */
-    struct timespec cancel;    /* from a confirmed cancellation to the end of the job's last task */
-    struct timespec list_lag;  /* by which the cloud's list of machines may be out of date */
-    struct timespec clock_error; /* by which a controller's time of day may be wrong, each way */
+    struct timespec
+        cancellation_limit; /* from a confirmed cancellation to the end of the job's last task */
+    struct timespec inventory_lag; /* by which the cloud's list of machines may be out of date */
+    struct timespec clock_error;   /* by which a controller's time of day may be wrong, each way */
 
     /* Limits of the key-value store and of the cloud. Where the file announces a change of the
      * store's, the smaller of what applies now and what is to come. */
@@ -86,14 +87,15 @@
     size_t kv_txn_ops_max; /* changes in one transaction */
 
     /* Limits of this process. */
-    double cpu;      /* CPU cores */
-    double ram_mb;   /* memory, MiB */
-    int max_sockets; /* open sockets */
+    double cpu_cores; /* CPU cores */
+    double ram_mb;    /* memory, MiB */
+    int max_sockets;  /* open sockets */
 
     /* The operators' own. */
     struct timespec leader_ttl; /* of the leader's lease; zero: derived from the worker lease */
     double headroom_share;      /* headroom, as a multiple of what the objectives ask for */
-    double idle_boots; /* an idle machine is returned after this many of its type's boot times */
+    double
+        idle_boot_times; /* an idle machine is returned after this many of its type's boot times */
     struct bd_drain_rules *draining; /* owned, freed with free(); NULL: draining is off */
 };
 
--- a/src/adapters/cloud_client.c
+++ b/src/adapters/cloud_client.c
@@ -79,7 +79,7 @@
 {
     char url[256];
     struct bd_http_response response;
-    snprintf(url, sizeof url, "http://%s%s", node->settings.cloud, path);
+    snprintf(url, sizeof url, "http://%s%s", node->settings.cloud_addr, path);
     bd_http_call(http, method, url, body, CALL_TIMEOUT_S, &response);
     long status = response.status;
     *out = response.body ? json_loadb(response.body, response.len, 0, NULL) : NULL;
@@ -285,7 +285,7 @@
         free(client);
         return -1;
     }
-    client->inventory_interval_s = fmax(bd_to_secs(node->settings.list_lag) / LISTS_PER_LAG,
+    client->inventory_interval_s = fmax(bd_to_secs(node->settings.inventory_lag) / LISTS_PER_LAG,
                                         CALLS_PER_LIST_MIN / node->settings.cloud_requests_per_s);
     return bd_thread_start(cloud_run, client, STACK_BYTES);
 }
--- a/src/autoscaling/inventory.c
+++ b/src/autoscaling/inventory.c
@@ -85,7 +85,7 @@
 static void remove_if_missing(struct bd_core *core, struct bd_machine *machine,
                               struct timespec asked)
 {
-    double lag_s = LIST_LAG_FACTOR * bd_to_secs(core->settings->list_lag) + LIST_LAG_MARGIN_S;
+    double lag_s = LIST_LAG_FACTOR * bd_to_secs(core->settings->inventory_lag) + LIST_LAG_MARGIN_S;
     struct timespec existed = bd_time_max(machine->heard, machine->known_at);
     if (machine->gone || machine->in_inventory || bd_seconds_between(existed, asked) < lag_s)
         return;
--- a/src/autoscaling/scale_in.c
+++ b/src/autoscaling/scale_in.c
@@ -24,14 +24,15 @@
 {
     return machine->incarnation && !machine->fenced &&
            bd_seconds_between(machine->heard, core->now) >
-               bd_to_secs(core->settings->lease) + SILENT_MARGIN_S;
+               bd_to_secs(core->settings->worker_lease) + SILENT_MARGIN_S;
 }
 
 /* A machine is kept idle for about as long as getting it again would take. */
 static bool has_idled_out(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return !machine->headroom && bd_seconds_between(machine->idle_since, core->now) >
-                                     core->settings->idle_boots * core->types[machine->type].boot;
+    return !machine->headroom &&
+           bd_seconds_between(machine->idle_since, core->now) >
+               core->settings->idle_boot_times * core->types[machine->type].boot;
 }
 
 static bool wants_scale_in(const struct bd_core *core, const struct bd_machine *machine)
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -41,7 +41,7 @@
     return core;
 }
 
-void bd_core_seed(struct bd_core *core, uint64_t seed)
+void bd_core_seed_forwarding_ids(struct bd_core *core, uint64_t seed)
 {
     core->forwarding.last_id = seed;
 }
@@ -127,7 +127,7 @@
 {
     evict_records(core);
     bd_pending_reads_start_barrier(core);
-    bd_leadership_step_down(core);
+    bd_leadership_step_down_if_superseded(core);
     bd_dag_tick(core);
     bd_forward_tick(core);
     if (core->role == BD_LEADER)
@@ -148,7 +148,7 @@
     return workers_wait ? FOLLOWER_STEP_WAITING_S : FOLLOWER_STEP_S;
 }
 
-struct timespec bd_core_next(const struct bd_core *core)
+struct timespec bd_core_next_tick_at(const struct bd_core *core)
 {
     double step_s = core->role == BD_LEADER ? leader_step_s(core) : follower_step_s(core);
     return bd_time_add(core->now, bd_secs(step_s));
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -17,7 +17,7 @@
 struct bd_core *bd_core_new(const struct bd_settings *settings, const struct bd_log *log);
 void bd_core_free(struct bd_core *core);
 /* Where the numbers begin that peers send back to us: not where our last process's did. */
-void bd_core_seed(struct bd_core *core, uint64_t seed);
+void bd_core_seed_forwarding_ids(struct bd_core *core, uint64_t seed);
 /* now: the steady clock; wall: the time of day in seconds. */
 void bd_core_set_clock(struct bd_core *core, struct timespec now, double wall);
 /* The key of the leader was read. dismissed: it hears the workers that we answer for it. */
@@ -35,5 +35,5 @@
 /* The one step: calls the parts in order. */
 void bd_core_tick(struct bd_core *core);
 /* When the next step is due without an event. */
-struct timespec bd_core_next(const struct bd_core *core);
+struct timespec bd_core_next_tick_at(const struct bd_core *core);
 #endif
--- a/src/drain/machine_stage.c
+++ b/src/drain/machine_stage.c
@@ -21,7 +21,7 @@
  * has appeared in the cloud's inventory by now. */
 static bool inventory_is_complete(const struct bd_core *core)
 {
-    double delay_s = 2 * bd_to_secs(core->settings->list_lag) + INVENTORY_CALL_S;
+    double delay_s = 2 * bd_to_secs(core->settings->inventory_lag) + INVENTORY_CALL_S;
     return core->lead.inventory_read &&
            bd_seconds_between(core->drains->leadership_acquired, core->now) > delay_s;
 }
--- a/src/leadership/commit.c
+++ b/src/leadership/commit.c
@@ -243,7 +243,7 @@
     snprintf(effect->key, sizeof effect->key, "%llu", (unsigned long long)core->lead.base_term);
 }
 
-void bd_cycle_commit(struct bd_core *core)
+void bd_leader_txn_submit(struct bd_core *core)
 {
     struct bd_txn_builder builder = begin_txn(core);
     add_token_raise(core, &builder);
--- a/src/leadership/commit.h
+++ b/src/leadership/commit.h
@@ -10,7 +10,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define BD_INTENT_TASK_BYTES 7u /* of a task's number in an intent record */
+#define BD_INTENT_TASK_NUMBER_BYTES 7u /* of a task's number in an intent record */
 
 /* Bytes that one machine's tasks of a job take in an intent record, without the tasks' numbers. */
 size_t bd_intent_group_bytes(const struct bd_job *job, const struct bd_machine *machine);
@@ -18,7 +18,7 @@
 uint32_t bd_txn_intent_records_max(const struct bd_core *core);
 /* Builds the transaction of core->lead.commit and emits it; frees the commit if there is nothing to
  * write. Planned launches that fit no intent record are released. */
-void bd_cycle_commit(struct bd_core *core);
+void bd_leader_txn_submit(struct bd_core *core);
 /* NULL is allowed. */
 void bd_commit_free(struct bd_commit *commit);
 /* Drops the term's view of the committed intent records. */
--- a/src/leadership/intent_record.c
+++ b/src/leadership/intent_record.c
@@ -37,9 +37,9 @@
     *bytes_left -=
         (double)(machine ? bd_intent_group_bytes(intents->job, machine) : BD_LABEL_BYTES);
     while (count < n && is_same_group(&intents[count], intents) &&
-           *bytes_left >= BD_INTENT_TASK_BYTES) {
+           *bytes_left >= BD_INTENT_TASK_NUMBER_BYTES) {
         json_array_append_new(tasks, json_integer(intents[count].task));
-        *bytes_left -= BD_INTENT_TASK_BYTES;
+        *bytes_left -= BD_INTENT_TASK_NUMBER_BYTES;
         count++;
     }
     if (count == 0) {
--- a/src/leadership/leadership.c
+++ b/src/leadership/leadership.c
@@ -27,7 +27,7 @@
 
 bool bd_leadership_may_reply(const struct bd_core *core)
 {
-    if (core->role != BD_LEADER || !bd_may_renew_leases(core))
+    if (core->role != BD_LEADER || !bd_may_renew_worker_leases(core))
         return false;
     if (bd_leadership_lease_valid(core))
         return true;
@@ -42,7 +42,7 @@
            !bd_is_isolated(core);
 }
 
-void bd_leadership_renewed(struct bd_core *core, uint64_t grant, struct timespec sent)
+void bd_leadership_lease_renewed(struct bd_core *core, uint64_t grant, struct timespec sent)
 {
     if (core->role != BD_LEADER || grant != core->lead.grant)
         return;
@@ -112,7 +112,7 @@
     end_term(core, BD_STEP_DOWN_LEASE_LOST);
 }
 
-void bd_leadership_step_down(struct bd_core *core)
+void bd_leadership_step_down_if_superseded(struct bd_core *core)
 {
     if (core->role != BD_LEADER || bd_leadership_lease_valid(core))
         return;
--- a/src/leadership/leadership.h
+++ b/src/leadership/leadership.h
@@ -40,12 +40,12 @@
                                    struct timespec sent);
 /* The store renewed the grant; the request was sent at that moment. Other grants than our term's
  * are ignored. */
-void bd_leadership_renewed(struct bd_core *core, uint64_t grant, struct timespec sent);
+void bd_leadership_lease_renewed(struct bd_core *core, uint64_t grant, struct timespec sent);
 /* Ends our term, if there is one: frees the leader's state and emits BD_EFFECT_STEP_DOWN. */
 void bd_leadership_lost(struct bd_core *core);
 /* Ends a term whose lease has expired, once a peer names a newer one: without the store, that is
  * how we learn who leads. */
-void bd_leadership_step_down(struct bd_core *core);
+void bd_leadership_step_down_if_superseded(struct bd_core *core);
 /* Ends the term, and asks the election to end its grant, if our reads of the records have failed
  * for a while and another controller's have not: it could launch at once, we could not. */
 void bd_leadership_resign_if_reads_fail(struct bd_core *core);
@@ -90,7 +90,7 @@
 /* ---- renewal of workers' leases (lease_renewal.c) ---- */
 
 /* A delegate answers so long after its record was last confirmed. */
-#define BD_DELEGATE_FRESH_S 1.5
+#define BD_DELEGATE_CONFIRMATION_VALID_S 1.5
 
 /* Seconds after the sending of the last answered refresh in which leases may be renewed. A new
  * leader relies on it too: all controllers must come to the same figure. */
@@ -98,7 +98,7 @@
 /* Whether we are within that window after the moment; false if it is zero. */
 bool bd_is_within_renewal_window(const struct bd_core *core, struct timespec seen);
 /* Whether a cancellation that we do not know of still ends in time if we answer a worker now. */
-bool bd_may_renew_leases(const struct bd_core *core);
+bool bd_may_renew_worker_leases(const struct bd_core *core);
 /* Whether launches may be sent. A launch is repeated until its task is seen, but not while the job
  * may have been cancelled for long. */
 bool bd_may_launch(const struct bd_core *core);
--- a/src/leadership/lease_renewal.c
+++ b/src/leadership/lease_renewal.c
@@ -21,8 +21,8 @@
 
 double bd_renewal_window_s(const struct bd_settings *settings)
 {
-    double slack_s =
-        bd_to_secs(settings->cancel) - bd_to_secs(settings->lease) * (1 + BD_CLOCK_DRIFT);
+    double slack_s = bd_to_secs(settings->cancellation_limit) -
+                     bd_to_secs(settings->worker_lease) * (1 + BD_CLOCK_DRIFT);
     double share_s = slack_s * MARGIN_MAX_SHARE;
     double margin_s = share_s < MARGIN_MAX_S ? share_s : MARGIN_MAX_S;
     return slack_s > 0 ? slack_s - margin_s : 0;
@@ -35,7 +35,7 @@
            bd_time_is_before(core->now, bd_time_add(seen, bd_secs(window_s)));
 }
 
-bool bd_may_renew_leases(const struct bd_core *core)
+bool bd_may_renew_worker_leases(const struct bd_core *core)
 {
     return bd_is_within_renewal_window(core, core->replica.refreshed_at);
 }
--- a/src/leadership/reconciliation.c
+++ b/src/leadership/reconciliation.c
@@ -38,7 +38,7 @@
 static void bound_earlier_leases(struct bd_core *core)
 {
     double rest_s = bd_renewal_window_s(core->settings) - bd_to_secs(core->settings->leader_ttl);
-    rest_s = rest_s > BD_DELEGATE_FRESH_S ? rest_s : BD_DELEGATE_FRESH_S;
+    rest_s = rest_s > BD_DELEGATE_CONFIRMATION_VALID_S ? rest_s : BD_DELEGATE_CONFIRMATION_VALID_S;
     core->lead.earlier_leases_expire_at =
         bd_lease_expiry(core, bd_time_add(core->now, bd_secs(rest_s)));
 }
@@ -129,6 +129,6 @@
 void bd_leadership_start_serving(struct bd_core *core, const struct bd_acquisition *acquisition)
 {
     core->lead.lease_valid_until = core->lead.renewal_sent_at = acquisition->renewed;
-    bd_leadership_renewed(core, acquisition->grant, acquisition->renewed);
+    bd_leadership_lease_renewed(core, acquisition->grant, acquisition->renewed);
     core->lead.cycle_wanted = true;
 }
--- a/src/model/machine.c
+++ b/src/model/machine.c
@@ -57,7 +57,7 @@
 
 struct timespec bd_lease_expiry(const struct bd_core *core, struct timespec answered)
 {
-    double lease_s = bd_to_secs(core->settings->lease);
+    double lease_s = bd_to_secs(core->settings->worker_lease);
     return bd_time_add(answered, bd_secs(lease_s * (1 + BD_CLOCK_DRIFT) + LEASE_MARGIN_S));
 }
 
--- a/src/runtime/controller.c
+++ b/src/runtime/controller.c
@@ -41,7 +41,7 @@
 {
     if (!bd_time_is_zero(settings->leader_ttl))
         return;
-    double ttl = bd_to_secs(settings->lease) * LEADER_TTL_SHARE;
+    double ttl = bd_to_secs(settings->worker_lease) * LEADER_TTL_SHARE;
     if (ttl < LEADER_TTL_MIN_S)
         ttl = LEADER_TTL_MIN_S;
     if (ttl > LEADER_TTL_MAX_S)
@@ -89,7 +89,7 @@
     if (!node->core || !node->metrics || !node->heartbeats)
         return -1;
     node->core->metrics = node->metrics;
-    bd_core_seed(node->core, random_seed());
+    bd_core_seed_forwarding_ids(node->core, random_seed());
     bd_controller_set_clock(node);
     return 0;
 }
--- a/src/runtime/event_apply.c
+++ b/src/runtime/event_apply.c
@@ -159,7 +159,7 @@
 
 static void apply_lease_renewed(struct bd_node *node, const struct bd_event *event)
 {
-    bd_leadership_renewed(node->core, event->renewed.grant, event->renewed.sent);
+    bd_leadership_lease_renewed(node->core, event->renewed.grant, event->renewed.sent);
 }
 
 static void apply_liveness_sent(struct bd_node *node, const struct bd_event *event)
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -101,7 +101,7 @@
 {
     void *batch[BATCH_EVENTS];
     for (;;) {
-        struct timespec until = bd_time_min(bd_core_next(node->core), node->next_status);
+        struct timespec until = bd_time_min(bd_core_next_tick_at(node->core), node->next_status);
         size_t count = bd_queue_take(&node->events, batch, BATCH_EVENTS, until);
         bd_controller_set_clock(node);
         for (size_t i = 0; i < count; i++)
--- a/src/runtime/operators_file.c
+++ b/src/runtime/operators_file.c
@@ -41,7 +41,7 @@
     else if (strcmp(name, "spare-share") == 0)
         settings->headroom_share = number;
     else if (strcmp(name, "idle-boots") == 0)
-        settings->idle_boots = number;
+        settings->idle_boot_times = number;
     else
         bd_settings_fault(reader, name, "unknown field");
 }
--- a/src/runtime/settings.c
+++ b/src/runtime/settings.c
@@ -122,9 +122,9 @@
     {
         struct bd_team_quota *team = &settings->teams[i];
         read_text(reader, entry, "name", team->name);
-        team->cpus = read_number(reader, entry, "cpus", 0);
+        team->cpus_guaranteed = read_number(reader, entry, "cpus", 0);
         team->cpus_quota = read_number(reader, entry, "cpus_max", 0);
-        team->gpus = read_number(reader, entry, "gpus", 0);
+        team->gpus_guaranteed = read_number(reader, entry, "gpus", 0);
         team->gpus_quota = read_number(reader, entry, "gpus_max", 0);
         settings->nteams = (int)i + 1;
     }
@@ -190,12 +190,13 @@
 {
     settings->heartbeat_interval =
         read_duration(reader, workers, "report_s", HEARTBEAT_INTERVAL_MIN_S);
-    settings->lease = read_duration(reader, workers, "lease_s", LEASE_MIN_S);
+    settings->worker_lease = read_duration(reader, workers, "lease_s", LEASE_MIN_S);
     settings->gang_wait = read_duration(reader, workers, "gang_wait_s", 0);
     settings->gang_peer = read_duration(reader, workers, "gang_peer_s", 0);
-    settings->cancel = read_duration(reader, workers, "cancel_s", CANCEL_MIN_S);
+    settings->cancellation_limit = read_duration(reader, workers, "cancel_s", CANCEL_MIN_S);
     /* a lease that was renewed just before the cancellation must expire within cancel_s */
-    if (bd_to_secs(settings->cancel) < bd_to_secs(settings->lease) + CANCEL_MARGIN_S)
+    if (bd_to_secs(settings->cancellation_limit) <
+        bd_to_secs(settings->worker_lease) + CANCEL_MARGIN_S)
         bd_settings_fault(reader, "cancel_s", "must be at least a second longer than lease_s");
 }
 
@@ -230,7 +231,7 @@
 static void read_own_limits(struct bd_settings_reader *reader, const json_t *limits,
                             struct bd_settings *settings)
 {
-    settings->cpu = read_number(reader, limits, "cpu", CPU_MIN);
+    settings->cpu_cores = read_number(reader, limits, "cpu", CPU_MIN);
     settings->ram_mb = read_number(reader, limits, "ram_mb", RAM_MB_MIN);
     settings->max_sockets = (int)read_number(reader, limits, "max_sockets", SOCKETS_MIN);
 }
@@ -238,7 +239,7 @@
 static void read_facts(struct bd_settings_reader *reader, const json_t *facts,
                        struct bd_settings *settings)
 {
-    settings->nodes = (int)read_number(reader, facts, "count", 1);
+    settings->ncontrollers = (int)read_number(reader, facts, "count", 1);
     read_zones(reader, facts, settings);
     read_teams(reader, facts, settings);
     read_slos(reader, facts, settings);
@@ -246,7 +247,7 @@
     read_kv_limits(reader, read_object(reader, facts, "state"), settings);
     const json_t *cloud = read_object(reader, facts, "cloud");
     settings->cloud_requests_per_s = read_number(reader, cloud, "rps", CLOUD_RATE_MIN);
-    settings->list_lag = read_duration(reader, cloud, "list_lag_s", 0);
+    settings->inventory_lag = read_duration(reader, cloud, "list_lag_s", 0);
     read_own_limits(reader, read_object(reader, facts, "limits"), settings);
     settings->clock_error = bd_secs(read_number(reader, facts, "clock_error_ms", 0) / MS_PER_S);
 }
@@ -257,7 +258,7 @@
     json_error_t error;
     memset(settings, 0, sizeof *settings);
     settings->headroom_share = HEADROOM_SHARE_DEFAULT;
-    settings->idle_boots = IDLE_BOOTS_DEFAULT;
+    settings->idle_boot_times = IDLE_BOOTS_DEFAULT;
     json_t *root = json_load_file(path, 0, &error);
     if (!root) {
         snprintf(err, errlen, "%s: line %d: %s", path, error.line, error.text);
@@ -271,7 +272,7 @@
     read_text(&reader, root, "mesh_addr", settings->peer_addr);
     read_peers(&reader, root, settings);
     const json_t *external = read_object(&reader, root, "external");
-    read_text(&reader, external, "cloud", settings->cloud);
+    read_text(&reader, external, "cloud", settings->cloud_addr);
     read_text(&reader, external, "state", settings->kv_addr);
     const json_t *facts = read_object(&reader, root, "facts");
     if (!reader.failed)
--- a/src/scheduling/cycle.c
+++ b/src/scheduling/cycle.c
@@ -29,7 +29,7 @@
  * they leave most of the processor to everything else. */
 static double cycle_interval_s(const struct bd_core *core)
 {
-    double cpu = core->settings->cpu, interval = 0;
+    double cpu = core->settings->cpu_cores, interval = 0;
     if (cpu > 0)
         interval = pending_jobs(core) * core->nmachines * JOB_MACHINE_S / cpu / CYCLE_CPU_SHARE;
     return fmin(fmax(interval, BD_CYCLE_INTERVAL_S), CYCLE_INTERVAL_MAX_S);
@@ -54,5 +54,5 @@
         abort();
     if (!core->lead.token_raise_wanted)
         bd_cycle_place(core);
-    bd_cycle_commit(core);
+    bd_leader_txn_submit(core);
 }
--- a/src/scheduling/job_order.c
+++ b/src/scheduling/job_order.c
@@ -47,11 +47,14 @@
         double unfinished = job->ntasks - job->ndone;
         cpus[team] += unfinished * job->spec.cpus;
         gpus[team] += unfinished * job->spec.gpus;
-        bool has_claim =
-            (share->cpus > 0 && job->spec.cpus > 0) || (share->gpus > 0 && job->spec.gpus > 0);
+        bool has_claim = (share->cpus_guaranteed > 0 && job->spec.cpus > 0) ||
+                         (share->gpus_guaranteed > 0 && job->spec.gpus > 0);
         job->within_guaranteed_share =
-            has_claim && (share->cpus <= 0 || cpus[team] <= share->cpus + BD_RESOURCE_ROUNDING) &&
-            (share->gpus <= 0 || gpus[team] <= share->gpus + BD_RESOURCE_ROUNDING);
+            has_claim &&
+            (share->cpus_guaranteed <= 0 ||
+             cpus[team] <= share->cpus_guaranteed + BD_RESOURCE_ROUNDING) &&
+            (share->gpus_guaranteed <= 0 ||
+             gpus[team] <= share->gpus_guaranteed + BD_RESOURCE_ROUNDING);
     }
 }
 
--- a/src/scheduling/plan.c
+++ b/src/scheduling/plan.c
@@ -39,9 +39,9 @@
                                 const struct bd_machine *machine, uint32_t most)
 {
     size_t head = bd_intent_group_bytes(job, machine);
-    if (cycle->record_bytes + head + BD_INTENT_TASK_BYTES > cycle->record_bytes_max)
+    if (cycle->record_bytes + head + BD_INTENT_TASK_NUMBER_BYTES > cycle->record_bytes_max)
         return 0;
-    size_t n = (cycle->record_bytes_max - cycle->record_bytes - head) / BD_INTENT_TASK_BYTES;
+    size_t n = (cycle->record_bytes_max - cycle->record_bytes - head) / BD_INTENT_TASK_NUMBER_BYTES;
     return n < most ? (uint32_t)n : most;
 }
 
@@ -66,7 +66,8 @@
     if (!bd_machine_has_image(machine, job->spec.image))
         cycle->machines[machine->index].planned_fetch_s +=
             job->spec.image_gb / cycle->core->types[machine->type].fetch;
-    cycle->record_bytes += bd_intent_group_bytes(job, machine) + (size_t)n * BD_INTENT_TASK_BYTES;
+    cycle->record_bytes +=
+        bd_intent_group_bytes(job, machine) + (size_t)n * BD_INTENT_TASK_NUMBER_BYTES;
     uint32_t task = first;
     for (; n > 0 && task < job->ntasks; task++) {
         if (job->tasks[task].state != BD_TASK_PENDING)
--- a/src/workers/autonomous_zone.c
+++ b/src/workers/autonomous_zone.c
@@ -72,7 +72,7 @@
 
 static bool is_within_renewal_window(const struct bd_core *core)
 {
-    return bd_may_renew_leases(core) && bd_is_within_renewal_window(core, core->confirmed);
+    return bd_may_renew_worker_leases(core) && bd_is_within_renewal_window(core, core->confirmed);
 }
 
 bool bd_autonomous_zone_may_reply(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -4,15 +4,16 @@
  *
  * What makes it safe: a delegate writes the machines that it answers into its own record,
  * conditional on the leader's key, before it answers them. It writes the record again at a short
- * interval, and stops BD_DELEGATE_FRESH_S after the last write that succeeded was sent. A machine
- * stays in the record for a while after its last heartbeat (see delegate_record.c). The leader
- * reads all records; no lease counts as expired while the newest read shows the machine, nor before
- * a read that began after the lease's end. The leader deletes the record of a delegate that does
- * not confirm it any more. A delegate sends no commands but halts of cancelled jobs.
+ * interval, and stops BD_DELEGATE_CONFIRMATION_VALID_S after the last write that succeeded was
+ * sent. A machine stays in the record for a while after its last heartbeat (see delegate_record.c).
+ * The leader reads all records; no lease counts as expired while the newest read shows the machine,
+ * nor before a read that began after the lease's end. The leader deletes the record of a delegate
+ * that does not confirm it any more. A delegate sends no commands but halts of cancelled jobs.
  *
  * While nobody leads, the record is conditional on the leader's key being absent, and replies carry
- * the last term's fencing token: a new leader allows for such replies until BD_DELEGATE_FRESH_S
- * after it acquired the term, and no such record is written once it has its key. */
+ * the last term's fencing token: a new leader allows for such replies until
+ * BD_DELEGATE_CONFIRMATION_VALID_S after it acquired the term, and no such record is written once
+ * it has its key. */
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "leadership/leadership.h"
@@ -85,7 +86,7 @@
 
 static bool has_fresh_leader_view(const struct bd_core *core)
 {
-    return bd_seconds_between(core->leader_seen_at, core->now) < BD_DELEGATE_FRESH_S;
+    return bd_seconds_between(core->leader_seen_at, core->now) < BD_DELEGATE_CONFIRMATION_VALID_S;
 }
 
 /* By a fresh view another controller leads, and we do not hear it; or nobody does. Redirected
@@ -118,7 +119,7 @@
 static bool may_reply(const struct bd_core *core)
 {
     return bd_time_is_before(core->now, core->delegate.confirmed_until) &&
-           bd_may_renew_leases(core);
+           bd_may_renew_worker_leases(core);
 }
 
 /* Logs the first reply to each machine of our record; of an autonomous zone, one per interval. */
@@ -249,7 +250,7 @@
     if (revision_known)
         delegate->revision = store_revision;
     if (status == 200) {
-        double fresh_s = BD_DELEGATE_FRESH_S * (1 - BD_CLOCK_DRIFT);
+        double fresh_s = BD_DELEGATE_CONFIRMATION_VALID_S * (1 - BD_CLOCK_DRIFT);
         delegate->confirmed_until = bd_time_add(sent, bd_secs(fresh_s));
         bd_delegate_confirm_machines(core);
     }
--- a/src/workers/delegate_view.c
+++ b/src/workers/delegate_view.c
@@ -120,7 +120,8 @@
     size_t i;
     if (core->role != BD_LEADER)
         return;
-    struct timespec answered_until = bd_time_add(core->now, bd_secs(BD_DELEGATE_FRESH_S));
+    struct timespec answered_until =
+        bd_time_add(core->now, bd_secs(BD_DELEGATE_CONFIRMATION_VALID_S));
     struct timespec lease_until = bd_lease_expiry(core, answered_until);
     extend_leases_of_last_read(core, sent, lease_until);
     json_array_foreach(pairs, i, pair)
--- a/src/workers/partition_detection.c
+++ b/src/workers/partition_detection.c
@@ -51,7 +51,7 @@
         const struct bd_machine *machine = core->by_index[i];
         double silent_s = bd_seconds_between(machine->heard, core->now);
         if (machine->gone || !machine->direct ||
-            silent_s > late_s + bd_to_secs(core->settings->lease))
+            silent_s > late_s + bd_to_secs(core->settings->worker_lease))
             continue;
         known++;
         silent += silent_s > late_s;
--- a/tests/drain_profile.c
+++ b/tests/drain_profile.c
@@ -62,7 +62,7 @@
         fleet_drain(&fleet, machines / 2);
     for (int k = 0; k < TICKS; k++) {
         fleet_set_time(&fleet, fleet.now + 0.51);
-        bd_leadership_renewed(fleet.core, 7, fleet.core->now);
+        bd_leadership_lease_renewed(fleet.core, 7, fleet.core->now);
         bd_replica_refreshed(fleet.core, fleet.core->replica.store_revision,
                              fleet.core->replica.store_revision, fleet.core->now, false, true);
         for (uint32_t i = 0; i < fleet.machines; i++)
--- a/tests/drain_profile_fleet.c
+++ b/tests/drain_profile_fleet.c
@@ -109,7 +109,7 @@
 void fleet_half_second(struct fleet *fleet, int half)
 {
     fleet_set_time(fleet, fleet->now + 0.5);
-    bd_leadership_renewed(fleet->core, 7, fleet->core->now);
+    bd_leadership_lease_renewed(fleet->core, 7, fleet->core->now);
     bd_delegate_records_read(fleet->core, NULL, fleet->core->now);
     bd_replica_refreshed(fleet->core, fleet->core->replica.store_revision,
                          fleet->core->replica.store_revision, fleet->core->now,
@@ -170,7 +170,7 @@
     test_settings_init(&fleet->settings);
     fleet->settings.ram_mb = 72;
     fleet->settings.leader_ttl = bd_secs(2);
-    fleet->settings.idle_boots = 1e6; /* idle machines stay */
+    fleet->settings.idle_boot_times = 1e6; /* idle machines stay */
     fleet->settings.nteams = TEAMS;
     for (int i = 0; i < TEAMS; i++)
         snprintf(fleet->settings.teams[i].name, BD_NAME_BYTES, "team-%d", i);
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -293,7 +293,7 @@
 {
     run->now += 0.3;
     set_clocks(run);
-    bd_leadership_renewed(run->cores[run->leader], 7, run->cores[run->leader]->now);
+    bd_leadership_lease_renewed(run->cores[run->leader], 7, run->cores[run->leader]->now);
     user_step(run, next, has_faults);
     machine_step(run);
     for (int n = 0; n < NODES; n++)
--- a/tests/inputs_settings.c
+++ b/tests/inputs_settings.c
@@ -102,7 +102,7 @@
     snprintf(path, sizeof path, "%s/settings.json", directory);
     inputs_check(bd_settings_load(settings, path, error, sizeof error) == 0, "good settings");
     inputs_check(settings->npeers == 2 && settings->nteams == 2 && settings->nslos == 2 &&
-                     settings->nzones == 2 && bd_to_secs(settings->lease) == 10.0 &&
+                     settings->nzones == 2 && bd_to_secs(settings->worker_lease) == 10.0 &&
                      settings->kv_txn_ops_max == 24,
                  "good settings are read");
     bad_settings(good, "\"node_name\": \"node-0\"", "\"node_name\": 7", "node_name");
@@ -147,7 +147,7 @@
     struct bd_settings *settings = calloc(1, sizeof *settings);
     inputs_check(read_operators("(brambledoor (spare-share 0.2) (idle-boots 2))", error,
                                 sizeof error, settings) == 0 &&
-                     settings->headroom_share == 0.2 && settings->idle_boots == 2,
+                     settings->headroom_share == 0.2 && settings->idle_boot_times == 2,
                  "operators' file");
     inputs_check(read_operators("(leader-ttl-s 4)", error, sizeof error, settings) == 0 &&
                      bd_to_secs(settings->leader_ttl) == 4.0,
--- a/tests/profile_costs.c
+++ b/tests/profile_costs.c
@@ -147,7 +147,7 @@
 {
     (void)n;
     deployment_set_time(deployment, deployment->now + 1.1);
-    bd_leadership_renewed(deployment->core, 7, deployment->core->now);
+    bd_leadership_lease_renewed(deployment->core, 7, deployment->core->now);
     bd_replica_refreshed(deployment->core, deployment->core->replica.store_revision,
                          deployment->core->replica.store_revision, deployment->core->now, false,
                          true);
--- a/tests/profile_deployment.c
+++ b/tests/profile_deployment.c
@@ -70,16 +70,16 @@
     settings->npeers = 1;
     snprintf(settings->peers[0].name, sizeof settings->peers[0].name, PEER);
     snprintf(settings->peers[0].zone, sizeof settings->peers[0].zone, "b");
-    settings->list_lag = bd_secs(8);
+    settings->inventory_lag = bd_secs(8);
     settings->leader_ttl = bd_secs(2);
     settings->kv_requests_per_s = 250;
     settings->ram_mb = 72;
     settings->headroom_share = 1.6;
-    settings->idle_boots = 0.7;
+    settings->idle_boot_times = 0.7;
     settings->nteams = 2;
     for (int i = 0; i < 2; i++)
         snprintf(settings->teams[i].name, BD_NAME_BYTES, "team-%d", i);
-    settings->teams[0].gpus = 200;
+    settings->teams[0].gpus_guaranteed = 200;
     settings->teams[0].gpus_quota = 1500;
 }
 
@@ -167,7 +167,7 @@
 void deployment_run_cycle(struct deployment *deployment)
 {
     deployment_set_time(deployment, deployment->now + 1.1);
-    bd_leadership_renewed(deployment->core, 7, deployment->core->now);
+    bd_leadership_lease_renewed(deployment->core, 7, deployment->core->now);
     bd_core_tick(deployment->core);
     if (deployment->core->lead.commit)
         bd_core_leader_txn_completed(deployment->core, BD_TXN_COMMITTED, ++deployment->revision,
--- a/tests/profile_full.c
+++ b/tests/profile_full.c
@@ -87,7 +87,7 @@
 static void cut_zone(struct deployment *deployment)
 {
     uint32_t before = count_placed(deployment);
-    double lease = bd_to_secs(deployment->settings.lease), since = deployment->now;
+    double lease = bd_to_secs(deployment->settings.worker_lease), since = deployment->now;
     for (uint64_t revision = 1; deployment->now < since + 2 * lease; revision++) {
         json_t *names = json_array();
         for (uint32_t i = 0; i < deployment->machines; i += 2) {
--- a/tests/scenario_drain.c
+++ b/tests/scenario_drain.c
@@ -284,7 +284,7 @@
     for (int half = 0; now < to; half++) {
         now = now + 0.5 < to ? now + 0.5 : to;
         bd_core_set_clock(play->core, bd_secs(100 + now), 1000 + now);
-        bd_leadership_renewed(play->core, 7, play->core->now);
+        bd_leadership_lease_renewed(play->core, 7, play->core->now);
         bd_delegate_records_read(play->core, NULL, play->core->now);
         bd_replica_refreshed(play->core, play->core->replica.store_revision,
                              play->core->replica.store_revision, play->core->now,
--- a/tests/scenario_leader.c
+++ b/tests/scenario_leader.c
@@ -119,7 +119,7 @@
         at = at + 2 < to ? at + 2 : to;
         more = at < to;
         bd_core_set_clock(play->core, bd_secs(100 + at), 1000 + at);
-        bd_leadership_renewed(play->core, 7, play->core->now);
+        bd_leadership_lease_renewed(play->core, 7, play->core->now);
         bd_delegate_records_read(play->core, pairs, play->core->now);
         bd_core_tick(play->core);
     }
@@ -186,7 +186,7 @@
 
 static void step_renew(struct play *play)
 {
-    bd_leadership_renewed(play->core, 7, play->core->now);
+    bd_leadership_lease_renewed(play->core, 7, play->core->now);
 }
 
 static void step_lose(struct play *play)
--- a/tests/scenario_settings.c
+++ b/tests/scenario_settings.c
@@ -37,16 +37,18 @@
     double values[4] = {0};
     if (numbers_after_name(text, team->name, sizeof team->name, values, 4) != 4)
         play_fail(play, "team");
-    team->cpus = values[0];
+    team->cpus_guaranteed = values[0];
     team->cpus_quota = values[1];
-    team->gpus = values[2];
+    team->gpus_guaranteed = values[2];
     team->gpus_quota = values[3];
 }
 
 void play_set(struct play *play)
 {
-    play->settings.lease = bd_secs(play_number(play, "lease", bd_to_secs(play->settings.lease)));
-    play->settings.cancel = bd_secs(play_number(play, "cancel", bd_to_secs(play->settings.cancel)));
+    play->settings.worker_lease =
+        bd_secs(play_number(play, "lease", bd_to_secs(play->settings.worker_lease)));
+    play->settings.cancellation_limit =
+        bd_secs(play_number(play, "cancel", bd_to_secs(play->settings.cancellation_limit)));
     play->settings.heartbeat_interval =
         bd_secs(play_number(play, "report", bd_to_secs(play->settings.heartbeat_interval)));
     play->settings.leader_ttl =
@@ -100,7 +102,8 @@
 
 static void step_seed(struct play *play)
 {
-    bd_core_seed(play->core, play->nwords > 1 ? strtoull(play->words[1], NULL, 10) : 0);
+    bd_core_seed_forwarding_ids(play->core,
+                                play->nwords > 1 ? strtoull(play->words[1], NULL, 10) : 0);
 }
 
 static void step_limits(struct play *play)
--- a/tests/sim_day.c
+++ b/tests/sim_day.c
@@ -37,16 +37,16 @@
     struct bd_settings *settings = &sim->nodes[i].settings;
     test_settings_init(settings);
     snprintf(settings->node, sizeof settings->node, "node-%d", i);
-    settings->lease = bd_secs(sim->lease_s);
-    settings->cancel = bd_secs(sim->cancel_s);
+    settings->worker_lease = bd_secs(sim->lease_s);
+    settings->cancellation_limit = bd_secs(sim->cancel_s);
     settings->heartbeat_interval = bd_secs(sim->heartbeat_s);
     settings->leader_ttl = bd_secs(2);
     settings->clock_error = bd_secs(0.005);
-    settings->list_lag = bd_secs(3);
+    settings->inventory_lag = bd_secs(3);
     settings->ram_mb = 64;
     settings->max_sockets = 500;
-    settings->cpu = 0.5;
-    settings->nodes = SIM_NODES;
+    settings->cpu_cores = 0.5;
+    settings->ncontrollers = SIM_NODES;
     settings->nzones = 2;
     snprintf(settings->zones[0], BD_NAME_BYTES, "a");
     snprintf(settings->zones[1], BD_NAME_BYTES, "b");
@@ -55,7 +55,7 @@
     settings->nteams = 2;
     for (int k = 0; k < 2; k++) {
         snprintf(settings->teams[k].name, BD_NAME_BYTES, "%s", k ? "b" : "a");
-        settings->teams[k].cpus = 4;
+        settings->teams[k].cpus_guaranteed = 4;
         settings->teams[k].cpus_quota = sim->team_max[k];
     }
     if (sim->draining)
--- a/tests/sim_election.c
+++ b/tests/sim_election.c
@@ -197,6 +197,6 @@
         return;
     }
     if (status == 200)
-        bd_leadership_renewed(node->core, call->number, call->sent);
+        bd_leadership_lease_renewed(node->core, call->number, call->sent);
     post_election(sim, node, TTL_S / 6);
 }
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -272,7 +272,7 @@
     if (!node->core)
         abort();
     sim_node_set_clock(sim, node);
-    bd_core_seed(node->core, (uint64_t)(sim_random(sim) * 1e15));
+    bd_core_seed_forwarding_ids(node->core, (uint64_t)(sim_random(sim) * 1e15));
     struct bd_machine_type_text type = {.label = "small",
                                         .cpus = 8,
                                         .mem = 64,
--- a/tests/test_settings.h
+++ b/tests/test_settings.h
@@ -9,11 +9,11 @@
 {
     snprintf(s->node, sizeof s->node, "node-0");
     s->heartbeat_interval = bd_secs(2);
-    s->lease = bd_secs(10);
-    s->cancel = bd_secs(35);
+    s->worker_lease = bd_secs(10);
+    s->cancellation_limit = bd_secs(35);
     s->gang_wait = bd_secs(30);
     s->gang_peer = bd_secs(4);
-    s->list_lag = bd_secs(5);
+    s->inventory_lag = bd_secs(5);
     s->kv_writes_per_s = 100;
     s->kv_requests_per_s = 200;
     s->cloud_requests_per_s = 3;
@@ -21,6 +21,6 @@
     s->kv_txn_ops_max = 24;
     s->ram_mb = 1;
     s->headroom_share = 0;
-    s->idle_boots = 1;
+    s->idle_boot_times = 1;
 }
 #endif
