--- a/src/core/core.c
+++ b/src/core/core.c
@@ -18,10 +18,10 @@
 #define EVICT_INTERVAL_S 10.0
 #define LEADER_CHECKS_INTERVAL_S 0.25
 #define AUTOSCALING_INTERVAL_S 1.0
-#define FOLLOWER_STEP_S 1.0         /* longest pause between two steps; */
-#define FOLLOWER_STEP_WAITING_S 0.2 /* ... while workers wait for a reply */
+#define FOLLOWER_TICK_INTERVAL_S 1.0
+#define FOLLOWER_TICK_INTERVAL_WAITING_S 0.2 /* while workers wait for a reply */
 
-/* ---- making and freeing ---- */
+/* ---- construction and release ---- */
 
 struct bd_core *bd_core_new(const struct bd_settings *settings, const struct bd_log *log)
 {
@@ -74,15 +74,15 @@
     free(core);
 }
 
-void bd_core_set_clock(struct bd_core *core, struct timespec now, double wall)
+void bd_core_set_clock(struct bd_core *core, struct timespec now, double wall_s)
 {
     core->now = now;
-    core->wall = wall;
+    core->wall = wall_s;
 }
 
-/* ---- the step ---- */
+/* ---- tick ---- */
 
-static void evict_records(struct bd_core *core)
+static void run_replica_eviction(struct bd_core *core)
 {
     if (!bd_time_is_before(core->replica.next_evict, core->now))
         return;
@@ -90,8 +90,9 @@
     bd_replica_evict(core);
 }
 
-/* What a leader checks also once its lease is over, while it may still reply to workers. */
-static void check_fleet(struct bd_core *core)
+/* Checks that a leader makes even after its lease has expired, while it may still answer
+ * heartbeats. */
+static void run_leader_checks(struct bd_core *core)
 {
     if (!bd_time_is_before(core->lead.next_tick, core->now))
         return;
@@ -103,55 +104,57 @@
     bd_leadership_resign_if_reads_fail(core);
 }
 
-static void scale_fleet(struct bd_core *core)
+static void run_autoscaling(struct bd_core *core)
 {
     if (!core->types_known || !bd_time_is_before(core->lead.next_autoscaling, core->now))
         return;
     core->lead.next_autoscaling = bd_time_add(core->now, bd_secs(AUTOSCALING_INTERVAL_S));
     bd_autoscaler_tick(core);
-    core->lead.cycle_wanted = true; /* pauses of jobs run out without an event */
+    core->lead.cycle_wanted = true; /* a job's hold or back-off ends without an event */
 }
 
-static void lead(struct bd_core *core)
+static void leader_tick(struct bd_core *core)
 {
-    check_fleet(core);
+    run_leader_checks(core);
     if (!bd_leadership_lease_valid(core))
         return;
     bd_write_budget_refill(core);
     bd_drain_tick(core);
-    scale_fleet(core);
+    run_autoscaling(core);
     bd_cycle_run(core);
 }
 
 void bd_core_tick(struct bd_core *core)
 {
-    evict_records(core);
+    run_replica_eviction(core);
     bd_pending_reads_start_barrier(core);
     bd_leadership_step_down_if_superseded(core);
     bd_dag_tick(core);
     bd_forward_tick(core);
     if (core->role == BD_LEADER)
-        lead(core);
+        leader_tick(core);
     else
         bd_delegate_tick(core);
 }
 
-static double leader_step_s(const struct bd_core *core)
+static double leader_tick_interval_s(const struct bd_core *core)
 {
-    bool cycle_due = core->lead.cycle_wanted && !core->lead.commit;
-    return cycle_due ? BD_CYCLE_INTERVAL_S : LEADER_CHECKS_INTERVAL_S;
+    bool is_cycle_due = core->lead.cycle_wanted && !core->lead.commit;
+    return is_cycle_due ? BD_CYCLE_INTERVAL_S : LEADER_CHECKS_INTERVAL_S;
 }
 
-static double follower_step_s(const struct bd_core *core)
+static double follower_tick_interval_s(const struct bd_core *core)
 {
-    bool workers_wait = core->forwarding.waiting || core->delegate.nserved || core->delegate.asking;
-    return workers_wait ? FOLLOWER_STEP_WAITING_S : FOLLOWER_STEP_S;
+    bool has_waiting_workers =
+        core->forwarding.waiting || core->delegate.nserved || core->delegate.asking;
+    return has_waiting_workers ? FOLLOWER_TICK_INTERVAL_WAITING_S : FOLLOWER_TICK_INTERVAL_S;
 }
 
 struct timespec bd_core_next_tick_at(const struct bd_core *core)
 {
-    double step_s = core->role == BD_LEADER ? leader_step_s(core) : follower_step_s(core);
-    return bd_time_add(core->now, bd_secs(step_s));
+    double interval_s =
+        core->role == BD_LEADER ? leader_tick_interval_s(core) : follower_tick_interval_s(core);
+    return bd_time_add(core->now, bd_secs(interval_s));
 }
 
 /* ---- leadership ---- */
@@ -174,7 +177,7 @@
     bd_leadership_start_serving(core, acquisition);
 }
 
-/* ---- outcomes that concern several parts ---- */
+/* ---- outcomes that several modules handle ---- */
 
 void bd_core_leader_txn_completed(struct bd_core *core, enum bd_txn_outcome outcome,
                                   uint64_t store_revision, json_t *failed)
@@ -184,9 +187,9 @@
 }
 
 void bd_core_scale_out_completed(struct bd_core *core, const char *request, long status,
-                                 char (*names)[BD_LABEL_BYTES], int n)
+                                 char (*names)[BD_LABEL_BYTES], int nnames)
 {
-    const long granted = 200;
-    if (bd_scale_out_completed(core, request, status, names, n))
-        bd_drain_provisioning_completed(core, request, names, status == granted ? n : 0);
+    const long http_ok = 200;
+    if (bd_scale_out_completed(core, request, status, names, nnames))
+        bd_drain_provisioning_completed(core, request, names, status == http_ok ? nnames : 0);
 }
--- a/src/leadership/commit.c
+++ b/src/leadership/commit.c
@@ -1,5 +1,6 @@
-/* Builds the leader's transaction of a cycle: intents, receipts, records of jobs that are done or
- * cancelled, drains. What is deleted with it: commit_garbage.c. Part of the pure core. */
+/* Builds the leader's transaction of a scheduling cycle: intents, receipts, records of jobs that
+ * are done or cancelled, and drains. Its deletions are added by commit_garbage.c. Part of the pure
+ * core. */
 #include "leadership/commit.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
@@ -21,16 +22,19 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define INTENT_BYTES_MAX 42000u /* of a transaction for intent records */
-#define INTENT_OPS_DIVISOR 4    /* ... and this part of its changes: the rest is for receipts */
+/* Intent records may take this many bytes of a transaction, and one change in INTENT_OPS_DIVISOR.
+ * The rest is left for receipts. */
+#define INTENT_BYTES_MAX 42000u
+#define INTENT_OPS_DIVISOR 4
+
 #define LEADER_RECORD_BYTES 200u
 #define DONE_RECORD_BYTES 200u
-#define DONE_TXN_BYTES 300u /* ... with its comparison */
+#define DONE_TXN_BYTES 300u /* a done record with its comparison */
 #define CANCELLED_RECORD_BYTES 1000u
 #define RECEIPT_KEY_BYTES 100u
-#define RECEIPT_TXN_BYTES 200u /* ... with the comparison of its job */
+#define RECEIPT_TXN_BYTES 200u /* a receipt's key and its job's comparison */
 #define DRAIN_KEY_BYTES 100u
-#define COMPARES_PER_OP 4 /* that a transaction may hold for each change that it may */
+#define COMPARES_PER_OP 4 /* comparisons that the store allows for each change that it allows */
 
 /* ---- intents ---- */
 
@@ -58,7 +62,7 @@
     bd_txn_builder_count(builder, 1, 0, core->kv_limits.kv_value_bytes_max);
 }
 
-/* Adds the plan's intents; returns how many of them fit the records. */
+/* Adds the plan's intents. Returns the number that fit into the intent records. */
 static uint32_t add_intents(struct bd_core *core, struct bd_txn_builder *builder)
 {
     struct bd_commit *commit = core->lead.commit;
@@ -76,7 +80,7 @@
     return written;
 }
 
-/* Releases the planned launches from here on: a later cycle places them again. */
+/* Releases the planned launches from index `first` on. A later cycle places the tasks again. */
 static void release_plan_from(struct bd_core *core, uint32_t first)
 {
     struct bd_commit *commit = core->lead.commit;
@@ -84,15 +88,17 @@
         bd_task_release(core, commit->plan[i].job, commit->plan[i].task,
                         BD_RELEASE_INTENT_NOT_COMMITTED);
     if (first < commit->nplan)
-        bd_log_write(core->log, BD_LOG_ERROR, "%u launches did not fit the intent records",
+        bd_log_write(core->log, BD_LOG_ERROR,
+                     "%u planned launches did not fit into the intent records; released",
                      commit->nplan - first);
     commit->nplan = first;
 }
 
 /* ---- jobs that ended, and receipts ---- */
 
-/* False: the transaction is full. */
-static bool add_done(struct bd_core *core, struct bd_txn_builder *builder, struct bd_job *job)
+/* Adds the record of a job whose tasks are all done. Returns false if the transaction is full. */
+static bool add_done_record(struct bd_core *core, struct bd_txn_builder *builder,
+                            struct bd_job *job)
 {
     struct bd_commit *commit = core->lead.commit;
     if (commit->ndone == BD_CYCLE_JOBS_MAX || !bd_txn_builder_fits(builder, 1, 1, DONE_TXN_BYTES))
@@ -106,8 +112,8 @@
     return true;
 }
 
-/* Makes durable, as the rate allows, which jobs are cancelled because a parent is. */
-static void add_cancelled(struct bd_core *core, struct bd_txn_builder *builder)
+/* Adds the records of jobs that are cancelled because a parent is, as the write rate allows. */
+static void add_cancelled_records(struct bd_core *core, struct bd_txn_builder *builder)
 {
     struct bd_commit *commit = core->lead.commit;
     struct bd_job *job, *next;
@@ -126,7 +132,7 @@
     }
 }
 
-/* False: the transaction is full, or there is no memory. */
+/* Returns false if the transaction is full or memory has run out. */
 static bool add_receipt(struct bd_core *core, struct bd_txn_builder *builder, struct bd_job *job,
                         uint32_t chunk)
 {
@@ -134,7 +140,7 @@
     size_t bytes = bd_receipt_value_bytes(job, chunk);
     if (!bd_txn_builder_fits(builder, 1, 1, bytes + RECEIPT_TXN_BYTES))
         return false;
-    /* beyond a value's limit, which may have fallen: the job's done record will cover the chunk */
+    /* the limit of a value may have been lowered; the job's done record will cover the chunk */
     if (bytes > core->kv_limits.kv_value_bytes_max)
         return true;
     struct bd_receipt *grown = realloc(commit->receipts, (commit->nreceipts + 1) * sizeof *grown);
@@ -150,7 +156,7 @@
     return true;
 }
 
-/* Adds the receipts of the job's chunks that have changed. False: the transaction is full. */
+/* Adds the receipts of the job's changed chunks. Returns false once one could not be added. */
 static bool add_job_receipts(struct bd_core *core, struct bd_txn_builder *builder,
                              struct bd_job *job)
 {
@@ -167,6 +173,7 @@
     return true;
 }
 
+/* Adds done records and receipts of active jobs until the transaction is full. */
 static void add_progress(struct bd_core *core, struct bd_txn_builder *builder)
 {
     struct bd_job *job, *next;
@@ -175,14 +182,14 @@
         if (!job->dirty || !job->tasks || job->state != BD_JOB_ACTIVE || job->stale ||
             bd_time_is_before(core->now, job->backoff_until))
             continue;
-        bool fits = job->ndone == job->ntasks ? add_done(core, builder, job)
+        bool fits = job->ndone == job->ntasks ? add_done_record(core, builder, job)
                                               : add_job_receipts(core, builder, job);
         if (!fits)
             return;
     }
 }
 
-/* ---- the other parts ---- */
+/* ---- fencing token, drains and transaction frame ---- */
 
 static void add_token_raise(struct bd_core *core, struct bd_txn_builder *builder)
 {
@@ -198,7 +205,7 @@
     bd_txn_builder_count(builder, 1, 0, LEADER_RECORD_BYTES);
 }
 
-/* How far the drains' machines are: a step is acted upon only once it is on record. */
+/* Adds changed drain records. A drain's step is carried out only after its record is committed. */
 static void add_drains(struct bd_core *core, struct bd_txn_builder *builder)
 {
     struct bd_drain_write write;
@@ -214,10 +221,10 @@
     }
 }
 
-/* Begins with the comparisons that let it apply in our term only, and once only. */
+/* Starts with the comparisons by which the transaction applies only in this term, and only once. */
 static struct bd_txn_builder begin_txn(const struct bd_core *core)
 {
-    /* without what the commit sequence and the leader's key take */
+    /* less one change and two comparisons for the commit sequence and the leader's key */
     struct bd_txn_builder builder = {
         .ops_max = bd_kv_limits_txn_ops(core) - 1,
         .compares_max = COMPARES_PER_OP * core->kv_limits.kv_txn_ops_max - 2,
@@ -249,7 +256,7 @@
     add_token_raise(core, &builder);
     release_plan_from(core, add_intents(core, &builder));
     add_progress(core, &builder);
-    add_cancelled(core, &builder);
+    add_cancelled_records(core, &builder);
     add_drains(core, &builder);
     bd_commit_collect_garbage(core, &builder);
     if (builder.ops > 0) {
--- a/src/leadership/commit_garbage.c
+++ b/src/leadership/commit_garbage.c
@@ -1,5 +1,4 @@
-/* Deletes the leader's records that nothing needs any more, as part of its transactions. Part of
- * the pure core. */
+/* Deletes obsolete records as part of the leader's transactions. Part of the pure core. */
 #include "base/timeutil.h"
 #include "leadership/leadership_internal.h"
 #include "model/core_state.h"
@@ -12,7 +11,7 @@
 #include <stdio.h>
 
 #define GC_INTERVAL_S 2.0
-#define GC_BACKLOG_INTERVAL_S 0.3 /* when there was more than one transaction takes */
+#define GC_BACKLOG_INTERVAL_S 0.3 /* while the deletions exceed one transaction */
 
 static bool can_delete(const struct bd_core *core, const struct bd_txn_builder *builder)
 {
@@ -54,7 +53,7 @@
     HASH_ITER(hh, core->jobs, job, next)
     {
         if (job->state == BD_JOB_CANCELLED && job->tasks && job->nplaced == 0)
-            bd_job_stop_tracking(job); /* nothing of it is anywhere any more */
+            bd_job_stop_tracking(job); /* none of its tasks holds a reservation */
         if (job->state != BD_JOB_ACTIVE && job->receipt_chunks)
             delete_receipts(core, builder, job);
     }
--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -1,4 +1,4 @@
-/* What follows from the outcome of the leader's transaction. Part of the pure core. */
+/* Applies the leader's transaction after its commit, or reverts it. Part of the pure core. */
 #include "base/metrics.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
@@ -36,7 +36,7 @@
                          (unsigned long long)store_revision);
 }
 
-/* The intent's task if it still waits for this intent, else NULL. */
+/* The intent's task if it is still planned with the intent's attempt, else NULL. */
 static struct bd_task *planned_task(const struct bd_intent *intent)
 {
     struct bd_task *task = intent->job->tasks ? &intent->job->tasks[intent->task] : NULL;
@@ -44,6 +44,7 @@
     return is_planned ? task : NULL;
 }
 
+/* Sets the intent's task to launching, or releases it if it must not be launched any more. */
 static void begin_launch(struct bd_core *core, const struct bd_intent *intent)
 {
     struct bd_job *job = intent->job;
@@ -78,7 +79,7 @@
     bd_intent_record_add(core, slice->key, intents, slice->n);
 }
 
-/* All launches are marked before the first is sent, so that one command can carry several. */
+/* Marks all launches before the first command is sent, so that one command can carry several. */
 static void launch_plan(struct bd_core *core, const struct bd_commit *commit)
 {
     for (uint32_t i = 0; i < commit->nplan; i++)
@@ -94,14 +95,14 @@
 
 static void log_done(const struct bd_core *core, const struct bd_job *job)
 {
-    double age = core->wall - job->at;
+    double age_s = core->wall - job->at;
     bd_log_write(core->log, BD_LOG_INFO,
                  "%s is done: %u tasks, priority %d, estimate %.0f s; last placed after %.1f s, "
                  "last started after "
                  "%.1f s, done after %.1f s, %u reservations lost",
                  job->id, job->ntasks, (int)job->spec.priority, job->spec.estimate,
-                 age - bd_seconds_between(job->last_placed_at, core->now),
-                 age - bd_seconds_between(job->last_started_at, core->now), age, job->restarts);
+                 age_s - bd_seconds_between(job->last_placed_at, core->now),
+                 age_s - bd_seconds_between(job->last_started_at, core->now), age_s, job->restarts);
 }
 
 static void finish_job(struct bd_core *core, struct bd_job *job, uint64_t store_revision)
@@ -116,7 +117,7 @@
     bd_job_stop_tracking(job);
     json_decref(job->record_spec);
     job->record_spec = NULL;
-    bd_dag_job_ended(core, job); /* its dependents may start from now on, not before */
+    bd_dag_job_ended(core, job); /* its dependents may start from now on */
 }
 
 static void apply_commit(struct bd_core *core, const struct bd_commit *commit,
@@ -145,10 +146,11 @@
 {
     struct bd_job *job = key && strncmp(key, "j/", 2) == 0 ? bd_job_find(core, key + 2) : NULL;
     if (job)
-        job->stale = true; /* the next refresh brings the change itself */
+        job->stale = true; /* until the next refresh has read the record */
 }
 
-/* Its sequence number is not used again: a number identifies one content only. */
+/* Releases the plan of a transaction that was not applied. The transaction's sequence number is not
+ * used again, since a number must identify one content only. */
 static void revert_commit(struct bd_core *core, const struct bd_commit *commit, json_t *failed)
 {
     json_t *key;
@@ -157,14 +159,15 @@
     {
         mark_stale(core, json_string_value(key));
     }
-    for (uint32_t n = 0; n < commit->nplan; n++)
-        if (planned_task(&commit->plan[n]))
-            bd_task_release(core, commit->plan[n].job, commit->plan[n].task,
+    for (uint32_t k = 0; k < commit->nplan; k++)
+        if (planned_task(&commit->plan[k]))
+            bd_task_release(core, commit->plan[k].job, commit->plan[k].task,
                             BD_RELEASE_INTENT_NOT_COMMITTED);
     core->lead.token_raise_wanted = core->lead.token_raise_wanted || commit->raises_fencing_token;
 }
 
-/* If no limit can be lowered any further, one of the jobs is at fault: all of them are left out of
+/* Lowers the limits that are used for the store after it rejected a transaction. If no limit can be
+ * lowered further, one of the jobs must have caused the rejection: all of them are left out of
  * transactions for a while. */
 static void back_off_rejected(struct bd_core *core, const struct bd_commit *commit)
 {
--- a/src/leadership/fencing.c
+++ b/src/leadership/fencing.c
@@ -1,17 +1,18 @@
-/* When the fencing token must rise within a term. Part of the pure core. */
+/* Decides when the fencing token must be raised within a term. Part of the pure core. */
 #include "base/timeutil.h"
 #include "leadership/leadership.h"
 #include "model/core_state.h"
 #include "model/task.h"
 
 #define LAUNCH_ANSWER_TIMEOUT_S 1.5
-#define RAISE_INTERVAL_S 5.0
-#define WITHHELD_RESULTS_MAX_S 25.0  /* so long results stay on the machines before a raise, */
-#define WITHHELD_RESULTS_MAX_N 4000u /* ... or until there are so many */
+#define TOKEN_RAISE_INTERVAL_S 5.0
+#define RESULTS_WITHHELD_MAX_S                                                                     \
+    25.0 /* the longest that results stay on the machines without a raise */
+#define RESULTS_WITHHELD_MAX 4000u /* above this number of results the token is raised earlier */
 
 static bool may_raise_again(const struct bd_core *core)
 {
-    return bd_seconds_between(core->lead.last_token_raise, core->now) > RAISE_INTERVAL_S;
+    return bd_seconds_between(core->lead.last_token_raise, core->now) > TOKEN_RAISE_INTERVAL_S;
 }
 
 static bool has_unanswered_launch(const struct bd_machine *machine)
@@ -24,10 +25,10 @@
     return false;
 }
 
-/* A launch without an answer may be delayed for as long as a partition lasts. Only a higher token
- * excludes it, whether the machine is heard or not: a delegate that replies to the machine passes
- * the token on. */
-static bool wants_raise_for_launches(const struct bd_core *core)
+/* An unanswered launch may be delayed for as long as a partition lasts. Only a higher token
+ * excludes that the worker still accepts it. This holds even if the machine's heartbeats do not
+ * reach the leader: a delegate that answers them passes the token on. */
+static bool launches_need_raise(const struct bd_core *core)
 {
     if (!may_raise_again(core))
         return false;
@@ -43,18 +44,17 @@
     return false;
 }
 
-static bool wants_raise_for_results(const struct bd_core *core)
+static bool results_need_raise(const struct bd_core *core)
 {
     if (core->lead.nresults_withheld == 0)
         return false;
-    if (bd_seconds_between(core->lead.results_withheld_since, core->now) > WITHHELD_RESULTS_MAX_S)
+    if (bd_seconds_between(core->lead.results_withheld_since, core->now) > RESULTS_WITHHELD_MAX_S)
         return true;
-    return core->lead.nresults_withheld > WITHHELD_RESULTS_MAX_N && may_raise_again(core);
+    return core->lead.nresults_withheld > RESULTS_WITHHELD_MAX && may_raise_again(core);
 }
 
 void bd_fencing_tick(struct bd_core *core)
 {
     if (!core->lead.token_raise_wanted)
-        core->lead.token_raise_wanted =
-            wants_raise_for_launches(core) || wants_raise_for_results(core);
+        core->lead.token_raise_wanted = launches_need_raise(core) || results_need_raise(core);
 }
--- a/src/leadership/intent_record.c
+++ b/src/leadership/intent_record.c
@@ -1,5 +1,5 @@
-/* Intent records: which launches a term has committed. A new leader reads them to know what may run
- * where. Part of the pure core. */
+/* Intent records: the launches that a term has committed. A new leader reads them to know which
+ * tasks may be running on which machines. Part of the pure core. */
 #include "leadership/commit.h"
 #include "leadership/leadership_internal.h"
 #include "model/catalog.h"
@@ -13,7 +13,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define GROUP_SYNTAX_BYTES 36u /* brackets, quotes, and an attempt's digits */
+#define GROUP_SYNTAX_BYTES 36u /* brackets, quotes, and the digits of the attempt number */
+#define INTENT_RECORDS_INITIAL_CAPACITY 64u
 
 size_t bd_intent_group_bytes(const struct bd_job *job, const struct bd_machine *machine)
 {
@@ -27,16 +28,17 @@
     return a->job == b->job && a->machine == b->machine && a->attempt == b->attempt;
 }
 
-/* Appends the group of the first intent, with as many of its tasks as fit; returns how many. */
+/* Appends the group that starts with the first intent, with as many of its tasks as fit. Returns
+ * the number of tasks appended. */
 static uint32_t append_group(struct bd_core *core, json_t *groups, const struct bd_intent *intents,
-                             uint32_t n, double *bytes_left)
+                             uint32_t max_tasks, double *bytes_left)
 {
     const struct bd_machine *machine = bd_machine_by_index(core, intents->machine);
     json_t *tasks = json_array();
     uint32_t count = 0;
     *bytes_left -=
         (double)(machine ? bd_intent_group_bytes(intents->job, machine) : BD_LABEL_BYTES);
-    while (count < n && is_same_group(&intents[count], intents) &&
+    while (count < max_tasks && is_same_group(&intents[count], intents) &&
            *bytes_left >= BD_INTENT_TASK_NUMBER_BYTES) {
         json_array_append_new(tasks, json_integer(intents[count].task));
         *bytes_left -= BD_INTENT_TASK_NUMBER_BYTES;
@@ -52,16 +54,17 @@
     return count;
 }
 
-json_t *bd_intent_record_value(struct bd_core *core, const struct bd_intent *intents, uint32_t *n)
+json_t *bd_intent_record_value(struct bd_core *core, const struct bd_intent *intents,
+                               uint32_t *count)
 {
     json_t *groups = json_array();
     double bytes_left = BD_VALUE_SHARE * (double)core->kv_limits.kv_value_bytes_max;
-    uint32_t written = 0, count = 1;
-    while (written < *n && count > 0) {
-        count = append_group(core, groups, intents + written, *n - written, &bytes_left);
-        written += count;
+    uint32_t written = 0, appended = 1;
+    while (written < *count && appended > 0) {
+        appended = append_group(core, groups, intents + written, *count - written, &bytes_left);
+        written += appended;
     }
-    *n = written;
+    *count = written;
     return json_pack("{s:o}", "e", groups);
 }
 
@@ -69,12 +72,12 @@
 
 struct intent_list {
     struct bd_intent *items;
-    uint32_t n;
+    uint32_t count;
 };
 
-static void intent_list_reserve(struct intent_list *list, size_t more)
+static void intent_list_reserve(struct intent_list *list, size_t additional)
 {
-    struct bd_intent *grown = realloc(list->items, (list->n + more + 1) * sizeof *grown);
+    struct bd_intent *grown = realloc(list->items, (list->count + additional + 1) * sizeof *grown);
     if (!grown)
         abort();
     list->items = grown;
@@ -86,18 +89,18 @@
     struct bd_job *job = bd_job_find(core, id ? id : "");
     uint64_t attempt = (uint64_t)json_integer_value(json_array_get(group, 1));
     const char *machine_id = json_string_value(json_array_get(group, 2));
-    json_t *tasks = json_array_get(group, 3), *number;
+    json_t *task_numbers = json_array_get(group, 3), *task_number;
     size_t i;
     if (!job || !job->tasks || !machine_id)
         return;
-    intent_list_reserve(list, json_array_size(tasks));
+    intent_list_reserve(list, json_array_size(task_numbers));
     const struct bd_machine *machine = bd_machine_find_or_add(core, machine_id);
-    json_array_foreach(tasks, i, number)
+    json_array_foreach(task_numbers, i, task_number)
     {
-        uint32_t task = (uint32_t)json_integer_value(number);
+        uint32_t task = (uint32_t)json_integer_value(task_number);
         if (task >= job->ntasks)
             continue;
-        list->items[list->n++] = (struct bd_intent){job, task, machine->index, attempt};
+        list->items[list->count++] = (struct bd_intent){job, task, machine->index, attempt};
         if (attempt > job->tasks[task].attempt)
             job->tasks[task].attempt = attempt;
     }
@@ -112,32 +115,33 @@
     {
         load_group(core, group, &list);
     }
-    bd_intent_record_add(core, key, list.items, list.n);
+    bd_intent_record_add(core, key, list.items, list.count);
 }
 
-/* ---- the term's view of what is committed ---- */
+/* ---- the term's committed records ---- */
 
-static void reserve_record(struct bd_leadership *lead)
+static void reserve_one_record(struct bd_leadership *lead)
 {
     if (lead->nintent_records < lead->cap_intent_records)
         return;
-    uint32_t cap = lead->cap_intent_records ? lead->cap_intent_records * 2 : 64;
-    struct bd_intent_record *grown = realloc(lead->intent_records, cap * sizeof *grown);
+    uint32_t capacity =
+        lead->cap_intent_records ? lead->cap_intent_records * 2 : INTENT_RECORDS_INITIAL_CAPACITY;
+    struct bd_intent_record *grown = realloc(lead->intent_records, capacity * sizeof *grown);
     if (!grown)
         abort();
     lead->intent_records = grown;
-    lead->cap_intent_records = cap;
+    lead->cap_intent_records = capacity;
 }
 
 void bd_intent_record_add(struct bd_core *core, const char *key, struct bd_intent *intents,
-                          uint32_t n)
+                          uint32_t count)
 {
-    reserve_record(&core->lead);
+    reserve_one_record(&core->lead);
     struct bd_intent_record *record = &core->lead.intent_records[core->lead.nintent_records++];
     memset(record, 0, sizeof *record);
     snprintf(record->key, sizeof record->key, "%s", key);
     record->e = intents;
-    record->n = n;
+    record->n = count;
 }
 
 void bd_intent_record_remove(struct bd_core *core, const char *key)
--- a/src/leadership/leadership.c
+++ b/src/leadership/leadership.c
@@ -1,4 +1,4 @@
-/* The leader's term: how long its lease is valid, and what ends it. Part of the pure core. */
+/* The leader's term: how long its lease is valid, and what ends the term. Part of the pure core. */
 #include "leadership/leadership.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
@@ -15,8 +15,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define READS_FAIL_MAX_S 4.0 /* so long reads may fail: two answers in a row can be lost */
-#define LEASE_MARGIN_S 0.1   /* the lease is given up so long before the store ends the grant */
+#define READ_FAILURE_MAX_S 4.0 /* two answers in a row can be lost */
+#define LEASE_MARGIN_S 0.1     /* the leader's lease ends this long before the store's grant */
 
 /* ---- the lease ---- */
 
@@ -31,7 +31,7 @@
         return false;
     if (bd_leadership_lease_valid(core))
         return true;
-    /* a new leader allows for replies that we give in this window: see bound_earlier_leases */
+    /* a new leader takes replies in this window into account: see set_earlier_leases_expiry */
     return bd_peer_with_newer_term(core) < 0 && !bd_peer_has_fresher_reads(core) &&
            bd_is_within_renewal_window(core, core->lead.renewal_sent_at);
 }
@@ -67,7 +67,7 @@
 static void log_term_lost(struct bd_core *core)
 {
     const struct bd_leadership *lead = &core->lead;
-    bd_log_write(core->log, BD_LOG_INFO, "leadership lost, term %llu",
+    bd_log_write(core->log, BD_LOG_INFO, "term %llu ended: this controller no longer leads",
                  (unsigned long long)lead->term);
     bd_decision_log_term(core, "term_lost", "base=%llu term=%llu valid_s=%.2f refreshed_s=%.2f",
                          (unsigned long long)lead->base_term, (unsigned long long)lead->term,
@@ -126,11 +126,11 @@
 void bd_leadership_resign_if_reads_fail(struct bd_core *core)
 {
     if (!bd_leadership_lease_valid(core) ||
-        bd_seconds_between(core->replica.refreshed_at, core->now) < READS_FAIL_MAX_S ||
+        bd_seconds_between(core->replica.refreshed_at, core->now) < READ_FAILURE_MAX_S ||
         !bd_peer_has_fresher_reads(core))
         return;
     bd_log_write(core->log, BD_LOG_INFO,
-                 "the records cannot be read here but elsewhere: leadership resigned");
+                 "own reads of the records fail but a peer's succeed; resigning leadership");
     end_term(core, BD_STEP_DOWN_RESIGNED);
 }
 
--- a/src/leadership/peer_status.c
+++ b/src/leadership/peer_status.c
@@ -1,5 +1,5 @@
-/* The statuses of the other controllers, and what follows for who leads. Part of the pure
- * core. */
+/* The statuses of the other controllers: whether a peer knows a newer term or has fresher reads,
+ * and whether this controller is isolated. Part of the pure core. */
 #include "base/timeutil.h"
 #include "leadership/leadership.h"
 #include "leadership/leadership_internal.h"
@@ -10,22 +10,23 @@
 #include "wire/frame.h"
 #include <string.h>
 
-#define STATUS_VALID_S 2.0   /* a peer's status counts so long */
-#define ISOLATED_AFTER_S 3.0 /* without an answer from anywhere */
-#define READ_LAG_S 1.5       /* so far our reads may lie behind a peer's */
+#define STATUS_VALID_S 2.0   /* since a peer's status was received */
+#define ISOLATED_AFTER_S 3.0 /* without a status of a peer or an answer of the store */
+#define READ_LAG_MAX_S 1.5   /* by which this controller's reads may be older than a peer's */
 
 void bd_peer_status_received(struct bd_core *core, const char *name, uint64_t term, uint8_t flags,
-                             double kv_age_s, double status_sent_wall_s, struct timespec heard)
+                             double kv_age_s, double status_sent_wall_s,
+                             struct timespec received_at)
 {
     for (int i = 0; i < core->settings->npeers; i++) {
         if (strcmp(core->settings->peers[i].name, name) != 0)
             continue;
         struct bd_peer_view *peer = &core->peers[i];
-        peer->heard = heard;
+        peer->heard = received_at;
         peer->term = term;
         peer->flags = flags;
         peer->status_sent_wall_s = status_sent_wall_s;
-        peer->kv_seen_at = bd_time_sub(heard, bd_secs(kv_age_s));
+        peer->kv_seen_at = bd_time_sub(received_at, bd_secs(kv_age_s));
     }
 }
 
@@ -52,7 +53,7 @@
     for (int i = 0; i < core->settings->npeers; i++) {
         const struct bd_peer_view *peer = &core->peers[i];
         if (bd_peer_heard(core, i, STATUS_VALID_S) && peer->flags & BD_PEER_KV_REACHABLE &&
-            bd_seconds_between(core->replica.refreshed_at, peer->kv_seen_at) > READ_LAG_S)
+            bd_seconds_between(core->replica.refreshed_at, peer->kv_seen_at) > READ_LAG_MAX_S)
             return true;
     }
     return false;
--- a/src/leadership/reconciliation.c
+++ b/src/leadership/reconciliation.c
@@ -1,5 +1,6 @@
-/* Failover to us: a new term takes in earlier terms' receipts and intents, and marks each task that
- * may run as unknown until heartbeats show it. Part of the pure core. */
+/* Failover to this controller: the new term loads the receipts and intents of earlier terms, and
+ * marks each task that may be running as unknown until heartbeats show its state. Part of the pure
+ * core. */
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "leadership/leadership.h"
@@ -33,14 +34,18 @@
     snprintf(lead->nonce, sizeof lead->nonce, "%s", acquisition->nonce);
 }
 
-/* An earlier leader within its renewal window, or a delegate of one, may have answered until then.
+/* Sets when the worker leases that earlier terms renewed have expired. An earlier leader within its
+ * renewal window, or a delegate of one, may answer heartbeats for at most late_replies_s from now.
  */
-static void bound_earlier_leases(struct bd_core *core)
+static void set_earlier_leases_expiry(struct bd_core *core)
 {
-    double rest_s = bd_renewal_window_s(core->settings) - bd_to_secs(core->settings->leader_ttl);
-    rest_s = rest_s > BD_DELEGATE_CONFIRMATION_VALID_S ? rest_s : BD_DELEGATE_CONFIRMATION_VALID_S;
+    double late_replies_s =
+        bd_renewal_window_s(core->settings) - bd_to_secs(core->settings->leader_ttl);
+    late_replies_s = late_replies_s > BD_DELEGATE_CONFIRMATION_VALID_S
+                         ? late_replies_s
+                         : BD_DELEGATE_CONFIRMATION_VALID_S;
     core->lead.earlier_leases_expire_at =
-        bd_lease_expiry(core, bd_time_add(core->now, bd_secs(rest_s)));
+        bd_lease_expiry(core, bd_time_add(core->now, bd_secs(late_replies_s)));
 }
 
 static void start_tracking_jobs(struct bd_core *core)
@@ -49,9 +54,10 @@
     HASH_ITER(hh, core->jobs, job, next)
     {
         job->receipt_chunks = 0;
-        /* cancelled jobs too: what still runs of them counts and must be stopped */
+        /* includes cancelled jobs: their running tasks use resources and must be stopped */
         if (job->state != BD_JOB_DONE && !bd_job_start_tracking(core, job))
-            bd_log_write(core->log, BD_LOG_ERROR, "%s: no memory for its tasks", job->id);
+            bd_log_write(core->log, BD_LOG_ERROR,
+                         "job %s: out of memory; its tasks are not tracked", job->id);
     }
 }
 
@@ -69,9 +75,11 @@
     }
 }
 
-/* Whether the intent's attempt may run. Only a task's newest intent counts: it was written after
- * all earlier ones were excluded. evidence: key=value text for the decision log. */
-static bool mark_unknown(struct bd_core *core, const struct bd_intent *intent, const char *evidence)
+/* Marks the intent's task as unknown if the attempt may be running, and returns whether it may.
+ * Only a task's newest intent counts: it was written after the earlier attempts could no longer
+ * run. evidence: key=value text for the decision log. */
+static bool mark_task_unknown(struct bd_core *core, const struct bd_intent *intent,
+                              const char *evidence)
 {
     struct bd_job *job = intent->job;
     struct bd_task *task = &job->tasks[intent->task];
@@ -89,16 +97,16 @@
 
 static void mark_unknown_tasks(struct bd_core *core)
 {
-    uint32_t unknown = 0;
+    uint32_t nunknown = 0;
     for (uint32_t i = 0; i < core->lead.nintent_records; i++) {
         const struct bd_intent_record *record = &core->lead.intent_records[i];
         char evidence[sizeof record->key + sizeof "intent="];
         snprintf(evidence, sizeof evidence, "intent=%s", record->key);
         for (uint32_t k = 0; k < record->n; k++)
-            unknown += mark_unknown(core, &record->e[k], evidence);
+            nunknown += mark_task_unknown(core, &record->e[k], evidence);
     }
     bd_log_write(core->log, BD_LOG_INFO, "term %llu: %u intent records, %u tasks to reconcile",
-                 (unsigned long long)core->lead.base_term, core->lead.nintent_records, unknown);
+                 (unsigned long long)core->lead.base_term, core->lead.nintent_records, nunknown);
 }
 
 static void log_term_acquired(struct bd_core *core, const struct bd_acquisition *acquisition)
@@ -118,7 +126,7 @@
 void bd_leadership_reconcile(struct bd_core *core, const struct bd_acquisition *acquisition)
 {
     core->delegates.read_at = core->now;
-    bound_earlier_leases(core);
+    set_earlier_leases_expiry(core);
     start_tracking_jobs(core);
     load_pairs(core, acquisition->receipts, bd_receipt_load);
     load_pairs(core, acquisition->intents, bd_intent_record_load);
--- a/src/leadership/txn_builder.c
+++ b/src/leadership/txn_builder.c
@@ -1,12 +1,12 @@
-/* The leader's transaction while it is built: its contents, measured against the store's limits.
- * Part of the pure core. */
+/* Builds the leader's transaction and checks its size against the store's limits. Part of the pure
+ * core. */
 #include "leadership/leadership_internal.h"
 #include "wire/wire.h"
 #include "wire/wire_limits.h"
 #include "wire/wire_store.h"
 #include <stdio.h>
 
-#define TXN_BYTES_MAX 56000u /* of a request's body */
+#define TXN_BYTES_MAX 56000u /* body of a request */
 
 bool bd_txn_builder_fits(const struct bd_txn_builder *builder, size_t ops, size_t compares,
                          size_t bytes)
--- a/src/runtime/settings.c
+++ b/src/runtime/settings.c
@@ -191,8 +191,8 @@
     settings->heartbeat_interval =
         read_duration(reader, workers, "report_s", HEARTBEAT_INTERVAL_MIN_S);
     settings->worker_lease = read_duration(reader, workers, "lease_s", LEASE_MIN_S);
-    settings->gang_wait = read_duration(reader, workers, "gang_wait_s", 0);
-    settings->gang_peer = read_duration(reader, workers, "gang_peer_s", 0);
+    settings->gang_start_timeout = read_duration(reader, workers, "gang_wait_s", 0);
+    settings->gang_peer_timeout = read_duration(reader, workers, "gang_peer_s", 0);
     settings->cancellation_limit = read_duration(reader, workers, "cancel_s", CANCEL_MIN_S);
     /* a lease that was renewed just before the cancellation must expire within cancel_s */
     if (bd_to_secs(settings->cancellation_limit) <
--- a/tests/test_settings.h
+++ b/tests/test_settings.h
@@ -11,8 +11,8 @@
     s->heartbeat_interval = bd_secs(2);
     s->worker_lease = bd_secs(10);
     s->cancellation_limit = bd_secs(35);
-    s->gang_wait = bd_secs(30);
-    s->gang_peer = bd_secs(4);
+    s->gang_start_timeout = bd_secs(30);
+    s->gang_peer_timeout = bd_secs(4);
     s->inventory_lag = bd_secs(5);
     s->kv_writes_per_s = 100;
     s->kv_requests_per_s = 200;
