--- a/src/core/core.c
+++ b/src/core/core.c
@@ -160,10 +160,10 @@
 /* ---- leadership ---- */
 
 void bd_core_leader_observed(struct bd_core *core, const char *name, uint64_t revision,
-                             struct timespec sent, bool dismissed)
+                             struct timespec sent_at, bool dismissed)
 {
-    bd_delegate_dismissal_observed(core, dismissed, revision, sent);
-    bd_leadership_leader_observed(core, name, revision, sent);
+    bd_delegate_dismissal_observed(core, dismissed, revision, sent_at);
+    bd_leadership_leader_observed(core, name, revision, sent_at);
 }
 
 void bd_core_leadership_acquired(struct bd_core *core, const struct bd_acquisition *acquisition)
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -26,7 +26,7 @@
  * this controller as a delegate that is not needed, since its workers' heartbeats reach the leader.
  */
 void bd_core_leader_observed(struct bd_core *core, const char *name, uint64_t revision,
-                             struct timespec sent, bool dismissed);
+                             struct timespec sent_at, bool dismissed);
 /* Starts a term (failover) after the lease was acquired and the replica became as new as the term.
  */
 void bd_core_leadership_acquired(struct bd_core *core, const struct bd_acquisition *acquisition);
--- a/src/leadership/commit.c
+++ b/src/leadership/commit.c
@@ -132,7 +132,7 @@
     }
 }
 
-/* Returns false if the transaction is full or memory has run out. */
+/* Adds the receipt of a chunk. Returns false if the transaction is full or memory has run out. */
 static bool add_receipt(struct bd_core *core, struct bd_txn_builder *builder, struct bd_job *job,
                         uint32_t chunk)
 {
--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -117,7 +117,7 @@
     bd_job_stop_tracking(job);
     json_decref(job->record_spec);
     job->record_spec = NULL;
-    bd_dag_job_ended(core, job); /* its dependents may start from now on */
+    bd_dag_job_ended(core, job); /* only now may its dependents start */
 }
 
 static void apply_commit(struct bd_core *core, const struct bd_commit *commit,
--- a/src/leadership/fencing.c
+++ b/src/leadership/fencing.c
@@ -6,9 +6,10 @@
 
 #define LAUNCH_ANSWER_TIMEOUT_S 1.5
 #define TOKEN_RAISE_INTERVAL_S 5.0
-#define RESULTS_WITHHELD_MAX_S                                                                     \
-    25.0 /* the longest that results stay on the machines without a raise */
-#define RESULTS_WITHHELD_MAX 4000u /* above this number of results the token is raised earlier */
+/* Results stay on the machines for at most RESULTS_WITHHELD_MAX_S before the token is raised, or
+ * until there are more than RESULTS_WITHHELD_MAX of them. */
+#define RESULTS_WITHHELD_MAX_S 25.0
+#define RESULTS_WITHHELD_MAX 4000u
 
 static bool may_raise_again(const struct bd_core *core)
 {
@@ -25,9 +26,9 @@
     return false;
 }
 
-/* An unanswered launch may be delayed for as long as a partition lasts. Only a higher token
- * excludes that the worker still accepts it. This holds even if the machine's heartbeats do not
- * reach the leader: a delegate that answers them passes the token on. */
+/* An unanswered launch may be delayed for as long as a partition lasts. Only a higher token makes
+ * sure that the worker rejects it. This holds even if the machine's heartbeats do not reach the
+ * leader: a delegate that answers them passes the token on. */
 static bool launches_need_raise(const struct bd_core *core)
 {
     if (!may_raise_again(core))
--- a/src/leadership/leadership.c
+++ b/src/leadership/leadership.c
@@ -42,24 +42,24 @@
            !bd_is_isolated(core);
 }
 
-void bd_leadership_lease_renewed(struct bd_core *core, uint64_t grant, struct timespec sent)
+void bd_leadership_lease_renewed(struct bd_core *core, uint64_t grant, struct timespec sent_at)
 {
     if (core->role != BD_LEADER || grant != core->lead.grant)
         return;
     double ttl_s = bd_to_secs(core->settings->leader_ttl);
     double valid_s = ttl_s * (1 - BD_CLOCK_DRIFT) - LEASE_MARGIN_S;
     core->lead.lease_valid_until =
-        bd_time_max(core->lead.lease_valid_until, bd_time_add(sent, bd_secs(valid_s)));
-    core->lead.renewal_sent_at = bd_time_max(core->lead.renewal_sent_at, sent);
+        bd_time_max(core->lead.lease_valid_until, bd_time_add(sent_at, bd_secs(valid_s)));
+    core->lead.renewal_sent_at = bd_time_max(core->lead.renewal_sent_at, sent_at);
 }
 
 void bd_leadership_leader_observed(struct bd_core *core, const char *name, uint64_t revision,
-                                   struct timespec sent)
+                                   struct timespec sent_at)
 {
     snprintf(core->leader_name, sizeof core->leader_name, "%s", name);
     core->leader_term = revision;
     core->last_term = revision ? revision : core->last_term;
-    core->leader_seen_at = sent;
+    core->leader_seen_at = sent_at;
 }
 
 /* ---- the end of a term ---- */
@@ -67,7 +67,7 @@
 static void log_term_lost(struct bd_core *core)
 {
     const struct bd_leadership *lead = &core->lead;
-    bd_log_write(core->log, BD_LOG_INFO, "term %llu ended: this controller no longer leads",
+    bd_log_write(core->log, BD_LOG_INFO, "leadership lost, term %llu",
                  (unsigned long long)lead->term);
     bd_decision_log_term(core, "term_lost", "base=%llu term=%llu valid_s=%.2f refreshed_s=%.2f",
                          (unsigned long long)lead->base_term, (unsigned long long)lead->term,
--- a/src/leadership/leadership.h
+++ b/src/leadership/leadership.h
@@ -39,12 +39,12 @@
  * to the peers. */
 bool bd_leadership_is_healthy(const struct bd_core *core);
 /* Records a read of the leader's key. revision: the key's revision, which is the leader's term; 0
- * if there is no leader, and name is then empty. sent: when the read request was sent. */
+ * if there is no leader, and name is then empty. sent_at: when the read request was sent. */
 void bd_leadership_leader_observed(struct bd_core *core, const char *name, uint64_t revision,
-                                   struct timespec sent);
-/* Extends the lease after the store renewed the grant. sent: when the renewal request was sent.
+                                   struct timespec sent_at);
+/* Extends the lease after the store renewed the grant. sent_at: when the renewal request was sent.
  * Ignored if it is not the grant of this controller's term. */
-void bd_leadership_lease_renewed(struct bd_core *core, uint64_t grant, struct timespec sent);
+void bd_leadership_lease_renewed(struct bd_core *core, uint64_t grant, struct timespec sent_at);
 /* Ends the term if this controller leads: frees the leader's state and emits
  * BD_EFFECT_STEP_DOWN. */
 void bd_leadership_lost(struct bd_core *core);
--- a/src/leadership/receipt.c
+++ b/src/leadership/receipt.c
@@ -25,7 +25,7 @@
     return remaining < BD_RECEIPT_CHUNK_TASKS ? remaining : BD_RECEIPT_CHUNK_TASKS;
 }
 
-/* Whether the receipt covers the task with the index in the chunk. */
+/* Whether the receipt shows that the task is done. index: of the task in the chunk. */
 static bool receipt_has_task(const struct bd_receipt *receipt, uint32_t index)
 {
     return receipt->bits[index / 8] >> (index % 8) & 1;
@@ -60,7 +60,7 @@
     return json_pack("{s:s}", "b", hex);
 }
 
-static void mark_task_committed(struct bd_core *core, struct bd_job *job, uint32_t task)
+static void load_completed_task(struct bd_core *core, struct bd_job *job, uint32_t task)
 {
     if (job->tasks[task].state != BD_TASK_DONE)
         bd_task_set_state(core, job, task, BD_TASK_DONE);
@@ -77,7 +77,7 @@
         return;
     for (uint32_t bit = 0; bit < 4; bit++)
         if ((position - hex_digits) >> bit & 1 && first_task + bit < job->ntasks)
-            mark_task_committed(core, job, first_task + bit);
+            load_completed_task(core, job, first_task + bit);
 }
 
 void bd_receipt_load(struct bd_core *core, const char *key, json_t *value)
--- a/src/leadership/reconciliation.c
+++ b/src/leadership/reconciliation.c
@@ -56,8 +56,7 @@
         job->receipt_chunks = 0;
         /* includes cancelled jobs: their running tasks use resources and must be stopped */
         if (job->state != BD_JOB_DONE && !bd_job_start_tracking(core, job))
-            bd_log_write(core->log, BD_LOG_ERROR,
-                         "job %s: out of memory; its tasks are not tracked", job->id);
+            bd_log_write(core->log, BD_LOG_ERROR, "%s: out of memory for tasks", job->id);
     }
 }
 
