--- a/include/brambledoor/settings.h
+++ b/include/brambledoor/settings.h
@@ -44,7 +44,7 @@
 struct bd_slo {
     enum bd_slo_kind kind;
     char job_class[BD_NAME_BYTES]; /* the class of jobs that it applies to; empty: none is named */
-    double within_s;               /* the time of the kind, in seconds */
+    double within_s;               /* the time that the kind refers to, in seconds */
     double share;                  /* share of the jobs that must meet it, 0 to 1 */
 };
 
@@ -75,13 +75,13 @@
     struct timespec worker_lease;
     /* How long a task of a gang waits for the other tasks of the gang; validated only. */
     struct timespec gang_start_timeout;
-    /* How long a task of a gang may outlast another task of the gang; validated only. */
+    /* How long after the end of one task of a gang the other tasks end; validated only. */
     struct timespec gang_peer_timeout;
-    /* From a confirmed cancellation to the end of the job's last task, at most. */
+    /* The maximum time from a confirmed cancellation to the end of the job's last task. */
     struct timespec cancellation_limit;
-    /* By which the cloud's list of machines may be out of date. */
+    /* How far the cloud's list of machines may be out of date. */
     struct timespec inventory_lag;
-    /* By which a controller's time of day may be wrong, in each direction. */
+    /* How far a controller's time of day may be wrong, in each direction. */
     struct timespec clock_error;
 
     /* Limits of the key-value store and of the cloud. If the platform's file announces a change of
--- a/src/leadership/lease_renewal.c
+++ b/src/leadership/lease_renewal.c
@@ -4,11 +4,11 @@
  * leader (while its lease is valid, and shortly after), a delegate, and a controller of an
  * autonomous zone.
  *
- *   Let `seen` be the time at which the newest answered refresh was *sent*. A cancellation that the
- * controller's records do not show was confirmed at t > seen. A heartbeat is answered at
- * seen + window at the latest. The lease that the answer renews counts from the time at which the
- * heartbeat was sent, which is earlier. It expires lease_s plus the clock drift later: before
- * seen + cancel_s - margin < t + cancel_s.
+ *   Let window_start be the time at which the newest answered refresh was *sent*. A cancellation
+ * that the controller's records do not show was confirmed at t > window_start. A heartbeat is
+ * answered at window_start + window at the latest. The lease that the answer renews counts from the
+ * time at which the heartbeat was sent, which is earlier. It expires lease_s plus the clock drift
+ * later: before window_start + cancel_s - margin < t + cancel_s.
  *
  * A successful write, a renewal of the grant or a peer's frame does not show which jobs were
  * cancelled. Therefore a leader whose grant is renewed but whose refreshes fail stops answering,
