--- a/include/brambledoor/settings.h
+++ b/include/brambledoor/settings.h
@@ -85,7 +85,7 @@
     struct timespec clock_error;
 
     /* Limits of the key-value store and of the cloud. If the platform's file announces a change of
-     * a limit of the store, the smaller of the present and the announced value. */
+     * a limit of the store, the field holds the smaller of the present and the announced value. */
     double kv_requests_per_s; /* validated only */
     double kv_writes_per_s;
     double cloud_requests_per_s;
