--- a/src/leadership/leadership.c
+++ b/src/leadership/leadership.c
@@ -1,4 +1,4 @@
-/* The leader's term: how long its lease is valid, and what ends it. Part of the pure core. */
+/* The leader's term: how long its lease is valid, and what ends the term. Part of the pure core. */
 #include "leadership/leadership.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
@@ -15,8 +15,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define READS_FAIL_MAX_S 4.0 /* so long reads may fail: two answers in a row can be lost */
-#define LEASE_MARGIN_S 0.1   /* the lease is given up so long before the store ends the grant */
+#define READ_FAILURE_MAX_S 4.0 /* two answers in a row can be lost */
+#define LEASE_MARGIN_S 0.1     /* the leader's lease ends this long before the store's grant */
 
 /* ---- the lease ---- */
 
@@ -27,11 +27,11 @@
 
 bool bd_leadership_may_reply(const struct bd_core *core)
 {
-    if (core->role != BD_LEADER || !bd_may_renew_leases(core))
+    if (core->role != BD_LEADER || !bd_may_renew_worker_leases(core))
         return false;
     if (bd_leadership_lease_valid(core))
         return true;
-    /* a new leader allows for replies that we give in this window: see bound_earlier_leases */
+    /* a new leader takes replies in this window into account: see set_earlier_leases_expiry */
     return bd_peer_with_newer_term(core) < 0 && !bd_peer_has_fresher_reads(core) &&
            bd_is_within_renewal_window(core, core->lead.renewal_sent_at);
 }
@@ -42,24 +42,24 @@
            !bd_is_isolated(core);
 }
 
-void bd_leadership_renewed(struct bd_core *core, uint64_t grant, struct timespec sent)
+void bd_leadership_lease_renewed(struct bd_core *core, uint64_t grant, struct timespec sent_at)
 {
     if (core->role != BD_LEADER || grant != core->lead.grant)
         return;
     double ttl_s = bd_to_secs(core->settings->leader_ttl);
     double valid_s = ttl_s * (1 - BD_CLOCK_DRIFT) - LEASE_MARGIN_S;
     core->lead.lease_valid_until =
-        bd_time_max(core->lead.lease_valid_until, bd_time_add(sent, bd_secs(valid_s)));
-    core->lead.renewal_sent_at = bd_time_max(core->lead.renewal_sent_at, sent);
+        bd_time_max(core->lead.lease_valid_until, bd_time_add(sent_at, bd_secs(valid_s)));
+    core->lead.renewal_sent_at = bd_time_max(core->lead.renewal_sent_at, sent_at);
 }
 
 void bd_leadership_leader_observed(struct bd_core *core, const char *name, uint64_t revision,
-                                   struct timespec sent)
+                                   struct timespec sent_at)
 {
     snprintf(core->leader_name, sizeof core->leader_name, "%s", name);
     core->leader_term = revision;
     core->last_term = revision ? revision : core->last_term;
-    core->leader_seen_at = sent;
+    core->leader_seen_at = sent_at;
 }
 
 /* ---- the end of a term ---- */
@@ -112,7 +112,7 @@
     end_term(core, BD_STEP_DOWN_LEASE_LOST);
 }
 
-void bd_leadership_step_down(struct bd_core *core)
+void bd_leadership_step_down_if_superseded(struct bd_core *core)
 {
     if (core->role != BD_LEADER || bd_leadership_lease_valid(core))
         return;
@@ -126,11 +126,11 @@
 void bd_leadership_resign_if_reads_fail(struct bd_core *core)
 {
     if (!bd_leadership_lease_valid(core) ||
-        bd_seconds_between(core->replica.refreshed_at, core->now) < READS_FAIL_MAX_S ||
+        bd_seconds_between(core->replica.refreshed_at, core->now) < READ_FAILURE_MAX_S ||
         !bd_peer_has_fresher_reads(core))
         return;
     bd_log_write(core->log, BD_LOG_INFO,
-                 "the records cannot be read here but elsewhere: leadership resigned");
+                 "own reads of the records fail but a peer's succeed; resigning leadership");
     end_term(core, BD_STEP_DOWN_RESIGNED);
 }
 
--- a/src/scheduling/cycle.c
+++ b/src/scheduling/cycle.c
@@ -29,7 +29,7 @@
  * most of the processor time remains for other work. */
 static double cycle_interval_s(const struct bd_core *core)
 {
-    double cores = core->settings->cpu, interval_s = 0;
+    double cores = core->settings->cpu_cores, interval_s = 0;
     if (cores > 0)
         interval_s =
             pending_jobs(core) * core->nmachines * JOB_MACHINE_CPU_S / cores / CYCLE_CPU_SHARE;
@@ -55,5 +55,5 @@
         abort();
     if (!core->lead.token_raise_wanted)
         bd_cycle_place(core);
-    bd_cycle_commit(core);
+    bd_leader_txn_submit(core);
 }
--- a/src/scheduling/job_order.c
+++ b/src/scheduling/job_order.c
@@ -48,11 +48,14 @@
         double unfinished = job->ntasks - job->ndone;
         cpus[team] += unfinished * job->spec.cpus;
         gpus[team] += unfinished * job->spec.gpus;
-        bool uses_share =
-            (share->cpus > 0 && job->spec.cpus > 0) || (share->gpus > 0 && job->spec.gpus > 0);
+        bool uses_share = (share->cpus_guaranteed > 0 && job->spec.cpus > 0) ||
+                          (share->gpus_guaranteed > 0 && job->spec.gpus > 0);
         job->within_guaranteed_share =
-            uses_share && (share->cpus <= 0 || cpus[team] <= share->cpus + BD_RESOURCE_ROUNDING) &&
-            (share->gpus <= 0 || gpus[team] <= share->gpus + BD_RESOURCE_ROUNDING);
+            uses_share &&
+            (share->cpus_guaranteed <= 0 ||
+             cpus[team] <= share->cpus_guaranteed + BD_RESOURCE_ROUNDING) &&
+            (share->gpus_guaranteed <= 0 ||
+             gpus[team] <= share->gpus_guaranteed + BD_RESOURCE_ROUNDING);
     }
 }
 
--- a/src/scheduling/plan.c
+++ b/src/scheduling/plan.c
@@ -39,10 +39,10 @@
                                  const struct bd_machine *machine, uint32_t max_tasks)
 {
     size_t group_bytes = bd_intent_group_bytes(job, machine);
-    if (cycle->record_bytes + group_bytes + BD_INTENT_TASK_BYTES > cycle->record_bytes_max)
+    if (cycle->record_bytes + group_bytes + BD_INTENT_TASK_NUMBER_BYTES > cycle->record_bytes_max)
         return 0;
     size_t tasks =
-        (cycle->record_bytes_max - cycle->record_bytes - group_bytes) / BD_INTENT_TASK_BYTES;
+        (cycle->record_bytes_max - cycle->record_bytes - group_bytes) / BD_INTENT_TASK_NUMBER_BYTES;
     return tasks < max_tasks ? (uint32_t)tasks : max_tasks;
 }
 
@@ -70,7 +70,7 @@
         cycle->machines[machine->index].planned_fetch_s +=
             job->spec.image_gb / cycle->core->types[machine->type].fetch;
     cycle->record_bytes +=
-        bd_intent_group_bytes(job, machine) + (size_t)count * BD_INTENT_TASK_BYTES;
+        bd_intent_group_bytes(job, machine) + (size_t)count * BD_INTENT_TASK_NUMBER_BYTES;
     uint32_t task = first;
     for (; count > 0 && task < job->ntasks; task++) {
         if (job->tasks[task].state != BD_TASK_PENDING)
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -6,8 +6,9 @@
  *
  * - A delegate answers a machine only after it has written the machine into its own record in the
  *   key-value store, conditional on the leader's key. It writes the record again at a short
- *   interval. It stops answering BD_DELEGATE_FRESH_S after the last successful write was sent. A
- *   machine stays in the record for a while after its last heartbeat (see delegate_record.c).
+ *   interval. It stops answering BD_DELEGATE_CONFIRMATION_VALID_S after the last successful write
+ * was sent. A machine stays in the record for a while after its last heartbeat (see
+ * delegate_record.c).
  * - The leader reads all records. A lease does not count as expired while the newest read contains
  *   the machine, nor before a read that began after the end of the lease. The leader deletes the
  *   record of a delegate that no longer confirms it.
@@ -15,8 +16,8 @@
  *
  * While no controller leads, the record is conditional on the absence of the leader's key, and
  * replies carry the last term's fencing token. A new leader allows for such replies until
- * BD_DELEGATE_FRESH_S after it acquired the term. No such record can be written once the new leader
- * has written its key. */
+ * BD_DELEGATE_CONFIRMATION_VALID_S after it acquired the term. No such record can be written once
+ * the new leader has written its key. */
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "leadership/leadership.h"
@@ -91,7 +92,7 @@
 /* Whether the leader's key was read recently. */
 static bool has_fresh_leader_view(const struct bd_core *core)
 {
-    return bd_seconds_between(core->leader_seen_at, core->now) < BD_DELEGATE_FRESH_S;
+    return bd_seconds_between(core->leader_seen_at, core->now) < BD_DELEGATE_CONFIRMATION_VALID_S;
 }
 
 /* Whether, according to a recent read of the leader's key, another controller leads but sends this
@@ -124,7 +125,7 @@
 static bool may_reply(const struct bd_core *core)
 {
     return bd_time_is_before(core->now, core->delegate.confirmed_until) &&
-           bd_may_renew_leases(core);
+           bd_may_renew_worker_leases(core);
 }
 
 /* Logs the first reply to each machine in the record. Of the replies of an autonomous zone, logs
@@ -260,7 +261,7 @@
     if (revision_known)
         delegate->revision = store_revision;
     if (status == 200) {
-        double fresh_s = BD_DELEGATE_FRESH_S * (1 - BD_CLOCK_DRIFT);
+        double fresh_s = BD_DELEGATE_CONFIRMATION_VALID_S * (1 - BD_CLOCK_DRIFT);
         delegate->confirmed_until = bd_time_add(sent, bd_secs(fresh_s));
         bd_delegate_confirm_machines(core);
     }
