--- a/src/autoscaling/autoscaler.c
+++ b/src/autoscaling/autoscaler.c
@@ -1,4 +1,4 @@
-/* The autoscaler's tick: what is needed of the cloud, and what goes back. */
+/* The autoscaler's tick: evacuation, scale-out, consolidation and scale-in. */
 #include "autoscaling/autoscaling.h"
 #include "autoscaling/autoscaling_internal.h"
 #include "drain/drain.h"
@@ -17,7 +17,7 @@
     bd_demand_add_tasks(demand, spec, 1, BD_TIER_ANY);
 }
 
-/* Pending tasks come first: headroom is what is free beside them. */
+/* Pending tasks are added first, because headroom is the capacity that they leave free. */
 static void scale_out(struct bd_core *core)
 {
     struct bd_demand demand;
--- a/src/autoscaling/autoscaling.h
+++ b/src/autoscaling/autoscaling.h
@@ -1,40 +1,42 @@
-/* What the leader asks of the cloud: demand and headroom, scale out and in, consolidation, and the
+/* The leader's autoscaler: demand and headroom, scale-out and scale-in, consolidation, and the
  * cloud's inventory.
  *
- * Owns core->cloud and what the inventory says of machines. Called by the runtime for the cloud's
- * answers, by core/ at each step, and by drain/ for replacements. */
+ * Owns core->cloud and the machine fields that come from the inventory. Called by the runtime with
+ * the cloud's responses, by core/ at each step, and by drain/ for replacement machines. */
 #ifndef BD_AUTOSCALING_H
 #define BD_AUTOSCALING_H
 #include "model/core_state.h"
 #include "wire/wire.h"
 #include "wire/wire_limits.h"
 
-/* Evacuates machines, and asks the cloud for what is needed and to take back what is not. As
- * leader. */
+/* Evacuates machines, requests the machines that are needed from the cloud and returns those that
+ * are not. Leader only. */
 void bd_autoscaler_tick(struct bd_core *core);
 
 /* ---- inventory (inventory.c) ---- */
 
-/* The cloud's n machine types were read. */
+/* Handles the cloud's list of n machine types. */
 void bd_inventory_types_received(struct bd_core *core, const struct bd_machine_type_text *types,
                                  int n);
-/* The cloud's list of n machines was read; it was asked for at the moment `asked`. */
+/* Handles the cloud's list of n machines, which was requested at requested_at. */
 void bd_inventory_machines_received(struct bd_core *core, const struct bd_cloud_machine *machines,
-                                    size_t n, struct timespec asked);
+                                    size_t n, struct timespec requested_at);
 
 /* ---- provisioning (provisioning.c) ---- */
 
+/* The pool of the machine type in the zone, spot or on demand. core->cloud owns it. */
 struct bd_pool *bd_pool_of(struct bd_core *core, int type, int zone, bool spot);
-/* Asks the cloud for machines. Returns the request's name, which core->cloud owns, or NULL: too
+/* Requests machines from the cloud. Returns the request's id, which core->cloud owns; NULL if too
  * many requests are open. */
 const char *bd_request_machines(struct bd_core *core, int type, int zone, bool spot, int count);
-/* The cloud answered a request, with n machines. status: HTTP's. False: it is not
- * one of this term's requests. */
-bool bd_scale_out_completed(struct bd_core *core, const char *request, long status,
+/* Handles the cloud's response to a request: the HTTP status and the n machines granted. False if
+ * it is not one of this term's requests. */
+bool bd_scale_out_completed(struct bd_core *core, const char *request_id, long status,
                             char (*names)[BD_LABEL_BYTES], int n);
 
-/* ---- scale in (scale_in.c) ---- */
+/* ---- scale-in (scale_in.c) ---- */
 
-/* The cloud took n machines back; not ok: whether it did is not known. */
+/* Handles the result of returning n machines to the cloud. ok false: it is not known whether the
+ * cloud took them. */
 void bd_scale_in_completed(struct bd_core *core, char (*names)[BD_LABEL_BYTES], int n, bool ok);
 #endif
--- a/src/autoscaling/autoscaling_internal.h
+++ b/src/autoscaling/autoscaling_internal.h
@@ -9,22 +9,22 @@
 
 /* ---- demand (demand.c) ---- */
 
-/* Capacity to pack tasks into: a machine that is up, one that is coming, or one to be requested. */
+/* Capacity to pack tasks into: a machine that is up, booting, requested or to be requested. */
 struct bd_capacity_bin {
     int type, zone;
     bool spot;
-    bool is_wanted;             /* to be requested */
+    bool needs_request;         /* not requested from the cloud yet */
     struct bd_machine *machine; /* NULL: not up */
     struct bd_resources free;
 };
 
-/* What tasks need of the cloud, by bin packing. Lives for one tick. */
+/* The machines that tasks need from the cloud, found by bin packing. Lives for one tick. */
 struct bd_demand {
     struct bd_core *core;
-    struct bd_capacity_bin *bins; /* move when one is added */
+    struct bd_capacity_bin *bins; /* owned; adding one may reallocate them */
     int nbins, bins_cap;
     double machines_in_zone[BD_ZONES_MAX];
-    double team_cpus[BD_TEAMS_MAX], team_gpus[BD_TEAMS_MAX]; /* in use, with what is wanted */
+    double team_cpus[BD_TEAMS_MAX], team_gpus[BD_TEAMS_MAX]; /* in use, plus added pending tasks */
 };
 
 struct bd_pool_choice {
@@ -32,17 +32,17 @@
     bool spot;
 };
 
-/* Begins with the capacity that is coming. */
+/* Starts with the machines that are booting or requested. */
 void bd_demand_init(struct bd_demand *demand, struct bd_core *core);
 void bd_demand_free(struct bd_demand *demand);
-/* Adds the free capacity of the machines that are up, those in use first. */
+/* Adds the free capacity of the machines that are up: machines in use first, then idle ones. */
 void bd_demand_add_free_capacity(struct bd_demand *demand);
-/* Adds the pending tasks of all jobs, within their teams' quotas. */
+/* Adds the pending tasks of all jobs, up to their teams' quotas. */
 void bd_demand_add_pending(struct bd_demand *demand);
-/* Adds n tasks. Machines with free capacity that takes some of them become headroom. */
+/* Adds n tasks. Machines that are up and have free capacity for some of them become headroom. */
 void bd_demand_add_tasks(struct bd_demand *demand, const struct bd_spec *spec, uint32_t n,
                          enum bd_cost_tier cost_tier);
-/* The cheapest pool for n such tasks within the tier. False: none is open. */
+/* Chooses the cheapest pool of the tier for n such tasks. False: no pool is open. */
 bool bd_demand_choose_pool(const struct bd_demand *demand, const struct bd_spec *spec, uint32_t n,
                            enum bd_cost_tier cost_tier, struct bd_pool_choice *out);
 
@@ -53,43 +53,43 @@
 
 /* ---- provisioning (provisioning.c) ---- */
 
-/* Requests the machines that the demand wants. */
+/* Requests the machines of the bins that need a request. */
 void bd_provision_for_demand(struct bd_demand *demand);
 
 /* ---- boot (boot.c) ---- */
 
-/* Whether the machine boots, and can still be counted on. */
+/* Whether the machine is booting and still counts as upcoming capacity. */
 bool bd_boot_is_expected(const struct bd_core *core, const struct bd_machine *machine);
-/* Whether the machine has booted for so long that it is given up. */
+/* Whether the machine has been booting for so long that it is given up. */
 bool bd_boot_has_timed_out(const struct bd_core *core, const struct bd_machine *machine);
 
-/* ---- scale in (scale_in.c) ---- */
+/* ---- scale-in (scale_in.c) ---- */
 
-/* When a machine that holds nothing may be scaled in, as far as drains decide. */
+/* What drains decide about scaling in a machine without reservations. */
 enum bd_scale_in_policy { BD_SCALE_IN_NEVER, BD_SCALE_IN_NOW, BD_SCALE_IN_WHEN_IDLE };
 
-/* By drains (autoscaler.c). */
+/* The policy that drains set for the machine (autoscaler.c). */
 enum bd_scale_in_policy bd_scale_in_policy_of(const struct bd_machine *machine);
-/* Gives back the machines that are not needed. */
+/* Returns the machines that are not needed to the cloud. */
 void bd_scale_in(struct bd_core *core);
 
 /* ---- evacuation (evacuation.c) ---- */
 
-/* Stops tasks on machines that the cloud takes back or that are quarantined. */
+/* Stops tasks on machines that the cloud reclaims or that are quarantined. */
 void bd_evacuate_machines(struct bd_core *core);
 
 /* ---- consolidation (consolidation.c) ---- */
 
-/* Cores of services that alone keep GPU work from an expensive machine; 0: none do. */
+/* CPU cores that services block on an expensive machine without GPU tasks; 0: none. */
 double bd_blocking_service_cpus(const struct bd_core *core, const struct bd_machine *machine);
-/* Adds cheap capacity for the services on expensive machines: they are not pending, so that no
- * other demand shows it. */
+/* Adds demand for cheap capacity for the services on expensive machines. These are not pending, so
+ * no other demand includes them. */
 void bd_demand_add_consolidation(struct bd_demand *demand);
-/* Moves services off expensive machines, as far as the budget for moves goes. */
+/* Moves services off expensive machines, within the budget for moves. */
 void bd_consolidate(struct bd_core *core);
 
 /* ---- log (fleet_summary.c) ---- */
 
-/* Logs how many machines of each type are up and what they are used for, at intervals. */
+/* Logs at intervals how many machines of each type are up and what they run. */
 void bd_log_fleet_summary(struct bd_core *core);
 #endif
--- a/src/autoscaling/boot.c
+++ b/src/autoscaling/boot.c
@@ -1,13 +1,13 @@
-/* How long a new machine may take to boot. */
+/* How long a machine may take to boot. */
 #include "autoscaling/autoscaling_internal.h"
 #include "base/timeutil.h"
 #include "model/core_state.h"
 #include "model/machine.h"
 
-/* times the type's usual boot time, */
-#define BOOT_EXPECTED_FACTOR 1.6 /* until it is no longer counted on */
-#define BOOT_TIMEOUT_FACTOR 2.5  /* until it is given up */
-#define BOOT_MARGIN_S 12.0       /* ... and so much more */
+/* Multiples of the type's usual boot time. BOOT_MARGIN_S is added to both. */
+#define BOOT_EXPECTED_FACTOR 1.6 /* later the machine no longer counts as upcoming capacity */
+#define BOOT_TIMEOUT_FACTOR 2.5  /* later the machine is given up */
+#define BOOT_MARGIN_S 12.0
 
 static bool is_booting(const struct bd_core *core, const struct bd_machine *machine)
 {
--- a/src/autoscaling/consolidation.c
+++ b/src/autoscaling/consolidation.c
@@ -16,15 +16,15 @@
 #include <math.h>
 #include <stdlib.h>
 
-#define SETTLED_S 40.0      /* a job that started a task more recently is not moved */
-#define FULL_SHARE 0.8      /* of a machine's cores: with more services it is full of them */
-#define SOURCE_TASKS_MAX 64 /* a machine with more tasks is left as it is */
-#define MOVE_S 2.0          /* that a move stops a replica for, beside the image's fetch */
+#define MOVE_COOLDOWN_S 40.0 /* a job is not moved for this long after it started a task */
+#define FULL_SHARE 0.8 /* a machine is full if services use more than this share of its cores */
+#define SOURCE_TASKS_MAX 64 /* a machine with more tasks is not emptied */
+#define MOVE_DOWNTIME_S 2.0 /* a move stops a replica for this long, plus the image fetch */
 
-/* the budget for moves, in replica-seconds */
-#define BUDGET_RATE_MIN 2.0     /* that it grows by each second, at least */
-#define BUDGET_RATE_SHARE 0.003 /* ... of the services' running tasks */
-#define BUDGET_KEPT_S 40.0      /* growth of so long is kept when it is not spent */
+/* The budget for moves, in replica-seconds. */
+#define BUDGET_RATE_MIN 2.0           /* minimum growth per second */
+#define BUDGET_RATE_PER_REPLICA 0.003 /* growth per second for each running task of a service */
+#define BUDGET_CAP_S 40.0             /* the budget is capped at the growth of this time */
 
 /* A machine that could be emptied. */
 struct source {
@@ -32,7 +32,7 @@
     double service_cpus;
 };
 
-/* One tick's view of the machines that could be emptied, and of those with capacity. */
+/* One tick's view of the machines that could be emptied and of those with free capacity. */
 struct consolidation {
     struct bd_core *core;
     struct source *sources;
@@ -40,7 +40,7 @@
     struct bd_move_targets targets;
 };
 
-/* What a tried move has to be undone with. */
+/* A tried move, with what is needed to undo it. */
 struct tried_move {
     struct bd_move_target *target;
     const struct bd_spec *spec;
@@ -61,7 +61,7 @@
     return cpus;
 }
 
-static void add_services(struct bd_demand *demand, const struct bd_machine *machine)
+static void add_service_demand(struct bd_demand *demand, const struct bd_machine *machine)
 {
     for (uint32_t i = 0; i < machine->nreservations; i++) {
         const struct bd_job *job = machine->reservations[i].job;
@@ -77,13 +77,13 @@
         const struct bd_machine *machine = core->by_index[i];
         if (!machine->gone && bd_machine_is_usable(core, machine) &&
             bd_blocking_service_cpus(core, machine) > 0)
-            add_services(demand, machine);
+            add_service_demand(demand, machine);
     }
 }
 
 /* ---- view ---- */
 
-static int sort_by_services(const void *x, const void *y)
+static int compare_service_cpus(const void *x, const void *y)
 {
     const struct source *a = x, *b = y;
     if (a->service_cpus != b->service_cpus)
@@ -113,7 +113,7 @@
         if (!machine->gone && bd_machine_is_usable(core, machine))
             add_to_view(view, machine);
     }
-    qsort(view->sources, view->nsources, sizeof *view->sources, sort_by_services);
+    qsort(view->sources, view->nsources, sizeof *view->sources, compare_service_cpus);
 }
 
 static void free_view(struct consolidation *view)
@@ -131,7 +131,7 @@
     return job->spec.kind == BD_JOB_SERVICE && job->npending == 0 &&
            task->state == BD_TASK_CONFIRMED && task->execution == BD_EXECUTION_RUNNING &&
            !(task->flags & BD_TASK_FLAG_STOP_REQUESTED) &&
-           bd_seconds_between(job->last_started_at, core->now) > SETTLED_S;
+           bd_seconds_between(job->last_started_at, core->now) > MOVE_COOLDOWN_S;
 }
 
 static bool is_stopping(const struct bd_reservation *reservation)
@@ -139,24 +139,24 @@
     return reservation->job->tasks[reservation->task].flags & BD_TASK_FLAG_STOP_REQUESTED;
 }
 
-/* In the reverse order, so that sums are again exactly what they were. */
-static void undo_moves(const struct tried_move *moves, uint32_t n)
+/* Undoes the moves in reverse order, so that sums return exactly to their former values. */
+static void undo_moves(const struct tried_move *moves, uint32_t nmoves)
 {
-    while (n > 0) {
-        n--;
-        bd_move_target_undo(moves[n].target, moves[n].spec, moves[n].fetched_image_before);
+    while (nmoves > 0) {
+        const struct tried_move *move = &moves[--nmoves];
+        bd_move_target_undo(move->target, move->spec, move->fetched_image_before);
     }
 }
 
-/* Whether all that the machine holds could move now: to empty it in part frees nothing. Moves with
- * a long fetch wait until the budget covers them all. */
+/* Whether all tasks on the machine could move now: emptying it in part frees nothing. If some image
+ * fetch is long, the moves wait until the budget covers them all. */
 static bool can_empty(const struct consolidation *view, const struct bd_machine *machine,
-                      double above_cpus)
+                      double min_service_cpus)
 {
     struct tried_move moves[SOURCE_TASKS_MAX];
-    uint32_t n = 0;
+    uint32_t nmoves = 0;
     bool can_move_all = machine->nreservations <= SOURCE_TASKS_MAX, has_long_fetch = false;
-    double away_s = 0;
+    double downtime_s = 0;
     for (uint32_t i = 0; can_move_all && i < machine->nreservations; i++) {
         const struct bd_reservation *reservation = &machine->reservations[i];
         const struct bd_spec *spec = &reservation->job->spec;
@@ -164,77 +164,78 @@
             continue;
         struct bd_move_target *target =
             is_movable(view->core, reservation)
-                ? bd_move_target_choose(&view->targets, spec, machine, above_cpus)
+                ? bd_move_target_choose(&view->targets, spec, machine, min_service_cpus)
                 : NULL;
         can_move_all = target != NULL;
         if (!target)
             break;
-        moves[n++] = (struct tried_move){target, spec, target->fetched_image};
-        double fetch = bd_move_target_add(view->core, target, spec);
-        has_long_fetch = has_long_fetch || fetch >= BD_MOVE_FETCH_MAX_S;
-        away_s += MOVE_S + fetch;
+        moves[nmoves++] = (struct tried_move){target, spec, target->fetched_image};
+        double fetch_s = bd_move_target_add(view->core, target, spec);
+        has_long_fetch = has_long_fetch || fetch_s >= BD_MOVE_FETCH_MAX_S;
+        downtime_s += MOVE_DOWNTIME_S + fetch_s;
     }
-    undo_moves(moves, n);
-    return can_move_all && (!has_long_fetch || away_s <= view->core->cloud.move_budget_s);
+    undo_moves(moves, nmoves);
+    return can_move_all && (!has_long_fetch || downtime_s <= view->core->cloud.move_budget_s);
 }
 
-/* Moves all services off the machine at once, as a job is not moved again for a while. Returns for
- * how many seconds replicas are away, in sum. */
+/* Moves all services off the machine in one tick, because a job that was moved is not moved again
+ * for MOVE_COOLDOWN_S. Returns the replicas' total downtime in seconds. */
 static double empty_machine(const struct consolidation *view, struct bd_machine *machine,
-                            double above_cpus)
+                            double min_service_cpus)
 {
     struct bd_core *core = view->core;
-    double away_s = 0;
+    double downtime_s = 0;
     for (uint32_t i = machine->nreservations; i > 0; i--) {
-        if (i > machine->nreservations) /* a stop may release several */
+        if (i > machine->nreservations) /* stopping a task may release several reservations */
             continue;
         struct bd_reservation reservation = machine->reservations[i - 1];
         const struct bd_spec *spec = &reservation.job->spec;
         if (!is_movable(core, &reservation))
             continue;
         struct bd_move_target *target =
-            bd_move_target_choose(&view->targets, spec, machine, above_cpus);
+            bd_move_target_choose(&view->targets, spec, machine, min_service_cpus);
         if (!target)
             continue;
-        away_s += MOVE_S + bd_move_target_add(core, target, spec);
-        target->is_taken = true;
+        downtime_s += MOVE_DOWNTIME_S + bd_move_target_add(core, target, spec);
+        target->is_used = true;
         machine->consolidating = true;
-        bd_log_write(core->log, BD_LOG_INFO, "%s/%u is consolidated off %s", reservation.job->id,
-                     reservation.task, machine->id);
+        bd_log_write(core->log, BD_LOG_INFO, "moving task %s/%u off %s for consolidation",
+                     reservation.job->id, reservation.task, machine->id);
         bd_task_stop(core, reservation.job, reservation.task, BD_STOP_CONSOLIDATED, false);
     }
-    return away_s;
+    return downtime_s;
 }
 
 /* ---- budget ---- */
 
 static double running_replicas(const struct bd_core *core)
 {
-    double n = 0;
+    double replicas = 0;
     for (const struct bd_job *job = core->jobs; job; job = job->hh.next)
         if (job->state == BD_JOB_ACTIVE && job->has_spec && job->spec.kind == BD_JOB_SERVICE)
-            n += job->nrunning;
-    return n;
+            replicas += job->nrunning;
+    return replicas;
 }
 
 static void grow_budget(struct bd_core *core)
 {
     struct bd_cloud_view *cloud = &core->cloud;
-    double passed_s = fmin(bd_seconds_between(cloud->move_budget_at, core->now), BUDGET_KEPT_S);
-    double rate = fmax(BUDGET_RATE_MIN, BUDGET_RATE_SHARE * running_replicas(core));
-    cloud->move_budget_s = fmin(cloud->move_budget_s + rate * passed_s, rate * BUDGET_KEPT_S);
+    double elapsed_s = fmin(bd_seconds_between(cloud->move_budget_at, core->now), BUDGET_CAP_S);
+    double rate = fmax(BUDGET_RATE_MIN, BUDGET_RATE_PER_REPLICA * running_replicas(core));
+    cloud->move_budget_s = fmin(cloud->move_budget_s + rate * elapsed_s, rate * BUDGET_CAP_S);
     cloud->move_budget_at = core->now;
 }
 
-/* A machine full of services is worth emptying into cheap capacity only. */
-static double target_services_above(const struct bd_core *core, const struct source *source)
+/* The cores that services on an expensive target must exceed: infinite for a source that is full of
+ * services, which is emptied into cheap capacity only. */
+static double target_min_service_cpus(const struct bd_core *core, const struct source *source)
 {
     double full_cpus = FULL_SHARE * core->types[source->machine->type].cpus;
     return source->service_cpus > full_cpus ? INFINITY : source->service_cpus;
 }
 
-/* Empties machines, those with the fewest services first; one that cannot be emptied now does not
- * delay the others. */
+/* Empties the machines with the fewest services first. A machine that cannot be emptied now does
+ * not delay the others. */
 void bd_consolidate(struct bd_core *core)
 {
     struct consolidation view;
@@ -242,12 +243,12 @@
     grow_budget(core);
     for (uint32_t i = 0; i < view.nsources && core->cloud.move_budget_s > 0; i++) {
         struct bd_machine *machine = view.sources[i].machine;
-        double above_cpus = target_services_above(core, &view.sources[i]);
-        /* open to new work, unless it is emptied after all */
+        double min_service_cpus = target_min_service_cpus(core, &view.sources[i]);
+        /* open to new work again, unless it is emptied below */
         machine->consolidating = false;
-        if (!bd_move_target_is_taken(&view.targets, machine) &&
-            can_empty(&view, machine, above_cpus) && bd_drain_budgets_allow(core, machine))
-            core->cloud.move_budget_s -= empty_machine(&view, machine, above_cpus);
+        if (!bd_move_target_is_used(&view.targets, machine) &&
+            can_empty(&view, machine, min_service_cpus) && bd_drain_budgets_allow(core, machine))
+            core->cloud.move_budget_s -= empty_machine(&view, machine, min_service_cpus);
     }
     free_view(&view);
 }
--- a/src/autoscaling/demand.c
+++ b/src/autoscaling/demand.c
@@ -1,5 +1,5 @@
-/* Demand: packs tasks into the capacity that is there or coming, and then into machines of the
- * cheapest pools, which are to be requested. */
+/* Demand: packs tasks into machines that are up, booting or requested, and then into new machines
+ * of the cheapest pools, which are to be requested. */
 #include "autoscaling/autoscaling.h"
 #include "autoscaling/autoscaling_internal.h"
 #include "base/timeutil.h"
@@ -14,18 +14,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define BINS_CAPACITY_FIRST 256
-#define ON_DEMAND_PRICE_FACTOR 2.0 /* leaves on-demand machines to work that may not use spot */
-#define ZONE_PRICE_FACTOR 1e-6     /* for each machine there: the emptier zone of equals */
+#define BINS_CAPACITY_INITIAL 256
+#define ON_DEMAND_PRICE_FACTOR 2.0 /* for tasks that may use spot: on-demand is for the others */
+#define ZONE_PRICE_FACTOR 1e-6     /* for each machine in the zone: prefers emptier zones */
 #define PRICE_ROUNDING 1e-12
-#define ROUNDING 1e-9 /* of amounts */
+#define RESOURCE_ROUNDING 1e-9 /* cores, GPUs or GB */
 
 /* ---- bins ---- */
 
 static struct bd_capacity_bin *add_bin(struct bd_demand *demand, int type, int zone, bool spot)
 {
     if (demand->nbins == demand->bins_cap) {
-        int cap = demand->bins_cap ? demand->bins_cap * 2 : BINS_CAPACITY_FIRST;
+        int cap = demand->bins_cap ? demand->bins_cap * 2 : BINS_CAPACITY_INITIAL;
         struct bd_capacity_bin *bins = realloc(demand->bins, (size_t)cap * sizeof *bins);
         if (!bins)
             abort();
@@ -44,22 +44,23 @@
 
 static bool bin_fits(const struct bd_capacity_bin *bin, const struct bd_spec *spec)
 {
-    return spec->cpus <= bin->free.cpus + ROUNDING && spec->gpus <= bin->free.gpus + ROUNDING &&
-           spec->mem <= bin->free.mem + ROUNDING;
+    return spec->cpus <= bin->free.cpus + RESOURCE_ROUNDING &&
+           spec->gpus <= bin->free.gpus + RESOURCE_ROUNDING &&
+           spec->mem <= bin->free.mem + RESOURCE_ROUNDING;
 }
 
-/* Packs up to n tasks into the bin; returns how many it takes. */
+/* Packs up to n tasks into the bin. Returns how many fit. */
 static uint32_t fill_bin(struct bd_capacity_bin *bin, const struct bd_spec *spec, uint32_t n)
 {
-    uint32_t taken = 0;
-    while (taken < n && bin_fits(bin, spec)) {
+    uint32_t packed = 0;
+    while (packed < n && bin_fits(bin, spec)) {
         bd_resources_add(&bin->free, spec, -1);
-        taken++;
+        packed++;
     }
-    return taken;
+    return packed;
 }
 
-/* ---- capacity that is there or coming ---- */
+/* ---- existing and upcoming capacity ---- */
 
 static void count_machines_in_zones(struct bd_demand *demand)
 {
@@ -85,7 +86,7 @@
     const struct bd_cloud_view *cloud = &demand->core->cloud;
     for (int i = 0; i < cloud->nprovision_requests; i++) {
         const struct bd_provision_request_state *request = &cloud->provision_requests[i];
-        for (int n = 0; n < request->count; n++)
+        for (int j = 0; j < request->count; j++)
             (void)add_bin(demand, request->type, request->zone, request->spot);
     }
 }
@@ -136,19 +137,20 @@
            !bd_time_is_before(core->now, core->cloud.pools[type][zone][spot].refuse_until);
 }
 
-/* Of one task, where a machine of the pool runs n of them. */
+/* The hourly price of one task on a machine that runs per_machine of them, weighted by preference.
+ */
 static double pool_price(const struct bd_demand *demand, const struct bd_spec *spec, int type,
-                         int zone, bool spot, int n)
+                         int zone, bool spot, int per_machine)
 {
     const struct bd_type *machine_type = &demand->core->types[type];
-    double price = (spot ? machine_type->spot_price : machine_type->price) / n;
+    double price = (spot ? machine_type->spot_price : machine_type->price) / per_machine;
     if (spec->spot && !spot)
         price *= ON_DEMAND_PRICE_FACTOR;
     price *= 1 + ZONE_PRICE_FACTOR * demand->machines_in_zone[zone];
     return price;
 }
 
-/* Tasks of n that one machine of the type would run. */
+/* How many of n tasks fit on one empty machine of the type. */
 static int tasks_per_machine(const struct bd_core *core, const struct bd_spec *spec, int type,
                              uint32_t n)
 {
@@ -164,7 +166,7 @@
                            enum bd_cost_tier cost_tier, struct bd_pool_choice *out)
 {
     const struct bd_core *core = demand->core;
-    double lowest = INFINITY;
+    double lowest_price = INFINITY;
     bool is_in_tier[BD_TYPES_MAX][2];
     bd_find_types_in_cost_tier(core, spec, cost_tier, is_in_tier);
     for (int type = 0; type < core->ntypes; type++) {
@@ -176,14 +178,14 @@
                 if (!is_in_tier[type][spot] || !pool_is_open(core, spec, type, zone, spot))
                     continue;
                 double price = pool_price(demand, spec, type, zone, spot, per_machine);
-                if (price < lowest - PRICE_ROUNDING) {
-                    lowest = price;
+                if (price < lowest_price - PRICE_ROUNDING) {
+                    lowest_price = price;
                     *out = (struct bd_pool_choice){type, zone, spot};
                 }
             }
         }
     }
-    return lowest < INFINITY;
+    return lowest_price < INFINITY;
 }
 
 /* ---- tasks ---- */
@@ -205,8 +207,8 @@
     return n;
 }
 
-/* Packs n tasks into the bins, and then into machines to be requested; returns how many found no
- * capacity within the tier. */
+/* Packs n tasks into the bins, and then into machines to be requested. Returns how many fit nowhere
+ * within the tier. */
 static uint32_t pack_within_tier(struct bd_demand *demand, const struct bd_spec *spec, uint32_t n,
                                  enum bd_cost_tier cost_tier)
 {
@@ -214,14 +216,14 @@
     n = pack_into_bins(demand, spec, n, cost_tier);
     while (n > 0 && bd_demand_choose_pool(demand, spec, n, cost_tier, &pool)) {
         struct bd_capacity_bin *bin = add_bin(demand, pool.type, pool.zone, pool.spot);
-        bin->is_wanted = true;
+        bin->needs_request = true;
         n -= fill_bin(bin, spec, n);
     }
     return n;
 }
 
-/* A job that may have an expensive place by now still gets a cheap one requested where there is
- * one: expensive machines on their way are for work that needs them. */
+/* Tasks that may run on expensive machines are still packed into cheap ones first, also into those
+ * to be requested: expensive machines that are booting are for work that needs them. */
 void bd_demand_add_tasks(struct bd_demand *demand, const struct bd_spec *spec, uint32_t n,
                          enum bd_cost_tier cost_tier)
 {
@@ -230,7 +232,7 @@
     (void)pack_within_tier(demand, spec, n, cost_tier);
 }
 
-/* How many of n tasks the team's quota allows; they count as in use from here on. */
+/* Returns how many of n tasks the team's quota allows, and counts these as in use. */
 static uint32_t take_quota(struct bd_demand *demand, const struct bd_spec *spec, uint32_t n)
 {
     int team = spec->team;
--- a/src/autoscaling/evacuation.c
+++ b/src/autoscaling/evacuation.c
@@ -1,4 +1,4 @@
-/* Evacuation: tasks leave a machine that the cloud takes back, or that fails its tasks. */
+/* Evacuation: stops tasks on machines that the cloud reclaims or that are quarantined. */
 #include "autoscaling/autoscaling_internal.h"
 #include "model/core_state.h"
 #include "model/machine.h"
@@ -7,19 +7,20 @@
 #include "wire/wire.h"
 #include "workers/workers.h"
 
-/* Where the cloud takes the machine back, only tasks that can save a checkpoint gain by a stop. */
-static bool should_evacuate(const struct bd_machine *machine, const struct bd_reservation *from)
+/* On a machine that the cloud reclaims, a stop only helps tasks that can save a checkpoint. */
+static bool should_evacuate(const struct bd_machine *machine,
+                            const struct bd_reservation *reservation)
 {
-    const struct bd_task *task = &from->job->tasks[from->task];
+    const struct bd_task *task = &reservation->job->tasks[reservation->task];
     return (task->state == BD_TASK_CONFIRMED || task->state == BD_TASK_LAUNCHING) &&
            !(task->flags & BD_TASK_FLAG_STOP_REQUESTED) &&
-           (from->job->spec.checkpoint_interval_s > 0 || machine->quarantined);
+           (reservation->job->spec.checkpoint_interval_s > 0 || machine->quarantined);
 }
 
 static void evacuate_machine(struct bd_core *core, const struct bd_machine *machine)
 {
     for (uint32_t i = machine->nreservations; i > 0; i--) {
-        if (i > machine->nreservations) /* a stop may release several */
+        if (i > machine->nreservations) /* stopping a task may release several reservations */
             continue;
         struct bd_reservation reservation = machine->reservations[i - 1];
         if (should_evacuate(machine, &reservation))
--- a/src/autoscaling/fleet_summary.c
+++ b/src/autoscaling/fleet_summary.c
@@ -1,4 +1,5 @@
-/* A log line for each type of machine, on demand and spot: how many are up, and what for. */
+/* Logs one line for each machine type, on demand and spot: how many machines are up and what they
+ * run. */
 #include "autoscaling/autoscaling_internal.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
@@ -7,10 +8,10 @@
 #include "wire/wire.h"
 #include "wire/wire_jobs.h"
 
-#define INTERVAL_S 20.0
+#define SUMMARY_INTERVAL_S 20.0
 
-/* What a machine is used for, the most valuable first. */
-enum machine_use { USE_BOOTING, USE_GPU, USE_SERVICES, USE_ARRAYS, USE_IDLE, USES };
+/* What a machine is used for. With several uses, it counts under the first of them. */
+enum machine_use { USE_BOOTING, USE_GPU, USE_SERVICES, USE_ARRAYS, USE_IDLE, USE_COUNT };
 
 static enum machine_use use_of_task(const struct bd_spec *spec)
 {
@@ -30,38 +31,38 @@
     return use;
 }
 
-static void log_type(struct bd_core *core, int type, bool spot)
+static void log_machine_type(struct bd_core *core, int type, bool spot)
 {
     const struct bd_type *machine_type = &core->types[type];
-    uint32_t n[USES] = {0}, up = 0;
+    uint32_t counts[USE_COUNT] = {0}, up = 0;
     double cpus = 0, gpus = 0;
     for (uint32_t i = 0; i < core->nmachines; i++) {
         const struct bd_machine *machine = core->by_index[i];
         if (machine->gone || machine->type != type || machine->spot != spot)
             continue;
-        n[use_of_machine(machine)]++;
+        counts[use_of_machine(machine)]++;
         up += machine->incarnation != 0;
         cpus += machine->cpus;
         gpus += machine->gpus;
     }
-    if (up + n[USE_BOOTING] == 0)
+    if (up + counts[USE_BOOTING] == 0)
         return;
     bd_log_write(
         core->log, BD_LOG_INFO,
         "fleet %s%s: %u up, %u coming, %u idle; %u with gpu work, %u with services, %u with "
         "arrays; in use %.0f of %.0f cpus, %.0f of %.0f gpus",
-        machine_type->label, spot ? " (spot)" : "", up, n[USE_BOOTING], n[USE_IDLE], n[USE_GPU],
-        n[USE_SERVICES], n[USE_ARRAYS], cpus, up * machine_type->cpus, gpus,
-        up * machine_type->gpus);
+        machine_type->label, spot ? " (spot)" : "", up, counts[USE_BOOTING], counts[USE_IDLE],
+        counts[USE_GPU], counts[USE_SERVICES], counts[USE_ARRAYS], cpus, up * machine_type->cpus,
+        gpus, up * machine_type->gpus);
 }
 
 void bd_log_fleet_summary(struct bd_core *core)
 {
     if (bd_time_is_before(core->now, core->lead.next_summary))
         return;
-    core->lead.next_summary = bd_time_add(core->now, bd_secs(INTERVAL_S));
+    core->lead.next_summary = bd_time_add(core->now, bd_secs(SUMMARY_INTERVAL_S));
     for (int type = 0; type < core->ntypes; type++) {
-        log_type(core, type, false);
-        log_type(core, type, true);
+        log_machine_type(core, type, false);
+        log_machine_type(core, type, true);
     }
 }
--- a/src/autoscaling/headroom.c
+++ b/src/autoscaling/headroom.c
@@ -1,5 +1,5 @@
-/* Headroom: capacity for the tasks that are expected before a new machine could serve them, from
- * the service-level objectives and the arrivals of each class of jobs. */
+/* Headroom: capacity for tasks that are expected to arrive before a new machine could serve them,
+ * from the service-level objectives and the arrivals of each job class. */
 #include "autoscaling/autoscaling_internal.h"
 #include "brambledoor/log.h"
 #include "brambledoor/settings.h"
@@ -12,19 +12,19 @@
 #include <string.h>
 
 #define CLASSES_MAX 32
-#define WINDOW_S 150.0       /* in which arrivals are counted */
-#define WINDOW_MIN_S 12.0    /* with less of it the rate is not known */
-#define FIRST_ARRIVALS_S 4.0 /* jobs that are there at the very start say nothing of the rate */
-#define QUANTILE_MAX 0.995   /* of the arrivals that headroom covers */
+#define ARRIVAL_WINDOW_S 150.0    /* in which arrivals are counted */
+#define ARRIVAL_WINDOW_MIN_S 12.0 /* a shorter window does not show the rate */
+#define START_EXCLUDED_S 4.0      /* arrivals this soon after the first job do not show the rate */
+#define QUANTILE_MAX 0.995        /* of the arrivals that headroom covers */
 
 struct class_arrivals {
     int job_class;
-    struct bd_spec spec; /* of its newest job that is described */
-    double newest_at;    /* when that one was submitted */
-    uint32_t arrived;    /* in the window */
-    uint32_t jobs;       /* of which the following are sums */
+    struct bd_spec spec; /* of the newest job whose spec is known */
+    double newest_at;    /* when that job was submitted: time of day, seconds */
+    uint32_t arrivals;   /* jobs that became ready in the window */
+    uint32_t jobs;       /* whose spec is known; the fields below are their sums */
     uint32_t tasks;
-    double estimate, image_gb;
+    double estimate_s, image_gb;
 };
 
 struct arrivals {
@@ -32,8 +32,8 @@
     int nclasses;
 };
 
-/* NULL: too many classes. */
-static struct class_arrivals *arrivals_of(struct arrivals *arrivals, int job_class)
+/* The entry of the class, added if it is new. NULL: too many classes. */
+static struct class_arrivals *find_or_add_class(struct arrivals *arrivals, int job_class)
 {
     for (int i = 0; i < arrivals->nclasses; i++)
         if (arrivals->classes[i].job_class == job_class)
@@ -46,77 +46,81 @@
     return added;
 }
 
-/* When the window in which arrivals are counted began. */
+/* Start of the window in which arrivals are counted: time of day, seconds. */
 static double window_start(const struct bd_core *core)
 {
     double first = INFINITY;
     for (const struct bd_job *job = core->jobs; job; job = job->hh.next)
         first = fmin(first, job->at);
-    return fmax(first + FIRST_ARRIVALS_S, core->wall - WINDOW_S);
+    return fmax(first + START_EXCLUDED_S, core->wall - ARRIVAL_WINDOW_S);
 }
 
-static void count_job(struct class_arrivals *group, const struct bd_job *job, double from)
+static void count_job(struct class_arrivals *class_stats, const struct bd_job *job,
+                      double window_start_s)
 {
     if (bd_job_has_open_parents(job))
         return;
-    group->arrived += job->ready >= from;
+    class_stats->arrivals += job->ready >= window_start_s;
     if (!job->has_spec)
         return;
-    group->jobs++;
-    group->tasks += job->ntasks;
-    group->estimate += job->spec.estimate;
-    group->image_gb += job->spec.image_gb;
-    if (job->at >= group->newest_at) {
-        group->newest_at = job->at;
-        group->spec = job->spec;
+    class_stats->jobs++;
+    class_stats->tasks += job->ntasks;
+    class_stats->estimate_s += job->spec.estimate;
+    class_stats->image_gb += job->spec.image_gb;
+    if (job->at >= class_stats->newest_at) {
+        class_stats->newest_at = job->at;
+        class_stats->spec = job->spec;
     }
 }
 
 static void log_too_many_classes(struct bd_core *core)
 {
     if (!core->lead.is_class_limit_logged)
-        bd_log_write(core->log, BD_LOG_ERROR, "more than %d classes: the rest gets no headroom",
-                     CLASSES_MAX);
+        bd_log_write(core->log, BD_LOG_ERROR,
+                     "more than %d job classes: no headroom for the others", CLASSES_MAX);
     core->lead.is_class_limit_logged = true;
 }
 
-static void count_arrivals(struct bd_core *core, struct arrivals *arrivals, double from)
+static void count_arrivals(struct bd_core *core, struct arrivals *arrivals, double window_start_s)
 {
     arrivals->nclasses = 0;
     for (const struct bd_job *job = core->jobs; job; job = job->hh.next) {
-        if (job->job_class < 0 || core->wall - job->ready > 2 * WINDOW_S)
+        if (job->job_class < 0 || core->wall - job->ready > 2 * ARRIVAL_WINDOW_S)
             continue;
-        struct class_arrivals *group = arrivals_of(arrivals, job->job_class);
-        if (group)
-            count_job(group, job, from);
+        struct class_arrivals *class_stats = find_or_add_class(arrivals, job->job_class);
+        if (class_stats)
+            count_job(class_stats, job, window_start_s);
         else
             log_too_many_classes(core);
     }
 }
 
-/* Tasks that capacity is kept free for: those that arrive before a new machine would be ready, to
- * the normal quantile that the objectives' shares ask for. The variance is taken as twice that of a
- * Poisson process. */
-static uint32_t headroom_tasks(const struct bd_demand *demand, const struct class_arrivals *group,
-                               double window_s)
+/* The number of tasks that capacity is kept free for: those that arrive before a new machine would
+ * be ready, at the normal quantile that the objectives' shares require. The variance is taken as
+ * twice that of a Poisson process. */
+static uint32_t headroom_tasks(const struct bd_demand *demand,
+                               const struct class_arrivals *class_stats, double window_s)
 {
     const struct bd_core *core = demand->core;
     struct bd_pool_choice pool = {0};
-    double most = 0, tasks_per_job = (double)group->tasks / group->jobs;
-    if (!bd_demand_choose_pool(demand, &group->spec, (uint32_t)ceil(tasks_per_job), BD_TIER_ANY,
-                               &pool))
+    double max_tasks = 0, tasks_per_job = (double)class_stats->tasks / class_stats->jobs;
+    if (!bd_demand_choose_pool(demand, &class_stats->spec, (uint32_t)ceil(tasks_per_job),
+                               BD_TIER_ANY, &pool))
         return 0;
     const struct bd_type *type = &core->types[pool.type];
-    double lead_s = type->boot + group->image_gb / group->jobs / type->fetch;
+    double provisioning_s = type->boot + class_stats->image_gb / class_stats->jobs / type->fetch;
     for (int i = 0; i < core->settings->nslos; i++) {
         const struct bd_slo *slo = &core->settings->slos[i];
-        double slack = bd_slo_slack(core, group->job_class, group->estimate / group->jobs, slo);
-        if (slack < 0 || slack >= lead_s)
+        double slack_s = bd_slo_slack(core, class_stats->job_class,
+                                      class_stats->estimate_s / class_stats->jobs, slo);
+        if (slack_s < 0 || slack_s >= provisioning_s)
             continue;
         double z = gsl_cdf_ugaussian_Pinv(fmin(QUANTILE_MAX, (1 + slo->share) / 2));
-        most = fmax(most, z * sqrt(2 * group->arrived / window_s * lead_s) * tasks_per_job);
+        max_tasks =
+            fmax(max_tasks,
+                 z * sqrt(2 * class_stats->arrivals / window_s * provisioning_s) * tasks_per_job);
     }
-    return (uint32_t)ceil(most * core->settings->headroom_share);
+    return (uint32_t)ceil(max_tasks * core->settings->headroom_share);
 }
 
 enum work { WORK_WITH_GPUS, WORK_WITHOUT_GPUS };
@@ -125,12 +129,13 @@
                         double window_s)
 {
     for (int i = 0; i < arrivals->nclasses; i++) {
-        const struct class_arrivals *group = &arrivals->classes[i];
-        bool has_gpus = group->spec.gpus > 0;
-        if (!group->jobs || has_gpus != (work == WORK_WITH_GPUS) || group->spec.team < 0)
+        const struct class_arrivals *class_stats = &arrivals->classes[i];
+        bool is_gpu_class = class_stats->spec.gpus > 0;
+        if (!class_stats->jobs || is_gpu_class != (work == WORK_WITH_GPUS) ||
+            class_stats->spec.team < 0)
             continue;
-        bd_demand_add_tasks(demand, &group->spec, headroom_tasks(demand, group, window_s),
-                            BD_TIER_ANY);
+        bd_demand_add_tasks(demand, &class_stats->spec,
+                            headroom_tasks(demand, class_stats, window_s), BD_TIER_ANY);
     }
 }
 
@@ -138,12 +143,12 @@
 {
     struct bd_core *core = demand->core;
     struct arrivals arrivals;
-    double from = window_start(core), window_s = core->wall - from;
+    double window_start_s = window_start(core), window_s = core->wall - window_start_s;
     for (uint32_t i = 0; i < core->nmachines; i++)
         core->by_index[i]->headroom = false;
-    if (window_s < WINDOW_MIN_S)
+    if (window_s < ARRIVAL_WINDOW_MIN_S)
         return;
-    count_arrivals(core, &arrivals, from);
+    count_arrivals(core, &arrivals, window_start_s);
     bd_demand_add_free_capacity(demand);
     add_classes(demand, &arrivals, WORK_WITH_GPUS, window_s);
     add_classes(demand, &arrivals, WORK_WITHOUT_GPUS, window_s);
--- a/src/autoscaling/inventory.c
+++ b/src/autoscaling/inventory.c
@@ -13,8 +13,10 @@
 #include "wire/wire_cloud.h"
 #include <stdio.h>
 
-#define LIST_LAG_FACTOR 2.0   /* times the list's usual lag */
-#define LIST_LAG_MARGIN_S 1.0 /* ... and so much more, until what is missing is gone */
+/* A machine is gone if it is missing from a list that was requested long enough after it existed:
+ * this multiple of the list's usual lag, plus the margin. */
+#define LIST_LAG_FACTOR 2.0
+#define LIST_LAG_MARGIN_S 1.0
 
 /* ---- machine types ---- */
 
@@ -33,7 +35,8 @@
 {
     int index = bd_type_find_or_add(core, text->label);
     if (index < 0) {
-        bd_log_write(core->log, BD_LOG_ERROR, "machine type %s is one too many", text->label);
+        bd_log_write(core->log, BD_LOG_ERROR, "machine type %s ignored: too many types",
+                     text->label);
         return;
     }
     struct bd_type *type = &core->types[index];
@@ -75,27 +78,28 @@
         snprintf(machine->addr, sizeof machine->addr, "%s", entry->addr);
     if (entry->state == BD_MACHINE_FAILED && !machine->failed) {
         machine->failed = true;
-        bd_log_write(core->log, BD_LOG_INFO, "%s failed", machine->id);
+        bd_log_write(core->log, BD_LOG_INFO, "machine %s failed", machine->id);
         bd_machine_release_reservations(core, machine, BD_RELEASE_MACHINE_FAILED);
     }
 }
 
-/* A machine that existed at some moment and is missing from a list of a later moment is gone. Lists
- * lag, so that the later moment must be late enough. */
+/* Marks the machine as gone if it existed before the list was requested, but is missing from it.
+ * Lists lag, so the request must have been late enough. */
 static void remove_if_missing(struct bd_core *core, struct bd_machine *machine,
-                              struct timespec asked)
+                              struct timespec requested_at)
 {
     double lag_s = LIST_LAG_FACTOR * bd_to_secs(core->settings->list_lag) + LIST_LAG_MARGIN_S;
-    struct timespec existed = bd_time_max(machine->heard, machine->known_at);
-    if (machine->gone || machine->in_inventory || bd_seconds_between(existed, asked) < lag_s)
+    struct timespec existed_at = bd_time_max(machine->heard, machine->known_at);
+    if (machine->gone || machine->in_inventory ||
+        bd_seconds_between(existed_at, requested_at) < lag_s)
         return;
-    bd_log_write(core->log, BD_LOG_INFO, "%s is gone from the inventory, %u tasks lost",
+    bd_log_write(core->log, BD_LOG_INFO, "machine %s gone from the inventory: %u tasks lost",
                  machine->id, machine->nreservations);
     bd_machine_mark_gone(core, machine);
 }
 
 void bd_inventory_machines_received(struct bd_core *core, const struct bd_cloud_machine *machines,
-                                    size_t n, struct timespec asked)
+                                    size_t n, struct timespec requested_at)
 {
     if (core->role != BD_LEADER)
         return;
@@ -104,6 +108,6 @@
     for (size_t i = 0; i < n; i++)
         update_machine(core, &machines[i]);
     for (uint32_t i = 0; i < core->nmachines; i++)
-        remove_if_missing(core, core->by_index[i], asked);
+        remove_if_missing(core, core->by_index[i], requested_at);
     core->lead.inventory_read = true;
 }
--- a/src/autoscaling/move_targets.h
+++ b/src/autoscaling/move_targets.h
@@ -1,5 +1,5 @@
-/* Where consolidation may move services to: the machines with free capacity, and what the moves of
- * one tick take of it. Private to consolidation.c. */
+/* The machines that consolidation may move services to, with the free capacity that the moves of
+ * one tick leave on them. Private to consolidation.c. */
 #ifndef BD_MOVE_TARGETS_H
 #define BD_MOVE_TARGETS_H
 #include "model/core_state.h"
@@ -10,10 +10,10 @@
 
 struct bd_move_target {
     struct bd_machine *machine;
-    struct bd_resources free; /* beside the moves */
+    struct bd_resources free; /* after the moves of this tick */
     double service_cpus;      /* as bd_blocking_service_cpus */
-    bool is_taken;            /* some move goes there */
-    int fetched_image;        /* that a move brings there; negative: none */
+    bool is_used;             /* by a move of this tick */
+    int fetched_image;        /* by a move of this tick; negative: none */
 };
 
 struct bd_move_targets {
@@ -27,19 +27,22 @@
 /* Adds the machine, if it has free cores. */
 void bd_move_targets_add(struct bd_move_targets *targets, struct bd_machine *machine,
                          double service_cpus);
-/* A place for a task of the machine `from` where no GPU work is harmed: on a cheap machine, on the
- * expensive one that holds most services, and more than above_cpus of them, or beside GPU work,
- * which will end and leave the service alone there. NULL: there is none. */
+/* Chooses a target for a task of the machine `source` so that no GPU work is harmed. In order of
+ * preference: a cheap machine; the expensive machine whose services use most cores, and more than
+ * min_service_cpus; a machine with GPU work, which will end and leave the service alone there.
+ * NULL: no target. */
 struct bd_move_target *bd_move_target_choose(const struct bd_move_targets *targets,
                                              const struct bd_spec *spec,
-                                             const struct bd_machine *from, double above_cpus);
-/* Counts a move of the task to the target; returns the seconds for the fetch of its image. */
+                                             const struct bd_machine *source,
+                                             double min_service_cpus);
+/* Takes the task's resources from the target's free capacity. Returns the seconds that its image
+ * fetch takes. */
 double bd_move_target_add(const struct bd_core *core, struct bd_move_target *target,
                           const struct bd_spec *spec);
-/* Takes the last move to the target back; fetched_image: what it was before the move. */
+/* Undoes the last move to the target. fetched_image: the target's value before that move. */
 void bd_move_target_undo(struct bd_move_target *target, const struct bd_spec *spec,
                          int fetched_image);
-/* Whether some move goes to the machine. */
-bool bd_move_target_is_taken(const struct bd_move_targets *targets,
-                             const struct bd_machine *machine);
+/* Whether a move of this tick goes to the machine. */
+bool bd_move_target_is_used(const struct bd_move_targets *targets,
+                            const struct bd_machine *machine);
 #endif
--- a/src/autoscaling/provisioning.c
+++ b/src/autoscaling/provisioning.c
@@ -1,5 +1,5 @@
-/* Requests to the cloud for machines: one at a time for each pool, with backoff where there is no
- * capacity. */
+/* Requests machines from the cloud: one request at a time for each pool, with backoff where the
+ * cloud has no capacity. */
 #include "autoscaling/autoscaling.h"
 #include "autoscaling/autoscaling_internal.h"
 #include "base/timeutil.h"
@@ -16,10 +16,11 @@
 #include <stdio.h>
 #include <string.h>
 
-#define BACKOFF_FIRST_S 10.0
+#define HTTP_OK 200
+#define BACKOFF_INITIAL_S 10.0
 #define BACKOFF_MAX_S 60.0
 #define REQUEST_MACHINES_MAX 50 /* in one request */
-#define DEMAND_REQUESTS_MAX 3   /* with so many open, none is made for demand */
+#define DEMAND_REQUESTS_MAX 3   /* demand makes no request while this many are open */
 
 /* ---- pools ---- */
 
@@ -30,7 +31,7 @@
 
 static void back_off(const struct bd_core *core, struct bd_pool *pool)
 {
-    pool->backoff = pool->backoff <= 0 ? BACKOFF_FIRST_S : fmin(pool->backoff * 2, BACKOFF_MAX_S);
+    pool->backoff = pool->backoff <= 0 ? BACKOFF_INITIAL_S : fmin(pool->backoff * 2, BACKOFF_MAX_S);
     pool->refuse_until = bd_time_add(core->now, bd_secs(pool->backoff));
 }
 
@@ -49,7 +50,7 @@
         .count = count < REQUEST_MACHINES_MAX ? count : REQUEST_MACHINES_MAX,
         .spot = spot,
         .sent = core->now};
-    /* never used again: the term is ours alone, and so is the number within it */
+    /* unique: no other leader has this term, and the number is not used again in it */
     snprintf(state->request, sizeof state->request, "r-%llu-%llu",
              (unsigned long long)core->lead.base_term,
              (unsigned long long)++core->lead.last_provision_request);
@@ -66,15 +67,15 @@
     return a->type == b->type && a->zone == b->zone && a->spot == b->spot;
 }
 
-/* How many machines of the bin's pool are wanted; they are not any more. */
-static int take_wanted(struct bd_demand *demand, const struct bd_capacity_bin *like)
+/* Counts the bins of the same pool that need a request, and clears their flags. */
+static int take_needed_machines(struct bd_demand *demand, const struct bd_capacity_bin *pool_bin)
 {
     int count = 0;
     for (int i = 0; i < demand->nbins; i++) {
         struct bd_capacity_bin *bin = &demand->bins[i];
-        if (!bin->is_wanted || !is_same_pool(bin, like))
+        if (!bin->needs_request || !is_same_pool(bin, pool_bin))
             continue;
-        bin->is_wanted = false;
+        bin->needs_request = false;
         count++;
     }
     return count;
@@ -87,22 +88,22 @@
         const struct bd_capacity_bin *bin = &demand->bins[i];
         if (core->cloud.nprovision_requests >= DEMAND_REQUESTS_MAX)
             return;
-        /* the answer to an open request will show what the pool has */
-        if (!bin->is_wanted || bd_pool_of(core, bin->type, bin->zone, bin->spot)->asked)
+        /* the response to an open request will show the pool's capacity */
+        if (!bin->needs_request || bd_pool_of(core, bin->type, bin->zone, bin->spot)->asked)
             continue;
-        int count = take_wanted(demand, bin);
+        int count = take_needed_machines(demand, bin);
         (void)bd_request_machines(core, bin->type, bin->zone, bin->spot, count);
     }
 }
 
-/* ---- answers ---- */
+/* ---- responses ---- */
 
-/* Takes the request off the list of the open ones. False: it is not there. */
-static bool take_request(struct bd_cloud_view *cloud, const char *request,
+/* Removes the request from the open requests. False: it is not open. */
+static bool take_request(struct bd_cloud_view *cloud, const char *request_id,
                          struct bd_provision_request_state *out)
 {
     for (int i = 0; i < cloud->nprovision_requests; i++) {
-        if (strcmp(cloud->provision_requests[i].request, request) != 0)
+        if (strcmp(cloud->provision_requests[i].request, request_id) != 0)
             continue;
         *out = cloud->provision_requests[i];
         cloud->provision_requests[i] = cloud->provision_requests[--cloud->nprovision_requests];
@@ -124,24 +125,25 @@
     machine->age_known_at = core->now;
 }
 
-bool bd_scale_out_completed(struct bd_core *core, const char *request, long status,
+bool bd_scale_out_completed(struct bd_core *core, const char *request_id, long status,
                             char (*names)[BD_LABEL_BYTES], int n)
 {
     struct bd_provision_request_state state;
-    if (core->role != BD_LEADER || !take_request(&core->cloud, request, &state))
+    if (core->role != BD_LEADER || !take_request(&core->cloud, request_id, &state))
         return false;
-    bool is_granted = status == 200;
+    bool is_granted = status == HTTP_OK;
     struct bd_pool *pool = bd_pool_of(core, state.type, state.zone, state.spot);
     pool->asked = false;
-    core->lead.next_autoscaling = core->now; /* what was not filled is sought elsewhere at once */
+    core->lead.next_autoscaling = core->now; /* requests machines that were not granted elsewhere */
     if (!is_granted || n < state.count)
         back_off(core, pool);
     else
         pool->backoff = 0;
     for (int i = 0; is_granted && i < n; i++)
         add_machine(core, names[i], &state);
-    bd_log_write(core->log, BD_LOG_INFO, "scale out by %d %s in %s%s: status %ld, %d machines",
-                 state.count, core->types[state.type].label, core->zones[state.zone],
+    bd_log_write(core->log, BD_LOG_INFO,
+                 "scale-out by %d %s in %s%s: HTTP status %ld, %d machines granted", state.count,
+                 core->types[state.type].label, core->zones[state.zone],
                  state.spot ? " (spot)" : "", status, n);
     return true;
 }
--- a/src/autoscaling/scale_in.c
+++ b/src/autoscaling/scale_in.c
@@ -1,4 +1,4 @@
-/* Scale in: which machines go back to the cloud. */
+/* Scale-in: returns machines that are not needed to the cloud. */
 #include "autoscaling/autoscaling.h"
 #include "autoscaling/autoscaling_internal.h"
 #include "base/timeutil.h"
@@ -15,11 +15,11 @@
 #include <stdio.h>
 
 #define REQUEST_MACHINES_MAX 100  /* in one request */
-#define SILENT_MARGIN_S 15.0      /* after its lease an unheard machine is given up */
-#define RETRY_S 6.0               /* until a request without an answer is repeated */
-#define RETRY_AFTER_FAILURE_S 3.0 /* ... and one that failed */
+#define SILENT_MARGIN_S 15.0      /* a machine that is silent for a lease and this is given up */
+#define RETRY_S 6.0               /* a request without a response is repeated after this time */
+#define RETRY_AFTER_FAILURE_S 3.0 /* a failed request is repeated after this time */
 
-/* Whether it was up, and has not been heard since its lease ended. */
+/* Whether the machine was up and has been silent for longer than a lease and SILENT_MARGIN_S. */
 static bool is_dead(const struct bd_core *core, const struct bd_machine *machine)
 {
     return machine->incarnation && !machine->fenced &&
@@ -27,14 +27,14 @@
                bd_to_secs(core->settings->lease) + SILENT_MARGIN_S;
 }
 
-/* A machine is kept idle for about as long as getting it again would take. */
+/* An idle machine is kept for about as long as booting a new one would take. */
 static bool has_idled_out(const struct bd_core *core, const struct bd_machine *machine)
 {
     return !machine->headroom && bd_seconds_between(machine->idle_since, core->now) >
                                      core->settings->idle_boots * core->types[machine->type].boot;
 }
 
-static bool wants_scale_in(const struct bd_core *core, const struct bd_machine *machine)
+static bool should_scale_in(const struct bd_core *core, const struct bd_machine *machine)
 {
     if (machine->gone || bd_time_is_before(core->now, machine->scale_in_allowed_at))
         return false;
@@ -58,13 +58,13 @@
     int n = 0;
     for (uint32_t i = 0; i < core->nmachines && n < REQUEST_MACHINES_MAX; i++) {
         struct bd_machine *machine = core->by_index[i];
-        if (!wants_scale_in(core, machine))
+        if (!should_scale_in(core, machine))
             continue;
         machine->scaling_in = true;
         machine->scale_in_allowed_at = bd_time_add(core->now, bd_secs(RETRY_S));
         snprintf(names[n++], BD_LABEL_BYTES, "%s", machine->id);
-        bd_log_write(core->log, BD_LOG_INFO, "%s is scaled in%s", machine->id,
-                     machine->quarantined ? " (faulty)" : "");
+        bd_log_write(core->log, BD_LOG_INFO, "scaling in machine %s%s", machine->id,
+                     machine->quarantined ? " (quarantined)" : "");
     }
     if (n == 0)
         return;
@@ -72,8 +72,8 @@
     effect->body = bd_wire_write_return_request(names, n);
 }
 
-/* A machine that went back leaves capacity in its pool. */
-static void open_pool(struct bd_core *core, const struct bd_machine *machine)
+/* A returned machine leaves capacity in its pool, so that requests need not wait any longer. */
+static void reopen_pool(struct bd_core *core, const struct bd_machine *machine)
 {
     if (machine->type >= 0 && machine->zone >= 0)
         bd_pool_of(core, machine->type, machine->zone, machine->spot)->refuse_until = core->now;
@@ -89,9 +89,10 @@
         if (!machine)
             continue;
         if (ok) {
-            open_pool(core, machine);
+            reopen_pool(core, machine);
             bd_machine_mark_gone(core, machine);
-        } else { /* it may be gone all the same: it gets no work, and is asked for again */
+        } else { /* the cloud may have taken it: it stays closed to work, and the request is
+                    repeated */
             machine->scale_in_allowed_at = bd_time_add(core->now, bd_secs(RETRY_AFTER_FAILURE_S));
         }
     }
