--- a/src/autoscaling/autoscaling.h
+++ b/src/autoscaling/autoscaling.h
@@ -15,12 +15,12 @@
 
 /* ---- inventory (inventory.c) ---- */
 
-/* Handles the cloud's list of n machine types. */
+/* Handles the cloud's list of machine types. */
 void bd_inventory_types_received(struct bd_core *core, const struct bd_machine_type_text *types,
-                                 int n);
-/* Handles the cloud's list of n machines, which was requested at requested_at. */
+                                 int count);
+/* Handles the cloud's list of machines, which was requested at requested_at. */
 void bd_inventory_machines_received(struct bd_core *core, const struct bd_cloud_machine *machines,
-                                    size_t n, struct timespec requested_at);
+                                    size_t count, struct timespec requested_at);
 
 /* ---- provisioning (provisioning.c) ---- */
 
@@ -29,14 +29,14 @@
 /* Requests machines from the cloud. Returns the request's id, which core->cloud owns; NULL if too
  * many requests are open. */
 const char *bd_request_machines(struct bd_core *core, int type, int zone, bool spot, int count);
-/* Handles the cloud's response to a request: the HTTP status and the n machines granted. False if
+/* Handles the cloud's response to a request: the HTTP status and the ngranted machines. False if
  * it is not one of this term's requests. */
 bool bd_scale_out_completed(struct bd_core *core, const char *request_id, long status,
-                            char (*names)[BD_LABEL_BYTES], int n);
+                            char (*names)[BD_LABEL_BYTES], int ngranted);
 
 /* ---- scale-in (scale_in.c) ---- */
 
-/* Handles the result of returning n machines to the cloud. ok false: it is not known whether the
+/* Handles the result of returning machines to the cloud. ok false: it is not known whether the
  * cloud took them. */
-void bd_scale_in_completed(struct bd_core *core, char (*names)[BD_LABEL_BYTES], int n, bool ok);
+void bd_scale_in_completed(struct bd_core *core, char (*names)[BD_LABEL_BYTES], int count, bool ok);
 #endif
--- a/src/autoscaling/autoscaling_internal.h
+++ b/src/autoscaling/autoscaling_internal.h
@@ -39,12 +39,13 @@
 void bd_demand_add_free_capacity(struct bd_demand *demand);
 /* Adds the pending tasks of all jobs, up to their teams' quotas. */
 void bd_demand_add_pending(struct bd_demand *demand);
-/* Adds n tasks. Machines that are up and have free capacity for some of them become headroom. */
-void bd_demand_add_tasks(struct bd_demand *demand, const struct bd_spec *spec, uint32_t n,
+/* Adds count tasks. Machines that are up and have free capacity for some of them become headroom.
+ */
+void bd_demand_add_tasks(struct bd_demand *demand, const struct bd_spec *spec, uint32_t count,
                          enum bd_cost_tier cost_tier);
-/* Chooses the cheapest pool of the tier for n such tasks. False: no pool is open. */
-bool bd_demand_choose_pool(const struct bd_demand *demand, const struct bd_spec *spec, uint32_t n,
-                           enum bd_cost_tier cost_tier, struct bd_pool_choice *out);
+/* Chooses the cheapest pool of the tier for count such tasks. False: no pool is open. */
+bool bd_demand_choose_pool(const struct bd_demand *demand, const struct bd_spec *spec,
+                           uint32_t count, enum bd_cost_tier cost_tier, struct bd_pool_choice *out);
 
 /* ---- headroom (headroom.c) ---- */
 
--- a/src/autoscaling/demand.c
+++ b/src/autoscaling/demand.c
@@ -17,8 +17,8 @@
 #define BINS_CAPACITY_INITIAL 256
 #define ON_DEMAND_PRICE_FACTOR 2.0 /* for tasks that may use spot: on-demand is for the others */
 #define ZONE_PRICE_FACTOR 1e-6     /* for each machine in the zone: prefers emptier zones */
-#define PRICE_ROUNDING 1e-12
-#define RESOURCE_ROUNDING 1e-9 /* cores, GPUs or GB */
+#define PRICE_TOLERANCE 1e-12
+#define RESOURCE_TOLERANCE 1e-9 /* cores, GPUs or GB */
 
 /* ---- bins ---- */
 
@@ -44,16 +44,16 @@
 
 static bool bin_fits(const struct bd_capacity_bin *bin, const struct bd_spec *spec)
 {
-    return spec->cpus <= bin->free.cpus + RESOURCE_ROUNDING &&
-           spec->gpus <= bin->free.gpus + RESOURCE_ROUNDING &&
-           spec->mem <= bin->free.mem + RESOURCE_ROUNDING;
+    return spec->cpus <= bin->free.cpus + RESOURCE_TOLERANCE &&
+           spec->gpus <= bin->free.gpus + RESOURCE_TOLERANCE &&
+           spec->mem <= bin->free.mem + RESOURCE_TOLERANCE;
 }
 
-/* Packs up to n tasks into the bin. Returns how many fit. */
-static uint32_t fill_bin(struct bd_capacity_bin *bin, const struct bd_spec *spec, uint32_t n)
+/* Packs up to count tasks into the bin. Returns how many fit. */
+static uint32_t fill_bin(struct bd_capacity_bin *bin, const struct bd_spec *spec, uint32_t count)
 {
     uint32_t packed = 0;
-    while (packed < n && bin_fits(bin, spec)) {
+    while (packed < count && bin_fits(bin, spec)) {
         bd_resources_add(&bin->free, spec, -1);
         packed++;
     }
@@ -150,27 +150,27 @@
     return price;
 }
 
-/* How many of n tasks fit on one empty machine of the type. */
+/* How many of count tasks fit on one empty machine of the type. */
 static int tasks_per_machine(const struct bd_core *core, const struct bd_spec *spec, int type,
-                             uint32_t n)
+                             uint32_t count)
 {
     if (!core->types[type].known)
         return 0;
     int fitting = bd_tasks_per_machine(&core->types[type], spec);
     if (fitting < 1)
         return 0;
-    return (uint32_t)fitting < n ? fitting : (int)n;
+    return (uint32_t)fitting < count ? fitting : (int)count;
 }
 
-bool bd_demand_choose_pool(const struct bd_demand *demand, const struct bd_spec *spec, uint32_t n,
-                           enum bd_cost_tier cost_tier, struct bd_pool_choice *out)
+bool bd_demand_choose_pool(const struct bd_demand *demand, const struct bd_spec *spec,
+                           uint32_t count, enum bd_cost_tier cost_tier, struct bd_pool_choice *out)
 {
     const struct bd_core *core = demand->core;
     double lowest_price = INFINITY;
     bool is_in_tier[BD_TYPES_MAX][2];
     bd_find_types_in_cost_tier(core, spec, cost_tier, is_in_tier);
     for (int type = 0; type < core->ntypes; type++) {
-        int per_machine = tasks_per_machine(core, spec, type, n);
+        int per_machine = tasks_per_machine(core, spec, type, count);
         if (per_machine == 0)
             continue;
         for (int zone = 0; zone < core->nzones; zone++) {
@@ -178,7 +178,7 @@
                 if (!is_in_tier[type][spot] || !pool_is_open(core, spec, type, zone, spot))
                     continue;
                 double price = pool_price(demand, spec, type, zone, spot, per_machine);
-                if (price < lowest_price - PRICE_ROUNDING) {
+                if (price < lowest_price - PRICE_TOLERANCE) {
                     lowest_price = price;
                     *out = (struct bd_pool_choice){type, zone, spot};
                 }
@@ -190,57 +190,57 @@
 
 /* ---- tasks ---- */
 
-static uint32_t pack_into_bins(struct bd_demand *demand, const struct bd_spec *spec, uint32_t n,
+static uint32_t pack_into_bins(struct bd_demand *demand, const struct bd_spec *spec, uint32_t count,
                                enum bd_cost_tier cost_tier)
 {
     bool is_in_tier[BD_TYPES_MAX][2];
     bd_find_types_in_cost_tier(demand->core, spec, cost_tier, is_in_tier);
-    for (int i = 0; i < demand->nbins && n > 0; i++) {
+    for (int i = 0; i < demand->nbins && count > 0; i++) {
         struct bd_capacity_bin *bin = &demand->bins[i];
         if (!is_in_tier[bin->type][bin->spot] || !bin_fits(bin, spec) ||
             !bd_placement_allowed(spec, bin->type, bin->zone, bin->spot))
             continue;
-        n -= fill_bin(bin, spec, n);
+        count -= fill_bin(bin, spec, count);
         if (bin->machine)
             bin->machine->headroom = true;
     }
-    return n;
+    return count;
 }
 
-/* Packs n tasks into the bins, and then into machines to be requested. Returns how many fit nowhere
- * within the tier. */
-static uint32_t pack_within_tier(struct bd_demand *demand, const struct bd_spec *spec, uint32_t n,
-                                 enum bd_cost_tier cost_tier)
+/* Packs count tasks into the bins, and then into machines to be requested. Returns how many fit
+ * nowhere within the tier. */
+static uint32_t pack_within_tier(struct bd_demand *demand, const struct bd_spec *spec,
+                                 uint32_t count, enum bd_cost_tier cost_tier)
 {
     struct bd_pool_choice pool = {0};
-    n = pack_into_bins(demand, spec, n, cost_tier);
-    while (n > 0 && bd_demand_choose_pool(demand, spec, n, cost_tier, &pool)) {
+    count = pack_into_bins(demand, spec, count, cost_tier);
+    while (count > 0 && bd_demand_choose_pool(demand, spec, count, cost_tier, &pool)) {
         struct bd_capacity_bin *bin = add_bin(demand, pool.type, pool.zone, pool.spot);
         bin->needs_request = true;
-        n -= fill_bin(bin, spec, n);
+        count -= fill_bin(bin, spec, count);
     }
-    return n;
+    return count;
 }
 
 /* Tasks that may run on expensive machines are still packed into cheap ones first, also into those
  * to be requested: expensive machines that are booting are for work that needs them. */
-void bd_demand_add_tasks(struct bd_demand *demand, const struct bd_spec *spec, uint32_t n,
+void bd_demand_add_tasks(struct bd_demand *demand, const struct bd_spec *spec, uint32_t count,
                          enum bd_cost_tier cost_tier)
 {
     if (cost_tier == BD_TIER_ANY)
-        n = pack_within_tier(demand, spec, n, BD_TIER_CHEAP);
-    (void)pack_within_tier(demand, spec, n, cost_tier);
+        count = pack_within_tier(demand, spec, count, BD_TIER_CHEAP);
+    (void)pack_within_tier(demand, spec, count, cost_tier);
 }
 
-/* Returns how many of n tasks the team's quota allows, and counts these as in use. */
-static uint32_t take_quota(struct bd_demand *demand, const struct bd_spec *spec, uint32_t n)
+/* Returns how many of count tasks the team's quota allows, and counts these as in use. */
+static uint32_t take_quota(struct bd_demand *demand, const struct bd_spec *spec, uint32_t count)
 {
     int team = spec->team;
-    n = bd_team_free_quota(&demand->core->settings->teams[team], demand->team_cpus[team],
-                           demand->team_gpus[team], spec, n);
-    demand->team_cpus[team] += n * spec->cpus;
-    demand->team_gpus[team] += n * spec->gpus;
-    return n;
+    count = bd_team_free_quota(&demand->core->settings->teams[team], demand->team_cpus[team],
+                               demand->team_gpus[team], spec, count);
+    demand->team_cpus[team] += count * spec->cpus;
+    demand->team_gpus[team] += count * spec->gpus;
+    return count;
 }
 
 void bd_demand_add_pending(struct bd_demand *demand)
@@ -252,8 +252,8 @@
         const struct bd_job *job = jobs[i];
         if (job->npending == 0 || !bd_time_is_before(job->hold_until, core->now))
             continue;
-        uint32_t n = take_quota(demand, &job->spec, job->npending);
-        bd_demand_add_tasks(demand, &job->spec, n, bd_cost_tier_of(core, job));
+        uint32_t count = take_quota(demand, &job->spec, job->npending);
+        bd_demand_add_tasks(demand, &job->spec, count, bd_cost_tier_of(core, job));
     }
     free(jobs);
 }
--- a/src/autoscaling/inventory.c
+++ b/src/autoscaling/inventory.c
@@ -53,11 +53,11 @@
 }
 
 void bd_inventory_types_received(struct bd_core *core, const struct bd_machine_type_text *types,
-                                 int n)
+                                 int count)
 {
-    for (int i = 0; i < n; i++)
+    for (int i = 0; i < count; i++)
         update_type(core, &types[i]);
-    if (n > 0)
+    if (count > 0)
         core->types_known = true;
 }
 
@@ -99,13 +99,13 @@
 }
 
 void bd_inventory_machines_received(struct bd_core *core, const struct bd_cloud_machine *machines,
-                                    size_t n, struct timespec requested_at)
+                                    size_t count, struct timespec requested_at)
 {
     if (core->role != BD_LEADER)
         return;
     for (uint32_t i = 0; i < core->nmachines; i++)
         core->by_index[i]->in_inventory = false;
-    for (size_t i = 0; i < n; i++)
+    for (size_t i = 0; i < count; i++)
         update_machine(core, &machines[i]);
     for (uint32_t i = 0; i < core->nmachines; i++)
         remove_if_missing(core, core->by_index[i], requested_at);
--- a/src/autoscaling/provisioning.c
+++ b/src/autoscaling/provisioning.c
@@ -126,7 +126,7 @@
 }
 
 bool bd_scale_out_completed(struct bd_core *core, const char *request_id, long status,
-                            char (*names)[BD_LABEL_BYTES], int n)
+                            char (*names)[BD_LABEL_BYTES], int ngranted)
 {
     struct bd_provision_request_state state;
     if (core->role != BD_LEADER || !take_request(&core->cloud, request_id, &state))
@@ -135,15 +135,15 @@
     struct bd_pool *pool = bd_pool_of(core, state.type, state.zone, state.spot);
     pool->asked = false;
     core->lead.next_autoscaling = core->now; /* requests machines that were not granted elsewhere */
-    if (!is_granted || n < state.count)
+    if (!is_granted || ngranted < state.count)
         back_off(core, pool);
     else
         pool->backoff = 0;
-    for (int i = 0; is_granted && i < n; i++)
+    for (int i = 0; is_granted && i < ngranted; i++)
         add_machine(core, names[i], &state);
     bd_log_write(core->log, BD_LOG_INFO,
                  "scale-out by %d %s in %s%s: HTTP status %ld, %d machines granted", state.count,
                  core->types[state.type].label, core->zones[state.zone],
-                 state.spot ? " (spot)" : "", status, n);
+                 state.spot ? " (spot)" : "", status, ngranted);
     return true;
 }
--- a/src/autoscaling/scale_in.c
+++ b/src/autoscaling/scale_in.c
@@ -15,12 +15,12 @@
 #include <stdio.h>
 
 #define REQUEST_MACHINES_MAX 100  /* in one request */
-#define SILENT_MARGIN_S 15.0      /* a machine that is silent for a lease and this is given up */
+#define SILENT_MARGIN_S 15.0      /* a machine is given up when silent for a lease and this */
 #define RETRY_S 6.0               /* a request without a response is repeated after this time */
 #define RETRY_AFTER_FAILURE_S 3.0 /* a failed request is repeated after this time */
 
 /* Whether the machine was up and has been silent for longer than a lease and SILENT_MARGIN_S. */
-static bool is_dead(const struct bd_core *core, const struct bd_machine *machine)
+static bool is_silent(const struct bd_core *core, const struct bd_machine *machine)
 {
     return machine->incarnation && !machine->fenced &&
            bd_seconds_between(machine->heard, core->now) >
@@ -28,7 +28,7 @@
 }
 
 /* An idle machine is kept for about as long as booting a new one would take. */
-static bool has_idled_out(const struct bd_core *core, const struct bd_machine *machine)
+static bool has_idle_timed_out(const struct bd_core *core, const struct bd_machine *machine)
 {
     return !machine->headroom && bd_seconds_between(machine->idle_since, core->now) >
                                      core->settings->idle_boots * core->types[machine->type].boot;
@@ -42,48 +42,48 @@
         return true;
     if (machine->nreservations > 0)
         return false;
-    if (bd_boot_has_timed_out(core, machine) || is_dead(core, machine))
+    if (bd_boot_has_timed_out(core, machine) || is_silent(core, machine))
         return true;
     if (!machine->fenced)
         return false;
     enum bd_scale_in_policy policy = bd_scale_in_policy_of(machine);
     if (policy != BD_SCALE_IN_WHEN_IDLE)
         return policy == BD_SCALE_IN_NOW;
-    return machine->quarantined || machine->notice_left >= 0 || has_idled_out(core, machine);
+    return machine->quarantined || machine->notice_left >= 0 || has_idle_timed_out(core, machine);
 }
 
 void bd_scale_in(struct bd_core *core)
 {
     char names[REQUEST_MACHINES_MAX][BD_LABEL_BYTES];
-    int n = 0;
-    for (uint32_t i = 0; i < core->nmachines && n < REQUEST_MACHINES_MAX; i++) {
+    int count = 0;
+    for (uint32_t i = 0; i < core->nmachines && count < REQUEST_MACHINES_MAX; i++) {
         struct bd_machine *machine = core->by_index[i];
         if (!should_scale_in(core, machine))
             continue;
         machine->scaling_in = true;
         machine->scale_in_allowed_at = bd_time_add(core->now, bd_secs(RETRY_S));
-        snprintf(names[n++], BD_LABEL_BYTES, "%s", machine->id);
+        snprintf(names[count++], BD_LABEL_BYTES, "%s", machine->id);
         bd_log_write(core->log, BD_LOG_INFO, "scaling in machine %s%s", machine->id,
                      machine->quarantined ? " (quarantined)" : "");
     }
-    if (n == 0)
+    if (count == 0)
         return;
     struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_SCALE_IN);
-    effect->body = bd_wire_write_return_request(names, n);
+    effect->body = bd_wire_write_return_request(names, count);
 }
 
-/* A returned machine leaves capacity in its pool, so that requests need not wait any longer. */
+/* A returned machine frees capacity in its pool, so requests to the pool may be sent at once. */
 static void reopen_pool(struct bd_core *core, const struct bd_machine *machine)
 {
     if (machine->type >= 0 && machine->zone >= 0)
         bd_pool_of(core, machine->type, machine->zone, machine->spot)->refuse_until = core->now;
 }
 
-void bd_scale_in_completed(struct bd_core *core, char (*names)[BD_LABEL_BYTES], int n, bool ok)
+void bd_scale_in_completed(struct bd_core *core, char (*names)[BD_LABEL_BYTES], int count, bool ok)
 {
     if (core->role != BD_LEADER)
         return;
-    for (int i = 0; i < n; i++) {
+    for (int i = 0; i < count; i++) {
         struct bd_machine *machine = NULL;
         HASH_FIND_STR(core->machines, names[i], machine);
         if (!machine)
@@ -91,8 +91,7 @@
         if (ok) {
             reopen_pool(core, machine);
             bd_machine_mark_gone(core, machine);
-        } else { /* the cloud may have taken it: it stays closed to work, and the request is
-                    repeated */
+        } else { /* the cloud may have taken it: no new work, and the request is repeated */
             machine->scale_in_allowed_at = bd_time_add(core->now, bd_secs(RETRY_AFTER_FAILURE_S));
         }
     }
--- a/src/runtime/controller.c
+++ b/src/runtime/controller.c
@@ -1,5 +1,5 @@
-/* Makes a controller and starts its adapters, whose threads live as long as the process. A start
- * that fails frees nothing: the process ends. */
+/* Constructs a controller and starts its adapters, whose threads live as long as the process. A
+ * failed start frees nothing, because the process exits. */
 #include "brambledoor/controller.h"
 #include "adapters/admin_server.h"
 #include "adapters/api_server.h"
@@ -30,13 +30,13 @@
 #define USER_TXN_QUEUE_CAPACITY 64
 #define CLOUD_QUEUE_CAPACITY 64
 #define READER_QUEUE_CAPACITY 4
-#define LEADER_TTL_SHARE 0.2       /* of the workers' lease, so that a failover fits into one */
-#define LEADER_TTL_MIN_S 2.0       /* survives several slow answers of the key-value store */
-#define LEADER_TTL_MAX_S 2.5       /* bounds the time of a failover */
-#define HEARTBEAT_CACHE_SHARE 0.08 /* of the memory */
+#define LEADER_TTL_SHARE 0.2       /* of the worker lease, so that a failover fits into one */
+#define LEADER_TTL_MIN_S 2.0       /* tolerates several slow responses of the key-value store */
+#define LEADER_TTL_MAX_S 2.5       /* bounds the duration of a failover */
+#define HEARTBEAT_CACHE_SHARE 0.08 /* of the process's memory limit */
 #define BYTES_PER_MB 1048576.0
 
-/* Unless the operators' file sets it. */
+/* Derives the leader lease's TTL from the worker lease, unless the operators' file has set it. */
 static void derive_leader_ttl(struct bd_settings *settings)
 {
     if (!bd_time_is_zero(settings->leader_ttl))
@@ -71,7 +71,8 @@
     return 0;
 }
 
-/* For the ids that peers send back to us, which must differ from our last process's. */
+/* Seeds the ids that peers echo to this controller: they must differ from those of its previous
+ * process. */
 static uint64_t random_seed(void)
 {
     uint64_t seed = 0;
--- a/src/runtime/effect_dispatch.c
+++ b/src/runtime/effect_dispatch.c
@@ -23,11 +23,11 @@
 #define HTTP_SERVICE_UNAVAILABLE 503
 #define BUSY_RETRY_S 1
 
-/* Waits while the adapter's queue is full: the effect must not be lost. */
+/* Waits while the adapter's queue is full, because the effect must not be lost. */
 static void queue_effect(struct bd_node *node, struct bd_queue *queue, struct bd_effect *effect)
 {
     while (!bd_queue_put(queue, effect)) {
-        bd_log_write(&node->log, BD_LOG_ERROR, "an adapter's queue is full");
+        bd_log_write(&node->log, BD_LOG_ERROR, "adapter queue full: waiting");
         bd_sleep(QUEUE_FULL_PAUSE_S);
     }
 }
@@ -45,10 +45,11 @@
     frame.len = effect->body ? (uint32_t)strlen(effect->body) : 0;
     frame.count = 0;
     if (!bd_transport_send(node, effect->peer, &frame))
-        bd_log_write(&node->log, BD_LOG_DEBUG, "a frame to a peer was dropped");
+        bd_log_write(&node->log, BD_LOG_DEBUG, "frame to a peer dropped");
 }
 
-/* To all peers that understand the frame; the others read it in the job's record. */
+/* Sends the cancellation to all peers that support the frame. The others learn of it from the job's
+ * record. */
 static void announce_cancellation(struct bd_node *node, const char *job_id)
 {
     struct bd_frame frame;
@@ -61,7 +62,7 @@
             (void)bd_transport_send(node, i, &frame);
 }
 
-/* Takes the effect over, as the functions below do. */
+/* Takes ownership of the effect, as do the functions below. */
 static void reply(struct bd_node *node, struct bd_effect *effect)
 {
     bd_api_reply(node, effect->request, effect->status, effect->body, effect->retry_after);
@@ -83,7 +84,7 @@
     bd_effect_free(effect);
 }
 
-/* A lookup that cannot be queued counts as one without an answer. */
+/* A lookup that cannot be queued is completed as one without a response. */
 static void look_up_job(struct bd_node *node, struct bd_effect *effect)
 {
     if (bd_queue_put(&node->user_txns, effect))
@@ -101,8 +102,8 @@
     bd_effect_free(effect);
 }
 
-/* Performs one effect, and takes it over. */
-static void perform(struct bd_node *node, struct bd_effect *effect)
+/* Performs one effect and takes ownership of it. */
+static void perform_effect(struct bd_node *node, struct bd_effect *effect)
 {
     switch (effect->kind) {
     case BD_EFFECT_REPLY:
@@ -152,7 +153,7 @@
            effect->kind == BD_EFFECT_ANNOUNCE_CANCELLATION;
 }
 
-/* Publishes what the adapters' threads need to know of the core. */
+/* Publishes the core's state that the adapters' threads read. */
 static void publish_state(struct bd_node *node)
 {
     const struct bd_core *core = node->core;
@@ -165,16 +166,16 @@
 
 void bd_effects_perform(struct bd_node *node)
 {
-    bool flush = false;
+    bool must_flush = false;
     struct bd_effect *effect = bd_effects_take(node->core);
     while (effect) {
         struct bd_effect *next = effect->next;
-        flush = flush || is_for_peers(effect);
-        perform(node, effect);
-        /* an effect that is refused may make the core emit others */
+        must_flush = must_flush || is_for_peers(effect);
+        perform_effect(node, effect);
+        /* a refused effect may make the core emit further ones */
         effect = next ? next : bd_effects_take(node->core);
     }
-    if (flush)
+    if (must_flush)
         bd_transport_flush(node);
     publish_state(node);
 }
--- a/src/runtime/event_apply.c
+++ b/src/runtime/event_apply.c
@@ -68,7 +68,7 @@
                           txn->status, txn->store_revision);
 }
 
-/* A malformed record counts as no answer. */
+/* Applies a job lookup. A malformed record counts as no response. */
 static void apply_job_lookup(struct bd_node *node, const struct bd_event *event)
 {
     struct bd_change change;
@@ -262,7 +262,7 @@
 
 typedef void event_handler(struct bd_node *node, const struct bd_event *event);
 
-/* BD_EVENT_LEADERSHIP_ACQUIRED has none: the event loop defers it. */
+/* BD_EVENT_LEADERSHIP_ACQUIRED has no handler, because the event loop defers it. */
 static event_handler *const handlers[] = {
     [BD_EVENT_USER_SUBMIT] = apply_user_submit,
     [BD_EVENT_USER_STATUS] = apply_user_status,
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -1,5 +1,5 @@
-/* The owner thread, which alone owns the core: it takes events in batches, applies them, runs the
- * core's step and hands the effects to the adapters. */
+/* The loop of the owner thread, the only thread that accesses the core. It takes events in batches,
+ * applies them, runs the core's step and passes the effects to the adapters. */
 #include "adapters/event.h"
 #include "adapters/node.h"
 #include "base/metrics.h"
@@ -19,7 +19,7 @@
 #include <stdint.h>
 #include <time.h>
 
-#define BATCH_EVENTS 128
+#define BATCH_EVENTS_MAX 128
 #define METRICS_INTERVAL_S 20.0
 
 void bd_controller_set_clock(struct bd_node *node)
@@ -29,7 +29,8 @@
     bd_core_set_clock(node->core, bd_now(), bd_to_secs(wall));
 }
 
-/* A lease that was acquired takes effect once the replica is at least as new as its term. */
+/* Completes the acquisition of the leader lease once the replica has reached the term, which is the
+ * store revision of the leader's key. */
 static void complete_acquisition(struct bd_node *node)
 {
     struct bd_event *event = node->pending_acquisition;
@@ -52,7 +53,7 @@
     node->pending_acquisition = NULL;
 }
 
-/* Takes the event over. */
+/* Takes ownership of the event. */
 static void handle_event(struct bd_node *node, struct bd_event *event)
 {
     if (event->kind == BD_EVENT_LEADERSHIP_ACQUIRED) {
@@ -68,28 +69,28 @@
     bd_event_free(event);
 }
 
-/* Runs the core's step, and records its time if it began a scheduling cycle. */
+/* Runs the core's step, and records its duration if it started a scheduling cycle. */
 static void run_step(struct bd_node *node)
 {
-    struct timespec began = bd_now();
-    bool in_cycle = node->core->lead.commit != NULL;
+    struct timespec started_at = bd_now();
+    bool was_in_cycle = node->core->lead.commit != NULL;
     bd_core_tick(node->core);
-    if (!in_cycle && node->core->lead.commit)
+    if (!was_in_cycle && node->core->lead.commit)
         bd_metrics_record_duration(node->metrics, BD_TIMING_CYCLE,
-                                   bd_seconds_between(began, bd_now()));
+                                   bd_seconds_between(started_at, bd_now()));
 }
 
-/* Logs traffic and times if that is due. */
+/* Logs traffic and durations at intervals. */
 static void log_metrics(struct bd_node *node)
 {
     struct timespec now = node->core->now;
-    uint32_t all, repeated;
+    uint32_t total, unchanged;
     if (bd_time_is_before(now, node->next_metrics))
         return;
-    bd_heartbeat_cache_counts(node->heartbeats, &all, &repeated);
-    if (all > 0)
-        bd_log_write(&node->log, BD_LOG_INFO, "heartbeats: %u, %u of them unchanged", all,
-                     repeated);
+    bd_heartbeat_cache_counts(node->heartbeats, &total, &unchanged);
+    if (total > 0)
+        bd_log_write(&node->log, BD_LOG_INFO, "heartbeats: %u, %u of them unchanged", total,
+                     unchanged);
     if (!bd_time_is_zero(node->metrics_since))
         bd_metrics_write_report(node->metrics, &node->log,
                                 bd_seconds_between(node->metrics_since, now));
@@ -99,10 +100,10 @@
 
 void bd_controller_run(struct bd_node *node)
 {
-    void *batch[BATCH_EVENTS];
+    void *batch[BATCH_EVENTS_MAX];
     for (;;) {
-        struct timespec until = bd_time_min(bd_core_next(node->core), node->next_status);
-        size_t count = bd_queue_take(&node->events, batch, BATCH_EVENTS, until);
+        struct timespec wake_at = bd_time_min(bd_core_next(node->core), node->next_status);
+        size_t count = bd_queue_take(&node->events, batch, BATCH_EVENTS_MAX, wake_at);
         bd_controller_set_clock(node);
         for (size_t i = 0; i < count; i++)
             handle_event(node, batch[i]);
--- a/src/runtime/operators_file.c
+++ b/src/runtime/operators_file.c
@@ -12,9 +12,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FILE_BYTES_MAX 65536 /* what follows is not read */
+#define FILE_BYTES_MAX 65536 /* the rest of a longer file is ignored */
 
-/* The file's content, terminated; NULL: cannot be read. The caller frees it. */
+/* Reads the file into a null-terminated string, which the caller frees. NULL: cannot be read. */
 static char *read_file(const char *path)
 {
     FILE *file = fopen(path, "rb");
@@ -35,7 +35,7 @@
     char *end = NULL;
     double number = strtod(value, &end);
     if (end == value || *end || !isfinite(number) || number < 0)
-        bd_settings_fault(reader, name, "needs a number of at least 0");
+        bd_settings_record_error(reader, name, "must be a number of at least 0");
     else if (strcmp(name, "leader-ttl-s") == 0)
         settings->leader_ttl = bd_secs(number);
     else if (strcmp(name, "spare-share") == 0)
@@ -43,31 +43,31 @@
     else if (strcmp(name, "idle-boots") == 0)
         settings->idle_boots = number;
     else
-        bd_settings_fault(reader, name, "unknown field");
+        bd_settings_record_error(reader, name, "unknown field");
 }
 
-/* (draining (name value) ...) */
+/* Reads (draining (name value) ...). */
 static void read_draining(struct bd_settings_reader *reader, struct bd_settings *settings,
                           sexp_t *fields)
 {
     struct bd_drain_rules_fault fault = {"", ""};
     if (settings->draining) {
-        bd_settings_fault(reader, "draining", "is declared twice");
+        bd_settings_record_error(reader, "draining", "must occur only once");
         return;
     }
     settings->draining = bd_drain_rules_read(settings, fields, &fault);
     if (!settings->draining)
-        bd_settings_fault(reader, fault.field, fault.what);
+        bd_settings_record_error(reader, fault.field, fault.what);
 }
 
-/* Reads the entries from this one on. Each (name value) pair may stand at the top or inside one
+/* Reads this entry and all that follow it. A (name value) pair may be at the top level or inside a
  * (brambledoor ...) list. */
 static void read_pairs(struct bd_settings_reader *reader, struct bd_settings *settings,
                        sexp_t *entry)
 {
     for (; entry && !reader->failed; entry = entry->next) {
         if (entry->ty != SEXP_LIST || !entry->list || entry->list->ty != SEXP_VALUE) {
-            bd_settings_fault(reader, "entry", "needs the form (name value)");
+            bd_settings_record_error(reader, "entry", "must have the form (name value)");
             return;
         }
         const char *name = entry->list->val;
@@ -77,15 +77,14 @@
         else if (strcmp(name, "draining") == 0)
             read_draining(reader, settings, value);
         else if (!value || value->ty != SEXP_VALUE || value->next)
-            bd_settings_fault(reader, name, "needs the form (name value)");
+            bd_settings_record_error(reader, name, "must have the form (name value)");
         else
             read_field(reader, settings, name, value->val);
     }
 }
 
-/* The content as one list, as the parser reads one expression. NULL: no memory. The caller frees
- * it.
- */
+/* Wraps the content in one list, because the parser reads a single expression. The caller frees the
+ * result. NULL: no memory. */
 static char *wrap_in_list(const char *content)
 {
     size_t size = strlen(content) + sizeof "(\n)";
@@ -106,7 +105,7 @@
         read_pairs(reader, settings, list->list);
         destroy_sexp(list);
     } else {
-        bd_settings_fault(reader, "file", "is not a well-formed S-expression");
+        bd_settings_record_error(reader, "file", "is not a well-formed S-expression");
     }
     sexp_cleanup();
     free(wrapped);
@@ -120,7 +119,7 @@
     if (content)
         read_content(&reader, settings, content);
     else
-        bd_settings_fault(&reader, "file", "cannot be read");
+        bd_settings_record_error(&reader, "file", "cannot be read");
     free(content);
     return reader.failed ? -1 : 0;
 }
--- a/src/runtime/peer_status.c
+++ b/src/runtime/peer_status.c
@@ -13,12 +13,12 @@
 #include <string.h>
 
 #define STATUS_INTERVAL_S 0.3
-#define KV_FRESH_S 1.0 /* the store counts as reachable if its last answer is younger */
-#define AGE_MAX_S 1e6  /* an answer of the store that is older is sent as UNKNOWN_AGE_MS */
+#define KV_AGE_MAX_S 1.0 /* the store counts as reachable if its last response is younger */
+#define AGE_MAX_S 1e6    /* the age of an older response is sent as UNKNOWN_AGE_MS */
 #define UNKNOWN_AGE_MS 1000000000u
 #define PROGRESS_CAPACITY_MIN 64u
 
-/* Without memory the job is left out. */
+/* Adds the job's task counts. Without memory the job is left out. */
 static void add_progress(struct bd_node *node, const struct bd_job *job)
 {
     if (node->progress_count == node->progress_capacity) {
@@ -49,14 +49,14 @@
         flags |= BD_PEER_KNOWS_DRAINS;
     if (bd_forward_hears_leader(core))
         flags |= BD_PEER_HEARS_LEADER;
-    if (kv_age_s < KV_FRESH_S && core->replica.ready)
+    if (kv_age_s < KV_AGE_MAX_S && core->replica.ready)
         flags |= BD_PEER_KV_REACHABLE;
     if (bd_autonomous_zone_active(core))
         flags |= BD_PEER_KV_LOST;
     return (uint8_t)flags;
 }
 
-/* As leader, the jobs' counts, which the other controllers show to users. */
+/* Collects, as leader, the jobs' task counts, which the other controllers report to users. */
 static void collect_progress(struct bd_node *node)
 {
     struct bd_job *job, *next;
--- a/src/runtime/settings.c
+++ b/src/runtime/settings.c
@@ -1,4 +1,4 @@
-/* The platform's settings (JSON). The only place that knows their field names. */
+/* The platform's settings (JSON). Only this file knows the names of their fields. */
 #include "brambledoor/settings.h"
 #include "base/timeutil.h"
 #include "runtime/settings_internal.h"
@@ -10,14 +10,14 @@
 #include <string.h>
 #include <time.h>
 
-/* A controller cannot serve with less: the program alone takes some 4 MB, and some 70 sockets are
- * for peers, the key-value store, the cloud and commands to workers. */
+/* A controller cannot serve with less: the program alone takes about 4 MB, and peers, the key-value
+ * store, the cloud and commands to workers need about 70 sockets. */
 #define CPU_MIN 0.002
 #define RAM_MB_MIN 8.0
 #define SOCKETS_MIN 128.0
 #define HEADROOM_SHARE_DEFAULT 1.6
 #define IDLE_BOOTS_DEFAULT 0.7
-#define CANCEL_MARGIN_S 1.0 /* by which cancel_s must exceed lease_s */
+#define CANCEL_MARGIN_S 1.0 /* cancel_s must exceed lease_s by at least this */
 #define HEARTBEAT_INTERVAL_MIN_S 0.01
 #define LEASE_MIN_S 0.1
 #define CANCEL_MIN_S 0.1
@@ -28,15 +28,16 @@
 #define BYTES_PER_KB 1024
 #define MS_PER_S 1000.0
 
-void bd_settings_fault(struct bd_settings_reader *reader, const char *field, const char *what)
+void bd_settings_record_error(struct bd_settings_reader *reader, const char *field,
+                              const char *reason)
 {
     if (reader->failed)
         return;
     reader->failed = true;
-    snprintf(reader->err, reader->errlen, "%s: %s: %s", reader->path, field, what);
+    snprintf(reader->err, reader->errlen, "%s: %s: %s", reader->path, field, reason);
 }
 
-/* ---- fields of an object: a missing or malformed one is a fault ---- */
+/* ---- fields of an object: a missing or malformed one is an error ---- */
 
 /* out holds BD_NAME_BYTES bytes. */
 static void read_text(struct bd_settings_reader *reader, const json_t *object, const char *key,
@@ -44,9 +45,9 @@
 {
     const char *text = json_string_value(json_object_get(object, key));
     if (!text || !*text)
-        bd_settings_fault(reader, key, "needs a text");
+        bd_settings_record_error(reader, key, "must be a non-empty string");
     else if (strlen(text) >= BD_NAME_BYTES)
-        bd_settings_fault(reader, key, "too long");
+        bd_settings_record_error(reader, key, "is too long");
     else
         strcpy(out, text);
 }
@@ -57,9 +58,9 @@
     const json_t *value = json_object_get(object, key);
     double number = json_number_value(value);
     if (!json_is_number(value) || !isfinite(number))
-        bd_settings_fault(reader, key, "needs a number");
+        bd_settings_record_error(reader, key, "must be a number");
     else if (number < min)
-        bd_settings_fault(reader, key, "too small");
+        bd_settings_record_error(reader, key, "is too small");
     return number;
 }
 
@@ -69,24 +70,24 @@
     return bd_secs(read_number(reader, object, key, min_s));
 }
 
-/* Borrowed from the object. */
+/* The result is borrowed from the object. */
 static json_t *read_object(struct bd_settings_reader *reader, const json_t *object, const char *key)
 {
     json_t *value = json_object_get(object, key);
     if (!json_is_object(value))
-        bd_settings_fault(reader, key, "needs an object");
+        bd_settings_record_error(reader, key, "must be an object");
     return value;
 }
 
-/* Borrowed from the object. */
+/* The result is borrowed from the object. */
 static json_t *read_list(struct bd_settings_reader *reader, const json_t *object, const char *key,
                          size_t max)
 {
     json_t *value = json_object_get(object, key);
     if (!json_is_array(value))
-        bd_settings_fault(reader, key, "needs a list");
+        bd_settings_record_error(reader, key, "must be a list");
     else if (json_array_size(value) > max)
-        bd_settings_fault(reader, key, "has too many entries");
+        bd_settings_record_error(reader, key, "has too many entries");
     return value;
 }
 
@@ -141,7 +142,7 @@
     return BD_SLO_OTHER;
 }
 
-/* Objectives only guide the scheduler, so that the fields of one are optional. */
+/* Objectives only guide the scheduler, so their fields are optional. */
 static void read_slos(struct bd_settings_reader *reader, const json_t *facts,
                       struct bd_settings *settings)
 {
@@ -149,7 +150,7 @@
     json_t *entry;
     size_t i;
     if (json_array_size(objectives) > BD_SLOS_MAX)
-        bd_settings_fault(reader, "objectives", "has too many entries");
+        bd_settings_record_error(reader, "objectives", "has too many entries");
     json_array_foreach(objectives, i, entry)
     {
         if (settings->nslos == BD_SLOS_MAX)
@@ -176,7 +177,7 @@
     {
         const char *zone = json_string_value(entry);
         if (!zone || strlen(zone) >= BD_NAME_BYTES)
-            bd_settings_fault(reader, "zones", "needs short texts");
+            bd_settings_record_error(reader, "zones", "must contain only short strings");
         else
             strcpy(settings->zones[i], zone);
         settings->nzones = (int)i + 1;
@@ -196,11 +197,12 @@
     settings->cancel = read_duration(reader, workers, "cancel_s", CANCEL_MIN_S);
     /* a lease that was renewed just before the cancellation must expire within cancel_s */
     if (bd_to_secs(settings->cancel) < bd_to_secs(settings->lease) + CANCEL_MARGIN_S)
-        bd_settings_fault(reader, "cancel_s", "must be at least a second longer than lease_s");
+        bd_settings_record_error(reader, "cancel_s",
+                                 "must be at least a second longer than lease_s");
 }
 
-/* A limit of the key-value store. The object `next` may announce another value, to which the store
- * changes without notice: the smaller of the two is respected from the start. */
+/* Reads a limit of the key-value store. The object `next` may announce another value, to which the
+ * store switches without notice: the smaller of the two applies from the start. */
 static double read_kv_limit(struct bd_settings_reader *reader, const json_t *state, const char *key,
                             double min)
 {
@@ -209,7 +211,7 @@
     if (!next || json_is_null(next))
         return limit;
     if (!json_is_object(next))
-        bd_settings_fault(reader, "next", "needs an object");
+        bd_settings_record_error(reader, "next", "must be an object");
     const json_t *next_limit = json_object_get(next, key);
     if (!next_limit || json_is_null(next_limit))
         return limit;
@@ -226,9 +228,9 @@
     settings->kv_txn_ops_max = (size_t)read_kv_limit(reader, state, "txn_ops", KV_TXN_OPS_MIN);
 }
 
-/* What this controller may use of its machine. */
-static void read_own_limits(struct bd_settings_reader *reader, const json_t *limits,
-                            struct bd_settings *settings)
+/* Reads the resources that this process may use. */
+static void read_process_limits(struct bd_settings_reader *reader, const json_t *limits,
+                                struct bd_settings *settings)
 {
     settings->cpu = read_number(reader, limits, "cpu", CPU_MIN);
     settings->ram_mb = read_number(reader, limits, "ram_mb", RAM_MB_MIN);
@@ -247,7 +249,7 @@
     const json_t *cloud = read_object(reader, facts, "cloud");
     settings->cloud_requests_per_s = read_number(reader, cloud, "rps", CLOUD_RATE_MIN);
     settings->list_lag = read_duration(reader, cloud, "list_lag_s", 0);
-    read_own_limits(reader, read_object(reader, facts, "limits"), settings);
+    read_process_limits(reader, read_object(reader, facts, "limits"), settings);
     settings->clock_error = bd_secs(read_number(reader, facts, "clock_error_ms", 0) / MS_PER_S);
 }
 
@@ -264,7 +266,7 @@
         return -1;
     }
     if (!json_is_object(root))
-        bd_settings_fault(&reader, "settings", "needs an object");
+        bd_settings_record_error(&reader, "settings", "must be an object");
     read_text(&reader, root, "node_name", settings->node);
     read_text(&reader, root, "location", settings->zone);
     read_text(&reader, root, "front", settings->api_addr);
