--- a/src/autoscaling/demand.c
+++ b/src/autoscaling/demand.c
@@ -1,5 +1,5 @@
-/* Demand: packs tasks into the capacity that is there or coming, and then into machines of the
- * cheapest pools, which are to be requested. */
+/* Demand: packs tasks into machines that are up, booting or requested, and then into new machines
+ * of the cheapest pools, which are to be requested. */
 #include "autoscaling/autoscaling.h"
 #include "autoscaling/autoscaling_internal.h"
 #include "base/timeutil.h"
@@ -14,18 +14,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define BINS_CAPACITY_FIRST 256
-#define ON_DEMAND_PRICE_FACTOR 2.0 /* leaves on-demand machines to work that may not use spot */
-#define ZONE_PRICE_FACTOR 1e-6     /* for each machine there: the emptier zone of equals */
-#define PRICE_ROUNDING 1e-12
-#define ROUNDING 1e-9 /* of amounts */
+#define BINS_CAPACITY_INITIAL 256
+#define ON_DEMAND_PRICE_FACTOR 2.0 /* for tasks that may use spot: on-demand is for the others */
+#define ZONE_PRICE_FACTOR 1e-6     /* for each machine in the zone: prefers emptier zones */
+#define PRICE_TOLERANCE 1e-12
+#define RESOURCE_TOLERANCE 1e-9 /* cores, GPUs or GB */
 
 /* ---- bins ---- */
 
 static struct bd_capacity_bin *add_bin(struct bd_demand *demand, int type, int zone, bool spot)
 {
     if (demand->nbins == demand->bins_cap) {
-        int cap = demand->bins_cap ? demand->bins_cap * 2 : BINS_CAPACITY_FIRST;
+        int cap = demand->bins_cap ? demand->bins_cap * 2 : BINS_CAPACITY_INITIAL;
         struct bd_capacity_bin *bins = realloc(demand->bins, (size_t)cap * sizeof *bins);
         if (!bins)
             abort();
@@ -44,22 +44,23 @@
 
 static bool bin_fits(const struct bd_capacity_bin *bin, const struct bd_spec *spec)
 {
-    return spec->cpus <= bin->free.cpus + ROUNDING && spec->gpus <= bin->free.gpus + ROUNDING &&
-           spec->mem <= bin->free.mem + ROUNDING;
+    return spec->cpus <= bin->free.cpus + RESOURCE_TOLERANCE &&
+           spec->gpus <= bin->free.gpus + RESOURCE_TOLERANCE &&
+           spec->mem <= bin->free.mem + RESOURCE_TOLERANCE;
 }
 
-/* Packs up to n tasks into the bin; returns how many it takes. */
-static uint32_t fill_bin(struct bd_capacity_bin *bin, const struct bd_spec *spec, uint32_t n)
+/* Packs up to count tasks into the bin. Returns how many fit. */
+static uint32_t fill_bin(struct bd_capacity_bin *bin, const struct bd_spec *spec, uint32_t count)
 {
-    uint32_t taken = 0;
-    while (taken < n && bin_fits(bin, spec)) {
+    uint32_t packed = 0;
+    while (packed < count && bin_fits(bin, spec)) {
         bd_resources_add(&bin->free, spec, -1);
-        taken++;
+        packed++;
     }
-    return taken;
+    return packed;
 }
 
-/* ---- capacity that is there or coming ---- */
+/* ---- existing and upcoming capacity ---- */
 
 static void count_machines_in_zones(struct bd_demand *demand)
 {
@@ -85,7 +86,7 @@
     const struct bd_cloud_view *cloud = &demand->core->cloud;
     for (int i = 0; i < cloud->nprovision_requests; i++) {
         const struct bd_provision_request_state *request = &cloud->provision_requests[i];
-        for (int n = 0; n < request->count; n++)
+        for (int j = 0; j < request->count; j++)
             (void)add_bin(demand, request->type, request->zone, request->spot);
     }
 }
@@ -136,39 +137,40 @@
            !bd_time_is_before(core->now, core->cloud.pools[type][zone][spot].refuse_until);
 }
 
-/* Of one task, where a machine of the pool runs n of them. */
+/* The hourly price of one task on a machine that runs per_machine of them, weighted by preference.
+ */
 static double pool_price(const struct bd_demand *demand, const struct bd_spec *spec, int type,
-                         int zone, bool spot, int n)
+                         int zone, bool spot, int per_machine)
 {
     const struct bd_type *machine_type = &demand->core->types[type];
-    double price = (spot ? machine_type->spot_price : machine_type->price) / n;
+    double price = (spot ? machine_type->spot_price : machine_type->price) / per_machine;
     if (spec->spot && !spot)
         price *= ON_DEMAND_PRICE_FACTOR;
     price *= 1 + ZONE_PRICE_FACTOR * demand->machines_in_zone[zone];
     return price;
 }
 
-/* Tasks of n that one machine of the type would run. */
+/* How many of count tasks fit on one empty machine of the type. */
 static int tasks_per_machine(const struct bd_core *core, const struct bd_spec *spec, int type,
-                             uint32_t n)
+                             uint32_t count)
 {
     if (!core->types[type].known)
         return 0;
     int fitting = bd_tasks_per_machine(&core->types[type], spec);
     if (fitting < 1)
         return 0;
-    return (uint32_t)fitting < n ? fitting : (int)n;
+    return (uint32_t)fitting < count ? fitting : (int)count;
 }
 
-bool bd_demand_choose_pool(const struct bd_demand *demand, const struct bd_spec *spec, uint32_t n,
-                           enum bd_cost_tier cost_tier, struct bd_pool_choice *out)
+bool bd_demand_choose_pool(const struct bd_demand *demand, const struct bd_spec *spec,
+                           uint32_t count, enum bd_cost_tier cost_tier, struct bd_pool_choice *out)
 {
     const struct bd_core *core = demand->core;
-    double lowest = INFINITY;
+    double lowest_price = INFINITY;
     bool is_in_tier[BD_TYPES_MAX][2];
     bd_find_types_in_cost_tier(core, spec, cost_tier, is_in_tier);
     for (int type = 0; type < core->ntypes; type++) {
-        int per_machine = tasks_per_machine(core, spec, type, n);
+        int per_machine = tasks_per_machine(core, spec, type, count);
         if (per_machine == 0)
             continue;
         for (int zone = 0; zone < core->nzones; zone++) {
@@ -176,69 +178,69 @@
                 if (!is_in_tier[type][spot] || !pool_is_open(core, spec, type, zone, spot))
                     continue;
                 double price = pool_price(demand, spec, type, zone, spot, per_machine);
-                if (price < lowest - PRICE_ROUNDING) {
-                    lowest = price;
+                if (price < lowest_price - PRICE_TOLERANCE) {
+                    lowest_price = price;
                     *out = (struct bd_pool_choice){type, zone, spot};
                 }
             }
         }
     }
-    return lowest < INFINITY;
+    return lowest_price < INFINITY;
 }
 
 /* ---- tasks ---- */
 
-static uint32_t pack_into_bins(struct bd_demand *demand, const struct bd_spec *spec, uint32_t n,
+static uint32_t pack_into_bins(struct bd_demand *demand, const struct bd_spec *spec, uint32_t count,
                                enum bd_cost_tier cost_tier)
 {
     bool is_in_tier[BD_TYPES_MAX][2];
     bd_find_types_in_cost_tier(demand->core, spec, cost_tier, is_in_tier);
-    for (int i = 0; i < demand->nbins && n > 0; i++) {
+    for (int i = 0; i < demand->nbins && count > 0; i++) {
         struct bd_capacity_bin *bin = &demand->bins[i];
         if (!is_in_tier[bin->type][bin->spot] || !bin_fits(bin, spec) ||
             !bd_placement_allowed(spec, bin->type, bin->zone, bin->spot))
             continue;
-        n -= fill_bin(bin, spec, n);
+        count -= fill_bin(bin, spec, count);
         if (bin->machine)
             bin->machine->headroom = true;
     }
-    return n;
+    return count;
 }
 
-/* Packs n tasks into the bins, and then into machines to be requested; returns how many found no
- * capacity within the tier. */
-static uint32_t pack_within_tier(struct bd_demand *demand, const struct bd_spec *spec, uint32_t n,
-                                 enum bd_cost_tier cost_tier)
+/* Packs count tasks into the bins, and then into machines to be requested. Returns how many fit
+ * nowhere within the tier. */
+static uint32_t pack_within_tier(struct bd_demand *demand, const struct bd_spec *spec,
+                                 uint32_t count, enum bd_cost_tier cost_tier)
 {
     struct bd_pool_choice pool = {0};
-    n = pack_into_bins(demand, spec, n, cost_tier);
-    while (n > 0 && bd_demand_choose_pool(demand, spec, n, cost_tier, &pool)) {
+    count = pack_into_bins(demand, spec, count, cost_tier);
+    while (count > 0 && bd_demand_choose_pool(demand, spec, count, cost_tier, &pool)) {
         struct bd_capacity_bin *bin = add_bin(demand, pool.type, pool.zone, pool.spot);
-        bin->is_wanted = true;
-        n -= fill_bin(bin, spec, n);
+        bin->needs_request = true;
+        count -= fill_bin(bin, spec, count);
     }
-    return n;
+    return count;
 }
 
-/* A job that may have an expensive place by now still gets a cheap one requested where there is
- * one: expensive machines on their way are for work that needs them. */
-void bd_demand_add_tasks(struct bd_demand *demand, const struct bd_spec *spec, uint32_t n,
+/* Tasks that may run on expensive machines are still packed into cheap ones first, also into those
+ * to be requested: expensive machines that are booting are for work that needs them. */
+void bd_demand_add_tasks(struct bd_demand *demand, const struct bd_spec *spec, uint32_t count,
                          enum bd_cost_tier cost_tier)
 {
     if (cost_tier == BD_TIER_ANY)
-        n = pack_within_tier(demand, spec, n, BD_TIER_CHEAP);
-    (void)pack_within_tier(demand, spec, n, cost_tier);
+        count = pack_within_tier(demand, spec, count, BD_TIER_CHEAP);
+    (void)pack_within_tier(demand, spec, count, cost_tier);
 }
 
-/* How many of n tasks the team's quota allows; they count as in use from here on. */
-static uint32_t take_quota(struct bd_demand *demand, const struct bd_spec *spec, uint32_t n)
+/* Returns how many of count tasks the team's quota allows, and counts these as in use. */
+static uint32_t take_quota(struct bd_demand *demand, const struct bd_spec *spec, uint32_t count)
 {
     int team = spec->team;
-    n = bd_team_quota_fit_count(&demand->core->settings->teams[team], demand->team_cpus[team],
-                                demand->team_gpus[team], spec, n);
-    demand->team_cpus[team] += n * spec->cpus;
-    demand->team_gpus[team] += n * spec->gpus;
-    return n;
+    count = bd_team_quota_fit_count(&demand->core->settings->teams[team], demand->team_cpus[team],
+                                    demand->team_gpus[team], spec, count);
+    demand->team_cpus[team] += count * spec->cpus;
+    demand->team_gpus[team] += count * spec->gpus;
+    return count;
 }
 
 void bd_demand_add_pending(struct bd_demand *demand)
@@ -250,8 +252,8 @@
         const struct bd_job *job = jobs[i];
         if (job->npending == 0 || !bd_time_is_before(job->hold_until, core->now))
             continue;
-        uint32_t n = take_quota(demand, &job->spec, job->npending);
-        bd_demand_add_tasks(demand, &job->spec, n, bd_job_cost_tier(core, job));
+        uint32_t count = take_quota(demand, &job->spec, job->npending);
+        bd_demand_add_tasks(demand, &job->spec, count, bd_job_cost_tier(core, job));
     }
     free(jobs);
 }
