--- a/src/adapters/api_server.c
+++ b/src/adapters/api_server.c
@@ -36,7 +36,7 @@
 /* One request. The polling thread owns it, except between post_to_owner and bd_api_reply: then its
  * connection is suspended, and the owner thread alone may use it. */
 struct request {
-    struct bd_remote origin; /* first, because the core reads it; all zero: not remote */
+    struct bd_request_origin origin; /* first, because the core reads it; all zero: not remote */
     struct MHD_Connection *connection;
     char *body;
     size_t body_len, body_capacity;
--- a/src/adapters/election.c
+++ b/src/adapters/election.c
@@ -91,7 +91,7 @@
         bd_event_free(event);
         return;
     }
-    event->acquired.acquisition.renewed = candidate->grant_renewed_at;
+    event->acquired.acquisition.renewal_sent_at = candidate->grant_renewed_at;
     atomic_store(&candidate->node->step_down, false);
     candidate->leading = true;
     bd_event_post(candidate->node, event);
--- a/src/adapters/worker_client.c
+++ b/src/adapters/worker_client.c
@@ -77,7 +77,7 @@
     struct bd_http_response response;
     struct bd_event *event = bd_event_new(BD_EVENT_DIRECT_COMMAND_COMPLETED);
     snprintf(url, sizeof url, "http://%s" BD_PATH_COMMANDS, effect->addr);
-    if (bd_time_is_before(bd_now(), effect->until)) {
+    if (bd_time_is_before(bd_now(), effect->send_deadline)) {
         bd_http_call(http, "POST", url, effect->body, CALL_TIMEOUT_S, &response);
         event->direct_command.status = response.status;
         event->direct_command.text = response.body;
@@ -87,7 +87,7 @@
     }
     event->direct_command.machine = effect->machine;
     event->direct_command.fencing_token = effect->fencing_token;
-    event->direct_command.has_launches = effect->launch;
+    event->direct_command.has_launches = effect->has_launches;
     bd_effect_free(effect);
     bd_event_post(sender->node, event);
 }
--- a/src/autoscaling/boot.c
+++ b/src/autoscaling/boot.c
@@ -11,25 +11,26 @@
 
 static bool is_booting(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return !machine->incarnation && !machine->gone && !machine->scaling_in && !machine->failed &&
-           machine->type >= 0 && machine->zone >= 0 && core->types[machine->type].known;
+    return !machine->incarnation && !machine->terminated && !machine->scaling_in &&
+           !machine->failed && machine->type >= 0 && machine->zone >= 0 &&
+           core->types[machine->type].known;
 }
 
 static double machine_age_s(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return machine->known_age_s + bd_seconds_between(machine->age_known_at, core->now);
+    return machine->reported_age_s + bd_seconds_between(machine->age_reported_at, core->now);
 }
 
 bool bd_boot_is_expected(const struct bd_core *core, const struct bd_machine *machine)
 {
     return is_booting(core, machine) &&
            machine_age_s(core, machine) <
-               BOOT_EXPECTED_FACTOR * core->types[machine->type].boot + BOOT_MARGIN_S;
+               BOOT_EXPECTED_FACTOR * core->types[machine->type].boot_s + BOOT_MARGIN_S;
 }
 
 bool bd_boot_has_timed_out(const struct bd_core *core, const struct bd_machine *machine)
 {
     return is_booting(core, machine) &&
            machine_age_s(core, machine) >
-               BOOT_TIMEOUT_FACTOR * core->types[machine->type].boot + BOOT_MARGIN_S;
+               BOOT_TIMEOUT_FACTOR * core->types[machine->type].boot_s + BOOT_MARGIN_S;
 }
--- a/src/autoscaling/consolidation.c
+++ b/src/autoscaling/consolidation.c
@@ -50,7 +50,7 @@
 double bd_blocking_service_cpus(const struct bd_core *core, const struct bd_machine *machine)
 {
     double cpus = 0;
-    if (machine->gpus > 0)
+    if (machine->reserved_gpus > 0)
         return 0;
     for (uint32_t i = 0; i < machine->nreservations; i++) {
         const struct bd_spec *spec = &machine->reservations[i].job->spec;
@@ -74,8 +74,8 @@
 {
     const struct bd_core *core = demand->core;
     for (uint32_t i = 0; i < core->nmachines; i++) {
-        const struct bd_machine *machine = core->by_index[i];
-        if (!machine->gone && bd_machine_is_usable(core, machine) &&
+        const struct bd_machine *machine = core->machines_by_index[i];
+        if (!machine->terminated && bd_machine_is_usable(core, machine) &&
             bd_blocking_service_cpus(core, machine) > 0)
             add_services(demand, machine);
     }
@@ -107,10 +107,10 @@
         abort();
     bd_move_targets_init(&view->targets, core);
     for (uint32_t i = 0; i < core->nmachines; i++) {
-        struct bd_machine *machine = core->by_index[i];
+        struct bd_machine *machine = core->machines_by_index[i];
         machine->consolidating =
-            machine->consolidating && machine->nreservations > 0 && !machine->gone;
-        if (!machine->gone && bd_machine_is_usable(core, machine))
+            machine->consolidating && machine->nreservations > 0 && !machine->terminated;
+        if (!machine->terminated && bd_machine_is_usable(core, machine))
             add_to_view(view, machine);
     }
     qsort(view->sources, view->nsources, sizeof *view->sources, sort_by_services);
--- a/src/autoscaling/demand.c
+++ b/src/autoscaling/demand.c
@@ -32,7 +32,7 @@
         demand->bins = bins;
         demand->bins_cap = cap;
     }
-    const struct bd_type *machine_type = &demand->core->types[type];
+    const struct bd_machine_type *machine_type = &demand->core->types[type];
     struct bd_capacity_bin *bin = &demand->bins[demand->nbins++];
     *bin = (struct bd_capacity_bin){
         .type = type,
@@ -64,8 +64,8 @@
 static void count_machines_in_zones(struct bd_demand *demand)
 {
     for (uint32_t i = 0; i < demand->core->nmachines; i++) {
-        const struct bd_machine *machine = demand->core->by_index[i];
-        if (!machine->gone && machine->zone >= 0)
+        const struct bd_machine *machine = demand->core->machines_by_index[i];
+        if (!machine->terminated && machine->zone >= 0)
             demand->machines_in_zone[machine->zone]++;
     }
 }
@@ -74,7 +74,7 @@
 {
     const struct bd_core *core = demand->core;
     for (uint32_t i = 0; i < core->nmachines; i++) {
-        const struct bd_machine *machine = core->by_index[i];
+        const struct bd_machine *machine = core->machines_by_index[i];
         if (bd_boot_is_expected(core, machine))
             (void)add_bin(demand, machine->type, machine->zone, machine->spot);
     }
@@ -111,13 +111,13 @@
 {
     struct bd_core *core = demand->core;
     for (uint32_t i = 0; i < core->nmachines; i++) {
-        struct bd_machine *machine = core->by_index[i];
+        struct bd_machine *machine = core->machines_by_index[i];
         bool is_idle = machine->nreservations == 0;
         if (is_idle != (use == MACHINE_IDLE) || !bd_machine_is_usable(core, machine))
             continue;
         struct bd_capacity_bin *bin = add_bin(demand, machine->type, machine->zone, machine->spot);
         bin->machine = machine;
-        bin->free = bd_machine_free(core, machine);
+        bin->free = bd_machine_free_resources(core, machine);
     }
 }
 
@@ -133,14 +133,14 @@
                          bool spot)
 {
     return core->types[type].zones >> zone & 1 && bd_placement_allowed(spec, type, zone, spot) &&
-           !bd_time_is_before(core->now, core->cloud.pools[type][zone][spot].refuse_until);
+           !bd_time_is_before(core->now, core->cloud.pools[type][zone][spot].next_request_at);
 }
 
 /* Of one task, where a machine of the pool runs n of them. */
 static double pool_price(const struct bd_demand *demand, const struct bd_spec *spec, int type,
                          int zone, bool spot, int n)
 {
-    const struct bd_type *machine_type = &demand->core->types[type];
+    const struct bd_machine_type *machine_type = &demand->core->types[type];
     double price = (spot ? machine_type->spot_price : machine_type->price) / n;
     if (spec->spot && !spot)
         price *= ON_DEMAND_PRICE_FACTOR;
@@ -200,7 +200,7 @@
             continue;
         n -= fill_bin(bin, spec, n);
         if (bin->machine)
-            bin->machine->headroom = true;
+            bin->machine->is_headroom = true;
     }
     return n;
 }
@@ -248,7 +248,7 @@
     uint32_t njobs = bd_jobs_in_order(core, &jobs);
     for (uint32_t i = 0; i < njobs; i++) {
         const struct bd_job *job = jobs[i];
-        if (job->npending == 0 || !bd_time_is_before(job->hold_until, core->now))
+        if (job->npending == 0 || !bd_time_is_before(job->placement_backoff_until, core->now))
             continue;
         uint32_t n = take_quota(demand, &job->spec, job->npending);
         bd_demand_add_tasks(demand, &job->spec, n, bd_cost_tier_of(core, job));
--- a/src/autoscaling/evacuation.c
+++ b/src/autoscaling/evacuation.c
@@ -30,9 +30,9 @@
 void bd_evacuate_machines(struct bd_core *core)
 {
     for (uint32_t i = 0; i < core->nmachines; i++) {
-        struct bd_machine *machine = core->by_index[i];
+        struct bd_machine *machine = core->machines_by_index[i];
         bd_machine_detect_slow(core, machine);
-        if (!machine->gone && (machine->notice_left >= 0 || machine->quarantined))
+        if (!machine->terminated && (machine->termination_notice_s >= 0 || machine->quarantined))
             evacuate_machine(core, machine);
     }
 }
--- a/src/autoscaling/fleet_summary.c
+++ b/src/autoscaling/fleet_summary.c
@@ -32,17 +32,17 @@
 
 static void log_type(struct bd_core *core, int type, bool spot)
 {
-    const struct bd_type *machine_type = &core->types[type];
+    const struct bd_machine_type *machine_type = &core->types[type];
     uint32_t n[USES] = {0}, up = 0;
     double cpus = 0, gpus = 0;
     for (uint32_t i = 0; i < core->nmachines; i++) {
-        const struct bd_machine *machine = core->by_index[i];
-        if (machine->gone || machine->type != type || machine->spot != spot)
+        const struct bd_machine *machine = core->machines_by_index[i];
+        if (machine->terminated || machine->type != type || machine->spot != spot)
             continue;
         n[use_of_machine(machine)]++;
         up += machine->incarnation != 0;
-        cpus += machine->cpus;
-        gpus += machine->gpus;
+        cpus += machine->reserved_cpus;
+        gpus += machine->reserved_gpus;
     }
     if (up + n[USE_BOOTING] == 0)
         return;
--- a/src/autoscaling/headroom.c
+++ b/src/autoscaling/headroom.c
@@ -51,23 +51,23 @@
 {
     double first = INFINITY;
     for (const struct bd_job *job = core->jobs; job; job = job->hh.next)
-        first = fmin(first, job->at);
-    return fmax(first + FIRST_ARRIVALS_S, core->wall - WINDOW_S);
+        first = fmin(first, job->submitted_at);
+    return fmax(first + FIRST_ARRIVALS_S, core->wall_s - WINDOW_S);
 }
 
 static void count_job(struct class_arrivals *group, const struct bd_job *job, double from)
 {
     if (bd_job_has_open_parents(job))
         return;
-    group->arrived += job->ready >= from;
+    group->arrived += job->ready_at >= from;
     if (!job->has_spec)
         return;
     group->jobs++;
     group->tasks += job->ntasks;
-    group->estimate += job->spec.estimate;
+    group->estimate += job->spec.estimate_s;
     group->image_gb += job->spec.image_gb;
-    if (job->at >= group->newest_at) {
-        group->newest_at = job->at;
+    if (job->submitted_at >= group->newest_at) {
+        group->newest_at = job->submitted_at;
         group->spec = job->spec;
     }
 }
@@ -84,7 +84,7 @@
 {
     arrivals->nclasses = 0;
     for (const struct bd_job *job = core->jobs; job; job = job->hh.next) {
-        if (job->job_class < 0 || core->wall - job->ready > 2 * WINDOW_S)
+        if (job->job_class < 0 || core->wall_s - job->ready_at > 2 * WINDOW_S)
             continue;
         struct class_arrivals *group = arrivals_of(arrivals, job->job_class);
         if (group)
@@ -106,8 +106,8 @@
     if (!bd_demand_choose_pool(demand, &group->spec, (uint32_t)ceil(tasks_per_job), BD_TIER_ANY,
                                &pool))
         return 0;
-    const struct bd_type *type = &core->types[pool.type];
-    double lead_s = type->boot + group->image_gb / group->jobs / type->fetch;
+    const struct bd_machine_type *type = &core->types[pool.type];
+    double lead_s = type->boot_s + group->image_gb / group->jobs / type->fetch_gb_per_s;
     for (int i = 0; i < core->settings->nslos; i++) {
         const struct bd_slo *slo = &core->settings->slos[i];
         double slack = bd_slo_slack(core, group->job_class, group->estimate / group->jobs, slo);
@@ -138,9 +138,9 @@
 {
     struct bd_core *core = demand->core;
     struct arrivals arrivals;
-    double from = window_start(core), window_s = core->wall - from;
+    double from = window_start(core), window_s = core->wall_s - from;
     for (uint32_t i = 0; i < core->nmachines; i++)
-        core->by_index[i]->headroom = false;
+        core->machines_by_index[i]->is_headroom = false;
     if (window_s < WINDOW_MIN_S)
         return;
     count_arrivals(core, &arrivals, from);
--- a/src/autoscaling/inventory.c
+++ b/src/autoscaling/inventory.c
@@ -36,16 +36,16 @@
         bd_log_write(core->log, BD_LOG_ERROR, "machine type %s is one too many", text->label);
         return;
     }
-    struct bd_type *type = &core->types[index];
+    struct bd_machine_type *type = &core->types[index];
     type->known = true;
     type->cpus = text->cpus;
     type->gpus = text->gpus;
     type->mem = text->mem;
     type->cache_gb = text->cache_gb;
-    type->fetch = text->fetch;
+    type->fetch_gb_per_s = text->fetch;
     type->price = text->price;
     type->spot_price = text->spot_price;
-    type->boot = text->boot;
+    type->boot_s = text->boot;
     type->zones = zones_of_type(core, text);
 }
 
@@ -63,14 +63,14 @@
 static void update_machine(struct bd_core *core, const struct bd_cloud_machine *entry)
 {
     struct bd_machine *machine = bd_machine_find_or_add(core, entry->id);
-    if (machine->gone)
+    if (machine->terminated)
         return;
     machine->in_inventory = true;
     machine->type = bd_type_find_or_add(core, entry->type);
     machine->zone = bd_zone_find_or_add(core, entry->zone);
     machine->spot = entry->spot;
-    machine->known_age_s = entry->age;
-    machine->age_known_at = core->now;
+    machine->reported_age_s = entry->age;
+    machine->age_reported_at = core->now;
     if (!*machine->addr)
         snprintf(machine->addr, sizeof machine->addr, "%s", entry->addr);
     if (entry->state == BD_MACHINE_FAILED && !machine->failed) {
@@ -86,12 +86,12 @@
                               struct timespec asked)
 {
     double lag_s = LIST_LAG_FACTOR * bd_to_secs(core->settings->list_lag) + LIST_LAG_MARGIN_S;
-    struct timespec existed = bd_time_max(machine->heard, machine->known_at);
-    if (machine->gone || machine->in_inventory || bd_seconds_between(existed, asked) < lag_s)
+    struct timespec existed = bd_time_max(machine->last_contact_at, machine->first_seen_at);
+    if (machine->terminated || machine->in_inventory || bd_seconds_between(existed, asked) < lag_s)
         return;
     bd_log_write(core->log, BD_LOG_INFO, "%s is gone from the inventory, %u tasks lost",
                  machine->id, machine->nreservations);
-    bd_machine_mark_gone(core, machine);
+    bd_machine_mark_terminated(core, machine);
 }
 
 void bd_inventory_machines_received(struct bd_core *core, const struct bd_cloud_machine *machines,
@@ -100,10 +100,10 @@
     if (core->role != BD_LEADER)
         return;
     for (uint32_t i = 0; i < core->nmachines; i++)
-        core->by_index[i]->in_inventory = false;
+        core->machines_by_index[i]->in_inventory = false;
     for (size_t i = 0; i < n; i++)
         update_machine(core, &machines[i]);
     for (uint32_t i = 0; i < core->nmachines; i++)
-        remove_if_missing(core, core->by_index[i], asked);
+        remove_if_missing(core, core->machines_by_index[i], asked);
     core->lead.inventory_read = true;
 }
--- a/src/autoscaling/move_targets.c
+++ b/src/autoscaling/move_targets.c
@@ -26,7 +26,7 @@
 void bd_move_targets_add(struct bd_move_targets *targets, struct bd_machine *machine,
                          double service_cpus)
 {
-    struct bd_resources free = bd_machine_free(targets->core, machine);
+    struct bd_resources free = bd_machine_free_resources(targets->core, machine);
     if (free.cpus > 0)
         targets->items[targets->count++] =
             (struct bd_move_target){machine, free, service_cpus, false, NO_IMAGE};
@@ -65,13 +65,13 @@
     double fetch_max = is_cheap ? FETCH_TO_CHEAP_MAX_S : BD_MOVE_FETCH_MAX_S;
     if (move_fetch_s(core, target, spec) >= fetch_max)
         return false;
-    return is_cheap || machine->gpus > 0 || target->service_cpus > above_cpus;
+    return is_cheap || machine->reserved_gpus > 0 || target->service_cpus > above_cpus;
 }
 
 static double target_score(const struct bd_core *core, const struct bd_spec *spec,
                            const struct bd_move_target *target)
 {
-    double score = target->machine->gpus > 0 ? 0 : 1 + target->service_cpus;
+    double score = target->machine->reserved_gpus > 0 ? 0 : 1 + target->service_cpus;
     if (is_cheap_target(core, spec, target)) /* the sooner there the better */
         score += CHEAP_SCORE * (1 + FETCH_TO_CHEAP_MAX_S - move_fetch_s(core, target, spec));
     return score;
--- a/src/autoscaling/provisioning.c
+++ b/src/autoscaling/provisioning.c
@@ -30,8 +30,9 @@
 
 static void back_off(const struct bd_core *core, struct bd_pool *pool)
 {
-    pool->backoff = pool->backoff <= 0 ? BACKOFF_FIRST_S : fmin(pool->backoff * 2, BACKOFF_MAX_S);
-    pool->refuse_until = bd_time_add(core->now, bd_secs(pool->backoff));
+    pool->backoff_s =
+        pool->backoff_s <= 0 ? BACKOFF_FIRST_S : fmin(pool->backoff_s * 2, BACKOFF_MAX_S);
+    pool->next_request_at = bd_time_add(core->now, bd_secs(pool->backoff_s));
 }
 
 /* ---- requests ---- */
@@ -48,17 +49,16 @@
         .zone = zone,
         .count = count < REQUEST_MACHINES_MAX ? count : REQUEST_MACHINES_MAX,
         .spot = spot,
-        .sent = core->now};
+        .sent_at = core->now};
     /* never used again: the term is ours alone, and so is the number within it */
-    snprintf(state->request, sizeof state->request, "r-%llu-%llu",
-             (unsigned long long)core->lead.base_term,
+    snprintf(state->id, sizeof state->id, "r-%llu-%llu", (unsigned long long)core->lead.base_term,
              (unsigned long long)++core->lead.last_provision_request);
-    bd_pool_of(core, type, zone, spot)->asked = true;
+    bd_pool_of(core, type, zone, spot)->request_in_flight = true;
     struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_SCALE_OUT);
-    snprintf(effect->key, sizeof effect->key, "%s", state->request);
-    effect->body = bd_wire_write_provisioning_request(state->request, core->types[type].label,
+    snprintf(effect->key, sizeof effect->key, "%s", state->id);
+    effect->body = bd_wire_write_provisioning_request(state->id, core->types[type].label,
                                                       core->zones[zone], spot, state->count);
-    return state->request;
+    return state->id;
 }
 
 static bool is_same_pool(const struct bd_capacity_bin *a, const struct bd_capacity_bin *b)
@@ -88,7 +88,7 @@
         if (core->cloud.nprovision_requests >= DEMAND_REQUESTS_MAX)
             return;
         /* the answer to an open request will show what the pool has */
-        if (!bin->is_wanted || bd_pool_of(core, bin->type, bin->zone, bin->spot)->asked)
+        if (!bin->is_wanted || bd_pool_of(core, bin->type, bin->zone, bin->spot)->request_in_flight)
             continue;
         int count = take_wanted(demand, bin);
         (void)bd_request_machines(core, bin->type, bin->zone, bin->spot, count);
@@ -102,7 +102,7 @@
                          struct bd_provision_request_state *out)
 {
     for (int i = 0; i < cloud->nprovision_requests; i++) {
-        if (strcmp(cloud->provision_requests[i].request, request) != 0)
+        if (strcmp(cloud->provision_requests[i].id, request) != 0)
             continue;
         *out = cloud->provision_requests[i];
         cloud->provision_requests[i] = cloud->provision_requests[--cloud->nprovision_requests];
@@ -115,13 +115,13 @@
                         const struct bd_provision_request_state *request)
 {
     struct bd_machine *machine = bd_machine_find_or_add(core, name);
-    if (machine->gone)
+    if (machine->terminated)
         return;
     machine->type = request->type;
     machine->zone = request->zone;
     machine->spot = request->spot;
-    machine->known_age_s = bd_seconds_between(request->sent, core->now);
-    machine->age_known_at = core->now;
+    machine->reported_age_s = bd_seconds_between(request->sent_at, core->now);
+    machine->age_reported_at = core->now;
 }
 
 bool bd_scale_out_completed(struct bd_core *core, const char *request, long status,
@@ -132,12 +132,12 @@
         return false;
     bool is_granted = status == 200;
     struct bd_pool *pool = bd_pool_of(core, state.type, state.zone, state.spot);
-    pool->asked = false;
+    pool->request_in_flight = false;
     core->lead.next_autoscaling = core->now; /* what was not filled is sought elsewhere at once */
     if (!is_granted || n < state.count)
         back_off(core, pool);
     else
-        pool->backoff = 0;
+        pool->backoff_s = 0;
     for (int i = 0; is_granted && i < n; i++)
         add_machine(core, names[i], &state);
     bd_log_write(core->log, BD_LOG_INFO, "scale out by %d %s in %s%s: status %ld, %d machines",
--- a/src/autoscaling/scale_in.c
+++ b/src/autoscaling/scale_in.c
@@ -22,21 +22,22 @@
 /* Whether it was up, and has not been heard since its lease ended. */
 static bool is_dead(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return machine->incarnation && !machine->fenced &&
-           bd_seconds_between(machine->heard, core->now) >
+    return machine->incarnation && !machine->has_seen_term &&
+           bd_seconds_between(machine->last_contact_at, core->now) >
                bd_to_secs(core->settings->lease) + SILENT_MARGIN_S;
 }
 
 /* A machine is kept idle for about as long as getting it again would take. */
 static bool has_idled_out(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return !machine->headroom && bd_seconds_between(machine->idle_since, core->now) >
-                                     core->settings->idle_boots * core->types[machine->type].boot;
+    return !machine->is_headroom &&
+           bd_seconds_between(machine->idle_since, core->now) >
+               core->settings->idle_boots * core->types[machine->type].boot_s;
 }
 
 static bool wants_scale_in(const struct bd_core *core, const struct bd_machine *machine)
 {
-    if (machine->gone || bd_time_is_before(core->now, machine->scale_in_allowed_at))
+    if (machine->terminated || bd_time_is_before(core->now, machine->scale_in_allowed_at))
         return false;
     if (machine->scaling_in || machine->failed)
         return true;
@@ -44,12 +45,13 @@
         return false;
     if (bd_boot_has_timed_out(core, machine) || is_dead(core, machine))
         return true;
-    if (!machine->fenced)
+    if (!machine->has_seen_term)
         return false;
     enum bd_scale_in_policy policy = bd_scale_in_policy_of(machine);
     if (policy != BD_SCALE_IN_WHEN_IDLE)
         return policy == BD_SCALE_IN_NOW;
-    return machine->quarantined || machine->notice_left >= 0 || has_idled_out(core, machine);
+    return machine->quarantined || machine->termination_notice_s >= 0 ||
+           has_idled_out(core, machine);
 }
 
 void bd_scale_in(struct bd_core *core)
@@ -57,7 +59,7 @@
     char names[REQUEST_MACHINES_MAX][BD_LABEL_BYTES];
     int n = 0;
     for (uint32_t i = 0; i < core->nmachines && n < REQUEST_MACHINES_MAX; i++) {
-        struct bd_machine *machine = core->by_index[i];
+        struct bd_machine *machine = core->machines_by_index[i];
         if (!wants_scale_in(core, machine))
             continue;
         machine->scaling_in = true;
@@ -76,7 +78,7 @@
 static void open_pool(struct bd_core *core, const struct bd_machine *machine)
 {
     if (machine->type >= 0 && machine->zone >= 0)
-        bd_pool_of(core, machine->type, machine->zone, machine->spot)->refuse_until = core->now;
+        bd_pool_of(core, machine->type, machine->zone, machine->spot)->next_request_at = core->now;
 }
 
 void bd_scale_in_completed(struct bd_core *core, char (*names)[BD_LABEL_BYTES], int n, bool ok)
@@ -90,7 +92,7 @@
             continue;
         if (ok) {
             open_pool(core, machine);
-            bd_machine_mark_gone(core, machine);
+            bd_machine_mark_terminated(core, machine);
         } else { /* it may be gone all the same: it gets no work, and is asked for again */
             machine->scale_in_allowed_at = bd_time_add(core->now, bd_secs(RETRY_AFTER_FAILURE_S));
         }
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -68,8 +68,8 @@
     bd_machines_free(core);
     bd_leadership_free(core);
     bd_workers_free(core);
-    bd_names_free(&core->images);
-    bd_names_free(&core->classes);
+    bd_name_table_free(&core->images);
+    bd_name_table_free(&core->classes);
     free_effects(core);
     free(core);
 }
@@ -77,16 +77,16 @@
 void bd_core_set_clock(struct bd_core *core, struct timespec now, double wall)
 {
     core->now = now;
-    core->wall = wall;
+    core->wall_s = wall;
 }
 
 /* ---- the step ---- */
 
 static void evict_records(struct bd_core *core)
 {
-    if (!bd_time_is_before(core->replica.next_evict, core->now))
+    if (!bd_time_is_before(core->replica.next_eviction, core->now))
         return;
-    core->replica.next_evict = bd_time_add(core->now, bd_secs(EVICT_INTERVAL_S));
+    core->replica.next_eviction = bd_time_add(core->now, bd_secs(EVICT_INTERVAL_S));
     bd_replica_evict(core);
 }
 
@@ -144,7 +144,8 @@
 
 static double follower_step_s(const struct bd_core *core)
 {
-    bool workers_wait = core->forwarding.waiting || core->delegate.nserved || core->delegate.asking;
+    bool workers_wait = core->forwarding.awaiting_reply || core->delegate.nserved ||
+                        core->delegate.waiting_heartbeats;
     return workers_wait ? FOLLOWER_STEP_WAITING_S : FOLLOWER_STEP_S;
 }
 
@@ -166,8 +167,8 @@
 void bd_core_leadership_acquired(struct bd_core *core, const struct bd_acquisition *acquisition)
 {
     bd_leadership_begin_term(core, acquisition);
-    bd_core_leader_observed(core, core->settings->node, acquisition->term, acquisition->renewed,
-                            false);
+    bd_core_leader_observed(core, core->settings->node, acquisition->term,
+                            acquisition->renewal_sent_at, false);
     bd_delegate_end(core);
     bd_leadership_reconcile(core, acquisition);
     bd_drain_leadership_acquired(core);
--- a/src/drain/drain.c
+++ b/src/drain/drain.c
@@ -82,7 +82,7 @@
             continue;
         drain->over = true;
         bd_log_write(core->log, BD_LOG_INFO, "drain %s is done: %u machines, %.0f s",
-                     drain->record.name, drain->nmachines, core->wall - drain->record.at);
+                     drain->record.name, drain->nmachines, core->wall_s - drain->record.at);
     }
 }
 
--- a/src/drain/entry.c
+++ b/src/drain/entry.c
@@ -88,7 +88,7 @@
     entry->stage = state.stage;
     entry->wait = state.wait;
     snprintf(entry->team, sizeof entry->team, "%s", state.team);
-    entry->since = core->wall;
+    entry->since = core->wall_s;
     if (stage_changes) {
         bd_drain_mark_entry_urgent(drain, entry);
         core->lead.cycle_wanted = true;
--- a/src/drain/free_capacity.c
+++ b/src/drain/free_capacity.c
@@ -14,10 +14,10 @@
     if (!bins->bins)
         abort();
     for (uint32_t i = 0; i < core->nmachines; i++) {
-        struct bd_machine *machine = core->by_index[i];
+        struct bd_machine *machine = core->machines_by_index[i];
         if (!bd_machine_is_usable(core, machine))
             continue;
-        bins->bins[bins->n++] = (struct bd_bin){machine, bd_machine_free(core, machine)};
+        bins->bins[bins->n++] = (struct bd_bin){machine, bd_machine_free_resources(core, machine)};
     }
 }
 
--- a/src/drain/machine_stage.c
+++ b/src/drain/machine_stage.c
@@ -96,11 +96,11 @@
                             struct bd_drain_machine *entry)
 {
     const struct bd_machine *machine = entry->machine;
-    if (machine ? machine->gone : inventory_is_complete(core)) {
+    if (machine ? machine->terminated : inventory_is_complete(core)) {
         set_gone(core, drain, entry);
         return;
     }
-    if (!machine || !machine->fenced || bd_drain_entry_is_mirror(core, entry))
+    if (!machine || !machine->has_seen_term || bd_drain_entry_is_mirror(core, entry))
         return;
     if (entry->stage == BD_STAGE_STOPPING)
         advance_stopping(core, drain, entry, machine);
--- a/src/drain/ownership.c
+++ b/src/drain/ownership.c
@@ -16,9 +16,9 @@
 void bd_drain_clear_machine_flags(struct bd_core *core)
 {
     for (uint32_t i = 0; i < core->nmachines; i++) {
-        core->by_index[i]->cordoned = false;
-        core->by_index[i]->kept_for_drain = false;
-        core->by_index[i]->scale_in_for_drain = false;
+        core->machines_by_index[i]->cordoned = false;
+        core->machines_by_index[i]->kept_for_drain = false;
+        core->machines_by_index[i]->scale_in_for_drain = false;
     }
 }
 
@@ -46,7 +46,7 @@
         entry->machine = bd_drain_find_machine(core, entry->id);
     keep_replacement(core, entry);
     struct bd_machine *machine = entry->machine;
-    if (!machine || machine->gone || machine->cordoned)
+    if (!machine || machine->terminated || machine->cordoned)
         return;
     machine->cordoned = true;
     core->drains->owners[machine->index] = entry;
--- a/src/drain/record_write.c
+++ b/src/drain/record_write.c
@@ -62,7 +62,7 @@
         return false;
     struct bd_drain_record record = drain->record;
     record.state = BD_DRAIN_DONE;
-    record.ended = core->wall;
+    record.ended = core->wall_s;
     format_record_key(drain, out);
     out->value = bd_drain_record_encode(&record);
     out->revision = drain->record.revision;
@@ -75,7 +75,7 @@
 static bool write_deletion(struct bd_core *core, struct bd_drain *drain, struct bd_drain_write *out)
 {
     if (drain->delete_in_flight > 0 || drain->deleted > drain->record.parts ||
-        core->wall - drain->record.ended < core->drains->rules->record_retention_s)
+        core->wall_s - drain->record.ended < core->drains->rules->record_retention_s)
         return false;
     if (drain->deleted < drain->record.parts)
         bd_drain_part_key(out->key, sizeof out->key, drain->record.set, drain->deleted);
@@ -124,7 +124,7 @@
     drain->done_in_flight = false;
     if (applied) {
         drain->record.state = BD_DRAIN_DONE;
-        drain->record.ended = core->wall;
+        drain->record.ended = core->wall_s;
     } else {
         drain->is_stale = true; /* an administrator may have written another state */
     }
--- a/src/drain/replacement.c
+++ b/src/drain/replacement.c
@@ -85,7 +85,7 @@
 static bool replacement_is_lost(const struct bd_machine *machine)
 {
     /* another drain may name the replacement itself */
-    return machine && (machine->gone || machine->failed || machine->quarantined ||
+    return machine && (machine->terminated || machine->failed || machine->quarantined ||
                        machine->scaling_in || machine->cordoned);
 }
 
@@ -98,7 +98,7 @@
         entry->replacement_requested_at = core->now;
     const struct bd_machine *machine = find_replacement(core, entry);
     double waited_s = bd_seconds_between(entry->replacement_requested_at, core->now);
-    bool is_up = machine && machine->fenced;
+    bool is_up = machine && machine->has_seen_term;
     bool is_late = waited_s > core->drains->rules->replacement_timeout_s && !is_up;
     if (is_late || replacement_is_lost(machine))
         abandon_replacement(core, drain, entry);
@@ -129,8 +129,8 @@
 static bool may_request_from(struct bd_core *core, const struct pool *pool)
 {
     const struct bd_pool *known = bd_pool_of(core, pool->type, pool->zone, pool->spot);
-    return core->types[pool->type].zones >> pool->zone & 1 && !known->asked &&
-           !bd_time_is_before(core->now, known->refuse_until);
+    return core->types[pool->type].zones >> pool->zone & 1 && !known->request_in_flight &&
+           !bd_time_is_before(core->now, known->next_request_at);
 }
 
 /* The pool to request from: the machine's own, then other zones, then on-demand machines in place
@@ -174,7 +174,7 @@
 {
     const struct bd_machine *machine = entry->machine;
     struct pool pool;
-    if (!machine || machine->gone || machine->type < 0 || machine->zone < 0)
+    if (!machine || machine->terminated || machine->type < 0 || machine->zone < 0)
         return false;
     if (*entry->replacement || *entry->provisioning_request || !choose_pool(core, entry, &pool))
         return false;
--- a/src/drain/step_plan.c
+++ b/src/drain/step_plan.c
@@ -108,7 +108,7 @@
 static bool has_tasks_to_finish(const struct bd_core *core, const struct bd_drain *drain,
                                 const struct bd_machine *machine)
 {
-    if (core->wall - drain->record.at > core->drains->rules->wait_s)
+    if (core->wall_s - drain->record.at > core->drains->rules->wait_s)
         return false;
     for (uint32_t i = 0; i < machine->nreservations; i++) {
         const struct bd_spec *spec = &machine->reservations[i].job->spec;
@@ -125,7 +125,7 @@
     const struct bd_machine *machine = entry->machine;
     if (drain->record.state == BD_DRAIN_PAUSED)
         return BD_DRAIN_WAIT_PAUSED;
-    if (!machine || !machine->fenced || bd_machine_is_overdue(core, machine))
+    if (!machine || !machine->has_seen_term || bd_machine_is_overdue(core, machine))
         return BD_DRAIN_WAIT_HEARTBEAT;
     if (drain->record.mode == BD_DRAIN_REPLACE && !bd_replacement_is_up(core, entry))
         return BD_DRAIN_WAIT_REPLACEMENT;
--- a/src/drain/step_stop.c
+++ b/src/drain/step_stop.c
@@ -57,7 +57,8 @@
 static enum bd_drain_wait stop_obstacle(const struct bd_core *core, const struct bd_drain *drain,
                                         const struct bd_machine *machine)
 {
-    if (!machine || machine->gone || !machine->fenced || bd_machine_is_overdue(core, machine))
+    if (!machine || machine->terminated || !machine->has_seen_term ||
+        bd_machine_is_overdue(core, machine))
         return BD_DRAIN_WAIT_HEARTBEAT;
     if (drain->record.state == BD_DRAIN_PAUSED)
         return BD_DRAIN_WAIT_PAUSED;
--- a/src/jobs/admission.c
+++ b/src/jobs/admission.c
@@ -101,7 +101,7 @@
                    const struct parents_status *parents)
 {
     void *request = admission->request;
-    if (parents->missing && core->replica.evicted)
+    if (parents->missing && core->replica.has_evicted_jobs)
         bd_effect_reply_error(core, request, 503, "not ready", NOT_READY_RETRY_S);
     else if (parents->missing)
         reply_unknown_parent(core, request);
@@ -120,11 +120,11 @@
 {
     struct parents_status parents = check_parents(core, admission->parents);
     if (parents.missing && !behind_barrier) {
-        bd_read_after_barrier(core, admission->request, admission->id, BD_READ_ADMISSION)->accept =
-            admission;
+        bd_read_after_barrier(core, admission->request, admission->id, BD_READ_ADMISSION)
+            ->admission = admission;
         return;
     }
-    if (parents.missing && core->replica.evicted && may_look_up(admission)) {
+    if (parents.missing && core->replica.has_evicted_jobs && may_look_up(admission)) {
         look_up_parent(core, admission, parents.missing);
         return;
     }
--- a/src/jobs/dependency_graph.c
+++ b/src/jobs/dependency_graph.c
@@ -97,8 +97,8 @@
 
 static void set_ready_after(struct bd_job *job, double parent_end)
 {
-    if (parent_end > job->ready)
-        job->ready = parent_end;
+    if (parent_end > job->ready_at)
+        job->ready_at = parent_end;
 }
 
 /* One of the job's open parents is done. */
@@ -109,7 +109,7 @@
         return;
     remove_edges(core, job);
     bd_log_write(core->log, BD_LOG_INFO, "%s is runnable, %.1f s after its submission", job->id,
-                 core->wall - job->at);
+                 core->wall_s - job->submitted_at);
     core->lead.cycle_wanted = true;
 }
 
@@ -142,7 +142,7 @@
     while (parent->dependents) {
         struct bd_job *dependent = detach_dependent(parent);
         if (job->state == BD_JOB_DONE) {
-            close_parent(core, dependent, job->end);
+            close_parent(core, dependent, job->ended_at);
             continue;
         }
         cancel_by_parent(core, dependent);
@@ -197,7 +197,7 @@
     if (parent && parent->state == BD_JOB_CANCELLED)
         return true;
     if (parent && parent->state == BD_JOB_DONE)
-        set_ready_after(job, parent->end);
+        set_ready_after(job, parent->ended_at);
     else
         add_open_edge(core, edge, name);
     return false;
@@ -233,7 +233,7 @@
         cancel_by_parent(core, job);
         bd_dag_job_ended(core, job);
     } else {
-        close_parent(core, job, job->ready);
+        close_parent(core, job, job->ready_at);
     }
 }
 
--- a/src/jobs/dependency_priorities.c
+++ b/src/jobs/dependency_priorities.c
@@ -12,19 +12,19 @@
 /* Seconds from when the job is ready until it is done, by the user's estimate. */
 static double duration_s(const struct bd_job *job)
 {
-    return SLOWEST_TASK_FACTOR * job->spec.estimate + START_DELAY_S;
+    return SLOWEST_TASK_FACTOR * job->spec.estimate_s + START_DELAY_S;
 }
 
 double bd_deadline_slack(const struct bd_core *core, const struct bd_job *job)
 {
-    return job->finish_by - duration_s(job) - core->wall;
+    return job->finish_by - duration_s(job) - core->wall_s;
 }
 
 static void reset_priority(struct bd_job *job)
 {
     bool has_deadline = job->has_had_parents && job->spec.deadline_s >= 0;
     job->priority = job->spec.priority;
-    job->finish_by = has_deadline ? job->at + job->spec.deadline_s : INFINITY;
+    job->finish_by = has_deadline ? job->submitted_at + job->spec.deadline_s : INFINITY;
 }
 
 /* Resets all active jobs. Returns the work list of those that nobody waits for. */
--- a/src/jobs/pending_reads.c
+++ b/src/jobs/pending_reads.c
@@ -21,8 +21,8 @@
     read->request = request;
     read->purpose = purpose;
     snprintf(read->id, sizeof read->id, "%s", id);
-    read->next = core->replica.waiting;
-    core->replica.waiting = read;
+    read->next = core->replica.next_barrier_reads;
+    core->replica.next_barrier_reads = read;
     return read;
 }
 
@@ -59,14 +59,14 @@
 static void answer_read(struct bd_core *core, const struct bd_pending_read *read)
 {
     const struct bd_job *job = bd_job_find(core, read->id);
-    if (read->accept && !job) {
-        bd_admission_resume(core, read->accept);
+    if (read->admission && !job) {
+        bd_admission_resume(core, read->admission);
         return;
     }
-    bd_admission_free(read->accept);
+    bd_admission_free(read->admission);
     if (job)
         answer_with_job(core, read->request, read->purpose, job);
-    else if (core->replica.evicted)
+    else if (core->replica.has_evicted_jobs)
         bd_job_lookup_emit(core, read->request, read->id, read->purpose);
     else
         reply_absent(core, read->request, read->purpose);
@@ -74,15 +74,15 @@
 
 static void fail_read(struct bd_core *core, const struct bd_pending_read *read)
 {
-    bd_admission_free(read->accept);
+    bd_admission_free(read->admission);
     bd_user_reply_kv_unreachable(core, read->request, BD_KV_OUTAGE_RETRY_S);
 }
 
 static void complete_barrier(struct bd_core *core, bool ok)
 {
-    struct bd_pending_read *read = core->replica.asked;
+    struct bd_pending_read *read = core->replica.barrier_reads;
     core->replica.barrier_in_flight = false;
-    core->replica.asked = NULL;
+    core->replica.barrier_reads = NULL;
     while (read) {
         struct bd_pending_read *next = read->next;
         if (ok)
@@ -130,10 +130,10 @@
 void bd_pending_reads_start_barrier(struct bd_core *core)
 {
     struct bd_replica *replica = &core->replica;
-    if (replica->barrier_in_flight || !replica->waiting)
+    if (replica->barrier_in_flight || !replica->next_barrier_reads)
         return;
-    replica->asked = replica->waiting;
-    replica->waiting = NULL;
+    replica->barrier_reads = replica->next_barrier_reads;
+    replica->next_barrier_reads = NULL;
     replica->barrier_in_flight = true;
     (void)bd_effect_emit(core, BD_EFFECT_READ_BARRIER);
 }
@@ -143,13 +143,13 @@
     while (*list) {
         struct bd_pending_read *read = *list;
         *list = read->next;
-        bd_admission_free(read->accept);
+        bd_admission_free(read->admission);
         free(read);
     }
 }
 
 void bd_pending_reads_free(struct bd_core *core)
 {
-    free_reads(&core->replica.waiting);
-    free_reads(&core->replica.asked);
+    free_reads(&core->replica.next_barrier_reads);
+    free_reads(&core->replica.barrier_reads);
 }
--- a/src/jobs/replica.c
+++ b/src/jobs/replica.c
@@ -53,7 +53,7 @@
     snprintf(job->id, sizeof job->id, "%s", id);
     job->ntasks = record->tasks;
     job->job_class = *job_class ? bd_name_intern(&core->classes, job_class) : -1;
-    job->at = job->ready = record->at;
+    job->submitted_at = job->ready_at = record->at;
     job->priority = record->spec.priority;
     job->finish_by = INFINITY;
     HASH_ADD_STR(core->jobs, id, job);
@@ -83,7 +83,7 @@
 {
     if (record->end > 0)
         return record->end;
-    return core->replica.ready ? core->wall : record->at;
+    return core->replica.ready ? core->wall_s : record->at;
 }
 
 /* A job that was cancelled by derivation from a parent stays so until its own record is final. */
@@ -95,7 +95,7 @@
     bd_dag_cancellation_written(core, job);
     if (job->state == record->state)
         return;
-    job->end = end_of(core, record);
+    job->ended_at = end_of(core, record);
     bd_job_set_state(core, job, record->state);
     bd_dag_job_ended(core, job);
 }
@@ -110,8 +110,8 @@
     if (is_new)
         job = add_job(core, id, record);
     job->revision = change->revision;
-    job->stale = false;
-    job->at = record->at;
+    job->record_stale = false;
+    job->submitted_at = record->at;
     apply_spec(core, job, record, change->value);
     if (core->role == BD_LEADER && !job->tasks && record->state == BD_JOB_ACTIVE)
         start_tracking(core, job);
--- a/src/jobs/replica_eviction.c
+++ b/src/jobs/replica_eviction.c
@@ -24,8 +24,8 @@
 {
     for (uint32_t i = 0; i < core->lead.nintent_records; i++) {
         const struct bd_intent_record *record = &core->lead.intent_records[i];
-        for (uint32_t k = 0; k < record->n; k++)
-            record->e[k].job->pinned = true;
+        for (uint32_t k = 0; k < record->nintents; k++)
+            record->intents[k].job->pinned = true;
     }
 }
 
@@ -56,7 +56,8 @@
  * it was submitted. */
 static bool is_evictable(const struct bd_core *core, const struct bd_job *job)
 {
-    return !job->pinned && core->wall - fmax(job->at, job->end) >= EVICTABLE_AFTER_S;
+    return !job->pinned &&
+           core->wall_s - fmax(job->submitted_at, job->ended_at) >= EVICTABLE_AFTER_S;
 }
 
 static void evict(struct bd_core *core, struct bd_job *job)
@@ -64,7 +65,7 @@
     HASH_DEL(core->jobs, job);
     json_decref(job->record_spec);
     free(job);
-    core->replica.evicted = true;
+    core->replica.has_evicted_jobs = true;
 }
 
 void bd_replica_evict(struct bd_core *core)
--- a/src/jobs/submission_feasibility.c
+++ b/src/jobs/submission_feasibility.c
@@ -9,7 +9,8 @@
 
 #define ROUNDING 1e-9 /* of amounts that were read as decimal numbers */
 
-static bool fits_type(const struct bd_type *type, const struct bd_job_spec_text *spec, int zone)
+static bool fits_type(const struct bd_machine_type *type, const struct bd_job_spec_text *spec,
+                      int zone)
 {
     return type->known && spec->cpus <= type->cpus + ROUNDING &&
            spec->gpus <= type->gpus + ROUNDING && spec->mem <= type->mem + ROUNDING &&
@@ -37,7 +38,7 @@
     if (*spec->zone && only < 0)
         return 0;
     for (int i = 0; i < core->ntypes; i++) {
-        const struct bd_type *type = &core->types[i];
+        const struct bd_machine_type *type = &core->types[i];
         if (allows_type(spec, type->label) && fits_type(type, spec, only))
             zones |= type->zones & (only < 0 ? UINT32_MAX : 1u << only);
     }
--- a/src/jobs/user_requests.c
+++ b/src/jobs/user_requests.c
@@ -29,8 +29,8 @@
 void bd_user_reply_status(struct bd_core *core, void *request, const struct bd_job *job)
 {
     bool leads = core->role == BD_LEADER;
-    uint32_t done = leads ? job->ndone : job->shown_done;
-    uint32_t running = leads ? job->nrunning : job->shown_running;
+    uint32_t done = leads ? job->ndone : job->reported_done;
+    uint32_t running = leads ? job->nrunning : job->reported_running;
     if (job->state != BD_JOB_ACTIVE)
         running = 0;
     if (job->state == BD_JOB_DONE)
@@ -91,7 +91,8 @@
  * that have been lowered since. */
 json_t *bd_job_cancelled_record(const struct bd_job *job)
 {
-    struct bd_job_record record = {.state = BD_JOB_CANCELLED, .tasks = job->ntasks, .at = job->at};
+    struct bd_job_record record = {
+        .state = BD_JOB_CANCELLED, .tasks = job->ntasks, .at = job->submitted_at};
     json_t *json = bd_wire_write_record(&record);
     if (json && job->record_spec)
         json_object_set_new(json, "job", bd_wire_write_cancelled_spec(job->record_spec));
--- a/src/leadership/commit.c
+++ b/src/leadership/commit.c
@@ -49,11 +49,11 @@
     struct bd_commit *commit = core->lead.commit;
     struct bd_intent_slice *slice = &commit->intent_slices[commit->nintent_slices++];
     slice->from = from;
-    slice->n = commit->nplan - from;
+    slice->count = commit->nplan - from;
     snprintf(slice->key, sizeof slice->key, "i/%020llu-%08llu",
              (unsigned long long)core->lead.base_term,
              (unsigned long long)++core->lead.last_intent_record);
-    json_t *value = bd_intent_record_value(core, commit->plan + from, &slice->n);
+    json_t *value = bd_intent_record_value(core, commit->plan + from, &slice->count);
     bd_txn_put(&builder->txn, slice->key, value, 0);
     bd_txn_builder_count(builder, 1, 0, core->kv_limits.kv_value_bytes_max);
 }
@@ -71,7 +71,7 @@
     uint32_t written = 0;
     while (written < commit->nplan && commit->nintent_slices < bd_txn_intent_records_max(core)) {
         add_intent_record(core, builder, written);
-        written += commit->intent_slices[commit->nintent_slices - 1].n;
+        written += commit->intent_slices[commit->nintent_slices - 1].count;
     }
     return written;
 }
@@ -98,7 +98,7 @@
     if (commit->ndone == BD_CYCLE_JOBS_MAX || !bd_txn_builder_fits(builder, 1, 1, DONE_TXN_BYTES))
         return false;
     struct bd_job_record record = {
-        .state = BD_JOB_DONE, .tasks = job->ntasks, .at = job->at, .end = core->wall};
+        .state = BD_JOB_DONE, .tasks = job->ntasks, .at = job->submitted_at, .end = core->wall_s};
     snprintf(record.spec.job_class, sizeof record.spec.job_class, "%s",
              bd_job_class_name(core, job->job_class));
     bd_txn_builder_put_job(builder, job, bd_wire_write_record(&record), DONE_RECORD_BYTES);
@@ -115,7 +115,7 @@
         return;
     HASH_ITER(hh, core->jobs, job, next)
     {
-        if (!job->cancelled_by_parent || job->stale ||
+        if (!job->cancelled_by_parent || job->record_stale ||
             bd_time_is_before(core->now, job->backoff_until))
             continue;
         if (commit->ncancelled == BD_CYCLE_JOBS_MAX ||
@@ -172,7 +172,7 @@
     struct bd_job *job, *next;
     HASH_ITER(hh, core->jobs, job, next)
     {
-        if (!job->dirty || !job->tasks || job->state != BD_JOB_ACTIVE || job->stale ||
+        if (!job->dirty || !job->tasks || job->state != BD_JOB_ACTIVE || job->record_stale ||
             bd_time_is_before(core->now, job->backoff_until))
             continue;
         bool fits = job->ndone == job->ntasks ? add_done(core, builder, job)
--- a/src/leadership/commit_garbage.c
+++ b/src/leadership/commit_garbage.c
@@ -45,9 +45,9 @@
 static void add_deletions(struct bd_core *core, struct bd_txn_builder *builder)
 {
     struct bd_job *job, *next;
-    if (*core->delegates.stale && can_delete(core, builder))
-        delete_key(core, builder, core->delegates.stale);
-    core->delegates.stale[0] = '\0';
+    if (*core->delegates.stale_key && can_delete(core, builder))
+        delete_key(core, builder, core->delegates.stale_key);
+    core->delegates.stale_key[0] = '\0';
     for (uint32_t i = 0; i < core->lead.nintent_records && can_delete(core, builder); i++)
         if (!bd_intent_record_is_needed(&core->lead.intent_records[i]))
             delete_key(core, builder, core->lead.intent_records[i].key);
--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -29,7 +29,7 @@
     core->lead.term = store_revision;
     core->lead.last_token_raise = core->now;
     core->lead.last_fenced_attempt =
-        (core->lead.base_term << BD_ATTEMPT_TERM_SHIFT) + core->lead.counter;
+        (core->lead.base_term << BD_ATTEMPT_TERM_SHIFT) + core->lead.attempt_count;
     core->lead.nresults_withheld = 0;
     bd_decision_log_term(core, "fencing_token_raised", "base=%llu term=%llu",
                          (unsigned long long)core->lead.base_term,
@@ -52,7 +52,7 @@
         return;
     struct bd_machine *machine = bd_machine_by_index(core, task->machine);
     if (job->state != BD_JOB_ACTIVE || bd_job_cancellation_announced(core, job) || !machine ||
-        machine->gone || machine->scaling_in) {
+        machine->terminated || machine->scaling_in) {
         bd_task_release(core, job, intent->task, BD_RELEASE_LAUNCH_NOT_SENT);
         return;
     }
@@ -62,20 +62,20 @@
     bd_task_set_state(core, job, intent->task, BD_TASK_LAUNCHING);
     bd_decision_log_task(core, "intent_committed", job, intent->task, intent->attempt, machine,
                          committed);
-    if (!job->started)
-        bd_metrics_record_duration(core->metrics, BD_TIMING_START, core->wall - job->ready);
-    job->started = true;
+    if (!job->start_committed)
+        bd_metrics_record_duration(core->metrics, BD_TIMING_START, core->wall_s - job->ready_at);
+    job->start_committed = true;
     bd_machine_use_image(core, machine, &job->spec, false);
 }
 
 static void add_intent_slice(struct bd_core *core, const struct bd_commit *commit,
                              const struct bd_intent_slice *slice)
 {
-    struct bd_intent *intents = malloc((slice->n + 1) * sizeof *intents);
+    struct bd_intent *intents = malloc((slice->count + 1) * sizeof *intents);
     if (!intents)
         abort();
-    memcpy(intents, commit->plan + slice->from, slice->n * sizeof *intents);
-    bd_intent_record_add(core, slice->key, intents, slice->n);
+    memcpy(intents, commit->plan + slice->from, slice->count * sizeof *intents);
+    bd_intent_record_add(core, slice->key, intents, slice->count);
 }
 
 /* All launches are marked before the first is sent, so that one command can carry several. */
@@ -94,12 +94,12 @@
 
 static void log_done(const struct bd_core *core, const struct bd_job *job)
 {
-    double age = core->wall - job->at;
+    double age = core->wall_s - job->submitted_at;
     bd_log_write(core->log, BD_LOG_INFO,
                  "%s is done: %u tasks, priority %d, estimate %.0f s; last placed after %.1f s, "
                  "last started after "
                  "%.1f s, done after %.1f s, %u reservations lost",
-                 job->id, job->ntasks, (int)job->spec.priority, job->spec.estimate,
+                 job->id, job->ntasks, (int)job->spec.priority, job->spec.estimate_s,
                  age - bd_seconds_between(job->last_placed_at, core->now),
                  age - bd_seconds_between(job->last_started_at, core->now), age, job->restarts);
 }
@@ -111,7 +111,7 @@
                          job->id, (unsigned long long)store_revision);
     job->revision = store_revision;
     job->state = BD_JOB_DONE;
-    job->end = core->wall;
+    job->ended_at = core->wall_s;
     bd_ledger_remove_job(core, job);
     bd_job_stop_tracking(job);
     json_decref(job->record_spec);
@@ -145,7 +145,7 @@
 {
     struct bd_job *job = key && strncmp(key, "j/", 2) == 0 ? bd_job_find(core, key + 2) : NULL;
     if (job)
-        job->stale = true; /* the next refresh brings the change itself */
+        job->record_stale = true; /* the next refresh brings the change itself */
 }
 
 /* Its sequence number is not used again: a number identifies one content only. */
--- a/src/leadership/fencing.c
+++ b/src/leadership/fencing.c
@@ -32,9 +32,9 @@
     if (!may_raise_again(core))
         return false;
     for (uint32_t i = 0; i < core->nmachines; i++) {
-        const struct bd_machine *machine = core->by_index[i];
+        const struct bd_machine *machine = core->machines_by_index[i];
         if (!machine->unanswered_launch_token ||
-            machine->unanswered_launch_token < core->lead.term || machine->gone ||
+            machine->unanswered_launch_token < core->lead.term || machine->terminated ||
             bd_seconds_between(machine->direct_sent_at, core->now) < LAUNCH_ANSWER_TIMEOUT_S)
             continue;
         if (has_unanswered_launch(machine))
--- a/src/leadership/intent_record.c
+++ b/src/leadership/intent_record.c
@@ -136,8 +136,8 @@
     struct bd_intent_record *record = &core->lead.intent_records[core->lead.nintent_records++];
     memset(record, 0, sizeof *record);
     snprintf(record->key, sizeof record->key, "%s", key);
-    record->e = intents;
-    record->n = n;
+    record->intents = intents;
+    record->nintents = n;
 }
 
 void bd_intent_record_remove(struct bd_core *core, const char *key)
@@ -146,7 +146,7 @@
     for (uint32_t i = 0; i < lead->nintent_records; i++) {
         if (strcmp(lead->intent_records[i].key, key) != 0)
             continue;
-        free(lead->intent_records[i].e);
+        free(lead->intent_records[i].intents);
         lead->intent_records[i] = lead->intent_records[--lead->nintent_records];
         return;
     }
@@ -154,8 +154,8 @@
 
 bool bd_intent_record_is_needed(const struct bd_intent_record *record)
 {
-    for (uint32_t i = 0; i < record->n; i++) {
-        const struct bd_intent *intent = &record->e[i];
+    for (uint32_t i = 0; i < record->nintents; i++) {
+        const struct bd_intent *intent = &record->intents[i];
         if (!intent->job->tasks)
             continue;
         const struct bd_task *task = &intent->job->tasks[intent->task];
@@ -168,7 +168,7 @@
 void bd_intent_records_free(struct bd_core *core)
 {
     for (uint32_t i = 0; i < core->lead.nintent_records; i++)
-        free(core->lead.intent_records[i].e);
+        free(core->lead.intent_records[i].intents);
     free(core->lead.intent_records);
     core->lead.intent_records = NULL;
     core->lead.nintent_records = core->lead.cap_intent_records = 0;
--- a/src/leadership/leadership.c
+++ b/src/leadership/leadership.c
@@ -90,7 +90,7 @@
     memset(core->team_cpus, 0, sizeof core->team_cpus);
     memset(core->team_gpus, 0, sizeof core->team_gpus);
     memset(core->cloud.pools, 0, sizeof core->cloud.pools);
-    memset(core->cloud.direct, 0, sizeof core->cloud.direct);
+    memset(core->cloud.direct_by_zone, 0, sizeof core->cloud.direct_by_zone);
     core->delegates.count = 0;
 }
 
--- a/src/leadership/peer_status.c
+++ b/src/leadership/peer_status.c
@@ -21,11 +21,11 @@
         if (strcmp(core->settings->peers[i].name, name) != 0)
             continue;
         struct bd_peer_view *peer = &core->peers[i];
-        peer->heard = heard;
+        peer->status_received_at = heard;
         peer->term = term;
         peer->flags = flags;
         peer->status_sent_wall_s = status_sent_wall_s;
-        peer->kv_seen_at = bd_time_sub(heard, bd_secs(kv_age_s));
+        peer->kv_read_at = bd_time_sub(heard, bd_secs(kv_age_s));
     }
 }
 
@@ -35,14 +35,15 @@
     struct bd_job *job = bd_job_find(core, id);
     if (!job || core->role == BD_LEADER)
         return;
-    job->shown_done = done;
-    job->shown_running = running;
+    job->reported_done = done;
+    job->reported_running = running;
 }
 
 int bd_peer_with_newer_term(const struct bd_core *core)
 {
     for (int i = 0; i < core->settings->npeers; i++)
-        if (core->peers[i].term > core->lead.term && bd_peer_heard(core, i, STATUS_VALID_S))
+        if (core->peers[i].term > core->lead.term &&
+            bd_peer_status_is_recent(core, i, STATUS_VALID_S))
             return i;
     return -1;
 }
@@ -51,8 +52,9 @@
 {
     for (int i = 0; i < core->settings->npeers; i++) {
         const struct bd_peer_view *peer = &core->peers[i];
-        if (bd_peer_heard(core, i, STATUS_VALID_S) && peer->flags & BD_PEER_KV_REACHABLE &&
-            bd_seconds_between(core->replica.refreshed_at, peer->kv_seen_at) > READ_LAG_S)
+        if (bd_peer_status_is_recent(core, i, STATUS_VALID_S) &&
+            peer->flags & BD_PEER_KV_REACHABLE &&
+            bd_seconds_between(core->replica.refreshed_at, peer->kv_read_at) > READ_LAG_S)
             return true;
     }
     return false;
@@ -64,7 +66,7 @@
         bd_seconds_between(core->replica.refreshed_at, core->now) < ISOLATED_AFTER_S)
         return false;
     for (int i = 0; i < core->settings->npeers; i++)
-        if (bd_peer_heard(core, i, ISOLATED_AFTER_S))
+        if (bd_peer_status_is_recent(core, i, ISOLATED_AFTER_S))
             return false;
     return true;
 }
--- a/src/leadership/reconciliation.c
+++ b/src/leadership/reconciliation.c
@@ -21,7 +21,7 @@
     core->role = BD_LEADER;
     lead->base_term = lead->term = acquisition->term;
     lead->grant = acquisition->grant;
-    lead->counter = 0;
+    lead->attempt_count = 0;
     /* earlier terms' launches carried lower tokens */
     lead->last_fenced_attempt = acquisition->term << BD_ATTEMPT_TERM_SHIFT;
     lead->nresults_withheld = 0;
@@ -94,8 +94,8 @@
         const struct bd_intent_record *record = &core->lead.intent_records[i];
         char evidence[sizeof record->key + sizeof "intent="];
         snprintf(evidence, sizeof evidence, "intent=%s", record->key);
-        for (uint32_t k = 0; k < record->n; k++)
-            unknown += mark_unknown(core, &record->e[k], evidence);
+        for (uint32_t k = 0; k < record->nintents; k++)
+            unknown += mark_unknown(core, &record->intents[k], evidence);
     }
     bd_log_write(core->log, BD_LOG_INFO, "term %llu: %u intent records, %u tasks to reconcile",
                  (unsigned long long)core->lead.base_term, core->lead.nintent_records, unknown);
@@ -128,7 +128,7 @@
 
 void bd_leadership_start_serving(struct bd_core *core, const struct bd_acquisition *acquisition)
 {
-    core->lead.lease_valid_until = core->lead.renewal_sent_at = acquisition->renewed;
-    bd_leadership_renewed(core, acquisition->grant, acquisition->renewed);
+    core->lead.lease_valid_until = core->lead.renewal_sent_at = acquisition->renewal_sent_at;
+    bd_leadership_renewed(core, acquisition->grant, acquisition->renewal_sent_at);
     core->lead.cycle_wanted = true;
 }
--- a/src/model/autoscaling_state.h
+++ b/src/model/autoscaling_state.h
@@ -13,17 +13,17 @@
 
 /* One request to the cloud, until it is answered. */
 struct bd_provision_request_state {
-    char request[BD_LABEL_BYTES];
+    char id[BD_LABEL_BYTES];
     int type, zone, count;
     bool spot;
-    struct timespec sent;
+    struct timespec sent_at;
 };
 
 /* One pool of the cloud: a machine type in a zone, on demand or spot. */
 struct bd_pool {
-    struct timespec refuse_until; /* no request is made before */
-    double backoff;               /* seconds; 0: the last request was filled */
-    bool asked;                   /* a request is under way */
+    struct timespec next_request_at; /* no request is made before */
+    double backoff_s;                /* seconds; 0: the last request was filled */
+    bool request_in_flight;          /* a request is under way */
 };
 
 struct bd_cloud_view {
@@ -34,9 +34,9 @@
     bool has_pending_gpu_work; /* some unfinished job's GPU tasks have no place */
     struct bd_spec largest_gpu_task[BD_TYPES_MAX][2]; /* by type and spot; gpus 0: none */
     struct { /* by zone: direct commands without an answer, in a row */
-        uint32_t fails;
-        struct timespec until; /* no probe before */
-    } direct[BD_ZONES_MAX];
+        uint32_t consecutive_failures;
+        struct timespec next_probe_at; /* no probe before */
+    } direct_by_zone[BD_ZONES_MAX];
     struct bd_pool pools[BD_TYPES_MAX][BD_ZONES_MAX][2]; /* by type, zone and spot */
 };
 #endif
--- a/src/model/catalog.c
+++ b/src/model/catalog.c
@@ -7,9 +7,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-void bd_names_free(struct bd_names **table)
+void bd_name_table_free(struct bd_name_entry **table)
 {
-    struct bd_names *entry, *next;
+    struct bd_name_entry *entry, *next;
     HASH_ITER(hh, *table, entry, next)
     {
         HASH_DEL(*table, entry);
@@ -17,9 +17,9 @@
     }
 }
 
-int bd_name_intern(struct bd_names **table, const char *name)
+int bd_name_intern(struct bd_name_entry **table, const char *name)
 {
-    struct bd_names *entry = NULL;
+    struct bd_name_entry *entry = NULL;
     HASH_FIND_STR(*table, name, entry);
     if (entry)
         return entry->index;
@@ -107,7 +107,7 @@
         .gpus = text->gpus,
         .mem = text->mem,
         .image_gb = text->image_gb,
-        .estimate = text->estimate,
+        .estimate_s = text->estimate,
         .checkpoint_interval_s = text->checkpoint_interval_s,
         .checkpoint_save_s = text->checkpoint_save_s,
         .deadline_s = text->deadline_s,
@@ -120,7 +120,7 @@
 
 const char *bd_job_class_name(const struct bd_core *core, int index)
 {
-    struct bd_names *entry, *next;
+    struct bd_name_entry *entry, *next;
     HASH_ITER(hh, core->classes, entry, next)
     {
         if (entry->index == index)
--- a/src/model/catalog.h
+++ b/src/model/catalog.h
@@ -12,15 +12,15 @@
 struct bd_spec;
 
 /* A table of names, hashed by name; numbers count from 0. */
-struct bd_names {
+struct bd_name_entry {
     UT_hash_handle hh;
     int index;
     char name[BD_LABEL_BYTES];
 };
 
 /* The name's number, which it gets now if it is new. */
-int bd_name_intern(struct bd_names **table, const char *name);
-void bd_names_free(struct bd_names **table);
+int bd_name_intern(struct bd_name_entry **table, const char *name);
+void bd_name_table_free(struct bd_name_entry **table);
 /* The machine type's number, which it gets now if it is new; -1: too many types. */
 int bd_type_find_or_add(struct bd_core *core, const char *label);
 /* The zone's number; -1: not known. */
--- a/src/model/core_state.h
+++ b/src/model/core_state.h
@@ -30,14 +30,14 @@
     const struct bd_log *log;
     struct bd_metrics *metrics; /* NULL: nothing is measured */
     struct timespec now;        /* steady clock at this step */
-    double wall;                /* time of day at this step, in seconds */
+    double wall_s;              /* time of day at this step, in seconds */
 
-    struct bd_job *jobs;          /* owned; hash by id */
-    struct bd_machine *machines;  /* owned; hash by id */
-    struct bd_machine **by_index; /* the same, by index */
+    struct bd_job *jobs;                   /* owned; hash by id */
+    struct bd_machine *machines;           /* owned; hash by id */
+    struct bd_machine **machines_by_index; /* the same, by index */
     uint32_t nmachines, cap_machines;
-    struct bd_names *images, *classes;
-    struct bd_type types[BD_TYPES_MAX];
+    struct bd_name_entry *images, *classes;
+    struct bd_machine_type types[BD_TYPES_MAX];
     int ntypes;
     char zones[BD_ZONES_MAX][BD_LABEL_BYTES];
     int nzones;
@@ -48,9 +48,9 @@
     struct bd_dependency_graph graph;
     struct bd_kv_limits kv_limits;
     struct bd_peer_view peers[BD_PEERS_MAX]; /* in the settings' order */
-    struct timespec confirmed;        /* when our newest committed liveness record was sent */
-    struct timespec liveness_sent_at; /* ... and the newest that may have been committed */
-    struct bd_delegate delegate;      /* as follower: what we renew for the leader */
+    struct timespec liveness_confirmed_at; /* when our newest committed liveness record was sent */
+    struct timespec liveness_sent_at;      /* ... and the newest that may have been committed */
+    struct bd_delegate delegate;           /* as follower: what we renew for the leader */
     struct bd_delegate_view delegates;
     struct bd_forwarding forwarding;
     struct bd_decision_log decision_log;
@@ -64,6 +64,7 @@
     struct bd_ledger *ledger; /* NULL: draining is off */
     struct bd_drains *drains; /* NULL: draining is off */
 
-    struct bd_effect *first, *last; /* owned: effects that were emitted, see effect.h */
+    struct bd_effect *first_effect,
+        *last_effect; /* owned: effects that were emitted, see effect.h */
 };
 #endif
--- a/src/model/decision_log.c
+++ b/src/model/decision_log.c
@@ -20,7 +20,7 @@
                                             [BD_RELEASE_NOT_REPORTED] = "not_reported",
                                             [BD_RELEASE_NEW_INCARNATION] = "new_incarnation",
                                             [BD_RELEASE_LEASE_EXPIRED] = "lease_expired",
-                                            [BD_RELEASE_MACHINE_GONE] = "machine_gone",
+                                            [BD_RELEASE_MACHINE_TERMINATED] = "machine_gone",
                                             [BD_RELEASE_MACHINE_FAILED] = "machine_failed",
                                             [BD_RELEASE_MOVED] = "moved",
                                             [BD_RELEASE_DONE] = "done"};
@@ -148,8 +148,8 @@
         return;
     }
     char evidence[BD_DECISION_LOG_EVIDENCE_BYTES];
-    bd_decision_log_evidence(evidence, sizeof evidence, machine->incarnation, machine->seq,
-                             machine->fencing_token, term);
+    bd_decision_log_evidence(evidence, sizeof evidence, machine->incarnation,
+                             machine->heartbeat_seq, machine->fencing_token, term);
     snprintf(out, size, "machine=%s %s%s%s", machine->id, text, space, evidence);
 }
 
--- a/src/model/delegate_state.h
+++ b/src/model/delegate_state.h
@@ -20,7 +20,7 @@
 struct bd_served_machine {
     UT_hash_handle hh; /* by id */
     char id[BD_LABEL_BYTES];
-    struct timespec heard;
+    struct timespec last_heartbeat_at;
     bool is_sent;      /* in a record that was sent to the store, */
     bool is_confirmed; /* ... and in one that was written */
     bool is_logged;    /* its first reply is in the decision log */
@@ -43,7 +43,7 @@
     uint32_t nserved;
     uint32_t parts;           /* of the record, that were ever written */
     size_t longest_id_length; /* among the machines served so far */
-    struct bd_waiting_heartbeat *asking;
+    struct bd_waiting_heartbeat *waiting_heartbeats;
 
     /* Workers that were sent to the leader, to see whether it can be reached. */
     char probes[BD_PROBES_MAX][BD_LABEL_BYTES];
@@ -64,7 +64,7 @@
 /* As leader: the delegates' records as last read. */
 struct bd_delegate_view {
     struct timespec read_at;
-    char stale[BD_LABEL_BYTES]; /* the key of a record that is not confirmed any more */
+    char stale_key[BD_LABEL_BYTES]; /* the key of a record that is not confirmed any more */
     struct bd_delegate_record records[(BD_PEERS_MAX + 1) * BD_DELEGATE_PARTS_MAX];
     int count;
 };
--- a/src/model/disruption_ledger.c
+++ b/src/model/disruption_ledger.c
@@ -258,7 +258,8 @@
 /* Whether the machine's tasks are not known to run. */
 static bool may_have_failed(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return !machine->fenced || machine->notice_left >= 0 || bd_machine_is_overdue(core, machine);
+    return !machine->has_seen_term || machine->termination_notice_s >= 0 ||
+           bd_machine_is_overdue(core, machine);
 }
 
 void bd_ledger_update_silent(struct bd_core *core)
@@ -267,8 +268,8 @@
     for (uint32_t i = 0; i < ledger->nbudgets; i++)
         ledger->budgets[i].silent = 0;
     for (uint32_t i = 0; i < core->nmachines; i++) {
-        const struct bd_machine *machine = core->by_index[i];
-        if (!machine->gone && machine->nreservations > 0 && may_have_failed(core, machine))
+        const struct bd_machine *machine = core->machines_by_index[i];
+        if (!machine->terminated && machine->nreservations > 0 && may_have_failed(core, machine))
             count_silent_tasks(ledger, machine);
     }
 }
--- a/src/model/effect.c
+++ b/src/model/effect.c
@@ -13,16 +13,16 @@
     if (!effect)
         abort();
     effect->kind = kind;
-    if (core->last)
-        core->last->next = effect;
+    if (core->last_effect)
+        core->last_effect->next = effect;
     else
-        core->first = effect;
-    core->last = effect;
+        core->first_effect = effect;
+    core->last_effect = effect;
     return effect;
 }
 
 /* Takes the remote request over. */
-static struct bd_effect *emit_forward_reply(struct bd_core *core, struct bd_remote *remote)
+static struct bd_effect *emit_forward_reply(struct bd_core *core, struct bd_request_origin *remote)
 {
     struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_FORWARD_REPLY);
     effect->peer = remote->peer;
@@ -40,12 +40,12 @@
 
 void bd_effect_reply(struct bd_core *core, void *request, int status, char *body, int retry_after_s)
 {
-    struct bd_remote *remote = request;
-    struct bd_effect *effect = remote && remote->remote ? emit_forward_reply(core, remote)
-                                                        : emit_local_reply(core, request);
+    struct bd_request_origin *remote = request;
+    struct bd_effect *effect = remote && remote->is_forwarded ? emit_forward_reply(core, remote)
+                                                              : emit_local_reply(core, request);
     effect->status = status;
     effect->body = body;
-    effect->retry_after = retry_after_s;
+    effect->retry_after_s = retry_after_s;
 }
 
 void bd_effect_reply_error(struct bd_core *core, void *request, int status, const char *why,
@@ -59,8 +59,8 @@
 struct bd_effect *bd_effects_take(struct bd_core *core)
 {
     bd_decision_log_flush(core); /* the decisions are logged before they are carried out */
-    struct bd_effect *effects = core->first;
-    core->first = core->last = NULL;
+    struct bd_effect *effects = core->first_effect;
+    core->first_effect = core->last_effect = NULL;
     return effects;
 }
 
--- a/src/model/effect.h
+++ b/src/model/effect.h
@@ -1,6 +1,6 @@
 /* Effects: what the core wants done by the adapters, in the order in which it was decided.
  *
- * Owns the list core->first..last. Emitted by all of the core, taken and carried out by the
+ * Owns the list core->first_effect..last. Emitted by all of the core, taken and carried out by the
  * runtime. */
 #ifndef BD_EFFECT_H
 #define BD_EFFECT_H
@@ -10,8 +10,8 @@
 
 /* What a request is to the core: the API server's own, or one that another controller forwarded.
  * Both begin alike, so that a reply finds its way. */
-struct bd_remote {
-    bool remote;
+struct bd_request_origin {
+    bool is_forwarded;
     int peer;    /* that forwarded it */
     uint64_t id; /* by which that peer knows it */
 };
@@ -50,17 +50,17 @@
         enum bd_read_purpose purpose;              /* [USER_TXN, JOB_LOOKUP] */
         enum bd_step_down_reason step_down_reason; /* [STEP_DOWN] */
     };
-    int retry_after;           /* [REPLY] seconds; 0: none */
-    char key[BD_LABEL_BYTES];  /* [LEADER_TXN] the term; see the other kinds */
-    char *body;                /* owned; NULL: none */
-    char addr[BD_LABEL_BYTES]; /* [DIRECT_COMMAND] */
-    uint64_t fencing_token;    /* [DIRECT_COMMAND] */
-    struct timespec until;     /* [DIRECT_COMMAND] deadline for sending, by our steady clock */
-    uint32_t machine;          /* [DIRECT_COMMAND] */
-    bool launch;               /* [DIRECT_COMMAND] launches are among the commands */
-    uint64_t sequence;         /* [LEADER_TXN] */
-    uint64_t forward_id;       /* [FORWARD_HEARTBEAT, FORWARD_REPLY] */
-    int peer;                  /* [FORWARD_HEARTBEAT, FORWARD_REPLY] the receiver */
+    int retry_after_s;             /* [REPLY] seconds; 0: none */
+    char key[BD_LABEL_BYTES];      /* [LEADER_TXN] the term; see the other kinds */
+    char *body;                    /* owned; NULL: none */
+    char addr[BD_LABEL_BYTES];     /* [DIRECT_COMMAND] */
+    uint64_t fencing_token;        /* [DIRECT_COMMAND] */
+    struct timespec send_deadline; /* [DIRECT_COMMAND] deadline for sending, by our steady clock */
+    uint32_t machine;              /* [DIRECT_COMMAND] */
+    bool has_launches;             /* [DIRECT_COMMAND] launches are among the commands */
+    uint64_t sequence;             /* [LEADER_TXN] */
+    uint64_t forward_id;           /* [FORWARD_HEARTBEAT, FORWARD_REPLY] */
+    int peer;                      /* [FORWARD_HEARTBEAT, FORWARD_REPLY] the receiver */
     struct bd_effect *next;
 };
 
--- a/src/model/forwarding_state.h
+++ b/src/model/forwarding_state.h
@@ -14,7 +14,7 @@
     uint64_t id;
     void *request;
     struct bd_heartbeat *heartbeat;
-    struct timespec until;
+    struct timespec deadline;
     struct bd_forwarded_heartbeat *next;
 };
 
@@ -22,12 +22,12 @@
 struct bd_redirected_worker {
     UT_hash_handle hh; /* by id */
     char id[BD_LABEL_BYTES];
-    struct timespec at;
+    struct timespec redirected_at;
     bool has_returned; /* its heartbeats are forwarded */
 };
 
 struct bd_forwarding {
-    struct bd_forwarded_heartbeat *waiting;
+    struct bd_forwarded_heartbeat *awaiting_reply;
     uint64_t last_id;
     struct bd_redirected_worker *redirected;
     /* The leader does not hear its workers: until then heartbeats are better forwarded than their
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -19,7 +19,7 @@
     enum bd_job_kind kind;
     enum bd_priority priority;
     double cpus, gpus, mem, image_gb;
-    double estimate; /* seconds that a task runs, by the user's estimate */
+    double estimate_s; /* seconds that a task runs, by the user's estimate */
     double checkpoint_interval_s, checkpoint_save_s, deadline_s; /* deadline < 0: none */
     bool same_zone, spread_zones, spot;
 };
@@ -30,23 +30,25 @@
     char id[BD_ID_BYTES];
     uint64_t revision; /* of its record */
     enum bd_job_state state;
-    bool stale; /* a transaction saw another revision: nothing is written before it is read */
-    bool dirty; /* has receipts to commit */
+    bool
+        record_stale; /* a transaction saw another revision: nothing is written before it is read */
+    bool dirty;       /* has receipts to commit */
     uint32_t ntasks, ndone, npending, nplaced, nrunning;
-    uint32_t shown_done, shown_running; /* counts for users while no task is tracked */
-    uint64_t receipt_chunks;            /* bits of the chunks that are committed */
-    uint32_t dirty_chunks;              /* bits of the chunks to commit */
-    double at;                          /* time of day of its submission */
-    struct timespec next_preemption_at; /* earliest time of the next preemption for it */
-    struct timespec backoff_until;      /* nothing is written of it before: see kv_limits.c */
-    struct timespec hold_until;         /* not placed before: its tasks failed or were refused */
+    uint32_t reported_done, reported_running; /* counts for users while no task is tracked */
+    uint64_t receipt_chunks;                  /* bits of the chunks that are committed */
+    uint32_t dirty_chunks;                    /* bits of the chunks to commit */
+    double submitted_at;                      /* time of day of its submission */
+    struct timespec next_preemption_at;       /* earliest time of the next preemption for it */
+    struct timespec backoff_until;            /* nothing is written of it before: see kv_limits.c */
+    struct timespec
+        placement_backoff_until; /* not placed before: its tasks failed or were refused */
     struct timespec last_placed_at, last_started_at;
     uint32_t restarts; /* tasks that lost their reservation after a launch */
     struct timespec cancellation_announced_at; /* announced by another controller; 0: not */
-    bool started;                              /* a start of it was committed in this term */
-    uint32_t errors;                           /* failed tasks */
-    uint32_t runs;                             /* tasks seen from start to end */
-    uint32_t longest_run;                      /* of them, in tenths of a second */
+    bool start_committed;                      /* a start of it was committed in this term */
+    uint32_t failed_tasks;                     /* failed tasks */
+    uint32_t finished_runs;                    /* tasks seen from start to end */
+    uint32_t longest_run_tenths;               /* of them, in tenths of a second */
     struct bd_spec spec;
     bool has_spec;
     bool within_guaranteed_share; /* in this scheduling cycle */
@@ -61,7 +63,7 @@
     char parent_parts_hash[BD_HASH_BYTES];
     bool has_had_parents;      /* it has or had parents: its deadline counts */
     bool cancelled_by_parent;  /* its own record does not say so yet */
-    double ready, end;         /* time of day: when it could start; when it was done */
+    double ready_at, ended_at; /* time of day: when it could start; when it was done */
     enum bd_priority priority; /* the highest among its own and its dependents' */
     double finish_by;          /* time of day by which it must be done for its own and its
                                   dependents' deadlines; infinite: none */
--- a/src/model/leadership_state.h
+++ b/src/model/leadership_state.h
@@ -23,8 +23,8 @@
 /* A committed intent record of the key-value store, `i/TERM-NUMBER`. Owns its intents. */
 struct bd_intent_record {
     char key[BD_LABEL_BYTES];
-    struct bd_intent *e;
-    uint32_t n;
+    struct bd_intent *intents;
+    uint32_t nintents;
 };
 
 /* What became of a leader's transaction, as the store's client hands it to the owner thread. */
@@ -41,7 +41,7 @@
     uint64_t term, grant;                 /* the revision and the grant of the leader's key */
     uint64_t sequence_revision, sequence; /* of the commit sequence, the key `w`; 0: none yet */
     const char *nonce;                    /* tells this acquisition from others of the same node */
-    struct timespec renewed;              /* when the newest renewal that succeeded was sent */
+    struct timespec renewal_sent_at;      /* when the newest renewal that succeeded was sent */
     json_t *receipts, *intents;           /* arrays of pairs */
 };
 
@@ -63,14 +63,14 @@
 /* A run of the plan that one intent record holds, since a value takes only so many. */
 struct bd_intent_slice {
     char key[BD_LABEL_BYTES];
-    uint32_t from, n;
+    uint32_t from, count;
 };
 
 /* The one leader transaction in flight. Made by scheduling/ with its plan, which leadership/ writes
  * and frees when the outcome is known or the term ends. */
 struct bd_commit {
     struct bd_intent *plan; /* grown by scheduling/ */
-    uint32_t nplan, cap;
+    uint32_t nplan, plan_cap;
     struct bd_receipt *receipts;
     uint32_t nreceipts;
     struct bd_job *done[BD_CYCLE_JOBS_MAX];
@@ -93,7 +93,7 @@
     struct timespec lease_valid_until; /* the term's lease is certainly valid before */
     struct timespec renewal_sent_at;   /* the newest renewal that succeeded */
 
-    uint64_t counter; /* attempts that were started in the term; counted by scheduling/ */
+    uint64_t attempt_count; /* attempts that were started in the term; counted by scheduling/ */
     uint64_t last_fenced_attempt; /* direct launches up to it all carried a lower token than ours */
     uint32_t nresults_withheld;   /* results that workers are to store until the token is higher;
                             counted by   workers/ since it last rose */
@@ -117,6 +117,6 @@
     uint64_t last_provision_request; /* provisioning requests of the term; autoscaling/ */
     bool is_class_limit_logged;      /* the limit of headroom's classes was logged; autoscaling/ */
     bool inbound_partition;          /* most workers are silent; workers/ */
-    bool outbound_partition_is_ours; /* too many workers seem not to receive us; workers/ */
+    bool leader_has_outbound_partition; /* too many workers seem not to receive us; workers/ */
 };
 #endif
--- a/src/model/machine.c
+++ b/src/model/machine.c
@@ -15,21 +15,22 @@
 
 struct bd_machine *bd_machine_by_index(struct bd_core *core, uint32_t index)
 {
-    return index < core->nmachines ? core->by_index[index] : NULL;
+    return index < core->nmachines ? core->machines_by_index[index] : NULL;
 }
 
 static void append_by_index(struct bd_core *core, struct bd_machine *machine)
 {
     if (core->nmachines == core->cap_machines) {
         uint32_t capacity = core->cap_machines ? core->cap_machines * 2 : MACHINES_CAPACITY_FIRST;
-        struct bd_machine **grown = realloc(core->by_index, capacity * sizeof(struct bd_machine *));
+        struct bd_machine **grown =
+            realloc(core->machines_by_index, capacity * sizeof(struct bd_machine *));
         if (!grown)
             abort();
-        core->by_index = grown;
+        core->machines_by_index = grown;
         core->cap_machines = capacity;
     }
     machine->index = core->nmachines;
-    core->by_index[core->nmachines++] = machine;
+    core->machines_by_index[core->nmachines++] = machine;
 }
 
 static struct bd_machine *add_machine(struct bd_core *core, const char *id)
@@ -38,9 +39,9 @@
     if (!machine)
         abort();
     snprintf(machine->id, sizeof machine->id, "%s", id);
-    machine->type = machine->zone = machine->via = -1;
-    machine->notice_left = -1;
-    machine->known_at = machine->idle_since = core->now;
+    machine->type = machine->zone = machine->heartbeat_peer = -1;
+    machine->termination_notice_s = -1;
+    machine->first_seen_at = machine->idle_since = core->now;
     /* an earlier term may have renewed it without our knowledge */
     machine->lease_expires_at = core->lead.earlier_leases_expire_at;
     append_by_index(core, machine);
@@ -73,7 +74,7 @@
 
 bool bd_machine_is_overdue(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return is_overdue_since(core, machine->heard);
+    return is_overdue_since(core, machine->last_contact_at);
 }
 
 static bool has_known_type(const struct bd_core *core, const struct bd_machine *machine)
@@ -83,22 +84,24 @@
 
 static bool is_in_service(const struct bd_machine *machine)
 {
-    return machine->fenced && !machine->gone && !machine->scaling_in && !machine->failed &&
-           !machine->quarantined && machine->notice_left < 0 && !machine->cordoned;
+    return machine->has_seen_term && !machine->terminated && !machine->scaling_in &&
+           !machine->failed && !machine->quarantined && machine->termination_notice_s < 0 &&
+           !machine->cordoned;
 }
 
 static bool is_reachable(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return (!machine->outbound_partition || core->lead.outbound_partition_is_ours) &&
-           !is_overdue_since(core, machine->heard) &&
+    return (!machine->outbound_partition || core->lead.leader_has_outbound_partition) &&
+           !is_overdue_since(core, machine->last_contact_at) &&
            /* one that answers directly while no heartbeat arrives loses all with its lease */
-           !is_overdue_since(core, machine->asked);
+           !is_overdue_since(core, machine->last_heartbeat_at);
 }
 
 bool bd_machine_is_usable(const struct bd_core *core, const struct bd_machine *machine)
 {
     return has_known_type(core, machine) && machine->zone >= 0 && is_in_service(machine) &&
-           is_reachable(core, machine) && bd_time_is_before(machine->refuse_until, core->now);
+           is_reachable(core, machine) &&
+           bd_time_is_before(machine->launch_backoff_until, core->now);
 }
 
 void bd_machines_free(struct bd_core *core)
@@ -110,7 +113,7 @@
         free(machine->reservations);
         free(machine);
     }
-    free(core->by_index);
-    core->by_index = NULL;
+    free(core->machines_by_index);
+    core->machines_by_index = NULL;
     core->nmachines = core->cap_machines = 0;
 }
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -10,24 +10,25 @@
 #include "wire/wire.h"
 #include "wire/wire_limits.h"
 
-#define BD_IMAGES 40 /* that a machine is known to have; older ones are fetched again */
+#define BD_MACHINE_IMAGES_MAX 40 /* that a machine is known to have; older ones are fetched again  \
+                                  */
 
 /* Amounts are cores, accelerators and GB. */
-struct bd_type {
+struct bd_machine_type {
     char label[BD_LABEL_BYTES];
     bool known; /* the cloud has described it */
     double cpus, gpus, mem, cache_gb;
-    double fetch;             /* GB a second */
+    double fetch_gb_per_s;    /* GB a second */
     double price, spot_price; /* an hour */
-    double boot;              /* seconds */
+    double boot_s;            /* seconds */
     uint32_t zones;           /* bits of the zones that offer it */
 };
 
 /* An image in a machine's cache, or on its way there. */
-struct bd_held_image {
+struct bd_cached_image {
     int image;
     double gb;
-    struct timespec ready; /* when it is there, by the type's rate */
+    struct timespec available_at; /* when it is there, by the type's rate */
 };
 
 struct bd_machine {
@@ -36,27 +37,29 @@
     uint32_t index;
     int type, zone; /* -1: not known yet */
     bool spot, in_inventory, failed;
-    bool fenced; /* its newest heartbeat has seen a fencing token of our term */
-    bool gone, scaling_in;
+    bool has_seen_term; /* its newest heartbeat has seen a fencing token of our term */
+    bool terminated, scaling_in;
 
     /* its newest heartbeat */
-    uint64_t incarnation, seq, expired_incarnation;
-    uint64_t fencing_token;     /* the highest that it has seen */
-    bool answered;              /* in this term */
-    bool answered_since_fenced; /* ... since it has seen it: for the decision log */
-    uint64_t received_seq;      /* of the newest that came to be answered: others are copies */
-    int via;                    /* the controller that it came to: a peer's index, or -1 */
-    uint32_t unheard_replies;   /* times in a row that it went elsewhere although it was answered */
-    bool outbound_partition;    /* replies and commands seem not to reach it */
+    uint64_t incarnation, heartbeat_seq, expired_incarnation;
+    uint64_t fencing_token;        /* the highest that it has seen */
+    bool answered_in_term;         /* in this term */
+    bool answered_since_term_seen; /* ... since it has seen it: for the decision log */
+    uint64_t received_seq;         /* of the newest that came to be answered: others are copies */
+    int heartbeat_peer;            /* the controller that it came to: a peer's index, or -1 */
+    uint32_t
+        unreceived_replies;  /* times in a row that it went elsewhere although it was answered */
+    bool outbound_partition; /* replies and commands seem not to reach it */
 
-    struct timespec age_known_at, scale_in_allowed_at;
-    struct timespec lease_expires_at; /* later nothing of the last incarnation runs */
-    struct timespec steady;           /* since then heartbeats came without a gap */
-    struct timespec heard, known_at, idle_since;
-    struct timespec refuse_until; /* no launch before: it refused one */
-    struct timespec asked;        /* newest heartbeat; direct replies count for `heard` alone */
-    double known_age_s;           /* seconds, at age_known_at */
-    double notice_left;           /* seconds until the cloud takes it; < 0: no notice */
+    struct timespec age_reported_at, scale_in_allowed_at;
+    struct timespec lease_expires_at;        /* later nothing of the last incarnation runs */
+    struct timespec heartbeats_steady_since; /* since then heartbeats came without a gap */
+    struct timespec last_contact_at, first_seen_at, idle_since;
+    struct timespec launch_backoff_until; /* no launch before: it refused one */
+    struct timespec
+        last_heartbeat_at;       /* newest heartbeat; direct replies count for `heard` alone */
+    double reported_age_s;       /* seconds, at age_known_at */
+    double termination_notice_s; /* seconds until the cloud takes it; < 0: no notice */
 
     bool direct_in_flight;    /* one direct command at a time */
     uint32_t direct_failures; /* without an answer, in a row */
@@ -66,26 +69,26 @@
     struct timespec direct_sent_at;
 
     struct bd_reservation *reservations; /* owned */
-    uint32_t nreservations, cap;
-    double cpus, gpus, mem;                      /* reserved */
-    double pinned_cpus, pinned_gpus, pinned_mem; /* of that by services and GPU tasks */
+    uint32_t nreservations, reservations_cap;
+    double reserved_cpus, reserved_gpus, reserved_mem_gb; /* reserved */
+    double pinned_cpus, pinned_gpus, pinned_mem;          /* of that by services and GPU tasks */
 
-    struct bd_held_image images[BD_IMAGES]; /* the most recently used first */
+    struct bd_cached_image images[BD_MACHINE_IMAGES_MAX]; /* the most recently used first */
     int nimages;
-    struct timespec fetched_by; /* when all images that it fetches are there */
+    struct timespec fetches_done_at; /* when all images that it fetches are there */
 
-    uint32_t errors; /* failed tasks in a row, of different jobs */
-    struct bd_job *error_job;
-    bool delegated;             /* in a delegate's record at the last refresh */
-    int delegate;               /* whose: an index into the core's delegates */
-    struct timespec redirected; /* when it was last sent to its own zone's controller */
-    bool direct;                /* its last heartbeat came from itself, not by a controller */
-    bool cordoned;              /* a drain keeps new work off it */
-    bool kept_for_drain;        /* ... keeps it although it is idle */
-    bool scale_in_for_drain;    /* ... has it scaled in now */
-    bool consolidating;         /* its tasks move, so that an expensive machine can be scaled in */
+    uint32_t consecutive_failures; /* failed tasks in a row, of different jobs */
+    struct bd_job *last_failed_job;
+    bool is_delegated;             /* in a delegate's record at the last refresh */
+    int delegate_index;            /* whose: an index into the core's delegates */
+    struct timespec redirected_at; /* when it was last sent to its own zone's controller */
+    bool heartbeat_was_direct;     /* its last heartbeat came from itself, not by a controller */
+    bool cordoned;                 /* a drain keeps new work off it */
+    bool kept_for_drain;           /* ... keeps it although it is idle */
+    bool scale_in_for_drain;       /* ... has it scaled in now */
+    bool consolidating; /* its tasks move, so that an expensive machine can be scaled in */
     bool quarantined;
-    bool headroom; /* kept for expected work */
+    bool is_headroom; /* kept for expected work */
 };
 
 struct bd_core;
--- a/src/model/machine_images.c
+++ b/src/model/machine_images.c
@@ -6,7 +6,7 @@
 #include <math.h>
 #include <string.h>
 
-static const struct bd_held_image *find_image(const struct bd_machine *machine, int image)
+static const struct bd_cached_image *find_image(const struct bd_machine *machine, int image)
 {
     for (int i = 0; i < machine->nimages; i++)
         if (machine->images[i].image == image)
@@ -25,8 +25,8 @@
 }
 
 /* NULL: known only by the intents of an earlier term. */
-static const struct bd_type *known_type(const struct bd_core *core,
-                                        const struct bd_machine *machine)
+static const struct bd_machine_type *known_type(const struct bd_core *core,
+                                                const struct bd_machine *machine)
 {
     if (machine->type < 0 || !core->types[machine->type].known)
         return NULL;
@@ -37,19 +37,19 @@
 double bd_image_fetch_s(const struct bd_core *core, const struct bd_machine *machine,
                         const struct bd_spec *spec)
 {
-    const struct bd_held_image *held = find_image(machine, spec->image);
+    const struct bd_cached_image *held = find_image(machine, spec->image);
     if (held)
-        return seconds_until(core, held->ready);
-    const struct bd_type *type = known_type(core, machine);
+        return seconds_until(core, held->available_at);
+    const struct bd_machine_type *type = known_type(core, machine);
     if (!type)
         return INFINITY;
-    return seconds_until(core, machine->fetched_by) + spec->image_gb / type->fetch;
+    return seconds_until(core, machine->fetches_done_at) + spec->image_gb / type->fetch_gb_per_s;
 }
 
 /* Removes the least recently used images if all do not fit the machine's cache. */
 static void remove_old_images(const struct bd_core *core, struct bd_machine *machine)
 {
-    const struct bd_type *type = known_type(core, machine);
+    const struct bd_machine_type *type = known_type(core, machine);
     double total_gb = 0;
     if (!type)
         return;
@@ -62,22 +62,22 @@
 
 static bool has_fetch_rate(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return machine->type >= 0 && core->types[machine->type].fetch > 0;
+    return machine->type >= 0 && core->types[machine->type].fetch_gb_per_s > 0;
 }
 
-static struct bd_held_image new_image(const struct bd_core *core, struct bd_machine *machine,
-                                      const struct bd_spec *spec, bool there)
+static struct bd_cached_image new_image(const struct bd_core *core, struct bd_machine *machine,
+                                        const struct bd_spec *spec, bool there)
 {
-    struct bd_held_image image = {spec->image, spec->image_gb, core->now};
+    struct bd_cached_image image = {spec->image, spec->image_gb, core->now};
     if (!there && has_fetch_rate(core, machine)) {
-        image.ready = bd_time_add(core->now, bd_secs(bd_image_fetch_s(core, machine, spec)));
-        machine->fetched_by = image.ready;
+        image.available_at = bd_time_add(core->now, bd_secs(bd_image_fetch_s(core, machine, spec)));
+        machine->fetches_done_at = image.available_at;
     }
     return image;
 }
 
 /* Makes room for an image at the front: the entry at `index` is overwritten. */
-static void move_to_front(struct bd_machine *machine, int index, struct bd_held_image image)
+static void move_to_front(struct bd_machine *machine, int index, struct bd_cached_image image)
 {
     memmove(machine->images + 1, machine->images, (size_t)index * sizeof *machine->images);
     machine->images[0] = image;
@@ -86,12 +86,12 @@
 void bd_machine_use_image(struct bd_core *core, struct bd_machine *machine,
                           const struct bd_spec *spec, bool there)
 {
-    const struct bd_held_image *held = find_image(machine, spec->image);
-    struct bd_held_image image = held ? *held : new_image(core, machine, spec, there);
+    const struct bd_cached_image *held = find_image(machine, spec->image);
+    struct bd_cached_image image = held ? *held : new_image(core, machine, spec, there);
     int index = held ? (int)(held - machine->images) : machine->nimages;
     if (there)
-        image.ready = core->now;
-    if (index == BD_IMAGES)
+        image.available_at = core->now;
+    if (index == BD_MACHINE_IMAGES_MAX)
         index--; /* in place of the least recently used */
     else if (!held)
         machine->nimages++;
--- a/src/model/peer_state.h
+++ b/src/model/peer_state.h
@@ -7,8 +7,8 @@
 
 struct bd_peer_view {
     /* its newest status */
-    struct timespec heard;
-    struct timespec kv_seen_at; /* when it last read the key-value store, by our steady clock */
+    struct timespec status_received_at;
+    struct timespec kv_read_at; /* when it last read the key-value store, by our steady clock */
     uint64_t term;              /* its own if it leads, else 0 */
     uint8_t flags;              /* BD_PEER_... */
     double status_sent_wall_s;  /* when it was sent, by the peer's time of day */
--- a/src/model/peers.c
+++ b/src/model/peers.c
@@ -5,9 +5,9 @@
 
 #define STATUS_VALID_S 3.0 /* a peer's status shows its version for so long */
 
-bool bd_peer_heard(const struct bd_core *core, int peer, double within_s)
+bool bd_peer_status_is_recent(const struct bd_core *core, int peer, double within_s)
 {
-    return bd_seconds_between(core->peers[peer].heard, core->now) < within_s;
+    return bd_seconds_between(core->peers[peer].status_received_at, core->now) < within_s;
 }
 
 bool bd_peer_is_local(const struct bd_core *core, int peer)
@@ -19,7 +19,8 @@
 {
     for (int i = 0; i < core->settings->npeers; i++) {
         const struct bd_peer_view *peer = &core->peers[i];
-        bool is_known = !bd_time_is_zero(peer->heard) && bd_peer_heard(core, i, STATUS_VALID_S);
+        bool is_known = !bd_time_is_zero(peer->status_received_at) &&
+                        bd_peer_status_is_recent(core, i, STATUS_VALID_S);
         if (is_known && !(peer->flags & flag))
             return true;
     }
--- a/src/model/peers.h
+++ b/src/model/peers.h
@@ -9,7 +9,7 @@
 #include <stdint.h>
 
 /* Whether a status of the peer came within so many seconds. */
-bool bd_peer_heard(const struct bd_core *core, int peer, double within_s);
+bool bd_peer_status_is_recent(const struct bd_core *core, int peer, double within_s);
 /* Whether the peer is in our own zone. */
 bool bd_peer_is_local(const struct bd_core *core, int peer);
 /* Whether a peer is up whose newest status lacks the flag: one of an older version. */
--- a/src/model/replica_state.h
+++ b/src/model/replica_state.h
@@ -25,7 +25,7 @@
     void *request;
     char id[BD_ID_BYTES];
     enum bd_read_purpose purpose;
-    struct bd_admission *accept; /* owned; NULL: no submission */
+    struct bd_admission *admission; /* owned; NULL: no submission */
     struct bd_pending_read *next;
 };
 
@@ -33,11 +33,11 @@
 struct bd_replica {
     uint64_t store_revision; /* up to which all changes have been applied */
     bool ready;              /* all records have been listed once */
-    bool evicted;            /* some old final records are not in memory any more */
-    struct timespec next_evict;
-    struct timespec refreshed_at;    /* when the newest refresh that was answered was sent */
-    struct bd_pending_read *waiting; /* reads for the next read barrier */
-    struct bd_pending_read *asked;   /* reads for the barrier in flight */
-    bool barrier_in_flight;          /* a barrier is in flight */
+    bool has_evicted_jobs;   /* some old final records are not in memory any more */
+    struct timespec next_eviction;
+    struct timespec refreshed_at; /* when the newest refresh that was answered was sent */
+    struct bd_pending_read *next_barrier_reads; /* reads for the next read barrier */
+    struct bd_pending_read *barrier_reads;      /* reads for the barrier in flight */
+    bool barrier_in_flight;                     /* a barrier is in flight */
 };
 #endif
--- a/src/model/reservation.c
+++ b/src/model/reservation.c
@@ -19,9 +19,9 @@
 static void add_machine_use(struct bd_machine *machine, const struct bd_spec *spec, double factor)
 {
     bool ends_by_itself = spec->kind != BD_JOB_SERVICE && spec->gpus <= 0; /* before long */
-    machine->cpus += factor * spec->cpus;
-    machine->gpus += factor * spec->gpus;
-    machine->mem += factor * spec->mem;
+    machine->reserved_cpus += factor * spec->cpus;
+    machine->reserved_gpus += factor * spec->gpus;
+    machine->reserved_mem_gb += factor * spec->mem;
     if (ends_by_itself)
         return;
     machine->pinned_cpus += factor * spec->cpus;
@@ -32,19 +32,19 @@
 /* So that rounding errors of the sums do not add up. */
 static void reset_machine_use(struct bd_machine *machine)
 {
-    machine->cpus = machine->gpus = machine->mem = 0;
+    machine->reserved_cpus = machine->reserved_gpus = machine->reserved_mem_gb = 0;
     machine->pinned_cpus = machine->pinned_gpus = machine->pinned_mem = 0;
 }
 
 static void grow_list(struct bd_machine *machine)
 {
-    uint32_t capacity = machine->cap ? machine->cap * 2 : CAPACITY_FIRST;
+    uint32_t capacity = machine->reservations_cap ? machine->reservations_cap * 2 : CAPACITY_FIRST;
     struct bd_reservation *grown =
         realloc(machine->reservations, capacity * sizeof *machine->reservations);
     if (!grown)
         abort();
     machine->reservations = grown;
-    machine->cap = capacity;
+    machine->reservations_cap = capacity;
 }
 
 static void remove_from_list(struct bd_machine *machine, const struct bd_job *job, uint32_t index)
@@ -62,7 +62,7 @@
                         struct bd_machine *machine)
 {
     job->tasks[index].machine = machine->index;
-    if (machine->nreservations == machine->cap)
+    if (machine->nreservations == machine->reservations_cap)
         grow_list(machine);
     machine->reservations[machine->nreservations++] = (struct bd_reservation){job, index};
     add_machine_use(machine, &job->spec, 1);
--- a/src/model/resources.c
+++ b/src/model/resources.c
@@ -2,11 +2,13 @@
 #include "model/core_state.h"
 #include <math.h>
 
-struct bd_resources bd_machine_free(const struct bd_core *core, const struct bd_machine *machine)
+struct bd_resources bd_machine_free_resources(const struct bd_core *core,
+                                              const struct bd_machine *machine)
 {
-    const struct bd_type *type = &core->types[machine->type];
-    return (struct bd_resources){type->cpus - machine->cpus, type->gpus - machine->gpus,
-                                 type->mem - machine->mem};
+    const struct bd_machine_type *type = &core->types[machine->type];
+    return (struct bd_resources){type->cpus - machine->reserved_cpus,
+                                 type->gpus - machine->reserved_gpus,
+                                 type->mem - machine->reserved_mem_gb};
 }
 
 void bd_resources_add(struct bd_resources *resources, const struct bd_spec *spec, double factor)
--- a/src/model/resources.h
+++ b/src/model/resources.h
@@ -15,7 +15,8 @@
 };
 
 /* What no task has reserved of the machine, whose type must be known. */
-struct bd_resources bd_machine_free(const struct bd_core *core, const struct bd_machine *machine);
+struct bd_resources bd_machine_free_resources(const struct bd_core *core,
+                                              const struct bd_machine *machine);
 /* Adds the resources of one task of the job, multiplied by factor. */
 void bd_resources_add(struct bd_resources *resources, const struct bd_spec *spec, double factor);
 /* How many tasks of the job fit, at most max. */
--- a/src/model/task.h
+++ b/src/model/task.h
@@ -35,7 +35,7 @@
     BD_RELEASE_NOT_REPORTED,         /* a heartbeat that has seen our term does not show it */
     BD_RELEASE_NEW_INCARNATION,      /* ... and is of a later incarnation */
     BD_RELEASE_LEASE_EXPIRED,
-    BD_RELEASE_MACHINE_GONE, /* scaled in, or missing from the cloud's inventory */
+    BD_RELEASE_MACHINE_TERMINATED, /* scaled in, or missing from the cloud's inventory */
     BD_RELEASE_MACHINE_FAILED,
     BD_RELEASE_MOVED, /* a heartbeat shows it elsewhere */
     BD_RELEASE_DONE
--- a/src/model/task_state.c
+++ b/src/model/task_state.c
@@ -42,8 +42,8 @@
 void bd_job_stop_tracking(struct bd_job *job)
 {
     if (job->tasks) {
-        job->shown_done = job->ndone;
-        job->shown_running = job->nrunning;
+        job->reported_done = job->ndone;
+        job->reported_running = job->nrunning;
     }
     free(job->tasks);
     job->tasks = NULL;
@@ -235,9 +235,9 @@
     machine->unanswered_launch_token = 0;
 }
 
-void bd_machine_mark_gone(struct bd_core *core, struct bd_machine *machine)
+void bd_machine_mark_terminated(struct bd_core *core, struct bd_machine *machine)
 {
-    bd_machine_release_reservations(core, machine, BD_RELEASE_MACHINE_GONE);
-    machine->gone = true;
+    bd_machine_release_reservations(core, machine, BD_RELEASE_MACHINE_TERMINATED);
+    machine->terminated = true;
     machine->addr[0] = '\0';
 }
--- a/src/model/task_state.h
+++ b/src/model/task_state.h
@@ -35,7 +35,7 @@
 void bd_machine_release_reservations(struct bd_core *core, struct bd_machine *machine,
                                      enum bd_release_reason reason);
 /* ... and marks the machine as gone for good. */
-void bd_machine_mark_gone(struct bd_core *core, struct bd_machine *machine);
+void bd_machine_mark_terminated(struct bd_core *core, struct bd_machine *machine);
 /* An instant as bd_task.started_at counts it: tenths of a second of the steady clock, never 0. */
 uint32_t bd_steady_tenths(struct timespec instant);
 #endif
--- a/src/runtime/effect_dispatch.c
+++ b/src/runtime/effect_dispatch.c
@@ -64,7 +64,7 @@
 /* Takes the effect over, as the functions below do. */
 static void reply(struct bd_node *node, struct bd_effect *effect)
 {
-    bd_api_reply(node, effect->request, effect->status, effect->body, effect->retry_after);
+    bd_api_reply(node, effect->request, effect->status, effect->body, effect->retry_after_s);
     effect->body = NULL;
     bd_effect_free(effect);
 }
--- a/src/runtime/peer_status.c
+++ b/src/runtime/peer_status.c
@@ -80,7 +80,7 @@
     (void)pthread_mutex_lock(&node->status_lock);
     node->status.term = core->role == BD_LEADER ? core->lead.term : 0;
     node->status.flags = status_flags(node, kv_age_s);
-    node->status.at_ms = (uint64_t)(core->wall * 1000);
+    node->status.at_ms = (uint64_t)(core->wall_s * 1000);
     node->status.age_ms = kv_age_s > AGE_MAX_S ? UNKNOWN_AGE_MS : (uint32_t)(kv_age_s * 1000);
     collect_progress(node);
     (void)pthread_mutex_unlock(&node->status_lock);
--- a/src/scheduling/cost_model.c
+++ b/src/scheduling/cost_model.c
@@ -18,7 +18,7 @@
 #define ROUNDING 1e-9           /* of a quotient of amounts */
 #define TASKS_MAX 1e6           /* for a task that needs nothing */
 
-int bd_tasks_per_machine(const struct bd_type *type, const struct bd_spec *spec)
+int bd_tasks_per_machine(const struct bd_machine_type *type, const struct bd_spec *spec)
 {
     double n = TASKS_MAX;
     if (spec->cpus > 0)
@@ -34,7 +34,7 @@
 static double place_price(const struct bd_core *core, const struct bd_spec *spec, int type,
                           bool spot)
 {
-    const struct bd_type *machine_type = &core->types[type];
+    const struct bd_machine_type *machine_type = &core->types[type];
     int n = machine_type->known ? bd_tasks_per_machine(machine_type, spec) : 0;
     if (n < 1 || !bd_type_allowed(spec, type) || (spot && !spec->spot))
         return INFINITY;
@@ -83,7 +83,8 @@
     double lead = 0;
     for (int type = 0; type < core->ntypes; type++)
         if (place_price(core, spec, type, false) < INFINITY)
-            lead = fmax(lead, core->types[type].boot + spec->image_gb / core->types[type].fetch);
+            lead = fmax(lead, core->types[type].boot_s +
+                                  spec->image_gb / core->types[type].fetch_gb_per_s);
     return lead;
 }
 
@@ -96,7 +97,7 @@
     bool has_objective = false;
     for (int i = 0; i < core->settings->nslos; i++) {
         const struct bd_slo *slo = &core->settings->slos[i];
-        double slack = bd_slo_slack(core, spec->job_class, spec->estimate, slo);
+        double slack = bd_slo_slack(core, spec->job_class, spec->estimate_s, slo);
         double spare = slack - lead;
         if (slack < 0)
             continue;
@@ -119,7 +120,7 @@
 
 enum bd_cost_tier bd_cost_tier_of(const struct bd_core *core, const struct bd_job *job)
 {
-    double may_wait = cheap_wait_s(core, &job->spec), waited = core->wall - job->ready;
+    double may_wait = cheap_wait_s(core, &job->spec), waited = core->wall_s - job->ready_at;
     if (isfinite(job->finish_by)) /* the jobs that wait for it leave it no more than that */
         may_wait = fmin(may_wait, fmax(0, bd_deadline_slack(core, job) - SLACK_MIN_S + waited));
     double until_any = yields_to_gpu_work(core, job) ? fmax(may_wait, GPU_YIELD_MIN_S) : may_wait;
--- a/src/scheduling/gang_placement.c
+++ b/src/scheduling/gang_placement.c
@@ -65,7 +65,7 @@
 bool bd_place_gang(struct placement_cycle *cycle, struct bd_job *job, uint64_t attempt)
 {
     bool wants_one_zone = job->spec.same_zone && job->ntasks > 1 && cycle->core->nzones > 0;
-    bool has_waited = cycle->core->wall - job->ready > CLAIM_AFTER_S;
+    bool has_waited = cycle->core->wall_s - job->ready_at > CLAIM_AFTER_S;
     enum partial_gang partial = has_waited ? PARTIAL_GANG_CLAIM : PARTIAL_GANG_DROP;
     uint32_t fitting =
         plan_whole_gang(cycle, job, attempt, wants_one_zone ? PARTIAL_GANG_DROP : partial);
--- a/src/scheduling/gpu_capacity.c
+++ b/src/scheduling/gpu_capacity.c
@@ -50,7 +50,7 @@
                                   const struct bd_machine *machine, uint32_t most)
 {
     const struct bd_spec *gpu_task = &core->cloud.largest_gpu_task[machine->type][machine->spot];
-    const struct bd_type *type = &core->types[machine->type];
+    const struct bd_machine_type *type = &core->types[machine->type];
     if (spec->gpus > 0 || gpu_task->gpus <= 0)
         return most;
     struct bd_resources for_gpu_tasks = {type->cpus - machine->pinned_cpus,
@@ -58,9 +58,9 @@
                                          type->mem - machine->pinned_mem};
     uint32_t gpu_tasks = bd_resources_fit_count(for_gpu_tasks, gpu_task, GPU_TASKS_MAX);
     if (gpu_tasks == 0) /* services alone keep GPU work away: more of them do no harm here */
-        return machine->gpus > 0 || spec->kind == BD_JOB_SERVICE ? most : 0;
-    struct bd_resources left = {type->cpus - machine->cpus - gpu_tasks * gpu_task->cpus, 0,
-                                type->mem - machine->mem - gpu_tasks * gpu_task->mem};
+        return machine->reserved_gpus > 0 || spec->kind == BD_JOB_SERVICE ? most : 0;
+    struct bd_resources left = {type->cpus - machine->reserved_cpus - gpu_tasks * gpu_task->cpus, 0,
+                                type->mem - machine->reserved_mem_gb - gpu_tasks * gpu_task->mem};
     return left.cpus < 0 || left.mem < 0 ? 0 : bd_resources_fit_count(left, spec, most);
 }
 
--- a/src/scheduling/job_order.c
+++ b/src/scheduling/job_order.c
@@ -12,8 +12,8 @@
 
 static int compare_ages(const struct bd_job *a, const struct bd_job *b)
 {
-    if (a->ready != b->ready)
-        return a->ready < b->ready ? -1 : 1;
+    if (a->ready_at != b->ready_at)
+        return a->ready_at < b->ready_at ? -1 : 1;
     return strcmp(a->id, b->id);
 }
 
--- a/src/scheduling/machine_choice.c
+++ b/src/scheduling/machine_choice.c
@@ -25,7 +25,7 @@
 struct bd_resources bd_unclaimed_capacity(const struct placement_cycle *cycle,
                                           const struct bd_machine *machine)
 {
-    struct bd_resources capacity = bd_machine_free(cycle->core, machine);
+    struct bd_resources capacity = bd_machine_free_resources(cycle->core, machine);
     const struct bd_resources *claimed = &cycle->machines[machine->index].claimed;
     return (struct bd_resources){capacity.cpus - claimed->cpus, capacity.gpus - claimed->gpus,
                                  capacity.mem - claimed->mem};
@@ -59,7 +59,7 @@
     struct job_weights *weights = &cycle->weights;
     for (int i = 0; i < settings->nslos; i++) {
         double slack =
-            bd_slo_slack(cycle->core, spec->job_class, spec->estimate, &settings->slos[i]);
+            bd_slo_slack(cycle->core, spec->job_class, spec->estimate_s, &settings->slos[i]);
         if (slack < 0)
             continue;
         weights->on_demand_penalty_s =
@@ -97,7 +97,7 @@
                                const struct bd_machine *machine, struct bd_resources capacity,
                                bool harms_gpu_work)
 {
-    const struct bd_type *type = &cycle->core->types[machine->type];
+    const struct bd_machine_type *type = &cycle->core->types[machine->type];
     double left = type->cpus > 0 ? (capacity.cpus - spec->cpus) / type->cpus : 0;
     if (spec->gpus > 0 && type->gpus > 0)
         left = (capacity.gpus - spec->gpus) / type->gpus;
@@ -119,7 +119,7 @@
 {
     return spec->gpus <= 0 && spec->kind == BD_JOB_ARRAY &&
            cycle->weights.is_expensive[machine->type][machine->spot] && machine->pinned_cpus <= 0 &&
-           machine->pinned_gpus <= 0 && !machine->headroom;
+           machine->pinned_gpus <= 0 && !machine->is_headroom;
 }
 
 static bool is_candidate(const struct placement_cycle *cycle, const struct bd_spec *spec,
@@ -164,7 +164,7 @@
     struct bd_machine *best = NULL;
     double lowest = INFINITY;
     for (uint32_t i = 0; i < cycle->core->nmachines; i++) {
-        struct bd_machine *machine = cycle->core->by_index[i];
+        struct bd_machine *machine = cycle->core->machines_by_index[i];
         if (!is_candidate(cycle, &job->spec, machine))
             continue;
         double cost = machine_cost_s(cycle, job, machine, zone_counts, price_limit, gpu_capacity);
--- a/src/scheduling/placement.c
+++ b/src/scheduling/placement.c
@@ -69,7 +69,7 @@
     uint32_t wanted = bd_free_quota(core, &job->spec, job->npending), placed = 0;
     if (cycle->compares >= cycle->compares_max || wanted == 0 || (is_gang && wanted < job->ntasks))
         return;
-    uint64_t attempt = (core->lead.base_term << 20) + core->lead.counter + 1;
+    uint64_t attempt = (core->lead.base_term << 20) + core->lead.attempt_count + 1;
     bd_job_weights_update(cycle, job);
     if (is_gang && preempts_beside_image(cycle, job))
         return;
@@ -79,7 +79,7 @@
     } else {
         placed = place_tasks(cycle, job, &wanted, attempt);
     }
-    core->lead.counter += placed > 0;
+    core->lead.attempt_count += placed > 0;
     cycle->compares += placed > 0;
     if (placed >= wanted || job->priority <= BD_PRIORITY_IDLE || !bd_preemption_is_due(core, job))
         return;
@@ -89,7 +89,8 @@
 
 static bool is_placeable(const struct bd_core *core, const struct bd_job *job)
 {
-    return job->npending > 0 && !job->stale && bd_time_is_before(job->hold_until, core->now) &&
+    return job->npending > 0 && !job->record_stale &&
+           bd_time_is_before(job->placement_backoff_until, core->now) &&
            !bd_time_is_before(core->now, job->backoff_until);
 }
 
@@ -111,7 +112,7 @@
     if (!cycle->machines)
         abort();
     for (uint32_t i = 0; i < core->nmachines; i++) {
-        const struct bd_machine *machine = core->by_index[i];
+        const struct bd_machine *machine = core->machines_by_index[i];
         cycle->machines[i].is_schedulable =
             bd_machine_is_usable(core, machine) && !machine->consolidating;
     }
--- a/src/scheduling/plan.c
+++ b/src/scheduling/plan.c
@@ -16,19 +16,19 @@
 
 static void grow_plan(struct bd_commit *commit)
 {
-    uint32_t cap = commit->cap ? commit->cap * 2 : PLAN_CAPACITY_FIRST;
+    uint32_t cap = commit->plan_cap ? commit->plan_cap * 2 : PLAN_CAPACITY_FIRST;
     struct bd_intent *plan = realloc(commit->plan, cap * sizeof *plan);
     if (!plan)
         abort();
     commit->plan = plan;
-    commit->cap = cap;
+    commit->plan_cap = cap;
 }
 
 static void plan_task(struct placement_cycle *cycle, struct bd_job *job, uint32_t task,
                       struct bd_machine *machine, uint64_t attempt)
 {
     struct bd_commit *commit = cycle->commit;
-    if (commit->nplan == commit->cap)
+    if (commit->nplan == commit->plan_cap)
         grow_plan(commit);
     bd_task_assign(cycle->core, job, task, machine, attempt, BD_TASK_PLANNED);
     commit->plan[commit->nplan++] = (struct bd_intent){job, task, machine->index, attempt};
@@ -65,7 +65,7 @@
 {
     if (!bd_machine_has_image(machine, job->spec.image))
         cycle->machines[machine->index].planned_fetch_s +=
-            job->spec.image_gb / cycle->core->types[machine->type].fetch;
+            job->spec.image_gb / cycle->core->types[machine->type].fetch_gb_per_s;
     cycle->record_bytes += bd_intent_group_bytes(job, machine) + (size_t)n * BD_INTENT_TASK_BYTES;
     uint32_t task = first;
     for (; n > 0 && task < job->ntasks; task++) {
--- a/src/scheduling/preemption.c
+++ b/src/scheduling/preemption.c
@@ -115,8 +115,8 @@
     const struct bd_job *a = x->job, *b = y->job;
     if (a->priority != b->priority)
         return a->priority < b->priority;
-    if (a != b && a->ready != b->ready)
-        return a->ready > b->ready;
+    if (a != b && a->ready_at != b->ready_at)
+        return a->ready_at > b->ready_at;
     return a->tasks[x->task].attempt > b->tasks[y->task].attempt;
 }
 
@@ -197,7 +197,7 @@
 {
     for (uint32_t i = 0; i < cycle->core->nmachines; i++)
         cycle->machines[i].preemption_cost_s =
-            preemption_cost_s(cycle, job, cycle->core->by_index[i], search);
+            preemption_cost_s(cycle, job, cycle->core->machines_by_index[i], search);
 }
 
 /* The machine with the lowest cost; NULL: all are infinite. */
@@ -208,7 +208,7 @@
     for (uint32_t i = 0; i < cycle->core->nmachines; i++) {
         if (cycle->machines[i].preemption_cost_s < lowest) {
             lowest = cycle->machines[i].preemption_cost_s;
-            cheapest = cycle->core->by_index[i];
+            cheapest = cycle->core->machines_by_index[i];
         }
     }
     return cheapest;
@@ -268,6 +268,7 @@
     struct preemption_search search = {zone_counts, BD_PRICE_ANY, false};
     bd_count_tasks_by_zone(cycle->core, job, zone_counts);
     for (uint32_t i = 0; i < cycle->core->nmachines && possible < lacking; i++)
-        possible += preemption_cost_s(cycle, job, cycle->core->by_index[i], &search) < INFINITY;
+        possible +=
+            preemption_cost_s(cycle, job, cycle->core->machines_by_index[i], &search) < INFINITY;
     return possible >= lacking && bd_preempt(cycle, job, lacking, BD_PRICE_ANY) > 0;
 }
--- a/src/scheduling/scheduling.h
+++ b/src/scheduling/scheduling.h
@@ -51,7 +51,7 @@
 enum bd_cost_tier { BD_TIER_SPOT, BD_TIER_CHEAP, BD_TIER_ANY };
 
 /* How many such tasks fit on an empty machine of the type. */
-int bd_tasks_per_machine(const struct bd_type *type, const struct bd_spec *spec);
+int bd_tasks_per_machine(const struct bd_machine_type *type, const struct bd_spec *spec);
 /* Whether a place on such a machine costs much more than the cheapest on-demand place. */
 bool bd_type_is_expensive(const struct bd_core *core, const struct bd_spec *spec, int type,
                           bool spot);
--- a/src/workers/autonomous_zone.c
+++ b/src/workers/autonomous_zone.c
@@ -32,7 +32,7 @@
 
 void bd_liveness_written(struct bd_core *core, struct timespec sent)
 {
-    core->confirmed = bd_time_max(core->confirmed, sent);
+    core->liveness_confirmed_at = bd_time_max(core->liveness_confirmed_at, sent);
 }
 
 void bd_liveness_sent(struct bd_core *core, struct timespec sent)
@@ -44,7 +44,7 @@
 {
     /* a record that was written, though the response was lost, shows the leader that we are in
      * touch: it would not allow for renewals of ours */
-    struct timespec last = bd_time_max(core->confirmed, core->liveness_sent_at);
+    struct timespec last = bd_time_max(core->liveness_confirmed_at, core->liveness_sent_at);
     return core->role == BD_FOLLOWER && bd_seconds_between(last, core->now) > AUTONOMOUS_AFTER_S;
 }
 
@@ -58,8 +58,9 @@
         if (!bd_peer_is_local(core, i))
             continue;
         is_alone = false;
-        if (core->peers[i].flags & BD_PEER_KV_LOST && bd_peer_heard(core, i, PEER_STATUS_FRESH_S) &&
-            core->wall - core->peers[i].status_sent_wall_s < late_s)
+        if (core->peers[i].flags & BD_PEER_KV_LOST &&
+            bd_peer_status_is_recent(core, i, PEER_STATUS_FRESH_S) &&
+            core->wall_s - core->peers[i].status_sent_wall_s < late_s)
             return true;
     }
     return is_alone;
@@ -72,7 +73,8 @@
 
 static bool is_within_renewal_window(const struct bd_core *core)
 {
-    return bd_may_renew_leases(core) && bd_is_within_renewal_window(core, core->confirmed);
+    return bd_may_renew_leases(core) &&
+           bd_is_within_renewal_window(core, core->liveness_confirmed_at);
 }
 
 bool bd_autonomous_zone_may_reply(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
@@ -86,7 +88,7 @@
 {
     return core->role == BD_FOLLOWER && core->last_term && is_within_renewal_window(core) &&
            is_of_our_zone(core, heartbeat) && !bd_forward_hears_leader(core) &&
-           bd_seconds_between(core->confirmed, core->now) <
+           bd_seconds_between(core->liveness_confirmed_at, core->now) <
                AUTONOMOUS_AFTER_S + PEER_STATUS_FRESH_S;
 }
 
@@ -107,7 +109,7 @@
 
 static double liveness_age_s(const struct bd_core *core, int peer)
 {
-    return core->wall - core->peers[peer].liveness_wall_s;
+    return core->wall_s - core->peers[peer].liveness_wall_s;
 }
 
 /* Brings up to date until when the controller may be cut off from the store. True: it may be now.
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -52,7 +52,7 @@
 {
     int leader = bd_leader_index(core);
     return leader >= 0 &&
-           bd_seconds_between(core->peers[leader].heard, core->now) > BD_PEER_SILENT_S;
+           bd_seconds_between(core->peers[leader].status_received_at, core->now) > BD_PEER_SILENT_S;
 }
 
 /* Whether the last leader's key is gone and no other controller has taken the lead. */
@@ -78,8 +78,8 @@
 static bool is_dismissed(const struct bd_core *core)
 {
     int leader = bd_leader_index(core);
-    bool heard_since =
-        leader >= 0 && bd_time_is_before(core->delegate.dismissed_since, core->peers[leader].heard);
+    bool heard_since = leader >= 0 && bd_time_is_before(core->delegate.dismissed_since,
+                                                        core->peers[leader].status_received_at);
     return core->delegate.dismissed && !heard_since;
 }
 
@@ -106,7 +106,7 @@
         if (bd_peer_is_local(core, i) && i != bd_leader_index(core) &&
             core->peers[i].flags & BD_PEER_KV_REACHABLE &&
             !(core->peers[i].flags & BD_PEER_HEARS_LEADER) &&
-            bd_peer_heard(core, i, BD_PEER_SILENT_S))
+            bd_peer_status_is_recent(core, i, BD_PEER_SILENT_S))
             return true;
     return false;
 }
@@ -162,8 +162,8 @@
     waiting->request = request;
     waiting->heartbeat = bd_heartbeat_copy(heartbeat);
     waiting->received_at = core->now;
-    waiting->next = core->delegate.asking;
-    core->delegate.asking = waiting;
+    waiting->next = core->delegate.waiting_heartbeats;
+    core->delegate.waiting_heartbeats = waiting;
 }
 
 /* Replies to the heartbeat if it can be done now, or redirects it if it should not wait any longer.
@@ -191,16 +191,16 @@
 
 static void settle_all_waiting(struct bd_core *core, enum unconfirmed_action action)
 {
-    struct bd_waiting_heartbeat *waiting = core->delegate.asking;
-    core->delegate.asking = NULL;
+    struct bd_waiting_heartbeat *waiting = core->delegate.waiting_heartbeats;
+    core->delegate.waiting_heartbeats = NULL;
     while (waiting) {
         struct bd_waiting_heartbeat *next = waiting->next;
         if (settle_waiting(core, waiting, action)) {
             bd_heartbeat_free(waiting->heartbeat);
             free(waiting);
         } else {
-            waiting->next = core->delegate.asking;
-            core->delegate.asking = waiting;
+            waiting->next = core->delegate.waiting_heartbeats;
+            core->delegate.waiting_heartbeats = waiting;
         }
         waiting = next;
     }
@@ -225,7 +225,7 @@
     struct bd_served_machine *served = bd_delegate_find_or_add(core, heartbeat->machine);
     if (!served)
         return false;
-    served->heard = core->now;
+    served->last_heartbeat_at = core->now;
     if (served->is_confirmed && delegate->leader_revision == core->leader_term && may_reply(core)) {
         reply(core, request, heartbeat, served);
         return true;
@@ -265,7 +265,7 @@
     /* a conflict may mean no more than that the leader's key was rewritten */
     bool may_still_serve = status == 200 || status == 409;
     settle_all_waiting(core, may_still_serve ? KEEP_UNCONFIRMED : REDIRECT_UNCONFIRMED);
-    if (delegate->asking)
+    if (delegate->waiting_heartbeats)
         delegate->next_write =
             status == 200 ? core->now : bd_time_add(core->now, bd_secs(WRITE_RETRY_S));
 }
@@ -280,7 +280,7 @@
 void bd_delegate_tick(struct bd_core *core)
 {
     struct bd_delegate *delegate = &core->delegate;
-    if (delegate->asking)
+    if (delegate->waiting_heartbeats)
         settle_all_waiting(core, KEEP_UNCONFIRMED);
     if (delegate->nserved == 0 || delegate->txn_in_flight)
         return;
@@ -292,7 +292,7 @@
      */
     if ((core->leader_term || is_leaderless(core)) && has_fresh_leader_view(core))
         bd_delegate_write_record(core);
-    else if (delegate->asking)
+    else if (delegate->waiting_heartbeats)
         settle_all_waiting(core, REDIRECT_UNCONFIRMED);
 }
 
--- a/src/workers/delegate_probes.c
+++ b/src/workers/delegate_probes.c
@@ -36,7 +36,7 @@
     bool has_local_peer = false;
     for (int i = 0; i < core->settings->npeers; i++) {
         has_local_peer |= bd_peer_is_local(core, i);
-        if (bd_peer_heard(core, i, BD_PEER_SILENT_S))
+        if (bd_peer_status_is_recent(core, i, BD_PEER_SILENT_S))
             return false;
     }
     return has_local_peer;
--- a/src/workers/delegate_record.c
+++ b/src/workers/delegate_record.c
@@ -97,7 +97,7 @@
     if (!machine)
         return NULL;
     snprintf(machine->id, sizeof machine->id, "%s", id);
-    machine->heard = core->now;
+    machine->last_heartbeat_at = core->now;
     HASH_ADD_STR(delegate->served, id, machine);
     delegate->nserved++;
     return machine;
@@ -126,7 +126,7 @@
     struct bd_served_machine *machine, *next;
     HASH_ITER(hh, core->delegate.served, machine, next)
     {
-        if (bd_seconds_between(machine->heard, core->now) > retention_s(core))
+        if (bd_seconds_between(machine->last_heartbeat_at, core->now) > retention_s(core))
             remove_machine(&core->delegate, machine);
     }
 }
--- a/src/workers/delegate_view.c
+++ b/src/workers/delegate_view.c
@@ -51,9 +51,9 @@
     HASH_FIND_STR(core->machines, id, machine);
     if (!machine)
         return;
-    machine->delegated = true;
+    machine->is_delegated = true;
     if (record)
-        machine->delegate = (int)(record - core->delegates.records);
+        machine->delegate_index = (int)(record - core->delegates.records);
 }
 
 static void read_delegate_record(struct bd_core *core, const struct bd_change *change)
@@ -68,7 +68,7 @@
         record->changed_at = core->now;
     }
     if (record && bd_seconds_between(record->changed_at, core->now) > RECORD_STALE_S)
-        snprintf(view->stale, sizeof view->stale, "%s", change->key);
+        snprintf(view->stale_key, sizeof view->stale_key, "%s", change->key);
     json_array_foreach(json_object_get(change->value, "m"), i, name)
     {
         if (json_string_value(name))
@@ -99,18 +99,18 @@
 {
     bool has_gap = bd_seconds_between(core->delegates.read_at, sent) > READ_GAP_MAX_S;
     for (uint32_t i = 0; i < core->nmachines; i++) {
-        struct bd_machine *machine = core->by_index[i];
-        if (machine->delegated || has_gap)
+        struct bd_machine *machine = core->machines_by_index[i];
+        if (machine->is_delegated || has_gap)
             extend_lease(machine, until);
-        machine->delegated = false;
+        machine->is_delegated = false;
     }
 }
 
 static void extend_leases_of_delegated(struct bd_core *core, struct timespec until)
 {
     for (uint32_t i = 0; i < core->nmachines; i++)
-        if (core->by_index[i]->delegated)
-            extend_lease(core->by_index[i], until);
+        if (core->machines_by_index[i]->is_delegated)
+            extend_lease(core->machines_by_index[i], until);
 }
 
 void bd_delegate_records_read(struct bd_core *core, json_t *pairs, struct timespec sent)
@@ -144,9 +144,9 @@
 
 void bd_delegate_not_needed(struct bd_core *core, const struct bd_machine *machine)
 {
-    if (machine->delegate >= core->delegates.count)
+    if (machine->delegate_index >= core->delegates.count)
         return;
-    struct bd_delegate_record *record = &core->delegates.records[machine->delegate];
+    struct bd_delegate_record *record = &core->delegates.records[machine->delegate_index];
     /* the delegate may have heard us meanwhile, which ends a dismissal: so it is repeated */
     if (!is_dismissal_announced(core, record) ||
         bd_seconds_between(record->announced_at, core->now) > DISMISSAL_REPEAT_S) {
--- a/src/workers/direct_commands.c
+++ b/src/workers/direct_commands.c
@@ -26,19 +26,21 @@
  * it times out. Admits one command per retry interval while it is open. */
 static bool admit_to_zone(struct bd_core *core, const struct bd_machine *machine)
 {
-    if (machine->zone < 0 || core->cloud.direct[machine->zone].fails < ZONE_FAILURES_TO_OPEN)
+    if (machine->zone < 0 ||
+        core->cloud.direct_by_zone[machine->zone].consecutive_failures < ZONE_FAILURES_TO_OPEN)
         return true;
-    if (bd_time_is_before(core->now, core->cloud.direct[machine->zone].until))
+    if (bd_time_is_before(core->now, core->cloud.direct_by_zone[machine->zone].next_probe_at))
         return false;
-    core->cloud.direct[machine->zone].until = bd_time_add(core->now, bd_secs(ZONE_RETRY_S));
+    core->cloud.direct_by_zone[machine->zone].next_probe_at =
+        bd_time_add(core->now, bd_secs(ZONE_RETRY_S));
     return true;
 }
 
 static bool can_be_sent(const struct bd_core *core, const struct bd_machine *machine)
 {
     return !machine->direct_in_flight && !bd_time_is_before(core->now, machine->next_direct_at) &&
-           machine->fenced && !machine->gone && *machine->addr && bd_leadership_lease_valid(core) &&
-           !bd_machine_is_overdue(core, machine);
+           machine->has_seen_term && !machine->terminated && *machine->addr &&
+           bd_leadership_lease_valid(core) && !bd_machine_is_overdue(core, machine);
 }
 
 void bd_commands_send_direct(struct bd_core *core, struct bd_machine *machine)
@@ -53,8 +55,8 @@
     struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_DIRECT_COMMAND);
     effect->machine = machine->index;
     effect->fencing_token = core->lead.term;
-    effect->launch = launch;
-    effect->until = bd_command_deadline(core, launch);
+    effect->has_launches = launch;
+    effect->send_deadline = bd_command_deadline(core, launch);
     snprintf(effect->addr, sizeof effect->addr, "%s", machine->addr);
     effect->body = bd_wire_write_commands(core->lead.term, machine->incarnation, commands.items,
                                           commands.count);
@@ -72,7 +74,7 @@
         pause_s *= 2;
     machine->direct_failures++;
     if (machine->zone >= 0)
-        core->cloud.direct[machine->zone].fails++;
+        core->cloud.direct_by_zone[machine->zone].consecutive_failures++;
     machine->outbound_partition = true;
     machine->next_direct_at = bd_time_add(core->now, bd_secs(pause_s));
 }
@@ -82,7 +84,7 @@
     machine->direct_failures = 0;
     machine->outbound_partition = false;
     if (machine->zone >= 0)
-        core->cloud.direct[machine->zone].fails = 0;
+        core->cloud.direct_by_zone[machine->zone].consecutive_failures = 0;
 }
 
 /* Nothing of the command is on its way, and the machine is not to blame: its commands come with the
@@ -106,7 +108,7 @@
     }
     if (launch && machine->unanswered_launch_token == 0)
         bd_machine_exclude_late_launches(machine); /* answered: nothing of it is on its way */
-    if (machine->gone)
+    if (machine->terminated)
         return;
     (void)bd_heartbeat_apply(core, machine, heartbeat, &commands);
     free(commands.items); /* they arise again from the next heartbeat */
--- a/src/workers/forwarding.c
+++ b/src/workers/forwarding.c
@@ -26,7 +26,7 @@
 static int heard_leader(const struct bd_core *core)
 {
     int leader = bd_leader_index(core);
-    return leader >= 0 && bd_peer_heard(core, leader, BD_PEER_SILENT_S) ? leader : -1;
+    return leader >= 0 && bd_peer_status_is_recent(core, leader, BD_PEER_SILENT_S) ? leader : -1;
 }
 
 bool bd_forward_hears_leader(const struct bd_core *core)
@@ -43,7 +43,7 @@
 {
     for (int i = 0; i < core->settings->npeers; i++)
         if (strcmp(core->settings->peers[i].zone, zone) == 0 &&
-            bd_peer_heard(core, i, BD_PEER_SILENT_S))
+            bd_peer_status_is_recent(core, i, BD_PEER_SILENT_S))
             return true;
     return false;
 }
@@ -61,7 +61,7 @@
 {
     return core->peers[peer].flags & BD_PEER_KV_REACHABLE &&
            core->peers[peer].flags & BD_PEER_HEARS_LEADER &&
-           bd_seconds_between(core->peers[peer].heard, core->now) <= BD_PEER_SILENT_S;
+           bd_seconds_between(core->peers[peer].status_received_at, core->now) <= BD_PEER_SILENT_S;
 }
 
 /* A controller that hears the leader whom we do not hear, one of our own zone first; or -1. */
@@ -109,7 +109,7 @@
 static int count_in_flight(const struct bd_core *core)
 {
     int n = 0;
-    for (const struct bd_forwarded_heartbeat *forward = core->forwarding.waiting; forward;
+    for (const struct bd_forwarded_heartbeat *forward = core->forwarding.awaiting_reply; forward;
          forward = forward->next)
         n++;
     return n;
@@ -130,9 +130,9 @@
     forward->id = ++core->forwarding.last_id;
     forward->request = request;
     forward->heartbeat = bd_heartbeat_copy(heartbeat);
-    forward->until = bd_time_add(core->now, bd_secs(REPLY_TIMEOUT_S));
-    forward->next = core->forwarding.waiting;
-    core->forwarding.waiting = forward;
+    forward->deadline = bd_time_add(core->now, bd_secs(REPLY_TIMEOUT_S));
+    forward->next = core->forwarding.awaiting_reply;
+    core->forwarding.awaiting_reply = forward;
     struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_FORWARD_HEARTBEAT);
     effect->peer = peer;
     effect->forward_id = forward->id;
@@ -172,7 +172,7 @@
     return forward_to_peer(core, request, heartbeat, body, len, peer);
 }
 
-bool bd_forward_relay(struct bd_core *core, struct bd_remote *request,
+bool bd_forward_relay(struct bd_core *core, struct bd_request_origin *request,
                       const struct bd_heartbeat *heartbeat, const char *body, size_t len)
 {
     int leader = heard_leader(core);
@@ -184,8 +184,8 @@
 /* The leader did not reply to it in time, or did not accept it. */
 static void fall_back(struct bd_core *core, struct bd_forwarded_heartbeat *forward)
 {
-    const struct bd_remote *remote = forward->request;
-    if (remote && remote->remote) { /* the controller that forwarded it to us decides */
+    const struct bd_request_origin *remote = forward->request;
+    if (remote && remote->is_forwarded) { /* the controller that forwarded it to us decides */
         bd_effect_reply(core, forward->request, 421, bd_wire_write_redirect(""), 0);
         return;
     }
@@ -198,7 +198,7 @@
 void bd_forward_reply_received(struct bd_core *core, uint64_t id, int status, const char *body,
                                size_t len)
 {
-    struct bd_forwarded_heartbeat **at = &core->forwarding.waiting;
+    struct bd_forwarded_heartbeat **at = &core->forwarding.awaiting_reply;
     while (*at && (*at)->id != id)
         at = &(*at)->next;
     struct bd_forwarded_heartbeat *forward = *at;
@@ -214,10 +214,10 @@
 
 void bd_forward_tick(struct bd_core *core)
 {
-    struct bd_forwarded_heartbeat **at = &core->forwarding.waiting;
+    struct bd_forwarded_heartbeat **at = &core->forwarding.awaiting_reply;
     while (*at) {
         struct bd_forwarded_heartbeat *forward = *at;
-        if (bd_time_is_before(core->now, forward->until)) {
+        if (bd_time_is_before(core->now, forward->deadline)) {
             at = &forward->next;
             continue;
         }
@@ -229,11 +229,11 @@
 
 void bd_forwards_free(struct bd_core *core)
 {
-    while (core->forwarding.waiting) {
-        struct bd_forwarded_heartbeat *forward = core->forwarding.waiting;
-        struct bd_remote *remote = forward->request;
-        core->forwarding.waiting = forward->next;
-        if (remote && remote->remote)
+    while (core->forwarding.awaiting_reply) {
+        struct bd_forwarded_heartbeat *forward = core->forwarding.awaiting_reply;
+        struct bd_request_origin *remote = forward->request;
+        core->forwarding.awaiting_reply = forward->next;
+        if (remote && remote->is_forwarded)
             free(remote); /* the core's own: see bd_worker_heartbeat_forwarded */
         free_forward(forward);
     }
--- a/src/workers/heartbeat_tasks.c
+++ b/src/workers/heartbeat_tasks.c
@@ -56,8 +56,9 @@
     if (!task->started_at)
         return;
     uint32_t run_tenths = bd_steady_tenths(core->now) - task->started_at;
-    job->longest_run = run_tenths > job->longest_run ? run_tenths : job->longest_run;
-    job->runs++;
+    job->longest_run_tenths =
+        run_tenths > job->longest_run_tenths ? run_tenths : job->longest_run_tenths;
+    job->finished_runs++;
 }
 
 static void reconcile_completed_task(struct bd_core *core, struct bd_machine *machine,
@@ -68,7 +69,7 @@
     struct bd_task *task = &job->tasks[reported->task];
     /* earlier attempts are reported until they are forgotten, and say nothing of the machine now */
     if (is_current_attempt(machine, task, reported->attempt)) {
-        machine->errors = 0;
+        machine->consecutive_failures = 0;
         if (task->flags & BD_TASK_FLAG_DIRECT_LAUNCH_IN_FLIGHT) {
             task->flags |= BD_TASK_FLAG_EXITED;
             return;
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -28,13 +28,14 @@
     machine->type = bd_type_find_or_add(core, heartbeat->type);
     machine->zone = bd_zone_find_or_add(core, heartbeat->zone);
     machine->spot = heartbeat->spot;
-    machine->notice_left = heartbeat->notice;
+    machine->termination_notice_s = heartbeat->notice;
 }
 
 static bool is_newer(const struct bd_machine *machine, const struct bd_heartbeat *heartbeat)
 {
     return heartbeat->incarnation > machine->incarnation ||
-           (heartbeat->incarnation == machine->incarnation && heartbeat->seq > machine->seq);
+           (heartbeat->incarnation == machine->incarnation &&
+            heartbeat->seq > machine->heartbeat_seq);
 }
 
 /* All that we know to be of the old incarnation is gone. But we may know the old one only from a
@@ -42,7 +43,7 @@
  * the new one, and only a heartbeat that has seen our term shows which. */
 static void begin_incarnation(struct bd_core *core, struct bd_machine *machine)
 {
-    if (machine->fenced)
+    if (machine->has_seen_term)
         bd_machine_release_reservations(core, machine, BD_RELEASE_NEW_INCARNATION);
     machine->received_seq = 0;
     /* the lease of the old one expired, so replies may not reach it */
@@ -56,12 +57,12 @@
                          const struct bd_heartbeat *heartbeat)
 {
     machine->incarnation = heartbeat->incarnation;
-    machine->seq = heartbeat->seq;
+    machine->heartbeat_seq = heartbeat->seq;
     machine->fencing_token = heartbeat->fencing_token;
-    if (bd_seconds_between(machine->heard, core->now) >
+    if (bd_seconds_between(machine->last_contact_at, core->now) >
         GAP_INTERVALS * bd_to_secs(core->settings->heartbeat_interval))
-        machine->steady = core->now;
-    machine->heard = core->now;
+        machine->heartbeats_steady_since = core->now;
+    machine->last_contact_at = core->now;
 }
 
 bool bd_heartbeat_apply(struct bd_core *core, struct bd_machine *machine,
@@ -75,9 +76,9 @@
     record_heard(core, machine, heartbeat);
     if (heartbeat->fencing_token < core->lead.base_term)
         return true; /* an earlier term may still command it: no evidence of its tasks yet */
-    if (!machine->fenced)
+    if (!machine->has_seen_term)
         core->lead.cycle_wanted = true;
-    machine->fenced = true;
+    machine->has_seen_term = true;
     if (machine->unanswered_launch_token &&
         heartbeat->fencing_token > machine->unanswered_launch_token && !machine->direct_in_flight)
         bd_machine_exclude_late_launches(machine);
@@ -88,23 +89,25 @@
 /* Logs the first reply of our term, and the first since the machine has seen the term. */
 static void log_first_reply(struct bd_core *core, struct bd_machine *machine)
 {
-    if (machine->answered && (machine->answered_since_fenced || !machine->fenced))
+    if (machine->answered_in_term && (machine->answered_since_term_seen || !machine->has_seen_term))
         return;
     bd_decision_log_machine(core, "lease_renewed", machine,
-                            machine->fenced ? "by=leader fenced=yes" : "by=leader fenced=no");
-    machine->answered = true;
-    machine->answered_since_fenced = machine->fenced;
+                            machine->has_seen_term ? "by=leader fenced=yes"
+                                                   : "by=leader fenced=no");
+    machine->answered_in_term = true;
+    machine->answered_since_term_seen = machine->has_seen_term;
 }
 
 static void reply_to_heartbeat(struct bd_core *core, void *request, struct bd_machine *machine,
                                const struct bd_heartbeat *heartbeat,
                                struct bd_command_list *commands)
 {
-    if (machine->fenced)
+    if (machine->has_seen_term)
         bd_commands_pending(core, machine, commands);
     log_first_reply(core, machine);
     machine->lease_expires_at = bd_lease_expiry(core, core->now);
-    if (!machine->fenced) /* if this reply is lost, an earlier term may still renew its lease */
+    if (!machine
+             ->has_seen_term) /* if this reply is lost, an earlier term may still renew its lease */
         machine->lease_expires_at =
             bd_time_max(machine->lease_expires_at, core->lead.earlier_leases_expire_at);
     bd_commands_reply(core, request, heartbeat, commands, core->lead.term);
@@ -114,7 +117,7 @@
  * newest is a copy. So is one of a machine that is gone, or of an incarnation that has ended. */
 static bool is_copy(const struct bd_machine *machine, const struct bd_heartbeat *heartbeat)
 {
-    return machine->gone ||
+    return machine->terminated ||
            (machine->expired_incarnation &&
             heartbeat->incarnation <= machine->expired_incarnation) ||
            heartbeat->incarnation < machine->incarnation ||
@@ -129,9 +132,9 @@
     bd_machine_detect_outbound_partition(machine, heartbeat, via);
     bd_machine_settle_last_reply(machine);
     if (bd_heartbeat_apply(core, machine, heartbeat, &commands))
-        machine->direct = via == BD_VIA_NO_PEER;
+        machine->heartbeat_was_direct = via == BD_VIA_NO_PEER;
     machine->received_seq = heartbeat->seq;
-    machine->asked = core->now;
+    machine->last_heartbeat_at = core->now;
     if (!bd_leadership_lease_valid(core))
         commands.count = 0;
     reply_to_heartbeat(core, request, machine, heartbeat, &commands);
@@ -162,7 +165,7 @@
                         bd_wire_write_redirect(core->settings->peers[peer].name), 0);
         return;
     }
-    if (is_direct && machine->delegated)
+    if (is_direct && machine->is_delegated)
         bd_delegate_not_needed(core, machine);
     accept_heartbeat(core, request, machine, heartbeat, via);
 }
@@ -184,10 +187,10 @@
 static void receive_from_peer(struct bd_core *core, int peer, uint64_t id,
                               const struct bd_heartbeat *heartbeat, const char *body, size_t len)
 {
-    struct bd_remote *request = calloc(1, sizeof *request);
+    struct bd_request_origin *request = calloc(1, sizeof *request);
     if (!request)
         abort();
-    request->remote = true;
+    request->is_forwarded = true;
     request->peer = peer;
     request->id = id;
     if (bd_leadership_may_reply(core))
--- a/src/workers/lease_expiry.c
+++ b/src/workers/lease_expiry.c
@@ -16,7 +16,7 @@
  * that none did. */
 static bool has_expired(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return !bd_time_is_before(core->now, machine->lease_expires_at) && !machine->delegated &&
+    return !bd_time_is_before(core->now, machine->lease_expires_at) && !machine->is_delegated &&
            !bd_time_is_before(core->delegates.read_at, machine->lease_expires_at);
 }
 
@@ -25,7 +25,7 @@
     bd_log_write(core->log, BD_LOG_INFO, "%s: lease expired, %u tasks lost", machine->id,
                  machine->nreservations);
     machine->expired_incarnation = machine->incarnation;
-    machine->fenced = false;
+    machine->has_seen_term = false;
     bd_machine_release_reservations(core, machine, BD_RELEASE_LEASE_EXPIRED);
     machine->lease_expires_at = bd_time_add(core->now, bd_secs(RECHECK_S));
 }
@@ -35,8 +35,8 @@
     bool may_be_autonomous_by_zone[BD_ZONES_MAX];
     bd_autonomous_zones_detect(core, may_be_autonomous_by_zone);
     for (uint32_t i = 0; i < core->nmachines; i++) {
-        struct bd_machine *machine = core->by_index[i];
-        if (machine->gone || machine->nreservations == 0)
+        struct bd_machine *machine = core->machines_by_index[i];
+        if (machine->terminated || machine->nreservations == 0)
             continue;
         if (bd_autonomous_zone_may_have_renewed(core, machine, may_be_autonomous_by_zone))
             machine->lease_expires_at =
--- a/src/workers/machine_health.c
+++ b/src/workers/machine_health.c
@@ -30,11 +30,11 @@
 {
     bool runs_elsewhere = job->ndone > 0 || job->nrunning > 0;
     if (runs_elsewhere)
-        machine->errors += PROVEN_JOB_FAILURES;
-    else if (machine->error_job != job)
-        machine->errors++;
-    machine->error_job = job;
-    if (machine->errors >= QUARANTINE_FAILURES && !machine->quarantined) {
+        machine->consecutive_failures += PROVEN_JOB_FAILURES;
+    else if (machine->last_failed_job != job)
+        machine->consecutive_failures++;
+    machine->last_failed_job = job;
+    if (machine->consecutive_failures >= QUARANTINE_FAILURES && !machine->quarantined) {
         machine->quarantined = true;
         bd_log_write(core->log, BD_LOG_INFO, "%s is quarantined: its tasks fail", machine->id);
     }
@@ -43,14 +43,15 @@
 static void back_off_failing_job(struct bd_core *core, const struct bd_machine *machine,
                                  struct bd_job *job)
 {
-    job->errors++;
+    job->failed_tasks++;
     if (machine->quarantined || job->ndone > 0)
         return;
     double pause_s = RETRY_PAUSE_MIN_S;
-    for (uint32_t failure = 2; failure < job->errors && pause_s < RETRY_PAUSE_MAX_S; failure++)
+    for (uint32_t failure = 2; failure < job->failed_tasks && pause_s < RETRY_PAUSE_MAX_S;
+         failure++)
         pause_s *= 2;
     pause_s = pause_s < RETRY_PAUSE_MAX_S ? pause_s : RETRY_PAUSE_MAX_S;
-    job->hold_until = bd_time_add(core->now, bd_secs(pause_s));
+    job->placement_backoff_until = bd_time_add(core->now, bd_secs(pause_s));
 }
 
 void bd_machine_record_exit(struct bd_core *core, struct bd_machine *machine, struct bd_job *job,
@@ -60,9 +61,9 @@
         record_task_failure(core, machine, job);
         back_off_failing_job(core, machine, job);
     } else if (reason == BD_EXIT_NO_CAPACITY || reason == BD_EXIT_BUSY) {
-        machine->refuse_until = bd_time_add(core->now, bd_secs(REFUSAL_PAUSE_S));
+        machine->launch_backoff_until = bd_time_add(core->now, bd_secs(REFUSAL_PAUSE_S));
     } else if (reason == BD_EXIT_UNKNOWN) {
-        job->hold_until = bd_time_add(core->now, bd_secs(RETRY_PAUSE_MIN_S));
+        job->placement_backoff_until = bd_time_add(core->now, bd_secs(RETRY_PAUSE_MIN_S));
     }
 }
 
@@ -72,8 +73,8 @@
 {
     return task->state == BD_TASK_CONFIRMED && task->execution == BD_EXECUTION_RUNNING &&
            task->started_at && !(task->flags & BD_TASK_FLAG_EXITED) &&
-           job->spec.kind == BD_JOB_ARRAY && job->runs >= SLOW_FINISHED_RUNS_MIN &&
-           2 * job->runs >= job->ntasks;
+           job->spec.kind == BD_JOB_ARRAY && job->finished_runs >= SLOW_FINISHED_RUNS_MIN &&
+           2 * job->finished_runs >= job->ntasks;
 }
 
 /* Whether the task runs far longer than the finished ones of its job. Its run counts up to the last
@@ -84,21 +85,23 @@
     if (!has_comparable_runs(job, task))
         return false;
     struct timespec started = bd_secs(task->started_at / 10.0);
-    uint32_t run_tenths = bd_steady_tenths(bd_time_max(machine->heard, started)) - task->started_at;
-    if (run_tenths <= SLOW_RUN_FACTOR * job->longest_run + SLOW_RUN_EXTRA_TENTHS)
+    uint32_t run_tenths =
+        bd_steady_tenths(bd_time_max(machine->last_contact_at, started)) - task->started_at;
+    if (run_tenths <= SLOW_RUN_FACTOR * job->longest_run_tenths + SLOW_RUN_EXTRA_TENTHS)
         return false;
     bd_log_write(core->log, BD_LOG_DEBUG, "%s on %s runs for %.1f s, of %u others none over %.1f s",
-                 job->id, machine->id, run_tenths / 10.0, job->runs, job->longest_run / 10.0);
+                 job->id, machine->id, run_tenths / 10.0, job->finished_runs,
+                 job->longest_run_tenths / 10.0);
     return true;
 }
 
 void bd_machine_detect_slow(struct bd_core *core, struct bd_machine *machine)
 {
     uint32_t slow = 0;
-    if (machine->gone || machine->quarantined || !machine->fenced)
+    if (machine->terminated || machine->quarantined || !machine->has_seen_term)
         return;
     /* a heartbeat that was delayed shows tasks running that ended long ago */
-    if (bd_seconds_between(machine->steady, machine->heard) <
+    if (bd_seconds_between(machine->heartbeats_steady_since, machine->last_contact_at) <
         SLOW_HEARD_INTERVALS * bd_to_secs(core->settings->heartbeat_interval))
         return;
     for (uint32_t i = 0; i < machine->nreservations; i++) {
--- a/src/workers/partition_detection.c
+++ b/src/workers/partition_detection.c
@@ -20,27 +20,27 @@
 {
     bool is_next = heartbeat->incarnation == machine->incarnation && machine->received_seq &&
                    heartbeat->seq == machine->received_seq + 1;
-    if (is_next && via == machine->via) {
+    if (is_next && via == machine->heartbeat_peer) {
         machine->outbound_partition = false;
-        machine->unheard_replies = 0;
+        machine->unreceived_replies = 0;
     } else if (is_next) {
         machine->outbound_partition =
-            machine->outbound_partition || ++machine->unheard_replies >= UNHEARD_REPLIES_MAX;
+            machine->outbound_partition || ++machine->unreceived_replies >= UNHEARD_REPLIES_MAX;
     }
-    machine->via = via;
+    machine->heartbeat_peer = via;
 }
 
 void bd_machines_detect_outbound_partition(struct bd_core *core)
 {
     uint32_t known = 0, partitioned = 0;
     for (uint32_t i = 0; i < core->nmachines; i++) {
-        const struct bd_machine *machine = core->by_index[i];
-        if (machine->gone || !machine->fenced)
+        const struct bd_machine *machine = core->machines_by_index[i];
+        if (machine->terminated || !machine->has_seen_term)
             continue;
         known++;
         partitioned += machine->outbound_partition;
     }
-    core->lead.outbound_partition_is_ours = partitioned > OUTBOUND_PARTITION_SHARE * known;
+    core->lead.leader_has_outbound_partition = partitioned > OUTBOUND_PARTITION_SHARE * known;
 }
 
 void bd_machines_detect_inbound_partition(struct bd_core *core)
@@ -48,9 +48,9 @@
     uint32_t known = 0, silent = 0;
     double late_s = LATE_INTERVALS * bd_to_secs(core->settings->heartbeat_interval) + LATE_EXTRA_S;
     for (uint32_t i = 0; i < core->nmachines; i++) {
-        const struct bd_machine *machine = core->by_index[i];
-        double silent_s = bd_seconds_between(machine->heard, core->now);
-        if (machine->gone || !machine->direct ||
+        const struct bd_machine *machine = core->machines_by_index[i];
+        double silent_s = bd_seconds_between(machine->last_contact_at, core->now);
+        if (machine->terminated || !machine->heartbeat_was_direct ||
             silent_s > late_s + bd_to_secs(core->settings->lease))
             continue;
         known++;
--- a/src/workers/worker_redirects.c
+++ b/src/workers/worker_redirects.c
@@ -27,13 +27,13 @@
     if (!worker)
         return false;
     double limit_s = worker->has_returned ? RETURNED_MEMORY_S : RETURN_S;
-    if (bd_seconds_between(worker->at, core->now) > limit_s) {
+    if (bd_seconds_between(worker->redirected_at, core->now) > limit_s) {
         HASH_DEL(core->forwarding.redirected, worker);
         free(worker);
         return false;
     }
     if (!worker->has_returned)
-        worker->at = core->now;
+        worker->redirected_at = core->now;
     worker->has_returned = true;
     return true;
 }
@@ -61,7 +61,7 @@
     struct bd_redirected_worker *worker = take_entry(&core->forwarding, machine);
     memset(worker, 0, sizeof *worker);
     snprintf(worker->id, sizeof worker->id, "%s", machine);
-    worker->at = core->now;
+    worker->redirected_at = core->now;
     HASH_ADD_STR(core->forwarding.redirected, id, worker);
 }
 
@@ -94,8 +94,8 @@
                          const char *zone)
 {
     bool was_redirected_lately =
-        !bd_time_is_zero(machine->redirected) &&
-        bd_seconds_between(machine->redirected, core->now) < ZONE_REDIRECT_INTERVAL_S;
+        !bd_time_is_zero(machine->redirected_at) &&
+        bd_seconds_between(machine->redirected_at, core->now) < ZONE_REDIRECT_INTERVAL_S;
     bool is_served_best_here =
         strcmp(zone, core->settings->zone) == 0 && !bd_forward_is_zone_silent(core);
     return !is_served_best_here && bd_leadership_lease_valid(core) && !was_redirected_lately;
@@ -117,6 +117,6 @@
             found = i;
     }
     if (found >= 0)
-        machine->redirected = core->now;
+        machine->redirected_at = core->now;
     return found;
 }
--- a/src/workers/workers_internal.h
+++ b/src/workers/workers_internal.h
@@ -46,7 +46,7 @@
                           const char *body, size_t len);
 /* Forwards a heartbeat of another controller, which does not hear the leader; only to the leader
  * itself, so that none circulates. False: we do not hear it either. */
-bool bd_forward_relay(struct bd_core *core, struct bd_remote *request,
+bool bd_forward_relay(struct bd_core *core, struct bd_request_origin *request,
                       const struct bd_heartbeat *heartbeat, const char *body, size_t len);
 /* Whether another controller leads, by the leader's key. */
 bool bd_forward_other_leads(const struct bd_core *core);
--- a/tests/behaviour_digest.c
+++ b/tests/behaviour_digest.c
@@ -95,10 +95,11 @@
         add_text(digest, " to=%llx", (unsigned long long)requester);
     if (status_is_visible(effect->kind))
         add_text(digest, " status=%d", effect->status);
-    add_text(digest, " retry=%d key=%s addr=%s", effect->retry_after, effect->key, effect->addr);
+    add_text(digest, " retry=%d key=%s addr=%s", effect->retry_after_s, effect->key, effect->addr);
     add_text(digest, " token=%llu machine=%u launch=%d", (unsigned long long)effect->fencing_token,
-             effect->machine, effect->launch);
-    add_text(digest, " until=%lld.%09ld", (long long)effect->until.tv_sec, effect->until.tv_nsec);
+             effect->machine, effect->has_launches);
+    add_text(digest, " until=%lld.%09ld", (long long)effect->send_deadline.tv_sec,
+             effect->send_deadline.tv_nsec);
     add_text(digest, " sequence=%llu forward=%llu peer=%d ", (unsigned long long)effect->sequence,
              (unsigned long long)effect->forward_id, effect->peer);
     if (effect->body)
--- a/tests/decision_log.c
+++ b/tests/decision_log.c
@@ -98,7 +98,8 @@
     bd_core_set_clock(core, now, 1000);
     core->lead.term = 44;
     struct bd_job job = {.id = "job-1"};
-    struct bd_machine machine = {.id = "vm-1", .incarnation = 3, .seq = 9, .fencing_token = 41};
+    struct bd_machine machine = {
+        .id = "vm-1", .incarnation = 3, .heartbeat_seq = 9, .fencing_token = 41};
     ranges(core, &job, &machine, fds[0]);
     rate(core, now, fds[0]);
     log.level = BD_LOG_ERROR;
--- a/tests/direct_commands.c
+++ b/tests/direct_commands.c
@@ -85,8 +85,8 @@
         abort();
     effect->kind = BD_EFFECT_DIRECT_COMMAND;
     effect->machine = number;
-    effect->launch = true;
-    effect->until = bd_time_add(bd_now(), bd_secs(deadline_s));
+    effect->has_launches = true;
+    effect->send_deadline = bd_time_add(bd_now(), bd_secs(deadline_s));
     effect->body = strdup("{}");
     snprintf(effect->addr, sizeof effect->addr, "127.0.0.1:%d", port);
     bd_worker_client_send(node, effect);
--- a/tests/drain_profile_fleet.c
+++ b/tests/drain_profile_fleet.c
@@ -75,7 +75,7 @@
     char id[BD_LABEL_BYTES];
     snprintf(id, sizeof id, "vm-%06u", number);
     HASH_FIND_STR(fleet->core->machines, id, machine);
-    if (machine && machine->gone)
+    if (machine && machine->terminated)
         return;
     fill_heartbeat(fleet, number, &heartbeat, tasks);
     bd_worker_heartbeat_received(fleet->core, NULL, &heartbeat, "{}", 2);
@@ -89,11 +89,11 @@
         struct bd_heartbeat heartbeat;
         struct bd_reported_task tasks[REPORTED_TASKS_MAX];
         if (effect->kind == BD_EFFECT_DIRECT_COMMAND) {
-            fill_heartbeat(fleet,
-                           (uint32_t)number_of(fleet->core->by_index[effect->machine]->id + 3),
-                           &heartbeat, tasks);
+            fill_heartbeat(
+                fleet, (uint32_t)number_of(fleet->core->machines_by_index[effect->machine]->id + 3),
+                &heartbeat, tasks);
             bd_worker_direct_command_completed(fleet->core, effect->machine, effect->fencing_token,
-                                               effect->launch, 200, &heartbeat);
+                                               effect->has_launches, 200, &heartbeat);
         } else if (effect->kind == BD_EFFECT_SCALE_IN) {
             json_t *request = json_loads(effect->body, 0, NULL);
             char names[RETURNED_MAX][BD_LABEL_BYTES];
@@ -189,7 +189,7 @@
     bd_inventory_types_received(fleet->core, &type, 1);
     bd_replica_listed(fleet->core, 1, fleet->core->now);
     struct bd_acquisition acquisition = {
-        .term = 1, .grant = 7, .nonce = "n", .renewed = fleet->core->now};
+        .term = 1, .grant = 7, .nonce = "n", .renewal_sent_at = fleet->core->now};
     acquisition.receipts = json_array();
     acquisition.intents = json_array();
     bd_core_leadership_acquired(fleet->core, &acquisition);
@@ -212,7 +212,7 @@
     struct bd_drain_record record = {.name = "d",
                                      .set = "s",
                                      .state = BD_DRAIN_ACTIVE,
-                                     .at = fleet->core->wall,
+                                     .at = fleet->core->wall_s,
                                      .machines = machines,
                                      .asked = json_object()};
     struct bd_drain_machine *entries = calloc(machines, sizeof *entries);
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -47,7 +47,8 @@
     if (told)
         graph_fill_heartbeat(run, &heartbeat, tasks);
     bd_worker_direct_command_completed(run->cores[node], effect->machine, effect->fencing_token,
-                                       effect->launch, told ? 200 : 0, told ? &heartbeat : NULL);
+                                       effect->has_launches, told ? 200 : 0,
+                                       told ? &heartbeat : NULL);
     free(tasks);
 }
 
@@ -178,8 +179,10 @@
     run->store_revision++;
     graph_set_key(run, "leader", value);
     json_decref(value);
-    struct bd_acquisition acquisition = {
-        .term = run->store_revision, .grant = 7, .nonce = "n", .renewed = run->cores[node]->now};
+    struct bd_acquisition acquisition = {.term = run->store_revision,
+                                         .grant = 7,
+                                         .nonce = "n",
+                                         .renewal_sent_at = run->cores[node]->now};
     acquisition.sequence_revision = sequence ? sequence->revision : 0;
     acquisition.receipts = list_keys(run, "r/");
     acquisition.intents = list_keys(run, "i/");
--- a/tests/graphs.h
+++ b/tests/graphs.h
@@ -19,7 +19,7 @@
 enum graph_question { ASK_SUBMIT, ASK_GET, ASK_WITHDRAW };
 
 struct graph_request { /* begins as the core expects of a request */
-    struct bd_remote remote;
+    struct bd_request_origin remote;
     enum graph_question question;
     int job;
 };
--- a/tests/profile_costs.c
+++ b/tests/profile_costs.c
@@ -205,7 +205,7 @@
     struct bd_acquisition acquisition = {.term = deployment->revision + 1,
                                          .grant = 7,
                                          .nonce = "n",
-                                         .renewed = deployment->core->now};
+                                         .renewal_sent_at = deployment->core->now};
     (void)n;
     bd_leadership_lost(deployment->core);
     deployment_drop_effects(deployment);
--- a/tests/profile_deployment.c
+++ b/tests/profile_deployment.c
@@ -186,7 +186,7 @@
     add_type(deployment, "gpu", 48, 4, 288, 15);
     bd_replica_listed(deployment->core, 1, deployment->core->now);
     struct bd_acquisition acquisition = {
-        .term = 1, .grant = 7, .nonce = "n", .renewed = deployment->core->now};
+        .term = 1, .grant = 7, .nonce = "n", .renewal_sent_at = deployment->core->now};
     acquisition.receipts = json_array();
     acquisition.intents = json_array();
     bd_core_leadership_acquired(deployment->core, &acquisition);
@@ -215,7 +215,7 @@
 {
     json_t *pairs = json_array();
     for (uint32_t i = 0; i < deployment->core->nmachines; i++) {
-        const struct bd_machine *machine = deployment->core->by_index[i];
+        const struct bd_machine *machine = deployment->core->machines_by_index[i];
         json_t *groups = json_array();
         char key[BD_LABEL_BYTES];
         /* tasks of one attempt of one job stand together, as they are written */
--- a/tests/profile_full.c
+++ b/tests/profile_full.c
@@ -60,7 +60,7 @@
     struct bd_acquisition acquisition = {.term = deployment->revision + 1,
                                          .grant = 7,
                                          .nonce = "n",
-                                         .renewed = deployment->core->now};
+                                         .renewal_sent_at = deployment->core->now};
     bd_leadership_lost(deployment->core);
     deployment_drop_effects(deployment);
     acquisition.receipts = json_array();
@@ -137,7 +137,7 @@
     bd_leadership_lost(deployment->core);
     deployment_drop_effects(deployment);
     bd_peer_status_received(deployment->core, PEER, 9, BD_PEER_LEADS | BD_PEER_KV_REACHABLE, 0,
-                            deployment->core->wall, deployment->core->now);
+                            deployment->core->wall_s, deployment->core->now);
     deployment_set_time(deployment, deployment->now + 30);
     bd_core_leader_observed(deployment->core, PEER, 9, deployment->core->now, false);
     for (uint32_t i = 0; i < deployment->machines; i++)
--- a/tests/scenario_drain.c
+++ b/tests/scenario_drain.c
@@ -90,7 +90,7 @@
     snprintf(record.set, sizeof record.set, "%.15s", play->words[1]);
     record.mode = strcmp(play->words[2], "retire") == 0 ? BD_DRAIN_RETIRE : BD_DRAIN_REPLACE;
     record.state = drain_state(play_text(play, "state"));
-    record.at = play_number(play, "at", play->core->wall);
+    record.at = play_number(play, "at", play->core->wall_s);
     snprintf(key, sizeof key, BD_DRAIN_KEY "%s", play->words[1]);
     if (!play->drains) {
         play->drains = json_array();
@@ -236,7 +236,7 @@
     struct bd_reported_task tasks[PLAY_WORDS_MAX];
     struct bd_machine *machine = NULL;
     HASH_FIND_STR(play->core->machines, id, machine);
-    if (machine && machine->gone)
+    if (machine && machine->terminated)
         return;
     fill_running(play, id, &heartbeat, tasks);
     bd_worker_heartbeat_received(play->core, NULL, &heartbeat, "{}", 2);
@@ -259,12 +259,12 @@
         struct bd_heartbeat heartbeat;
         struct bd_reported_task tasks[PLAY_WORDS_MAX];
         if (effect->kind == BD_EFFECT_DIRECT_COMMAND) {
-            const char *id = play->core->by_index[effect->machine]->id,
+            const char *id = play->core->machines_by_index[effect->machine]->id,
                        *mute = play_text(play, "mute");
             bool answers = !mute || strcmp(mute, id) != 0;
             fill_running(play, id, &heartbeat, tasks);
             bd_worker_direct_command_completed(play->core, effect->machine, effect->fencing_token,
-                                               effect->launch, answers ? 200 : 0, &heartbeat);
+                                               effect->has_launches, answers ? 200 : 0, &heartbeat);
         } else if (effect->kind == BD_EFFECT_SCALE_IN) {
             json_t *request = json_loads(effect->body, 0, NULL);
             char names[128][BD_LABEL_BYTES];
--- a/tests/scenario_expect.c
+++ b/tests/scenario_expect.c
@@ -107,8 +107,9 @@
         play_fail(play, states[task->state]);
         return;
     }
-    if (play->nwords > 3 && (task->machine == BD_NO_MACHINE ||
-                             strcmp(play->core->by_index[task->machine]->id, play->words[3]) != 0))
+    if (play->nwords > 3 &&
+        (task->machine == BD_NO_MACHINE ||
+         strcmp(play->core->machines_by_index[task->machine]->id, play->words[3]) != 0))
         play_fail(play, "on another machine");
 }
 
--- a/tests/scenario_leader.c
+++ b/tests/scenario_leader.c
@@ -48,7 +48,7 @@
     struct bd_acquisition acquisition = {.term = strtoull(play->words[1], NULL, 10),
                                          .grant = 7,
                                          .nonce = "n",
-                                         .renewed = play->core->now,
+                                         .renewal_sent_at = play->core->now,
                                          .receipts = json_array(),
                                          .intents = json_array()};
     for (int i = 2; i < play->nwords; i++)
@@ -70,7 +70,7 @@
     flags |= play_number(play, "drains", 1) != 0 ? BD_PEER_KNOWS_DRAINS : 0;
     bd_peer_status_received(play->core, play->words[1], (uint64_t)play_number(play, "term", 0),
                             flags, play_number(play, "age", 0),
-                            play->core->wall - play_number(play, "late", 0), play->core->now);
+                            play->core->wall_s - play_number(play, "late", 0), play->core->now);
 }
 
 static void step_leader(struct play *play)
--- a/tests/scenario_machines.c
+++ b/tests/scenario_machines.c
@@ -132,7 +132,7 @@
         return;
     }
     char request[BD_LABEL_BYTES];
-    snprintf(request, sizeof request, "%s", play->core->cloud.provision_requests[0].request);
+    snprintf(request, sizeof request, "%s", play->core->cloud.provision_requests[0].id);
     bool refused = strcmp(play->words[1], "refused") == 0;
     for (int i = 2; i < play->nwords; i++)
         snprintf(names[count++], BD_LABEL_BYTES, "%s", play->words[i]);
--- a/tests/sim_effects.c
+++ b/tests/sim_effects.c
@@ -57,9 +57,9 @@
     *command = (struct sim_direct_command){.references = 1,
                                            .machine = effect->machine,
                                            .fencing_token = effect->fencing_token,
-                                           .launch = effect->launch};
+                                           .launch = effect->has_launches};
     command->worker = number_of(effect->addr + 2); /* "w-N" */
-    command->until = effect->until;
+    command->until = effect->send_deadline;
     struct sim_event *event =
         sim_node_post(sim, node, node->senders_stalled_until - sim->now, SIM_COMMAND_SEND);
     event->text = effect->body;
--- a/tests/sim_election.c
+++ b/tests/sim_election.c
@@ -141,7 +141,7 @@
         (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_INTENTS, "i/", NULL, 1.5);
     } else {
         node->acquisition.intents = json_incref(bd_wire_read_pairs(answer, &ignored));
-        node->acquisition.renewed = node->granted;
+        node->acquisition.renewal_sent_at = node->granted;
         node->step_down = false;
         node->leading = node->leadership_acquired = true;
         post_election(sim, node, 0);
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -103,7 +103,7 @@
         frame->term = core->role == BD_LEADER ? core->lead.term : 0;
         frame->flags = flags;
         frame->age_ms = age > 1e6 ? 1000000000u : (uint32_t)(age * 1000);
-        frame->at_ms = (uint64_t)(core->wall * 1000);
+        frame->at_ms = (uint64_t)(core->wall_s * 1000);
         if (sim->digest)
             behaviour_digest_status(sim->digest, sim->now, (int)(node - sim->nodes), i, frame);
     }
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -229,7 +229,7 @@
 
 /* controllers, sim_node.c */
 struct sim_request { /* what the core holds of a user's or a worker's request */
-    struct bd_remote head;
+    struct bd_request_origin head;
     bool user;
     int who;
     uint64_t number;
