--- a/src/model/autoscaling_state.h
+++ b/src/model/autoscaling_state.h
@@ -1,7 +1,7 @@
-/* What the leader asks of the cloud, and what it knows of the cloud's capacity.
+/* The leader's requests to the cloud, and its view of the cloud's capacity.
  *
- * Owned by autoscaling/, but for the demand for GPUs, which scheduling/ works out, and `direct`,
- * which workers/ keeps. */
+ * Changed by autoscaling/, except for the demand for GPUs, which scheduling/ computes, and
+ * `direct_by_zone`, which workers/ changes. */
 #ifndef BD_AUTOSCALING_STATE_H
 #define BD_AUTOSCALING_STATE_H
 #include "brambledoor/settings.h"
@@ -9,9 +9,9 @@
 #include "wire/wire.h"
 #include "wire/wire_limits.h"
 
-#define BD_PROVISION_REQUESTS_MAX 64 /* without an answer; no more are made */
+#define BD_PROVISION_REQUESTS_MAX 64 /* requests in flight */
 
-/* One request to the cloud, until it is answered. */
+/* A request to the cloud for machines, kept until it is answered. */
 struct bd_provision_request_state {
     char id[BD_LABEL_BYTES];
     int type, zone, count;
@@ -19,23 +19,26 @@
     struct timespec sent_at;
 };
 
-/* One pool of the cloud: a machine type in a zone, on demand or spot. */
+/* A pool of the cloud: one machine type in one zone, on demand or spot. */
 struct bd_pool {
-    struct timespec next_request_at; /* no request is made before */
-    double backoff_s;                /* seconds; 0: the last request was filled */
-    bool request_in_flight;          /* a request is under way */
+    struct timespec next_request_at; /* no request before this time */
+    double backoff_s;                /* 0: the last request was filled */
+    bool request_in_flight;          /* a request awaits its answer */
 };
 
 struct bd_cloud_view {
-    double move_budget_s;           /* replica-seconds that consolidation may spend on moves, */
-    struct timespec move_budget_at; /* ... by then */
+    /* replica-seconds that consolidation may spend on moves, and when that was computed */
+    double move_budget_s;
+    struct timespec move_budget_at;
     struct bd_provision_request_state provision_requests[BD_PROVISION_REQUESTS_MAX];
     int nprovision_requests;
-    bool has_pending_gpu_work; /* some unfinished job's GPU tasks have no place */
-    struct bd_spec largest_gpu_task[BD_TYPES_MAX][2]; /* by type and spot; gpus 0: none */
-    struct { /* by zone: direct commands without an answer, in a row */
+    bool has_pending_gpu_work; /* an unfinished job has GPU tasks that are not placed */
+    struct bd_spec largest_gpu_task[BD_TYPES_MAX][2]; /* by type and spot; gpus == 0: none */
+    /* direct commands to each zone: those without an answer in a row, and when the next is sent to
+     * a zone that has failed */
+    struct {
         uint32_t consecutive_failures;
-        struct timespec next_probe_at; /* no probe before */
+        struct timespec next_probe_at;
     } direct_by_zone[BD_ZONES_MAX];
     struct bd_pool pools[BD_TYPES_MAX][BD_ZONES_MAX][2]; /* by type, zone and spot */
 };
--- a/src/model/catalog.c
+++ b/src/model/catalog.c
@@ -77,14 +77,14 @@
     return job;
 }
 
-/* Zone and machine types. A zone that the table has no place for must not mean any zone: then no
- * type is allowed. */
+/* Resolves the zone and the machine types. If the table of zones is full, an unknown zone must not
+ * be taken for "any zone": no type is allowed then. */
 static void resolve_placement(struct bd_core *core, const struct bd_job_spec_text *text,
                               struct bd_spec *spec)
 {
     spec->zone = *text->zone ? bd_zone_find_or_add(core, text->zone) : -1;
-    bool is_nowhere = *text->zone && spec->zone < 0;
-    if (is_nowhere)
+    bool is_zone_unresolved = *text->zone && spec->zone < 0;
+    if (is_zone_unresolved)
         return;
     spec->any_type = text->ntypes < 0;
     for (int i = 0; i < text->ntypes; i++) {
--- a/src/model/core_state.h
+++ b/src/model/core_state.h
@@ -1,7 +1,7 @@
-/* The state of one controller's core, made of the parts' states. Used by the owner thread only, so
- * that nothing in it is locked.
+/* The state of one controller's core, composed of the states of its parts. Only the owner thread
+ * uses it, so nothing in it is locked.
  *
- * Each part is changed by the functions of the folder that its header names, and read by all. */
+ * Each part is changed only by the folder that the part's header names. All folders may read it. */
 #ifndef BD_CORE_STATE_H
 #define BD_CORE_STATE_H
 #include "brambledoor/log.h"
@@ -28,30 +28,32 @@
 struct bd_core {
     const struct bd_settings *settings;
     const struct bd_log *log;
-    struct bd_metrics *metrics; /* NULL: nothing is measured */
-    struct timespec now;        /* steady clock at this step */
-    double wall_s;              /* time of day at this step, in seconds */
+    struct bd_metrics *metrics; /* NULL: metrics are off */
+    struct timespec now;        /* monotonic clock at this step */
+    double wall_s;              /* wall-clock time at this step */
 
     struct bd_job *jobs;                   /* owned; hash by id */
     struct bd_machine *machines;           /* owned; hash by id */
-    struct bd_machine **machines_by_index; /* the same, by index */
+    struct bd_machine **machines_by_index; /* owned array */
     uint32_t nmachines, cap_machines;
     struct bd_name_entry *images, *classes;
     struct bd_machine_type types[BD_TYPES_MAX];
     int ntypes;
     char zones[BD_ZONES_MAX][BD_LABEL_BYTES];
     int nzones;
-    bool types_known;                                        /* the cloud has described them */
-    double team_cpus[BD_TEAMS_MAX], team_gpus[BD_TEAMS_MAX]; /* reserved, by team */
+    bool types_known; /* the cloud's list of types has been read */
+    double team_cpus[BD_TEAMS_MAX], team_gpus[BD_TEAMS_MAX]; /* reserved by each team */
 
     struct bd_replica replica;
     struct bd_dependency_graph graph;
     struct bd_kv_limits kv_limits;
     struct bd_peer_view peers[BD_PEERS_MAX]; /* in the settings' order */
-    struct timespec liveness_confirmed_at; /* when our newest committed liveness record was sent */
-    struct timespec liveness_sent_at;      /* ... and the newest that may have been committed */
-    struct bd_delegate delegate;           /* as follower: what we renew for the leader */
-    struct bd_delegate_view delegates;
+    /* when this controller sent its newest liveness record that was committed, and its newest that
+     * may have been committed */
+    struct timespec liveness_confirmed_at;
+    struct timespec liveness_sent_at;
+    struct bd_delegate delegate;       /* used as follower */
+    struct bd_delegate_view delegates; /* used as leader */
     struct bd_forwarding forwarding;
     struct bd_decision_log decision_log;
     enum bd_role role;
@@ -64,7 +66,7 @@
     struct bd_ledger *ledger; /* NULL: draining is off */
     struct bd_drains *drains; /* NULL: draining is off */
 
-    struct bd_effect *first_effect,
-        *last_effect; /* owned: effects that were emitted, see effect.h */
+    /* owned list of the effects that were emitted and not yet taken; see effect.h */
+    struct bd_effect *first_effect, *last_effect;
 };
 #endif
--- a/src/model/delegate_state.h
+++ b/src/model/delegate_state.h
@@ -1,5 +1,6 @@
-/* Delegates: a follower's own record of the machines whose heartbeats it answers for the leader,
- * and the leader's view of all such records. Changed by src/workers/ only. */
+/* Delegates: followers that answer heartbeats on behalf of the leader. Each keeps a record of the
+ * machines that it answers; the leader keeps a view of all records. Only src/workers/ changes this
+ * state. */
 #ifndef BD_DELEGATE_STATE_H
 #define BD_DELEGATE_STATE_H
 #include "brambledoor/settings.h"
@@ -10,61 +11,63 @@
 
 #define BD_PROBES_MAX 64
 
-/* Parts of a delegate's record, a value each. How many are used follows from the limits of the
+/* Parts of a delegate's record; each is one value. The number in use follows from the limits of the
  * key-value store: see machines_max in delegate_record.c. */
 #define BD_DELEGATE_PARTS_MAX 32
 
 struct bd_waiting_heartbeat;
 
-/* A machine that we answer for the leader. */
+/* A machine whose heartbeats this delegate answers. */
 struct bd_served_machine {
     UT_hash_handle hh; /* by id */
     char id[BD_LABEL_BYTES];
     struct timespec last_heartbeat_at;
-    bool is_sent;      /* in a record that was sent to the store, */
-    bool is_confirmed; /* ... and in one that was written */
-    bool is_logged;    /* its first reply is in the decision log */
+    bool is_sent;      /* a record that names it was sent to the store */
+    bool is_confirmed; /* a record that names it was committed */
+    bool is_logged;    /* the decision log has the first reply to it */
 };
 
+/* This controller as a delegate. */
 struct bd_delegate {
-    uint64_t term;            /* the fencing token of our replies */
-    uint64_t leader_revision; /* of the leader's key, that our record is conditional on */
-    uint64_t revision;        /* of our record */
+    uint64_t term;            /* the fencing token of its replies */
+    uint64_t leader_revision; /* revision of the leader's key that the record depends on */
+    uint64_t revision;        /* revision of the record */
     bool revision_known, txn_in_flight;
     struct timespec confirmed_until, next_write;
 
-    /* The leader's key names us among the delegates that are not needed: since which revision of
-     * the key, and when that was first read. */
+    /* The leader's key lists this controller among the delegates that are not needed: the first
+     * revision of the key that does, and when it was read. */
     bool dismissed;
     uint64_t dismissed_revision;
     struct timespec dismissed_since;
 
     struct bd_served_machine *served; /* hash by id */
     uint32_t nserved;
-    uint32_t parts;           /* of the record, that were ever written */
-    size_t longest_id_length; /* among the machines served so far */
+    uint32_t parts; /* parts of the record that have ever been written */
+    /* longest machine id since the list of served machines was last empty */
+    size_t longest_id_length;
     struct bd_waiting_heartbeat *waiting_heartbeats;
 
-    /* Workers that were sent to the leader, to see whether it can be reached. */
+    /* Workers that were redirected to the leader as a probe of whether it can be reached. */
     char probes[BD_PROBES_MAX][BD_LABEL_BYTES];
     uint32_t nprobes, probe_batch;
     struct timespec probes_at;
     struct timespec serving_since;
 };
 
-/* A delegate's record, or a part of it, as the leader knows it. */
+/* The leader's view of a delegate's record, or of one part of it. */
 struct bd_delegate_record {
-    char key[BD_LABEL_BYTES]; /* without the prefix: the node, or the node, a slash and the part */
+    char key[BD_LABEL_BYTES]; /* without the prefix: NODE or NODE/PART */
     uint64_t revision;
     struct timespec changed_at;
-    struct timespec dismissed_at; /* one of its workers was last heard here then */
-    struct timespec announced_at; /* the leader's key was last to be rewritten for it then */
+    struct timespec dismissed_at; /* last heartbeat of one of its workers that reached the leader */
+    struct timespec announced_at; /* last request to rewrite the leader's key for its dismissal */
 };
 
-/* As leader: the delegates' records as last read. */
+/* The delegates' records as the leader last read them. */
 struct bd_delegate_view {
     struct timespec read_at;
-    char stale_key[BD_LABEL_BYTES]; /* the key of a record that is not confirmed any more */
+    char stale_key[BD_LABEL_BYTES]; /* key of a record that its delegate no longer writes */
     struct bd_delegate_record records[(BD_PEERS_MAX + 1) * BD_DELEGATE_PARTS_MAX];
     int count;
 };
--- a/src/model/effect.c
+++ b/src/model/effect.c
@@ -21,13 +21,13 @@
     return effect;
 }
 
-/* Takes the remote request over. */
-static struct bd_effect *emit_forward_reply(struct bd_core *core, struct bd_request_origin *remote)
+/* Takes ownership of the forwarded request. */
+static struct bd_effect *emit_forward_reply(struct bd_core *core, struct bd_request_origin *origin)
 {
     struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_FORWARD_REPLY);
-    effect->peer = remote->peer;
-    effect->forward_id = remote->id;
-    free(remote);
+    effect->peer = origin->peer;
+    effect->forward_id = origin->id;
+    free(origin);
     return effect;
 }
 
@@ -40,8 +40,8 @@
 
 void bd_effect_reply(struct bd_core *core, void *request, int status, char *body, int retry_after_s)
 {
-    struct bd_request_origin *remote = request;
-    struct bd_effect *effect = remote && remote->is_forwarded ? emit_forward_reply(core, remote)
+    struct bd_request_origin *origin = request;
+    struct bd_effect *effect = origin && origin->is_forwarded ? emit_forward_reply(core, origin)
                                                               : emit_local_reply(core, request);
     effect->status = status;
     effect->body = body;
@@ -58,7 +58,7 @@
 
 struct bd_effect *bd_effects_take(struct bd_core *core)
 {
-    bd_decision_log_flush(core); /* the decisions are logged before they are carried out */
+    bd_decision_log_flush(core); /* decisions are logged before they are carried out */
     struct bd_effect *effects = core->first_effect;
     core->first_effect = core->last_effect = NULL;
     return effects;
--- a/src/model/forwarding_state.h
+++ b/src/model/forwarding_state.h
@@ -1,5 +1,5 @@
-/* Workers' heartbeats that this controller forwards to the leader, and the workers that it
- * redirected there. Changed by src/workers/. */
+/* The heartbeats of workers that this controller forwards to the leader, and the workers that it
+ * redirected to the leader. Changed by src/workers/. */
 #ifndef BD_FORWARDING_STATE_H
 #define BD_FORWARDING_STATE_H
 #include "wire/wire.h"
@@ -18,20 +18,21 @@
     struct bd_forwarded_heartbeat *next;
 };
 
-/* A worker that was redirected to the leader; beyond the maximum the oldest are forgotten. */
+/* A worker that was redirected to the leader. When the table is full, the oldest entry is dropped.
+ */
 struct bd_redirected_worker {
     UT_hash_handle hh; /* by id */
     char id[BD_LABEL_BYTES];
     struct timespec redirected_at;
-    bool has_returned; /* its heartbeats are forwarded */
+    bool has_returned; /* it came back, so its heartbeats are forwarded */
 };
 
 struct bd_forwarding {
     struct bd_forwarded_heartbeat *awaiting_reply;
     uint64_t last_id;
     struct bd_redirected_worker *redirected;
-    /* The leader does not hear its workers: until then heartbeats are better forwarded than their
-     * workers redirected. */
+    /* The leader reported that it does not receive its workers' heartbeats. Until this time
+     * heartbeats are forwarded, since workers redirected to the leader would not reach it. */
     struct timespec inbound_partition_until;
 };
 #endif
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -1,4 +1,4 @@
-/* Jobs, as every controller knows them and as the leader schedules them. */
+/* Jobs: their records, which every controller keeps, and their scheduling state in the leader. */
 #ifndef BD_JOB_H
 #define BD_JOB_H
 #include "model/task.h"
@@ -10,71 +10,74 @@
 struct bd_dependency_edge;
 struct bd_parent_job;
 
-/* What a job asks for, its names resolved by the catalog. Amounts are those of one task: cores,
- * accelerators, GB. */
+/* A job's specification, with its names resolved by the catalog. Amounts are per task, in cores,
+ * accelerators and GB. */
 struct bd_spec {
-    int job_class, team, image, zone; /* team -1: not known; zone -1: any */
-    uint32_t types;                   /* bits of the allowed machine types */
+    int job_class, team, image, zone; /* team -1: unknown; zone -1: any */
+    uint32_t types;                   /* bit set of the allowed machine types */
     bool any_type;
     enum bd_job_kind kind;
     enum bd_priority priority;
     double cpus, gpus, mem, image_gb;
-    double estimate_s; /* seconds that a task runs, by the user's estimate */
+    double estimate_s; /* the user's estimate of a task's run time */
     double checkpoint_interval_s, checkpoint_save_s, deadline_s; /* deadline < 0: none */
     bool same_zone, spread_zones, spot;
 };
 
-/* A job. Its record is applied by src/jobs/; its tasks are changed by task_state.c. */
+/* A job. src/jobs/ applies its record; task_state.c changes its tasks. */
 struct bd_job {
     UT_hash_handle hh;
     char id[BD_ID_BYTES];
-    uint64_t revision; /* of its record */
+    uint64_t revision; /* of the job's record */
     enum bd_job_state state;
-    bool
-        record_stale; /* a transaction saw another revision: nothing is written before it is read */
-    bool dirty;       /* has receipts to commit */
+    /* A transaction found another revision of the record: nothing is written until it is read. */
+    bool record_stale;
+    bool dirty; /* has receipts to commit */
     uint32_t ntasks, ndone, npending, nplaced, nrunning;
-    uint32_t reported_done, reported_running; /* counts for users while no task is tracked */
-    uint64_t receipt_chunks;                  /* bits of the chunks that are committed */
-    uint32_t dirty_chunks;                    /* bits of the chunks to commit */
-    double submitted_at;                      /* time of day of its submission */
-    struct timespec next_preemption_at;       /* earliest time of the next preemption for it */
-    struct timespec backoff_until;            /* nothing is written of it before: see kv_limits.c */
-    struct timespec
-        placement_backoff_until; /* not placed before: its tasks failed or were refused */
+    /* counts that users are shown while the tasks are not tracked */
+    uint32_t reported_done, reported_running;
+    uint64_t receipt_chunks;            /* bit set of the chunks with a committed receipt */
+    uint32_t dirty_chunks;              /* bit set of the chunks to commit */
+    double submitted_at;                /* time of day, in seconds */
+    struct timespec next_preemption_at; /* no preemption for the job before this time */
+    struct timespec backoff_until;      /* no write for the job before this time: see kv_limits.c */
+    /* No task is placed before this time: tasks of the job failed or were refused. */
+    struct timespec placement_backoff_until;
     struct timespec last_placed_at, last_started_at;
     uint32_t restarts; /* tasks that lost their reservation after a launch */
-    struct timespec cancellation_announced_at; /* announced by another controller; 0: not */
-    bool start_committed;                      /* a start of it was committed in this term */
-    uint32_t failed_tasks;                     /* failed tasks */
-    uint32_t finished_runs;                    /* tasks seen from start to end */
-    uint32_t longest_run_tenths;               /* of them, in tenths of a second */
+    /* when another controller announced the job's cancellation; 0: never */
+    struct timespec cancellation_announced_at;
+    bool start_committed;        /* the start of a task was committed in this term */
+    uint32_t failed_tasks;       /* task exits with an error */
+    uint32_t finished_runs;      /* tasks whose start and end were both seen */
+    uint32_t longest_run_tenths; /* the longest of these runs, in tenths of a second */
     struct bd_spec spec;
     bool has_spec;
     bool within_guaranteed_share; /* in this scheduling cycle */
-    bool pinned;                  /* something else points to it: not evicted */
+    bool pinned;                  /* referenced from elsewhere, so it is not evicted */
 
-    /* its place in the dependency graph, see dependency_graph.c */
-    struct bd_dependency_edge *parent_edges; /* owned array: those that it waits for */
+    /* the job in the dependency graph, see dependency_graph.c */
+    struct bd_dependency_edge *parent_edges; /* owned array: edges to the jobs it depends on */
     uint32_t nparent_edges;
-    uint32_t nopen_parents;          /* it is ready when none is open */
-    struct bd_parent_job *as_parent; /* its entry as a parent; NULL: nobody waits for it */
-    uint32_t parent_parts;           /* of its list of parents, not all read; 0: complete */
+    uint32_t nopen_parents;          /* 0: the job is ready */
+    struct bd_parent_job *as_parent; /* its entry as a parent; NULL: no job depends on it */
+    uint32_t parent_parts;           /* parts of its list of parents if not all are read, else 0 */
     char parent_parts_hash[BD_HASH_BYTES];
-    bool has_had_parents;      /* it has or had parents: its deadline counts */
-    bool cancelled_by_parent;  /* its own record does not say so yet */
-    double ready_at, ended_at; /* time of day: when it could start; when it was done */
-    enum bd_priority priority; /* the highest among its own and its dependents' */
-    double finish_by;          /* time of day by which it must be done for its own and its
-                                  dependents' deadlines; infinite: none */
-    struct bd_job *next_work;  /* in a work list of the graph's functions */
+    bool has_had_parents;      /* has or had parents, so its deadline counts */
+    bool cancelled_by_parent;  /* and its own record does not show it yet */
+    double ready_at, ended_at; /* time of day, in seconds: when it could start; when it ended */
+    enum bd_priority priority; /* the highest of its own and its dependents' */
+    /* time of day, in seconds, by which it must end for its own and its dependents' deadlines;
+     * infinite: none */
+    double finish_by;
+    struct bd_job *next_work; /* next in a work list of the graph's functions */
 
-    int job_class;         /* -1: not known */
-    json_t *record_spec;   /* the job as its record has it, kept for rewriting */
-    struct bd_task *tasks; /* owned; only while leading */
+    int job_class;         /* -1: unknown */
+    json_t *record_spec;   /* the specification as read from the record, kept for rewriting it */
+    struct bd_task *tasks; /* owned; NULL while not leader */
 };
 
-/* A task that holds resources of a machine. */
+/* A task that reserves resources of a machine. */
 struct bd_reservation {
     struct bd_job *job;
     uint32_t task;
--- a/src/model/kv_limits.c
+++ b/src/model/kv_limits.c
@@ -4,23 +4,25 @@
 #include "model/core_state.h"
 
 #define TXN_OPS_MIN 2u       /* the commit sequence and one change */
-#define VALUE_BYTES_MIN 512u /* a done record, and an intent of a few tasks, fit */
+#define VALUE_BYTES_MIN 512u /* holds a record of a done job, or an intent of a few tasks */
 #define WRITES_PER_S_MIN 4.0
 
-#define RATE_CUT_FACTOR 0.8     /* at each 429, */
-#define RATE_CUT_INTERVAL_S 1.0 /* ... but no more often than this */
-#define RATE_RAISE_AFTER_S 10.0 /* without a 429 */
+#define RATE_CUT_FACTOR 0.8     /* for each 429 */
+#define RATE_CUT_INTERVAL_S 1.0 /* minimum time between two cuts */
+#define RATE_RAISE_AFTER_S 10.0 /* time without a 429 */
 #define RATE_RAISE_INTERVAL_S 1.0
 #define RATE_RAISE_FACTOR 1.01
 
-#define RAISE_AFTER_MIN_S 60.0 /* without a 400; doubled each time that a step up was too much */
+/* Time without a 400 before the sizes are raised; doubled each time that a 400 soon follows a
+ * raise. */
+#define RAISE_AFTER_MIN_S 60.0
 #define RAISE_AFTER_MAX_S 3600.0
-#define RAISE_INTERVAL_S 10.0 /* between two steps up */
+#define RAISE_INTERVAL_S 10.0 /* between two raises */
 
-#define LEADER_SHARE 0.6 /* of the store's changes; the rest is the users' */
+#define LEADER_SHARE 0.6 /* of the store's write rate; the rest is for users' requests */
 
 #define BACKOFF_MIN_S 1.0
-#define BACKOFF_STEPS 8 /* of one more second each, by which jobs are spread */
+#define BACKOFF_STEPS 8 /* back-off times differ by up to this many seconds between jobs */
 
 void bd_kv_limits_init(struct bd_core *core)
 {
@@ -50,17 +52,18 @@
 {
     struct bd_kv_limits *limits = &core->kv_limits;
     const struct bd_kv_limits before = *limits;
-    bool raised_lately = !bd_time_is_zero(before.limits_raised_at) &&
-                         bd_seconds_between(before.limits_raised_at, core->now) < RAISE_AFTER_MIN_S;
-    if (raised_lately && before.raise_after_s < RAISE_AFTER_MAX_S)
+    bool raised_recently =
+        !bd_time_is_zero(before.limits_raised_at) &&
+        bd_seconds_between(before.limits_raised_at, core->now) < RAISE_AFTER_MIN_S;
+    if (raised_recently && before.raise_after_s < RAISE_AFTER_MAX_S)
         limits->raise_after_s = 2 * before.raise_after_s;
     limits->limits_raised_at = (struct timespec){0, 0};
     limits->limits_rejected_at = core->now;
     limits->kv_value_bytes_max = lowered(before.kv_value_bytes_max, VALUE_BYTES_MIN);
     limits->kv_txn_ops_max = lowered(before.kv_txn_ops_max, TXN_OPS_MIN);
     bd_log_write(core->log, BD_LOG_ERROR,
-                 "the key-value store rejects %s: values of at most %zu bytes and %zu changes from "
-                 "now on",
+                 "key-value store rejected %s as malformed; limits lowered to values of %zu bytes "
+                 "and %zu changes",
                  what, limits->kv_value_bytes_max, limits->kv_txn_ops_max);
     return limits->kv_value_bytes_max < before.kv_value_bytes_max ||
            limits->kv_txn_ops_max < before.kv_txn_ops_max;
@@ -68,10 +71,10 @@
 
 size_t bd_kv_limits_txn_ops(const struct bd_core *core)
 {
-    size_t in_a_second = (size_t)core->kv_limits.writes_per_s;
+    size_t ops_per_s = (size_t)core->kv_limits.writes_per_s;
     size_t ops = core->kv_limits.kv_txn_ops_max;
-    if (in_a_second < ops)
-        ops = in_a_second;
+    if (ops_per_s < ops)
+        ops = ops_per_s;
     return ops < TXN_OPS_MIN ? TXN_OPS_MIN : ops;
 }
 
@@ -88,8 +91,8 @@
            bd_seconds_between(limits->limits_raised_at, core->now) >= RAISE_INTERVAL_S;
 }
 
-/* A limit that was lowered may have been raised again, and a rejection may have had another reason.
- * A step too far costs one rejected transaction, which is decided anew. */
+/* The store may have raised its limit again, or a rejection may have had another cause. A raise too
+ * far costs one rejected transaction, which is planned again. */
 static void raise_sizes(struct bd_core *core)
 {
     struct bd_kv_limits *limits = &core->kv_limits;
@@ -99,7 +102,8 @@
     limits->limits_raised_at = core->now;
     limits->kv_value_bytes_max = raised(limits->kv_value_bytes_max, settings->kv_value_bytes_max);
     limits->kv_txn_ops_max = raised(limits->kv_txn_ops_max, settings->kv_txn_ops_max);
-    bd_log_write(core->log, BD_LOG_INFO, "raises the limits to values of %zu bytes and %zu changes",
+    bd_log_write(core->log, BD_LOG_INFO,
+                 "key-value limits raised to values of %zu bytes and %zu changes",
                  limits->kv_value_bytes_max, limits->kv_txn_ops_max);
 }
 
@@ -118,7 +122,7 @@
     if (core->lead.write_budget > 0)
         core->lead.write_budget = 0;
     bd_log_write(core->log, BD_LOG_INFO,
-                 "the key-value store's rate is exceeded: %.1f changes a second",
+                 "key-value store's write rate exceeded; lowered to %.1f changes/s",
                  limits->writes_per_s);
 }
 
@@ -147,8 +151,8 @@
     core->lead.write_budget_at = core->now;
 }
 
-/* What was in a rejected transaction that cannot be made smaller: each job backs off for a time of
- * its own, so that the one at fault does not fail the others for ever. */
+/* For the jobs of a rejected transaction that cannot be made smaller. The back-off times differ, so
+ * that the job at fault does not make the transactions of the others fail forever. */
 void bd_kv_limits_back_off(struct bd_core *core, struct bd_job *job)
 {
     double spread_s = (double)(job->revision % BACKOFF_STEPS);
--- a/src/model/kv_limits.h
+++ b/src/model/kv_limits.h
@@ -1,28 +1,30 @@
-/* The key-value store's limits: those of the settings at first, then what its answers teach.
+/* The key-value store's limits: initially those of the settings, then adapted to its responses.
  *
- * A transaction that the store calls malformed (400) was not applied; the likely cause is a limit
- * that was lowered without notice, so the next ones are smaller. After one beyond the rate (429)
- * the next ones come more slowly. Both rise again with time.
+ * A transaction that the store rejects as malformed (400) was not applied. The likely cause is a
+ * limit that was lowered without notice, so the next transactions are smaller. After a rejection
+ * for the rate (429) the writes are slowed down. Both limits rise again with time.
  *
- * Owns core->kv_limits, and the leader's write budget. Called by the core's step, and by those who
- * write or learn a transaction's outcome. */
+ * Owns core->kv_limits and the leader's write budget. Called by the core's step and by the code
+ * that writes transactions or processes their outcomes. */
 #ifndef BD_KV_LIMITS_H
 #define BD_KV_LIMITS_H
 #include "model/core_state.h"
 
-#define BD_VALUE_SHARE 0.9 /* of a value's limit that is used, since sizes are estimates */
+/* Share of a value's size limit that is used, since sizes are estimates. */
+#define BD_VALUE_SHARE 0.9
 
-/* Starts with the limits of the settings. */
+/* Sets the limits to those of the settings. */
 void bd_kv_limits_init(struct bd_core *core);
-/* A transaction was rejected as malformed (400); `what` names it in the log. False: the limits are
- * as low as can be, so that the size was not the reason. */
+/* Lowers the size limits after a transaction was rejected as malformed (400); `what` names it in
+ * the log. False: the limits are at their minimum, so the size was not the cause. */
 bool bd_kv_limits_rejected(struct bd_core *core, const char *what);
-/* How many changes one transaction may hold now: no more than the rate allows in a second. */
+/* The number of changes that one transaction may hold now; at most what the rate allows in a
+ * second. */
 size_t bd_kv_limits_txn_ops(const struct bd_core *core);
-/* A transaction was rejected since the rate is used up (429). */
+/* Lowers the write rate after a transaction was rejected for exceeding it (429). */
 void bd_kv_limits_rate_exceeded(struct bd_core *core);
-/* Refills the leader's budget of changes for the time that has passed. */
+/* Refills the leader's write budget for the time since the last refill. */
 void bd_write_budget_refill(struct bd_core *core);
-/* Nothing is written of the job for some seconds. */
+/* Blocks writes for the job for some seconds. */
 void bd_kv_limits_back_off(struct bd_core *core, struct bd_job *job);
 #endif
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -1,34 +1,34 @@
-/* Machine types, and machines as the leader knows them: identity, lease, connection, reservations,
- * images.
+/* Machine types, and the leader's view of each machine: identity, lease, connection, reservations
+ * and images.
  *
- * Each field is changed by the part that its comment names, or else by src/workers/ from
- * heartbeats; reservations and sums by reservation.c, images by machine_images.c. Read by all
- * leader's folders. */
+ * src/workers/ sets the fields from heartbeats, unless a field's comment names another folder.
+ * reservation.c changes the reservations and their sums, machine_images.c the images. All folders
+ * that run as leader read them. */
 #ifndef BD_MACHINE_H
 #define BD_MACHINE_H
 #include "model/job.h"
 #include "wire/wire.h"
 #include "wire/wire_limits.h"
 
-#define BD_MACHINE_IMAGES_MAX 40 /* that a machine is known to have; older ones are fetched again  \
-                                  */
+/* Images tracked per machine. An image dropped from the list is assumed to need a new download. */
+#define BD_MACHINE_IMAGES_MAX 40
 
-/* Amounts are cores, accelerators and GB. */
+/* Amounts are in cores, accelerators and GB. */
 struct bd_machine_type {
     char label[BD_LABEL_BYTES];
-    bool known; /* the cloud has described it */
+    bool known; /* the cloud's list of types has described it */
     double cpus, gpus, mem, cache_gb;
-    double fetch_gb_per_s;    /* GB a second */
-    double price, spot_price; /* an hour */
-    double boot_s;            /* seconds */
-    uint32_t zones;           /* bits of the zones that offer it */
+    double fetch_gb_per_s;    /* image download rate */
+    double price, spot_price; /* per hour */
+    double boot_s;
+    uint32_t zones; /* bit set of the zones that offer it */
 };
 
-/* An image in a machine's cache, or on its way there. */
+/* An image in a machine's cache, or being downloaded to it. */
 struct bd_cached_image {
     int image;
     double gb;
-    struct timespec available_at; /* when it is there, by the type's rate */
+    struct timespec available_at; /* expected end of the download, from the type's rate */
 };
 
 struct bd_machine {
@@ -37,83 +37,112 @@
     uint32_t index;
     int type, zone; /* -1: not known yet */
     bool spot, in_inventory, failed;
-    bool has_seen_term; /* its newest heartbeat has seen a fencing token of our term */
+    /* its newest heartbeat carries a fencing token of the leader's term */
+    bool has_seen_term;
+    /* terminated: scaled in, or missing from the cloud's inventory */
     bool terminated, scaling_in;
 
-    /* its newest heartbeat */
+    /* from its newest heartbeat; expired_incarnation: the newest whose lease has expired */
     uint64_t incarnation, heartbeat_seq, expired_incarnation;
-    uint64_t fencing_token;        /* the highest that it has seen */
-    bool answered_in_term;         /* in this term */
-    bool answered_since_term_seen; /* ... since it has seen it: for the decision log */
-    uint64_t received_seq;         /* of the newest that came to be answered: others are copies */
-    int heartbeat_peer;            /* the controller that it came to: a peer's index, or -1 */
-    uint32_t
-        unreceived_replies;  /* times in a row that it went elsewhere although it was answered */
-    bool outbound_partition; /* replies and commands seem not to reach it */
+    /* the highest fencing token that the machine has seen */
+    uint64_t fencing_token;
+    /* for the decision log: whether a heartbeat was answered in this term, and whether one was
+     * after the machine had seen the term */
+    bool answered_in_term;
+    bool answered_since_term_seen;
+    /* the newest heartbeat received for a reply; one with a number up to it is a duplicate */
+    uint64_t received_seq;
+    /* the controller that received the newest heartbeat: a peer's index, or -1 for the leader */
+    int heartbeat_peer;
+    /* consecutive heartbeats that went to another controller although the one before was answered:
+     * the reply seems to have been lost */
+    uint32_t unreceived_replies;
+    /* replies and commands seem not to reach the machine */
+    bool outbound_partition;
 
     struct timespec age_reported_at, scale_in_allowed_at;
-    struct timespec lease_expires_at;        /* later nothing of the last incarnation runs */
-    struct timespec heartbeats_steady_since; /* since then heartbeats came without a gap */
+    /* after this nothing of the last incarnation runs */
+    struct timespec lease_expires_at;
+    /* heartbeats have arrived without a gap since then */
+    struct timespec heartbeats_steady_since;
+    /* last_contact_at: the newest heartbeat or reply to a direct command */
     struct timespec last_contact_at, first_seen_at, idle_since;
-    struct timespec launch_backoff_until; /* no launch before: it refused one */
-    struct timespec
-        last_heartbeat_at;       /* newest heartbeat; direct replies count for `heard` alone */
-    double reported_age_s;       /* seconds, at age_known_at */
-    double termination_notice_s; /* seconds until the cloud takes it; < 0: no notice */
+    /* no launch before this time: the machine refused one */
+    struct timespec launch_backoff_until;
+    /* the newest heartbeat; replies to direct commands do not count */
+    struct timespec last_heartbeat_at;
+    /* the machine's age at age_reported_at */
+    double reported_age_s;
+    /* seconds until the cloud terminates the machine; < 0: no notice */
+    double termination_notice_s;
 
-    bool direct_in_flight;    /* one direct command at a time */
-    uint32_t direct_failures; /* without an answer, in a row */
+    /* one direct command is sent at a time */
+    bool direct_in_flight;
+    /* consecutive direct commands without an answer */
+    uint32_t direct_failures;
     struct timespec next_direct_at;
-    uint64_t
-        unanswered_launch_token; /* highest token of a direct launch without an answer; 0: none */
+    /* the highest fencing token of a direct launch without an answer; 0: none */
+    uint64_t unanswered_launch_token;
     struct timespec direct_sent_at;
 
     struct bd_reservation *reservations; /* owned */
     uint32_t nreservations, reservations_cap;
-    double reserved_cpus, reserved_gpus, reserved_mem_gb; /* reserved */
-    double pinned_cpus, pinned_gpus, pinned_mem;          /* of that by services and GPU tasks */
+    double reserved_cpus, reserved_gpus, reserved_mem_gb;
+    /* the share of the reserved amounts that services and GPU tasks hold */
+    double pinned_cpus, pinned_gpus, pinned_mem;
 
-    struct bd_cached_image images[BD_MACHINE_IMAGES_MAX]; /* the most recently used first */
+    struct bd_cached_image images[BD_MACHINE_IMAGES_MAX]; /* most recently used first */
     int nimages;
-    struct timespec fetches_done_at; /* when all images that it fetches are there */
+    struct timespec fetches_done_at; /* expected end of all its image downloads */
 
-    uint32_t consecutive_failures; /* failed tasks in a row, of different jobs */
+    /* consecutive task failures, as machine_health.c counts them: those of one job count once,
+     * unless the job runs on other machines */
+    uint32_t consecutive_failures;
     struct bd_job *last_failed_job;
-    bool is_delegated;             /* in a delegate's record at the last refresh */
-    int delegate_index;            /* whose: an index into the core's delegates */
-    struct timespec redirected_at; /* when it was last sent to its own zone's controller */
-    bool heartbeat_was_direct;     /* its last heartbeat came from itself, not by a controller */
-    bool cordoned;                 /* a drain keeps new work off it */
-    bool kept_for_drain;           /* ... keeps it although it is idle */
-    bool scale_in_for_drain;       /* ... has it scaled in now */
-    bool consolidating; /* its tasks move, so that an expensive machine can be scaled in */
+    /* a delegate's record named the machine at the last refresh */
+    bool is_delegated;
+    /* index of that record in core->delegates */
+    int delegate_index;
+    /* when it was last redirected to a controller of its own zone */
+    struct timespec redirected_at;
+    /* the last heartbeat came from the machine itself, not through another controller */
+    bool heartbeat_was_direct;
+    /* set by drain/: no new work; not scaled in while idle; to be scaled in now */
+    bool cordoned;
+    bool kept_for_drain;
+    bool scale_in_for_drain;
+    /* its tasks are being moved so that an expensive machine can be scaled in */
+    bool consolidating;
     bool quarantined;
-    bool is_headroom; /* kept for expected work */
+    /* kept idle for expected work */
+    bool is_headroom;
 };
 
 struct bd_core;
 
-/* The machine by its index; NULL: none. */
+/* Returns NULL if no machine has the index. */
 struct bd_machine *bd_machine_by_index(struct bd_core *core, uint32_t index);
-/* The machine by its id, added if it is new. Never NULL. */
+/* Finds a machine by id and adds it if it is new. Never NULL; aborts if out of memory. */
 struct bd_machine *bd_machine_find_or_add(struct bd_core *core, const char *id);
-/* When a lease that was renewed at that moment has expired by every clock. */
+/* The time by which a lease that was renewed at `answered` has expired, with allowance for clock
+ * drift. */
 struct timespec bd_lease_expiry(const struct bd_core *core, struct timespec answered);
-/* Whether its heartbeat is overdue: it hangs, or looks for a controller. A direct command would
- * block a sender until its timeout. */
+/* Whether the machine's heartbeat is overdue: it hangs, or is trying to reach a controller. A
+ * direct command to it would block a sender thread until the timeout. */
 bool bd_machine_is_overdue(const struct bd_core *core, const struct bd_machine *machine);
-/* Forgets all machines, as at the end of a term. */
+/* Removes and frees all machines, as at the end of a term. */
 void bd_machines_free(struct bd_core *core);
-/* Whether new work may be placed on it. */
+/* Whether new work may be placed on the machine. */
 bool bd_machine_is_usable(const struct bd_core *core, const struct bd_machine *machine);
 
-/* Whether the machine holds the image, or fetches it. */
+/* Whether the machine's cache holds the image, or the image is being downloaded. */
 bool bd_machine_has_image(const struct bd_machine *machine, int image);
-/* Seconds until the image of the job would be there: 0 if it is; infinite if not known. */
+/* Seconds until the job's image would be available: 0 if it is cached; infinite if the machine's
+ * type is not known. */
 double bd_image_fetch_s(const struct bd_core *core, const struct bd_machine *machine,
                         const struct bd_spec *spec);
-/* Moves the image to the front of those most recently used. there: a task ran from it, so that it
- * has been fetched; else it is being fetched from now on. */
+/* Records a use of the image, which becomes the most recently used. is_cached: a task ran from it,
+ * so the download has ended; otherwise a new image is assumed to be downloaded from now on. */
 void bd_machine_use_image(struct bd_core *core, struct bd_machine *machine,
-                          const struct bd_spec *spec, bool there);
+                          const struct bd_spec *spec, bool is_cached);
 #endif
