--- a/src/model/decision_log.c
+++ b/src/model/decision_log.c
@@ -9,10 +9,10 @@
 #include <string.h>
 
 #define LINES_PER_S 40.0
-#define LINES_BURST 400.0 /* a failover with some hundred machines */
+#define LINES_BURST 400.0 /* enough for a failover with some hundred machines */
 #define LINE_BYTES 384
 #define DETAILS_BYTES 64
-#define RANGE_BYTES 32 /* of one range of tasks, with its comma */
+#define RANGE_BYTES 32 /* one range of tasks, with its comma */
 
 static const char *const release_names[] = {[BD_RELEASE_INTENT_NOT_COMMITTED] = "not_committed",
                                             [BD_RELEASE_LAUNCH_NOT_SENT] = "not_sent",
@@ -38,45 +38,46 @@
     return core->log && core->log->level >= BD_LOG_INFO;
 }
 
-/* ---- the rate ---- */
+/* ---- rate limit ---- */
 
 static void refill_lines(struct bd_decision_log *decision_log, struct timespec now)
 {
-    double lines =
-        decision_log->lines + LINES_PER_S * bd_seconds_between(decision_log->lines_at, now);
-    decision_log->lines = lines > LINES_BURST ? LINES_BURST : lines;
-    decision_log->lines_at = now;
+    double lines = decision_log->line_budget +
+                   LINES_PER_S * bd_seconds_between(decision_log->line_budget_at, now);
+    decision_log->line_budget = lines > LINES_BURST ? LINES_BURST : lines;
+    decision_log->line_budget_at = now;
 }
 
-/* Takes one line from the rate's budget; a line that it does not allow is counted. After a
- * suppression it waits for a second's lines, so that whole runs of lines are written or none. */
+/* Takes one line from the budget, or counts the line as suppressed. After a suppression the budget
+ * must first hold the lines of a second, so that whole runs of lines are written or suppressed. */
 static bool may_write_line(struct bd_core *core)
 {
     struct bd_decision_log *decision_log = &core->decision_log;
     refill_lines(decision_log, core->now);
-    double wanted = decision_log->suppressed > 0 ? LINES_PER_S : 1;
-    if (decision_log->lines < wanted) {
+    double needed = decision_log->suppressed > 0 ? LINES_PER_S : 1;
+    if (decision_log->line_budget < needed) {
         decision_log->suppressed++;
         return false;
     }
     if (decision_log->suppressed > 0)
         bd_log_write(core->log, BD_LOG_INFO, "event=suppressed lines=%u", decision_log->suppressed);
     decision_log->suppressed = 0;
-    decision_log->lines--;
+    decision_log->line_budget--;
     return true;
 }
 
 /* ---- tasks that share a line ---- */
 
-/* Appends the open range to the closed ones. False: there is no space for it. */
+/* Appends the open range to the closed ones. False: no space left. */
 static bool close_range(struct bd_decision_log *decision_log)
 {
     size_t used = strlen(decision_log->ranges), size = sizeof decision_log->ranges - used;
     char *end = decision_log->ranges + used;
     const char *comma = used > 0 ? "," : "";
-    int len = decision_log->from == decision_log->to
-                  ? snprintf(end, size, "%s%u", comma, decision_log->from)
-                  : snprintf(end, size, "%s%u-%u", comma, decision_log->from, decision_log->to);
+    int len = decision_log->range_first == decision_log->range_last
+                  ? snprintf(end, size, "%s%u", comma, decision_log->range_first)
+                  : snprintf(end, size, "%s%u-%u", comma, decision_log->range_first,
+                             decision_log->range_last);
     if (len >= 0 && (size_t)len < size)
         return true;
     *end = '\0';
@@ -86,9 +87,9 @@
 void bd_decision_log_flush(struct bd_core *core)
 {
     struct bd_decision_log *decision_log = &core->decision_log;
-    if (!decision_log->open)
+    if (!decision_log->is_open)
         return;
-    decision_log->open = false;
+    decision_log->is_open = false;
     if (!may_write_line(core))
         return;
     (void)close_range(decision_log);
@@ -99,21 +100,21 @@
 static bool continues_line(const struct bd_decision_log *decision_log, const char *head,
                            const char *tail)
 {
-    return decision_log->open && strcmp(decision_log->head, head) == 0 &&
+    return decision_log->is_open && strcmp(decision_log->head, head) == 0 &&
            strcmp(decision_log->tail, tail) == 0;
 }
 
-/* Adds the task to the open line. False: there is no space for it. */
+/* Adds the task to the open line. False: no space left. */
 static bool add_task(struct bd_decision_log *decision_log, uint32_t task)
 {
-    if (task == decision_log->to + 1) {
-        decision_log->to = task;
+    if (task == decision_log->range_last + 1) {
+        decision_log->range_last = task;
         return true;
     }
     if (strlen(decision_log->ranges) + RANGE_BYTES > sizeof decision_log->ranges ||
         !close_range(decision_log))
         return false;
-    decision_log->from = decision_log->to = task;
+    decision_log->range_first = decision_log->range_last = task;
     return true;
 }
 
@@ -123,8 +124,8 @@
     snprintf(decision_log->head, sizeof decision_log->head, "%s", head);
     snprintf(decision_log->tail, sizeof decision_log->tail, "%s", tail);
     decision_log->ranges[0] = '\0';
-    decision_log->from = decision_log->to = task;
-    decision_log->open = true;
+    decision_log->range_first = decision_log->range_last = task;
+    decision_log->is_open = true;
 }
 
 /* ---- evidence ---- */
@@ -137,7 +138,7 @@
              (unsigned long long)token_seen, (unsigned long long)term);
 }
 
-/* The end of a line: the machine, the details, and what is known of the machine. */
+/* Formats the end of a line: the machine, the details and the evidence of its newest heartbeat. */
 static void format_tail(const struct bd_core *core, const struct bd_machine *machine,
                         const char *details, char *out, size_t size)
 {
--- a/src/model/disruption_ledger.c
+++ b/src/model/disruption_ledger.c
@@ -11,7 +11,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The team's own rule, or that of all teams without one; NULL: neither is declared. */
+/* Returns the team's own rule, or else the rule for all teams without one; NULL: neither exists. */
 static const struct bd_budget_rule *find_team_rule(const struct bd_budget_rule *rules,
                                                    uint32_t nrules, const char *team)
 {
@@ -58,7 +58,7 @@
     return ledger;
 }
 
-/* Removes the job's entry, and its tasks from the budgets' counts. */
+/* Removes the job's entry, and subtracts its tasks from the budgets' counts. */
 static void remove_job(struct bd_ledger *ledger, struct bd_ledger_job *entry)
 {
     uint32_t up = (uint32_t)roaring_bitmap_get_cardinality(entry->up);
@@ -111,7 +111,7 @@
     return entry;
 }
 
-/* Finds the budgets that the entry's tasks count for. */
+/* Finds the budgets in which the entry's tasks are counted. */
 static void find_budgets(const struct bd_core *core, struct bd_ledger_job *entry)
 {
     const struct bd_ledger *ledger = core->ledger;
@@ -137,7 +137,7 @@
     return entry;
 }
 
-/* Adds to the counts of the entry's budgets. */
+/* Adds the changes `up` and `down` to the counts of the entry's budgets. */
 static void add_counts(struct bd_ledger *ledger, const struct bd_ledger_job *entry, int up,
                        int down)
 {
@@ -162,7 +162,7 @@
     add_counts(ledger, entry, roaring_bitmap_remove_checked(entry->up, task) ? -1 : 0, 1);
 }
 
-/* A task that has ended counts no more. */
+/* Removes a task that has ended from the counts. */
 static void set_done(struct bd_ledger *ledger, struct bd_ledger_job *entry, uint32_t task)
 {
     int up = roaring_bitmap_remove_checked(entry->up, task) ? -1 : 0;
@@ -176,7 +176,7 @@
            !(task->flags & BD_TASK_FLAG_STOP_REQUESTED);
 }
 
-/* Whether a stop was requested of a task that may run. */
+/* Whether the task may be running and a stop of it was requested. */
 static bool is_being_stopped(const struct bd_task *task)
 {
     return task->flags & BD_TASK_FLAG_STOP_REQUESTED &&
@@ -184,25 +184,25 @@
             task->state == BD_TASK_UNKNOWN);
 }
 
-void bd_ledger_update_task(struct bd_core *core, struct bd_job *job, uint32_t i)
+void bd_ledger_update_task(struct bd_core *core, struct bd_job *job, uint32_t index)
 {
     if (!core->ledger || core->role != BD_LEADER)
         return;
-    if (job->state != BD_JOB_ACTIVE) { /* its end is no disruption */
+    if (job->state != BD_JOB_ACTIVE) { /* the end of a job is no disruption */
         bd_ledger_remove_job(core, job);
         return;
     }
     struct bd_ledger *ledger = core->ledger;
-    const struct bd_task *task = &job->tasks[i];
+    const struct bd_task *task = &job->tasks[index];
     struct bd_ledger_job *entry = bd_ledger_get_job(core, job);
     if (!entry)
         return;
     if (task->state == BD_TASK_DONE)
-        set_done(ledger, entry, i);
+        set_done(ledger, entry, index);
     else if (is_running(task))
-        set_up(ledger, entry, i);
-    else if (is_being_stopped(task) || roaring_bitmap_contains(entry->up, i))
-        set_down(ledger, entry, i);
+        set_up(ledger, entry, index);
+    else if (is_being_stopped(task) || roaring_bitmap_contains(entry->up, index))
+        set_down(ledger, entry, index);
 }
 
 void bd_ledger_remove_job(struct bd_core *core, const struct bd_job *job)
@@ -214,9 +214,9 @@
         remove_job(core->ledger, entry);
 }
 
-/* Whether an earlier leader may have started the job. The absence of intents does not show that it
- * has not: those of lost tasks are deleted soon. But a pending array is no disruption, and an array
- * without any trace of a task is taken to be pending. */
+/* Whether an earlier leader may have started the job. Missing intents do not prove that it has not:
+ * intents of lost tasks are deleted soon. But a pending array is no disruption, and an array
+ * without any placed or done task is taken to be pending. */
 static bool may_have_run(const struct bd_job *job)
 {
     return job->spec.kind != BD_JOB_ARRAY || job->nplaced > 0 || job->ndone > 0 ||
@@ -255,7 +255,7 @@
     }
 }
 
-/* Whether the machine's tasks are not known to run. */
+/* Whether it is uncertain that the machine's tasks are running. */
 static bool may_have_failed(const struct bd_core *core, const struct bd_machine *machine)
 {
     return !machine->has_seen_term || machine->termination_notice_s >= 0 ||
--- a/src/model/kv_limits.c
+++ b/src/model/kv_limits.c
@@ -22,7 +22,7 @@
 #define LEADER_SHARE 0.6 /* of the store's write rate; the rest is for users' requests */
 
 #define BACKOFF_MIN_S 1.0
-#define BACKOFF_STEPS 8 /* back-off times differ by up to this many seconds between jobs */
+#define BACKOFF_STEPS 8 /* number of different back-off times, one second apart */
 
 void bd_kv_limits_init(struct bd_core *core)
 {
--- a/src/model/leadership_state.h
+++ b/src/model/leadership_state.h
@@ -1,7 +1,7 @@
-/* The leader's term, its scheduling cycles and its transaction, as part of the core's state.
+/* The state of the leader's term: its scheduling cycles and its transaction.
  *
- * Part of struct bd_core and so of the owner thread. Changed by src/leadership/, and where a
- * field's comment names it by another folder; read by all. */
+ * Part of struct bd_core, so used by the owner thread only. Changed by src/leadership/, unless a
+ * field's comment names another folder. All folders may read it. */
 #ifndef BD_LEADERSHIP_STATE_H
 #define BD_LEADERSHIP_STATE_H
 #include "model/job.h"
@@ -13,10 +13,10 @@
 
 enum bd_role { BD_FOLLOWER, BD_LEADER };
 
-/* One task's planned launch: it may be sent once the intent is committed. */
+/* The planned launch of one task. It may be sent once the intent is committed. */
 struct bd_intent {
     struct bd_job *job;
-    uint32_t task, machine; /* the machine's index */
+    uint32_t task, machine; /* indices */
     uint64_t attempt;
 };
 
@@ -27,47 +27,51 @@
     uint32_t nintents;
 };
 
-/* What became of a leader's transaction, as the store's client hands it to the owner thread. */
+/* The outcome of a leader's transaction, as the store's client reports it to the owner thread. */
 enum bd_txn_outcome {
     BD_TXN_COMMITTED,
     BD_TXN_CONFLICT, /* not applied: a comparison failed, or the write rate was exceeded too long */
     BD_TXN_REJECTED, /* not applied: malformed or beyond a limit of the store (400) */
-    BD_TXN_DEPOSED,  /* the term is over: another leads, or the grant has expired */
-    BD_TXN_UNKNOWN   /* no answer shows it: to be sent again. Never leaves the client */
+    BD_TXN_DEPOSED,  /* the term is over: another controller leads, or the grant has expired */
+    BD_TXN_UNKNOWN   /* no answer: the client sends it again, and never reports this outcome */
 };
 
-/* An acquired term with what earlier terms left in the store. Borrowed by the core for one step. */
+/* An acquired term, with the records that earlier terms left in the store. The core borrows it for
+ * one step. */
 struct bd_acquisition {
     uint64_t term, grant;                 /* the revision and the grant of the leader's key */
-    uint64_t sequence_revision, sequence; /* of the commit sequence, the key `w`; 0: none yet */
-    const char *nonce;                    /* tells this acquisition from others of the same node */
+    uint64_t sequence_revision, sequence; /* of the key `w`, the commit sequence; 0: none yet */
+    const char *nonce;                    /* distinguishes acquisitions by the same node */
     struct timespec renewal_sent_at;      /* when the newest renewal that succeeded was sent */
     json_t *receipts, *intents;           /* arrays of pairs */
 };
 
 #define BD_CYCLE_INTENT_RECORDS_MAX 6 /* in one transaction */
-#define BD_CYCLE_JOBS_MAX 64 /* of each kind in one transaction; the rest comes with the next */
-#define BD_RECEIPT_CHUNK_TASKS 4096u /* tasks that a receipt record covers: 1 KiB of hex */
-#define BD_RECEIPT_CHUNKS_MAX 64u    /* of a job: bits of bd_job.receipt_chunks */
+/* Jobs of each kind in one transaction; the rest are left to the next. */
+#define BD_CYCLE_JOBS_MAX 64
+#define BD_RECEIPT_CHUNK_TASKS 4096u /* tasks that a receipt record covers: 1 KiB of hex digits */
+#define BD_RECEIPT_CHUNKS_MAX 64u    /* chunks of a job: the bits of bd_job.receipt_chunks */
 
-/* Which tasks of one chunk of a job are done: the record `r/JOB/CHUNK`. */
+/* The tasks of one chunk of a job that are done, as in the record `r/JOB/CHUNK`. */
 struct bd_receipt {
     struct bd_job *job;
     uint32_t chunk;
     unsigned char bits[BD_RECEIPT_CHUNK_TASKS / 8];
 };
 
-/* An attempt's number: its term in the upper bits, and the term's count of attempts. */
+/* An attempt number has the term in its upper bits, and the term's count of attempts in the lower
+ * ones. */
 #define BD_ATTEMPT_TERM_SHIFT 20
 
-/* A run of the plan that one intent record holds, since a value takes only so many. */
+/* The part of the plan that one intent record holds. The plan is split since the size of a value is
+ * limited. */
 struct bd_intent_slice {
     char key[BD_LABEL_BYTES];
     uint32_t from, count;
 };
 
-/* The one leader transaction in flight. Made by scheduling/ with its plan, which leadership/ writes
- * and frees when the outcome is known or the term ends. */
+/* The leader's transaction; at most one is in flight. scheduling/ creates it with its plan;
+ * leadership/ writes it, and frees it when the outcome is known or the term ends. */
 struct bd_commit {
     struct bd_intent *plan; /* grown by scheduling/ */
     uint32_t nplan, plan_cap;
@@ -75,7 +79,8 @@
     uint32_t nreceipts;
     struct bd_job *done[BD_CYCLE_JOBS_MAX];
     uint32_t ndone;
-    struct bd_job *cancelled[BD_CYCLE_JOBS_MAX]; /* by a parent: their records are to show it */
+    struct bd_job
+        *cancelled[BD_CYCLE_JOBS_MAX]; /* by a parent; the transaction updates their records */
     uint32_t ncancelled;
     struct bd_intent_slice intent_slices[BD_CYCLE_INTENT_RECORDS_MAX];
     uint32_t nintent_slices;
@@ -84,39 +89,47 @@
     bool raises_fencing_token;
 };
 
-/* The state of a term; it means nothing while the role is not BD_LEADER. */
+/* The state of a term; valid only while the role is BD_LEADER. */
 struct bd_leadership {
     uint64_t base_term; /* the term as it was acquired */
-    uint64_t term;      /* ... as raised since: the fencing token of our commands */
+    uint64_t term;      /* the term as last raised: the fencing token of the leader's commands */
     uint64_t grant;     /* of the leader's key */
     char nonce[BD_LABEL_BYTES];
-    struct timespec lease_valid_until; /* the term's lease is certainly valid before */
-    struct timespec renewal_sent_at;   /* the newest renewal that succeeded */
-
-    uint64_t attempt_count; /* attempts that were started in the term; counted by scheduling/ */
-    uint64_t last_fenced_attempt; /* direct launches up to it all carried a lower token than ours */
-    uint32_t nresults_withheld;   /* results that workers are to store until the token is higher;
-                            counted by   workers/ since it last rose */
-    struct timespec results_withheld_since; /* the first of them */
-    bool token_raise_wanted;                /* set by workers/ too */
+    struct timespec lease_valid_until; /* the term's lease is certainly valid until then */
+    struct timespec renewal_sent_at;   /* when the newest renewal that succeeded was sent */
+
+    uint64_t attempt_count; /* attempts started in the term; counted by scheduling/ */
+    /* direct launches of attempts up to this one carried a lower token than the current one */
+    uint64_t last_fenced_attempt;
+    /* results that workers keep until the token is raised, and when the first was withheld; counted
+     * by workers/ since the last raise */
+    uint32_t nresults_withheld;
+    struct timespec results_withheld_since;
+    bool token_raise_wanted; /* also set by workers/ */
     struct timespec last_token_raise;
-    struct timespec earlier_leases_expire_at; /* workers' leases that earlier terms renewed */
+    struct timespec
+        earlier_leases_expire_at; /* end of workers' leases that earlier terms renewed */
 
-    uint64_t sequence_revision, sequence; /* of the commit sequence, the key `w` */
-    uint64_t last_intent_record;          /* number of the newest one written in the term */
+    uint64_t sequence_revision, sequence; /* of the key `w`, the commit sequence */
+    uint64_t last_intent_record;          /* number of the newest record written in the term */
     struct bd_commit *commit;             /* NULL: none in flight; set by scheduling/ */
     struct bd_intent_record *intent_records;
     uint32_t nintent_records, cap_intent_records;
 
-    bool cycle_wanted; /* a scheduling cycle is due at once; set by all */
+    bool cycle_wanted; /* run a scheduling cycle at once; set by all folders */
     struct timespec next_cycle, next_autoscaling, next_gc, next_tick, next_summary;
-    double write_budget; /* changes that may be written now; refilled by kv_limits.c */
+    /* changes that may be written now, and when it was last refilled; by kv_limits.c */
+    double write_budget;
     struct timespec write_budget_at;
 
-    bool inventory_read;             /* the cloud's list was read in this term; autoscaling/ */
-    uint64_t last_provision_request; /* provisioning requests of the term; autoscaling/ */
-    bool is_class_limit_logged;      /* the limit of headroom's classes was logged; autoscaling/ */
-    bool inbound_partition;          /* most workers are silent; workers/ */
-    bool leader_has_outbound_partition; /* too many workers seem not to receive us; workers/ */
+    /* changed by autoscaling/ */
+    bool inventory_read;             /* the cloud's list of machines was read in this term */
+    uint64_t last_provision_request; /* number of the newest provisioning request of the term */
+    bool is_class_limit_logged;      /* the log has the limit on headroom's job classes */
+
+    /* changed by workers/ */
+    bool inbound_partition; /* heartbeats of most workers do not arrive */
+    /* so many workers seem not to receive replies that the fault is taken to be the leader's */
+    bool leader_has_outbound_partition;
 };
 #endif
--- a/src/model/machine.c
+++ b/src/model/machine.c
@@ -5,13 +5,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MACHINES_CAPACITY_FIRST 64 /* of the list by index, which doubles */
-#define LEASE_MARGIN_S 0.2         /* beyond the clocks' drift */
+#define MACHINES_CAPACITY_FIRST 64 /* of machines_by_index; doubled when full */
+#define LEASE_MARGIN_S 0.2         /* added to the allowance for clock drift */
 
-/* A heartbeat is overdue after so many intervals, which vary by a quarter, and a delay. */
+/* A heartbeat is overdue after this many intervals, since workers vary theirs by a quarter, and the
+ * extra time. */
 #define OVERDUE_INTERVALS 1.4
 #define OVERDUE_EXTRA_S 1.5
-#define OVERDUE_MIN_S 5.5 /* longer than a heartbeat that hangs at one controller */
+#define OVERDUE_MIN_S 5.5 /* longer than the delay when a heartbeat hangs at one controller */
 
 struct bd_machine *bd_machine_by_index(struct bd_core *core, uint32_t index)
 {
@@ -42,7 +43,7 @@
     machine->type = machine->zone = machine->heartbeat_peer = -1;
     machine->termination_notice_s = -1;
     machine->first_seen_at = machine->idle_since = core->now;
-    /* an earlier term may have renewed it without our knowledge */
+    /* the leader of an earlier term may have renewed the lease, unknown to this one */
     machine->lease_expires_at = core->lead.earlier_leases_expire_at;
     append_by_index(core, machine);
     HASH_ADD_STR(core->machines, id, machine);
@@ -56,13 +57,13 @@
     return machine ? machine : add_machine(core, id);
 }
 
-struct timespec bd_lease_expiry(const struct bd_core *core, struct timespec answered)
+struct timespec bd_lease_expiry(const struct bd_core *core, struct timespec renewed_at)
 {
     double lease_s = bd_to_secs(core->settings->lease);
-    return bd_time_add(answered, bd_secs(lease_s * (1 + BD_CLOCK_DRIFT) + LEASE_MARGIN_S));
+    return bd_time_add(renewed_at, bd_secs(lease_s * (1 + BD_CLOCK_DRIFT) + LEASE_MARGIN_S));
 }
 
-/* Whether a heartbeat is overdue if the last one came at that moment. */
+/* Whether a heartbeat is overdue if the last one arrived at `last`. */
 static bool is_overdue_since(const struct bd_core *core, struct timespec last)
 {
     double interval_s = bd_to_secs(core->settings->heartbeat_interval);
@@ -93,7 +94,7 @@
 {
     return (!machine->outbound_partition || core->lead.leader_has_outbound_partition) &&
            !is_overdue_since(core, machine->last_contact_at) &&
-           /* one that answers directly while no heartbeat arrives loses all with its lease */
+           /* a machine that answers direct commands but sends no heartbeats will lose its lease */
            !is_overdue_since(core, machine->last_heartbeat_at);
 }
 
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -124,9 +124,9 @@
 struct bd_machine *bd_machine_by_index(struct bd_core *core, uint32_t index);
 /* Finds a machine by id and adds it if it is new. Never NULL; aborts if out of memory. */
 struct bd_machine *bd_machine_find_or_add(struct bd_core *core, const char *id);
-/* The time by which a lease that was renewed at `answered` has expired, with allowance for clock
+/* The time by which a lease that was renewed at `renewed_at` has expired, with allowance for clock
  * drift. */
-struct timespec bd_lease_expiry(const struct bd_core *core, struct timespec answered);
+struct timespec bd_lease_expiry(const struct bd_core *core, struct timespec renewed_at);
 /* Whether the machine's heartbeat is overdue: it hangs, or is trying to reach a controller. A
  * direct command to it would block a sender thread until the timeout. */
 bool bd_machine_is_overdue(const struct bd_core *core, const struct bd_machine *machine);
--- a/src/model/machine_images.c
+++ b/src/model/machine_images.c
@@ -1,5 +1,5 @@
-/* The images that a machine is known to have: a list of those most recently used, which the
- * machine's cache holds as far as its size allows. */
+/* The images known to be on a machine: a list of the most recently used ones that fit the size of
+ * the machine's cache. */
 #include "base/timeutil.h"
 #include "model/core_state.h"
 #include "model/machine.h"
@@ -24,7 +24,7 @@
     return bd_time_is_before(core->now, instant) ? bd_seconds_between(core->now, instant) : 0;
 }
 
-/* NULL: known only by the intents of an earlier term. */
+/* NULL: the type is unknown, as for a machine known only from an earlier term's intents. */
 static const struct bd_machine_type *known_type(const struct bd_core *core,
                                                 const struct bd_machine *machine)
 {
@@ -33,7 +33,8 @@
     return &core->types[machine->type];
 }
 
-/* Behind the images that are being fetched; or together with them, which takes as long. */
+/* A new image is assumed to be downloaded after those in progress. Parallel downloads would end at
+ * the same time. */
 double bd_image_fetch_s(const struct bd_core *core, const struct bd_machine *machine,
                         const struct bd_spec *spec)
 {
@@ -46,7 +47,7 @@
     return seconds_until(core, machine->fetches_done_at) + spec->image_gb / type->fetch_gb_per_s;
 }
 
-/* Removes the least recently used images if all do not fit the machine's cache. */
+/* Removes the least recently used images that do not fit into the machine's cache. */
 static void remove_old_images(const struct bd_core *core, struct bd_machine *machine)
 {
     const struct bd_machine_type *type = known_type(core, machine);
@@ -66,17 +67,17 @@
 }
 
 static struct bd_cached_image new_image(const struct bd_core *core, struct bd_machine *machine,
-                                        const struct bd_spec *spec, bool there)
+                                        const struct bd_spec *spec, bool is_cached)
 {
     struct bd_cached_image image = {spec->image, spec->image_gb, core->now};
-    if (!there && has_fetch_rate(core, machine)) {
+    if (!is_cached && has_fetch_rate(core, machine)) {
         image.available_at = bd_time_add(core->now, bd_secs(bd_image_fetch_s(core, machine, spec)));
         machine->fetches_done_at = image.available_at;
     }
     return image;
 }
 
-/* Makes room for an image at the front: the entry at `index` is overwritten. */
+/* Puts the image at the front of the list. The entry at `index` is overwritten. */
 static void move_to_front(struct bd_machine *machine, int index, struct bd_cached_image image)
 {
     memmove(machine->images + 1, machine->images, (size_t)index * sizeof *machine->images);
@@ -84,12 +85,12 @@
 }
 
 void bd_machine_use_image(struct bd_core *core, struct bd_machine *machine,
-                          const struct bd_spec *spec, bool there)
+                          const struct bd_spec *spec, bool is_cached)
 {
     const struct bd_cached_image *held = find_image(machine, spec->image);
-    struct bd_cached_image image = held ? *held : new_image(core, machine, spec, there);
+    struct bd_cached_image image = held ? *held : new_image(core, machine, spec, is_cached);
     int index = held ? (int)(held - machine->images) : machine->nimages;
-    if (there)
+    if (is_cached)
         image.available_at = core->now;
     if (index == BD_MACHINE_IMAGES_MAX)
         index--; /* in place of the least recently used */
--- a/src/model/peers.c
+++ b/src/model/peers.c
@@ -3,7 +3,7 @@
 #include "model/core_state.h"
 #include <string.h>
 
-#define STATUS_VALID_S 3.0 /* a peer's status shows its version for so long */
+#define STATUS_VALID_S 3.0 /* a status is evidence of the peer's version for this time */
 
 bool bd_peer_status_is_recent(const struct bd_core *core, int peer, double within_s)
 {
@@ -19,9 +19,9 @@
 {
     for (int i = 0; i < core->settings->npeers; i++) {
         const struct bd_peer_view *peer = &core->peers[i];
-        bool is_known = !bd_time_is_zero(peer->status_received_at) &&
-                        bd_peer_status_is_recent(core, i, STATUS_VALID_S);
-        if (is_known && !(peer->flags & flag))
+        bool is_up = !bd_time_is_zero(peer->status_received_at) &&
+                     bd_peer_status_is_recent(core, i, STATUS_VALID_S);
+        if (is_up && !(peer->flags & flag))
             return true;
     }
     return false;
--- a/src/model/replica_state.h
+++ b/src/model/replica_state.h
@@ -1,5 +1,5 @@
-/* The replica of the jobs' records, and the reads that wait for a read barrier. Changed by
- * src/jobs/, which owns it, and by the core's step, which starts the barrier. */
+/* The replica of the jobs' records, and the reads that wait for a read barrier. Owned by src/jobs/;
+ * the core's step also changes it when it starts a barrier. */
 #ifndef BD_REPLICA_STATE_H
 #define BD_REPLICA_STATE_H
 #include "wire/wire.h"
@@ -10,14 +10,14 @@
 
 struct bd_admission;
 
-/* What a read behind a barrier, a look-up, or a user's transaction is for. */
+/* The purpose of a read after a barrier, of a look-up, or of a user's transaction. */
 enum bd_read_purpose {
     BD_READ_STATUS, /* also a submission's transaction */
     BD_READ_CANCEL,
     BD_READ_INVALID_SUBMISSION,
     BD_READ_IMPOSSIBLE_SUBMISSION,
     BD_READ_ADMISSION, /* a submission whose parents are not all in memory */
-    BD_READ_PARENT     /* the graph: nobody waits for a reply */
+    BD_READ_PARENT     /* for the dependency graph; no request waits for it */
 };
 
 /* A user's request that waits for a read barrier. */
@@ -31,13 +31,13 @@
 
 /* The state of the replica; the records themselves are core->jobs. */
 struct bd_replica {
-    uint64_t store_revision; /* up to which all changes have been applied */
+    uint64_t store_revision; /* all changes up to this revision have been applied */
     bool ready;              /* all records have been listed once */
-    bool has_evicted_jobs;   /* some old final records are not in memory any more */
+    bool has_evicted_jobs;   /* some old final records are no longer in memory */
     struct timespec next_eviction;
     struct timespec refreshed_at; /* when the newest refresh that was answered was sent */
     struct bd_pending_read *next_barrier_reads; /* reads for the next read barrier */
     struct bd_pending_read *barrier_reads;      /* reads for the barrier in flight */
-    bool barrier_in_flight;                     /* a barrier is in flight */
+    bool barrier_in_flight;
 };
 #endif
--- a/src/model/reservation.c
+++ b/src/model/reservation.c
@@ -6,7 +6,7 @@
 #include "wire/wire_jobs.h"
 #include <stdlib.h>
 
-#define CAPACITY_FIRST 8 /* of a machine's list of reservations, which doubles */
+#define CAPACITY_FIRST 8 /* of a machine's list of reservations; doubled when full */
 
 static void add_team_use(struct bd_core *core, const struct bd_spec *spec, double factor)
 {
@@ -18,18 +18,18 @@
 
 static void add_machine_use(struct bd_machine *machine, const struct bd_spec *spec, double factor)
 {
-    bool ends_by_itself = spec->kind != BD_JOB_SERVICE && spec->gpus <= 0; /* before long */
+    bool ends_soon = spec->kind != BD_JOB_SERVICE && spec->gpus <= 0;
     machine->reserved_cpus += factor * spec->cpus;
     machine->reserved_gpus += factor * spec->gpus;
     machine->reserved_mem_gb += factor * spec->mem;
-    if (ends_by_itself)
+    if (ends_soon)
         return;
     machine->pinned_cpus += factor * spec->cpus;
     machine->pinned_gpus += factor * spec->gpus;
     machine->pinned_mem += factor * spec->mem;
 }
 
-/* So that rounding errors of the sums do not add up. */
+/* Resets the sums of an empty machine, so that rounding errors do not accumulate. */
 static void reset_machine_use(struct bd_machine *machine)
 {
     machine->reserved_cpus = machine->reserved_gpus = machine->reserved_mem_gb = 0;
--- a/src/model/task_state.c
+++ b/src/model/task_state.c
@@ -86,7 +86,7 @@
 
 /* ---- assignment and release ---- */
 
-/* Clears what is known of an attempt. */
+/* Resets the state of the attempt. */
 static void clear_attempt(struct bd_task *task)
 {
     task->flags = 0;
@@ -105,7 +105,7 @@
     bd_task_set_state(core, job, index, state);
     job->last_placed_at = core->now;
     bd_reservation_add(core, job, index, machine);
-    if (state != BD_TASK_PLANNED) /* a plan may not be committed, and then fetches nothing */
+    if (state != BD_TASK_PLANNED) /* an uncommitted plan causes no image download */
         bd_machine_use_image(core, machine, &job->spec, true);
 }
 
@@ -116,13 +116,14 @@
            !(task->flags & BD_TASK_FLAG_STOP_REQUESTED);
 }
 
-/* A gang that lost a member cannot go on: the rest is stopped, and the whole is placed again. */
+/* A gang that lost a member cannot continue: the other members are stopped, and the whole gang is
+ * placed again. */
 static void stop_rest_of_gang(struct bd_core *core, struct bd_job *job)
 {
     for (uint32_t i = 0; i < job->ntasks; i++) {
         if (!may_be_stopped(&job->tasks[i]))
             continue;
-        bd_task_stop(core, job, i, BD_STOP_GANG, false); /* and with it all others */
+        bd_task_stop(core, job, i, BD_STOP_GANG, false); /* stops the others too */
         return;
     }
 }
@@ -217,7 +218,7 @@
             stop_task(core, job, i, reason, force);
 }
 
-/* ---- machines that are lost ---- */
+/* ---- lost machines ---- */
 
 void bd_machine_release_reservations(struct bd_core *core, struct bd_machine *machine,
                                      enum bd_release_reason reason)
@@ -230,7 +231,7 @@
             continue;
         }
         bd_task_release(core, reservation.job, reservation.task, reason);
-        i = 0; /* a release may move or remove others */
+        i = 0; /* a release may reorder the list and remove others */
     }
     machine->unanswered_launch_token = 0;
 }
