--- a/src/jobs/dependency_graph.c
+++ b/src/jobs/dependency_graph.c
@@ -146,7 +146,7 @@
             continue;
         }
         cancel_by_parent(core, dependent);
-        dependent->next_work = *work_list;
+        dependent->next_in_work_list = *work_list;
         *work_list = dependent;
     }
     remove_parent(core, parent);
@@ -158,10 +158,10 @@
     struct bd_job *work_list = job;
     if (job->parent_edges)
         remove_edges(core, job);
-    job->next_work = NULL;
+    job->next_in_work_list = NULL;
     while (work_list) {
         const struct bd_job *ended = work_list;
-        work_list = ended->next_work;
+        work_list = ended->next_in_work_list;
         update_dependents(core, ended, &work_list);
     }
     core->graph.priorities_stale = true;
--- a/src/jobs/dependency_priorities.c
+++ b/src/jobs/dependency_priorities.c
@@ -38,7 +38,7 @@
             continue;
         reset_priority(job);
         if (job->parent_edges && !job->as_parent) {
-            job->next_work = work_list;
+            job->next_in_work_list = work_list;
             work_list = job;
         }
     }
@@ -63,7 +63,7 @@
     struct bd_job *work_list = reset_priorities(core);
     while (work_list) {
         const struct bd_job *job = work_list;
-        work_list = job->next_work;
+        work_list = job->next_in_work_list;
         for (uint32_t i = 0; i < job->nparent_edges; i++) {
             struct bd_parent_job *entry = job->parent_edges[i].parent;
             struct bd_job *parent = entry ? entry->job : NULL;
@@ -71,7 +71,7 @@
                 continue;
             raise_parent(parent, job);
             if (--entry->dependents_left == 0 && parent->parent_edges) {
-                parent->next_work = work_list;
+                parent->next_in_work_list = work_list;
                 work_list = parent;
             }
         }
--- a/src/leadership/commit_garbage.c
+++ b/src/leadership/commit_garbage.c
@@ -62,9 +62,9 @@
 
 void bd_commit_collect_garbage(struct bd_core *core, struct bd_txn_builder *builder)
 {
-    if (!bd_time_is_before(core->lead.next_gc, core->now))
+    if (!bd_time_is_before(core->lead.next_garbage_collection, core->now))
         return;
     add_deletions(core, builder);
     double interval_s = can_delete(core, builder) ? GC_INTERVAL_S : GC_BACKLOG_INTERVAL_S;
-    core->lead.next_gc = bd_time_add(core->now, bd_secs(interval_s));
+    core->lead.next_garbage_collection = bd_time_add(core->now, bd_secs(interval_s));
 }
--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -65,7 +65,7 @@
     if (!job->start_committed)
         bd_metrics_record_duration(core->metrics, BD_TIMING_START, core->wall_s - job->ready_at);
     job->start_committed = true;
-    bd_machine_use_image(core, machine, &job->spec, false);
+    bd_machine_record_image_use(core, machine, &job->spec, false);
 }
 
 static void add_intent_slice(struct bd_core *core, const struct bd_commit *commit,
--- a/src/leadership/intent_record.c
+++ b/src/leadership/intent_record.c
@@ -119,14 +119,14 @@
 
 static void reserve_record(struct bd_leadership *lead)
 {
-    if (lead->nintent_records < lead->cap_intent_records)
+    if (lead->nintent_records < lead->intent_records_cap)
         return;
-    uint32_t cap = lead->cap_intent_records ? lead->cap_intent_records * 2 : 64;
+    uint32_t cap = lead->intent_records_cap ? lead->intent_records_cap * 2 : 64;
     struct bd_intent_record *grown = realloc(lead->intent_records, cap * sizeof *grown);
     if (!grown)
         abort();
     lead->intent_records = grown;
-    lead->cap_intent_records = cap;
+    lead->intent_records_cap = cap;
 }
 
 void bd_intent_record_add(struct bd_core *core, const char *key, struct bd_intent *intents,
@@ -171,5 +171,5 @@
         free(core->lead.intent_records[i].intents);
     free(core->lead.intent_records);
     core->lead.intent_records = NULL;
-    core->lead.nintent_records = core->lead.cap_intent_records = 0;
+    core->lead.nintent_records = core->lead.intent_records_cap = 0;
 }
--- a/src/model/core_state.h
+++ b/src/model/core_state.h
@@ -35,7 +35,7 @@
     struct bd_job *jobs;                   /* owned; hash by id */
     struct bd_machine *machines;           /* owned; hash by id */
     struct bd_machine **machines_by_index; /* owned array */
-    uint32_t nmachines, cap_machines;
+    uint32_t nmachines, machines_cap;
     struct bd_name_entry *images, *classes;
     struct bd_machine_type types[BD_TYPES_MAX];
     int ntypes;
--- a/src/model/delegate_state.h
+++ b/src/model/delegate_state.h
@@ -30,7 +30,8 @@
 /* This controller as a delegate. */
 struct bd_delegate {
     uint64_t term;            /* the fencing token of its replies */
-    uint64_t leader_revision; /* revision of the leader's key that the record depends on */
+    uint64_t leader_revision; /* writes of the record are conditional on this revision of the
+                                 leader's key */
     uint64_t revision;        /* revision of the record */
     bool revision_known, txn_in_flight;
     struct timespec confirmed_until, next_write;
--- a/src/model/disruption_ledger.h
+++ b/src/model/disruption_ledger.h
@@ -24,8 +24,8 @@
 struct bd_budget_rule {
     char team[BD_NAME_BYTES];      /* empty: every team without a rule of its own */
     char job_class[BD_NAME_BYTES]; /* empty: all of the team's tasks */
-    /* amount is a percentage of the tasks that are up or down; the result is rounded down, at least
-     * 1 */
+    /* amount is a percentage of the tasks that are up or down. The result is rounded down, but at
+     * least 1. */
     bool per_cent;
     double amount;
 };
@@ -79,8 +79,8 @@
 bool bd_ledger_is_up(const struct bd_ledger *ledger, const struct bd_job *job, uint32_t task);
 /* Returns the job's entry, and adds it if there is none. NULL: the job's team is unknown. */
 struct bd_ledger_job *bd_ledger_get_job(struct bd_core *core, const struct bd_job *job);
-/* Gets the counts of the team's budget, or of its job class's if job_class is not empty. For tests.
- */
+/* Gets the counts of the team's budget, or of its job class's if job_class is not empty; for
+ * tests. */
 void bd_ledger_get_counts(const struct bd_core *core, const char *team, const char *job_class,
                           uint32_t *down, uint32_t *up);
 #endif
--- a/src/model/effect.h
+++ b/src/model/effect.h
@@ -29,7 +29,7 @@
     BD_EFFECT_JOB_LOOKUP,           /* reads a job's record; key: the job's id */
     BD_EFFECT_FORWARD_HEARTBEAT,    /* to the leader */
     BD_EFFECT_FORWARD_REPLY,        /* to the peer that forwarded the heartbeat */
-    BD_EFFECT_ANNOUNCE_CANCELLATION /* a cancellation was committed; key: the job's id */
+    BD_EFFECT_ANNOUNCE_CANCELLATION /* a cancellation was confirmed; key: the job's id */
 };
 
 enum bd_step_down_reason {
--- a/src/model/forwarding_state.h
+++ b/src/model/forwarding_state.h
@@ -18,8 +18,7 @@
     struct bd_forwarded_heartbeat *next;
 };
 
-/* A worker that was redirected to the leader. When the table is full, the oldest entry is dropped.
- */
+/* A worker that was redirected to the leader. A full table drops its oldest entry. */
 struct bd_redirected_worker {
     UT_hash_handle hh; /* by id */
     char id[BD_LABEL_BYTES];
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -70,7 +70,7 @@
     /* time of day, in seconds, by which it must end for its own and its dependents' deadlines;
      * infinite: none */
     double finish_by;
-    struct bd_job *next_work; /* next in a work list of the graph's functions */
+    struct bd_job *next_in_work_list; /* next in a work list of the graph's functions */
 
     int job_class;         /* -1: unknown */
     json_t *record_spec;   /* the specification as read from the record, kept for rewriting it */
--- a/src/model/leadership_state.h
+++ b/src/model/leadership_state.h
@@ -79,8 +79,8 @@
     uint32_t nreceipts;
     struct bd_job *done[BD_CYCLE_JOBS_MAX];
     uint32_t ndone;
-    struct bd_job
-        *cancelled[BD_CYCLE_JOBS_MAX]; /* by a parent; the transaction updates their records */
+    /* jobs that a parent's cancellation has cancelled; the transaction updates their records */
+    struct bd_job *cancelled[BD_CYCLE_JOBS_MAX];
     uint32_t ncancelled;
     struct bd_intent_slice intent_slices[BD_CYCLE_INTENT_RECORDS_MAX];
     uint32_t nintent_slices;
@@ -107,17 +107,17 @@
     struct timespec results_withheld_since;
     bool token_raise_wanted; /* also set by workers/ */
     struct timespec last_token_raise;
-    struct timespec
-        earlier_leases_expire_at; /* end of workers' leases that earlier terms renewed */
+    /* by then all workers' leases that earlier terms renewed have expired */
+    struct timespec earlier_leases_expire_at;
 
     uint64_t sequence_revision, sequence; /* of the key `w`, the commit sequence */
     uint64_t last_intent_record;          /* number of the newest record written in the term */
     struct bd_commit *commit;             /* NULL: none in flight; set by scheduling/ */
     struct bd_intent_record *intent_records;
-    uint32_t nintent_records, cap_intent_records;
+    uint32_t nintent_records, intent_records_cap;
 
     bool cycle_wanted; /* run a scheduling cycle at once; set by all folders */
-    struct timespec next_cycle, next_autoscaling, next_gc, next_tick, next_summary;
+    struct timespec next_cycle, next_autoscaling, next_garbage_collection, next_tick, next_summary;
     /* changes that may be written now, and when it was last refilled; by kv_limits.c */
     double write_budget;
     struct timespec write_budget_at;
@@ -125,7 +125,7 @@
     /* changed by autoscaling/ */
     bool inventory_read;             /* the cloud's list of machines was read in this term */
     uint64_t last_provision_request; /* number of the newest provisioning request of the term */
-    bool is_class_limit_logged;      /* the log has the limit on headroom's job classes */
+    bool is_class_limit_logged;      /* the limit on headroom's job classes was logged */
 
     /* changed by workers/ */
     bool inbound_partition; /* heartbeats of most workers do not arrive */
--- a/src/model/machine.c
+++ b/src/model/machine.c
@@ -8,8 +8,8 @@
 #define MACHINES_CAPACITY_FIRST 64 /* of machines_by_index; doubled when full */
 #define LEASE_MARGIN_S 0.2         /* added to the allowance for clock drift */
 
-/* A heartbeat is overdue after this many intervals, since workers vary theirs by a quarter, and the
- * extra time. */
+/* A heartbeat is overdue after this many intervals plus the extra time. Workers vary their
+ * intervals by a quarter. */
 #define OVERDUE_INTERVALS 1.4
 #define OVERDUE_EXTRA_S 1.5
 #define OVERDUE_MIN_S 5.5 /* longer than the delay when a heartbeat hangs at one controller */
@@ -21,14 +21,14 @@
 
 static void append_by_index(struct bd_core *core, struct bd_machine *machine)
 {
-    if (core->nmachines == core->cap_machines) {
-        uint32_t capacity = core->cap_machines ? core->cap_machines * 2 : MACHINES_CAPACITY_FIRST;
+    if (core->nmachines == core->machines_cap) {
+        uint32_t capacity = core->machines_cap ? core->machines_cap * 2 : MACHINES_CAPACITY_FIRST;
         struct bd_machine **grown =
             realloc(core->machines_by_index, capacity * sizeof(struct bd_machine *));
         if (!grown)
             abort();
         core->machines_by_index = grown;
-        core->cap_machines = capacity;
+        core->machines_cap = capacity;
     }
     machine->index = core->nmachines;
     core->machines_by_index[core->nmachines++] = machine;
@@ -116,5 +116,5 @@
     }
     free(core->machines_by_index);
     core->machines_by_index = NULL;
-    core->nmachines = core->cap_machines = 0;
+    core->nmachines = core->machines_cap = 0;
 }
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -16,7 +16,7 @@
 /* Amounts are in cores, accelerators and GB. */
 struct bd_machine_type {
     char label[BD_LABEL_BYTES];
-    bool known; /* the cloud's list of types has described it */
+    bool known; /* the cloud's list of machine types includes it */
     double cpus, gpus, mem, cache_gb;
     double fetch_gb_per_s;    /* image download rate */
     double price, spot_price; /* per hour */
@@ -89,7 +89,7 @@
     uint32_t nreservations, reservations_cap;
     double reserved_cpus, reserved_gpus, reserved_mem_gb;
     /* the share of the reserved amounts that services and GPU tasks hold */
-    double pinned_cpus, pinned_gpus, pinned_mem;
+    double pinned_cpus, pinned_gpus, pinned_mem_gb;
 
     struct bd_cached_image images[BD_MACHINE_IMAGES_MAX]; /* most recently used first */
     int nimages;
@@ -143,6 +143,6 @@
                         const struct bd_spec *spec);
 /* Records a use of the image, which becomes the most recently used. is_cached: a task ran from it,
  * so the download has ended; otherwise a new image is assumed to be downloaded from now on. */
-void bd_machine_use_image(struct bd_core *core, struct bd_machine *machine,
-                          const struct bd_spec *spec, bool is_cached);
+void bd_machine_record_image_use(struct bd_core *core, struct bd_machine *machine,
+                                 const struct bd_spec *spec, bool is_cached);
 #endif
--- a/src/model/machine_images.c
+++ b/src/model/machine_images.c
@@ -84,8 +84,8 @@
     machine->images[0] = image;
 }
 
-void bd_machine_use_image(struct bd_core *core, struct bd_machine *machine,
-                          const struct bd_spec *spec, bool is_cached)
+void bd_machine_record_image_use(struct bd_core *core, struct bd_machine *machine,
+                                 const struct bd_spec *spec, bool is_cached)
 {
     const struct bd_cached_image *held = find_image(machine, spec->image);
     struct bd_cached_image image = held ? *held : new_image(core, machine, spec, is_cached);
--- a/src/model/reservation.c
+++ b/src/model/reservation.c
@@ -26,14 +26,14 @@
         return;
     machine->pinned_cpus += factor * spec->cpus;
     machine->pinned_gpus += factor * spec->gpus;
-    machine->pinned_mem += factor * spec->mem;
+    machine->pinned_mem_gb += factor * spec->mem;
 }
 
 /* Resets the sums of an empty machine, so that rounding errors do not accumulate. */
 static void reset_machine_use(struct bd_machine *machine)
 {
     machine->reserved_cpus = machine->reserved_gpus = machine->reserved_mem_gb = 0;
-    machine->pinned_cpus = machine->pinned_gpus = machine->pinned_mem = 0;
+    machine->pinned_cpus = machine->pinned_gpus = machine->pinned_mem_gb = 0;
 }
 
 static void grow_list(struct bd_machine *machine)
--- a/src/model/task_state.c
+++ b/src/model/task_state.c
@@ -14,7 +14,7 @@
 
 #define NS_PER_TENTH 100000000u
 
-uint32_t bd_steady_tenths(struct timespec instant)
+uint32_t bd_monotonic_tenths(struct timespec instant)
 {
     uint64_t tenths = (uint64_t)instant.tv_sec * 10 + (uint64_t)instant.tv_nsec / NS_PER_TENTH;
     return (uint32_t)tenths | 1u;
@@ -106,7 +106,7 @@
     job->last_placed_at = core->now;
     bd_reservation_add(core, job, index, machine);
     if (state != BD_TASK_PLANNED) /* an uncommitted plan causes no image download */
-        bd_machine_use_image(core, machine, &job->spec, true);
+        bd_machine_record_image_use(core, machine, &job->spec, true);
 }
 
 static bool may_be_stopped(const struct bd_task *task)
--- a/src/model/task_state.h
+++ b/src/model/task_state.h
@@ -38,5 +38,5 @@
 void bd_machine_mark_terminated(struct bd_core *core, struct bd_machine *machine);
 /* Converts an instant to the unit of bd_task.started_at: tenths of a second of the monotonic clock,
  * never 0. */
-uint32_t bd_steady_tenths(struct timespec instant);
+uint32_t bd_monotonic_tenths(struct timespec instant);
 #endif
--- a/src/scheduling/cycle.c
+++ b/src/scheduling/cycle.c
@@ -39,7 +39,7 @@
 {
     return core->lead.cycle_wanted || core->lead.token_raise_wanted ||
            core->graph.ncancelled_by_parent > 0 ||
-           !bd_time_is_before(core->now, core->lead.next_gc);
+           !bd_time_is_before(core->now, core->lead.next_garbage_collection);
 }
 
 void bd_cycle_run(struct bd_core *core)
--- a/src/scheduling/gpu_capacity.c
+++ b/src/scheduling/gpu_capacity.c
@@ -55,7 +55,7 @@
         return most;
     struct bd_resources for_gpu_tasks = {type->cpus - machine->pinned_cpus,
                                          type->gpus - machine->pinned_gpus,
-                                         type->mem - machine->pinned_mem};
+                                         type->mem - machine->pinned_mem_gb};
     uint32_t gpu_tasks = bd_resources_fit_count(for_gpu_tasks, gpu_task, GPU_TASKS_MAX);
     if (gpu_tasks == 0) /* services alone keep GPU work away: more of them do no harm here */
         return machine->reserved_gpus > 0 || spec->kind == BD_JOB_SERVICE ? most : 0;
--- a/src/workers/heartbeat_tasks.c
+++ b/src/workers/heartbeat_tasks.c
@@ -55,7 +55,7 @@
 {
     if (!task->started_at)
         return;
-    uint32_t run_tenths = bd_steady_tenths(core->now) - task->started_at;
+    uint32_t run_tenths = bd_monotonic_tenths(core->now) - task->started_at;
     job->longest_run_tenths =
         run_tenths > job->longest_run_tenths ? run_tenths : job->longest_run_tenths;
     job->finished_runs++;
@@ -121,8 +121,8 @@
     /* one reconciled after a failover began earlier, at a time that is not known */
     bool is_start_known = task->state == BD_TASK_LAUNCHING || task->state == BD_TASK_CONFIRMED;
     job->last_started_at = core->now;
-    bd_machine_use_image(core, machine, &job->spec, true);
-    task->started_at = is_start_known ? bd_steady_tenths(core->now) : 0;
+    bd_machine_record_image_use(core, machine, &job->spec, true);
+    task->started_at = is_start_known ? bd_monotonic_tenths(core->now) : 0;
 }
 
 static void confirm_task(struct bd_core *core, struct bd_job *job,
--- a/src/workers/machine_health.c
+++ b/src/workers/machine_health.c
@@ -86,7 +86,7 @@
         return false;
     struct timespec started = bd_secs(task->started_at / 10.0);
     uint32_t run_tenths =
-        bd_steady_tenths(bd_time_max(machine->last_contact_at, started)) - task->started_at;
+        bd_monotonic_tenths(bd_time_max(machine->last_contact_at, started)) - task->started_at;
     if (run_tenths <= SLOW_RUN_FACTOR * job->longest_run_tenths + SLOW_RUN_EXTRA_TENTHS)
         return false;
     bd_log_write(core->log, BD_LOG_DEBUG, "%s on %s runs for %.1f s, of %u others none over %.1f s",
