--- a/src/autoscaling/headroom.c
+++ b/src/autoscaling/headroom.c
@@ -51,8 +51,8 @@
 {
     double first = INFINITY;
     for (const struct bd_job *job = core->jobs; job; job = job->hh.next)
-        first = fmin(first, job->at);
-    return fmax(first + START_EXCLUDED_S, core->wall - ARRIVAL_WINDOW_S);
+        first = fmin(first, job->submitted_at);
+    return fmax(first + START_EXCLUDED_S, core->wall_s - ARRIVAL_WINDOW_S);
 }
 
 static void count_job(struct class_arrivals *class_stats, const struct bd_job *job,
@@ -60,15 +60,15 @@
 {
     if (bd_job_has_open_parents(job))
         return;
-    class_stats->arrivals += job->ready >= window_start_s;
+    class_stats->arrivals += job->ready_at >= window_start_s;
     if (!job->has_spec)
         return;
     class_stats->jobs++;
     class_stats->tasks += job->ntasks;
-    class_stats->estimate_s += job->spec.estimate;
+    class_stats->estimate_s += job->spec.estimate_s;
     class_stats->image_gb += job->spec.image_gb;
-    if (job->at >= class_stats->newest_at) {
-        class_stats->newest_at = job->at;
+    if (job->submitted_at >= class_stats->newest_at) {
+        class_stats->newest_at = job->submitted_at;
         class_stats->spec = job->spec;
     }
 }
@@ -85,7 +85,7 @@
 {
     arrivals->nclasses = 0;
     for (const struct bd_job *job = core->jobs; job; job = job->hh.next) {
-        if (job->job_class < 0 || core->wall - job->ready > 2 * ARRIVAL_WINDOW_S)
+        if (job->job_class < 0 || core->wall_s - job->ready_at > 2 * ARRIVAL_WINDOW_S)
             continue;
         struct class_arrivals *class_stats = find_or_add_class(arrivals, job->job_class);
         if (class_stats)
@@ -107,8 +107,9 @@
     if (!bd_demand_choose_pool(demand, &class_stats->spec, (uint32_t)ceil(tasks_per_job),
                                BD_TIER_ANY, &pool))
         return 0;
-    const struct bd_type *type = &core->types[pool.type];
-    double provisioning_s = type->boot + class_stats->image_gb / class_stats->jobs / type->fetch;
+    const struct bd_machine_type *type = &core->types[pool.type];
+    double provisioning_s =
+        type->boot_s + class_stats->image_gb / class_stats->jobs / type->fetch_gb_per_s;
     for (int i = 0; i < core->settings->nslos; i++) {
         const struct bd_slo *slo = &core->settings->slos[i];
         double slack_s = bd_slo_slack_s(core, class_stats->job_class,
@@ -143,9 +144,9 @@
 {
     struct bd_core *core = demand->core;
     struct arrivals arrivals;
-    double window_start_s = window_start(core), window_s = core->wall - window_start_s;
+    double window_start_s = window_start(core), window_s = core->wall_s - window_start_s;
     for (uint32_t i = 0; i < core->nmachines; i++)
-        core->by_index[i]->headroom = false;
+        core->machines_by_index[i]->is_headroom = false;
     if (window_s < ARRIVAL_WINDOW_MIN_S)
         return;
     count_arrivals(core, &arrivals, window_start_s);
--- a/src/jobs/admission.c
+++ b/src/jobs/admission.c
@@ -102,7 +102,7 @@
                              const struct parents_status *parents)
 {
     void *request = admission->request;
-    if (parents->first_unknown && core->replica.evicted)
+    if (parents->first_unknown && core->replica.has_evicted_jobs)
         bd_effect_reply_error(core, request, 503, "not ready", NOT_READY_RETRY_AFTER_S);
     else if (parents->first_unknown)
         reply_unknown_parent(core, request);
@@ -123,11 +123,11 @@
 {
     struct parents_status parents = check_parents(core, admission->parents);
     if (parents.first_unknown && !after_barrier) {
-        bd_read_after_barrier(core, admission->request, admission->id, BD_READ_ADMISSION)->accept =
-            admission;
+        bd_read_after_barrier(core, admission->request, admission->id, BD_READ_ADMISSION)
+            ->admission = admission;
         return;
     }
-    if (parents.first_unknown && core->replica.evicted && has_lookups_left(admission)) {
+    if (parents.first_unknown && core->replica.has_evicted_jobs && has_lookups_left(admission)) {
         look_up_parent(core, admission, parents.first_unknown);
         return;
     }
--- a/src/jobs/dependency_priorities.c
+++ b/src/jobs/dependency_priorities.c
@@ -13,19 +13,19 @@
 /* Expected seconds from when the job is ready until it is done, by the user's estimate. */
 static double duration_s(const struct bd_job *job)
 {
-    return SLOWEST_TASK_FACTOR * job->spec.estimate + START_DELAY_S;
+    return SLOWEST_TASK_FACTOR * job->spec.estimate_s + START_DELAY_S;
 }
 
 double bd_deadline_slack_s(const struct bd_core *core, const struct bd_job *job)
 {
-    return job->finish_by - duration_s(job) - core->wall;
+    return job->finish_by - duration_s(job) - core->wall_s;
 }
 
 static void reset_priority(struct bd_job *job)
 {
     bool has_deadline = job->has_had_parents && job->spec.deadline_s >= 0;
     job->priority = job->spec.priority;
-    job->finish_by = has_deadline ? job->at + job->spec.deadline_s : INFINITY;
+    job->finish_by = has_deadline ? job->submitted_at + job->spec.deadline_s : INFINITY;
 }
 
 /* Resets the priorities of all active jobs. Returns a work list of the jobs that have parents but
@@ -40,7 +40,7 @@
             continue;
         reset_priority(job);
         if (job->parent_edges && !job->as_parent) {
-            job->next_work = work_list;
+            job->next_in_work_list = work_list;
             work_list = job;
         }
     }
@@ -65,7 +65,7 @@
     struct bd_job *work_list = reset_priorities(core);
     while (work_list) {
         const struct bd_job *job = work_list;
-        work_list = job->next_work;
+        work_list = job->next_in_work_list;
         for (uint32_t i = 0; i < job->nparent_edges; i++) {
             struct bd_parent_job *entry = job->parent_edges[i].parent;
             struct bd_job *parent = entry ? entry->job : NULL;
@@ -73,7 +73,7 @@
                 continue;
             propagate_to_parent(parent, job);
             if (--entry->dependents_left == 0 && parent->parent_edges) {
-                parent->next_work = work_list;
+                parent->next_in_work_list = work_list;
                 work_list = parent;
             }
         }
--- a/src/jobs/replica.c
+++ b/src/jobs/replica.c
@@ -53,7 +53,7 @@
     snprintf(job->id, sizeof job->id, "%s", id);
     job->ntasks = record->tasks;
     job->job_class = *job_class ? bd_name_intern(&core->classes, job_class) : -1;
-    job->at = job->ready = record->at;
+    job->submitted_at = job->ready_at = record->at;
     job->priority = record->spec.priority;
     job->finish_by = INFINITY;
     HASH_ADD_STR(core->jobs, id, job);
@@ -84,7 +84,7 @@
 {
     if (record->end > 0)
         return record->end;
-    return core->replica.ready ? core->wall : record->at;
+    return core->replica.ready ? core->wall_s : record->at;
 }
 
 /* An active record does not undo a cancellation that was derived from a parent. */
@@ -96,7 +96,7 @@
     bd_dag_cancellation_written(core, job);
     if (job->state == record->state)
         return;
-    job->end = end_time(core, record);
+    job->ended_at = end_time(core, record);
     bd_job_set_state(core, job, record->state);
     bd_dag_job_ended(core, job);
 }
@@ -111,8 +111,8 @@
     if (is_new)
         job = add_job(core, id, record);
     job->revision = change->revision;
-    job->stale = false;
-    job->at = record->at;
+    job->record_stale = false;
+    job->submitted_at = record->at;
     apply_spec(core, job, record, change->value);
     if (core->role == BD_LEADER && !job->tasks && record->state == BD_JOB_ACTIVE)
         start_tracking(core, job);
--- a/src/leadership/commit_garbage.c
+++ b/src/leadership/commit_garbage.c
@@ -44,9 +44,9 @@
 static void add_deletions(struct bd_core *core, struct bd_txn_builder *builder)
 {
     struct bd_job *job, *next;
-    if (*core->delegates.stale && can_delete(core, builder))
-        delete_key(core, builder, core->delegates.stale);
-    core->delegates.stale[0] = '\0';
+    if (*core->delegates.stale_key && can_delete(core, builder))
+        delete_key(core, builder, core->delegates.stale_key);
+    core->delegates.stale_key[0] = '\0';
     for (uint32_t i = 0; i < core->lead.nintent_records && can_delete(core, builder); i++)
         if (!bd_intent_record_is_needed(&core->lead.intent_records[i]))
             delete_key(core, builder, core->lead.intent_records[i].key);
@@ -61,9 +61,9 @@
 
 void bd_commit_collect_garbage(struct bd_core *core, struct bd_txn_builder *builder)
 {
-    if (!bd_time_is_before(core->lead.next_gc, core->now))
+    if (!bd_time_is_before(core->lead.next_garbage_collection, core->now))
         return;
     add_deletions(core, builder);
     double interval_s = can_delete(core, builder) ? GC_INTERVAL_S : GC_BACKLOG_INTERVAL_S;
-    core->lead.next_gc = bd_time_add(core->now, bd_secs(interval_s));
+    core->lead.next_garbage_collection = bd_time_add(core->now, bd_secs(interval_s));
 }
--- a/src/model/effect.c
+++ b/src/model/effect.c
@@ -13,21 +13,21 @@
     if (!effect)
         abort();
     effect->kind = kind;
-    if (core->last)
-        core->last->next = effect;
+    if (core->last_effect)
+        core->last_effect->next = effect;
     else
-        core->first = effect;
-    core->last = effect;
+        core->first_effect = effect;
+    core->last_effect = effect;
     return effect;
 }
 
-/* Takes the remote request over. */
-static struct bd_effect *emit_forward_reply(struct bd_core *core, struct bd_remote *remote)
+/* Takes ownership of the forwarded request. */
+static struct bd_effect *emit_forward_reply(struct bd_core *core, struct bd_request_origin *origin)
 {
     struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_FORWARD_REPLY);
-    effect->peer = remote->peer;
-    effect->forward_id = remote->id;
-    free(remote);
+    effect->peer = origin->peer;
+    effect->forward_id = origin->id;
+    free(origin);
     return effect;
 }
 
@@ -40,12 +40,12 @@
 
 void bd_effect_reply(struct bd_core *core, void *request, int status, char *body, int retry_after_s)
 {
-    struct bd_remote *remote = request;
-    struct bd_effect *effect = remote && remote->remote ? emit_forward_reply(core, remote)
-                                                        : emit_local_reply(core, request);
+    struct bd_request_origin *origin = request;
+    struct bd_effect *effect = origin && origin->is_forwarded ? emit_forward_reply(core, origin)
+                                                              : emit_local_reply(core, request);
     effect->status = status;
     effect->body = body;
-    effect->retry_after = retry_after_s;
+    effect->retry_after_s = retry_after_s;
 }
 
 void bd_effect_reply_error(struct bd_core *core, void *request, int status, const char *why,
@@ -58,9 +58,9 @@
 
 struct bd_effect *bd_effects_take(struct bd_core *core)
 {
-    bd_decision_log_flush(core); /* the decisions are logged before they are carried out */
-    struct bd_effect *effects = core->first;
-    core->first = core->last = NULL;
+    bd_decision_log_flush(core); /* decisions are logged before they are carried out */
+    struct bd_effect *effects = core->first_effect;
+    core->first_effect = core->last_effect = NULL;
     return effects;
 }
 
--- a/src/model/machine.c
+++ b/src/model/machine.c
@@ -5,31 +5,33 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MACHINES_CAPACITY_FIRST 64 /* of the list by index, which doubles */
-#define LEASE_MARGIN_S 0.2         /* beyond the clocks' drift */
+#define MACHINES_CAPACITY_FIRST 64 /* of machines_by_index; doubled when full */
+#define LEASE_MARGIN_S 0.2         /* added to the allowance for clock drift */
 
-/* A heartbeat is overdue after so many intervals, which vary by a quarter, and a delay. */
+/* A heartbeat is overdue after this many intervals plus the extra time. Workers vary their
+ * intervals by a quarter. */
 #define OVERDUE_INTERVALS 1.4
 #define OVERDUE_EXTRA_S 1.5
-#define OVERDUE_MIN_S 5.5 /* longer than a heartbeat that hangs at one controller */
+#define OVERDUE_MIN_S 5.5 /* longer than the delay when a heartbeat hangs at one controller */
 
 struct bd_machine *bd_machine_by_index(struct bd_core *core, uint32_t index)
 {
-    return index < core->nmachines ? core->by_index[index] : NULL;
+    return index < core->nmachines ? core->machines_by_index[index] : NULL;
 }
 
 static void append_by_index(struct bd_core *core, struct bd_machine *machine)
 {
-    if (core->nmachines == core->cap_machines) {
-        uint32_t capacity = core->cap_machines ? core->cap_machines * 2 : MACHINES_CAPACITY_FIRST;
-        struct bd_machine **grown = realloc(core->by_index, capacity * sizeof(struct bd_machine *));
+    if (core->nmachines == core->machines_cap) {
+        uint32_t capacity = core->machines_cap ? core->machines_cap * 2 : MACHINES_CAPACITY_FIRST;
+        struct bd_machine **grown =
+            realloc(core->machines_by_index, capacity * sizeof(struct bd_machine *));
         if (!grown)
             abort();
-        core->by_index = grown;
-        core->cap_machines = capacity;
+        core->machines_by_index = grown;
+        core->machines_cap = capacity;
     }
     machine->index = core->nmachines;
-    core->by_index[core->nmachines++] = machine;
+    core->machines_by_index[core->nmachines++] = machine;
 }
 
 static struct bd_machine *add_machine(struct bd_core *core, const char *id)
@@ -38,10 +40,10 @@
     if (!machine)
         abort();
     snprintf(machine->id, sizeof machine->id, "%s", id);
-    machine->type = machine->zone = machine->via = -1;
-    machine->notice_left = -1;
-    machine->known_at = machine->idle_since = core->now;
-    /* an earlier term may have renewed it without our knowledge */
+    machine->type = machine->zone = machine->heartbeat_peer = -1;
+    machine->termination_notice_s = -1;
+    machine->first_seen_at = machine->idle_since = core->now;
+    /* the leader of an earlier term may have renewed the lease, unknown to this one */
     machine->lease_expires_at = core->lead.earlier_leases_expire_at;
     append_by_index(core, machine);
     HASH_ADD_STR(core->machines, id, machine);
@@ -55,13 +57,13 @@
     return machine ? machine : add_machine(core, id);
 }
 
-struct timespec bd_lease_expiry(const struct bd_core *core, struct timespec answered)
+struct timespec bd_lease_expiry(const struct bd_core *core, struct timespec renewed_at)
 {
     double lease_s = bd_to_secs(core->settings->worker_lease);
-    return bd_time_add(answered, bd_secs(lease_s * (1 + BD_CLOCK_DRIFT) + LEASE_MARGIN_S));
+    return bd_time_add(renewed_at, bd_secs(lease_s * (1 + BD_CLOCK_DRIFT) + LEASE_MARGIN_S));
 }
 
-/* Whether a heartbeat is overdue if the last one came at that moment. */
+/* Whether a heartbeat is overdue if the last one arrived at `last`. */
 static bool is_overdue_since(const struct bd_core *core, struct timespec last)
 {
     double interval_s = bd_to_secs(core->settings->heartbeat_interval);
@@ -73,7 +75,7 @@
 
 bool bd_machine_is_overdue(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return is_overdue_since(core, machine->heard);
+    return is_overdue_since(core, machine->last_contact_at);
 }
 
 static bool has_known_type(const struct bd_core *core, const struct bd_machine *machine)
@@ -83,22 +85,24 @@
 
 static bool is_in_service(const struct bd_machine *machine)
 {
-    return machine->fenced && !machine->gone && !machine->scaling_in && !machine->failed &&
-           !machine->quarantined && machine->notice_left < 0 && !machine->cordoned;
+    return machine->has_seen_term && !machine->terminated && !machine->scaling_in &&
+           !machine->failed && !machine->quarantined && machine->termination_notice_s < 0 &&
+           !machine->cordoned;
 }
 
 static bool is_reachable(const struct bd_core *core, const struct bd_machine *machine)
 {
-    return (!machine->outbound_partition || core->lead.outbound_partition_is_ours) &&
-           !is_overdue_since(core, machine->heard) &&
-           /* one that answers directly while no heartbeat arrives loses all with its lease */
-           !is_overdue_since(core, machine->asked);
+    return (!machine->outbound_partition || core->lead.leader_has_outbound_partition) &&
+           !is_overdue_since(core, machine->last_contact_at) &&
+           /* a machine that answers direct commands but sends no heartbeats will lose its lease */
+           !is_overdue_since(core, machine->last_heartbeat_at);
 }
 
 bool bd_machine_is_usable(const struct bd_core *core, const struct bd_machine *machine)
 {
     return has_known_type(core, machine) && machine->zone >= 0 && is_in_service(machine) &&
-           is_reachable(core, machine) && bd_time_is_before(machine->refuse_until, core->now);
+           is_reachable(core, machine) &&
+           bd_time_is_before(machine->launch_backoff_until, core->now);
 }
 
 void bd_machines_free(struct bd_core *core)
@@ -110,7 +114,7 @@
         free(machine->reservations);
         free(machine);
     }
-    free(core->by_index);
-    core->by_index = NULL;
-    core->nmachines = core->cap_machines = 0;
+    free(core->machines_by_index);
+    core->machines_by_index = NULL;
+    core->nmachines = core->machines_cap = 0;
 }
--- a/src/scheduling/cost_model.c
+++ b/src/scheduling/cost_model.c
@@ -18,7 +18,7 @@
 #define ROUNDING 1e-9           /* tolerance of a quotient of amounts */
 #define TASKS_MAX 1e6           /* on one machine, for a task that requests no resources */
 
-int bd_tasks_per_machine(const struct bd_type *type, const struct bd_spec *spec)
+int bd_tasks_per_machine(const struct bd_machine_type *type, const struct bd_spec *spec)
 {
     double tasks = TASKS_MAX;
     if (spec->cpus > 0)
@@ -34,7 +34,7 @@
 static double task_price(const struct bd_core *core, const struct bd_spec *spec, int type,
                          bool spot)
 {
-    const struct bd_type *machine_type = &core->types[type];
+    const struct bd_machine_type *machine_type = &core->types[type];
     int tasks = machine_type->known ? bd_tasks_per_machine(machine_type, spec) : 0;
     if (tasks < 1 || !bd_type_allowed(spec, type) || (spot && !spec->spot))
         return INFINITY;
@@ -83,8 +83,8 @@
     double lead_s = 0;
     for (int type = 0; type < core->ntypes; type++)
         if (task_price(core, spec, type, false) < INFINITY)
-            lead_s =
-                fmax(lead_s, core->types[type].boot + spec->image_gb / core->types[type].fetch);
+            lead_s = fmax(lead_s, core->types[type].boot_s +
+                                      spec->image_gb / core->types[type].fetch_gb_per_s);
     return lead_s;
 }
 
@@ -97,7 +97,7 @@
     bool has_objective = false;
     for (int i = 0; i < core->settings->nslos; i++) {
         const struct bd_slo *slo = &core->settings->slos[i];
-        double slack_s = bd_slo_slack_s(core, spec->job_class, spec->estimate, slo);
+        double slack_s = bd_slo_slack_s(core, spec->job_class, spec->estimate_s, slo);
         double spare_s = slack_s - lead_s;
         if (slack_s < 0)
             continue;
@@ -120,7 +120,7 @@
 
 enum bd_cost_tier bd_job_cost_tier(const struct bd_core *core, const struct bd_job *job)
 {
-    double max_wait_s = cheap_wait_s(core, &job->spec), waited_s = core->wall - job->ready;
+    double max_wait_s = cheap_wait_s(core, &job->spec), waited_s = core->wall_s - job->ready_at;
     if (isfinite(job->finish_by)) /* its own and its dependents' deadlines limit the wait */
         max_wait_s =
             fmin(max_wait_s, fmax(0, bd_deadline_slack_s(core, job) - SLACK_MIN_S + waited_s));
--- a/src/scheduling/gpu_capacity.c
+++ b/src/scheduling/gpu_capacity.c
@@ -51,17 +51,17 @@
                                        const struct bd_machine *machine, uint32_t max_tasks)
 {
     const struct bd_spec *gpu_task = &core->cloud.largest_gpu_task[machine->type][machine->spot];
-    const struct bd_type *type = &core->types[machine->type];
+    const struct bd_machine_type *type = &core->types[machine->type];
     if (spec->gpus > 0 || gpu_task->gpus <= 0)
         return max_tasks;
     struct bd_resources for_gpu_tasks = {type->cpus - machine->pinned_cpus,
                                          type->gpus - machine->pinned_gpus,
-                                         type->mem - machine->pinned_mem};
+                                         type->mem - machine->pinned_mem_gb};
     uint32_t gpu_tasks = bd_resources_fit_count(for_gpu_tasks, gpu_task, GPU_TASKS_MAX);
     if (gpu_tasks == 0) /* no room for GPU tasks beside the services: more services do no harm */
-        return machine->gpus > 0 || spec->kind == BD_JOB_SERVICE ? max_tasks : 0;
-    struct bd_resources rest = {type->cpus - machine->cpus - gpu_tasks * gpu_task->cpus, 0,
-                                type->mem - machine->mem - gpu_tasks * gpu_task->mem};
+        return machine->reserved_gpus > 0 || spec->kind == BD_JOB_SERVICE ? max_tasks : 0;
+    struct bd_resources rest = {type->cpus - machine->reserved_cpus - gpu_tasks * gpu_task->cpus, 0,
+                                type->mem - machine->reserved_mem_gb - gpu_tasks * gpu_task->mem};
     return rest.cpus < 0 || rest.mem < 0 ? 0 : bd_resources_fit_count(rest, spec, max_tasks);
 }
 
--- a/src/workers/autonomous_zone.c
+++ b/src/workers/autonomous_zone.c
@@ -40,7 +40,7 @@
 
 void bd_liveness_record_written(struct bd_core *core, struct timespec sent)
 {
-    core->confirmed = bd_time_max(core->confirmed, sent);
+    core->liveness_confirmed_at = bd_time_max(core->liveness_confirmed_at, sent);
 }
 
 void bd_liveness_record_sent(struct bd_core *core, struct timespec sent)
@@ -52,7 +52,7 @@
 {
     /* If a record was written but the response was lost, the leader takes this controller to be in
      * touch with the store, and does not allow for renewals by it. */
-    struct timespec last_write = bd_time_max(core->confirmed, core->liveness_sent_at);
+    struct timespec last_write = bd_time_max(core->liveness_confirmed_at, core->liveness_sent_at);
     return core->role == BD_FOLLOWER &&
            bd_seconds_between(last_write, core->now) > AUTONOMOUS_AFTER_S;
 }
@@ -67,8 +67,9 @@
         if (!bd_peer_is_local(core, i))
             continue;
         is_alone = false;
-        if (core->peers[i].flags & BD_PEER_KV_LOST && bd_peer_heard(core, i, PEER_STATUS_FRESH_S) &&
-            core->wall - core->peers[i].status_sent_wall_s < status_age_max_s)
+        if (core->peers[i].flags & BD_PEER_KV_LOST &&
+            bd_peer_status_is_recent(core, i, PEER_STATUS_FRESH_S) &&
+            core->wall_s - core->peers[i].status_sent_wall_s < status_age_max_s)
             return true;
     }
     return is_alone;
@@ -81,7 +82,8 @@
 
 static bool is_within_renewal_window(const struct bd_core *core)
 {
-    return bd_may_renew_worker_leases(core) && bd_is_within_renewal_window(core, core->confirmed);
+    return bd_may_renew_worker_leases(core) &&
+           bd_is_within_renewal_window(core, core->liveness_confirmed_at);
 }
 
 bool bd_autonomous_zone_may_reply(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
@@ -95,7 +97,7 @@
 {
     return core->role == BD_FOLLOWER && core->last_term && is_within_renewal_window(core) &&
            is_worker_of_own_zone(core, heartbeat) && !bd_forward_is_leader_reachable(core) &&
-           bd_seconds_between(core->confirmed, core->now) <
+           bd_seconds_between(core->liveness_confirmed_at, core->now) <
                AUTONOMOUS_AFTER_S + PEER_STATUS_FRESH_S;
 }
 
@@ -116,7 +118,7 @@
 
 static double liveness_age_s(const struct bd_core *core, int peer)
 {
-    return core->wall - core->peers[peer].liveness_wall_s;
+    return core->wall_s - core->peers[peer].liveness_wall_s;
 }
 
 /* Updates until when the controller may be autonomous. True: it may be autonomous now. A controller
--- a/src/workers/delegate_probes.c
+++ b/src/workers/delegate_probes.c
@@ -39,7 +39,7 @@
     bool has_local_peer = false;
     for (int i = 0; i < core->settings->npeers; i++) {
         has_local_peer |= bd_peer_is_local(core, i);
-        if (bd_peer_heard(core, i, BD_PEER_STATUS_TIMEOUT_S))
+        if (bd_peer_status_is_recent(core, i, BD_PEER_STATUS_TIMEOUT_S))
             return false;
     }
     return has_local_peer;
--- a/src/workers/forwarding.c
+++ b/src/workers/forwarding.c
@@ -29,7 +29,8 @@
 static int find_reachable_leader(const struct bd_core *core)
 {
     int leader = bd_leader_index(core);
-    return leader >= 0 && bd_peer_heard(core, leader, BD_PEER_STATUS_TIMEOUT_S) ? leader : -1;
+    return leader >= 0 && bd_peer_status_is_recent(core, leader, BD_PEER_STATUS_TIMEOUT_S) ? leader
+                                                                                           : -1;
 }
 
 bool bd_forward_is_leader_reachable(const struct bd_core *core)
@@ -46,7 +47,7 @@
 {
     for (int i = 0; i < core->settings->npeers; i++)
         if (strcmp(core->settings->peers[i].zone, zone) == 0 &&
-            bd_peer_heard(core, i, BD_PEER_STATUS_TIMEOUT_S))
+            bd_peer_status_is_recent(core, i, BD_PEER_STATUS_TIMEOUT_S))
             return true;
     return false;
 }
@@ -63,7 +64,8 @@
 {
     return core->peers[peer].flags & BD_PEER_KV_REACHABLE &&
            core->peers[peer].flags & BD_PEER_HEARS_LEADER &&
-           bd_seconds_between(core->peers[peer].heard, core->now) <= BD_PEER_STATUS_TIMEOUT_S;
+           bd_seconds_between(core->peers[peer].status_received_at, core->now) <=
+               BD_PEER_STATUS_TIMEOUT_S;
 }
 
 /* The index of a peer that is in touch with the leader while this controller is not. A peer of this
@@ -112,7 +114,7 @@
 static int count_in_flight(const struct bd_core *core)
 {
     int count = 0;
-    for (const struct bd_forwarded_heartbeat *forward = core->forwarding.waiting; forward;
+    for (const struct bd_forwarded_heartbeat *forward = core->forwarding.awaiting_reply; forward;
          forward = forward->next)
         count++;
     return count;
@@ -134,9 +136,9 @@
     forward->id = ++core->forwarding.last_id;
     forward->request = request;
     forward->heartbeat = bd_heartbeat_copy(heartbeat);
-    forward->until = bd_time_add(core->now, bd_secs(REPLY_TIMEOUT_S));
-    forward->next = core->forwarding.waiting;
-    core->forwarding.waiting = forward;
+    forward->deadline = bd_time_add(core->now, bd_secs(REPLY_TIMEOUT_S));
+    forward->next = core->forwarding.awaiting_reply;
+    core->forwarding.awaiting_reply = forward;
     struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_FORWARD_HEARTBEAT);
     effect->peer = peer;
     effect->forward_id = forward->id;
@@ -176,7 +178,7 @@
     return forward_to_peer(core, request, heartbeat, body, len, peer);
 }
 
-bool bd_forward_relay(struct bd_core *core, struct bd_remote *request,
+bool bd_forward_relay(struct bd_core *core, struct bd_request_origin *request,
                       const struct bd_heartbeat *heartbeat, const char *body, size_t len)
 {
     int leader = find_reachable_leader(core);
@@ -189,8 +191,8 @@
  * heartbeat. */
 static void answer_without_leader(struct bd_core *core, struct bd_forwarded_heartbeat *forward)
 {
-    const struct bd_remote *remote = forward->request;
-    if (remote && remote->remote) { /* the controller that forwarded it to this one decides */
+    const struct bd_request_origin *remote = forward->request;
+    if (remote && remote->is_forwarded) { /* the controller that forwarded it to this one decides */
         bd_effect_reply(core, forward->request, 421, bd_wire_write_redirect(""), 0);
         return;
     }
@@ -203,7 +205,7 @@
 void bd_forward_reply_received(struct bd_core *core, uint64_t id, int status, const char *body,
                                size_t len)
 {
-    struct bd_forwarded_heartbeat **link = &core->forwarding.waiting;
+    struct bd_forwarded_heartbeat **link = &core->forwarding.awaiting_reply;
     while (*link && (*link)->id != id)
         link = &(*link)->next;
     struct bd_forwarded_heartbeat *forward = *link;
@@ -219,10 +221,10 @@
 
 void bd_forward_tick(struct bd_core *core)
 {
-    struct bd_forwarded_heartbeat **link = &core->forwarding.waiting;
+    struct bd_forwarded_heartbeat **link = &core->forwarding.awaiting_reply;
     while (*link) {
         struct bd_forwarded_heartbeat *forward = *link;
-        if (bd_time_is_before(core->now, forward->until)) {
+        if (bd_time_is_before(core->now, forward->deadline)) {
             link = &forward->next;
             continue;
         }
@@ -234,11 +236,11 @@
 
 void bd_forwarded_heartbeats_free(struct bd_core *core)
 {
-    while (core->forwarding.waiting) {
-        struct bd_forwarded_heartbeat *forward = core->forwarding.waiting;
-        struct bd_remote *remote = forward->request;
-        core->forwarding.waiting = forward->next;
-        if (remote && remote->remote)
+    while (core->forwarding.awaiting_reply) {
+        struct bd_forwarded_heartbeat *forward = core->forwarding.awaiting_reply;
+        struct bd_request_origin *remote = forward->request;
+        core->forwarding.awaiting_reply = forward->next;
+        if (remote && remote->is_forwarded)
             free(remote); /* allocated in bd_worker_heartbeat_forwarded */
         free_forward(forward);
     }
--- a/src/workers/heartbeat_tasks.c
+++ b/src/workers/heartbeat_tasks.c
@@ -61,9 +61,10 @@
 {
     if (!task->started_at)
         return;
-    uint32_t run_tenths = bd_steady_tenths(core->now) - task->started_at;
-    job->longest_run = run_tenths > job->longest_run ? run_tenths : job->longest_run;
-    job->runs++;
+    uint32_t run_tenths = bd_monotonic_tenths(core->now) - task->started_at;
+    job->longest_run_tenths =
+        run_tenths > job->longest_run_tenths ? run_tenths : job->longest_run_tenths;
+    job->finished_runs++;
 }
 
 static void reconcile_completed_task(struct bd_core *core, struct bd_machine *machine,
@@ -75,7 +76,7 @@
     /* earlier attempts are reported until they are forgotten, and show nothing about the machine's
      * present health */
     if (is_current_attempt(machine, task, reported->attempt)) {
-        machine->errors = 0;
+        machine->consecutive_failures = 0;
         if (task->flags & BD_TASK_FLAG_DIRECT_LAUNCH_IN_FLIGHT) {
             task->flags |= BD_TASK_FLAG_EXITED;
             return;
@@ -127,8 +128,8 @@
     /* a task that is reconciled after a failover started earlier, at an unknown time */
     bool is_start_known = task->state == BD_TASK_LAUNCHING || task->state == BD_TASK_CONFIRMED;
     job->last_started_at = core->now;
-    bd_machine_use_image(core, machine, &job->spec, true);
-    task->started_at = is_start_known ? bd_steady_tenths(core->now) : 0;
+    bd_machine_record_image_use(core, machine, &job->spec, true);
+    task->started_at = is_start_known ? bd_monotonic_tenths(core->now) : 0;
 }
 
 static void confirm_task(struct bd_core *core, struct bd_job *job,
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -28,13 +28,14 @@
     machine->type = bd_type_find_or_add(core, heartbeat->type);
     machine->zone = bd_zone_find_or_add(core, heartbeat->zone);
     machine->spot = heartbeat->spot;
-    machine->notice_left = heartbeat->notice;
+    machine->termination_notice_s = heartbeat->notice;
 }
 
 static bool is_newer(const struct bd_machine *machine, const struct bd_heartbeat *heartbeat)
 {
     return heartbeat->incarnation > machine->incarnation ||
-           (heartbeat->incarnation == machine->incarnation && heartbeat->seq > machine->seq);
+           (heartbeat->incarnation == machine->incarnation &&
+            heartbeat->seq > machine->heartbeat_seq);
 }
 
 /* Updates the machine for a new incarnation. If the machine has seen a fencing token of this term,
@@ -44,7 +45,7 @@
  * that has seen a fencing token of this term shows which do. */
 static void begin_incarnation(struct bd_core *core, struct bd_machine *machine)
 {
-    if (machine->fenced)
+    if (machine->has_seen_term)
         bd_machine_release_reservations(core, machine, BD_RELEASE_NEW_INCARNATION);
     machine->received_seq = 0;
     /* the lease of the old incarnation expired, so replies may not reach the machine */
@@ -58,12 +59,12 @@
                              const struct bd_heartbeat *heartbeat)
 {
     machine->incarnation = heartbeat->incarnation;
-    machine->seq = heartbeat->seq;
+    machine->heartbeat_seq = heartbeat->seq;
     machine->fencing_token = heartbeat->fencing_token;
-    if (bd_seconds_between(machine->heard, core->now) >
+    if (bd_seconds_between(machine->last_contact_at, core->now) >
         GAP_INTERVALS * bd_to_secs(core->settings->heartbeat_interval))
-        machine->steady = core->now;
-    machine->heard = core->now;
+        machine->heartbeats_steady_since = core->now;
+    machine->last_contact_at = core->now;
 }
 
 bool bd_heartbeat_apply(struct bd_core *core, struct bd_machine *machine,
@@ -77,9 +78,9 @@
     record_heartbeat(core, machine, heartbeat);
     if (heartbeat->fencing_token < core->lead.base_term)
         return true; /* an earlier term may still command it: its tasks are no evidence yet */
-    if (!machine->fenced)
+    if (!machine->has_seen_term)
         core->lead.cycle_wanted = true;
-    machine->fenced = true;
+    machine->has_seen_term = true;
     if (machine->unanswered_launch_token &&
         heartbeat->fencing_token > machine->unanswered_launch_token && !machine->direct_in_flight)
         bd_machine_exclude_late_launches(machine);
@@ -91,12 +92,13 @@
  * a fencing token of this term. */
 static void log_first_reply(struct bd_core *core, struct bd_machine *machine)
 {
-    if (machine->answered && (machine->answered_since_fenced || !machine->fenced))
+    if (machine->answered_in_term && (machine->answered_since_term_seen || !machine->has_seen_term))
         return;
     bd_decision_log_machine(core, "lease_renewed", machine,
-                            machine->fenced ? "by=leader fenced=yes" : "by=leader fenced=no");
-    machine->answered = true;
-    machine->answered_since_fenced = machine->fenced;
+                            machine->has_seen_term ? "by=leader fenced=yes"
+                                                   : "by=leader fenced=no");
+    machine->answered_in_term = true;
+    machine->answered_since_term_seen = machine->has_seen_term;
 }
 
 /* As leader: replies with the pending commands, and extends the machine's lease. */
@@ -104,11 +106,12 @@
                                const struct bd_heartbeat *heartbeat,
                                struct bd_command_list *commands)
 {
-    if (machine->fenced)
+    if (machine->has_seen_term)
         bd_commands_add_pending(core, machine, commands);
     log_first_reply(core, machine);
     machine->lease_expires_at = bd_lease_expiry(core, core->now);
-    if (!machine->fenced) /* if this reply is lost, an earlier term may still renew the lease */
+    if (!machine
+             ->has_seen_term) /* if this reply is lost, an earlier term may still renew the lease */
         machine->lease_expires_at =
             bd_time_max(machine->lease_expires_at, core->lead.earlier_leases_expire_at);
     bd_commands_reply(core, request, heartbeat, commands, core->lead.term);
@@ -119,7 +122,7 @@
  * of a machine that no longer exists, or of an incarnation that has ended, counts as a copy too. */
 static bool is_copy(const struct bd_machine *machine, const struct bd_heartbeat *heartbeat)
 {
-    return machine->gone ||
+    return machine->terminated ||
            (machine->expired_incarnation &&
             heartbeat->incarnation <= machine->expired_incarnation) ||
            heartbeat->incarnation < machine->incarnation ||
@@ -134,9 +137,9 @@
     bd_machine_detect_outbound_partition(machine, heartbeat, forwarding_peer);
     bd_machine_clear_launches_in_reply(machine);
     if (bd_heartbeat_apply(core, machine, heartbeat, &commands))
-        machine->direct = forwarding_peer == BD_NOT_FORWARDED;
+        machine->heartbeat_was_direct = forwarding_peer == BD_NOT_FORWARDED;
     machine->received_seq = heartbeat->seq;
-    machine->asked = core->now;
+    machine->last_heartbeat_at = core->now;
     if (!bd_leadership_lease_valid(core))
         commands.count = 0;
     reply_to_heartbeat(core, request, machine, heartbeat, &commands);
@@ -169,7 +172,7 @@
                         bd_wire_write_redirect(core->settings->peers[peer].name), 0);
         return;
     }
-    if (is_direct && machine->delegated)
+    if (is_direct && machine->is_delegated)
         bd_delegate_dismiss(core, machine);
     accept_heartbeat(core, request, machine, heartbeat, forwarding_peer);
 }
@@ -191,10 +194,10 @@
 static void receive_from_peer(struct bd_core *core, int peer, uint64_t id,
                               const struct bd_heartbeat *heartbeat, const char *body, size_t len)
 {
-    struct bd_remote *request = calloc(1, sizeof *request);
+    struct bd_request_origin *request = calloc(1, sizeof *request);
     if (!request)
         abort();
-    request->remote = true;
+    request->is_forwarded = true;
     request->peer = peer;
     request->id = id;
     if (bd_leadership_may_reply(core))
--- a/src/workers/partition_detection.c
+++ b/src/workers/partition_detection.c
@@ -21,27 +21,27 @@
 {
     bool is_next = heartbeat->incarnation == machine->incarnation && machine->received_seq &&
                    heartbeat->seq == machine->received_seq + 1;
-    if (is_next && forwarding_peer == machine->via) {
+    if (is_next && forwarding_peer == machine->heartbeat_peer) {
         machine->outbound_partition = false;
-        machine->unheard_replies = 0;
+        machine->unreceived_replies = 0;
     } else if (is_next) {
         machine->outbound_partition =
-            machine->outbound_partition || ++machine->unheard_replies >= LOST_REPLIES_MIN;
+            machine->outbound_partition || ++machine->unreceived_replies >= LOST_REPLIES_MIN;
     }
-    machine->via = forwarding_peer;
+    machine->heartbeat_peer = forwarding_peer;
 }
 
 void bd_machines_detect_outbound_partition(struct bd_core *core)
 {
     uint32_t fenced = 0, partitioned = 0;
     for (uint32_t i = 0; i < core->nmachines; i++) {
-        const struct bd_machine *machine = core->by_index[i];
-        if (machine->gone || !machine->fenced)
+        const struct bd_machine *machine = core->machines_by_index[i];
+        if (machine->terminated || !machine->has_seen_term)
             continue;
         fenced++;
         partitioned += machine->outbound_partition;
     }
-    core->lead.outbound_partition_is_ours = partitioned > OUTBOUND_PARTITION_SHARE * fenced;
+    core->lead.leader_has_outbound_partition = partitioned > OUTBOUND_PARTITION_SHARE * fenced;
 }
 
 void bd_machines_detect_inbound_partition(struct bd_core *core)
@@ -50,9 +50,9 @@
     double late_after_s =
         LATE_INTERVALS * bd_to_secs(core->settings->heartbeat_interval) + LATE_EXTRA_S;
     for (uint32_t i = 0; i < core->nmachines; i++) {
-        const struct bd_machine *machine = core->by_index[i];
-        double silent_s = bd_seconds_between(machine->heard, core->now);
-        if (machine->gone || !machine->direct ||
+        const struct bd_machine *machine = core->machines_by_index[i];
+        double silent_s = bd_seconds_between(machine->last_contact_at, core->now);
+        if (machine->terminated || !machine->heartbeat_was_direct ||
             silent_s > late_after_s + bd_to_secs(core->settings->worker_lease))
             continue;
         reporting++;
--- a/src/workers/workers_internal.h
+++ b/src/workers/workers_internal.h
@@ -54,7 +54,7 @@
 /* Forwards a heartbeat that came from another controller, which cannot reach the leader. Forwards
  * it only to the leader itself, so that no heartbeat circulates. False: this controller cannot
  * reach the leader either. */
-bool bd_forward_relay(struct bd_core *core, struct bd_remote *request,
+bool bd_forward_relay(struct bd_core *core, struct bd_request_origin *request,
                       const struct bd_heartbeat *heartbeat, const char *body, size_t len);
 /* Whether another controller leads, according to the leader's key. */
 bool bd_forward_is_peer_leading(const struct bd_core *core);
