--- a/src/adapters/admin_drain_change.c
+++ b/src/adapters/admin_drain_change.c
@@ -35,7 +35,7 @@
     if (record->state != state) {
         record->state = state;
         if (state == BD_DRAIN_CANCELLED)
-            record->ended = bd_admin_wall_s();
+            record->ended_at_s = bd_admin_wall_s();
         status = bd_admin_write_drain(store, record);
     }
     if (status == BD_KV_CONFLICT)
--- a/src/adapters/admin_drain_create.c
+++ b/src/adapters/admin_drain_create.c
@@ -45,7 +45,7 @@
         const char *id = json_string_value(json_array_get(ids, i));
         snprintf(machines[i].id, sizeof machines[i].id, "%s", id);
         machines[i].stage = BD_STAGE_CORDONED;
-        machines[i].since = now_s;
+        machines[i].state_since_s = now_s;
         if (strlen(id) > *longest_id)
             *longest_id = strlen(id);
     }
@@ -62,7 +62,7 @@
     char *text = json_dumps(value, JSON_COMPACT);
     size_t bytes = text ? strlen(text) : value_bytes_max;
     free(text);
-    bd_drain_part_key(key, sizeof key, record->set, record->parts++);
+    bd_drain_part_key(key, sizeof key, record->machine_set_id, record->nparts++);
     bd_txn_put(txn, key, value, 0);
     return bytes;
 }
@@ -75,14 +75,14 @@
     size_t ops_max = store->node->settings.kv_txn_ops_max;
     size_t value_bytes_max = store->node->settings.kv_value_bytes_max;
     uint32_t written = 0;
-    while (written < record->machines) {
+    while (written < record->nmachines) {
         struct bd_txn txn;
         size_t ops = 0, bytes = 0;
         if (!bd_txn_begin(&txn))
             abort();
-        while (written < record->machines && ops < ops_max &&
+        while (written < record->nmachines && ops < ops_max &&
                (ops == 0 || bytes + value_bytes_max < TXN_BYTES_MAX)) {
-            uint32_t left = record->machines - written;
+            uint32_t left = record->nmachines - written;
             uint32_t count = left < per_part ? left : per_part;
             bytes += put_part(&txn, record, machines + written, count, value_bytes_max);
             written += count;
@@ -115,7 +115,7 @@
 static struct bd_admin_response show_existing(const struct bd_drain_record *record,
                                               const json_t *normalized)
 {
-    if (!json_equal(record->asked, normalized))
+    if (!json_equal(record->request, normalized))
         return bd_admin_refuse(BD_ADMIN_CONFLICT, "name", "another drain has this name");
     return bd_admin_show_record(BD_ADMIN_OK, record);
 }
@@ -141,15 +141,15 @@
     const struct bd_settings *settings = &store->node->settings;
     struct bd_drain_record record = {.mode = request->mode,
                                      .state = BD_DRAIN_ACTIVE,
-                                     .machines = (uint32_t)json_array_size(ids),
-                                     .asked = normalized};
+                                     .nmachines = (uint32_t)json_array_size(ids),
+                                     .request = normalized};
     size_t longest_id;
     snprintf(record.name, sizeof record.name, "%s", request->name);
     struct bd_drain_machine *machines = new_machines(ids, &longest_id);
-    record.at = machines[0].since;
+    record.requested_at_s = machines[0].state_since_s;
     uint32_t per_part =
         bd_drain_part_machines_max(settings, settings->kv_value_bytes_max, longest_id);
-    bool is_written = per_part > 0 && choose_set_id(record.set) &&
+    bool is_written = per_part > 0 && choose_set_id(record.machine_set_id) &&
                       write_machines(store, &record, machines, per_part);
     free(machines);
     if (per_part == 0)
@@ -167,7 +167,7 @@
 
 static struct bd_admin_response refuse_request(const struct bd_drain_refusal *refusal)
 {
-    return bd_admin_refuse((enum bd_admin_status)refusal->status, refusal->field, refusal->why);
+    return bd_admin_refuse((enum bd_admin_status)refusal->status, refusal->field, refusal->reason);
 }
 
 /* Asks the cloud, not the leader, which machines are meant: any controller can do so. */
@@ -182,8 +182,8 @@
         free(inventory);
         return bd_admin_refuse(BD_ADMIN_UNAVAILABLE, "", "cloud not reached");
     }
-    json_t *ids = bd_drain_request_machines(request, store->node->settings.draining, inventory,
-                                            count, &refusal);
+    json_t *ids = bd_drain_request_resolve(request, store->node->settings.draining, inventory,
+                                           count, &refusal);
     free(inventory);
     if (!ids)
         return refuse_request(&refusal);
--- a/src/adapters/admin_store.c
+++ b/src/adapters/admin_store.c
@@ -40,9 +40,9 @@
     json_t *drain =
         json_pack("{s:s,s:s,s:s,s:f,s:i}", "name", record->name, "mode",
                   bd_drain_mode_name(record->mode), "state", bd_drain_state_name(record->state),
-                  "asked_at", record->at, "machines", (int)record->machines);
-    if (record->ended > 0)
-        json_object_set_new(drain, "ended_at", json_real(record->ended));
+                  "asked_at", record->requested_at_s, "machines", (int)record->nmachines);
+    if (record->ended_at_s > 0)
+        json_object_set_new(drain, "ended_at", json_real(record->ended_at_s));
     return drain;
 }
 
@@ -55,7 +55,7 @@
 static json_t *describe_machine(const struct bd_drain_machine *machine)
 {
     json_t *entry = json_pack("{s:s,s:s,s:f}", "machine", machine->id, "stage",
-                              bd_drain_stage_name(machine->stage), "since", machine->since);
+                              bd_drain_stage_name(machine->stage), "since", machine->state_since_s);
     if (machine->wait != BD_DRAIN_WAIT_NOTHING)
         json_object_set_new(entry, "waits_for", json_string(bd_drain_wait_name(machine->wait)));
     if (*machine->team)
@@ -87,7 +87,7 @@
     struct bd_change pair;
     uint64_t grant;
     out->answer = NULL;
-    snprintf(path, sizeof path, BD_PATH_KEYS "/" BD_DRAIN_KEY "%s", name);
+    snprintf(path, sizeof path, BD_PATH_KEYS "/" BD_DRAIN_KEY_PREFIX "%s", name);
     long status =
         bd_kv_call(store->node, store->http, "GET", path, NULL, STORE_TIMEOUT_S, &out->answer);
     if (status != BD_KV_OK)
@@ -111,8 +111,8 @@
 long bd_admin_write_drain(const struct bd_admin_store *store, const struct bd_drain_record *record)
 {
     struct bd_txn txn;
-    char key[sizeof BD_DRAIN_KEY + BD_LABEL_BYTES];
-    snprintf(key, sizeof key, BD_DRAIN_KEY "%s", record->name);
+    char key[sizeof BD_DRAIN_KEY_PREFIX + BD_LABEL_BYTES];
+    snprintf(key, sizeof key, BD_DRAIN_KEY_PREFIX "%s", record->name);
     if (!bd_txn_begin(&txn))
         abort();
     bd_txn_compare(&txn, key, record->revision);
@@ -135,15 +135,15 @@
     struct bd_change pair;
     json_t *value;
     size_t i;
-    json_t *pairs = bd_kv_list(store->node, store->http, BD_DRAIN_KEY);
+    json_t *pairs = bd_kv_list(store->node, store->http, BD_DRAIN_KEY_PREFIX);
     if (!pairs)
         return bd_admin_store_unreachable();
     json_t *drains = json_array();
     json_array_foreach(pairs, i, value)
     {
         if (bd_wire_read_change(value, &pair) &&
-            bd_drain_record_decode(pair.key + strlen(BD_DRAIN_KEY), pair.value, pair.revision,
-                                   &record))
+            bd_drain_record_decode(pair.key + strlen(BD_DRAIN_KEY_PREFIX), pair.value,
+                                   pair.revision, &record))
             json_array_append_new(drains, describe_drain(&record));
     }
     json_decref(pairs);
@@ -159,7 +159,7 @@
     struct bd_change pair;
     json_t *value;
     size_t i;
-    snprintf(prefix, sizeof prefix, BD_DRAIN_SET_KEY "%s/", set);
+    snprintf(prefix, sizeof prefix, BD_DRAIN_MACHINES_KEY_PREFIX "%s/", set);
     json_t *pairs = bd_kv_list(store->node, store->http, prefix);
     bool is_complete = pairs != NULL;
     json_array_foreach(pairs, i, value)
@@ -193,7 +193,8 @@
     long status = bd_admin_read_drain(store, name, &drain);
     if (status == BD_KV_NOT_FOUND)
         response = bd_admin_refuse(BD_ADMIN_NOT_FOUND, "name", "no such drain");
-    else if (status == BD_KV_OK && read_machines(store, drain.record.set, &machines, &count))
+    else if (status == BD_KV_OK &&
+             read_machines(store, drain.record.machine_set_id, &machines, &count))
         response = show_machines(&drain.record, machines, count);
     else
         response = bd_admin_store_unreachable();
--- a/src/adapters/kv_reader.c
+++ b/src/adapters/kv_reader.c
@@ -126,9 +126,9 @@
 static void read_drains(const struct reader *reader)
 {
     struct bd_event *event = bd_event_new(BD_EVENT_DRAIN_RECORDS);
-    event->records.records = bd_kv_list(reader->node, reader->http, BD_DRAIN_KEY);
+    event->records.records = bd_kv_list(reader->node, reader->http, BD_DRAIN_KEY_PREFIX);
     if (event->records.records && atomic_load(&reader->node->wants_drain_sets))
-        event->records.sets = bd_kv_list(reader->node, reader->http, BD_DRAIN_SET_KEY);
+        event->records.sets = bd_kv_list(reader->node, reader->http, BD_DRAIN_MACHINES_KEY_PREFIX);
     if (event->records.records)
         bd_event_post(reader->node, event);
     else
--- a/src/drain/candidate.c
+++ b/src/drain/candidate.c
@@ -27,7 +27,7 @@
 }
 
 /* False: no place is left for another budget. */
-static bool add_need(struct bd_candidate *candidate, uint32_t budget, uint32_t tasks)
+static bool add_need(struct bd_drain_candidate *candidate, uint32_t budget, uint32_t tasks)
 {
     uint32_t i = 0;
     while (i < candidate->nneeds && candidate->needs[i].budget != budget)
@@ -57,7 +57,8 @@
 }
 
 /* False: the candidate has too many needs. */
-static bool add_reservation(struct bd_core *core, struct bd_candidate *candidate, uint32_t index)
+static bool add_reservation(struct bd_core *core, struct bd_drain_candidate *candidate,
+                            uint32_t index)
 {
     const struct bd_machine *machine = candidate->machine;
     const struct bd_reservation *reservation = &machine->reservations[index];
@@ -70,21 +71,22 @@
         if (!add_need(candidate, entry->budgets[i], tasks))
             return false;
     candidate->tasks += tasks;
-    bd_resources_add(&candidate->moves, &job->spec, 1);
+    bd_resources_add(&candidate->task_resources, &job->spec, 1);
     return true;
 }
 
-bool bd_candidate_fill(struct bd_core *core, struct bd_candidate *candidate)
+bool bd_drain_candidate_fill(struct bd_core *core, struct bd_drain_candidate *candidate)
 {
     candidate->nneeds = candidate->tasks = 0;
-    candidate->moves = (struct bd_resources){0, 0, 0};
+    candidate->task_resources = (struct bd_resources){0, 0, 0};
     for (uint32_t i = 0; i < candidate->machine->nreservations; i++)
         if (!add_reservation(core, candidate, i))
             return false;
     return true;
 }
 
-void bd_candidate_limit_needs(const struct bd_core *core, struct bd_candidate *candidate)
+void bd_drain_candidate_limit_needs(const struct bd_core *core,
+                                    struct bd_drain_candidate *candidate)
 {
     for (uint32_t i = 0; i < candidate->nneeds; i++) {
         struct bd_budget_need *need = &candidate->needs[i];
--- a/src/drain/drain.c
+++ b/src/drain/drain.c
@@ -33,7 +33,7 @@
     if (!core->drains)
         return;
     core->drains->leadership_acquired = core->now;
-    core->drains->steps = 0;
+    core->drains->stop_requests = 0;
     bd_ledger_leadership_acquired(core);
     bd_drains_clear(core->drains);
     bd_drain_clear_machine_flags(core);
@@ -80,9 +80,10 @@
     for (struct bd_drain *drain = core->drains->drains; drain; drain = drain->hh.next) {
         if (!bd_drain_is_open(drain) || !all_are_recorded_final(drain))
             continue;
-        drain->over = true;
+        drain->is_over = true;
         bd_log_write(core->log, BD_LOG_INFO, "drain %s is done: %u machines, %.0f s",
-                     drain->record.name, drain->nmachines, core->wall - drain->record.at);
+                     drain->record.name, drain->nmachines,
+                     core->wall - drain->record.requested_at_s);
     }
 }
 
--- a/src/drain/drain.h
+++ b/src/drain/drain.h
@@ -56,7 +56,7 @@
  * if those were not read. Both are borrowed. */
 void bd_drain_apply_records(struct bd_core *core, json_t *records, json_t *sets);
 /* Whether the next read is to include the machines' records. */
-bool bd_drain_wants_sets(const struct bd_core *core);
+bool bd_drain_needs_machine_records(const struct bd_core *core);
 
 /* One write for the leader's next transaction. */
 struct bd_drain_write {
--- a/src/drain/drain_internal.h
+++ b/src/drain/drain_internal.h
@@ -34,7 +34,7 @@
     bool is_loaded;      /* its machines are known */
     bool is_damaged;     /* its machines' records cannot be read: it is left alone */
     bool is_listed;      /* in the newest listing of the records */
-    bool over;           /* all machines are final: its record is to become `done` */
+    bool is_over;        /* all machines are final: its record is to become `done` */
     bool done_in_flight; /* ... by the transaction in flight */
     bool is_stale;       /* a newer record may exist: `done` is not written before a listing */
     uint32_t
@@ -51,7 +51,7 @@
     bool wants_sets; /* the machines' records are to be read */
     struct timespec leadership_acquired, next_tick, next_summary;
     struct timespec next_write; /* earliest, after a transaction that was not applied */
-    uint32_t steps;             /* requests to machines to stop their tasks, in this term */
+    uint32_t stop_requests;     /* requests to machines to stop their tasks, in this term */
 };
 
 /* ---- entry.c: the machines of drains ---- */
@@ -126,20 +126,21 @@
 #define BD_NEEDS_MAX 64 /* budgets that one machine's tasks draw on */
 
 /* A machine that could be in the next step. */
-struct bd_candidate {
+struct bd_drain_candidate {
     struct bd_drain_machine *entry;
     struct bd_machine *machine;
     int zone;
     struct bd_budget_need needs[BD_NEEDS_MAX];
     uint32_t nneeds, tasks;
-    struct bd_resources moves; /* the sum of its tasks' resources */
+    struct bd_resources task_resources; /* the sum of its tasks' resources */
 };
 
 /* Fills the candidate's needs. False: they are more than BD_NEEDS_MAX. */
-bool bd_candidate_fill(struct bd_core *core, struct bd_candidate *candidate);
+bool bd_drain_candidate_fill(struct bd_core *core, struct bd_drain_candidate *candidate);
 /* Limits each need to what its budget ever allows, unless tasks that stop together exceed it: such
  * a machine is emptied bit by bit, and needs the whole budget to begin. */
-void bd_candidate_limit_needs(const struct bd_core *core, struct bd_candidate *candidate);
+void bd_drain_candidate_limit_needs(const struct bd_core *core,
+                                    struct bd_drain_candidate *candidate);
 /* Whether stopping the task takes something down. A task that is being launched may run already,
  * and counts like one that does. */
 bool bd_drain_can_stop_task(const struct bd_job *job, uint32_t task);
@@ -162,7 +163,7 @@
 struct bd_resources bd_bins_total(const struct bd_bins *bins);
 /* Takes capacity for all of the candidate's tasks. False: one of them does not fit, and nothing is
  * taken. */
-bool bd_bins_take(struct bd_bins *bins, const struct bd_candidate *candidate);
+bool bd_bins_take(struct bd_bins *bins, const struct bd_drain_candidate *candidate);
 
 /* ---- greedy.c, solver.c: the choice of a step's machines ---- */
 
@@ -170,9 +171,9 @@
 
 /* The candidates, and what limits the choice. */
 struct bd_step_problem {
-    const struct bd_candidate *candidates;
-    uint32_t n;
-    const uint32_t *left; /* by budget: tasks that may still go down */
+    const struct bd_drain_candidate *candidates;
+    uint32_t ncandidates;
+    const uint32_t *budgets_remaining; /* by budget: tasks that may still go down */
     uint32_t nbudgets;
     uint32_t max_machines;
     struct bd_resources capacity; /* free, in sum */
@@ -181,11 +182,12 @@
 };
 
 /* What keeps the candidate out of the step; *budget is set with BD_DRAIN_WAIT_BUDGET. */
-enum bd_drain_wait bd_step_obstacle(const struct bd_step_problem *problem,
-                                    const struct bd_candidate *candidate, uint32_t *budget);
+enum bd_drain_wait bd_step_wait_reason(const struct bd_step_problem *problem,
+                                       const struct bd_drain_candidate *candidate,
+                                       uint32_t *budget);
 /* Takes the candidate into the step: subtracts what it needs. `left` is the problem's. */
-void bd_step_take(struct bd_step_problem *problem, uint32_t *left,
-                  const struct bd_candidate *candidate);
+void bd_step_add_candidate(struct bd_step_problem *problem, uint32_t *left,
+                           const struct bd_drain_candidate *candidate);
 /* Adds the numbers of the chosen candidates to an empty set. */
 void bd_step_choose_greedy(const struct bd_step_problem *given, roaring_bitmap_t *chosen);
 /* The same by an integer program. False: no solution within the solver's limits; the set may hold
--- a/src/drain/drain_record.h
+++ b/src/drain/drain_record.h
@@ -17,9 +17,9 @@
 
 struct bd_machine;
 
-#define BD_DRAIN_KEY "d/"     /* prefix of the drains' own records */
-#define BD_DRAIN_SET_KEY "e/" /* prefix of their machines' records: e/SET/PART */
-#define BD_DRAIN_NAME_MAX 40u /* bytes */
+#define BD_DRAIN_KEY_PREFIX "d/"          /* prefix of the drains' own records */
+#define BD_DRAIN_MACHINES_KEY_PREFIX "e/" /* prefix of their machines' records: e/SET/PART */
+#define BD_DRAIN_NAME_MAX 40u             /* bytes */
 
 enum bd_drain_mode { BD_DRAIN_RETIRE, BD_DRAIN_REPLACE };
 enum bd_drain_state { BD_DRAIN_ACTIVE, BD_DRAIN_PAUSED, BD_DRAIN_CANCELLED, BD_DRAIN_DONE };
@@ -58,7 +58,7 @@
     char id[BD_LABEL_BYTES];
     enum bd_drain_stage stage;
     enum bd_drain_wait wait;
-    double since;                     /* wall clock, seconds: of this stage and wait */
+    double state_since_s;             /* wall clock, seconds: of this stage and wait */
     char team[BD_NAME_BYTES];         /* whose budget it waits for, or empty */
     char replacement[BD_LABEL_BYTES]; /* machine id, or empty */
     /* as leader only */
@@ -74,13 +74,13 @@
 /* One drain's record, `d/NAME`. */
 struct bd_drain_record {
     char name[BD_LABEL_BYTES];
-    char set[BD_HASH_BYTES]; /* names the records of its machines */
+    char machine_set_id[BD_HASH_BYTES]; /* names the records of its machines */
     enum bd_drain_mode mode;
     enum bd_drain_state state;
-    double at, ended; /* wall clock, seconds; ended is 0 until then */
-    uint32_t parts, machines;
+    double requested_at_s, ended_at_s; /* wall clock, seconds; ended is 0 until then */
+    uint32_t nparts, nmachines;
     uint64_t revision;
-    json_t *asked; /* the request as received, to recognize a repeated one */
+    json_t *request; /* the request as received, to recognize a repeated one */
 };
 
 /* The names of the enumerators in records, on the wire and in the log. */
@@ -91,7 +91,7 @@
 
 /* The record's value; the caller owns it. */
 json_t *bd_drain_record_encode(const struct bd_drain_record *record);
-/* Reads a record's value; out->asked is borrowed from it. False: the value is damaged. */
+/* Reads a record's value; out->request is borrowed from it. False: the value is damaged. */
 bool bd_drain_record_decode(const char *name, json_t *value, uint64_t revision,
                             struct bd_drain_record *out);
 
--- a/src/drain/drain_request.h
+++ b/src/drain/drain_request.h
@@ -22,7 +22,7 @@
 /* A refusal: an HTTP status, the field that is wrong, and the reason. */
 struct bd_drain_refusal {
     int status;
-    char field[BD_NAME_BYTES], why[96];
+    char field[BD_NAME_BYTES], reason[96];
 };
 
 /* Reads a request. The list of machines is borrowed from it. False with the refusal: 400. */
@@ -31,8 +31,8 @@
 /* The machines that the request means, of the n that the cloud lists: an array of ids that the
  * caller owns, or NULL with the refusal (404: an unknown machine or selection; 400: no machine, a
  * machine twice, or all machines without `all`). */
-json_t *bd_drain_request_machines(const struct bd_drain_request *request,
-                                  const struct bd_drain_rules *rules,
-                                  const struct bd_cloud_machine *listed, size_t n,
-                                  struct bd_drain_refusal *refusal);
+json_t *bd_drain_request_resolve(const struct bd_drain_request *request,
+                                 const struct bd_drain_rules *rules,
+                                 const struct bd_cloud_machine *listed, size_t n,
+                                 struct bd_drain_refusal *refusal);
 #endif
--- a/src/drain/drain_rules.h
+++ b/src/drain/drain_rules.h
@@ -33,8 +33,9 @@
 struct bd_drain_rules {
     char admin_addr[BD_NAME_BYTES]; /* empty: no administration resources on this controller */
     uint32_t machines_in_step;
-    double stop_timeout_s; /* from the request to stop a task until it is stopped by force */
-    double wait_s;         /* how long arrays, and gangs without checkpoints, may take to finish */
+    double stop_timeout_s;        /* from the request to stop a task until it is stopped by force */
+    double completion_timeout_s;  /* how long arrays, and gangs without checkpoints, may take to
+                                     finish */
     double replacement_timeout_s; /* after which a replacement that is not up is abandoned */
     double record_retention_s;    /* how long the records of a finished drain are kept */
     enum bd_drain_planner planner;
@@ -47,12 +48,12 @@
 };
 
 /* Which field of the declarations is wrong, and why. */
-struct bd_drain_rules_fault {
-    char field[BD_NAME_BYTES], what[96];
+struct bd_drain_rules_error {
+    char field[BD_NAME_BYTES], message[96];
 };
 
 /* Reads the entry's list of fields. The settings' teams and zones must be known by then. The
  * caller frees the result with free(); NULL with *fault filled if a field is wrong. */
 struct bd_drain_rules *bd_drain_rules_read(const struct bd_settings *settings, struct elt *fields,
-                                           struct bd_drain_rules_fault *fault);
+                                           struct bd_drain_rules_error *fault);
 #endif
--- a/src/drain/entry.c
+++ b/src/drain/entry.c
@@ -8,7 +8,7 @@
 
 bool bd_drain_is_open(const struct bd_drain *drain)
 {
-    return drain->is_loaded && !drain->over &&
+    return drain->is_loaded && !drain->is_over &&
            (drain->record.state == BD_DRAIN_ACTIVE || drain->record.state == BD_DRAIN_PAUSED);
 }
 
@@ -57,7 +57,7 @@
 static struct bd_drain_part *find_part(struct bd_drain *drain, const struct bd_drain_machine *entry)
 {
     uint32_t index = (uint32_t)(entry - drain->machines);
-    for (uint32_t i = 0; i < drain->record.parts; i++) {
+    for (uint32_t i = 0; i < drain->record.nparts; i++) {
         struct bd_drain_part *part = &drain->parts[i];
         if (index >= part->from && index < part->from + part->n)
             return part;
@@ -88,7 +88,7 @@
     entry->stage = state.stage;
     entry->wait = state.wait;
     snprintf(entry->team, sizeof entry->team, "%s", state.team);
-    entry->since = core->wall;
+    entry->state_since_s = core->wall;
     if (stage_changes) {
         bd_drain_mark_entry_urgent(drain, entry);
         core->lead.cycle_wanted = true;
--- a/src/drain/free_capacity.c
+++ b/src/drain/free_capacity.c
@@ -53,7 +53,7 @@
     return NULL;
 }
 
-bool bd_bins_take(struct bd_bins *bins, const struct bd_candidate *candidate)
+bool bd_bins_take(struct bd_bins *bins, const struct bd_drain_candidate *candidate)
 {
     const struct bd_machine *machine = candidate->machine;
     struct bd_bin **taken = calloc(machine->nreservations + 1, sizeof(struct bd_bin *));
--- a/src/drain/greedy.c
+++ b/src/drain/greedy.c
@@ -20,34 +20,34 @@
     return false;
 }
 
-enum bd_drain_wait bd_step_obstacle(const struct bd_step_problem *problem,
-                                    const struct bd_candidate *candidate, uint32_t *budget)
+enum bd_drain_wait bd_step_wait_reason(const struct bd_step_problem *problem,
+                                       const struct bd_drain_candidate *candidate, uint32_t *budget)
 {
     for (uint32_t i = 0; i < candidate->nneeds; i++) {
         *budget = candidate->needs[i].budget;
-        if (candidate->needs[i].tasks > problem->left[*budget])
+        if (candidate->needs[i].tasks > problem->budgets_remaining[*budget])
             return BD_DRAIN_WAIT_BUDGET;
     }
     if (problem->max_machines == 0)
         return BD_DRAIN_WAIT_STEP;
     if (zone_is_blocked(problem, candidate->zone))
         return BD_DRAIN_WAIT_ZONE;
-    if (!fits_into(&candidate->moves, &problem->capacity))
+    if (!fits_into(&candidate->task_resources, &problem->capacity))
         return BD_DRAIN_WAIT_CAPACITY;
     return BD_DRAIN_WAIT_NOTHING;
 }
 
-void bd_step_take(struct bd_step_problem *problem, uint32_t *left,
-                  const struct bd_candidate *candidate)
+void bd_step_add_candidate(struct bd_step_problem *problem, uint32_t *left,
+                           const struct bd_drain_candidate *candidate)
 {
     for (uint32_t i = 0; i < candidate->nneeds; i++)
         left[candidate->needs[i].budget] -= candidate->needs[i].tasks;
     problem->max_machines--;
     if (candidate->zone >= 0)
         problem->zone_used[candidate->zone] = true;
-    problem->capacity.cpus -= candidate->moves.cpus;
-    problem->capacity.gpus -= candidate->moves.gpus;
-    problem->capacity.mem -= candidate->moves.mem;
+    problem->capacity.cpus -= candidate->task_resources.cpus;
+    problem->capacity.gpus -= candidate->task_resources.gpus;
+    problem->capacity.mem -= candidate->task_resources.mem;
 }
 
 struct sort_key {
@@ -66,19 +66,19 @@
 {
     struct bd_step_problem problem = *given;
     uint32_t *left = calloc(given->nbudgets + 1, sizeof *left), budget = 0;
-    struct sort_key *order = calloc(given->n + 1, sizeof *order);
+    struct sort_key *order = calloc(given->ncandidates + 1, sizeof *order);
     if (!left || !order)
         abort();
-    memcpy(left, given->left, given->nbudgets * sizeof *left);
-    problem.left = left;
-    for (uint32_t i = 0; i < given->n; i++)
+    memcpy(left, given->budgets_remaining, given->nbudgets * sizeof *left);
+    problem.budgets_remaining = left;
+    for (uint32_t i = 0; i < given->ncandidates; i++)
         order[i] = (struct sort_key){given->candidates[i].tasks, i};
-    qsort(order, given->n, sizeof *order, compare_tasks);
-    for (uint32_t i = 0; i < given->n && problem.max_machines > 0; i++) {
-        const struct bd_candidate *candidate = &given->candidates[order[i].candidate];
-        if (bd_step_obstacle(&problem, candidate, &budget) != BD_DRAIN_WAIT_NOTHING)
+    qsort(order, given->ncandidates, sizeof *order, compare_tasks);
+    for (uint32_t i = 0; i < given->ncandidates && problem.max_machines > 0; i++) {
+        const struct bd_drain_candidate *candidate = &given->candidates[order[i].candidate];
+        if (bd_step_wait_reason(&problem, candidate, &budget) != BD_DRAIN_WAIT_NOTHING)
             continue;
-        bd_step_take(&problem, left, candidate);
+        bd_step_add_candidate(&problem, left, candidate);
         roaring_bitmap_add(chosen, order[i].candidate);
     }
     free(order);
--- a/src/drain/queries.c
+++ b/src/drain/queries.c
@@ -29,9 +29,9 @@
 {
     if (!core->drains)
         return true;
-    struct bd_candidate candidate = {.machine = machine};
+    struct bd_drain_candidate candidate = {.machine = machine};
     bd_ledger_update_silent(core);
-    if (!bd_candidate_fill(core, &candidate))
+    if (!bd_drain_candidate_fill(core, &candidate))
         return false;
     for (uint32_t i = 0; i < candidate.nneeds; i++) {
         const struct bd_budget_need *need = &candidate.needs[i];
--- a/src/drain/record.c
+++ b/src/drain/record.c
@@ -74,9 +74,10 @@
 json_t *bd_drain_record_encode(const struct bd_drain_record *record)
 {
     return json_pack("{s:s,s:s,s:f,s:f,s:s,s:i,s:i,s:O}", "mode", mode_names[record->mode], "state",
-                     state_names[record->state], "at", record->at, "ended", record->ended, "set",
-                     record->set, "parts", (int)record->parts, "machines", (int)record->machines,
-                     "asked", record->asked);
+                     state_names[record->state], "at", record->requested_at_s, "ended",
+                     record->ended_at_s, "set", record->machine_set_id, "parts",
+                     (int)record->nparts, "machines", (int)record->nmachines, "asked",
+                     record->request);
 }
 
 bool bd_drain_record_decode(const char *name, json_t *value, uint64_t revision,
@@ -90,27 +91,28 @@
                           json_string_value(json_object_get(value, "state")));
     json_int_t parts = json_integer_value(json_object_get(value, "parts"));
     json_int_t machines = json_integer_value(json_object_get(value, "machines"));
-    if (strlen(name) >= sizeof out->name || !set || strlen(set) >= sizeof out->set || mode < 0 ||
-        state < 0 || parts < 1 || parts > UINT16_MAX || machines < 1 || machines > UINT32_MAX)
+    if (strlen(name) >= sizeof out->name || !set || strlen(set) >= sizeof out->machine_set_id ||
+        mode < 0 || state < 0 || parts < 1 || parts > UINT16_MAX || machines < 1 ||
+        machines > UINT32_MAX)
         return false;
     strcpy(out->name, name);
-    strcpy(out->set, set);
+    strcpy(out->machine_set_id, set);
     out->mode = (enum bd_drain_mode)mode;
     out->state = (enum bd_drain_state)state;
-    out->at = json_number_value(json_object_get(value, "at"));
-    out->ended = json_number_value(json_object_get(value, "ended"));
-    out->parts = (uint32_t)parts;
-    out->machines = (uint32_t)machines;
+    out->requested_at_s = json_number_value(json_object_get(value, "at"));
+    out->ended_at_s = json_number_value(json_object_get(value, "ended"));
+    out->nparts = (uint32_t)parts;
+    out->nmachines = (uint32_t)machines;
     out->revision = revision;
-    out->asked = json_object_get(value, "asked");
-    return out->asked != NULL;
+    out->request = json_object_get(value, "asked");
+    return out->request != NULL;
 }
 
 /* [id, stage, wait, since, team, replacement]; empty texts at the end are left out. */
 static json_t *entry_value(const struct bd_drain_machine *entry)
 {
     json_t *value = json_pack("[s,s,s,I]", entry->id, stage_names[entry->stage],
-                              wait_names[entry->wait], (json_int_t)entry->since);
+                              wait_names[entry->wait], (json_int_t)entry->state_since_s);
     if (*entry->team || *entry->replacement)
         json_array_append_new(value, json_string(entry->team));
     if (*entry->replacement)
@@ -150,7 +152,7 @@
         return false;
     entry->stage = entry->recorded_stage = (enum bd_drain_stage)stage;
     entry->wait = (enum bd_drain_wait)wait;
-    entry->since = json_number_value(json_array_get(value, 3));
+    entry->state_since_s = json_number_value(json_array_get(value, 3));
     return true;
 }
 
@@ -189,5 +191,5 @@
 
 void bd_drain_part_key(char *key, size_t cap, const char *set, uint32_t part)
 {
-    snprintf(key, cap, BD_DRAIN_SET_KEY "%s/%04u", set, part);
+    snprintf(key, cap, BD_DRAIN_MACHINES_KEY_PREFIX "%s/%04u", set, part);
 }
--- a/src/drain/record_load.c
+++ b/src/drain/record_load.c
@@ -26,7 +26,7 @@
     if (!drain)
         abort();
     drain->record = *record;
-    json_incref(drain->record.asked);
+    json_incref(drain->record.request);
     HASH_ADD_STR(drains->drains, record.name, drain);
     HASH_SORT(drains->drains, compare_names);
     return drain;
@@ -35,7 +35,7 @@
 static void remove_drain(struct bd_drains *drains, struct bd_drain *drain)
 {
     HASH_DEL(drains->drains, drain);
-    json_decref(drain->record.asked);
+    json_decref(drain->record.request);
     free(drain->machines);
     free(drain->parts);
     free(drain);
@@ -54,7 +54,7 @@
 
 /* ---- reading ---- */
 
-bool bd_drain_wants_sets(const struct bd_core *core)
+bool bd_drain_needs_machine_records(const struct bd_core *core)
 {
     return core->drains && core->drains->wants_sets;
 }
@@ -69,7 +69,7 @@
 {
     struct bd_drain_record record;
     struct bd_drain *drain = NULL;
-    const char *name = change->key + strlen(BD_DRAIN_KEY);
+    const char *name = change->key + strlen(BD_DRAIN_KEY_PREFIX);
     if (!bd_drain_record_decode(name, change->value, change->revision, &record)) {
         bd_log_write(core->log, BD_LOG_ERROR, "record %s cannot be read: it is left alone",
                      change->key);
@@ -83,7 +83,7 @@
     if (record.revision <= drain->record.revision)
         return;
     drain->record.state = record.state;
-    drain->record.ended = record.ended;
+    drain->record.ended_at_s = record.ended_at_s;
     drain->record.revision = record.revision;
 }
 
@@ -106,17 +106,17 @@
     json_t *pair;
     size_t i;
     uint32_t part = 0;
-    bd_drain_part_key(key, sizeof key, drain->record.set, part);
+    bd_drain_part_key(key, sizeof key, drain->record.machine_set_id, part);
     json_array_foreach(sets, i, pair)
     {
-        if (part == drain->record.parts || !bd_wire_read_change(pair, &change) ||
+        if (part == drain->record.nparts || !bd_wire_read_change(pair, &change) ||
             strcmp(change.key, key) != 0)
             continue;
         uint32_t from = drain->nmachines;
         if (!bd_drain_part_decode(change.value, &drain->machines, &drain->nmachines))
             break;
         add_part(drain, part, from);
-        bd_drain_part_key(key, sizeof key, drain->record.set, ++part);
+        bd_drain_part_key(key, sizeof key, drain->record.machine_set_id, ++part);
     }
     return part;
 }
@@ -124,7 +124,7 @@
 static void load_machines(struct bd_core *core, struct bd_drain *drain, json_t *sets)
 {
     uint32_t parts = read_parts(drain, sets);
-    drain->is_loaded = parts == drain->record.parts && drain->nmachines > 0;
+    drain->is_loaded = parts == drain->record.nparts && drain->nmachines > 0;
     drain->is_damaged = !drain->is_loaded;
     if (drain->is_damaged)
         bd_log_write(core->log, BD_LOG_ERROR,
@@ -145,7 +145,7 @@
     json_array_foreach(records, i, pair)
     {
         if (bd_wire_read_change(pair, &change) &&
-            strncmp(change.key, BD_DRAIN_KEY, strlen(BD_DRAIN_KEY)) == 0)
+            strncmp(change.key, BD_DRAIN_KEY_PREFIX, strlen(BD_DRAIN_KEY_PREFIX)) == 0)
             apply_record(core, &change);
     }
 }
--- a/src/drain/record_write.c
+++ b/src/drain/record_write.c
@@ -45,7 +45,7 @@
     }
     for (uint32_t i = 0; i < part->n; i++)
         machines[i].in_flight_stage = machines[i].stage;
-    bd_drain_part_key(out->key, sizeof out->key, drain->record.set, number);
+    bd_drain_part_key(out->key, sizeof out->key, drain->record.machine_set_id, number);
     part->in_flight = true;
     part->is_dirty = part->is_urgent = false;
     return true;
@@ -53,16 +53,16 @@
 
 static void format_record_key(const struct bd_drain *drain, struct bd_drain_write *out)
 {
-    snprintf(out->key, sizeof out->key, BD_DRAIN_KEY "%s", drain->record.name);
+    snprintf(out->key, sizeof out->key, BD_DRAIN_KEY_PREFIX "%s", drain->record.name);
 }
 
 static bool write_done(struct bd_core *core, struct bd_drain *drain, struct bd_drain_write *out)
 {
-    if (!drain->over || drain->done_in_flight || drain->is_stale)
+    if (!drain->is_over || drain->done_in_flight || drain->is_stale)
         return false;
     struct bd_drain_record record = drain->record;
     record.state = BD_DRAIN_DONE;
-    record.ended = core->wall;
+    record.ended_at_s = core->wall;
     format_record_key(drain, out);
     out->value = bd_drain_record_encode(&record);
     out->revision = drain->record.revision;
@@ -74,11 +74,11 @@
 /* The records of a drain that ended long ago are deleted one by one, its own last. */
 static bool write_deletion(struct bd_core *core, struct bd_drain *drain, struct bd_drain_write *out)
 {
-    if (drain->delete_in_flight > 0 || drain->deleted > drain->record.parts ||
-        core->wall - drain->record.ended < core->drains->rules->record_retention_s)
+    if (drain->delete_in_flight > 0 || drain->deleted > drain->record.nparts ||
+        core->wall - drain->record.ended_at_s < core->drains->rules->record_retention_s)
         return false;
-    if (drain->deleted < drain->record.parts)
-        bd_drain_part_key(out->key, sizeof out->key, drain->record.set, drain->deleted);
+    if (drain->deleted < drain->record.nparts)
+        bd_drain_part_key(out->key, sizeof out->key, drain->record.machine_set_id, drain->deleted);
     else
         format_record_key(drain, out);
     drain->delete_in_flight = 1;
@@ -89,7 +89,7 @@
 {
     if (bd_drain_record_has_ended(&drain->record))
         return write_deletion(core, drain, out);
-    for (uint32_t i = 0; drain->is_loaded && i < drain->record.parts; i++)
+    for (uint32_t i = 0; drain->is_loaded && i < drain->record.nparts; i++)
         if (part_is_due(core, &drain->parts[i]) && write_part(core, drain, i, out))
             return true;
     return write_done(core, drain, out);
@@ -124,7 +124,7 @@
     drain->done_in_flight = false;
     if (applied) {
         drain->record.state = BD_DRAIN_DONE;
-        drain->record.ended = core->wall;
+        drain->record.ended_at_s = core->wall;
     } else {
         drain->is_stale = true; /* an administrator may have written another state */
     }
@@ -132,7 +132,7 @@
 
 static void complete_writes(const struct bd_core *core, struct bd_drain *drain, bool applied)
 {
-    for (uint32_t i = 0; drain->is_loaded && i < drain->record.parts; i++)
+    for (uint32_t i = 0; drain->is_loaded && i < drain->record.nparts; i++)
         if (drain->parts[i].in_flight)
             complete_part(drain, &drain->parts[i], applied);
     if (drain->done_in_flight)
--- a/src/drain/request.c
+++ b/src/drain/request.c
@@ -16,7 +16,7 @@
 {
     refusal->status = status;
     snprintf(refusal->field, sizeof refusal->field, "%s", field);
-    snprintf(refusal->why, sizeof refusal->why, "%s", why);
+    snprintf(refusal->reason, sizeof refusal->reason, "%s", why);
     return false;
 }
 
@@ -209,10 +209,10 @@
     return found;
 }
 
-json_t *bd_drain_request_machines(const struct bd_drain_request *request,
-                                  const struct bd_drain_rules *rules,
-                                  const struct bd_cloud_machine *listed, size_t n,
-                                  struct bd_drain_refusal *refusal)
+json_t *bd_drain_request_resolve(const struct bd_drain_request *request,
+                                 const struct bd_drain_rules *rules,
+                                 const struct bd_cloud_machine *listed, size_t n,
+                                 struct bd_drain_refusal *refusal)
 {
     const char *type = request->type, *zone = request->zone;
     memset(refusal, 0, sizeof *refusal);
--- a/src/drain/rules.c
+++ b/src/drain/rules.c
@@ -95,7 +95,7 @@
     else if (strcmp(name, "stop-s") == 0)
         rules->stop_timeout_s = bd_rules_read_number(reader, entry, 0);
     else if (strcmp(name, "wait-s") == 0)
-        rules->wait_s = bd_rules_read_number(reader, entry, 0);
+        rules->completion_timeout_s = bd_rules_read_number(reader, entry, 0);
     else if (strcmp(name, "replace-s") == 0)
         rules->replacement_timeout_s = bd_rules_read_number(reader, entry, 1);
     else if (strcmp(name, "keep-s") == 0)
@@ -115,14 +115,14 @@
 }
 
 struct bd_drain_rules *bd_drain_rules_read(const struct bd_settings *settings, struct elt *fields,
-                                           struct bd_drain_rules_fault *fault)
+                                           struct bd_drain_rules_error *fault)
 {
     struct bd_drain_rules *rules = calloc(1, sizeof *rules);
     if (!rules)
         abort();
     *rules = (struct bd_drain_rules){.machines_in_step = DEFAULT_MACHINES_IN_STEP,
                                      .stop_timeout_s = DEFAULT_STOP_S,
-                                     .wait_s = DEFAULT_WAIT_S,
+                                     .completion_timeout_s = DEFAULT_WAIT_S,
                                      .replacement_timeout_s = DEFAULT_REPLACE_S,
                                      .record_retention_s = DEFAULT_KEEP_S};
     struct bd_rules_reader reader = {settings, rules, fault, false};
--- a/src/drain/rules_reader.c
+++ b/src/drain/rules_reader.c
@@ -12,7 +12,7 @@
         return;
     reader->has_failed = true;
     snprintf(reader->fault->field, sizeof reader->fault->field, "%s", field);
-    snprintf(reader->fault->what, sizeof reader->fault->what, "%s", what);
+    snprintf(reader->fault->message, sizeof reader->fault->message, "%s", what);
 }
 
 const char *bd_rules_entry_name(struct bd_rules_reader *reader, const sexp_t *entry)
--- a/src/drain/rules_reader.h
+++ b/src/drain/rules_reader.h
@@ -14,7 +14,7 @@
 struct bd_rules_reader {
     const struct bd_settings *settings;
     struct bd_drain_rules *rules;
-    struct bd_drain_rules_fault *fault;
+    struct bd_drain_rules_error *fault;
     bool has_failed;
 };
 
--- a/src/drain/solver.c
+++ b/src/drain/solver.c
@@ -43,8 +43,8 @@
     const struct bd_step_problem *problem = program->problem;
     for (uint32_t budget = 0; budget < problem->nbudgets; budget++) {
         int count = 0;
-        for (uint32_t i = 0; i < problem->n; i++) {
-            const struct bd_candidate *candidate = &problem->candidates[i];
+        for (uint32_t i = 0; i < problem->ncandidates; i++) {
+            const struct bd_drain_candidate *candidate = &problem->candidates[i];
             for (uint32_t k = 0; k < candidate->nneeds; k++) {
                 if (candidate->needs[k].budget != budget)
                     continue;
@@ -53,7 +53,7 @@
             }
         }
         if (count > 0)
-            add_row(program, count, problem->left[budget]);
+            add_row(program, count, problem->budgets_remaining[budget]);
     }
 }
 
@@ -61,28 +61,28 @@
 static void add_capacity_row(struct program *program, size_t offset, double capacity)
 {
     const struct bd_step_problem *problem = program->problem;
-    for (uint32_t i = 0; i < problem->n; i++) {
-        const char *moves = (const char *)&problem->candidates[i].moves;
+    for (uint32_t i = 0; i < problem->ncandidates; i++) {
+        const char *moves = (const char *)&problem->candidates[i].task_resources;
         program->columns[i] = (int)i + 1;
         memcpy(&program->values[i], moves + offset, sizeof(double));
     }
-    add_row(program, (int)problem->n, capacity);
+    add_row(program, (int)problem->ncandidates, capacity);
 }
 
 static void add_machines_row(struct program *program)
 {
-    for (uint32_t i = 0; i < program->problem->n; i++) {
+    for (uint32_t i = 0; i < program->problem->ncandidates; i++) {
         program->columns[i] = (int)i + 1;
         program->values[i] = 1;
     }
-    add_row(program, (int)program->problem->n, program->problem->max_machines);
+    add_row(program, (int)program->problem->ncandidates, program->problem->max_machines);
 }
 
 /* A chosen machine uses its zone. */
 static void add_zone_use_rows(struct program *program)
 {
     const struct bd_step_problem *problem = program->problem;
-    for (uint32_t i = 0; i < problem->n; i++) {
+    for (uint32_t i = 0; i < problem->ncandidates; i++) {
         int zone = problem->candidates[i].zone;
         if (zone < 0 || program->zone_column[zone] == 0)
             continue;
@@ -114,7 +114,7 @@
 static int assign_columns(struct program *program)
 {
     const struct bd_step_problem *problem = program->problem;
-    int columns = (int)problem->n;
+    int columns = (int)problem->ncandidates;
     for (int a = 0; a < BD_ZONES_MAX; a++)
         for (int b = 0; b < BD_ZONES_MAX; b++)
             if (problem->zones_conflict[a][b] && program->zone_column[a] == 0)
@@ -127,12 +127,12 @@
     const struct bd_step_problem *problem = program->problem;
     for (int i = 1; i <= columns; i++)
         (void)set_binary(program->lp, i, TRUE);
-    for (uint32_t i = 0; i < problem->n; i++) {
+    for (uint32_t i = 0; i < problem->ncandidates; i++) {
         program->columns[i] = (int)i + 1;
         program->values[i] = 1 - TASK_COST * problem->candidates[i].tasks;
     }
-    program->ok = program->ok &&
-                  set_obj_fnex(program->lp, (int)problem->n, program->values, program->columns);
+    program->ok = program->ok && set_obj_fnex(program->lp, (int)problem->ncandidates,
+                                              program->values, program->columns);
     set_maxim(program->lp);
     for (int zone = 0; zone < BD_ZONES_MAX; zone++)
         if (problem->zone_used[zone] && program->zone_column[zone] > 0)
@@ -163,7 +163,7 @@
     REAL *values = NULL;
     if ((status != OPTIMAL && status != SUBOPTIMAL) || !get_ptr_variables(program->lp, &values))
         return false;
-    for (uint32_t i = 0; i < program->problem->n; i++)
+    for (uint32_t i = 0; i < program->problem->ncandidates; i++)
         if (values[i] > IS_CHOSEN)
             roaring_bitmap_add(chosen, i);
     return true;
@@ -172,7 +172,7 @@
 bool bd_step_choose_by_solver(const struct bd_step_problem *problem, roaring_bitmap_t *chosen)
 {
     struct program program = {.problem = problem, .ok = true};
-    if (problem->n == 0 || problem->n > BD_STEP_CANDIDATES_MAX)
+    if (problem->ncandidates == 0 || problem->ncandidates > BD_STEP_CANDIDATES_MAX)
         return false;
     int columns = assign_columns(&program);
     program.lp = make_lp(0, columns);
--- a/src/drain/step_plan.c
+++ b/src/drain/step_plan.c
@@ -19,7 +19,7 @@
 struct step_plan {
     struct bd_core *core;
     struct bd_step_problem problem;
-    struct bd_candidate *candidates;
+    struct bd_drain_candidate *candidates;
     struct bd_drain *drains[BD_STEP_CANDIDATES_MAX]; /* of the candidates' entries */
     uint32_t *budget_left;
     struct bd_bins bins;
@@ -89,7 +89,7 @@
         abort();
     bd_bins_fill(core, &plan->bins);
     plan->problem.candidates = plan->candidates;
-    plan->problem.left = plan->budget_left;
+    plan->problem.budgets_remaining = plan->budget_left;
     plan->problem.nbudgets = core->ledger->nbudgets;
     plan->problem.capacity = bd_bins_total(&plan->bins);
     plan->problem.zones_conflict = (const bool(*)[BD_ZONES_MAX])core->drains->zones_conflict;
@@ -108,7 +108,7 @@
 static bool has_tasks_to_finish(const struct bd_core *core, const struct bd_drain *drain,
                                 const struct bd_machine *machine)
 {
-    if (core->wall - drain->record.at > core->drains->rules->wait_s)
+    if (core->wall - drain->record.requested_at_s > core->drains->rules->completion_timeout_s)
         return false;
     for (uint32_t i = 0; i < machine->nreservations; i++) {
         const struct bd_spec *spec = &machine->reservations[i].job->spec;
@@ -136,10 +136,11 @@
 
 /* What keeps the candidate out of the step; *team is set to whose budget, or "". */
 static enum bd_drain_wait step_obstacle(const struct step_plan *plan,
-                                        const struct bd_candidate *candidate, const char **team)
+                                        const struct bd_drain_candidate *candidate,
+                                        const char **team)
 {
     uint32_t budget = 0;
-    enum bd_drain_wait wait = bd_step_obstacle(&plan->problem, candidate, &budget);
+    enum bd_drain_wait wait = bd_step_wait_reason(&plan->problem, candidate, &budget);
     *team = wait == BD_DRAIN_WAIT_BUDGET
                 ? bd_budget_team_name(plan->core, &plan->core->ledger->budgets[budget])
                 : "";
@@ -153,22 +154,22 @@
     struct bd_core *core = plan->core;
     const char *team = "";
     enum bd_drain_wait wait = candidate_obstacle(core, drain, entry);
-    if (wait == BD_DRAIN_WAIT_NOTHING && plan->problem.n == BD_STEP_CANDIDATES_MAX)
+    if (wait == BD_DRAIN_WAIT_NOTHING && plan->problem.ncandidates == BD_STEP_CANDIDATES_MAX)
         wait = BD_DRAIN_WAIT_STEP;
     if (wait != BD_DRAIN_WAIT_NOTHING) {
         bd_drain_set_entry_waiting(core, drain, entry, wait, team);
         return;
     }
-    struct bd_candidate *candidate = &plan->candidates[plan->problem.n];
-    *candidate = (struct bd_candidate){
+    struct bd_drain_candidate *candidate = &plan->candidates[plan->problem.ncandidates];
+    *candidate = (struct bd_drain_candidate){
         .entry = entry, .machine = entry->machine, .zone = entry->machine->zone};
-    bool is_filled = bd_candidate_fill(core, candidate);
-    bd_candidate_limit_needs(core, candidate);
+    bool is_filled = bd_drain_candidate_fill(core, candidate);
+    bd_drain_candidate_limit_needs(core, candidate);
     wait = is_filled ? step_obstacle(plan, candidate, &team) : BD_DRAIN_WAIT_STEP;
     if (wait != BD_DRAIN_WAIT_NOTHING)
         bd_drain_set_entry_waiting(core, drain, entry, wait, team);
     else
-        plan->drains[plan->problem.n++] = drain;
+        plan->drains[plan->problem.ncandidates++] = drain;
 }
 
 static void find_candidates(struct step_plan *plan)
@@ -186,8 +187,8 @@
  * each of its tasks fits somewhere. */
 static void take_chosen(struct step_plan *plan, const roaring_bitmap_t *chosen)
 {
-    for (uint32_t i = 0; i < plan->problem.n; i++) {
-        const struct bd_candidate *candidate = &plan->candidates[i];
+    for (uint32_t i = 0; i < plan->problem.ncandidates; i++) {
+        const struct bd_drain_candidate *candidate = &plan->candidates[i];
         if (!roaring_bitmap_contains(chosen, i))
             continue;
         if (!bd_bins_take(&plan->bins, candidate)) {
@@ -195,7 +196,7 @@
                                        BD_DRAIN_WAIT_CAPACITY, "");
             continue;
         }
-        bd_step_take(&plan->problem, plan->budget_left, candidate);
+        bd_step_add_candidate(&plan->problem, plan->budget_left, candidate);
         candidate->entry->stop_requested_at = (struct timespec){0, 0};
         bd_drain_set_entry_state(
             plan->core, plan->drains[i], candidate->entry,
@@ -205,8 +206,8 @@
 
 static void set_others_waiting(struct step_plan *plan, const roaring_bitmap_t *chosen)
 {
-    for (uint32_t i = 0; i < plan->problem.n; i++) {
-        const struct bd_candidate *candidate = &plan->candidates[i];
+    for (uint32_t i = 0; i < plan->problem.ncandidates; i++) {
+        const struct bd_drain_candidate *candidate = &plan->candidates[i];
         if (roaring_bitmap_contains(chosen, i))
             continue;
         const char *team = "";
@@ -255,7 +256,7 @@
         return;
     init_problem(&plan);
     find_candidates(&plan);
-    if (plan.problem.n > 0)
+    if (plan.problem.ncandidates > 0)
         choose_machines(&plan);
     free_plan(&plan);
 }
--- a/src/drain/step_stop.c
+++ b/src/drain/step_stop.c
@@ -87,7 +87,7 @@
     if (result.stopped == 0 && has_begun)
         return;
     entry->stop_requested_at = core->now;
-    core->drains->steps++;
+    core->drains->stop_requests++;
     bd_log_write(core->log, BD_LOG_INFO, "drain %s: %s stops %u tasks", drain->record.name,
                  entry->id, result.stopped);
 }
--- a/src/runtime/effect_dispatch.c
+++ b/src/runtime/effect_dispatch.c
@@ -158,7 +158,7 @@
     const struct bd_core *core = node->core;
     atomic_store(&node->leading, core->role == BD_LEADER);
     atomic_store(&node->store_revision, core->replica.store_revision);
-    atomic_store(&node->wants_drain_sets, bd_drain_wants_sets(core));
+    atomic_store(&node->wants_drain_sets, bd_drain_needs_machine_records(core));
     atomic_store(&node->up, bd_leadership_is_healthy(core));
     atomic_store(&node->types_known, core->types_known);
 }
--- a/src/runtime/operators_file.c
+++ b/src/runtime/operators_file.c
@@ -50,14 +50,14 @@
 static void read_draining(struct bd_settings_reader *reader, struct bd_settings *settings,
                           sexp_t *fields)
 {
-    struct bd_drain_rules_fault fault = {"", ""};
+    struct bd_drain_rules_error fault = {"", ""};
     if (settings->draining) {
         bd_settings_fault(reader, "draining", "is declared twice");
         return;
     }
     settings->draining = bd_drain_rules_read(settings, fields, &fault);
     if (!settings->draining)
-        bd_settings_fault(reader, fault.field, fault.what);
+        bd_settings_fault(reader, fault.field, fault.message);
 }
 
 /* Reads the entries from this one on. Each (name value) pair may stand at the top or inside one
--- a/tests/drain_profile.c
+++ b/tests/drain_profile.c
@@ -39,7 +39,7 @@
     fleet_drain(&fleet, drained);
     for (int half = 0; !fleet_drain_is_over(&fleet) && fleet.now < started + OVERTIME_MAX_S; half++)
         fleet_half_second(&fleet, half);
-    uint32_t down, up, steps = fleet.core->drains->steps;
+    uint32_t down, up, steps = fleet.core->drains->stop_requests;
     bd_ledger_get_counts(fleet.core, "team-0", "", &down, &up);
     printf("%u of %u machines, %.0f%%, %u in a step: %s%.0f s, %u times told, at most %u and %u of "
            "%u replicas of a team down\n",
--- a/tests/drain_profile_choice.c
+++ b/tests/drain_profile_choice.c
@@ -13,11 +13,11 @@
 #define CHOICE_BUDGET 12u
 #define CHOICE_IN_STEP 16u
 
-static void draw_candidates(gsl_rng *rng, struct bd_candidate *candidates, uint32_t count)
+static void draw_candidates(gsl_rng *rng, struct bd_drain_candidate *candidates, uint32_t count)
 {
     memset(candidates, 0, count * sizeof *candidates);
     for (uint32_t i = 0; i < count; i++) {
-        struct bd_candidate *candidate = &candidates[i];
+        struct bd_drain_candidate *candidate = &candidates[i];
         candidate->zone = (int)gsl_rng_uniform_int(rng, 3);
         candidate->nneeds = 1 + (uint32_t)gsl_rng_uniform_int(rng, 3);
         uint32_t team = (uint32_t)gsl_rng_uniform_int(rng, CHOICE_TEAMS);
@@ -26,7 +26,7 @@
             candidate->needs[k] = (struct bd_budget_need){(team + k) % CHOICE_TEAMS, tasks, 1};
             candidate->tasks += tasks;
         }
-        candidate->moves.cpus = candidate->moves.mem = candidate->tasks;
+        candidate->task_resources.cpus = candidate->task_resources.mem = candidate->tasks;
     }
 }
 
@@ -35,14 +35,14 @@
 {
     struct bd_step_problem problem = *given;
     uint32_t left[CHOICE_TEAMS], budget = 0;
-    memcpy(left, given->left, sizeof left);
-    problem.left = left;
-    for (uint32_t i = 0; i < given->n; i++) {
+    memcpy(left, given->budgets_remaining, sizeof left);
+    problem.budgets_remaining = left;
+    for (uint32_t i = 0; i < given->ncandidates; i++) {
         if (!roaring_bitmap_contains(chosen, i))
             continue;
-        if (bd_step_obstacle(&problem, &given->candidates[i], &budget) != BD_DRAIN_WAIT_NOTHING)
+        if (bd_step_wait_reason(&problem, &given->candidates[i], &budget) != BD_DRAIN_WAIT_NOTHING)
             return false;
-        bd_step_take(&problem, left, &given->candidates[i]);
+        bd_step_add_candidate(&problem, left, &given->candidates[i]);
     }
     return true;
 }
@@ -64,12 +64,12 @@
 
 /* Steps until all machines went, each with all budgets free; *seconds: processor seconds a choice.
  */
-static uint32_t count_steps(const struct bd_candidate *drawn, uint32_t count, bool is_solver,
+static uint32_t count_steps(const struct bd_drain_candidate *drawn, uint32_t count, bool is_solver,
                             double *seconds, uint32_t *given_up)
 {
     static const bool apart[BD_ZONES_MAX][BD_ZONES_MAX] = {{false, true}, {true, false}};
     uint32_t left[CHOICE_TEAMS], steps = 0, remaining = count;
-    struct bd_candidate *candidates = malloc(count * sizeof *candidates);
+    struct bd_drain_candidate *candidates = malloc(count * sizeof *candidates);
     if (!candidates)
         abort();
     memcpy(candidates, drawn, count * sizeof *candidates);
@@ -99,7 +99,7 @@
     double spent[2] = {0, 0};
     uint32_t steps[2] = {0, 0}, given_up = 0, better = 0, worse = 0;
     gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
-    struct bd_candidate *drawn = malloc(machines * sizeof *drawn);
+    struct bd_drain_candidate *drawn = malloc(machines * sizeof *drawn);
     if (!rng || !drawn)
         abort();
     for (uint32_t seed = 0; seed < seeds; seed++) {
--- a/tests/drain_profile_fleet.c
+++ b/tests/drain_profile_fleet.c
@@ -157,7 +157,7 @@
         abort();
     *rules = (struct bd_drain_rules){.machines_in_step = machines_in_step,
                                      .stop_timeout_s = 60,
-                                     .wait_s = 1,
+                                     .completion_timeout_s = 1,
                                      .replacement_timeout_s = 60,
                                      .record_retention_s = 1e6};
     rules->budgets[rules->nbudgets++] =
@@ -210,11 +210,11 @@
 void fleet_drain(struct fleet *fleet, uint32_t machines)
 {
     struct bd_drain_record record = {.name = "d",
-                                     .set = "s",
+                                     .machine_set_id = "s",
                                      .state = BD_DRAIN_ACTIVE,
-                                     .at = fleet->core->wall,
-                                     .machines = machines,
-                                     .asked = json_object()};
+                                     .requested_at_s = fleet->core->wall,
+                                     .nmachines = machines,
+                                     .request = json_object()};
     struct bd_drain_machine *entries = calloc(machines, sizeof *entries);
     json_t *drains = json_array(), *sets = json_array();
     uint32_t each =
@@ -226,23 +226,23 @@
         snprintf(entries[i].id, BD_LABEL_BYTES, "vm-%06u", i);
     for (uint32_t from = 0; from < machines; from += each) {
         uint32_t count = machines - from < each ? machines - from : each;
-        bd_drain_part_key(key, sizeof key, record.set, record.parts++);
+        bd_drain_part_key(key, sizeof key, record.machine_set_id, record.nparts++);
         json_array_append_new(sets,
                               json_pack("{s:s,s:o,s:i}", "k", key, "value",
                                         bd_drain_part_encode(entries + from, count), "mark", 1));
     }
-    json_array_append_new(drains, json_pack("{s:s,s:o,s:i}", "k", BD_DRAIN_KEY "d", "value",
+    json_array_append_new(drains, json_pack("{s:s,s:o,s:i}", "k", BD_DRAIN_KEY_PREFIX "d", "value",
                                             bd_drain_record_encode(&record), "mark", 1));
     bd_drain_apply_records(fleet->core, drains, sets);
     json_decref(drains);
     json_decref(sets);
-    json_decref(record.asked);
+    json_decref(record.request);
     free(entries);
 }
 
 bool fleet_drain_is_over(const struct fleet *fleet)
 {
-    return !fleet->core->drains->drains || fleet->core->drains->drains->over;
+    return !fleet->core->drains->drains || fleet->core->drains->drains->is_over;
 }
 
 void fleet_free(struct fleet *fleet)
--- a/tests/scenario_drain.c
+++ b/tests/scenario_drain.c
@@ -26,7 +26,7 @@
 
 void play_draining(struct play *play)
 {
-    struct bd_drain_rules_fault fault = {"", ""};
+    struct bd_drain_rules_error fault = {"", ""};
     char text[4096];
     snprintf(text, sizeof text, "(%s)", strchr(play->text, '('));
     sexp_t *expression = parse_sexp(text, strlen(text));
@@ -85,28 +85,29 @@
 static void step_drain(struct play *play)
 {
     char key[BD_LABEL_BYTES + 8];
-    struct bd_drain_record record = {.parts = 1, .machines = 1, .asked = json_object()};
+    struct bd_drain_record record = {.nparts = 1, .nmachines = 1, .request = json_object()};
     snprintf(record.name, sizeof record.name, "%s", play->words[1]);
-    snprintf(record.set, sizeof record.set, "%.15s", play->words[1]);
+    snprintf(record.machine_set_id, sizeof record.machine_set_id, "%.15s", play->words[1]);
     record.mode = strcmp(play->words[2], "retire") == 0 ? BD_DRAIN_RETIRE : BD_DRAIN_REPLACE;
     record.state = drain_state(play_text(play, "state"));
-    record.at = play_number(play, "at", play->core->wall);
-    snprintf(key, sizeof key, BD_DRAIN_KEY "%s", play->words[1]);
+    record.requested_at_s = play_number(play, "at", play->core->wall);
+    snprintf(key, sizeof key, BD_DRAIN_KEY_PREFIX "%s", play->words[1]);
     if (!play->drains) {
         play->drains = json_array();
         play->sets = json_array();
     }
     replace_pair(play->drains,
                  pair(key, bd_drain_record_encode(&record), play_number(play, "mark", 1)));
-    add_set(play, record.set);
-    json_decref(record.asked);
+    add_set(play, record.machine_set_id);
+    json_decref(record.request);
 }
 
 static void step_drains(struct play *play)
 {
     bd_drain_apply_records(play->core, play->drains,
-                           bd_drain_wants_sets(play->core) ? play->sets : NULL);
-    if (bd_drain_wants_sets(play->core)) /* one that is new: its machines come with the next read */
+                           bd_drain_needs_machine_records(play->core) ? play->sets : NULL);
+    if (bd_drain_needs_machine_records(
+            play->core)) /* one that is new: its machines come with the next read */
         bd_drain_apply_records(play->core, play->drains, play->sets);
 }
 
@@ -140,7 +141,7 @@
 static void step_drainrecord(struct play *play)
 {
     char key[BD_LABEL_BYTES + 8];
-    snprintf(key, sizeof key, BD_DRAIN_KEY "%s", play->words[1]);
+    snprintf(key, sizeof key, BD_DRAIN_KEY_PREFIX "%s", play->words[1]);
     json_t *value = json_loads(strstr(play->text, play->words[2]), JSON_DECODE_ANY, NULL);
     if (!value)
         play_fail(play, "not JSON");
@@ -320,7 +321,7 @@
     json_t *ids = NULL;
     bool ok = bd_drain_request_read(json, &request, &refusal);
     if (ok && strcmp(play->words[0], "means") == 0) {
-        ids = bd_drain_request_machines(&request, play->settings.draining, listed, count, &refusal);
+        ids = bd_drain_request_resolve(&request, play->settings.draining, listed, count, &refusal);
         for (size_t i = 0; i < json_array_size(ids); i++)
             snprintf(got + strlen(got), sizeof got - strlen(got), " %s",
                      json_string_value(json_array_get(ids, i)));
--- a/tests/sim_drain.c
+++ b/tests/sim_drain.c
@@ -25,7 +25,7 @@
     *rules =
         (struct bd_drain_rules){.machines_in_step = 1 + (uint32_t)(sim->seed % 4),
                                 .stop_timeout_s = 10,
-                                .wait_s = 20,
+                                .completion_timeout_s = 20,
                                 .replacement_timeout_s = 30,
                                 .record_retention_s = 60,
                                 .planner = sim->seed % 3 ? BD_PLANNER_SOLVER : BD_PLANNER_GREEDY};
@@ -69,13 +69,13 @@
                       const struct bd_drain_machine *machines)
 {
     struct bd_txn txn;
-    uint32_t half = record->machines / record->parts;
-    for (uint32_t part = 0, from = 0; part < record->parts; part++, from += half) {
+    uint32_t half = record->nmachines / record->nparts;
+    for (uint32_t part = 0, from = 0; part < record->nparts; part++, from += half) {
         char key[BD_LABEL_BYTES];
-        uint32_t count = part + 1 < record->parts ? half : record->machines - from;
+        uint32_t count = part + 1 < record->nparts ? half : record->nmachines - from;
         if (!bd_txn_begin(&txn))
             abort();
-        bd_drain_part_key(key, sizeof key, record->set, part);
+        bd_drain_part_key(key, sizeof key, record->machine_set_id, part);
         bd_txn_put(&txn, key, bd_drain_part_encode(machines + from, count), 0);
         commit(sim, &txn);
     }
@@ -86,34 +86,34 @@
     struct bd_drain_machine entries[SIM_MACHINES];
     struct bd_drain_record record = {.mode = replaces ? BD_DRAIN_REPLACE : BD_DRAIN_RETIRE,
                                      .state = BD_DRAIN_ACTIVE,
-                                     .at = 1e6 + sim->now,
-                                     .asked = json_object()};
+                                     .requested_at_s = 1e6 + sim->now,
+                                     .request = json_object()};
     char key[BD_LABEL_BYTES + 8];
     memset(entries, 0, sizeof entries);
-    for (int i = 0; i < sim->nworkers && record.machines < machines; i++)
+    for (int i = 0; i < sim->nworkers && record.nmachines < machines; i++)
         if (!sim->workers[i].gone && sim->now > sim->workers[i].up_at)
-            snprintf(entries[record.machines++].id, BD_LABEL_BYTES, "%s", sim->workers[i].id);
+            snprintf(entries[record.nmachines++].id, BD_LABEL_BYTES, "%s", sim->workers[i].id);
     snprintf(record.name, sizeof record.name, "drain-%d", sim->ndrains);
-    snprintf(record.set, sizeof record.set, "set-%d", sim->ndrains);
-    record.parts = record.machines > 1 ? 2 : 1;
-    snprintf(key, sizeof key, BD_DRAIN_KEY "%s", record.name);
-    if (record.machines > 0) {
+    snprintf(record.machine_set_id, sizeof record.machine_set_id, "set-%d", sim->ndrains);
+    record.nparts = record.nmachines > 1 ? 2 : 1;
+    snprintf(key, sizeof key, BD_DRAIN_KEY_PREFIX "%s", record.name);
+    if (record.nmachines > 0) {
         write_set(sim, &record, entries);
         write_record(sim, &record, key);
-        sim_trace(sim, "%s: %u machines", record.name, record.machines);
+        sim_trace(sim, "%s: %u machines", record.name, record.nmachines);
         sim->ndrains++;
     }
-    json_decref(record.asked);
+    json_decref(record.request);
 }
 
 /* False: there is none any more. */
 static bool read_drain(const struct sim *sim, int number, struct bd_drain_record *record)
 {
     char key[BD_LABEL_BYTES];
-    snprintf(key, sizeof key, BD_DRAIN_KEY "drain-%d", number);
+    snprintf(key, sizeof key, BD_DRAIN_KEY_PREFIX "drain-%d", number);
     const struct table_key *entry = table_find(&sim->table, key);
     return entry && entry->value &&
-           bd_drain_record_decode(key + strlen(BD_DRAIN_KEY), entry->value, entry->revision,
+           bd_drain_record_decode(key + strlen(BD_DRAIN_KEY_PREFIX), entry->value, entry->revision,
                                   record);
 }
 
@@ -130,8 +130,8 @@
         if (!read_drain(sim, i, &record) || !goes_on(&record) || record.state == to)
             continue;
         record.state = to;
-        record.ended = to == BD_DRAIN_CANCELLED ? 1e6 + sim->now : 0;
-        snprintf(key, sizeof key, BD_DRAIN_KEY "%s", record.name);
+        record.ended_at_s = to == BD_DRAIN_CANCELLED ? 1e6 + sim->now : 0;
+        snprintf(key, sizeof key, BD_DRAIN_KEY_PREFIX "%s", record.name);
         write_record(sim, &record, key);
         sim_trace(sim, "%s is %s", record.name, bd_drain_state_name(to));
         return;
--- a/tests/sim_reader.c
+++ b/tests/sim_reader.c
@@ -25,7 +25,7 @@
     }
     if (sim->draining && node->core->role == BD_LEADER && sim->now > node->next_drains) {
         node->next_drains = sim->now + 1;
-        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_DRAINS, BD_DRAIN_KEY, NULL, 1.5);
+        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_DRAINS, BD_DRAIN_KEY_PREFIX, NULL, 1.5);
         return;
     }
     struct sim_call *refresh =
@@ -53,11 +53,12 @@
 {
     bool ignored, sets = call->purpose == SIM_FOR_DRAIN_SETS;
     json_t *pairs = status == 200 ? bd_wire_read_pairs(answer, &ignored) : NULL;
-    if (!sets && pairs && bd_drain_wants_sets(node->core)) {
+    if (!sets && pairs && bd_drain_needs_machine_records(node->core)) {
         json_decref(node->drains);
         node->drains = json_incref(pairs);
         node->is_reading = true;
-        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_DRAIN_SETS, BD_DRAIN_SET_KEY, NULL, 1.5);
+        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_DRAIN_SETS, BD_DRAIN_MACHINES_KEY_PREFIX,
+                            NULL, 1.5);
         return;
     }
     if (pairs)
