--- a/src/drain/drain.c
+++ b/src/drain/drain.c
@@ -1,4 +1,4 @@
-/* Creation of the leader's view of the drains, and the order of one tick. */
+/* Lifetime of the leader's view of the drains, and the order of one tick. */
 #include "drain/drain.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
@@ -8,7 +8,7 @@
 #include "model/disruption_ledger.h"
 #include <stdlib.h>
 
-#define TICK_S 0.5
+#define TICK_INTERVAL_S 0.5
 
 struct bd_drains *bd_drains_new(const struct bd_settings *settings)
 {
@@ -32,7 +32,7 @@
 {
     if (!core->drains)
         return;
-    core->drains->leadership_acquired = core->now;
+    core->drains->leadership_acquired_at = core->now;
     core->drains->stop_requests = 0;
     bd_ledger_leadership_acquired(core);
     bd_drains_clear(core->drains);
@@ -64,7 +64,7 @@
         bd_drain_advance_entry(core, iterator.drain, entry);
 }
 
-/* Whether the records show every machine in a final stage. */
+/* Whether every machine is in a final stage, and the store has recorded it. */
 static bool all_are_recorded_final(const struct bd_drain *drain)
 {
     for (uint32_t i = 0; i < drain->nmachines; i++) {
@@ -81,7 +81,7 @@
         if (!bd_drain_is_open(drain) || !all_are_recorded_final(drain))
             continue;
         drain->is_over = true;
-        bd_log_write(core->log, BD_LOG_INFO, "drain %s is done: %u machines, %.0f s",
+        bd_log_write(core->log, BD_LOG_INFO, "drain %s finished: %u machines in %.0f s",
                      drain->record.name, drain->nmachines,
                      core->wall - drain->record.requested_at_s);
     }
@@ -91,9 +91,9 @@
 {
     struct bd_drains *drains = core->drains;
     if (!drains || !bd_leadership_lease_valid(core) ||
-        bd_time_is_before(core->now, drains->next_tick))
+        bd_time_is_before(core->now, drains->next_tick_at))
         return;
-    drains->next_tick = bd_time_add(core->now, bd_secs(TICK_S));
+    drains->next_tick_at = bd_time_add(core->now, bd_secs(TICK_INTERVAL_S));
     bd_drain_update_owners(core);
     if (!any_is_open(drains))
         return;
--- a/src/drain/drain_internal.h
+++ b/src/drain/drain_internal.h
@@ -1,6 +1,6 @@
-/* What the files of the drain package share: the leader's view of the drains, and one group of
- * functions for each file. Owner thread only; nobody else includes it but the package's own test.
- */
+/* Internal declarations of the drain package: the leader's view of the drains, and one group of
+ * functions for each file. Owner thread only. Outside the package, only its test includes this
+ * header. */
 #ifndef BD_DRAIN_INTERNAL_H
 #define BD_DRAIN_INTERNAL_H
 #include "brambledoor/settings.h"
@@ -16,200 +16,204 @@
 
 /* ---- the leader's view ---- */
 
-/* Machines whose stages are in one record. */
+/* The range of a drain's machines that one record holds. */
 struct bd_drain_part {
-    uint32_t from, n; /* of the drain's machines */
-    bool is_dirty;    /* it is to be written; */
-    bool is_urgent;   /* a stage changed: at once. A change of a wait alone may be delayed */
-    bool in_flight;   /* the transaction in flight holds it */
-    struct timespec written;
+    uint32_t first_machine, nmachines;
+    bool is_dirty;  /* must be written */
+    bool is_urgent; /* must be written at once: a stage changed, not only a wait */
+    bool in_flight; /* in the transaction in flight */
+    struct timespec last_written_at;
 };
 
 struct bd_drain {
-    UT_hash_handle hh; /* by the record's name */
+    UT_hash_handle hh; /* key: record.name */
     struct bd_drain_record record;
     struct bd_drain_machine *machines;
     uint32_t nmachines;
     struct bd_drain_part *parts;
-    bool is_loaded;      /* its machines are known */
-    bool is_damaged;     /* its machines' records cannot be read: it is left alone */
-    bool is_listed;      /* in the newest listing of the records */
-    bool is_over;        /* all machines are final: its record is to become `done` */
-    bool done_in_flight; /* ... by the transaction in flight */
-    bool is_stale;       /* a newer record may exist: `done` is not written before a listing */
-    uint32_t
-        deleted; /* records that were deleted after record_retention_s: its parts, then its own */
-    uint32_t delete_in_flight; /* deletions in the transaction in flight */
+    bool is_loaded;      /* its machines' records were read */
+    bool is_damaged;     /* its machines' records are missing or malformed: the drain is ignored */
+    bool is_listed;      /* in the latest listing of the records */
+    bool is_over;        /* all machines are final: the state `done` must be written */
+    bool done_in_flight; /* the transaction in flight writes the state `done` */
+    bool is_stale; /* a newer record may exist: `done` is not written before the next listing */
+    /* Records deleted after record_retention_s: the parts first, then the drain's own record. */
+    uint32_t records_deleted;
+    uint32_t deletions_in_flight; /* in the transaction in flight */
 };
 
 struct bd_drains {
     const struct bd_drain_rules *rules;
-    struct bd_drain *drains;          /* hash by name, in the order of names */
-    struct bd_drain_machine **owners; /* by machine index: the entry that drives the machine */
+    struct bd_drain *drains;          /* hash table by name, sorted by name */
+    struct bd_drain_machine **owners; /* by machine index: the entry that controls the machine */
     uint32_t nowners;
     bool zones_conflict[BD_ZONES_MAX][BD_ZONES_MAX];
-    bool wants_sets; /* the machines' records are to be read */
-    struct timespec leadership_acquired, next_tick, next_summary;
-    struct timespec next_write; /* earliest, after a transaction that was not applied */
-    uint32_t stop_requests;     /* requests to machines to stop their tasks, in this term */
+    bool wants_machine_records; /* the next read must include the machines' records */
+    struct timespec leadership_acquired_at, next_tick_at, next_summary_at;
+    struct timespec next_write_at; /* no writes before it, after a rejected transaction */
+    uint32_t stop_requests; /* how often machines were requested to stop tasks in this term */
 };
 
-/* ---- entry.c: the machines of drains ---- */
+/* ---- entry.c: the machine entries of drains ---- */
 
-/* Visits the machines of all open drains that are not final, in the order of the drains' names. */
+/* Iterates over the entries of all open drains that are not final, in the order of the drains'
+ * names. */
 struct bd_drain_iterator {
-    struct bd_drain *drain; /* of the entry that was returned last */
+    struct bd_drain *drain; /* drain of the last returned entry */
     uint32_t next;
 };
 struct bd_drain_iterator bd_drain_entries(const struct bd_core *core);
-/* The next entry, or NULL. */
+/* Returns the next entry, or NULL at the end. */
 struct bd_drain_machine *bd_drain_next_entry(struct bd_drain_iterator *iterator);
 
-/* Whether the drain is under way: active or paused, with machines that are not final. */
+/* Whether the drain is in progress: active or paused, with entries that are not final. */
 bool bd_drain_is_open(const struct bd_drain *drain);
-/* Whether nothing happens to the machine any more. */
+/* Whether the entry has reached its last stage. */
 bool bd_drain_entry_is_final(const struct bd_drain_machine *entry);
-/* Whether no task of the machine has been stopped for a step so far. */
+/* Whether the machine is not in a step yet. */
 bool bd_drain_entry_awaits_step(const struct bd_drain_machine *entry);
 
-/* A stage, what it waits for, and whose budget. */
+/* A stage, the reason for waiting, and the team whose budget is waited for. */
 struct bd_entry_state {
     enum bd_drain_stage stage;
     enum bd_drain_wait wait;
-    const char *team; /* "": none */
+    const char *team; /* empty: none */
 };
-/* Changes the entry, marks its record to be written, and logs it; nothing if it is the same. */
+/* Changes the entry, marks its record dirty and logs the change. Does nothing if the state is
+ * unchanged. */
 void bd_drain_set_entry_state(struct bd_core *core, struct bd_drain *drain,
                               struct bd_drain_machine *entry, struct bd_entry_state state);
-/* The same for an entry that waits for a step. */
+/* Sets the stage to waiting, with the given reason. */
 void bd_drain_set_entry_waiting(struct bd_core *core, struct bd_drain *drain,
                                 struct bd_drain_machine *entry, enum bd_drain_wait wait,
                                 const char *team);
-/* The entry's record is to be written at once. */
+/* Requests that the entry's record be written at once. */
 void bd_drain_mark_entry_urgent(struct bd_drain *drain, const struct bd_drain_machine *entry);
-/* The machine if it is known in this term, or NULL. */
+/* Returns the machine, or NULL if it is not known in this term. */
 struct bd_machine *bd_drain_find_machine(const struct bd_core *core, const char *id);
 
 /* ---- machine_stage.c ---- */
 
-/* Moves the entry to its next stage if its machine has got there. */
+/* Moves the entry to its next stage if its machine has reached it. */
 void bd_drain_advance_entry(struct bd_core *core, struct bd_drain *drain,
                             struct bd_drain_machine *entry);
 
 /* ---- ownership.c ---- */
 
-/* Sets the machines' flags, and which entry drives which machine. */
+/* Recomputes the machines' drain flags, and which entry controls each machine. */
 void bd_drain_update_owners(struct bd_core *core);
-/* Copies the owners' stages to the other entries of the same machines. */
+/* Copies the controlling entries' states to the mirrors: other entries of the same machines. */
 void bd_drain_update_mirrors(struct bd_core *core);
-/* Clears the flags that drains set on machines. */
+/* Clears the drain flags of all machines. */
 void bd_drain_clear_machine_flags(struct bd_core *core);
-/* Whether another drain's entry drives the machine. */
+/* Whether another drain's entry controls the machine. */
 bool bd_drain_entry_is_mirror(const struct bd_core *core, const struct bd_drain_machine *entry);
 
 /* ---- replacement.c ---- */
 
-/* Requests replacements, and abandons those that did not come up. */
+/* Requests replacements, and abandons those that were lost or did not come up in time. */
 void bd_replacements_tick(struct bd_core *core);
 bool bd_replacement_is_up(const struct bd_core *core, const struct bd_drain_machine *entry);
-/* Whether the replacement runs tasks, or no task is left that it could run. */
+/* Whether the replacement runs a task, or no task is down that it could run. */
 bool bd_replacement_has_work(const struct bd_core *core, const struct bd_drain_machine *entry);
 
-/* ---- candidate.c: what emptying a machine takes ---- */
+/* ---- candidate.c: budgets that emptying a machine takes ---- */
 
-/* Tasks that a step would stop, by budget. */
+/* How many tasks of a budget a step would stop. */
 struct bd_budget_need {
     uint32_t budget, tasks;
-    uint32_t largest; /* number of tasks that can only stop together: a gang, or one task */
+    uint32_t largest_group; /* most tasks that stop together: a gang, or a single task */
 };
 
-#define BD_NEEDS_MAX 64 /* budgets that one machine's tasks draw on */
+#define BD_BUDGET_NEEDS_MAX 64 /* budgets of one machine's tasks */
 
-/* A machine that could be in the next step. */
+/* A machine that the next step may include. */
 struct bd_drain_candidate {
     struct bd_drain_machine *entry;
     struct bd_machine *machine;
     int zone;
-    struct bd_budget_need needs[BD_NEEDS_MAX];
+    struct bd_budget_need needs[BD_BUDGET_NEEDS_MAX];
     uint32_t nneeds, tasks;
-    struct bd_resources task_resources; /* the sum of its tasks' resources */
+    struct bd_resources task_resources; /* sum over its tasks */
 };
 
-/* Fills the candidate's needs. False: they are more than BD_NEEDS_MAX. */
+/* Computes the candidate's needs. False: there are more than BD_BUDGET_NEEDS_MAX. */
 bool bd_drain_candidate_fill(struct bd_core *core, struct bd_drain_candidate *candidate);
-/* Limits each need to what its budget ever allows, unless tasks that stop together exceed it: such
- * a machine is emptied bit by bit, and needs the whole budget to begin. */
+/* Caps each need at the size of its budget, unless a group of tasks that stop together exceeds it.
+ * A machine with a capped need is emptied gradually, and needs the whole budget to begin. */
 void bd_drain_candidate_limit_needs(const struct bd_core *core,
                                     struct bd_drain_candidate *candidate);
-/* Whether stopping the task takes something down. A task that is being launched may run already,
- * and counts like one that does. */
+/* Whether the task can be stopped: it may run, and no stop was requested. A task that is being
+ * launched counts, because it may run already. */
 bool bd_drain_can_stop_task(const struct bd_job *job, uint32_t task);
-/* How many tasks stop with this one: a gang stops as a whole, wherever its tasks are. */
-uint32_t bd_drain_count_stopped_with(struct bd_core *core, const struct bd_job *job, uint32_t task);
+/* How many tasks stop together with this one. A gang stops as a whole, on all its machines. */
+uint32_t bd_drain_stop_group_size(struct bd_core *core, const struct bd_job *job, uint32_t task);
 
 /* ---- free_capacity.c ---- */
 
-/* Free capacity by machine, of those that new tasks may be placed on. */
+/* Free capacity of each machine that new tasks may be placed on. */
 struct bd_bins {
     struct bd_bin {
         struct bd_machine *machine;
         struct bd_resources capacity;
     } * bins;
-    uint32_t n;
+    uint32_t nbins;
 };
 /* Allocates the bins; bd_bins_free releases them. */
 void bd_bins_fill(struct bd_core *core, struct bd_bins *bins);
 void bd_bins_free(struct bd_bins *bins);
-struct bd_resources bd_bins_total(const struct bd_bins *bins);
-/* Takes capacity for all of the candidate's tasks. False: one of them does not fit, and nothing is
- * taken. */
-bool bd_bins_take(struct bd_bins *bins, const struct bd_drain_candidate *candidate);
+struct bd_resources bd_bins_total_capacity(const struct bd_bins *bins);
+/* Reserves capacity for all of the candidate's tasks. False: a task does not fit, and nothing is
+ * reserved. */
+bool bd_bins_reserve(struct bd_bins *bins, const struct bd_drain_candidate *candidate);
 
-/* ---- greedy.c, solver.c: the choice of a step's machines ---- */
+/* ---- greedy.c, solver.c: choice of a step's machines ---- */
 
 #define BD_STEP_CANDIDATES_MAX 96u
 
-/* The candidates, and what limits the choice. */
+/* The candidates and the constraints of the choice. */
 struct bd_step_problem {
     const struct bd_drain_candidate *candidates;
     uint32_t ncandidates;
-    const uint32_t *budgets_remaining; /* by budget: tasks that may still go down */
+    const uint32_t *budgets_remaining; /* tasks that may still be stopped, by budget */
     uint32_t nbudgets;
     uint32_t max_machines;
-    struct bd_resources capacity; /* free, in sum */
+    struct bd_resources capacity; /* free capacity in total */
     const bool (*zones_conflict)[BD_ZONES_MAX];
-    bool zone_used[BD_ZONES_MAX]; /* a machine of the zone is in a step */
+    bool zone_used[BD_ZONES_MAX]; /* a machine of the zone is in the step */
 };
 
-/* What keeps the candidate out of the step; *budget is set with BD_DRAIN_WAIT_BUDGET. */
+/* The constraint that keeps the candidate out of the step, or BD_DRAIN_WAIT_NOTHING. With
+ * BD_DRAIN_WAIT_BUDGET, *budget is the index of the exhausted budget. */
 enum bd_drain_wait bd_step_wait_reason(const struct bd_step_problem *problem,
                                        const struct bd_drain_candidate *candidate,
                                        uint32_t *budget);
-/* Takes the candidate into the step: subtracts what it needs. `left` is the problem's. */
-void bd_step_add_candidate(struct bd_step_problem *problem, uint32_t *left,
+/* Adds the candidate to the step: subtracts its needs from the problem. `budgets_remaining` is the
+ * problem's array, here writable. */
+void bd_step_add_candidate(struct bd_step_problem *problem, uint32_t *budgets_remaining,
                            const struct bd_drain_candidate *candidate);
-/* Adds the numbers of the chosen candidates to an empty set. */
-void bd_step_choose_greedy(const struct bd_step_problem *given, roaring_bitmap_t *chosen);
-/* The same by an integer program. False: no solution within the solver's limits; the set may hold
- * anything. */
+/* Adds the indexes of the chosen candidates to an empty set. */
+void bd_step_choose_greedy(const struct bd_step_problem *initial, roaring_bitmap_t *chosen);
+/* Chooses by an integer program. False: no solution within the solver's limits; the contents of the
+ * set are undefined. */
 bool bd_step_choose_by_solver(const struct bd_step_problem *problem, roaring_bitmap_t *chosen);
 
 /* ---- step_plan.c, step_stop.c ---- */
 
-/* Chooses the machines of the next step, and sets for all others what they wait for. */
+/* Chooses the machines of the next step, and sets the wait reason of all others. */
 void bd_drain_plan_step(struct bd_core *core);
-/* Stops the tasks of machines whose step is on record, as far as the budgets still allow it. */
+/* Stops the tasks of machines whose step is recorded, as far as the budgets still allow it. */
 void bd_drain_execute_step(struct bd_core *core);
 
 /* ---- record_load.c, record_write.c ---- */
 
-/* Drops the leader's view; the records stay. */
+/* Discards the leader's view; the stored records stay. */
 void bd_drains_clear(struct bd_drains *drains);
 /* Whether the drain is done or cancelled. */
 bool bd_drain_record_has_ended(const struct bd_drain_record *record);
 
 /* ---- summary_log.c ---- */
 
-/* Logs the open drains and the budgets, once in a while. */
+/* Logs the open drains and the budgets periodically. */
 void bd_drain_log_summary(struct bd_core *core);
 #endif
--- a/src/drain/entry.c
+++ b/src/drain/entry.c
@@ -1,4 +1,4 @@
-/* The machines of drains: visiting them, and changing their stages. Part of the pure core. */
+/* Machine entries of drains: iteration, and changes of stage. Part of the pure core. */
 #include "brambledoor/log.h"
 #include "drain/drain_internal.h"
 #include "drain/drain_record.h"
@@ -29,7 +29,7 @@
     return machine;
 }
 
-/* ---- visiting ---- */
+/* ---- iteration ---- */
 
 struct bd_drain_iterator bd_drain_entries(const struct bd_core *core)
 {
@@ -51,15 +51,15 @@
     return NULL;
 }
 
-/* ---- changing ---- */
+/* ---- changes ---- */
 
-/* The record that holds the entry. */
+/* Returns the record part that holds the entry, or NULL. */
 static struct bd_drain_part *find_part(struct bd_drain *drain, const struct bd_drain_machine *entry)
 {
     uint32_t index = (uint32_t)(entry - drain->machines);
     for (uint32_t i = 0; i < drain->record.nparts; i++) {
         struct bd_drain_part *part = &drain->parts[i];
-        if (index >= part->from && index < part->from + part->n)
+        if (index >= part->first_machine && index < part->first_machine + part->nmachines)
             return part;
     }
     return NULL;
--- a/src/drain/free_capacity.c
+++ b/src/drain/free_capacity.c
@@ -1,5 +1,5 @@
-/* Free capacity on other machines for the tasks of a machine that is emptied: first-fit bin
- * packing, one bin per machine. Part of the pure core. */
+/* First-fit bin packing of a drained machine's tasks into the free capacity of other machines, one
+ * bin for each machine. Part of the pure core. */
 #include "drain/drain_internal.h"
 #include "model/core_state.h"
 #include "model/machine.h"
@@ -9,7 +9,7 @@
 
 void bd_bins_fill(struct bd_core *core, struct bd_bins *bins)
 {
-    bins->n = 0;
+    bins->nbins = 0;
     bins->bins = calloc(core->nmachines + 1, sizeof *bins->bins);
     if (!bins->bins)
         abort();
@@ -17,7 +17,7 @@
         struct bd_machine *machine = core->by_index[i];
         if (!bd_machine_is_usable(core, machine))
             continue;
-        bins->bins[bins->n++] = (struct bd_bin){machine, bd_machine_free(core, machine)};
+        bins->bins[bins->nbins++] = (struct bd_bin){machine, bd_machine_free(core, machine)};
     }
 }
 
@@ -25,13 +25,13 @@
 {
     free(bins->bins);
     bins->bins = NULL;
-    bins->n = 0;
+    bins->nbins = 0;
 }
 
-struct bd_resources bd_bins_total(const struct bd_bins *bins)
+struct bd_resources bd_bins_total_capacity(const struct bd_bins *bins)
 {
     struct bd_resources sum = {0, 0, 0};
-    for (uint32_t i = 0; i < bins->n; i++) {
+    for (uint32_t i = 0; i < bins->nbins; i++) {
         sum.cpus += bins->bins[i].capacity.cpus;
         sum.gpus += bins->bins[i].capacity.gpus;
         sum.mem += bins->bins[i].capacity.mem;
@@ -47,31 +47,32 @@
 
 static struct bd_bin *find_first_fit(struct bd_bins *bins, const struct bd_spec *spec)
 {
-    for (uint32_t i = 0; i < bins->n; i++)
+    for (uint32_t i = 0; i < bins->nbins; i++)
         if (task_fits(&bins->bins[i], spec))
             return &bins->bins[i];
     return NULL;
 }
 
-bool bd_bins_take(struct bd_bins *bins, const struct bd_drain_candidate *candidate)
+bool bd_bins_reserve(struct bd_bins *bins, const struct bd_drain_candidate *candidate)
 {
     const struct bd_machine *machine = candidate->machine;
-    struct bd_bin **taken = calloc(machine->nreservations + 1, sizeof(struct bd_bin *));
-    if (!taken)
+    struct bd_bin **assigned = calloc(machine->nreservations + 1, sizeof(struct bd_bin *));
+    if (!assigned)
         abort();
-    uint32_t n = 0;
-    for (; n < machine->nreservations; n++) {
-        const struct bd_spec *spec = &machine->reservations[n].job->spec;
-        taken[n] = find_first_fit(bins, spec);
-        if (!taken[n])
+    uint32_t nassigned = 0;
+    for (; nassigned < machine->nreservations; nassigned++) {
+        const struct bd_spec *spec = &machine->reservations[nassigned].job->spec;
+        assigned[nassigned] = find_first_fit(bins, spec);
+        if (!assigned[nassigned])
             break;
-        bd_resources_add(&taken[n]->capacity, spec, -1);
+        bd_resources_add(&assigned[nassigned]->capacity, spec, -1);
     }
-    bool all_fit = n == machine->nreservations;
-    while (!all_fit && n > 0) {
-        n--;
-        bd_resources_add(&taken[n]->capacity, &machine->reservations[n].job->spec, 1);
+    bool all_fit = nassigned == machine->nreservations;
+    while (!all_fit && nassigned > 0) {
+        nassigned--;
+        bd_resources_add(&assigned[nassigned]->capacity,
+                         &machine->reservations[nassigned].job->spec, 1);
     }
-    free(taken);
+    free(assigned);
     return all_fit;
 }
--- a/src/drain/greedy.c
+++ b/src/drain/greedy.c
@@ -1,5 +1,5 @@
-/* The greedy choice of a step's machines, those with the fewest tasks first, and what keeps a
- * candidate out of a step. Part of the pure core. */
+/* Greedy choice of a step's machines, those with the fewest tasks first, and the constraints of a
+ * step. Part of the pure core. */
 #include "brambledoor/settings.h"
 #include "drain/drain_internal.h"
 #include "drain/drain_record.h"
@@ -12,7 +12,9 @@
            need->mem <= capacity->mem;
 }
 
-static bool zone_is_blocked(const struct bd_step_problem *problem, int zone)
+/* Whether the step has a machine in a zone that conflicts with this one. A machine without a known
+ * zone (-1) conflicts with none. */
+static bool has_zone_conflict(const struct bd_step_problem *problem, int zone)
 {
     for (int other = 0; other < BD_ZONES_MAX && zone >= 0; other++)
         if (problem->zone_used[other] && problem->zones_conflict[zone][other])
@@ -30,18 +32,18 @@
     }
     if (problem->max_machines == 0)
         return BD_DRAIN_WAIT_STEP;
-    if (zone_is_blocked(problem, candidate->zone))
+    if (has_zone_conflict(problem, candidate->zone))
         return BD_DRAIN_WAIT_ZONE;
     if (!fits_into(&candidate->task_resources, &problem->capacity))
         return BD_DRAIN_WAIT_CAPACITY;
     return BD_DRAIN_WAIT_NOTHING;
 }
 
-void bd_step_add_candidate(struct bd_step_problem *problem, uint32_t *left,
+void bd_step_add_candidate(struct bd_step_problem *problem, uint32_t *budgets_remaining,
                            const struct bd_drain_candidate *candidate)
 {
     for (uint32_t i = 0; i < candidate->nneeds; i++)
-        left[candidate->needs[i].budget] -= candidate->needs[i].tasks;
+        budgets_remaining[candidate->needs[i].budget] -= candidate->needs[i].tasks;
     problem->max_machines--;
     if (candidate->zone >= 0)
         problem->zone_used[candidate->zone] = true;
@@ -51,7 +53,7 @@
 }
 
 struct sort_key {
-    uint32_t tasks, candidate;
+    uint32_t tasks, candidate_index;
 };
 
 static int compare_tasks(const void *x, const void *y)
@@ -59,28 +61,30 @@
     const struct sort_key *a = x, *b = y;
     if (a->tasks != b->tasks)
         return a->tasks < b->tasks ? -1 : 1;
-    return a->candidate < b->candidate ? -1 : a->candidate > b->candidate;
+    return a->candidate_index < b->candidate_index ? -1 : a->candidate_index > b->candidate_index;
 }
 
-void bd_step_choose_greedy(const struct bd_step_problem *given, roaring_bitmap_t *chosen)
+void bd_step_choose_greedy(const struct bd_step_problem *initial, roaring_bitmap_t *chosen)
 {
-    struct bd_step_problem problem = *given;
-    uint32_t *left = calloc(given->nbudgets + 1, sizeof *left), budget = 0;
-    struct sort_key *order = calloc(given->ncandidates + 1, sizeof *order);
-    if (!left || !order)
+    struct bd_step_problem problem = *initial;
+    uint32_t budget = 0;
+    uint32_t *budgets_remaining = calloc(initial->nbudgets + 1, sizeof *budgets_remaining);
+    struct sort_key *order = calloc(initial->ncandidates + 1, sizeof *order);
+    if (!budgets_remaining || !order)
         abort();
-    memcpy(left, given->budgets_remaining, given->nbudgets * sizeof *left);
-    problem.budgets_remaining = left;
-    for (uint32_t i = 0; i < given->ncandidates; i++)
-        order[i] = (struct sort_key){given->candidates[i].tasks, i};
-    qsort(order, given->ncandidates, sizeof *order, compare_tasks);
-    for (uint32_t i = 0; i < given->ncandidates && problem.max_machines > 0; i++) {
-        const struct bd_drain_candidate *candidate = &given->candidates[order[i].candidate];
+    memcpy(budgets_remaining, initial->budgets_remaining,
+           initial->nbudgets * sizeof *budgets_remaining);
+    problem.budgets_remaining = budgets_remaining;
+    for (uint32_t i = 0; i < initial->ncandidates; i++)
+        order[i] = (struct sort_key){initial->candidates[i].tasks, i};
+    qsort(order, initial->ncandidates, sizeof *order, compare_tasks);
+    for (uint32_t i = 0; i < initial->ncandidates && problem.max_machines > 0; i++) {
+        const struct bd_drain_candidate *candidate = &initial->candidates[order[i].candidate_index];
         if (bd_step_wait_reason(&problem, candidate, &budget) != BD_DRAIN_WAIT_NOTHING)
             continue;
-        bd_step_add_candidate(&problem, left, candidate);
-        roaring_bitmap_add(chosen, order[i].candidate);
+        bd_step_add_candidate(&problem, budgets_remaining, candidate);
+        roaring_bitmap_add(chosen, order[i].candidate_index);
     }
     free(order);
-    free(left);
+    free(budgets_remaining);
 }
--- a/src/drain/machine_stage.c
+++ b/src/drain/machine_stage.c
@@ -1,5 +1,5 @@
-/* How one machine of a drain goes from stage to stage, once its step has begun or if it needs
- * none. Part of the pure core. */
+/* Stage transitions of one machine: after its step has begun, or without a step if it has no tasks.
+ * Part of the pure core. */
 #include "base/timeutil.h"
 #include "drain/drain_internal.h"
 #include "drain/drain_record.h"
@@ -8,7 +8,7 @@
 #include "model/task.h"
 #include "model/task_state.h"
 
-/* An inventory may be as old as two of the cloud's delays, and this for the call. */
+/* Allowance for the inventory call, beside two of the cloud's list delays. */
 #define INVENTORY_CALL_S 1.0
 
 static void set_stage(struct bd_core *core, struct bd_drain *drain, struct bd_drain_machine *entry,
@@ -17,32 +17,33 @@
     bd_drain_set_entry_state(core, drain, entry, (struct bd_entry_state){stage, wait, ""});
 }
 
-/* Whether a machine that is not known must be gone: every machine that existed when the term began
- * has appeared in the cloud's inventory by now. */
+/* Whether an unknown machine no longer exists: by now the inventory has listed every machine that
+ * existed when the term began. */
 static bool inventory_is_complete(const struct bd_core *core)
 {
     double delay_s = 2 * bd_to_secs(core->settings->list_lag) + INVENTORY_CALL_S;
     return core->lead.inventory_read &&
-           bd_seconds_between(core->drains->leadership_acquired, core->now) > delay_s;
+           bd_seconds_between(core->drains->leadership_acquired_at, core->now) > delay_s;
 }
 
-static void set_gone(struct bd_core *core, struct bd_drain *drain, struct bd_drain_machine *entry)
+static void finish_gone_machine(struct bd_core *core, struct bd_drain *drain,
+                                struct bd_drain_machine *entry)
 {
     bool was_empty = entry->stage == BD_STAGE_EMPTY || entry->stage == BD_STAGE_REPLACED;
     set_stage(core, drain, entry, was_empty ? BD_STAGE_RETURNED : BD_STAGE_FAILED,
               BD_DRAIN_WAIT_NOTHING);
 }
 
-/* Stops by force the tasks that did not stop within the rules' time. */
-static void force_late_tasks(struct bd_core *core, const struct bd_drain_machine *entry,
-                             const struct bd_machine *machine)
+/* Forces the stop of tasks that did not stop within stop_timeout_s. */
+static void force_stop_overdue_tasks(struct bd_core *core, const struct bd_drain_machine *entry,
+                                     const struct bd_machine *machine)
 {
     if (bd_time_is_zero(entry->stop_requested_at) ||
         bd_seconds_between(entry->stop_requested_at, core->now) <
             core->drains->rules->stop_timeout_s)
         return;
     for (uint32_t i = machine->nreservations; i > 0; i--) {
-        if (i > machine->nreservations) /* the end of a gang has released several */
+        if (i > machine->nreservations) /* stopping a gang released several reservations */
             continue;
         struct bd_reservation reservation = machine->reservations[i - 1];
         uint8_t flags = reservation.job->tasks[reservation.task].flags;
@@ -55,18 +56,18 @@
                              struct bd_drain_machine *entry, const struct bd_machine *machine)
 {
     if (machine->nreservations > 0) {
-        force_late_tasks(core, entry, machine);
+        force_stop_overdue_tasks(core, entry, machine);
         return;
     }
-    bool is_replaced = drain->record.mode == BD_DRAIN_REPLACE;
+    bool needs_replacement = drain->record.mode == BD_DRAIN_REPLACE;
     set_stage(core, drain, entry, BD_STAGE_EMPTY,
-              is_replaced ? BD_DRAIN_WAIT_WORK : BD_DRAIN_WAIT_NOTHING);
+              needs_replacement ? BD_DRAIN_WAIT_WORK : BD_DRAIN_WAIT_NOTHING);
 }
 
 static void advance_empty(struct bd_core *core, struct bd_drain *drain,
                           struct bd_drain_machine *entry, const struct bd_machine *machine)
 {
-    if (machine->nreservations > 0) { /* a heartbeat showed a task that was not known */
+    if (machine->nreservations > 0) { /* a heartbeat reported an unknown task */
         set_stage(core, drain, entry, BD_STAGE_WAITING, BD_DRAIN_WAIT_STEP);
         return;
     }
@@ -80,7 +81,7 @@
         set_stage(core, drain, entry, BD_STAGE_EMPTY, BD_DRAIN_WAIT_REPLACEMENT);
 }
 
-/* A machine without tasks needs no step. */
+/* Empties a machine without tasks, which needs no step. */
 static void advance_idle(struct bd_core *core, struct bd_drain *drain,
                          struct bd_drain_machine *entry)
 {
@@ -97,7 +98,7 @@
 {
     const struct bd_machine *machine = entry->machine;
     if (machine ? machine->gone : inventory_is_complete(core)) {
-        set_gone(core, drain, entry);
+        finish_gone_machine(core, drain, entry);
         return;
     }
     if (!machine || !machine->fenced || bd_drain_entry_is_mirror(core, entry))
--- a/src/drain/ownership.c
+++ b/src/drain/ownership.c
@@ -1,5 +1,5 @@
-/* Which machines are cordoned, kept or scaled in for drains, and which drain drives a machine that
- * several name. Part of the pure core. */
+/* Which machines are cordoned, kept or scaled in for drains, and which drain controls a machine of
+ * several drains. Part of the pure core. */
 #include "drain/drain_internal.h"
 #include "drain/drain_record.h"
 #include "model/core_state.h"
@@ -22,7 +22,7 @@
     }
 }
 
-/* A machine is scaled in only after its last stage is on record. */
+/* A machine is scaled in only after the store has recorded its last stage before that. */
 static bool may_scale_in(const struct bd_drain *drain, const struct bd_drain_machine *entry)
 {
     enum bd_drain_stage last =
@@ -30,7 +30,7 @@
     return entry->stage == last && entry->recorded_stage == last;
 }
 
-static void keep_replacement(const struct bd_core *core, const struct bd_drain_machine *entry)
+static void mark_replacement_kept(const struct bd_core *core, const struct bd_drain_machine *entry)
 {
     struct bd_machine *replacement =
         *entry->replacement ? bd_drain_find_machine(core, entry->replacement) : NULL;
@@ -38,13 +38,13 @@
         replacement->kept_for_drain = true;
 }
 
-/* Cordons the entry's machine; the first entry that names it drives it. */
+/* Cordons the entry's machine. The first entry of a machine controls it. */
 static void claim_machine(struct bd_core *core, const struct bd_drain *drain,
                           struct bd_drain_machine *entry)
 {
-    if (!entry->machine) /* machines stay in memory as long as the term */
+    if (!entry->machine) /* the pointer is valid for the rest of the term */
         entry->machine = bd_drain_find_machine(core, entry->id);
-    keep_replacement(core, entry);
+    mark_replacement_kept(core, entry);
     struct bd_machine *machine = entry->machine;
     if (!machine || machine->gone || machine->cordoned)
         return;
--- a/src/drain/queries.c
+++ b/src/drain/queries.c
@@ -1,4 +1,4 @@
-/* Queries of other packages. Part of the pure core. */
+/* Queries by other packages. Part of the pure core. */
 #include "drain/drain.h"
 #include "drain/drain_internal.h"
 #include "drain/drain_record.h"
@@ -57,20 +57,20 @@
 }
 
 void bd_drain_visit_demand(struct bd_core *core,
-                           void (*want)(void *arg, const struct bd_spec *spec), void *arg)
+                           void (*visit)(void *arg, const struct bd_spec *spec), void *arg)
 {
     if (!core->drains)
         return;
-    uint32_t machines = 0;
+    uint32_t visited_machines = 0;
     struct bd_drain_iterator iterator = bd_drain_entries(core);
     const struct bd_drain_machine *entry;
     while ((entry = bd_drain_next_entry(&iterator))) {
         const struct bd_machine *machine = entry->machine;
         if (entry->wait != BD_DRAIN_WAIT_CAPACITY || !machine)
             continue;
-        if (machines++ == core->drains->rules->machines_in_step)
+        if (visited_machines++ == core->drains->rules->machines_in_step)
             return;
         for (uint32_t i = 0; i < machine->nreservations; i++)
-            want(arg, &machine->reservations[i].job->spec);
+            visit(arg, &machine->reservations[i].job->spec);
     }
 }
--- a/src/drain/record.c
+++ b/src/drain/record.c
@@ -1,15 +1,15 @@
-/* A drain's records in the key-value store. Part of the pure core. */
+/* Encoding of a drain's records in the key-value store. Part of the pure core. */
 #include "drain/drain_record.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#define VALUE_SHARE 0.9            /* of a value's bytes that a part may be counted to take */
-#define PART_BYTES 16u             /* of a part's value beside its machines */
-#define MACHINE_BYTES 56u          /* of a machine in it beside the names and the team */
-#define REPLACEMENT_EXTRA_BYTES 8u /* that a replacement's id may be longer than the others */
+#define VALUE_SHARE 0.9   /* share of a value's maximum size that a part is planned to fill */
+#define PART_BYTES 16u    /* of a part's value, without its machines */
+#define MACHINE_BYTES 56u /* of a machine, without its ids and its team */
+#define REPLACEMENT_EXTRA_BYTES 8u /* by which a replacement's id may exceed the longest id */
 
-/* The names as they are in records and on the wire. */
+/* Names in records and in API responses. */
 static const char *const stage_names[BD_STAGES] = {
     [BD_STAGE_CORDONED] = "cordoned", [BD_STAGE_WAITING] = "waiting",
     [BD_STAGE_STOPPING] = "stopping", [BD_STAGE_EMPTY] = "empty",
@@ -40,12 +40,12 @@
     [BD_DRAIN_REPLACE] = "replace",
 };
 
-#define NAMES(names) ((int)(sizeof(names) / sizeof *(names)))
+#define ARRAY_LENGTH(names) ((int)(sizeof(names) / sizeof *(names)))
 
-/* The name's index, or -1. */
-static int find_name(const char *const *names, int n, const char *name)
+/* Returns the index of the name, or -1. */
+static int find_name(const char *const *names, int nnames, const char *name)
 {
-    for (int i = 0; name && i < n; i++)
+    for (int i = 0; name && i < nnames; i++)
         if (strcmp(names[i], name) == 0)
             return i;
     return -1;
@@ -85,9 +85,9 @@
 {
     memset(out, 0, sizeof *out);
     const char *set = json_string_value(json_object_get(value, "set"));
-    int mode =
-        find_name(mode_names, NAMES(mode_names), json_string_value(json_object_get(value, "mode")));
-    int state = find_name(state_names, NAMES(state_names),
+    int mode = find_name(mode_names, ARRAY_LENGTH(mode_names),
+                         json_string_value(json_object_get(value, "mode")));
+    int state = find_name(state_names, ARRAY_LENGTH(state_names),
                           json_string_value(json_object_get(value, "state")));
     json_int_t parts = json_integer_value(json_object_get(value, "parts"));
     json_int_t machines = json_integer_value(json_object_get(value, "machines"));
@@ -108,8 +108,8 @@
     return out->request != NULL;
 }
 
-/* [id, stage, wait, since, team, replacement]; empty texts at the end are left out. */
-static json_t *entry_value(const struct bd_drain_machine *entry)
+/* Encodes [id, stage, wait, since, team, replacement]. Empty texts at the end are omitted. */
+static json_t *encode_entry(const struct bd_drain_machine *entry)
 {
     json_t *value = json_pack("[s,s,s,I]", entry->id, stage_names[entry->stage],
                               wait_names[entry->wait], (json_int_t)entry->state_since_s);
@@ -120,31 +120,31 @@
     return value;
 }
 
-json_t *bd_drain_part_encode(const struct bd_drain_machine *machines, uint32_t n)
+json_t *bd_drain_part_encode(const struct bd_drain_machine *machines, uint32_t nmachines)
 {
     json_t *list = json_array();
-    for (uint32_t i = 0; i < n; i++)
-        json_array_append_new(list, entry_value(&machines[i]));
+    for (uint32_t i = 0; i < nmachines; i++)
+        json_array_append_new(list, encode_entry(&machines[i]));
     return json_pack("{s:o}", "m", list);
 }
 
-/* Copies a text; a missing one (NULL) is empty. False: it is no text, or too long. */
-static bool copy_text(json_t *value, char *out, size_t cap)
+/* Copies a text; a missing one (NULL) becomes empty. False: not a text, or too long. */
+static bool copy_text(json_t *value, char *out, size_t capacity)
 {
     const char *text = json_string_value(value);
-    if (value && (!text || strlen(text) >= cap))
+    if (value && (!text || strlen(text) >= capacity))
         return false;
-    snprintf(out, cap, "%s", text ? text : "");
+    snprintf(out, capacity, "%s", text ? text : "");
     return true;
 }
 
-static bool read_entry(json_t *value, struct bd_drain_machine *entry)
+static bool decode_entry(json_t *value, struct bd_drain_machine *entry)
 {
     memset(entry, 0, sizeof *entry);
-    int stage =
-        find_name(stage_names, NAMES(stage_names), json_string_value(json_array_get(value, 1)));
-    int wait =
-        find_name(wait_names, NAMES(wait_names), json_string_value(json_array_get(value, 2)));
+    int stage = find_name(stage_names, ARRAY_LENGTH(stage_names),
+                          json_string_value(json_array_get(value, 1)));
+    int wait = find_name(wait_names, ARRAY_LENGTH(wait_names),
+                         json_string_value(json_array_get(value, 2)));
     if (stage < 0 || wait < 0 ||
         !copy_text(json_array_get(value, 0), entry->id, sizeof entry->id) || !*entry->id ||
         !copy_text(json_array_get(value, 4), entry->team, sizeof entry->team) ||
@@ -156,22 +156,22 @@
     return true;
 }
 
-bool bd_drain_part_decode(json_t *value, struct bd_drain_machine **machines, uint32_t *n)
+bool bd_drain_part_decode(json_t *value, struct bd_drain_machine **machines, uint32_t *nmachines)
 {
     json_t *list = json_object_get(value, "m"), *item;
     size_t i;
     if (!json_is_array(list))
         return false;
     struct bd_drain_machine *grown =
-        realloc(*machines, (*n + json_array_size(list) + 1) * sizeof *grown);
+        realloc(*machines, (*nmachines + json_array_size(list) + 1) * sizeof *grown);
     if (!grown)
         abort();
     *machines = grown;
     json_array_foreach(list, i, item)
     {
-        if (!read_entry(item, &grown[*n]))
+        if (!decode_entry(item, &grown[*nmachines]))
             return false;
-        ++*n;
+        ++*nmachines;
     }
     return true;
 }
@@ -189,7 +189,7 @@
     return bytes < (double)machine_bytes ? 0 : (uint32_t)(bytes / (double)machine_bytes);
 }
 
-void bd_drain_part_key(char *key, size_t cap, const char *set, uint32_t part)
+void bd_drain_part_key(char *key, size_t capacity, const char *machine_set_id, uint32_t part)
 {
-    snprintf(key, cap, BD_DRAIN_MACHINES_KEY_PREFIX "%s/%04u", set, part);
+    snprintf(key, capacity, BD_DRAIN_MACHINES_KEY_PREFIX "%s/%04u", machine_set_id, part);
 }
--- a/src/drain/record_load.c
+++ b/src/drain/record_load.c
@@ -1,6 +1,6 @@
-/* The drains' records as the leader reads them. Any controller may write a drain's state on
- * condition of its record's revision; what is known of the machines stays, since only the leader
- * writes those. Part of the pure core. */
+/* Reading of the drains' records by the leader. Any controller may change a drain's state, on
+ * condition of its record's revision. The loaded machines stay valid, because only the leader
+ * writes their records. Part of the pure core. */
 #include "brambledoor/log.h"
 #include "drain/drain.h"
 #include "drain/drain_internal.h"
@@ -49,14 +49,14 @@
         remove_drain(drains, drain);
     }
     drains->nowners = 0;
-    drains->wants_sets = true;
+    drains->wants_machine_records = true;
 }
 
 /* ---- reading ---- */
 
 bool bd_drain_needs_machine_records(const struct bd_core *core)
 {
-    return core->drains && core->drains->wants_sets;
+    return core->drains && core->drains->wants_machine_records;
 }
 
 bool bd_drain_record_has_ended(const struct bd_drain_record *record)
@@ -64,22 +64,22 @@
     return record->state == BD_DRAIN_DONE || record->state == BD_DRAIN_CANCELLED;
 }
 
-/* Applies one drain's record if it is newer than the known one. */
+/* Applies one drain's record if it is newer than the known revision. */
 static void apply_record(struct bd_core *core, const struct bd_change *change)
 {
     struct bd_drain_record record;
     struct bd_drain *drain = NULL;
     const char *name = change->key + strlen(BD_DRAIN_KEY_PREFIX);
     if (!bd_drain_record_decode(name, change->value, change->revision, &record)) {
-        bd_log_write(core->log, BD_LOG_ERROR, "record %s cannot be read: it is left alone",
-                     change->key);
+        bd_log_write(core->log, BD_LOG_ERROR, "drain record %s is malformed; ignored", change->key);
         return;
     }
     HASH_FIND_STR(core->drains->drains, name, drain);
     if (!drain)
         drain = add_drain(core->drains, &record);
     drain->is_listed = true;
-    drain->is_stale = false; /* an old listing costs no more than another refused transaction */
+    drain->is_stale =
+        false; /* if the listing is outdated, one more transaction is rejected at worst */
     if (record.revision <= drain->record.revision)
         return;
     drain->record.state = record.state;
@@ -87,19 +87,20 @@
     drain->record.revision = record.revision;
 }
 
-/* Adds the part that holds the machines from number `from` on. */
-static void add_part(struct bd_drain *drain, uint32_t number, uint32_t from)
+/* Adds a part that holds the machines from index `first_machine` on. */
+static void add_part(struct bd_drain *drain, uint32_t number, uint32_t first_machine)
 {
     struct bd_drain_part *grown = realloc(drain->parts, (number + 1) * sizeof *grown);
     if (!grown)
         abort();
     drain->parts = grown;
-    grown[number] = (struct bd_drain_part){.from = from, .n = drain->nmachines - from};
+    grown[number] = (struct bd_drain_part){.first_machine = first_machine,
+                                           .nmachines = drain->nmachines - first_machine};
 }
 
-/* Reads the drain's parts from the records of all sets, which are in the order of keys. Returns
- * how many were read before one that is missing or damaged. */
-static uint32_t read_parts(struct bd_drain *drain, json_t *sets)
+/* Reads the drain's parts from the machines' records of all drains, which are sorted by key.
+ * Returns how many were read before the first one that is missing or malformed. */
+static uint32_t read_parts(struct bd_drain *drain, json_t *machine_records)
 {
     char key[BD_LABEL_BYTES];
     struct bd_change change;
@@ -107,28 +108,28 @@
     size_t i;
     uint32_t part = 0;
     bd_drain_part_key(key, sizeof key, drain->record.machine_set_id, part);
-    json_array_foreach(sets, i, pair)
+    json_array_foreach(machine_records, i, pair)
     {
         if (part == drain->record.nparts || !bd_wire_read_change(pair, &change) ||
             strcmp(change.key, key) != 0)
             continue;
-        uint32_t from = drain->nmachines;
+        uint32_t first_machine = drain->nmachines;
         if (!bd_drain_part_decode(change.value, &drain->machines, &drain->nmachines))
             break;
-        add_part(drain, part, from);
+        add_part(drain, part, first_machine);
         bd_drain_part_key(key, sizeof key, drain->record.machine_set_id, ++part);
     }
     return part;
 }
 
-static void load_machines(struct bd_core *core, struct bd_drain *drain, json_t *sets)
+static void load_machines(struct bd_core *core, struct bd_drain *drain, json_t *machine_records)
 {
-    uint32_t parts = read_parts(drain, sets);
+    uint32_t parts = read_parts(drain, machine_records);
     drain->is_loaded = parts == drain->record.nparts && drain->nmachines > 0;
     drain->is_damaged = !drain->is_loaded;
     if (drain->is_damaged)
         bd_log_write(core->log, BD_LOG_ERROR,
-                     "drain %s: its machines cannot be read: it is left alone", drain->record.name);
+                     "drain %s: machine records missing or malformed; ignored", drain->record.name);
     else
         bd_log_write(core->log, BD_LOG_INFO, "drain %s: %u machines to %s, %s", drain->record.name,
                      drain->nmachines, bd_drain_mode_name(drain->record.mode),
@@ -150,23 +151,23 @@
     }
 }
 
-void bd_drain_apply_records(struct bd_core *core, json_t *records, json_t *sets)
+void bd_drain_apply_records(struct bd_core *core, json_t *records, json_t *machine_records)
 {
     struct bd_drains *drains = core->drains;
     struct bd_drain *drain, *next;
     if (!drains || core->role != BD_LEADER)
         return;
     apply_records(core, records);
-    drains->wants_sets = false;
+    drains->wants_machine_records = false;
     HASH_ITER(hh, drains->drains, drain, next)
     {
         bool needs_machines =
             !drain->is_loaded && !drain->is_damaged && !bd_drain_record_has_ended(&drain->record);
-        if (!drain->is_listed && !drain->done_in_flight && drain->delete_in_flight == 0)
+        if (!drain->is_listed && !drain->done_in_flight && drain->deletions_in_flight == 0)
             remove_drain(drains, drain);
-        else if (needs_machines && sets)
-            load_machines(core, drain, sets);
+        else if (needs_machines && machine_records)
+            load_machines(core, drain, machine_records);
         else if (needs_machines)
-            drains->wants_sets = true;
+            drains->wants_machine_records = true;
     }
 }
--- a/src/drain/record_write.c
+++ b/src/drain/record_write.c
@@ -1,5 +1,5 @@
-/* The drains' records as the leader writes them, with its transactions: those are conditional on
- * its term and commit sequence. Part of the pure core. */
+/* Writing of the drains' records in the leader's transactions, which are conditional on its term
+ * and commit sequence. Part of the pure core. */
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "drain/drain.h"
@@ -11,39 +11,42 @@
 #include <stdio.h>
 #include <string.h>
 
-/* After a transaction that was not applied the next ones contain no writes of drains for a while,
- * so that these cannot block the leader's own. */
-#define REFUSED_DELAY_S 1.0
-#define WAITS_INTERVAL_S 2.0 /* between writes of a part in which only waits have changed */
+/* After a transaction is rejected, the leader's transactions contain no drain records for this
+ * time, so that these cannot block its other writes. */
+#define REJECTED_TXN_DELAY_S 1.0
+#define WAIT_WRITE_INTERVAL_S                                                                      \
+    2.0 /* between writes of a part in which only wait reasons changed                             \
+         */
 
 /* ---- due writes ---- */
 
 static bool part_is_due(const struct bd_core *core, const struct bd_drain_part *part)
 {
     return part->is_dirty && !part->in_flight &&
-           (part->is_urgent || bd_seconds_between(part->written, core->now) > WAITS_INTERVAL_S);
+           (part->is_urgent ||
+            bd_seconds_between(part->last_written_at, core->now) > WAIT_WRITE_INTERVAL_S);
 }
 
-/* False: the limit on values has been lowered below the part's size. It is tried again later: a
- * transaction that held it would be rejected, with all that the leader starts by it. */
+/* False: the part exceeds the maximum size of a value, which has been lowered. The write is retried
+ * later. In a transaction it would cause the rejection of all the leader's writes in it. */
 static bool write_part(struct bd_core *core, struct bd_drain *drain, uint32_t number,
                        struct bd_drain_write *out)
 {
     struct bd_drain_part *part = &drain->parts[number];
-    struct bd_drain_machine *machines = drain->machines + part->from;
-    out->value = bd_drain_part_encode(machines, part->n);
+    struct bd_drain_machine *machines = drain->machines + part->first_machine;
+    out->value = bd_drain_part_encode(machines, part->nmachines);
     out->bytes = bd_wire_value_bytes(out->value);
-    part->written = core->now;
+    part->last_written_at = core->now;
     if (out->bytes > core->kv_limits.kv_value_bytes_max) {
         bd_log_write(core->log, BD_LOG_ERROR,
-                     "drain %s: a record of %zu bytes is larger than a value may be",
+                     "drain %s: record of %zu bytes exceeds the value size limit; retried later",
                      drain->record.name, out->bytes);
         json_decref(out->value);
         memset(out, 0, sizeof *out);
         part->is_urgent = false;
         return false;
     }
-    for (uint32_t i = 0; i < part->n; i++)
+    for (uint32_t i = 0; i < part->nmachines; i++)
         machines[i].in_flight_stage = machines[i].stage;
     bd_drain_part_key(out->key, sizeof out->key, drain->record.machine_set_id, number);
     part->in_flight = true;
@@ -71,21 +74,23 @@
     return true;
 }
 
-/* The records of a drain that ended long ago are deleted one by one, its own last. */
+/* Deletes the records of a drain that ended record_retention_s ago, one by one, its own last. */
 static bool write_deletion(struct bd_core *core, struct bd_drain *drain, struct bd_drain_write *out)
 {
-    if (drain->delete_in_flight > 0 || drain->deleted > drain->record.nparts ||
+    if (drain->deletions_in_flight > 0 || drain->records_deleted > drain->record.nparts ||
         core->wall - drain->record.ended_at_s < core->drains->rules->record_retention_s)
         return false;
-    if (drain->deleted < drain->record.nparts)
-        bd_drain_part_key(out->key, sizeof out->key, drain->record.machine_set_id, drain->deleted);
+    if (drain->records_deleted < drain->record.nparts)
+        bd_drain_part_key(out->key, sizeof out->key, drain->record.machine_set_id,
+                          drain->records_deleted);
     else
         format_record_key(drain, out);
-    drain->delete_in_flight = 1;
+    drain->deletions_in_flight = 1;
     return true;
 }
 
-static bool next_write_of(struct bd_core *core, struct bd_drain *drain, struct bd_drain_write *out)
+static bool next_drain_write(struct bd_core *core, struct bd_drain *drain,
+                             struct bd_drain_write *out)
 {
     if (bd_drain_record_has_ended(&drain->record))
         return write_deletion(core, drain, out);
@@ -98,15 +103,15 @@
 bool bd_drain_next_write(struct bd_core *core, struct bd_drain_write *out)
 {
     memset(out, 0, sizeof *out);
-    if (!core->drains || bd_time_is_before(core->now, core->drains->next_write))
+    if (!core->drains || bd_time_is_before(core->now, core->drains->next_write_at))
         return false;
     for (struct bd_drain *drain = core->drains->drains; drain; drain = drain->hh.next)
-        if (next_write_of(core, drain, out))
+        if (next_drain_write(core, drain, out))
             return true;
     return false;
 }
 
-/* ---- outcome ---- */
+/* ---- outcome of the transaction ---- */
 
 static void complete_part(struct bd_drain *drain, struct bd_drain_part *part, bool applied)
 {
@@ -115,7 +120,7 @@
         part->is_dirty = part->is_urgent = true;
         return;
     }
-    for (uint32_t i = part->from; i < part->from + part->n; i++)
+    for (uint32_t i = part->first_machine; i < part->first_machine + part->nmachines; i++)
         drain->machines[i].recorded_stage = drain->machines[i].in_flight_stage;
 }
 
@@ -138,8 +143,8 @@
     if (drain->done_in_flight)
         complete_done(core, drain, applied);
     if (applied)
-        drain->deleted += drain->delete_in_flight;
-    drain->delete_in_flight = 0;
+        drain->records_deleted += drain->deletions_in_flight;
+    drain->deletions_in_flight = 0;
 }
 
 void bd_drain_txn_completed(struct bd_core *core, bool applied)
@@ -151,5 +156,5 @@
     if (applied)
         bd_drain_execute_step(core);
     else
-        core->drains->next_write = bd_time_add(core->now, bd_secs(REFUSED_DELAY_S));
+        core->drains->next_write_at = bd_time_add(core->now, bd_secs(REJECTED_TXN_DELAY_S));
 }
--- a/src/drain/replacement.c
+++ b/src/drain/replacement.c
@@ -1,5 +1,5 @@
-/* New machines in place of old ones: of the same type, in the same zone, or in others if none
- * comes. Part of the pure core. */
+/* Provisioning of replacement machines: of the same type and in the same zone, or in another zone
+ * if none can be provisioned there. Part of the pure core. */
 #include "autoscaling/autoscaling.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
@@ -15,15 +15,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define REQUESTS_MAX 16u        /* provisioning requests of one tick, each to another pool */
-#define REQUEST_MACHINES_MAX 50 /* of one provisioning request */
+#define REQUESTS_MAX 16u        /* provisioning requests in a tick, each to a different pool */
+#define REQUEST_MACHINES_MAX 50 /* machines in a provisioning request */
 
 struct pool {
     int type, zone;
     bool spot;
 };
 
-/* A provisioning request, and the entries that it is for. */
+/* A provisioning request, and the entries whose replacements it provisions. */
 struct request {
     struct pool pool;
     struct bd_drain_machine *entries[REQUEST_MACHINES_MAX];
@@ -31,13 +31,13 @@
 };
 
 struct request_list {
-    struct request *requests; /* REQUESTS_MAX */
-    uint32_t n;
+    struct request *requests; /* capacity: REQUESTS_MAX */
+    uint32_t nrequests;
 };
 
 /* ---- whether a replacement is up ---- */
 
-/* NULL: there is no replacement, or it is not known in this term so far. */
+/* NULL: the entry has no replacement, or it is not known yet in this term. */
 static struct bd_machine *find_replacement(const struct bd_core *core,
                                            const struct bd_drain_machine *entry)
 {
@@ -50,7 +50,7 @@
     return machine && bd_machine_is_usable(core, machine);
 }
 
-static bool nothing_is_down(const struct bd_ledger *ledger)
+static bool no_task_is_down(const struct bd_ledger *ledger)
 {
     for (uint32_t i = 0; i < ledger->nbudgets; i++)
         if (ledger->budgets[i].down > 0)
@@ -68,15 +68,15 @@
         if (bd_ledger_is_up(core->ledger, reservation->job, reservation->task))
             return true;
     }
-    return nothing_is_down(core->ledger);
+    return no_task_is_down(core->ledger);
 }
 
-/* ---- replacements that did not come up ---- */
+/* ---- abandoned replacements ---- */
 
 static void abandon_replacement(const struct bd_core *core, const struct bd_drain *drain,
                                 struct bd_drain_machine *entry)
 {
-    bd_log_write(core->log, BD_LOG_INFO, "drain %s: replacement %s of %s is given up",
+    bd_log_write(core->log, BD_LOG_INFO, "drain %s: replacement %s of %s abandoned",
                  drain->record.name, entry->replacement, entry->id);
     entry->replacement[0] = '\0';
     entry->failed_replacements++;
@@ -84,7 +84,7 @@
 
 static bool replacement_is_lost(const struct bd_machine *machine)
 {
-    /* another drain may name the replacement itself */
+    /* a cordoned replacement is itself in another drain */
     return machine && (machine->gone || machine->failed || machine->quarantined ||
                        machine->scaling_in || machine->cordoned);
 }
@@ -94,7 +94,7 @@
 {
     if (!*entry->replacement)
         return;
-    if (bd_time_is_zero(entry->replacement_requested_at)) /* an earlier leader requested it */
+    if (bd_time_is_zero(entry->replacement_requested_at)) /* requested by an earlier leader */
         entry->replacement_requested_at = core->now;
     const struct bd_machine *machine = find_replacement(core, entry);
     double waited_s = bd_seconds_between(entry->replacement_requested_at, core->now);
@@ -106,7 +106,7 @@
 
 /* ---- requests ---- */
 
-/* Whether the entry's machine is to have a replacement that it does not make use of yet. */
+/* Whether the entry's machine needs a replacement that has not taken over yet. */
 static bool wants_replacement(const struct bd_core *core, const struct bd_drain *drain,
                               const struct bd_drain_machine *entry)
 {
@@ -114,7 +114,7 @@
            entry->stage != BD_STAGE_REPLACED && !bd_drain_entry_is_mirror(core, entry);
 }
 
-/* Replacements that are requested, or have not taken their machine's place. */
+/* Counts the replacements that are requested or provisioned but have not taken over yet. */
 static uint32_t count_pending(const struct bd_core *core)
 {
     uint32_t pending = 0;
@@ -128,13 +128,14 @@
 
 static bool may_request_from(struct bd_core *core, const struct pool *pool)
 {
-    const struct bd_pool *known = bd_pool_of(core, pool->type, pool->zone, pool->spot);
-    return core->types[pool->type].zones >> pool->zone & 1 && !known->asked &&
-           !bd_time_is_before(core->now, known->refuse_until);
+    const struct bd_pool *pool_state = bd_pool_of(core, pool->type, pool->zone, pool->spot);
+    return core->types[pool->type].zones >> pool->zone & 1 && !pool_state->asked &&
+           !bd_time_is_before(core->now, pool_state->refuse_until);
 }
 
-/* The pool to request from: the machine's own, then other zones, then on-demand machines in place
- * of a spot machine. Each replacement that failed moves the start by one. */
+/* Chooses the pool to request from: the machine's own, then the other zones', and for a spot
+ * machine then the on-demand pools. Each failed replacement moves the start of the search by one.
+ * False: no pool accepts requests now. */
 static bool choose_pool(struct bd_core *core, const struct bd_drain_machine *entry,
                         struct pool *out)
 {
@@ -151,24 +152,24 @@
     return false;
 }
 
-/* The list's request to the pool, which is new if there is none; NULL: the list is full. */
+/* Returns the list's request to the pool, or adds one. NULL: the list is full. */
 static struct request *get_request(struct request_list *list, const struct pool *pool)
 {
-    for (uint32_t i = 0; i < list->n; i++) {
+    for (uint32_t i = 0; i < list->nrequests; i++) {
         struct request *request = &list->requests[i];
         if (request->pool.type == pool->type && request->pool.zone == pool->zone &&
             request->pool.spot == pool->spot)
             return request;
     }
-    if (list->n == REQUESTS_MAX)
+    if (list->nrequests == REQUESTS_MAX)
         return NULL;
-    struct request *request = &list->requests[list->n++];
+    struct request *request = &list->requests[list->nrequests++];
     request->pool = *pool;
     request->count = 0;
     return request;
 }
 
-/* False: the entry needs no request, or none can be made for it now. */
+/* False: the entry needs no request, or no request is possible now. */
 static bool add_to_request(struct bd_core *core, struct request_list *list,
                            struct bd_drain_machine *entry)
 {
@@ -198,7 +199,7 @@
 
 void bd_replacements_tick(struct bd_core *core)
 {
-    uint32_t pending = count_pending(core), max = core->drains->rules->machines_in_step;
+    uint32_t pending = count_pending(core), max_pending = core->drains->rules->machines_in_step;
     struct request_list list = {.requests = calloc(REQUESTS_MAX, sizeof *list.requests)};
     if (!list.requests)
         abort();
@@ -208,10 +209,10 @@
         if (!wants_replacement(core, iterator.drain, entry))
             continue;
         check_replacement(core, iterator.drain, entry);
-        if (pending < max && core->lead.inventory_read)
+        if (pending < max_pending && core->lead.inventory_read)
             pending += add_to_request(core, &list, entry);
     }
-    for (uint32_t i = 0; i < list.n; i++)
+    for (uint32_t i = 0; i < list.nrequests; i++)
         send_request(core, &list.requests[i]);
     free(list.requests);
 }
@@ -222,26 +223,26 @@
                             struct bd_drain_machine *entry, const char *id)
 {
     snprintf(entry->replacement, sizeof entry->replacement, "%s", id);
-    bd_log_write(core->log, BD_LOG_INFO, "drain %s: %s is to replace %s", drain->record.name, id,
+    bd_log_write(core->log, BD_LOG_INFO, "drain %s: %s will replace %s", drain->record.name, id,
                  entry->id);
     bd_drain_mark_entry_urgent(drain, entry);
 }
 
 void bd_drain_provisioning_completed(struct bd_core *core, const char *request,
-                                     char (*names)[BD_LABEL_BYTES], int n)
+                                     char (*machine_ids)[BD_LABEL_BYTES], int nmachines)
 {
-    int used = 0;
+    int assigned = 0;
     if (!core->drains)
         return;
-    /* also for drains that were cancelled meanwhile */
+    /* drains that were cancelled meanwhile are included */
     for (struct bd_drain *drain = core->drains->drains; drain; drain = drain->hh.next) {
         for (uint32_t i = 0; drain->is_loaded && i < drain->nmachines; i++) {
             struct bd_drain_machine *entry = &drain->machines[i];
             if (strcmp(entry->provisioning_request, request) != 0)
                 continue;
             entry->provisioning_request[0] = '\0';
-            if (used < n)
-                set_replacement(core, drain, entry, names[used++]);
+            if (assigned < nmachines)
+                set_replacement(core, drain, entry, machine_ids[assigned++]);
             else
                 entry->failed_replacements++;
         }
--- a/src/drain/request.c
+++ b/src/drain/request.c
@@ -1,5 +1,5 @@
-/* An administrator's request for a drain: its fields, and which machines it means. Part of the pure
- * core. */
+/* Validation of an administrator's request for a drain, and resolution of its machines. Part of the
+ * pure core. */
 #include "brambledoor/settings.h"
 #include "drain/drain_record.h"
 #include "drain/drain_request.h"
@@ -9,18 +9,20 @@
 #include <stdlib.h>
 #include <string.h>
 
-enum { STATUS_MALFORMED = 400, STATUS_UNKNOWN = 404 };
+/* HTTP statuses */
+enum { STATUS_BAD_REQUEST = 400, STATUS_NOT_FOUND = 404 };
 
-/* Fills the refusal; returns false, for the caller to return. */
-static bool refuse(struct bd_drain_refusal *refusal, int status, const char *field, const char *why)
+/* Fills the refusal. Returns false, so that callers can return the result. */
+static bool refuse(struct bd_drain_refusal *refusal, int status, const char *field,
+                   const char *reason)
 {
     refusal->status = status;
     snprintf(refusal->field, sizeof refusal->field, "%s", field);
-    snprintf(refusal->reason, sizeof refusal->reason, "%s", why);
+    snprintf(refusal->reason, sizeof refusal->reason, "%s", reason);
     return false;
 }
 
-/* A name becomes part of keys and paths. */
+/* The name becomes part of keys and URL paths. */
 static bool is_valid_name(const char *name)
 {
     size_t length =
@@ -39,14 +41,14 @@
         *out = modes[i];
         return true;
     }
-    return refuse(refusal, STATUS_MALFORMED, "mode", "is retire or replace");
+    return refuse(refusal, STATUS_BAD_REQUEST, "mode", "is retire or replace");
 }
 
 static bool read_all(json_t *object, bool *out, struct bd_drain_refusal *refusal)
 {
     json_t *value = json_object_get(object, "all");
     if (value && !json_is_boolean(value))
-        return refuse(refusal, STATUS_MALFORMED, "all", "is true or false");
+        return refuse(refusal, STATUS_BAD_REQUEST, "all", "is true or false");
     *out = json_is_true(value);
     return true;
 }
@@ -61,12 +63,12 @@
     if (!value || json_is_null(value))
         return true;
     if (!text || !*text || strlen(text) >= BD_NAME_BYTES)
-        return refuse(refusal, STATUS_MALFORMED, key, "needs a short text");
+        return refuse(refusal, STATUS_BAD_REQUEST, key, "needs a short text");
     strcpy(out, text);
     return true;
 }
 
-/* Reads the list of ids, which may be missing or null. */
+/* Reads the list of machine ids, which may be missing or null. */
 static bool read_machine_list(json_t *object, json_t **out, struct bd_drain_refusal *refusal)
 {
     json_t *list = json_object_get(object, "machines"), *item;
@@ -75,18 +77,18 @@
     if (!list || json_is_null(list))
         return true;
     if (!json_is_array(list))
-        return refuse(refusal, STATUS_MALFORMED, "machines", "needs a list of ids");
+        return refuse(refusal, STATUS_BAD_REQUEST, "machines", "needs a list of ids");
     json_array_foreach(list, i, item)
     {
         const char *id = json_string_value(item);
         if (!id || !*id || strlen(id) >= BD_LABEL_BYTES)
-            return refuse(refusal, STATUS_MALFORMED, "machines", "needs a list of ids");
+            return refuse(refusal, STATUS_BAD_REQUEST, "machines", "needs a list of ids");
     }
     *out = list;
     return true;
 }
 
-/* The machines must be named in exactly one way, or be all. */
+/* Requires exactly one way of selecting machines, or `all`. */
 static bool check_selectors(const struct bd_drain_request *request,
                             struct bd_drain_refusal *refusal)
 {
@@ -94,10 +96,10 @@
     bool has_selection = *request->selection != '\0';
     int selectors = (request->machines != NULL) + has_selection + has_filter;
     if (selectors > 1)
-        return refuse(refusal, STATUS_MALFORMED, "machines",
+        return refuse(refusal, STATUS_BAD_REQUEST, "machines",
                       "name machines, or a selection, or a type and zone: one of them");
     if (selectors == 0 && !request->all)
-        return refuse(refusal, STATUS_MALFORMED, "machines",
+        return refuse(refusal, STATUS_BAD_REQUEST, "machines",
                       "name machines, a selection, a type or a zone, or say all");
     return true;
 }
@@ -119,7 +121,7 @@
     json_object_foreach(object, key, value)
     {
         if (!is_known_field(key))
-            return refuse(refusal, STATUS_MALFORMED, key, "unknown field");
+            return refuse(refusal, STATUS_BAD_REQUEST, key, "unknown field");
     }
     return true;
 }
@@ -129,10 +131,10 @@
 {
     memset(out, 0, sizeof *out);
     if (!json_is_object(object))
-        return refuse(refusal, STATUS_MALFORMED, "body", "needs a JSON object");
+        return refuse(refusal, STATUS_BAD_REQUEST, "body", "needs a JSON object");
     const char *name = json_string_value(json_object_get(object, "name"));
     if (!is_valid_name(name))
-        return refuse(refusal, STATUS_MALFORMED, "name",
+        return refuse(refusal, STATUS_BAD_REQUEST, "name",
                       "needs up to 40 letters, digits, dots, dashes and underscores");
     snprintf(out->name, sizeof out->name, "%s", name);
     return read_mode(object, &out->mode, refusal) && read_all(object, &out->all, refusal) &&
@@ -143,7 +145,7 @@
            read_machine_list(object, &out->machines, refusal) && check_selectors(out, refusal);
 }
 
-/* ---- which machines ---- */
+/* ---- resolution of the machines ---- */
 
 static const struct bd_machine_selection *find_selection(const struct bd_drain_rules *rules,
                                                          const char *label)
@@ -159,7 +161,7 @@
     return strcmp(*(const char *const *)x, *(const char *const *)y);
 }
 
-/* The ids of the machines, sorted; the caller frees the array, and the ids are borrowed. */
+/* Returns the machines' ids, sorted. The caller frees the array; the ids are borrowed. */
 static const char **sorted_ids(const struct bd_cloud_machine *listed, size_t n)
 {
     const char **ids = calloc(n + 1, sizeof *ids);
@@ -171,10 +173,10 @@
     return ids;
 }
 
-/* The machines that the request lists, or NULL with the refusal. */
-static json_t *find_listed_machines(const struct bd_drain_request *request,
-                                    const struct bd_cloud_machine *listed, size_t n,
-                                    struct bd_drain_refusal *refusal)
+/* Resolves the request's list of ids. NULL with the refusal: an id is unknown or a duplicate. */
+static json_t *resolve_listed_machines(const struct bd_drain_request *request,
+                                       const struct bd_cloud_machine *listed, size_t n,
+                                       struct bd_drain_refusal *refusal)
 {
     const char **ids = sorted_ids(listed, n);
     json_t *item, *found = json_array(), *seen = json_object();
@@ -183,9 +185,9 @@
     {
         const char *id = json_string_value(item);
         if (!bsearch(&id, ids, n, sizeof *ids, compare_ids))
-            (void)refuse(refusal, STATUS_UNKNOWN, id, "no such machine");
+            (void)refuse(refusal, STATUS_NOT_FOUND, id, "no such machine");
         else if (json_object_get(seen, id))
-            (void)refuse(refusal, STATUS_MALFORMED, "machines", "names a machine twice");
+            (void)refuse(refusal, STATUS_BAD_REQUEST, "machines", "names a machine twice");
         json_object_set_new(seen, id, json_true());
         json_array_append(found, item);
     }
@@ -197,7 +199,7 @@
     return NULL;
 }
 
-/* The machines of a type and zone; an empty one matches all. */
+/* Finds the machines of a type and zone; an empty type or zone matches all. */
 static json_t *find_matching_machines(const char *type, const char *zone,
                                       const struct bd_cloud_machine *listed, size_t n)
 {
@@ -219,18 +221,18 @@
     if (*request->selection) {
         const struct bd_machine_selection *selection = find_selection(rules, request->selection);
         if (!selection) {
-            (void)refuse(refusal, STATUS_UNKNOWN, "selection", "no such selection");
+            (void)refuse(refusal, STATUS_NOT_FOUND, "selection", "no such selection");
             return NULL;
         }
         type = selection->type;
         zone = selection->zone;
     }
-    json_t *found = request->machines ? find_listed_machines(request, listed, n, refusal)
+    json_t *found = request->machines ? resolve_listed_machines(request, listed, n, refusal)
                                       : find_matching_machines(type, zone, listed, n);
     if (found && json_array_size(found) == 0)
-        (void)refuse(refusal, STATUS_MALFORMED, "machines", "no machine is meant");
+        (void)refuse(refusal, STATUS_BAD_REQUEST, "machines", "no machine is meant");
     else if (found && json_array_size(found) == n && !request->all)
-        (void)refuse(refusal, STATUS_MALFORMED, "all", "all machines are meant: say so");
+        (void)refuse(refusal, STATUS_BAD_REQUEST, "all", "all machines are meant: say so");
     if (refusal->status == 0)
         return found;
     json_decref(found);
--- a/src/drain/rules.c
+++ b/src/drain/rules.c
@@ -1,4 +1,4 @@
-/* Reads the operators' declarations for draining from the S-expressions of their file. */
+/* Reads the operators' declarations for draining from the S-expressions of the operators' file. */
 #include "brambledoor/settings.h"
 #include "drain/drain_rules.h"
 #include "drain/rules_reader.h"
@@ -8,10 +8,10 @@
 #include <string.h>
 
 #define DEFAULT_MACHINES_IN_STEP 1
-#define DEFAULT_STOP_S 60.0
-#define DEFAULT_WAIT_S 300.0
-#define DEFAULT_REPLACE_S 300.0
-#define DEFAULT_KEEP_S 86400.0
+#define DEFAULT_STOP_TIMEOUT_S 60.0
+#define DEFAULT_COMPLETION_TIMEOUT_S 300.0
+#define DEFAULT_REPLACEMENT_TIMEOUT_S 300.0
+#define DEFAULT_RECORD_RETENTION_S 86400.0
 
 static bool is_known_zone(const struct bd_settings *settings, const char *name)
 {
@@ -29,17 +29,17 @@
     if (!other || other->next || one->ty != SEXP_VALUE || other->ty != SEXP_VALUE ||
         !is_known_zone(reader->settings, one->val) ||
         !is_known_zone(reader->settings, other->val)) {
-        bd_rules_report_fault(reader, "not-together", "needs two zones of the settings");
+        bd_rules_report_error(reader, "not-together", "needs two zones in the settings");
         return;
     }
     if (reader->rules->nzone_conflicts == BD_ZONES_MAX) {
-        bd_rules_report_fault(reader, "not-together", "has too many entries");
+        bd_rules_report_error(reader, "not-together", "has too many entries");
         return;
     }
-    struct bd_zone_conflict *pair =
+    struct bd_zone_conflict *conflict =
         &reader->rules->zone_conflicts[reader->rules->nzone_conflicts++];
-    snprintf(pair->one, sizeof pair->one, "%s", one->val);
-    snprintf(pair->other, sizeof pair->other, "%s", other->val);
+    snprintf(conflict->one, sizeof conflict->one, "%s", one->val);
+    snprintf(conflict->other, sizeof conflict->other, "%s", other->val);
 }
 
 /* Reads `(selection LABEL (type T) (zone Z))`. */
@@ -48,8 +48,8 @@
     const sexp_t *label = entry->list->next;
     if (!label || label->ty != SEXP_VALUE || strlen(label->val) >= BD_NAME_BYTES ||
         reader->rules->nselections == BD_SELECTIONS_MAX) {
-        bd_rules_report_fault(reader, "selection",
-                              "needs the form (selection LABEL (type T) (zone Z)), 64 at most");
+        bd_rules_report_error(reader, "selection",
+                              "needs the form (selection LABEL (type T) (zone Z)); at most 64");
         return;
     }
     struct bd_machine_selection *selection =
@@ -64,7 +64,7 @@
         else if (strcmp(name, "zone") == 0)
             (void)bd_rules_read_text(reader, field, selection->zone);
         else
-            bd_rules_report_fault(reader, name, "unknown field");
+            bd_rules_report_error(reader, name, "unknown field");
     }
 }
 
@@ -79,7 +79,7 @@
     else if (strcmp(value, "greedy") == 0)
         reader->rules->planner = BD_PLANNER_GREEDY;
     else
-        bd_rules_report_fault(reader, "planner", "is solver or greedy");
+        bd_rules_report_error(reader, "planner", "must be solver or greedy");
 }
 
 static void read_entry(struct bd_rules_reader *reader, const sexp_t *entry)
@@ -111,21 +111,21 @@
     else if (strcmp(name, "selection") == 0)
         read_selection(reader, entry);
     else
-        bd_rules_report_fault(reader, name, "unknown field");
+        bd_rules_report_error(reader, name, "unknown field");
 }
 
 struct bd_drain_rules *bd_drain_rules_read(const struct bd_settings *settings, struct elt *fields,
-                                           struct bd_drain_rules_error *fault)
+                                           struct bd_drain_rules_error *error)
 {
     struct bd_drain_rules *rules = calloc(1, sizeof *rules);
     if (!rules)
         abort();
     *rules = (struct bd_drain_rules){.machines_in_step = DEFAULT_MACHINES_IN_STEP,
-                                     .stop_timeout_s = DEFAULT_STOP_S,
-                                     .completion_timeout_s = DEFAULT_WAIT_S,
-                                     .replacement_timeout_s = DEFAULT_REPLACE_S,
-                                     .record_retention_s = DEFAULT_KEEP_S};
-    struct bd_rules_reader reader = {settings, rules, fault, false};
+                                     .stop_timeout_s = DEFAULT_STOP_TIMEOUT_S,
+                                     .completion_timeout_s = DEFAULT_COMPLETION_TIMEOUT_S,
+                                     .replacement_timeout_s = DEFAULT_REPLACEMENT_TIMEOUT_S,
+                                     .record_retention_s = DEFAULT_RECORD_RETENTION_S};
+    struct bd_rules_reader reader = {settings, rules, error, false};
     for (const sexp_t *entry = fields; entry && !reader.has_failed; entry = entry->next)
         read_entry(&reader, entry);
     if (!reader.has_failed)
--- a/src/drain/rules_budgets.c
+++ b/src/drain/rules_budgets.c
@@ -1,4 +1,4 @@
-/* The declarations of disruption budgets, by team and class of jobs. */
+/* Reads the declarations of disruption budgets, by team and job class. */
 #include "brambledoor/settings.h"
 #include "drain/drain_rules.h"
 #include "drain/rules_reader.h"
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define DEFAULT_BUDGET_PER_CENT 1.0
+#define DEFAULT_BUDGET_PERCENT 1.0
 
 static bool is_known_team(const struct bd_settings *settings, const char *name)
 {
@@ -30,11 +30,11 @@
     bool is_whole = value == floor(value) && !*end;
     if (end == text || (!is_whole && !rule->per_cent) || !isfinite(value) || value < 0 ||
         value > (rule->per_cent ? 100 : BD_RULES_NUMBER_MAX))
-        bd_rules_report_fault(reader, "down",
-                              "needs a number of tasks, or a per cent figure such as 5%");
+        bd_rules_report_error(reader, "down",
+                              "needs a whole number of tasks, or a percentage such as 5%");
 }
 
-/* How a fault names a budget. */
+/* The field that errors about a budget name. */
 static const char *budget_label(const char *team, const char *job_class)
 {
     if (*job_class)
@@ -42,7 +42,7 @@
     return *team ? team : "teams";
 }
 
-/* Adds a budget without an amount; NULL with a fault. */
+/* Adds a budget without an amount. NULL: an error was reported. */
 static struct bd_budget_rule *add_budget(struct bd_rules_reader *reader, const char *team,
                                          const char *job_class)
 {
@@ -50,9 +50,9 @@
     for (uint32_t i = 0; i < rules->nbudgets; i++)
         if (strcmp(rules->budgets[i].team, team) == 0 &&
             strcmp(rules->budgets[i].job_class, job_class) == 0)
-            bd_rules_report_fault(reader, budget_label(team, job_class), "is declared twice");
+            bd_rules_report_error(reader, budget_label(team, job_class), "is declared twice");
     if (rules->nbudgets == BD_BUDGET_RULES_MAX)
-        bd_rules_report_fault(reader, "team", "has too many entries");
+        bd_rules_report_error(reader, "team", "has too many entries");
     if (reader->has_failed)
         return NULL;
     struct bd_budget_rule *rule = &rules->budgets[rules->nbudgets++];
@@ -62,14 +62,14 @@
     return rule;
 }
 
-/* Reads `(class NAME (down N))` of a team. */
+/* Reads a team's `(class NAME (down N))`. */
 static void read_class_budget(struct bd_rules_reader *reader, const sexp_t *entry, const char *team)
 {
     const sexp_t *name = entry->list->next;
     const sexp_t *down = name ? name->next : NULL;
     if (!name || name->ty != SEXP_VALUE || strlen(name->val) >= BD_NAME_BYTES || !down ||
         down->next || !bd_rules_entry_name(reader, down) || strcmp(down->list->val, "down") != 0) {
-        bd_rules_report_fault(reader, "class", "needs the form (class NAME (down N))");
+        bd_rules_report_error(reader, "class", "needs the form (class NAME (down N))");
         return;
     }
     struct bd_budget_rule *rule = add_budget(reader, team, name->val);
@@ -92,7 +92,7 @@
         } else if (strcmp(name, "class") == 0 && *team) {
             read_class_budget(reader, entry, team);
         } else {
-            bd_rules_report_fault(reader, name, "unknown field");
+            bd_rules_report_error(reader, name, "unknown field");
         }
     }
 }
@@ -101,9 +101,9 @@
 {
     const sexp_t *name = entry->list->next;
     if (!name || name->ty != SEXP_VALUE || strlen(name->val) >= BD_NAME_BYTES)
-        bd_rules_report_fault(reader, "team", "needs the form (team NAME (down N) ...)");
+        bd_rules_report_error(reader, "team", "needs the form (team NAME (down N) ...)");
     else if (!is_known_team(reader->settings, name->val))
-        bd_rules_report_fault(reader, name->val, "is not a team of the settings");
+        bd_rules_report_error(reader, name->val, "is not a team in the settings");
     else
         bd_rules_read_team_fields(reader, name->next, name->val);
 }
@@ -117,5 +117,5 @@
     if (!rule)
         return;
     rule->per_cent = true;
-    rule->amount = DEFAULT_BUDGET_PER_CENT;
+    rule->amount = DEFAULT_BUDGET_PERCENT;
 }
--- a/src/drain/rules_reader.c
+++ b/src/drain/rules_reader.c
@@ -1,4 +1,4 @@
-/* Entries of S-expressions: their names, texts and numbers, and the first fault. */
+/* Accessors of S-expression entries, and error reporting. */
 #include "drain/rules_reader.h"
 #include "brambledoor/settings.h"
 #include <math.h>
@@ -6,20 +6,20 @@
 #include <stdlib.h>
 #include <string.h>
 
-void bd_rules_report_fault(struct bd_rules_reader *reader, const char *field, const char *what)
+void bd_rules_report_error(struct bd_rules_reader *reader, const char *field, const char *message)
 {
     if (reader->has_failed)
         return;
     reader->has_failed = true;
-    snprintf(reader->fault->field, sizeof reader->fault->field, "%s", field);
-    snprintf(reader->fault->message, sizeof reader->fault->message, "%s", what);
+    snprintf(reader->error->field, sizeof reader->error->field, "%s", field);
+    snprintf(reader->error->message, sizeof reader->error->message, "%s", message);
 }
 
 const char *bd_rules_entry_name(struct bd_rules_reader *reader, const sexp_t *entry)
 {
     if (entry->ty == SEXP_LIST && entry->list && entry->list->ty == SEXP_VALUE)
         return entry->list->val;
-    bd_rules_report_fault(reader, "draining", "needs entries of the form (name value)");
+    bd_rules_report_error(reader, "draining", "needs entries of the form (name value)");
     return NULL;
 }
 
@@ -28,9 +28,9 @@
     const sexp_t *value = entry->list->next;
     const char *name = entry->list->val;
     if (!value || value->ty != SEXP_VALUE || value->next)
-        bd_rules_report_fault(reader, name, "needs the form (name value)");
+        bd_rules_report_error(reader, name, "needs the form (name value)");
     else if (!*value->val || strlen(value->val) >= BD_NAME_BYTES)
-        bd_rules_report_fault(reader, name, "needs a short text");
+        bd_rules_report_error(reader, name, "needs a text of 1 to 63 bytes");
     else
         strcpy(out, value->val);
     return !reader->has_failed;
@@ -43,7 +43,6 @@
         return 0;
     double value = strtod(text, &end);
     if (end == text || *end || !isfinite(value) || value < min || value > BD_RULES_NUMBER_MAX)
-        bd_rules_report_fault(reader, entry->list->val,
-                              "is not a number in the range that is allowed");
+        bd_rules_report_error(reader, entry->list->val, "needs a number in the allowed range");
     return value;
 }
--- a/src/drain/solver.c
+++ b/src/drain/solver.c
@@ -1,27 +1,28 @@
-/* The choice of a step's machines as an integer program for lp_solve: as many machines as possible,
- * and of equally many those that stop the fewest tasks, within the budgets, the free capacity, the
- * size of a step and the conflicts of zones. Limited in size and in the solver's own iterations,
- * not in time, so that the same problem always has the same solution. Part of the pure core. */
+/* Choice of a step's machines as an integer program for lp_solve. The objective is the largest
+ * number of machines, and among equal numbers the fewest stopped tasks. The constraints are the
+ * budgets, the free capacity, the size of a step and the zone conflicts. The size of the program
+ * and the solver's iterations are limited, not the solver's time, so that the same problem always
+ * has the same solution. Part of the pure core. */
 #include "brambledoor/settings.h"
 #include "drain/drain_internal.h"
 #include <lpsolve/lp_lib.h>
 #include <stdlib.h>
 #include <string.h>
 
-#define ABORT_CHECKS_MAX 20000 /* calls of the solver's abort function */
-#define TASK_COST 1e-4         /* of a stopped task, where a machine is worth 1 */
-#define IS_CHOSEN 0.5          /* a variable above it is 1 */
+#define ABORT_CHECKS_MAX 20000 /* calls of the solver's abort callback */
+#define TASK_COST 1e-4         /* cost of a stopped task; the value of a chosen machine is 1 */
+#define CHOSEN_THRESHOLD 0.5   /* the solver's binary variables are 1 above it */
 
-/* Columns 1 to n are the candidates; then comes one for each zone that conflicts with another,
- * which is 1 if a machine of the zone is in a step. */
+/* Columns 1 to ncandidates are the candidates. After them there is a column for each zone that
+ * conflicts with another; it is 1 if a machine of the zone is in the step. */
 struct program {
     const struct bd_step_problem *problem;
     lprec *lp;
     int abort_checks;
-    int zone_column[BD_ZONES_MAX]; /* 0: none */
-    REAL *values;                  /* of the row that is being built */
-    int *columns;                  /* ... and its columns */
-    bool ok;                       /* no call of the solver has failed */
+    int zone_column[BD_ZONES_MAX]; /* 0: the zone has no column */
+    REAL *values;                  /* coefficients of the row that is being built */
+    int *columns;                  /* columns of the row that is being built */
+    bool ok;                       /* all calls of the solver have succeeded */
 };
 
 static int __WINAPI is_over_limit(lprec *lp, void *arg)
@@ -37,7 +38,7 @@
                                                   program->columns, LE, limit);
 }
 
-/* For each budget: the chosen machines stop no more tasks than are left of it. */
+/* For each budget: the chosen machines stop no more tasks than remain in it. */
 static void add_budget_rows(struct program *program)
 {
     const struct bd_step_problem *problem = program->problem;
@@ -57,18 +58,20 @@
     }
 }
 
-/* For one resource, which stands at the offset in `struct bd_resources`: what moves fits. */
+/* For the resource at the offset in `struct bd_resources`: the moved tasks fit into the free
+ * capacity. */
 static void add_capacity_row(struct program *program, size_t offset, double capacity)
 {
     const struct bd_step_problem *problem = program->problem;
     for (uint32_t i = 0; i < problem->ncandidates; i++) {
-        const char *moves = (const char *)&problem->candidates[i].task_resources;
+        const char *resources = (const char *)&problem->candidates[i].task_resources;
         program->columns[i] = (int)i + 1;
-        memcpy(&program->values[i], moves + offset, sizeof(double));
+        memcpy(&program->values[i], resources + offset, sizeof(double));
     }
     add_row(program, (int)problem->ncandidates, capacity);
 }
 
+/* At most max_machines are chosen. */
 static void add_machines_row(struct program *program)
 {
     for (uint32_t i = 0; i < program->problem->ncandidates; i++) {
@@ -78,7 +81,7 @@
     add_row(program, (int)program->problem->ncandidates, program->problem->max_machines);
 }
 
-/* A chosen machine uses its zone. */
+/* A chosen machine sets the variable of its zone. */
 static void add_zone_use_rows(struct program *program)
 {
     const struct bd_step_problem *problem = program->problem;
@@ -94,31 +97,31 @@
     }
 }
 
-/* Of two zones that conflict only one is used. */
+/* Of two conflicting zones, only one has machines in the step. */
 static void add_zone_conflict_rows(struct program *program)
 {
     const struct bd_step_problem *problem = program->problem;
-    for (int a = 0; a < BD_ZONES_MAX; a++) {
-        for (int b = a + 1; b < BD_ZONES_MAX; b++) {
-            if (!problem->zones_conflict[a][b])
+    for (int zone = 0; zone < BD_ZONES_MAX; zone++) {
+        for (int other = zone + 1; other < BD_ZONES_MAX; other++) {
+            if (!problem->zones_conflict[zone][other])
                 continue;
-            program->columns[0] = program->zone_column[a];
-            program->columns[1] = program->zone_column[b];
+            program->columns[0] = program->zone_column[zone];
+            program->columns[1] = program->zone_column[other];
             program->values[0] = program->values[1] = 1;
             add_row(program, 2, 1);
         }
     }
 }
 
-/* Assigns the zones' columns; returns the number of all columns. */
+/* Assigns the zones' columns. Returns the total number of columns. */
 static int assign_columns(struct program *program)
 {
     const struct bd_step_problem *problem = program->problem;
     int columns = (int)problem->ncandidates;
-    for (int a = 0; a < BD_ZONES_MAX; a++)
-        for (int b = 0; b < BD_ZONES_MAX; b++)
-            if (problem->zones_conflict[a][b] && program->zone_column[a] == 0)
-                program->zone_column[a] = ++columns;
+    for (int zone = 0; zone < BD_ZONES_MAX; zone++)
+        for (int other = 0; other < BD_ZONES_MAX; other++)
+            if (problem->zones_conflict[zone][other] && program->zone_column[zone] == 0)
+                program->zone_column[zone] = ++columns;
     return columns;
 }
 
@@ -156,7 +159,7 @@
     put_abortfunc(program->lp, is_over_limit, program);
 }
 
-/* False: there is no solution, or the solver was aborted. */
+/* False: the solver found no solution, or was aborted. */
 static bool solve_program(struct program *program, roaring_bitmap_t *chosen)
 {
     int status = solve(program->lp);
@@ -164,7 +167,7 @@
     if ((status != OPTIMAL && status != SUBOPTIMAL) || !get_ptr_variables(program->lp, &values))
         return false;
     for (uint32_t i = 0; i < program->problem->ncandidates; i++)
-        if (values[i] > IS_CHOSEN)
+        if (values[i] > CHOSEN_THRESHOLD)
             roaring_bitmap_add(chosen, i);
     return true;
 }
--- a/src/drain/step_plan.c
+++ b/src/drain/step_plan.c
@@ -1,5 +1,6 @@
-/* The next step is planned: which machines could be in it, which of them are, and what all others
- * wait for. A planned step begins once its record is written. Part of the pure core. */
+/* Planning of the next step: finds the candidates, chooses the machines among them, and sets the
+ * wait reason of all others. A planned step begins once its record is written. Part of the pure
+ * core. */
 #include "base/timeutil.h"
 #include "brambledoor/settings.h"
 #include "drain/drain_internal.h"
@@ -20,14 +21,14 @@
     struct bd_core *core;
     struct bd_step_problem problem;
     struct bd_drain_candidate *candidates;
-    struct bd_drain *drains[BD_STEP_CANDIDATES_MAX]; /* of the candidates' entries */
-    uint32_t *budget_left;
+    struct bd_drain *drains[BD_STEP_CANDIDATES_MAX]; /* by candidate */
+    uint32_t *budgets_remaining;
     struct bd_bins bins;
 };
 
-/* ---- the problem ---- */
+/* ---- setup of the problem ---- */
 
-/* Whether the entry's machine takes one of the places in a step. */
+/* Whether the entry's machine counts towards machines_in_step. */
 static bool is_in_step(const struct bd_core *core, const struct bd_drain *drain,
                        const struct bd_drain_machine *entry)
 {
@@ -36,12 +37,12 @@
     return is_moving && entry->machine && !bd_drain_entry_is_mirror(core, entry);
 }
 
-/* Counts the machines and zones that are in a step. False: a planned step has not begun. */
+/* Records the machines and zones of the current step. False: a planned step has not begun yet. */
 static bool count_current_step(struct step_plan *plan)
 {
     struct bd_core *core = plan->core;
-    uint32_t in_step = 0, max = core->drains->rules->machines_in_step;
-    bool all_begun = true;
+    uint32_t in_step = 0, max_in_step = core->drains->rules->machines_in_step;
+    bool has_begun = true;
     struct bd_drain_iterator iterator = bd_drain_entries(core);
     const struct bd_drain_machine *entry;
     while ((entry = bd_drain_next_entry(&iterator))) {
@@ -49,15 +50,15 @@
             continue;
         in_step++;
         if (entry->stage == BD_STAGE_STOPPING && bd_time_is_zero(entry->stop_requested_at))
-            all_begun = false;
+            has_begun = false;
         if (entry->machine->zone >= 0)
             plan->problem.zone_used[entry->machine->zone] = true;
     }
-    plan->problem.max_machines = in_step < max ? max - in_step : 0;
-    return all_begun;
+    plan->problem.max_machines = in_step < max_in_step ? max_in_step - in_step : 0;
+    return has_begun;
 }
 
-/* Zones get their numbers only once machines of them are known. */
+/* Resolves the rules' zone names. A zone has no number before one of its machines is known. */
 static void update_zone_conflicts(struct bd_core *core)
 {
     struct bd_drains *drains = core->drains;
@@ -69,7 +70,7 @@
     }
 }
 
-static uint32_t *remaining_budgets(const struct bd_ledger *ledger)
+static uint32_t *copy_remaining_budgets(const struct bd_ledger *ledger)
 {
     uint32_t *remaining = calloc(ledger->nbudgets + 1, sizeof *remaining);
     if (!remaining)
@@ -83,15 +84,15 @@
 {
     struct bd_core *core = plan->core;
     update_zone_conflicts(core);
-    plan->budget_left = remaining_budgets(core->ledger);
+    plan->budgets_remaining = copy_remaining_budgets(core->ledger);
     plan->candidates = calloc(BD_STEP_CANDIDATES_MAX, sizeof *plan->candidates);
     if (!plan->candidates)
         abort();
     bd_bins_fill(core, &plan->bins);
     plan->problem.candidates = plan->candidates;
-    plan->problem.budgets_remaining = plan->budget_left;
+    plan->problem.budgets_remaining = plan->budgets_remaining;
     plan->problem.nbudgets = core->ledger->nbudgets;
-    plan->problem.capacity = bd_bins_total(&plan->bins);
+    plan->problem.capacity = bd_bins_total_capacity(&plan->bins);
     plan->problem.zones_conflict = (const bool(*)[BD_ZONES_MAX])core->drains->zones_conflict;
 }
 
@@ -99,12 +100,13 @@
 {
     bd_bins_free(&plan->bins);
     free(plan->candidates);
-    free(plan->budget_left);
+    free(plan->budgets_remaining);
 }
 
 /* ---- candidates ---- */
 
-/* Arrays, and gangs without checkpoints, would lose their progress: they may finish first. */
+/* Whether tasks of arrays or of gangs without checkpoints may still finish: a stop would lose their
+ * progress. */
 static bool has_tasks_to_finish(const struct bd_core *core, const struct bd_drain *drain,
                                 const struct bd_machine *machine)
 {
@@ -118,9 +120,9 @@
     return false;
 }
 
-/* What the machine waits for before its needs are compared with the budgets. */
-static enum bd_drain_wait candidate_obstacle(struct bd_core *core, const struct bd_drain *drain,
-                                             const struct bd_drain_machine *entry)
+/* The reason to wait that does not depend on budgets or the step. */
+static enum bd_drain_wait entry_wait_reason(struct bd_core *core, const struct bd_drain *drain,
+                                            const struct bd_drain_machine *entry)
 {
     const struct bd_machine *machine = entry->machine;
     if (drain->record.state == BD_DRAIN_PAUSED)
@@ -134,10 +136,11 @@
     return BD_DRAIN_WAIT_NOTHING;
 }
 
-/* What keeps the candidate out of the step; *team is set to whose budget, or "". */
-static enum bd_drain_wait step_obstacle(const struct step_plan *plan,
-                                        const struct bd_drain_candidate *candidate,
-                                        const char **team)
+/* The constraint that keeps the candidate out of the step. *team is set to the team whose budget is
+ * exhausted, or "". */
+static enum bd_drain_wait step_wait_reason(const struct step_plan *plan,
+                                           const struct bd_drain_candidate *candidate,
+                                           const char **team)
 {
     uint32_t budget = 0;
     enum bd_drain_wait wait = bd_step_wait_reason(&plan->problem, candidate, &budget);
@@ -147,13 +150,13 @@
     return wait;
 }
 
-/* Adds the entry to the candidates, or sets what it waits for. */
+/* Adds the entry to the candidates, or sets its wait reason. */
 static void consider_entry(struct step_plan *plan, struct bd_drain *drain,
                            struct bd_drain_machine *entry)
 {
     struct bd_core *core = plan->core;
     const char *team = "";
-    enum bd_drain_wait wait = candidate_obstacle(core, drain, entry);
+    enum bd_drain_wait wait = entry_wait_reason(core, drain, entry);
     if (wait == BD_DRAIN_WAIT_NOTHING && plan->problem.ncandidates == BD_STEP_CANDIDATES_MAX)
         wait = BD_DRAIN_WAIT_STEP;
     if (wait != BD_DRAIN_WAIT_NOTHING) {
@@ -165,7 +168,7 @@
         .entry = entry, .machine = entry->machine, .zone = entry->machine->zone};
     bool is_filled = bd_drain_candidate_fill(core, candidate);
     bd_drain_candidate_limit_needs(core, candidate);
-    wait = is_filled ? step_obstacle(plan, candidate, &team) : BD_DRAIN_WAIT_STEP;
+    wait = is_filled ? step_wait_reason(plan, candidate, &team) : BD_DRAIN_WAIT_STEP;
     if (wait != BD_DRAIN_WAIT_NOTHING)
         bd_drain_set_entry_waiting(core, drain, entry, wait, team);
     else
@@ -181,22 +184,22 @@
             consider_entry(plan, iterator.drain, entry);
 }
 
-/* ---- the choice ---- */
+/* ---- choice of the machines ---- */
 
-/* The sums of free capacity may hide that no machine has enough: a chosen candidate goes only if
- * each of its tasks fits somewhere. */
-static void take_chosen(struct step_plan *plan, const roaring_bitmap_t *chosen)
+/* The choice is limited by total free capacity only, which may be spread over too many machines. A
+ * chosen candidate begins the step only if each of its tasks fits on some machine. */
+static void add_chosen_to_step(struct step_plan *plan, const roaring_bitmap_t *chosen)
 {
     for (uint32_t i = 0; i < plan->problem.ncandidates; i++) {
         const struct bd_drain_candidate *candidate = &plan->candidates[i];
         if (!roaring_bitmap_contains(chosen, i))
             continue;
-        if (!bd_bins_take(&plan->bins, candidate)) {
+        if (!bd_bins_reserve(&plan->bins, candidate)) {
             bd_drain_set_entry_waiting(plan->core, plan->drains[i], candidate->entry,
                                        BD_DRAIN_WAIT_CAPACITY, "");
             continue;
         }
-        bd_step_add_candidate(&plan->problem, plan->budget_left, candidate);
+        bd_step_add_candidate(&plan->problem, plan->budgets_remaining, candidate);
         candidate->entry->stop_requested_at = (struct timespec){0, 0};
         bd_drain_set_entry_state(
             plan->core, plan->drains[i], candidate->entry,
@@ -211,7 +214,7 @@
         if (roaring_bitmap_contains(chosen, i))
             continue;
         const char *team = "";
-        enum bd_drain_wait wait = step_obstacle(plan, candidate, &team);
+        enum bd_drain_wait wait = step_wait_reason(plan, candidate, &team);
         if (wait == BD_DRAIN_WAIT_NOTHING)
             wait = BD_DRAIN_WAIT_STEP;
         bd_drain_set_entry_waiting(plan->core, plan->drains[i], candidate->entry, wait, team);
@@ -230,7 +233,7 @@
         roaring_bitmap_clear(chosen);
         bd_step_choose_greedy(&plan->problem, chosen);
     }
-    take_chosen(plan, chosen);
+    add_chosen_to_step(plan, chosen);
     set_others_waiting(plan, chosen);
     roaring_bitmap_free(chosen);
 }
@@ -246,7 +249,7 @@
 
 void bd_drain_plan_step(struct bd_core *core)
 {
-    /* such a controller would, as leader, place tasks on cordoned machines and ignore budgets */
+    /* as leader, such a controller would place tasks on cordoned machines and ignore budgets */
     if (bd_peer_lacks_feature(core, BD_PEER_KNOWS_DRAINS)) {
         set_all_waiting(core, BD_DRAIN_WAIT_OLDER_CONTROLLER);
         return;
--- a/src/drain/step_stop.c
+++ b/src/drain/step_stop.c
@@ -1,6 +1,6 @@
-/* A step that is on record is executed: the tasks of its machines are stopped, as far as the
- * disruption budgets allow. The record is written by a transaction that is conditional on the
- * term, so that a leader that was frozen past its lease stops nothing. Part of the pure core. */
+/* Execution of a recorded step: stops the tasks of its machines, as far as the disruption budgets
+ * allow. The transaction that writes the record is conditional on the term, so that a leader that
+ * was frozen past its lease stops nothing. Part of the pure core. */
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "drain/drain_internal.h"
@@ -12,32 +12,33 @@
 #include "model/task.h"
 #include "model/task_state.h"
 
-/* The budget that does not allow the task, and what stops with it, to go down now; NULL: all do. */
+/* Returns the budget that does not allow the task, and those that stop with it, to be stopped now,
+ * or NULL. */
 static const struct bd_budget *exceeded_budget(struct bd_core *core,
                                                const struct bd_reservation *reservation)
 {
-    const struct bd_ledger_job *entry = bd_ledger_get_job(core, reservation->job);
-    uint32_t tasks = bd_drain_count_stopped_with(core, reservation->job, reservation->task);
-    for (uint32_t i = 0; tasks > 0 && i < entry->nbudgets; i++) {
-        const struct bd_budget *budget = &core->ledger->budgets[entry->budgets[i]];
+    const struct bd_ledger_job *ledger_job = bd_ledger_get_job(core, reservation->job);
+    uint32_t tasks = bd_drain_stop_group_size(core, reservation->job, reservation->task);
+    for (uint32_t i = 0; tasks > 0 && i < ledger_job->nbudgets; i++) {
+        const struct bd_budget *budget = &core->ledger->budgets[ledger_job->budgets[i]];
         if (tasks > bd_budget_remaining(budget))
             return budget;
     }
     return NULL;
 }
 
-/* What came of stopping a machine's tasks. */
+/* Result of stopping a machine's tasks. */
 struct stop_result {
-    uint32_t stopped;
-    const char *team; /* whose budget kept a task running, the last of them; "": none did */
+    uint32_t stopped; /* tasks */
+    const char *team; /* the last team whose budget kept a task running; empty: none */
 };
 
-/* Stops the tasks that the budgets allow; the others follow when those run elsewhere. */
+/* Stops the tasks that the budgets allow. The others follow once these run on other machines. */
 static struct stop_result stop_tasks(struct bd_core *core, const struct bd_machine *machine)
 {
     struct stop_result result = {0, ""};
     for (uint32_t i = machine->nreservations; i > 0; i--) {
-        if (i > machine->nreservations) /* the end of a gang has released several */
+        if (i > machine->nreservations) /* stopping a gang released several reservations */
             continue;
         struct bd_reservation reservation = machine->reservations[i - 1];
         if (!bd_drain_can_stop_task(reservation.job, reservation.task))
@@ -53,9 +54,9 @@
     return result;
 }
 
-/* What keeps the machine's tasks from being stopped, before its budgets are checked. */
-static enum bd_drain_wait stop_obstacle(const struct bd_core *core, const struct bd_drain *drain,
-                                        const struct bd_machine *machine)
+/* The reason not to stop the machine's tasks yet, apart from budgets. */
+static enum bd_drain_wait stop_wait_reason(const struct bd_core *core, const struct bd_drain *drain,
+                                           const struct bd_machine *machine)
 {
     if (!machine || machine->gone || !machine->fenced || bd_machine_is_overdue(core, machine))
         return BD_DRAIN_WAIT_HEARTBEAT;
@@ -64,16 +65,17 @@
     return BD_DRAIN_WAIT_NOTHING;
 }
 
-/* A machine may have died between the choice and the record's commit: the budgets are checked
- * again, with all that was stopped before. An entry whose stop has begun stays in its stage. */
+/* Stops the machine's tasks. The budgets are checked again, with all tasks stopped so far, because
+ * a machine may have failed between the choice and the commit of the record. An entry whose stop
+ * has begun stays in its stage. */
 static void stop_machine(struct bd_core *core, struct bd_drain *drain,
                          struct bd_drain_machine *entry)
 {
     bool has_begun = !bd_time_is_zero(entry->stop_requested_at);
-    enum bd_drain_wait obstacle = stop_obstacle(core, drain, entry->machine);
-    if (obstacle != BD_DRAIN_WAIT_NOTHING) {
+    enum bd_drain_wait wait_reason = stop_wait_reason(core, drain, entry->machine);
+    if (wait_reason != BD_DRAIN_WAIT_NOTHING) {
         if (!has_begun)
-            bd_drain_set_entry_waiting(core, drain, entry, obstacle, "");
+            bd_drain_set_entry_waiting(core, drain, entry, wait_reason, "");
         return;
     }
     struct stop_result result = stop_tasks(core, entry->machine);
--- a/src/drain/summary_log.c
+++ b/src/drain/summary_log.c
@@ -1,4 +1,4 @@
-/* The summary of drains and disruption budgets in the log. Part of the pure core. */
+/* Periodic summary of drains and disruption budgets in the log. Part of the pure core. */
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "drain/drain_internal.h"
@@ -6,15 +6,15 @@
 #include "model/core_state.h"
 #include "model/disruption_ledger.h"
 
-#define SUMMARY_S 20.0
+#define SUMMARY_INTERVAL_S 20.0
 
-/* What most of the waiting machines wait for. */
+/* The wait reason of most waiting machines. */
 static enum bd_drain_wait most_frequent_wait(const uint32_t *waits)
 {
-    uint32_t most = 0;
+    uint32_t most_frequent = 0;
     for (uint32_t wait = 1; wait < BD_DRAIN_WAITS; wait++)
-        most = waits[wait] > waits[most] ? wait : most;
-    return (enum bd_drain_wait)most;
+        most_frequent = waits[wait] > waits[most_frequent] ? wait : most_frequent;
+    return (enum bd_drain_wait)most_frequent;
 }
 
 static void log_drain(const struct bd_core *core, const struct bd_drain *drain)
@@ -53,9 +53,9 @@
 void bd_drain_log_summary(struct bd_core *core)
 {
     bool any_is_open = false;
-    if (bd_time_is_before(core->now, core->drains->next_summary))
+    if (bd_time_is_before(core->now, core->drains->next_summary_at))
         return;
-    core->drains->next_summary = bd_time_add(core->now, bd_secs(SUMMARY_S));
+    core->drains->next_summary_at = bd_time_add(core->now, bd_secs(SUMMARY_INTERVAL_S));
     for (const struct bd_drain *drain = core->drains->drains; drain; drain = drain->hh.next) {
         if (!bd_drain_is_open(drain))
             continue;
