--- a/src/drain/drain.h
+++ b/src/drain/drain.h
@@ -15,8 +15,9 @@
  *   replacement.c                  provisioning of replacement machines
  *   candidate.c, free_capacity.c   budgets and free capacity that emptying a machine takes
  *   greedy.c, solver.c             the two algorithms that choose a step's machines
- *   step_plan.c, step_stop.c       planning of a step, and stopping of its tasks once it is
- * recorded record_load.c, record_write.c  reading and writing of the records by the leader
+ *   step_plan.c                    planning of the next step
+ *   step_stop.c                    stopping of a recorded step's tasks
+ *   record_load.c, record_write.c  reading and writing of the records by the leader
  *   queries.c                      queries by other packages
  *   summary_log.c                  periodic summary in the log
  *
@@ -76,9 +77,9 @@
 /* Whether the machine gets no new tasks because a drain names it. */
 bool bd_drain_is_cordoned(const struct bd_core *core, const struct bd_machine *machine);
 /* Whether the machine is a drain's replacement, which is not scaled in while it is idle. */
-bool bd_drain_is_kept(const struct bd_core *core, const struct bd_machine *machine);
+bool bd_drain_is_kept_when_idle(const struct bd_core *core, const struct bd_machine *machine);
 /* Whether the machine's drain requests that it be scaled in now. */
-bool bd_drain_wants_scale_in(const struct bd_core *core, const struct bd_machine *machine);
+bool bd_drain_requests_scale_in(const struct bd_core *core, const struct bd_machine *machine);
 /* Whether the disruption budgets allow consolidation to empty the machine now. */
 bool bd_drain_budgets_allow(struct bd_core *core, struct bd_machine *machine);
 /* Copies the leader's view of a drain's machine. False: the drain has no such machine. */
--- a/src/drain/drain_internal.h
+++ b/src/drain/drain_internal.h
@@ -36,7 +36,7 @@
     bool is_listed;      /* in the latest listing of the records */
     bool is_over;        /* all machines are final: the state `done` must be written */
     bool done_in_flight; /* the transaction in flight writes the state `done` */
-    bool is_stale; /* a newer record may exist: `done` is not written before the next listing */
+    bool is_stale;       /* the store may have a newer record: `done` waits for a listing */
     /* Records deleted after record_retention_s: the parts first, then the drain's own record. */
     uint32_t records_deleted;
     uint32_t deletions_in_flight; /* in the transaction in flight */
@@ -48,10 +48,10 @@
     struct bd_drain_machine **owners; /* by machine index: the entry that controls the machine */
     uint32_t nowners;
     bool zones_conflict[BD_ZONES_MAX][BD_ZONES_MAX];
-    bool wants_machine_records; /* the next read must include the machines' records */
+    bool needs_machine_records; /* the next read must include the machines' records */
     struct timespec leadership_acquired_at, next_tick_at, next_summary_at;
     struct timespec next_write_at; /* no writes before it, after a rejected transaction */
-    uint32_t stop_requests; /* how often machines were requested to stop tasks in this term */
+    uint32_t stop_requests;        /* requests to machines to stop tasks, in this term */
 };
 
 /* ---- entry.c: the machine entries of drains ---- */
@@ -60,13 +60,13 @@
  * names. */
 struct bd_drain_iterator {
     struct bd_drain *drain; /* drain of the last returned entry */
-    uint32_t next;
+    uint32_t next_machine;
 };
 struct bd_drain_iterator bd_drain_entries(const struct bd_core *core);
 /* Returns the next entry, or NULL at the end. */
 struct bd_drain_machine *bd_drain_next_entry(struct bd_drain_iterator *iterator);
 
-/* Whether the drain is in progress: active or paused, with entries that are not final. */
+/* Whether the drain is loaded and in progress: active or paused, and not over. */
 bool bd_drain_is_open(const struct bd_drain *drain);
 /* Whether the entry has reached its last stage. */
 bool bd_drain_entry_is_final(const struct bd_drain_machine *entry);
--- a/src/drain/drain_request.h
+++ b/src/drain/drain_request.h
@@ -28,11 +28,11 @@
 /* Reads a request; out->machines is borrowed from `object`. False with the refusal: 400. */
 bool bd_drain_request_read(json_t *object, struct bd_drain_request *out,
                            struct bd_drain_refusal *refusal);
-/* Resolves the machines that the request selects among the n in the cloud's inventory. Returns an
+/* Resolves the machines that the request selects from the cloud's inventory. Returns an
  * array of ids, which the caller owns, or NULL with the refusal (404: unknown machine or selection;
  * 400: no machine, a duplicate machine, or all machines without `all`). */
 json_t *bd_drain_request_resolve(const struct bd_drain_request *request,
                                  const struct bd_drain_rules *rules,
-                                 const struct bd_cloud_machine *listed, size_t n,
+                                 const struct bd_cloud_machine *inventory, size_t ninventory,
                                  struct bd_drain_refusal *refusal);
 #endif
--- a/src/drain/entry.c
+++ b/src/drain/entry.c
@@ -40,13 +40,13 @@
 {
     while (iterator->drain) {
         struct bd_drain *drain = iterator->drain;
-        while (bd_drain_is_open(drain) && iterator->next < drain->nmachines) {
-            struct bd_drain_machine *entry = &drain->machines[iterator->next++];
+        while (bd_drain_is_open(drain) && iterator->next_machine < drain->nmachines) {
+            struct bd_drain_machine *entry = &drain->machines[iterator->next_machine++];
             if (!bd_drain_entry_is_final(entry))
                 return entry;
         }
         iterator->drain = drain->hh.next;
-        iterator->next = 0;
+        iterator->next_machine = 0;
     }
     return NULL;
 }
--- a/src/drain/machine_stage.c
+++ b/src/drain/machine_stage.c
@@ -8,7 +8,7 @@
 #include "model/task.h"
 #include "model/task_state.h"
 
-/* Allowance for the inventory call, beside two of the cloud's list delays. */
+/* Time allowed for the inventory call, in addition to twice the cloud's list delay. */
 #define INVENTORY_CALL_S 1.0
 
 static void set_stage(struct bd_core *core, struct bd_drain *drain, struct bd_drain_machine *entry,
@@ -81,7 +81,7 @@
         set_stage(core, drain, entry, BD_STAGE_EMPTY, BD_DRAIN_WAIT_REPLACEMENT);
 }
 
-/* Empties a machine without tasks, which needs no step. */
+/* Advances a machine without tasks, which needs no step. */
 static void advance_idle(struct bd_core *core, struct bd_drain *drain,
                          struct bd_drain_machine *entry)
 {
--- a/src/drain/queries.c
+++ b/src/drain/queries.c
@@ -13,13 +13,13 @@
     return machine->cordoned;
 }
 
-bool bd_drain_is_kept(const struct bd_core *core, const struct bd_machine *machine)
+bool bd_drain_is_kept_when_idle(const struct bd_core *core, const struct bd_machine *machine)
 {
     (void)core;
     return machine->kept_for_drain;
 }
 
-bool bd_drain_wants_scale_in(const struct bd_core *core, const struct bd_machine *machine)
+bool bd_drain_requests_scale_in(const struct bd_core *core, const struct bd_machine *machine)
 {
     (void)core;
     return machine->scale_in_for_drain;
--- a/src/drain/record.c
+++ b/src/drain/record.c
@@ -4,10 +4,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define VALUE_SHARE 0.9   /* share of a value's maximum size that a part is planned to fill */
-#define PART_BYTES 16u    /* of a part's value, without its machines */
-#define MACHINE_BYTES 56u /* of a machine, without its ids and its team */
-#define REPLACEMENT_EXTRA_BYTES 8u /* by which a replacement's id may exceed the longest id */
+/* Share of a value's maximum size that a part is planned to fill. */
+#define VALUE_SHARE 0.9
+/* Size of a part's value without its machines, and of a machine without its ids and team. */
+#define PART_BYTES 16u
+#define MACHINE_BYTES 56u
+/* By how much the id of a replacement may exceed the longest id of the drain's machines. */
+#define REPLACEMENT_EXTRA_BYTES 8u
 
 /* Names in records and in API responses. */
 static const char *const stage_names[BD_STAGES] = {
@@ -84,19 +87,19 @@
                             struct bd_drain_record *out)
 {
     memset(out, 0, sizeof *out);
-    const char *set = json_string_value(json_object_get(value, "set"));
+    const char *machine_set_id = json_string_value(json_object_get(value, "set"));
     int mode = find_name(mode_names, ARRAY_LENGTH(mode_names),
                          json_string_value(json_object_get(value, "mode")));
     int state = find_name(state_names, ARRAY_LENGTH(state_names),
                           json_string_value(json_object_get(value, "state")));
     json_int_t parts = json_integer_value(json_object_get(value, "parts"));
     json_int_t machines = json_integer_value(json_object_get(value, "machines"));
-    if (strlen(name) >= sizeof out->name || !set || strlen(set) >= sizeof out->machine_set_id ||
-        mode < 0 || state < 0 || parts < 1 || parts > UINT16_MAX || machines < 1 ||
-        machines > UINT32_MAX)
+    if (strlen(name) >= sizeof out->name || !machine_set_id ||
+        strlen(machine_set_id) >= sizeof out->machine_set_id || mode < 0 || state < 0 ||
+        parts < 1 || parts > UINT16_MAX || machines < 1 || machines > UINT32_MAX)
         return false;
     strcpy(out->name, name);
-    strcpy(out->machine_set_id, set);
+    strcpy(out->machine_set_id, machine_set_id);
     out->mode = (enum bd_drain_mode)mode;
     out->state = (enum bd_drain_state)state;
     out->requested_at_s = json_number_value(json_object_get(value, "at"));
--- a/src/drain/record_load.c
+++ b/src/drain/record_load.c
@@ -49,14 +49,14 @@
         remove_drain(drains, drain);
     }
     drains->nowners = 0;
-    drains->wants_machine_records = true;
+    drains->needs_machine_records = true;
 }
 
 /* ---- reading ---- */
 
 bool bd_drain_needs_machine_records(const struct bd_core *core)
 {
-    return core->drains && core->drains->wants_machine_records;
+    return core->drains && core->drains->needs_machine_records;
 }
 
 bool bd_drain_record_has_ended(const struct bd_drain_record *record)
@@ -78,8 +78,8 @@
     if (!drain)
         drain = add_drain(core->drains, &record);
     drain->is_listed = true;
-    drain->is_stale =
-        false; /* if the listing is outdated, one more transaction is rejected at worst */
+    /* if the listing is outdated, one more transaction is rejected at worst */
+    drain->is_stale = false;
     if (record.revision <= drain->record.revision)
         return;
     drain->record.state = record.state;
@@ -131,8 +131,8 @@
         bd_log_write(core->log, BD_LOG_ERROR,
                      "drain %s: machine records missing or malformed; ignored", drain->record.name);
     else
-        bd_log_write(core->log, BD_LOG_INFO, "drain %s: %u machines to %s, %s", drain->record.name,
-                     drain->nmachines, bd_drain_mode_name(drain->record.mode),
+        bd_log_write(core->log, BD_LOG_INFO, "drain %s loaded: %u machines to %s, %s",
+                     drain->record.name, drain->nmachines, bd_drain_mode_name(drain->record.mode),
                      bd_drain_state_name(drain->record.state));
 }
 
@@ -158,7 +158,7 @@
     if (!drains || core->role != BD_LEADER)
         return;
     apply_records(core, records);
-    drains->wants_machine_records = false;
+    drains->needs_machine_records = false;
     HASH_ITER(hh, drains->drains, drain, next)
     {
         bool needs_machines =
@@ -168,6 +168,6 @@
         else if (needs_machines && machine_records)
             load_machines(core, drain, machine_records);
         else if (needs_machines)
-            drains->wants_machine_records = true;
+            drains->needs_machine_records = true;
     }
 }
--- a/src/drain/record_write.c
+++ b/src/drain/record_write.c
@@ -14,9 +14,8 @@
 /* After a transaction is rejected, the leader's transactions contain no drain records for this
  * time, so that these cannot block its other writes. */
 #define REJECTED_TXN_DELAY_S 1.0
-#define WAIT_WRITE_INTERVAL_S                                                                      \
-    2.0 /* between writes of a part in which only wait reasons changed                             \
-         */
+/* Between writes of a part in which only wait reasons changed. */
+#define WAIT_WRITE_INTERVAL_S 2.0
 
 /* ---- due writes ---- */
 
--- a/src/drain/replacement.c
+++ b/src/drain/replacement.c
@@ -107,7 +107,7 @@
 /* ---- requests ---- */
 
 /* Whether the entry's machine needs a replacement that has not taken over yet. */
-static bool wants_replacement(const struct bd_core *core, const struct bd_drain *drain,
+static bool needs_replacement(const struct bd_core *core, const struct bd_drain *drain,
                               const struct bd_drain_machine *entry)
 {
     return drain->record.mode == BD_DRAIN_REPLACE && drain->record.state == BD_DRAIN_ACTIVE &&
@@ -121,7 +121,7 @@
     struct bd_drain_iterator iterator = bd_drain_entries(core);
     const struct bd_drain_machine *entry;
     while ((entry = bd_drain_next_entry(&iterator)))
-        pending += wants_replacement(core, iterator.drain, entry) &&
+        pending += needs_replacement(core, iterator.drain, entry) &&
                    (*entry->replacement || *entry->provisioning_request);
     return pending;
 }
@@ -140,12 +140,12 @@
                         struct pool *out)
 {
     const struct bd_machine *machine = entry->machine;
-    int pools = core->nzones * (machine->spot ? 2 : 1);
-    for (int i = 0; i < pools; i++) {
-        int choice = (i + (int)entry->failed_replacements) % pools;
+    int npools = core->nzones * (machine->spot ? 2 : 1);
+    for (int i = 0; i < npools; i++) {
+        int pool_index = (i + (int)entry->failed_replacements) % npools;
         *out = (struct pool){.type = machine->type,
-                             .zone = (machine->zone + choice) % core->nzones,
-                             .spot = machine->spot && choice < core->nzones};
+                             .zone = (machine->zone + pool_index) % core->nzones,
+                             .spot = machine->spot && pool_index < core->nzones};
         if (may_request_from(core, out))
             return true;
     }
@@ -206,7 +206,7 @@
     struct bd_drain_iterator iterator = bd_drain_entries(core);
     struct bd_drain_machine *entry;
     while ((entry = bd_drain_next_entry(&iterator))) {
-        if (!wants_replacement(core, iterator.drain, entry))
+        if (!needs_replacement(core, iterator.drain, entry))
             continue;
         check_replacement(core, iterator.drain, entry);
         if (pending < max_pending && core->lead.inventory_read)
--- a/src/drain/request.c
+++ b/src/drain/request.c
@@ -162,29 +162,29 @@
 }
 
 /* Returns the machines' ids, sorted. The caller frees the array; the ids are borrowed. */
-static const char **sorted_ids(const struct bd_cloud_machine *listed, size_t n)
+static const char **sorted_ids(const struct bd_cloud_machine *inventory, size_t ninventory)
 {
-    const char **ids = calloc(n + 1, sizeof *ids);
+    const char **ids = calloc(ninventory + 1, sizeof *ids);
     if (!ids)
         abort();
-    for (size_t i = 0; i < n; i++)
-        ids[i] = listed[i].id;
-    qsort(ids, n, sizeof *ids, compare_ids);
+    for (size_t i = 0; i < ninventory; i++)
+        ids[i] = inventory[i].id;
+    qsort(ids, ninventory, sizeof *ids, compare_ids);
     return ids;
 }
 
 /* Resolves the request's list of ids. NULL with the refusal: an id is unknown or a duplicate. */
 static json_t *resolve_listed_machines(const struct bd_drain_request *request,
-                                       const struct bd_cloud_machine *listed, size_t n,
+                                       const struct bd_cloud_machine *inventory, size_t ninventory,
                                        struct bd_drain_refusal *refusal)
 {
-    const char **ids = sorted_ids(listed, n);
+    const char **ids = sorted_ids(inventory, ninventory);
     json_t *item, *found = json_array(), *seen = json_object();
     size_t i;
     json_array_foreach(request->machines, i, item)
     {
         const char *id = json_string_value(item);
-        if (!bsearch(&id, ids, n, sizeof *ids, compare_ids))
+        if (!bsearch(&id, ids, ninventory, sizeof *ids, compare_ids))
             (void)refuse(refusal, STATUS_NOT_FOUND, id, "no such machine");
         else if (json_object_get(seen, id))
             (void)refuse(refusal, STATUS_BAD_REQUEST, "machines", "names a machine twice");
@@ -201,19 +201,19 @@
 
 /* Finds the machines of a type and zone; an empty type or zone matches all. */
 static json_t *find_matching_machines(const char *type, const char *zone,
-                                      const struct bd_cloud_machine *listed, size_t n)
+                                      const struct bd_cloud_machine *inventory, size_t ninventory)
 {
     json_t *found = json_array();
-    for (size_t i = 0; i < n; i++)
-        if ((!*type || strcmp(type, listed[i].type) == 0) &&
-            (!*zone || strcmp(zone, listed[i].zone) == 0))
-            json_array_append_new(found, json_string(listed[i].id));
+    for (size_t i = 0; i < ninventory; i++)
+        if ((!*type || strcmp(type, inventory[i].type) == 0) &&
+            (!*zone || strcmp(zone, inventory[i].zone) == 0))
+            json_array_append_new(found, json_string(inventory[i].id));
     return found;
 }
 
 json_t *bd_drain_request_resolve(const struct bd_drain_request *request,
                                  const struct bd_drain_rules *rules,
-                                 const struct bd_cloud_machine *listed, size_t n,
+                                 const struct bd_cloud_machine *inventory, size_t ninventory,
                                  struct bd_drain_refusal *refusal)
 {
     const char *type = request->type, *zone = request->zone;
@@ -227,11 +227,12 @@
         type = selection->type;
         zone = selection->zone;
     }
-    json_t *found = request->machines ? resolve_listed_machines(request, listed, n, refusal)
-                                      : find_matching_machines(type, zone, listed, n);
+    json_t *found = request->machines
+                        ? resolve_listed_machines(request, inventory, ninventory, refusal)
+                        : find_matching_machines(type, zone, inventory, ninventory);
     if (found && json_array_size(found) == 0)
         (void)refuse(refusal, STATUS_BAD_REQUEST, "machines", "no machine is meant");
-    else if (found && json_array_size(found) == n && !request->all)
+    else if (found && json_array_size(found) == ninventory && !request->all)
         (void)refuse(refusal, STATUS_BAD_REQUEST, "all", "all machines are meant: say so");
     if (refusal->status == 0)
         return found;
--- a/src/drain/solver.c
+++ b/src/drain/solver.c
@@ -11,7 +11,7 @@
 
 #define ABORT_CHECKS_MAX 20000 /* calls of the solver's abort callback */
 #define TASK_COST 1e-4         /* cost of a stopped task; the value of a chosen machine is 1 */
-#define CHOSEN_THRESHOLD 0.5   /* the solver's binary variables are 1 above it */
+#define CHOSEN_THRESHOLD 0.5   /* above it, a binary variable of the solution is 1 */
 
 /* Columns 1 to ncandidates are the candidates. After them there is a column for each zone that
  * conflicts with another; it is 1 if a machine of the zone is in the step. */
