--- a/src/drain/entry.c
+++ b/src/drain/entry.c
@@ -1,4 +1,4 @@
-/* The machines of drains: visiting them, and changing their stages. Part of the pure core. */
+/* Machine entries of drains: iteration, and changes of stage. Part of the pure core. */
 #include "brambledoor/log.h"
 #include "drain/drain_internal.h"
 #include "drain/drain_record.h"
@@ -8,7 +8,7 @@
 
 bool bd_drain_is_open(const struct bd_drain *drain)
 {
-    return drain->is_loaded && !drain->over &&
+    return drain->is_loaded && !drain->is_over &&
            (drain->record.state == BD_DRAIN_ACTIVE || drain->record.state == BD_DRAIN_PAUSED);
 }
 
@@ -29,7 +29,7 @@
     return machine;
 }
 
-/* ---- visiting ---- */
+/* ---- iteration ---- */
 
 struct bd_drain_iterator bd_drain_entries(const struct bd_core *core)
 {
@@ -40,26 +40,26 @@
 {
     while (iterator->drain) {
         struct bd_drain *drain = iterator->drain;
-        while (bd_drain_is_open(drain) && iterator->next < drain->nmachines) {
-            struct bd_drain_machine *entry = &drain->machines[iterator->next++];
+        while (bd_drain_is_open(drain) && iterator->next_machine < drain->nmachines) {
+            struct bd_drain_machine *entry = &drain->machines[iterator->next_machine++];
             if (!bd_drain_entry_is_final(entry))
                 return entry;
         }
         iterator->drain = drain->hh.next;
-        iterator->next = 0;
+        iterator->next_machine = 0;
     }
     return NULL;
 }
 
-/* ---- changing ---- */
+/* ---- changes ---- */
 
-/* The record that holds the entry. */
+/* Returns the record part that holds the entry, or NULL. */
 static struct bd_drain_part *find_part(struct bd_drain *drain, const struct bd_drain_machine *entry)
 {
     uint32_t index = (uint32_t)(entry - drain->machines);
-    for (uint32_t i = 0; i < drain->record.parts; i++) {
+    for (uint32_t i = 0; i < drain->record.nparts; i++) {
         struct bd_drain_part *part = &drain->parts[i];
-        if (index >= part->from && index < part->from + part->n)
+        if (index >= part->first_machine && index < part->first_machine + part->nmachines)
             return part;
     }
     return NULL;
@@ -88,7 +88,7 @@
     entry->stage = state.stage;
     entry->wait = state.wait;
     snprintf(entry->team, sizeof entry->team, "%s", state.team);
-    entry->since = core->wall_s;
+    entry->state_since_s = core->wall_s;
     if (stage_changes) {
         bd_drain_mark_entry_urgent(drain, entry);
         core->lead.cycle_wanted = true;
--- a/src/runtime/operators_file.c
+++ b/src/runtime/operators_file.c
@@ -50,14 +50,14 @@
 static void read_draining(struct bd_settings_reader *reader, struct bd_settings *settings,
                           sexp_t *fields)
 {
-    struct bd_drain_rules_fault fault = {"", ""};
+    struct bd_drain_rules_error fault = {"", ""};
     if (settings->draining) {
         bd_settings_record_error(reader, "draining", "must occur only once");
         return;
     }
     settings->draining = bd_drain_rules_read(settings, fields, &fault);
     if (!settings->draining)
-        bd_settings_record_error(reader, fault.field, fault.what);
+        bd_settings_record_error(reader, fault.field, fault.message);
 }
 
 /* Reads this entry and all that follow it. A (name value) pair may be at the top level or inside a
