--- a/src/adapters/api_server.c
+++ b/src/adapters/api_server.c
@@ -159,11 +159,11 @@
                                      const struct bd_api_route *route)
 {
     struct bd_event *event = bd_event_new(route->kind);
-    event->user.request = request;
-    event->user.text = request->body ? request->body : strdup("");
-    event->user.len = request->body_len;
+    event->api_request.request = request;
+    event->api_request.text = request->body ? request->body : strdup("");
+    event->api_request.len = request->body_len;
     request->body = NULL;
-    snprintf(event->user.job_id, sizeof event->user.job_id, "%s", route->job_id);
+    snprintf(event->api_request.job_id, sizeof event->api_request.job_id, "%s", route->job_id);
     request->is_posted = true;
     request->kind = event->kind;
     request->posted_at = bd_now();
@@ -179,7 +179,7 @@
     request->is_health_check = true;
     if (strcmp(method, "GET") != 0)
         return send_error(request->connection, MHD_HTTP_METHOD_NOT_ALLOWED, "wrong method", 0);
-    if (!atomic_load(&node->up))
+    if (!atomic_load(&node->is_healthy))
         return send_error(request->connection, MHD_HTTP_SERVICE_UNAVAILABLE, "not ready",
                           BUSY_RETRY_S);
     return send_reply(request->connection, MHD_HTTP_OK, strdup("{\"up\":true}"), 0);
@@ -285,7 +285,7 @@
 
 static unsigned connections_max(const struct bd_settings *settings)
 {
-    int outgoing = BD_SOCKETS_RESERVED + bd_worker_client_sockets(settings);
+    int outgoing = BD_SOCKETS_RESERVED + bd_worker_client_sockets_max(settings);
     int incoming = settings->max_sockets - outgoing;
     return (unsigned)(incoming > CONNECTIONS_MIN ? incoming : CONNECTIONS_MIN);
 }
--- a/src/adapters/cloud_client.c
+++ b/src/adapters/cloud_client.c
@@ -105,11 +105,11 @@
 
 static void read_types(struct cloud_client *client)
 {
-    struct bd_event *event = bd_event_new(BD_EVENT_MACHINE_TYPES);
+    struct bd_event *event = bd_event_new(BD_EVENT_MACHINE_TYPES_READ);
     struct bd_machine_type_text *types = calloc(BD_TYPES_MAX, sizeof *types);
     if (!types)
         abort();
-    event->types.types = types;
+    event->machine_types.types = types;
     json_t *answer = NULL;
     long status = call_within_rate(client, "GET", PATH_TYPES, NULL, &answer);
     int count = status == CLOUD_OK ? bd_wire_read_machine_types(answer, types, BD_TYPES_MAX) : -1;
@@ -120,10 +120,10 @@
         return;
     }
     client->failures = 0;
-    event->types.n = (size_t)count;
+    event->machine_types.count = (size_t)count;
     bd_event_post(client->node, event);
-    double interval_s =
-        atomic_load(&client->node->leading) ? TYPES_INTERVAL_LEADER_S : TYPES_INTERVAL_FOLLOWER_S;
+    double interval_s = atomic_load(&client->node->is_leading) ? TYPES_INTERVAL_LEADER_S
+                                                               : TYPES_INTERVAL_FOLLOWER_S;
     client->next_types = bd_time_add(bd_now(), bd_secs(interval_s));
 }
 
@@ -171,14 +171,14 @@
 
 static void read_inventory(struct cloud_client *client)
 {
-    struct bd_event *event = bd_event_new(BD_EVENT_INVENTORY);
+    struct bd_event *event = bd_event_new(BD_EVENT_INVENTORY_READ);
     struct bd_event_inventory *inventory = &event->inventory;
     bool has_more = true;
-    inventory->sent = bd_now();
+    inventory->sent_at = bd_now();
     while (has_more) {
         wait_for_rate(client);
-        if (list_page(client->node, client->http, &inventory->machines, &inventory->n, &has_more) ==
-            CLOUD_OK)
+        if (list_page(client->node, client->http, &inventory->machines, &inventory->count,
+                      &has_more) == CLOUD_OK)
             continue;
         bd_event_free(event);
         back_off(client);
@@ -196,7 +196,7 @@
 {
     scaling->machines = calloc((size_t)max, sizeof *scaling->machines);
     int count = scaling->machines ? bd_wire_read_machine_names(json, scaling->machines, max) : -1;
-    scaling->n = count > 0 ? (size_t)count : 0;
+    scaling->count = count > 0 ? (size_t)count : 0;
 }
 
 /* Whether the cloud has decided on a scale-out request. If not, it may have executed the request
@@ -214,7 +214,7 @@
 {
     struct bd_event *event = bd_event_new(BD_EVENT_SCALE_OUT_COMPLETED);
     struct bd_event_scaling *scaling = &event->scaling;
-    snprintf(scaling->request, sizeof scaling->request, "%s", effect->key);
+    snprintf(scaling->request_id, sizeof scaling->request_id, "%s", effect->key);
     for (int i = 0; i < SCALE_OUT_TRIES_MAX; i++) {
         json_t *answer = NULL;
         scaling->status = call_within_rate(client, "POST", BD_PATH_MACHINES, effect->body, &answer);
@@ -222,7 +222,7 @@
             read_machine_names(scaling, answer, SCALE_OUT_MACHINES_MAX);
         bool decided = is_decided(scaling->status, answer);
         json_decref(answer);
-        if (decided || !atomic_load(&client->node->leading))
+        if (decided || !atomic_load(&client->node->is_leading))
             break;
         back_off(client);
     }
@@ -249,7 +249,7 @@
 {
     void *item;
     struct timespec until = bd_time_add(bd_now(), bd_secs(QUEUE_WAIT_S));
-    if (bd_queue_take(&client->node->to_cloud, &item, 1, until) == 0)
+    if (bd_queue_take(&client->node->cloud_effects, &item, 1, until) == 0)
         return;
     struct bd_effect *effect = item;
     if (effect->kind == BD_EFFECT_SCALE_OUT)
@@ -266,9 +266,10 @@
     for (;;) {
         serve_queue(client);
         struct timespec now = bd_now();
-        if (!atomic_load(&node->types_known) || bd_time_is_before(client->next_types, now))
+        if (!atomic_load(&node->are_machine_types_known) ||
+            bd_time_is_before(client->next_types, now))
             read_types(client);
-        if (atomic_load(&node->leading) && bd_time_is_before(client->next_inventory, now))
+        if (atomic_load(&node->is_leading) && bd_time_is_before(client->next_inventory, now))
             read_inventory(client);
     }
     return NULL;
--- a/src/adapters/election.c
+++ b/src/adapters/election.c
@@ -92,10 +92,10 @@
         return;
     }
     event->acquired.acquisition.renewed = candidate->grant_renewed_at;
-    atomic_store(&candidate->node->step_down, false);
+    atomic_store(&candidate->node->step_down_requested, false);
     candidate->leading = true;
     bd_event_post(candidate->node, event);
-    (void)bd_queue_put(&candidate->node->reader_wake, candidate);
+    (void)bd_queue_put(&candidate->node->reader_wakeups, candidate);
 }
 
 /* ---- the thread ---- */
@@ -105,7 +105,7 @@
 {
     uint64_t revision = 0;
     enum bd_lease_view view = bd_lease_observe(candidate, &revision);
-    bool can_lead = !atomic_load(&candidate->node->reads_refused);
+    bool can_lead = !atomic_load(&candidate->node->has_refresh_failed);
     if (view == BD_LEASE_OTHER)
         bd_liveness_write(candidate, revision);
     else if (view != BD_LEASE_UNKNOWN && can_lead)
@@ -121,7 +121,7 @@
 static void step_down(struct bd_candidate *candidate)
 {
     candidate->leading = false;
-    if (atomic_exchange(&candidate->node->resign, false))
+    if (atomic_exchange(&candidate->node->must_revoke_grant, false))
         bd_lease_end(candidate);
 }
 
@@ -136,7 +136,7 @@
 
 static void lead_once(struct bd_candidate *candidate)
 {
-    if (atomic_exchange(&candidate->node->step_down, false)) {
+    if (atomic_exchange(&candidate->node->step_down_requested, false)) {
         step_down(candidate);
         return;
     }
--- a/src/adapters/election.h
+++ b/src/adapters/election.h
@@ -3,8 +3,8 @@
  *
  * One thread owns all of the election's state. It observes the leader's key and posts what it saw
  * to the owner thread; it acquires the lease if nobody holds it, and renews it while we lead. It
- * reads node->step_down and node->resign, which the runtime sets when the core ends the term.
- * Started by the runtime. */
+ * reads node->step_down_requested and node->must_revoke_grant, which the runtime sets when the core
+ * ends the term. Started by the runtime. */
 #ifndef BD_ELECTION_H
 #define BD_ELECTION_H
 
--- a/src/adapters/election_internal.h
+++ b/src/adapters/election_internal.h
@@ -16,7 +16,7 @@
 struct bd_posted_leader {
     char name[BD_LABEL_BYTES];
     uint64_t revision;
-    bool dismisses_us;
+    bool dismisses_this_node;
 };
 
 struct bd_candidate {
--- a/src/adapters/election_lease.c
+++ b/src/adapters/election_lease.c
@@ -43,13 +43,13 @@
 {
     const struct bd_posted_leader *posted = &candidate->posted;
     bool has_news = leader->revision != posted->revision ||
-                    leader->dismisses_us != posted->dismisses_us ||
+                    leader->dismisses_this_node != posted->dismisses_this_node ||
                     strcmp(leader->name, posted->name) != 0;
     struct bd_event *event = bd_event_new(BD_EVENT_LEADER_OBSERVED);
     snprintf(event->leader.name, sizeof event->leader.name, "%s", leader->name);
     event->leader.revision = leader->revision;
-    event->leader.sent = sent;
-    event->leader.dismisses_us = leader->dismisses_us;
+    event->leader.sent_at = sent;
+    event->leader.dismisses_this_node = leader->dismisses_this_node;
     candidate->posted = *leader;
     if (has_news)
         bd_event_post(candidate->node, event);
@@ -66,7 +66,7 @@
     if (!node)
         return BD_LEASE_OTHER;
     struct bd_posted_leader leader = {.revision = pair->revision,
-                                      .dismisses_us = dismisses_us(candidate, pair->value)};
+                                      .dismisses_this_node = dismisses_us(candidate, pair->value)};
     snprintf(leader.name, sizeof leader.name, "%s", node);
     post_leader(candidate, &leader, sent);
     if (strcmp(node, candidate->node->settings.node) != 0)
@@ -167,7 +167,7 @@
     candidate->grant_renewed_at = sent;
     struct bd_event *event = bd_event_new(BD_EVENT_LEASE_RENEWED);
     event->renewed.grant = candidate->grant;
-    event->renewed.sent = sent;
+    event->renewed.sent_at = sent;
     bd_event_post(candidate->node, event);
     return BD_GRANT_RENEWED;
 }
--- a/src/adapters/election_liveness.c
+++ b/src/adapters/election_liveness.c
@@ -20,7 +20,7 @@
                           struct timespec sent)
 {
     struct bd_event *event = bd_event_new(kind);
-    event->liveness.sent = sent;
+    event->liveness.sent_at = sent;
     bd_event_post_without_wakeup(candidate->node, event);
 }
 
--- a/src/adapters/event.c
+++ b/src/adapters/event.c
@@ -35,10 +35,10 @@
     case BD_EVENT_REPLICA_LISTED:
         json_decref(event->page.pairs);
         break;
-    case BD_EVENT_DELEGATE_RECORDS:
-    case BD_EVENT_DRAIN_RECORDS:
+    case BD_EVENT_DELEGATE_RECORDS_READ:
+    case BD_EVENT_DRAIN_RECORDS_READ:
         json_decref(event->records.records);
-        json_decref(event->records.sets);
+        json_decref(event->records.machine_records);
         break;
     case BD_EVENT_LEADERSHIP_ACQUIRED:
         json_decref(event->acquired.acquisition.receipts);
@@ -56,22 +56,22 @@
     case BD_EVENT_USER_STATUS:
     case BD_EVENT_USER_CANCEL:
     case BD_EVENT_HEARTBEAT:
-        free(event->user.text);
+        free(event->api_request.text);
         break;
     case BD_EVENT_DIRECT_COMMAND_COMPLETED:
         free(event->direct_command.text);
         break;
-    case BD_EVENT_MACHINE_TYPES:
-        free(event->types.types);
+    case BD_EVENT_MACHINE_TYPES_READ:
+        free(event->machine_types.types);
         break;
-    case BD_EVENT_INVENTORY:
+    case BD_EVENT_INVENTORY_READ:
         free(event->inventory.machines);
         break;
     case BD_EVENT_SCALE_OUT_COMPLETED:
     case BD_EVENT_SCALE_IN_COMPLETED:
         free(event->scaling.machines);
         break;
-    case BD_EVENT_PEER_FRAME:
+    case BD_EVENT_PEER_FRAME_RECEIVED:
         free(event->peer_frame.frame);
         free(event->peer_frame.text);
         break;
@@ -83,7 +83,7 @@
 
 void bd_event_post(struct bd_node *node, struct bd_event *event)
 {
-    event->queued = bd_now();
+    event->queued_at = bd_now();
     while (!bd_queue_put(&node->events, event))
         bd_sleep(QUEUE_FULL_PAUSE_S);
 }
--- a/src/adapters/event.h
+++ b/src/adapters/event.h
@@ -30,8 +30,8 @@
     BD_EVENT_DELEGATE_TXN_COMPLETED,
     BD_EVENT_REPLICA_REFRESHED,
     BD_EVENT_REPLICA_LISTED,
-    BD_EVENT_DELEGATE_RECORDS,
-    BD_EVENT_DRAIN_RECORDS,
+    BD_EVENT_DELEGATE_RECORDS_READ,
+    BD_EVENT_DRAIN_RECORDS_READ,
     BD_EVENT_KV_RATE_EXCEEDED,
     /* of the election */
     BD_EVENT_LEADER_OBSERVED,
@@ -42,16 +42,16 @@
     BD_EVENT_LEADERSHIP_LOST,
     /* of the clients of workers and of the cloud */
     BD_EVENT_DIRECT_COMMAND_COMPLETED,
-    BD_EVENT_MACHINE_TYPES,
-    BD_EVENT_INVENTORY,
+    BD_EVENT_MACHINE_TYPES_READ,
+    BD_EVENT_INVENTORY_READ,
     BD_EVENT_SCALE_OUT_COMPLETED,
     BD_EVENT_SCALE_IN_COMPLETED,
     /* of the peer listener */
-    BD_EVENT_PEER_FRAME
+    BD_EVENT_PEER_FRAME_RECEIVED
 };
 
 /* A request of a user, or a worker's heartbeat. */
-struct bd_event_request {
+struct bd_event_api_request {
     void *request; /* borrowed from the API server, which bd_api_reply gives it back to */
     char *text;    /* the body, terminated: a submission, a heartbeat */
     size_t len;
@@ -87,7 +87,7 @@
 
 /* The outcome of writing our delegate's record, or of reading its revision. */
 struct bd_event_delegate_txn {
-    struct timespec sent;
+    struct timespec sent_at;
     long status; /* enum bd_kv_status; BD_KV_NO_ANSWER also if only the revision was read */
     uint64_t store_revision;
     bool is_revision_known;
@@ -95,16 +95,16 @@
 
 /* The changes of the jobs' records since a revision. */
 struct bd_event_refresh {
-    struct timespec sent;
-    uint64_t after, store_revision;
-    bool is_barrier; /* reads that were pending when it was sent may be answered */
-    bool ok;         /* the store answered it */
+    struct timespec sent_at;
+    uint64_t after_revision, store_revision;
+    bool is_barrier;  /* reads that were pending when it was sent may be answered */
+    bool is_answered; /* the store answered it */
     json_t *answer;
 };
 
 /* A page of the list of all jobs' records. */
-struct bd_event_page {
-    struct timespec sent; /* when the first page was asked for */
+struct bd_event_list_page {
+    struct timespec first_page_sent_at; /* when the first page was asked for */
     uint64_t store_revision;
     bool is_last;
     json_t *pairs;
@@ -112,17 +112,17 @@
 
 /* The delegates' records, or those of the drains and of their machines. */
 struct bd_event_records {
-    struct timespec sent;
+    struct timespec sent_at;
     json_t *records;
-    json_t *sets; /* drains: the records of their machines, or NULL */
+    json_t *machine_records; /* drains: the records of their machines, or NULL */
 };
 
 /* The leader's key as it was read. */
 struct bd_event_leader {
     char name[BD_LABEL_BYTES]; /* empty: there is no leader */
     uint64_t revision;
-    struct timespec sent;
-    bool dismisses_us; /* as delegate */
+    struct timespec sent_at;
+    bool dismisses_this_node; /* as delegate */
 };
 
 /* We acquired the lease. */
@@ -135,12 +135,12 @@
 /* Our grant was renewed. */
 struct bd_event_renewed {
     uint64_t grant;
-    struct timespec sent;
+    struct timespec sent_at;
 };
 
 /* Our liveness record is about to be sent, or was written. */
 struct bd_event_liveness {
-    struct timespec sent;
+    struct timespec sent_at;
 };
 
 /* The outcome of a direct command. */
@@ -154,29 +154,29 @@
 };
 
 /* The cloud's machine types. */
-struct bd_event_types {
+struct bd_event_machine_types {
     struct bd_machine_type_text *types;
-    size_t n;
+    size_t count;
 };
 
 /* The cloud's inventory. */
 struct bd_event_inventory {
-    struct timespec sent;
+    struct timespec sent_at;
     struct bd_cloud_machine *machines;
-    size_t n;
+    size_t count;
 };
 
 /* The outcome of scale out or scale in. */
 struct bd_event_scaling {
-    char request[BD_LABEL_BYTES];     /* scale out: the provisioning request's name */
+    char request_id[BD_LABEL_BYTES];  /* scale out: the provisioning request's name */
     long status;                      /* the cloud's; 0: no answer */
     char (*machines)[BD_LABEL_BYTES]; /* their ids */
-    size_t n;
+    size_t count;
 };
 
 /* A frame from a peer. */
 struct bd_event_peer_frame {
-    struct timespec received;
+    struct timespec received_at;
     struct bd_frame *frame; /* its own text pointer is not valid */
     char *text;             /* terminated, or NULL */
     size_t len;
@@ -186,22 +186,23 @@
  * that it points to, except requests. */
 struct bd_event {
     enum bd_event_kind kind;
-    struct timespec queued; /* when it was posted; zero: without waking the owner thread */
+    struct timespec queued_at; /* when it was posted; zero: without waking the owner thread */
     union {
-        struct bd_event_request user; /* USER_SUBMIT, USER_STATUS, USER_CANCEL, HEARTBEAT */
+        struct bd_event_api_request
+            api_request; /* USER_SUBMIT, USER_STATUS, USER_CANCEL, HEARTBEAT */
         struct bd_event_user_txn user_txn;
         struct bd_event_job_lookup job_lookup;
         struct bd_event_leader_txn leader_txn;
         struct bd_event_delegate_txn delegate_txn;
         struct bd_event_refresh refresh;
-        struct bd_event_page page;
+        struct bd_event_list_page page;
         struct bd_event_records records; /* DELEGATE_RECORDS, DRAIN_RECORDS */
         struct bd_event_leader leader;
         struct bd_event_acquired acquired;
         struct bd_event_renewed renewed;
         struct bd_event_liveness liveness; /* LIVENESS_SENT, LIVENESS_WRITTEN */
         struct bd_event_direct_command direct_command;
-        struct bd_event_types types;
+        struct bd_event_machine_types machine_types;
         struct bd_event_inventory inventory;
         struct bd_event_scaling scaling; /* SCALE_OUT_COMPLETED, SCALE_IN_COMPLETED */
         struct bd_event_peer_frame peer_frame;
--- a/src/adapters/kv_leader_writer.c
+++ b/src/adapters/kv_leader_writer.c
@@ -123,7 +123,7 @@
  * tries it is built anew, once it is sure that no copy of it was applied. */
 static enum bd_txn_outcome judge_no_answer(struct attempt *attempt, long status)
 {
-    if (!atomic_load(&attempt->node->leading))
+    if (!atomic_load(&attempt->node->is_leading))
         return BD_TXN_DEPOSED;
     if (status == BD_KV_RATE_EXCEEDED) {
         attempt->rate_exceeded_count++;
--- a/src/adapters/kv_reader.c
+++ b/src/adapters/kv_reader.c
@@ -41,7 +41,7 @@
     struct bd_event *event = bd_event_new(BD_EVENT_REPLICA_LISTED);
     event->page.pairs = json_incref(bd_wire_read_pairs(page, &ignored));
     event->page.store_revision = store_revision;
-    event->page.sent = sent;
+    event->page.first_page_sent_at = sent;
     event->page.is_last = is_last;
     json_decref(page);
     atomic_store(&node->is_page_pending, true);
@@ -74,7 +74,7 @@
 {
     list_jobs(reader);
     bd_sleep(LIST_SETTLE_S);
-    reader->revision = atomic_load(&reader->node->store_revision);
+    reader->revision = atomic_load(&reader->node->replica_revision);
     reader->must_list = reader->revision == 0;
 }
 
@@ -84,18 +84,18 @@
     struct bd_node *node = reader->node;
     char path[96];
     struct bd_event *event = bd_event_new(BD_EVENT_REPLICA_REFRESHED);
-    event->refresh.is_barrier = atomic_exchange(&node->wants_barrier, false);
-    event->refresh.after = reader->revision;
-    event->refresh.sent = bd_now();
+    event->refresh.is_barrier = atomic_exchange(&node->is_barrier_requested, false);
+    event->refresh.after_revision = reader->revision;
+    event->refresh.sent_at = bd_now();
     snprintf(path, sizeof path, BD_PATH_REFRESH "j/&after=%llu&waitMs=0",
              (unsigned long long)reader->revision);
     long status =
         bd_kv_call(node, reader->http, "GET", path, NULL, BD_KV_TIMEOUT_S, &event->refresh.answer);
     bool has_news = event->refresh.is_barrier || status != BD_KV_OK;
     bool is_refused = status != BD_KV_OK && status != BD_KV_COMPACTED;
-    event->refresh.ok = status == BD_KV_OK;
-    atomic_store(&node->reads_refused, is_refused);
-    if (event->refresh.ok) {
+    event->refresh.is_answered = status == BD_KV_OK;
+    atomic_store(&node->has_refresh_failed, is_refused);
+    if (event->refresh.is_answered) {
         event->refresh.store_revision = bd_wire_read_store_revision(event->refresh.answer);
         has_news = has_news || json_array_size(bd_wire_read_change_log(event->refresh.answer)) > 0;
         if (event->refresh.store_revision > reader->revision)
@@ -112,8 +112,8 @@
 
 static void read_delegates(const struct reader *reader)
 {
-    struct bd_event *event = bd_event_new(BD_EVENT_DELEGATE_RECORDS);
-    event->records.sent = bd_now();
+    struct bd_event *event = bd_event_new(BD_EVENT_DELEGATE_RECORDS_READ);
+    event->records.sent_at = bd_now();
     event->records.records = bd_kv_list(reader->node, reader->http, "p/");
     if (event->records.records)
         bd_event_post(reader->node, event);
@@ -125,10 +125,10 @@
  * yet: after them, so that the machines of all that were listed are there. */
 static void read_drains(const struct reader *reader)
 {
-    struct bd_event *event = bd_event_new(BD_EVENT_DRAIN_RECORDS);
+    struct bd_event *event = bd_event_new(BD_EVENT_DRAIN_RECORDS_READ);
     event->records.records = bd_kv_list(reader->node, reader->http, BD_DRAIN_KEY);
-    if (event->records.records && atomic_load(&reader->node->wants_drain_sets))
-        event->records.sets = bd_kv_list(reader->node, reader->http, BD_DRAIN_SET_KEY);
+    if (event->records.records && atomic_load(&reader->node->needs_drain_machine_records))
+        event->records.machine_records = bd_kv_list(reader->node, reader->http, BD_DRAIN_SET_KEY);
     if (event->records.records)
         bd_event_post(reader->node, event);
     else
@@ -147,9 +147,9 @@
 static void read_leader_records(struct reader *reader)
 {
     struct bd_node *node = reader->node;
-    if (atomic_load(&node->leading) && is_due(&reader->next_delegates, DELEGATES_INTERVAL_S))
+    if (atomic_load(&node->is_leading) && is_due(&reader->next_delegates, DELEGATES_INTERVAL_S))
         read_delegates(reader);
-    if (node->settings.draining && atomic_load(&node->leading) &&
+    if (node->settings.draining && atomic_load(&node->is_leading) &&
         is_due(&reader->next_drains, DRAINS_INTERVAL_S))
         read_drains(reader);
 }
@@ -160,8 +160,8 @@
     void *woken;
     struct timespec earliest = bd_time_add(bd_now(), bd_secs(REFRESH_INTERVAL_MIN_S));
     struct timespec latest = bd_time_add(earliest, bd_secs(REFRESH_INTERVAL_S));
-    if (!atomic_load(&node->wants_barrier))
-        (void)bd_queue_take(&node->reader_wake, &woken, 1, latest);
+    if (!atomic_load(&node->is_barrier_requested))
+        (void)bd_queue_take(&node->reader_wakeups, &woken, 1, latest);
     double early_s = bd_seconds_between(bd_now(), earliest);
     if (early_s > 0)
         bd_sleep(early_s);
--- a/src/adapters/kv_user_writer.c
+++ b/src/adapters/kv_user_writer.c
@@ -50,7 +50,7 @@
                            const struct bd_effect *effect)
 {
     struct bd_event *event = bd_event_new(BD_EVENT_DELEGATE_TXN_COMPLETED);
-    event->delegate_txn.sent = bd_now();
+    event->delegate_txn.sent_at = bd_now();
     if (effect->body)
         write_delegate(node, http, effect->body, event);
     else
--- a/src/adapters/node.h
+++ b/src/adapters/node.h
@@ -29,32 +29,33 @@
 
     /* ---- owner thread only ---- */
     struct bd_core *core;
-    struct bd_heartbeat_cache *heartbeats;
+    struct bd_heartbeat_cache *heartbeat_cache;
     struct bd_event *pending_acquisition; /* a lease that we hold, until the replica is as new */
-    struct timespec next_metrics, metrics_since; /* lines of the log */
-    struct timespec next_status;                 /* update of the status for peers */
-    struct timespec commit_sent;                 /* when the leader's transaction was queued */
+    struct timespec next_metrics_report_at, metrics_period_start; /* lines of the log */
+    struct timespec next_status_update_at; /* update of the status for peers */
+    struct timespec commit_queued_at;      /* when the leader's transaction was queued */
 
     /* ---- queues between the threads ---- */
-    struct bd_queue events;      /* to the owner thread: struct bd_event */
-    struct bd_queue leader_txns; /* struct bd_effect, to the leader's writer, */
-    struct bd_queue user_txns;   /* ... the users' writers, */
-    struct bd_queue to_cloud;    /* ... and the cloud thread */
-    struct bd_queue reader_wake; /* wakes the key-value store's reader */
+    struct bd_queue events;         /* to the owner thread: struct bd_event */
+    struct bd_queue leader_txns;    /* struct bd_effect, to the leader's writer, */
+    struct bd_queue user_txns;      /* ... the users' writers, */
+    struct bd_queue cloud_effects;  /* ... and the cloud thread */
+    struct bd_queue reader_wakeups; /* wakes the key-value store's reader */
 
     /* ---- published by the owner thread for the adapters ---- */
-    atomic_bool leading;          /* we lead */
-    atomic_bool up;               /* healthy: the answer to health checks */
-    atomic_bool types_known;      /* the cloud's machine types are known */
-    atomic_ullong store_revision; /* up to which the replica is complete */
-    atomic_bool wants_barrier;    /* a read is pending on a refresh that is yet to be sent */
-    atomic_bool wants_drain_sets; /* the records of the drains' machines are to be read */
-    atomic_bool step_down;        /* request to the election: the term is over */
-    atomic_bool resign;           /* with step_down: the grant is to be ended */
+    atomic_bool is_leading;              /* we lead */
+    atomic_bool is_healthy;              /* healthy: the answer to health checks */
+    atomic_bool are_machine_types_known; /* the cloud's machine types are known */
+    atomic_ullong replica_revision;      /* up to which the replica is complete */
+    atomic_bool is_barrier_requested;    /* a read is pending on a refresh that is yet to be sent */
+    atomic_bool
+        needs_drain_machine_records; /* the records of the drains' machines are to be read */
+    atomic_bool step_down_requested; /* request to the election: the term is over */
+    atomic_bool must_revoke_grant;   /* with step_down: the grant is to be ended */
 
     /* ---- between the reader and others ---- */
-    atomic_bool is_page_pending; /* a page of the jobs' records is posted and not applied yet */
-    atomic_bool reads_refused;   /* to the election: the newest refresh was not served */
+    atomic_bool is_page_pending;    /* a page of the jobs' records is posted and not applied yet */
+    atomic_bool has_refresh_failed; /* to the election: the newest refresh was not served */
 
     /* ---- adapters: constant once they are started ---- */
     struct bd_api_server *api_server;
@@ -64,8 +65,8 @@
     /* ---- peer status: written by the owner thread, read by the transport's threads ---- */
     pthread_mutex_t status_lock; /* protects all below; made by bd_transport_start */
     struct bd_frame status;
-    struct bd_job_progress *progress; /* as leader, the jobs' counts */
-    uint32_t progress_count, progress_capacity;
+    struct bd_job_progress *job_progress; /* as leader, the jobs' counts */
+    uint32_t job_progress_count, job_progress_capacity;
 };
 
 /* Sockets set aside for connections to peers, the key-value store and the cloud. */
--- a/src/adapters/peer_listener.c
+++ b/src/adapters/peer_listener.c
@@ -78,13 +78,13 @@
 static void post_frame(struct bd_node *node, struct connection *connection,
                        const struct bd_frame *frame)
 {
-    struct bd_event *event = bd_event_new(BD_EVENT_PEER_FRAME);
+    struct bd_event *event = bd_event_new(BD_EVENT_PEER_FRAME_RECEIVED);
     size_t size = offsetof(struct bd_frame, jobs) + frame->count * sizeof frame->jobs[0];
     event->peer_frame.frame = malloc(size); /* without the unused entries of jobs */
     if (!event->peer_frame.frame)
         abort();
     memcpy(event->peer_frame.frame, frame, size);
-    event->peer_frame.received = connection->received_at;
+    event->peer_frame.received_at = connection->received_at;
     if (frame->text) {
         event->peer_frame.text = strndup(frame->text, frame->len);
         event->peer_frame.len = frame->len;
--- a/src/adapters/peer_transport.c
+++ b/src/adapters/peer_transport.c
@@ -144,8 +144,8 @@
         (void)pthread_mutex_lock(&node->status_lock);
         memset(frame, 0, sizeof *frame);
         frame->type = BD_FRAME_JOB_PROGRESS;
-        while (frame->count < BD_FRAME_JOBS_MAX && from + frame->count < node->progress_count) {
-            frame->jobs[frame->count] = node->progress[from + frame->count];
+        while (frame->count < BD_FRAME_JOBS_MAX && from + frame->count < node->job_progress_count) {
+            frame->jobs[frame->count] = node->job_progress[from + frame->count];
             frame->count++;
         }
         (void)pthread_mutex_unlock(&node->status_lock);
--- a/src/adapters/worker_client.c
+++ b/src/adapters/worker_client.c
@@ -63,7 +63,7 @@
     return per_sender < POOLED_CONNECTIONS_MIN ? POOLED_CONNECTIONS_MIN : per_sender;
 }
 
-int bd_worker_client_sockets(const struct bd_settings *settings)
+int bd_worker_client_sockets_max(const struct bd_settings *settings)
 {
     return sender_count_for(settings) * pooled_connections(settings);
 }
--- a/src/adapters/worker_client.h
+++ b/src/adapters/worker_client.h
@@ -16,5 +16,5 @@
  * BD_EVENT_DIRECT_COMMAND_COMPLETED. Owner thread only. */
 void bd_worker_client_send(struct bd_node *node, struct bd_effect *effect);
 /* Sockets that it may have open at once. */
-int bd_worker_client_sockets(const struct bd_settings *settings);
+int bd_worker_client_sockets_max(const struct bd_settings *settings);
 #endif
--- a/src/runtime/controller.c
+++ b/src/runtime/controller.c
@@ -65,8 +65,8 @@
     if (bd_queue_init(&node->events, EVENT_QUEUE_CAPACITY) != 0 ||
         bd_queue_init(&node->leader_txns, LEADER_TXN_QUEUE_CAPACITY) != 0 ||
         bd_queue_init(&node->user_txns, USER_TXN_QUEUE_CAPACITY) != 0 ||
-        bd_queue_init(&node->to_cloud, CLOUD_QUEUE_CAPACITY) != 0 ||
-        bd_queue_init(&node->reader_wake, READER_QUEUE_CAPACITY) != 0)
+        bd_queue_init(&node->cloud_effects, CLOUD_QUEUE_CAPACITY) != 0 ||
+        bd_queue_init(&node->reader_wakeups, READER_QUEUE_CAPACITY) != 0)
         return -1;
     return 0;
 }
@@ -85,8 +85,8 @@
     double cache_bytes = node->settings.ram_mb * HEARTBEAT_CACHE_SHARE * BYTES_PER_MB;
     node->metrics = bd_metrics_new();
     node->core = bd_core_new(&node->settings, &node->log);
-    node->heartbeats = bd_heartbeat_cache_new((size_t)cache_bytes);
-    if (!node->core || !node->metrics || !node->heartbeats)
+    node->heartbeat_cache = bd_heartbeat_cache_new((size_t)cache_bytes);
+    if (!node->core || !node->metrics || !node->heartbeat_cache)
         return -1;
     node->core->metrics = node->metrics;
     bd_core_seed(node->core, random_seed());
--- a/src/runtime/effect_dispatch.c
+++ b/src/runtime/effect_dispatch.c
@@ -71,15 +71,15 @@
 
 static void step_down(struct bd_node *node, struct bd_effect *effect)
 {
-    atomic_store(&node->resign, effect->step_down_reason == BD_STEP_DOWN_RESIGNED);
-    atomic_store(&node->step_down, true);
+    atomic_store(&node->must_revoke_grant, effect->step_down_reason == BD_STEP_DOWN_RESIGNED);
+    atomic_store(&node->step_down_requested, true);
     bd_effect_free(effect);
 }
 
 static void request_read_barrier(struct bd_node *node, struct bd_effect *effect)
 {
-    atomic_store(&node->wants_barrier, true);
-    (void)bd_queue_put(&node->reader_wake, node);
+    atomic_store(&node->is_barrier_requested, true);
+    (void)bd_queue_put(&node->reader_wakeups, node);
     bd_effect_free(effect);
 }
 
@@ -133,7 +133,7 @@
         commit_for_user(node, effect);
         break;
     case BD_EFFECT_LEADER_TXN:
-        node->commit_sent = node->core->now;
+        node->commit_queued_at = node->core->now;
         queue_effect(node, &node->leader_txns, effect);
         break;
     case BD_EFFECT_DIRECT_COMMAND:
@@ -141,7 +141,7 @@
         break;
     case BD_EFFECT_SCALE_OUT:
     case BD_EFFECT_SCALE_IN:
-        queue_effect(node, &node->to_cloud, effect);
+        queue_effect(node, &node->cloud_effects, effect);
         break;
     }
 }
@@ -156,11 +156,11 @@
 static void publish_state(struct bd_node *node)
 {
     const struct bd_core *core = node->core;
-    atomic_store(&node->leading, core->role == BD_LEADER);
-    atomic_store(&node->store_revision, core->replica.store_revision);
-    atomic_store(&node->wants_drain_sets, bd_drain_wants_sets(core));
-    atomic_store(&node->up, bd_leadership_is_healthy(core));
-    atomic_store(&node->types_known, core->types_known);
+    atomic_store(&node->is_leading, core->role == BD_LEADER);
+    atomic_store(&node->replica_revision, core->replica.store_revision);
+    atomic_store(&node->needs_drain_machine_records, bd_drain_wants_sets(core));
+    atomic_store(&node->is_healthy, bd_leadership_is_healthy(core));
+    atomic_store(&node->are_machine_types_known, core->types_known);
 }
 
 void bd_effects_perform(struct bd_node *node)
--- a/src/runtime/event_apply.c
+++ b/src/runtime/event_apply.c
@@ -33,24 +33,25 @@
 
 static void apply_user_submit(struct bd_node *node, const struct bd_event *event)
 {
-    bd_user_submit(node->core, event->user.request, event->user.text, event->user.len);
+    bd_user_submit(node->core, event->api_request.request, event->api_request.text,
+                   event->api_request.len);
 }
 
 static void apply_user_status(struct bd_node *node, const struct bd_event *event)
 {
-    bd_user_status(node->core, event->user.request, event->user.job_id);
+    bd_user_status(node->core, event->api_request.request, event->api_request.job_id);
 }
 
 static void apply_user_cancel(struct bd_node *node, const struct bd_event *event)
 {
-    bd_user_cancel(node->core, event->user.request, event->user.job_id);
+    bd_user_cancel(node->core, event->api_request.request, event->api_request.job_id);
 }
 
 static void apply_heartbeat(struct bd_node *node, const struct bd_event *event)
 {
-    const struct bd_event_request *received = &event->user;
+    const struct bd_event_api_request *received = &event->api_request;
     const struct bd_heartbeat *heartbeat =
-        bd_heartbeat_cache_read(node->heartbeats, received->text, received->len);
+        bd_heartbeat_cache_read(node->heartbeat_cache, received->text, received->len);
     if (heartbeat)
         bd_worker_heartbeat_received(node->core, received->request, heartbeat, received->text,
                                      received->len);
@@ -85,7 +86,7 @@
 {
     struct bd_core *core = node->core;
     bd_metrics_record_duration(node->metrics, BD_TIMING_COMMIT,
-                               bd_seconds_between(node->commit_sent, core->now));
+                               bd_seconds_between(node->commit_queued_at, core->now));
     /* the outcome of an earlier term's transaction is ignored */
     const struct bd_event_leader_txn *txn = &event->leader_txn;
     if (txn->term == core->lead.base_term && txn->sequence == core->lead.sequence)
@@ -96,7 +97,7 @@
 static void apply_delegate_txn(struct bd_node *node, const struct bd_event *event)
 {
     const struct bd_event_delegate_txn *txn = &event->delegate_txn;
-    bd_delegate_txn_completed(node->core, txn->status, txn->store_revision, txn->sent,
+    bd_delegate_txn_completed(node->core, txn->status, txn->store_revision, txn->sent_at,
                               txn->is_revision_known);
 }
 
@@ -115,30 +116,30 @@
 static void apply_replica_refreshed(struct bd_node *node, const struct bd_event *event)
 {
     const struct bd_event_refresh *refresh = &event->refresh;
-    if (refresh->ok)
+    if (refresh->is_answered)
         apply_changes(node->core, bd_wire_read_change_log(refresh->answer));
-    bd_replica_refreshed(node->core, refresh->after, refresh->store_revision, refresh->sent,
-                         refresh->is_barrier, refresh->ok);
+    bd_replica_refreshed(node->core, refresh->after_revision, refresh->store_revision,
+                         refresh->sent_at, refresh->is_barrier, refresh->is_answered);
 }
 
 static void apply_replica_listed(struct bd_node *node, const struct bd_event *event)
 {
-    const struct bd_event_page *page = &event->page;
+    const struct bd_event_list_page *page = &event->page;
     apply_changes(node->core, page->pairs);
     bd_replica_evict(node->core);
     if (page->is_last)
-        bd_replica_listed(node->core, page->store_revision, page->sent);
+        bd_replica_listed(node->core, page->store_revision, page->first_page_sent_at);
     atomic_store(&node->is_page_pending, false);
 }
 
 static void apply_delegate_records(struct bd_node *node, const struct bd_event *event)
 {
-    bd_delegate_records_read(node->core, event->records.records, event->records.sent);
+    bd_delegate_records_read(node->core, event->records.records, event->records.sent_at);
 }
 
 static void apply_drain_records(struct bd_node *node, const struct bd_event *event)
 {
-    bd_drain_apply_records(node->core, event->records.records, event->records.sets);
+    bd_drain_apply_records(node->core, event->records.records, event->records.machine_records);
 }
 
 static void apply_kv_rate_exceeded(struct bd_node *node, const struct bd_event *event)
@@ -153,23 +154,23 @@
 {
     const struct bd_event_leader *leader = &event->leader;
     if (node->core->role == BD_FOLLOWER && !node->pending_acquisition)
-        bd_core_leader_observed(node->core, leader->name, leader->revision, leader->sent,
-                                leader->dismisses_us);
+        bd_core_leader_observed(node->core, leader->name, leader->revision, leader->sent_at,
+                                leader->dismisses_this_node);
 }
 
 static void apply_lease_renewed(struct bd_node *node, const struct bd_event *event)
 {
-    bd_leadership_renewed(node->core, event->renewed.grant, event->renewed.sent);
+    bd_leadership_renewed(node->core, event->renewed.grant, event->renewed.sent_at);
 }
 
 static void apply_liveness_sent(struct bd_node *node, const struct bd_event *event)
 {
-    bd_liveness_sent(node->core, event->liveness.sent);
+    bd_liveness_sent(node->core, event->liveness.sent_at);
 }
 
 static void apply_liveness_written(struct bd_node *node, const struct bd_event *event)
 {
-    bd_liveness_written(node->core, event->liveness.sent);
+    bd_liveness_written(node->core, event->liveness.sent_at);
 }
 
 static void apply_leadership_lost(struct bd_node *node, const struct bd_event *event)
@@ -184,40 +185,43 @@
 {
     const struct bd_event_direct_command *command = &event->direct_command;
     const struct bd_heartbeat *heartbeat =
-        bd_heartbeat_cache_read(node->heartbeats, command->text, command->len);
+        bd_heartbeat_cache_read(node->heartbeat_cache, command->text, command->len);
     bd_worker_direct_command_completed(node->core, command->machine, command->fencing_token,
                                        command->has_launches, command->status, heartbeat);
 }
 
 static void apply_machine_types(struct bd_node *node, const struct bd_event *event)
 {
-    bd_inventory_types_received(node->core, event->types.types, (int)event->types.n);
+    bd_inventory_types_received(node->core, event->machine_types.types,
+                                (int)event->machine_types.count);
 }
 
 static void apply_inventory(struct bd_node *node, const struct bd_event *event)
 {
     const struct bd_event_inventory *inventory = &event->inventory;
-    bd_inventory_machines_received(node->core, inventory->machines, inventory->n, inventory->sent);
+    bd_inventory_machines_received(node->core, inventory->machines, inventory->count,
+                                   inventory->sent_at);
 }
 
 static void apply_scale_out(struct bd_node *node, const struct bd_event *event)
 {
     const struct bd_event_scaling *scaling = &event->scaling;
-    bd_core_scale_out_completed(node->core, scaling->request, scaling->status, scaling->machines,
-                                (int)scaling->n);
+    bd_core_scale_out_completed(node->core, scaling->request_id, scaling->status, scaling->machines,
+                                (int)scaling->count);
 }
 
 static void apply_scale_in(struct bd_node *node, const struct bd_event *event)
 {
     const struct bd_event_scaling *scaling = &event->scaling;
-    bd_scale_in_completed(node->core, scaling->machines, (int)scaling->n,
+    bd_scale_in_completed(node->core, scaling->machines, (int)scaling->count,
                           scaling->status == HTTP_OK);
 }
 
 static void apply_forwarded_heartbeat(struct bd_node *node, const struct bd_frame *frame,
                                       const char *text, size_t len)
 {
-    const struct bd_heartbeat *heartbeat = bd_heartbeat_cache_read(node->heartbeats, text, len);
+    const struct bd_heartbeat *heartbeat =
+        bd_heartbeat_cache_read(node->heartbeat_cache, text, len);
     if (heartbeat)
         bd_worker_heartbeat_forwarded(node->core, frame->name, frame->id, heartbeat, text, len);
 }
@@ -238,7 +242,7 @@
     const struct bd_frame *frame = received->frame;
     switch (frame->type) {
     case BD_FRAME_PEER_STATUS:
-        apply_peer_status(core, frame, received->received);
+        apply_peer_status(core, frame, received->received_at);
         break;
     case BD_FRAME_HEARTBEAT:
         apply_forwarded_heartbeat(node, frame, received->text, received->len);
@@ -274,8 +278,8 @@
     [BD_EVENT_DELEGATE_TXN_COMPLETED] = apply_delegate_txn,
     [BD_EVENT_REPLICA_REFRESHED] = apply_replica_refreshed,
     [BD_EVENT_REPLICA_LISTED] = apply_replica_listed,
-    [BD_EVENT_DELEGATE_RECORDS] = apply_delegate_records,
-    [BD_EVENT_DRAIN_RECORDS] = apply_drain_records,
+    [BD_EVENT_DELEGATE_RECORDS_READ] = apply_delegate_records,
+    [BD_EVENT_DRAIN_RECORDS_READ] = apply_drain_records,
     [BD_EVENT_KV_RATE_EXCEEDED] = apply_kv_rate_exceeded,
     [BD_EVENT_LEADER_OBSERVED] = apply_leader_observed,
     [BD_EVENT_LEASE_RENEWED] = apply_lease_renewed,
@@ -283,11 +287,11 @@
     [BD_EVENT_LIVENESS_WRITTEN] = apply_liveness_written,
     [BD_EVENT_LEADERSHIP_LOST] = apply_leadership_lost,
     [BD_EVENT_DIRECT_COMMAND_COMPLETED] = apply_direct_command,
-    [BD_EVENT_MACHINE_TYPES] = apply_machine_types,
-    [BD_EVENT_INVENTORY] = apply_inventory,
+    [BD_EVENT_MACHINE_TYPES_READ] = apply_machine_types,
+    [BD_EVENT_INVENTORY_READ] = apply_inventory,
     [BD_EVENT_SCALE_OUT_COMPLETED] = apply_scale_out,
     [BD_EVENT_SCALE_IN_COMPLETED] = apply_scale_in,
-    [BD_EVENT_PEER_FRAME] = apply_peer_frame,
+    [BD_EVENT_PEER_FRAME_RECEIVED] = apply_peer_frame,
 };
 
 void bd_event_apply(struct bd_node *node, const struct bd_event *event)
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -61,9 +61,9 @@
     }
     if (event->kind == BD_EVENT_LEADERSHIP_LOST)
         drop_acquisition(node);
-    if (!bd_time_is_zero(event->queued))
+    if (!bd_time_is_zero(event->queued_at))
         bd_metrics_record_duration(node->metrics, BD_TIMING_QUEUE,
-                                   bd_seconds_between(event->queued, node->core->now));
+                                   bd_seconds_between(event->queued_at, node->core->now));
     bd_event_apply(node, event);
     bd_event_free(event);
 }
@@ -84,24 +84,24 @@
 {
     struct timespec now = node->core->now;
     uint32_t all, repeated;
-    if (bd_time_is_before(now, node->next_metrics))
+    if (bd_time_is_before(now, node->next_metrics_report_at))
         return;
-    bd_heartbeat_cache_counts(node->heartbeats, &all, &repeated);
+    bd_heartbeat_cache_counts(node->heartbeat_cache, &all, &repeated);
     if (all > 0)
         bd_log_write(&node->log, BD_LOG_INFO, "heartbeats: %u, %u of them unchanged", all,
                      repeated);
-    if (!bd_time_is_zero(node->metrics_since))
+    if (!bd_time_is_zero(node->metrics_period_start))
         bd_metrics_write_report(node->metrics, &node->log,
-                                bd_seconds_between(node->metrics_since, now));
-    node->metrics_since = now;
-    node->next_metrics = bd_time_add(now, bd_secs(METRICS_INTERVAL_S));
+                                bd_seconds_between(node->metrics_period_start, now));
+    node->metrics_period_start = now;
+    node->next_metrics_report_at = bd_time_add(now, bd_secs(METRICS_INTERVAL_S));
 }
 
 void bd_controller_run(struct bd_node *node)
 {
     void *batch[BATCH_EVENTS];
     for (;;) {
-        struct timespec until = bd_time_min(bd_core_next(node->core), node->next_status);
+        struct timespec until = bd_time_min(bd_core_next(node->core), node->next_status_update_at);
         size_t count = bd_queue_take(&node->events, batch, BATCH_EVENTS, until);
         bd_controller_set_clock(node);
         for (size_t i = 0; i < count; i++)
--- a/src/runtime/peer_status.c
+++ b/src/runtime/peer_status.c
@@ -21,16 +21,16 @@
 /* Without memory the job is left out. */
 static void add_progress(struct bd_node *node, const struct bd_job *job)
 {
-    if (node->progress_count == node->progress_capacity) {
+    if (node->job_progress_count == node->job_progress_capacity) {
         uint32_t capacity =
-            node->progress_capacity ? node->progress_capacity * 2 : PROGRESS_CAPACITY_MIN;
-        struct bd_job_progress *grown = realloc(node->progress, capacity * sizeof *grown);
+            node->job_progress_capacity ? node->job_progress_capacity * 2 : PROGRESS_CAPACITY_MIN;
+        struct bd_job_progress *grown = realloc(node->job_progress, capacity * sizeof *grown);
         if (!grown)
             return;
-        node->progress = grown;
-        node->progress_capacity = capacity;
+        node->job_progress = grown;
+        node->job_progress_capacity = capacity;
     }
-    struct bd_job_progress *progress = &node->progress[node->progress_count++];
+    struct bd_job_progress *progress = &node->job_progress[node->job_progress_count++];
     memcpy(progress->id, job->id, sizeof progress->id);
     progress->done = job->ndone;
     progress->running = job->nrunning;
@@ -60,7 +60,7 @@
 static void collect_progress(struct bd_node *node)
 {
     struct bd_job *job, *next;
-    node->progress_count = 0;
+    node->job_progress_count = 0;
     if (node->core->role != BD_LEADER)
         return;
     HASH_ITER(hh, node->core->jobs, job, next)
@@ -73,9 +73,9 @@
 void bd_peer_status_update(struct bd_node *node)
 {
     const struct bd_core *core = node->core;
-    if (bd_time_is_before(core->now, node->next_status))
+    if (bd_time_is_before(core->now, node->next_status_update_at))
         return;
-    node->next_status = bd_time_add(core->now, bd_secs(STATUS_INTERVAL_S));
+    node->next_status_update_at = bd_time_add(core->now, bd_secs(STATUS_INTERVAL_S));
     double kv_age_s = bd_seconds_between(core->replica.refreshed_at, core->now);
     (void)pthread_mutex_lock(&node->status_lock);
     node->status.term = core->role == BD_LEADER ? core->lead.term : 0;
