--- a/src/adapters/admin_drain_change.c
+++ b/src/adapters/admin_drain_change.c
@@ -7,7 +7,7 @@
 #include <jansson.h>
 #include <stdbool.h>
 
-#define TRIES_MAX 3 /* others may change the record at the same moment */
+#define TRIES_MAX 3 /* each concurrent change of the record makes a try fail */
 
 static enum bd_drain_state requested_state(enum bd_drain_verb verb)
 {
@@ -27,7 +27,7 @@
     return record->state == BD_DRAIN_DONE || record->state == BD_DRAIN_CANCELLED;
 }
 
-/* Brings the drain into the state. False: the record was changed by others meanwhile. */
+/* Sets the drain's state. False: the record was changed concurrently, and there is no response. */
 static bool write_state(const struct bd_admin_store *store, struct bd_drain_record *record,
                         enum bd_drain_state state, struct bd_admin_response *response)
 {
@@ -35,7 +35,7 @@
     if (record->state != state) {
         record->state = state;
         if (state == BD_DRAIN_CANCELLED)
-            record->ended = bd_admin_wall_s();
+            record->ended = bd_admin_wall_time_s();
         status = bd_admin_write_drain(store, record);
     }
     if (status == BD_KV_CONFLICT)
@@ -45,7 +45,8 @@
     return true;
 }
 
-/* False: the record was changed by others meanwhile, and there is no response. */
+/* Reads and changes the drain. False: the record was changed concurrently, and there is no
+ * response. */
 static bool try_change(const struct bd_admin_store *store, const char *name,
                        enum bd_drain_verb verb, struct bd_admin_response *response)
 {
@@ -65,8 +66,8 @@
     return has_response;
 }
 
-struct bd_admin_response bd_admin_change(const struct bd_admin_store *store, const char *name,
-                                         enum bd_drain_verb verb)
+struct bd_admin_response bd_admin_change_drain(const struct bd_admin_store *store, const char *name,
+                                               enum bd_drain_verb verb)
 {
     struct bd_admin_response response;
     for (int i = 0; i < TRIES_MAX; i++) {
--- a/src/adapters/admin_drain_create.c
+++ b/src/adapters/admin_drain_create.c
@@ -1,6 +1,6 @@
-/* Creating a drain: the cloud's inventory says which machines are meant, the machines' records are
- * written first, and then the drain's own on condition that there is none of that name. A crash in
- * between leaves machines' records that no drain refers to. */
+/* Creating a drain. The request's machines are selected from the cloud's inventory, and their
+ * records are written first. The drain's own record follows, on condition that no drain has that
+ * name. A crash in between leaves machines' records that no drain refers to. */
 #include "adapters/admin_store.h"
 #include "adapters/admin_store_internal.h"
 #include "adapters/cloud_client.h"
@@ -19,40 +19,42 @@
 #include <sys/random.h>
 
 #define TXN_BYTES_MAX 50000u
-#define SET_ID_BYTES 8 /* random; in hexadecimal in the key */
+#define SET_ID_BYTES 8 /* random bytes, in hexadecimal in the key */
 
 /* ---- the machines' records ---- */
 
-static bool choose_set_id(char *out)
+static bool generate_set_id(char *out)
 {
-    unsigned char raw[SET_ID_BYTES];
-    if (getrandom(raw, sizeof raw, 0) != (ssize_t)sizeof raw)
+    unsigned char random_bytes[SET_ID_BYTES];
+    if (getrandom(random_bytes, sizeof random_bytes, 0) != (ssize_t)sizeof random_bytes)
         return false;
-    for (size_t i = 0; i < sizeof raw; i++)
-        snprintf(out + 2 * i, 3, "%02x", raw[i]);
+    for (size_t i = 0; i < sizeof random_bytes; i++)
+        snprintf(out + 2 * i, 3, "%02x", random_bytes[i]);
     return true;
 }
 
-/* The machines with these ids, cordoned from now on. The caller frees them. */
-static struct bd_drain_machine *new_machines(const json_t *ids, size_t *longest_id)
+/* Entries for the machines with these ids, cordoned since now. The caller frees them.
+ * *longest_id_len: characters of the longest id. */
+static struct bd_drain_machine *new_machines(const json_t *ids, size_t *longest_id_len)
 {
-    double now_s = bd_admin_wall_s();
+    double now_s = bd_admin_wall_time_s();
     struct bd_drain_machine *machines = calloc(json_array_size(ids) + 1, sizeof *machines);
     if (!machines)
         abort();
-    *longest_id = 0;
+    *longest_id_len = 0;
     for (size_t i = 0; i < json_array_size(ids); i++) {
         const char *id = json_string_value(json_array_get(ids, i));
         snprintf(machines[i].id, sizeof machines[i].id, "%s", id);
         machines[i].stage = BD_STAGE_CORDONED;
         machines[i].since = now_s;
-        if (strlen(id) > *longest_id)
-            *longest_id = strlen(id);
+        if (strlen(id) > *longest_id_len)
+            *longest_id_len = strlen(id);
     }
     return machines;
 }
 
-/* Adds the next part of the set to the transaction. Returns its bytes. */
+/* Adds the record of the next part of the machine set to the transaction. Returns the bytes of its
+ * value. */
 static size_t put_part(struct bd_txn *txn, struct bd_drain_record *record,
                        const struct bd_drain_machine *machines, uint32_t count,
                        size_t value_bytes_max)
@@ -67,10 +69,11 @@
     return bytes;
 }
 
-/* Writes the records of the drain's machines, per_part machines in each, as many records in a
- * transaction as it may hold. Counts the parts in the drain's record. */
+/* Writes the records of the drain's machines, machines_per_part in each record, and as many records
+ * in each transaction as its limits allow. Counts the parts in the drain's record. False: a
+ * transaction failed. */
 static bool write_machines(const struct bd_admin_store *store, struct bd_drain_record *record,
-                           const struct bd_drain_machine *machines, uint32_t per_part)
+                           const struct bd_drain_machine *machines, uint32_t machines_per_part)
 {
     size_t ops_max = store->node->settings.kv_txn_ops_max;
     size_t value_bytes_max = store->node->settings.kv_value_bytes_max;
@@ -82,8 +85,8 @@
             abort();
         while (written < record->machines && ops < ops_max &&
                (ops == 0 || bytes + value_bytes_max < TXN_BYTES_MAX)) {
-            uint32_t left = record->machines - written;
-            uint32_t count = left < per_part ? left : per_part;
+            uint32_t remaining = record->machines - written;
+            uint32_t count = remaining < machines_per_part ? remaining : machines_per_part;
             bytes += put_part(&txn, record, machines + written, count, value_bytes_max);
             written += count;
             ops++;
@@ -96,9 +99,8 @@
 
 /* ---- the drain's record ---- */
 
-/* The form of the request that is stored and compared with a repeated one: it has a hash in place
- * of the list of machines, which may be longer than a value of the store. The caller releases it.
- */
+/* The form of the request that is stored, and compared with a repeated request. A hash replaces the
+ * list of machines, which may be longer than a value of the store. The caller releases it. */
 static json_t *normalize_request(json_t *request)
 {
     char hash[BD_HASH_BYTES];
@@ -111,7 +113,8 @@
     return normalized;
 }
 
-/* A drain has the name already: that of the same request, or another one. */
+/* The response when the name is taken: the drain if the same request created it, else a conflict.
+ */
 static struct bd_admin_response show_existing(const struct bd_drain_record *record,
                                               const json_t *normalized)
 {
@@ -120,8 +123,8 @@
     return bd_admin_show_record(BD_ADMIN_OK, record);
 }
 
-/* The name was taken meanwhile, perhaps by a retry of the same request: what is stored now is the
- * answer. */
+/* The response when the name was taken after it was checked, perhaps by a retry of the same
+ * request: depends on the drain that is stored now. */
 static struct bd_admin_response resolve_conflict(const struct bd_admin_store *store,
                                                  const char *name, const json_t *normalized)
 {
@@ -143,16 +146,16 @@
                                      .state = BD_DRAIN_ACTIVE,
                                      .machines = (uint32_t)json_array_size(ids),
                                      .asked = normalized};
-    size_t longest_id;
+    size_t longest_id_len;
     snprintf(record.name, sizeof record.name, "%s", request->name);
-    struct bd_drain_machine *machines = new_machines(ids, &longest_id);
+    struct bd_drain_machine *machines = new_machines(ids, &longest_id_len);
     record.at = machines[0].since;
-    uint32_t per_part =
-        bd_drain_part_machines_max(settings, settings->kv_value_bytes_max, longest_id);
-    bool is_written = per_part > 0 && choose_set_id(record.set) &&
-                      write_machines(store, &record, machines, per_part);
+    uint32_t machines_per_part =
+        bd_drain_part_machines_max(settings, settings->kv_value_bytes_max, longest_id_len);
+    bool is_written = machines_per_part > 0 && generate_set_id(record.set) &&
+                      write_machines(store, &record, machines, machines_per_part);
     free(machines);
-    if (per_part == 0)
+    if (machines_per_part == 0)
         return bd_admin_refuse(BD_ADMIN_MALFORMED, "machines",
                                "a value of the state service holds none");
     long status = is_written ? bd_admin_write_drain(store, &record) : BD_KV_NO_ANSWER;
@@ -170,7 +173,8 @@
     return bd_admin_refuse((enum bd_admin_status)refusal->status, refusal->field, refusal->why);
 }
 
-/* Asks the cloud, not the leader, which machines are meant: any controller can do so. */
+/* Selects the machines from the cloud's inventory rather than the leader's view of it, so that any
+ * controller can serve the request. */
 static struct bd_admin_response create_drain(const struct bd_admin_store *store,
                                              const struct bd_drain_request *request,
                                              json_t *normalized)
@@ -178,7 +182,7 @@
     struct bd_cloud_machine *inventory = NULL;
     struct bd_drain_refusal refusal;
     size_t count = 0;
-    if (!bd_cloud_list(store->node, store->http, &inventory, &count)) {
+    if (!bd_cloud_list_machines(store->node, store->http, &inventory, &count)) {
         free(inventory);
         return bd_admin_refuse(BD_ADMIN_UNAVAILABLE, "", "cloud not reached");
     }
@@ -192,8 +196,8 @@
     return response;
 }
 
-struct bd_admin_response bd_admin_create(const struct bd_admin_store *store, const char *body,
-                                         size_t len)
+struct bd_admin_response bd_admin_create_drain(const struct bd_admin_store *store, const char *body,
+                                               size_t len)
 {
     struct bd_drain_request request;
     struct bd_drain_refusal refusal;
--- a/src/adapters/admin_server.c
+++ b/src/adapters/admin_server.c
@@ -20,25 +20,25 @@
 #define PATH_DRAINS "/admin/v1/drains"
 #define BODY_BYTES_MAX 65536u
 #define CONNECTIONS_MAX 8u
-#define REQUESTS_MAX 3 /* at once; further ones are answered 503 */
+#define REQUESTS_MAX 3 /* served concurrently; others are answered with 503 */
 #define CONNECTION_IDLE_S 30u
 #define STACK_BYTES 262144u
 
-/* Shared by the connections' threads; lives as long as the process. */
+/* State shared by the connections' threads; lives as long as the process. */
 struct admin_server {
     struct bd_node *node;
     struct MHD_Daemon *daemon;
-    atomic_int requests; /* being served */
+    atomic_int active_requests;
 };
 
-/* One request; its connection's thread owns it. */
+/* One request, owned by its connection's thread. */
 struct admin_request {
     char *body;
     size_t body_len;
     bool body_too_large;
 };
 
-/* Releases the response's body. */
+/* Sends the response and releases its body. */
 static enum MHD_Result send_response(struct MHD_Connection *connection,
                                      struct bd_admin_response response)
 {
@@ -51,7 +51,8 @@
 
 /* ---- routing ---- */
 
-/* Splits PATH_DRAINS/NAME or PATH_DRAINS/NAME/VERB; *verb is "" in the former. False: neither. */
+/* Splits PATH_DRAINS/NAME or PATH_DRAINS/NAME/VERB; *verb is "" if the path has none. False: the
+ * path has neither form, or the name is too long. */
 static bool parse_drain_path(const char *url, char *name, size_t capacity, const char **verb)
 {
     size_t prefix_len = strlen(PATH_DRAINS "/");
@@ -95,20 +96,22 @@
     bool is_get = strcmp(method, "GET") == 0, is_post = strcmp(method, "POST") == 0;
     if (strcmp(url, PATH_DRAINS) == 0) {
         if (is_get)
-            return bd_admin_list(store);
+            return bd_admin_list_drains(store);
         if (is_post)
-            return bd_admin_create(store, request->body ? request->body : "", request->body_len);
+            return bd_admin_create_drain(store, request->body ? request->body : "",
+                                         request->body_len);
         return refuse_method();
     }
     if (!parse_drain_path(url, name, sizeof name, &verb_text) ||
         (*verb_text && !parse_verb(verb_text, &verb)))
         return bd_admin_refuse(BD_ADMIN_NOT_FOUND, "", "no such path");
     if (!*verb_text)
-        return is_get ? bd_admin_show(store, name) : refuse_method();
-    return is_post ? bd_admin_change(store, name, verb) : refuse_method();
+        return is_get ? bd_admin_show_drain(store, name) : refuse_method();
+    return is_post ? bd_admin_change_drain(store, name, verb) : refuse_method();
 }
 
-/* Serves the request on an HTTP connection of its own, unless too many are being served. */
+/* Serves the request with its own HTTP client for calls to the store and the cloud. Answers 503 if
+ * REQUESTS_MAX requests are being served already, or if there is no memory for the client. */
 static struct bd_admin_response serve_request(struct admin_server *server,
                                               const struct admin_request *request,
                                               const char *method, const char *url)
@@ -117,7 +120,7 @@
     struct bd_admin_store store = {server->node, NULL};
     if (request->body_too_large)
         return bd_admin_refuse(BD_ADMIN_TOO_LARGE, "body", "over 64 KiB");
-    if (atomic_fetch_add(&server->requests, 1) < REQUESTS_MAX)
+    if (atomic_fetch_add(&server->active_requests, 1) < REQUESTS_MAX)
         store.http = bd_http_new(1, NULL);
     if (store.http) {
         response = route_request(&store, request, method, url);
@@ -125,7 +128,7 @@
     } else {
         response = bd_admin_refuse(BD_ADMIN_UNAVAILABLE, "", "busy");
     }
-    atomic_fetch_sub(&server->requests, 1);
+    atomic_fetch_sub(&server->active_requests, 1);
     return response;
 }
 
@@ -145,10 +148,10 @@
     request->body_len += size;
 }
 
-/* Called when the headers are there, for each part of the body, and after it. */
-static enum MHD_Result handle(void *arg, struct MHD_Connection *connection, const char *url,
-                              const char *method, const char *version, const char *data,
-                              size_t *size, void **context)
+/* Called after the headers, for each part of the body, and after the body. */
+static enum MHD_Result access_callback(void *arg, struct MHD_Connection *connection,
+                                       const char *url, const char *method, const char *version,
+                                       const char *data, size_t *size, void **context)
 {
     (void)version;
     if (!*context) {
@@ -178,15 +181,17 @@
 
 /* ---- start ---- */
 
-/* The daemon's thread accepts connections and makes a thread for each, which ends with it. */
+/* The daemon's thread accepts connections and starts a thread for each. That thread ends when its
+ * connection is closed. */
 static struct MHD_Daemon *start_daemon(struct admin_server *server, struct sockaddr_in *address)
 {
-    return MHD_start_daemon(
-        MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD, 0, NULL, NULL, handle,
-        server, MHD_OPTION_SOCK_ADDR, (struct sockaddr *)address, MHD_OPTION_CONNECTION_LIMIT,
-        CONNECTIONS_MAX, MHD_OPTION_CONNECTION_TIMEOUT, CONNECTION_IDLE_S,
-        MHD_OPTION_NOTIFY_COMPLETED, request_completed, server, MHD_OPTION_LISTENING_ADDRESS_REUSE,
-        1u, MHD_OPTION_THREAD_STACK_SIZE, (size_t)STACK_BYTES, MHD_OPTION_END);
+    return MHD_start_daemon(MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD, 0,
+                            NULL, NULL, access_callback, server, MHD_OPTION_SOCK_ADDR,
+                            (struct sockaddr *)address, MHD_OPTION_CONNECTION_LIMIT,
+                            CONNECTIONS_MAX, MHD_OPTION_CONNECTION_TIMEOUT, CONNECTION_IDLE_S,
+                            MHD_OPTION_NOTIFY_COMPLETED, request_completed, server,
+                            MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u, MHD_OPTION_THREAD_STACK_SIZE,
+                            (size_t)STACK_BYTES, MHD_OPTION_END);
 }
 
 int bd_admin_start(struct bd_node *node)
--- a/src/adapters/admin_server.h
+++ b/src/adapters/admin_server.h
@@ -8,6 +8,7 @@
 
 struct bd_node;
 
-/* Listens, if the operators' file names an address. 0, or -1: cannot listen. */
+/* Starts the server if the operators' file configures an address for it. Returns 0, or -1: out of
+ * memory, or the address is malformed or cannot be listened on. */
 int bd_admin_start(struct bd_node *node);
 #endif
--- a/src/adapters/admin_store.c
+++ b/src/adapters/admin_store.c
@@ -21,9 +21,9 @@
 /* ---- responses ---- */
 
 struct bd_admin_response bd_admin_refuse(enum bd_admin_status status, const char *field,
-                                         const char *why)
+                                         const char *message)
 {
-    json_t *body = json_pack("{s:s}", "error", why);
+    json_t *body = json_pack("{s:s}", "error", message);
     if (*field)
         json_object_set_new(body, "field", json_string(field));
     int retry_after_s = status == BD_ADMIN_UNAVAILABLE ? BUSY_RETRY_S : 0;
@@ -65,7 +65,7 @@
     return entry;
 }
 
-/* How many machines are in each stage. */
+/* Counts the machines in each stage. */
 static json_t *count_stages(const struct bd_drain_machine *machines, uint32_t count)
 {
     uint32_t in_stage[BD_STAGES] = {0};
@@ -92,9 +92,9 @@
         bd_kv_call(store->node, store->http, "GET", path, NULL, STORE_TIMEOUT_S, &out->answer);
     if (status != BD_KV_OK)
         return status;
-    bool is_readable = bd_wire_read_pair(out->answer, &pair, &grant) &&
-                       bd_drain_record_decode(name, pair.value, pair.revision, &out->record);
-    return is_readable ? BD_KV_OK : BD_KV_NO_ANSWER;
+    bool is_valid = bd_wire_read_pair(out->answer, &pair, &grant) &&
+                    bd_drain_record_decode(name, pair.value, pair.revision, &out->record);
+    return is_valid ? BD_KV_OK : BD_KV_NO_ANSWER;
 }
 
 long bd_admin_commit(const struct bd_admin_store *store, struct bd_txn *txn)
@@ -120,7 +120,7 @@
     return bd_admin_commit(store, &txn);
 }
 
-double bd_admin_wall_s(void)
+double bd_admin_wall_time_s(void)
 {
     struct timespec wall = {0, 0};
     (void)clock_gettime(CLOCK_REALTIME, &wall);
@@ -129,7 +129,7 @@
 
 /* ---- reading ---- */
 
-struct bd_admin_response bd_admin_list(const struct bd_admin_store *store)
+struct bd_admin_response bd_admin_list_drains(const struct bd_admin_store *store)
 {
     struct bd_drain_record record;
     struct bd_change pair;
@@ -150,16 +150,16 @@
     return (struct bd_admin_response){BD_ADMIN_OK, 0, json_pack("{s:o}", "drains", drains)};
 }
 
-/* The machines of a drain, from the records of its set. False: the store gave no answer, or a
- * record is damaged. The caller frees *machines in any case. */
-static bool read_machines(const struct bd_admin_store *store, const char *set,
+/* Reads the machines of a drain from the records of its machine set. False: the store did not
+ * answer, or a record is malformed. The caller frees *machines in either case. */
+static bool read_machines(const struct bd_admin_store *store, const char *set_id,
                           struct bd_drain_machine **machines, uint32_t *count)
 {
     char prefix[BD_LABEL_BYTES];
     struct bd_change pair;
     json_t *value;
     size_t i;
-    snprintf(prefix, sizeof prefix, BD_DRAIN_SET_KEY "%s/", set);
+    snprintf(prefix, sizeof prefix, BD_DRAIN_SET_KEY "%s/", set_id);
     json_t *pairs = bd_kv_list(store->node, store->http, prefix);
     bool is_complete = pairs != NULL;
     json_array_foreach(pairs, i, value)
@@ -184,7 +184,7 @@
     return response;
 }
 
-struct bd_admin_response bd_admin_show(const struct bd_admin_store *store, const char *name)
+struct bd_admin_response bd_admin_show_drain(const struct bd_admin_store *store, const char *name)
 {
     struct bd_stored_drain drain;
     struct bd_admin_response response;
--- a/src/adapters/admin_store.h
+++ b/src/adapters/admin_store.h
@@ -1,7 +1,7 @@
-/* What administrators ask of drains: reads and conditional writes of the drains' records in the
- * key-value store. Any controller serves a request, leader or not.
+/* The administrators' operations on drains: reads and conditional writes of the drains' records in
+ * the key-value store. Any controller serves a request, leader or not.
  *
- * Owns no state: each request brings its own connection. Called by the threads of the
+ * Owns no state: each request brings its own HTTP client. Called by the threads of the
  * administration server. All functions block, and every call to the store has a timeout. */
 #ifndef BD_ADMIN_STORE_H
 #define BD_ADMIN_STORE_H
@@ -23,34 +23,35 @@
     BD_ADMIN_UNAVAILABLE = 503
 };
 
-/* A response; whoever receives it releases the body. */
+/* A response. Its receiver owns the body and releases it. */
 struct bd_admin_response {
     enum bd_admin_status status;
-    int retry_after_s; /* 0: none */
+    int retry_after_s; /* 0: no Retry-After header */
     json_t *body;
 };
 
 enum bd_drain_verb { BD_VERB_PAUSE, BD_VERB_RESUME, BD_VERB_CANCEL };
 
-/* What one request is served with. */
+/* The resources for serving one request. */
 struct bd_admin_store {
     struct bd_node *node;
-    struct bd_http *http; /* the calling thread's own connection */
+    struct bd_http *http; /* the calling thread's own client */
 };
 
-/* An error response. field: the request's field that is wrong, or "" for none. */
+/* An error response. field: the request's invalid field, or "" if there is none. */
 struct bd_admin_response bd_admin_refuse(enum bd_admin_status status, const char *field,
-                                         const char *why);
+                                         const char *message);
 /* All drains: OK, or UNAVAILABLE. */
-struct bd_admin_response bd_admin_list(const struct bd_admin_store *store);
+struct bd_admin_response bd_admin_list_drains(const struct bd_admin_store *store);
 /* One drain with its machines: OK, NOT_FOUND or UNAVAILABLE. */
-struct bd_admin_response bd_admin_show(const struct bd_admin_store *store, const char *name);
+struct bd_admin_response bd_admin_show_drain(const struct bd_admin_store *store, const char *name);
 /* Creates the drain that the body (JSON, len bytes) describes: CREATED; OK if the same request was
- * served before; CONFLICT if another drain has the name; MALFORMED, NOT_FOUND or UNAVAILABLE. */
-struct bd_admin_response bd_admin_create(const struct bd_admin_store *store, const char *body,
-                                         size_t len);
-/* Pauses, resumes or cancels a drain: OK also if it is in that state already; NOT_FOUND; CONFLICT
- * if it has ended otherwise; UNAVAILABLE. */
-struct bd_admin_response bd_admin_change(const struct bd_admin_store *store, const char *name,
-                                         enum bd_drain_verb verb);
+ * served before; CONFLICT if a different drain has the name; MALFORMED, NOT_FOUND or UNAVAILABLE.
+ */
+struct bd_admin_response bd_admin_create_drain(const struct bd_admin_store *store, const char *body,
+                                               size_t len);
+/* Pauses, resumes or cancels a drain: OK, also if it is in the requested state already; NOT_FOUND;
+ * CONFLICT if it has ended in another state; UNAVAILABLE. */
+struct bd_admin_response bd_admin_change_drain(const struct bd_admin_store *store, const char *name,
+                                               enum bd_drain_verb verb);
 #endif
--- a/src/adapters/api_route.c
+++ b/src/adapters/api_route.c
@@ -5,16 +5,17 @@
 #include <stdbool.h>
 #include <string.h>
 
-/* The id between the jobs' path and the tail; false: the path is not of that form. */
-static bool parse_job_path(const char *url, const char *tail, char *job_id, size_t capacity)
+/* Extracts the job id between BD_PATH_JOBS and the suffix of a path. False: the path has another
+ * form, or the id is too long. */
+static bool parse_job_path(const char *url, const char *suffix, char *job_id, size_t capacity)
 {
     const char *prefix = BD_PATH_JOBS "/";
     size_t prefix_len = strlen(prefix);
-    size_t tail_len = strlen(tail), len = strlen(url);
-    if (strncmp(url, prefix, prefix_len) != 0 || len <= prefix_len + tail_len)
+    size_t suffix_len = strlen(suffix), len = strlen(url);
+    if (strncmp(url, prefix, prefix_len) != 0 || len <= prefix_len + suffix_len)
         return false;
-    size_t id_len = len - prefix_len - tail_len;
-    if (strcmp(url + len - tail_len, tail) != 0 || id_len >= capacity)
+    size_t id_len = len - prefix_len - suffix_len;
+    if (strcmp(url + len - suffix_len, suffix) != 0 || id_len >= capacity)
         return false;
     memcpy(job_id, url + prefix_len, id_len);
     job_id[id_len] = '\0';
@@ -23,8 +24,8 @@
 
 struct bd_api_route bd_api_find_route(const char *method, const char *url)
 {
-    struct bd_api_route route = {.error = 0};
-    const char *allowed = "POST";
+    struct bd_api_route route = {.error_status = 0};
+    const char *allowed_method = "POST";
     if (strcmp(url, BD_PATH_HEARTBEAT) == 0) {
         route.kind = BD_EVENT_HEARTBEAT;
     } else if (strcmp(url, BD_PATH_JOBS) == 0) {
@@ -33,12 +34,12 @@
         route.kind = BD_EVENT_USER_CANCEL;
     } else if (parse_job_path(url, "", route.job_id, sizeof route.job_id)) {
         route.kind = BD_EVENT_USER_STATUS;
-        allowed = "GET";
+        allowed_method = "GET";
     } else {
-        route.error = MHD_HTTP_NOT_FOUND;
+        route.error_status = MHD_HTTP_NOT_FOUND;
         return route;
     }
-    if (strcmp(method, allowed) != 0)
-        route.error = MHD_HTTP_METHOD_NOT_ALLOWED;
+    if (strcmp(method, allowed_method) != 0)
+        route.error_status = MHD_HTTP_METHOD_NOT_ALLOWED;
     return route;
 }
--- a/src/adapters/api_route.h
+++ b/src/adapters/api_route.h
@@ -1,15 +1,16 @@
-/* Which request of the HTTP API a method and a path mean. Stateless; called by the API server. */
+/* Routing of the HTTP API: the kind of request that a method and a path stand for. Stateless;
+ * called by the API server. */
 #ifndef BD_API_ROUTE_H
 #define BD_API_ROUTE_H
 #include "adapters/event.h"
 #include "wire/wire.h"
 #include "wire/wire_limits.h"
 
-/* Where a request goes: an event of a kind, for the job that the path names, or an error. */
+/* The route of a request: the kind of its event and the job that its path names, or an error. */
 struct bd_api_route {
-    int error; /* HTTP status, 404 or 405; 0: none */
+    int error_status; /* HTTP status, 404 or 405; 0: no error */
     enum bd_event_kind kind;
-    char job_id[BD_LABEL_BYTES]; /* status and cancellation */
+    char job_id[BD_LABEL_BYTES]; /* of status reads and cancellations */
 };
 
 /* The route of a request other than a health check. */
--- a/src/adapters/api_server.c
+++ b/src/adapters/api_server.c
@@ -22,27 +22,27 @@
 
 #define BODY_BYTES_MAX 65536u
 #define BODY_GROWTH_BYTES 1024u
-#define CONNECTION_POOL_BYTES 6144u
+#define CONNECTION_MEMORY_BYTES 6144u
 #define CONNECTION_IDLE_S 120u
 #define CONNECTIONS_MIN 8
-#define BODY_MEMORY_SHARE 0.15 /* of the memory, for bodies */
+#define BODY_MEMORY_SHARE 0.15 /* of the settings' ram_mb, for the bodies of all requests */
 #define BYTES_PER_MB 1048576.0
-#define PENDING_LIMIT_MIN 512      /* the limit is half the sockets, but at least this */
-#define PENDING_SHARE_OF_USERS 0.6 /* the rest is for workers' heartbeats only */
-#define LISTEN_BACKLOG 1024u /* all workers connect at once after an outage of all controllers */
+#define PENDING_LIMIT_MIN 512  /* pending requests; above it, the limit is half the sockets */
+#define USER_PENDING_SHARE 0.6 /* of that limit; the rest is reserved for workers' heartbeats */
+#define LISTEN_BACKLOG 1024u   /* all workers reconnect at once when no controller was reachable */
 #define STACK_BYTES 131072
 #define BUSY_RETRY_S 1
 
-/* One request. The polling thread owns it, except between post_to_owner and bd_api_reply: then its
- * connection is suspended, and the owner thread alone may use it. */
+/* One request. The polling thread owns it, except between post_to_owner and bd_api_reply: its
+ * connection is then suspended, and only the owner thread may use it. */
 struct request {
-    struct bd_remote origin; /* first, because the core reads it; all zero: not remote */
+    struct bd_remote origin; /* first, because the core reads it; all zero: not forwarded */
     struct MHD_Connection *connection;
     char *body;
     size_t body_len, body_capacity;
     bool body_too_large, out_of_memory, is_health_check;
-    bool is_posted, is_decided;
-    enum bd_event_kind kind; /* once it is posted */
+    bool is_posted, has_reply;
+    enum bd_event_kind kind; /* valid once the request is posted */
     struct timespec posted_at;
     int reply_status, retry_after_s;
     char *reply_body;
@@ -52,27 +52,27 @@
 /* Lives as long as the process. */
 struct bd_api_server {
     struct MHD_Daemon *daemon;         /* its polling thread */
-    atomic_int pending;                /* requests that wait for the owner thread */
+    atomic_int pending_requests;       /* posted to the owner thread and not answered yet */
     size_t body_bytes, body_bytes_max; /* of all requests' bodies; polling thread only */
 };
 
 /* ---- replies ---- */
 
-/* Takes the body over. */
+/* Takes ownership of body. */
 static enum MHD_Result send_reply(struct MHD_Connection *connection, int status, char *body,
                                   int retry_after_s)
 {
     struct bd_json_response response = {status, body, retry_after_s, false};
-    /* the retry goes through the load balancer again, perhaps to another controller */
+    /* a new connection lets the load balancer send the retry to another controller */
     response.closes_connection = status == MHD_HTTP_SERVICE_UNAVAILABLE;
     return bd_json_response_send(connection, &response);
 }
 
-static enum MHD_Result send_error(struct MHD_Connection *connection, int status, const char *why,
-                                  int retry_after_s)
+static enum MHD_Result send_error(struct MHD_Connection *connection, int status,
+                                  const char *message, int retry_after_s)
 {
     char body[128];
-    snprintf(body, sizeof body, "{\"error\":\"%s\"}", why);
+    snprintf(body, sizeof body, "{\"error\":\"%s\"}", message);
     return send_reply(connection, status, strdup(body), retry_after_s);
 }
 
@@ -87,18 +87,18 @@
 
 void bd_api_reply(struct bd_node *node, void *request, int status, char *body, int retry_after_s)
 {
-    struct request *decided = request;
-    bd_metrics_record_duration(node->metrics, timing_of(decided->kind),
-                               bd_seconds_between(decided->posted_at, bd_now()));
-    decided->reply_status = status;
-    decided->reply_body = body;
-    decided->retry_after_s = retry_after_s;
-    decided->is_decided = true;
-    atomic_fetch_sub(&node->api_server->pending, 1);
-    MHD_resume_connection(decided->connection);
+    struct request *replied = request;
+    bd_metrics_record_duration(node->metrics, timing_of(replied->kind),
+                               bd_seconds_between(replied->posted_at, bd_now()));
+    replied->reply_status = status;
+    replied->reply_body = body;
+    replied->retry_after_s = retry_after_s;
+    replied->has_reply = true;
+    atomic_fetch_sub(&node->api_server->pending_requests, 1);
+    MHD_resume_connection(replied->connection);
 }
 
-static enum MHD_Result send_decision(struct request *request)
+static enum MHD_Result send_owner_reply(struct request *request)
 {
     char *body = request->reply_body;
     request->reply_body = NULL;
@@ -121,8 +121,8 @@
     return true;
 }
 
-/* Appends a part of the body, unless this body or all bodies together would become too large.
- * False: no memory. */
+/* Appends a part of the body, unless this body or all bodies together would exceed their limit.
+ * False: out of memory. */
 static bool receive_body(struct bd_api_server *server, struct request *request, const char *data,
                          size_t size)
 {
@@ -144,15 +144,16 @@
 
 /* ---- handling ---- */
 
-/* Users are refused before workers: a user tries again, whereas a lease expires. */
+/* Under overload, users' requests are refused before workers' heartbeats: a user can retry, but a
+ * worker's lease expires. */
 static bool may_admit(const struct bd_node *node, enum bd_event_kind kind)
 {
     int pending_max = node->settings.max_sockets / 2;
     if (pending_max < PENDING_LIMIT_MIN)
         pending_max = PENDING_LIMIT_MIN;
     if (kind != BD_EVENT_HEARTBEAT)
-        pending_max = (int)(PENDING_SHARE_OF_USERS * pending_max);
-    return atomic_load(&node->api_server->pending) < pending_max;
+        pending_max = (int)(USER_PENDING_SHARE * pending_max);
+    return atomic_load(&node->api_server->pending_requests) < pending_max;
 }
 
 static enum MHD_Result post_to_owner(struct bd_node *node, struct request *request,
@@ -167,7 +168,7 @@
     request->is_posted = true;
     request->kind = event->kind;
     request->posted_at = bd_now();
-    atomic_fetch_add(&node->api_server->pending, 1);
+    atomic_fetch_add(&node->api_server->pending_requests, 1);
     MHD_suspend_connection(request->connection);
     bd_event_post(node, event);
     return MHD_YES;
@@ -192,10 +193,10 @@
     if (strcmp(url, BD_PATH_HEALTH) == 0)
         return reply_health(node, request, method);
     struct bd_api_route route = bd_api_find_route(method, url);
-    if (route.error == MHD_HTTP_NOT_FOUND)
-        return send_error(connection, route.error, "no such path", 0);
-    if (route.error)
-        return send_error(connection, route.error, "wrong method", 0);
+    if (route.error_status == MHD_HTTP_NOT_FOUND)
+        return send_error(connection, route.error_status, "no such path", 0);
+    if (route.error_status)
+        return send_error(connection, route.error_status, "wrong method", 0);
     if (request->body_too_large)
         return send_error(connection, MHD_HTTP_CONTENT_TOO_LARGE, "body over 64 KiB", 0);
     if (request->out_of_memory || !may_admit(node, route.kind))
@@ -205,11 +206,11 @@
 
 /* ---- libmicrohttpd's callbacks, on the polling thread ---- */
 
-/* Called when the headers are there, for each part of the body, after it, and once more after the
- * connection was resumed. */
-static enum MHD_Result handle(void *arg, struct MHD_Connection *connection, const char *url,
-                              const char *method, const char *version, const char *data,
-                              size_t *size, void **context)
+/* Called after the headers, for each part of the body, after the body, and again after the
+ * connection is resumed. */
+static enum MHD_Result access_callback(void *arg, struct MHD_Connection *connection,
+                                       const char *url, const char *method, const char *version,
+                                       const char *data, size_t *size, void **context)
 {
     struct bd_node *node = arg;
     struct request *request = *context;
@@ -227,8 +228,8 @@
         *size = 0;
         return received ? MHD_YES : MHD_NO;
     }
-    if (request->is_decided)
-        return send_decision(request);
+    if (request->has_reply)
+        return send_owner_reply(request);
     if (request->is_posted)
         return MHD_YES;
     return handle_request(node, request, method, url);
@@ -252,7 +253,8 @@
     }
 }
 
-/* A new connection does not show whether a user or a worker opened it: all count as heartbeats'. */
+/* Counts new connections. A connection does not show whether a user or a worker opened it, so all
+ * count as heartbeat traffic. */
 static void connection_changed(void *arg, struct MHD_Connection *connection, void **context,
                                enum MHD_ConnectionNotificationCode code)
 {
@@ -293,10 +295,10 @@
 static struct MHD_Daemon *start_daemon(struct bd_node *node, struct sockaddr_in *address)
 {
     return MHD_start_daemon(
-        MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, handle, node,
-        MHD_OPTION_SOCK_ADDR, (struct sockaddr *)address, MHD_OPTION_CONNECTION_LIMIT,
+        MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, access_callback,
+        node, MHD_OPTION_SOCK_ADDR, (struct sockaddr *)address, MHD_OPTION_CONNECTION_LIMIT,
         connections_max(&node->settings), MHD_OPTION_CONNECTION_TIMEOUT, CONNECTION_IDLE_S,
-        MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_POOL_BYTES,
+        MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_MEMORY_BYTES,
         MHD_OPTION_NOTIFY_COMPLETED, request_completed, node, MHD_OPTION_NOTIFY_CONNECTION,
         connection_changed, node, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u,
         MHD_OPTION_LISTEN_BACKLOG_SIZE, LISTEN_BACKLOG, MHD_OPTION_THREAD_STACK_SIZE,
--- a/src/adapters/cloud_client.c
+++ b/src/adapters/cloud_client.c
@@ -23,21 +23,22 @@
 #define TYPES_INTERVAL_LEADER_S 30.0
 #define TYPES_INTERVAL_FOLLOWER_S 300.0
 #define SCALE_OUT_TRIES_MAX 12
-#define PAGE_MACHINES 500
-#define LIST_FAILURES_MAX 4 /* of bd_cloud_list, for which an administrator waits */
+#define MACHINES_PER_PAGE 500
+#define LIST_FAILURES_MAX 4 /* per bd_cloud_list_machines: an administrator waits for it */
 #define LIST_RETRY_S 0.7
-#define CALL_RATE_SHARE 0.8    /* of the cloud's rate limit */
-#define CALL_BURST_S 2.0       /* calls that were not made in this time may be made at once */
-#define BACK_OFF_STEP_S 0.25   /* for each failure in a row, */
-#define BACK_OFF_STEPS_MAX 5   /* ... up to this many */
-#define LISTS_PER_LAG 3        /* reads of the inventory while it may lag by its list_lag */
-#define CALLS_PER_LIST_MIN 2.0 /* the inventory is not read at more than half the rate limit */
+#define CALL_RATE_SHARE 0.8 /* of the cloud's rate limit */
+#define CALL_BURST_S 2.0    /* capacity of the token bucket: the calls of this time */
+/* The pause after a failed call: one step for each consecutive failure. */
+#define BACK_OFF_STEP_S 0.25
+#define BACK_OFF_STEPS_MAX 5
+#define INVENTORY_READS_PER_LAG 3        /* the inventory may lag by the settings' list_lag */
+#define CALLS_PER_INVENTORY_READ_MIN 2.0 /* reads begin at no more than half the rate limit */
 #define QUEUE_WAIT_S 0.2
 #define SCALE_OUT_MACHINES_MAX 64
 #define SCALE_IN_MACHINES_MAX 128
 #define STACK_BYTES 131072
 
-/* The cloud's HTTP statuses that have a meaning here. */
+/* The cloud's HTTP statuses that this client distinguishes. */
 enum cloud_status {
     CLOUD_NO_ANSWER = 0, /* or a malformed one */
     CLOUD_OK = 200,
@@ -45,21 +46,21 @@
     CLOUD_UNAVAILABLE = 503
 };
 
-/* Belongs to the cloud thread. */
+/* Owned by the cloud thread. */
 struct cloud_client {
     struct bd_node *node;
     struct bd_http *http;
     double calls_available; /* token bucket of the rate limit, as of calls_updated_at */
     struct timespec calls_updated_at;
-    struct timespec next_types, next_inventory;
+    struct timespec next_types_read_at, next_inventory_read_at;
     double inventory_interval_s;
-    int failures; /* in a row */
+    int consecutive_failures;
 };
 
 /* ---- calls ---- */
 
-/* Waits until the rate allows a call, and takes it. */
-static void wait_for_rate(struct cloud_client *client)
+/* Waits until the rate limit allows a call, and takes a token for it. */
+static void wait_for_rate_limit(struct cloud_client *client)
 {
     double rate = client->node->settings.cloud_requests_per_s * CALL_RATE_SHARE;
     struct timespec now = bd_now();
@@ -72,8 +73,8 @@
     client->calls_available -= 1;
 }
 
-/* One blocking call. Returns an enum cloud_status or another HTTP status. *out is the answer's
- * JSON, or NULL; the caller releases it. */
+/* Makes one blocking call. Returns an enum cloud_status or another HTTP status. *out is the
+ * answer's JSON, or NULL; the caller releases it. */
 static long call_cloud(const struct bd_node *node, struct bd_http *http, const char *method,
                        const char *path, const char *body, json_t **out)
 {
@@ -90,15 +91,15 @@
 static long call_within_rate(struct cloud_client *client, const char *method, const char *path,
                              const char *body, json_t **out)
 {
-    wait_for_rate(client);
+    wait_for_rate_limit(client);
     return call_cloud(client->node, client->http, method, path, body, out);
 }
 
 static void back_off(struct cloud_client *client)
 {
-    if (client->failures < BACK_OFF_STEPS_MAX)
-        client->failures++;
-    bd_sleep(BACK_OFF_STEP_S * (double)client->failures);
+    if (client->consecutive_failures < BACK_OFF_STEPS_MAX)
+        client->consecutive_failures++;
+    bd_sleep(BACK_OFF_STEP_S * (double)client->consecutive_failures);
 }
 
 /* ---- machine types ---- */
@@ -119,18 +120,18 @@
         back_off(client);
         return;
     }
-    client->failures = 0;
+    client->consecutive_failures = 0;
     event->machine_types.count = (size_t)count;
     bd_event_post(client->node, event);
     double interval_s = atomic_load(&client->node->is_leading) ? TYPES_INTERVAL_LEADER_S
                                                                : TYPES_INTERVAL_FOLLOWER_S;
-    client->next_types = bd_time_add(bd_now(), bd_secs(interval_s));
+    client->next_types_read_at = bd_time_add(bd_now(), bd_secs(interval_s));
 }
 
 /* ---- the inventory ---- */
 
-/* Appends the page that begins after the last machine of *machines, which grows. *has_more: whether
- * another page follows. Returns as call_cloud. */
+/* Appends the page after the last machine of *machines, whose memory grows. *has_more: whether
+ * another page follows. Returns a status as call_cloud does. */
 static long list_page(const struct bd_node *node, struct bd_http *http,
                       struct bd_cloud_machine **machines, size_t *count, bool *has_more)
 {
@@ -138,15 +139,16 @@
     json_t *answer = NULL;
     const char *after = *count > 0 ? (*machines)[*count - 1].id : "";
     snprintf(path, sizeof path, BD_PATH_MACHINES "?%s%s%slimit=%d", *after ? "after=" : "", after,
-             *after ? "&" : "", PAGE_MACHINES);
+             *after ? "&" : "", MACHINES_PER_PAGE);
     long status = call_cloud(node, http, "GET", path, NULL, &answer);
-    struct bd_cloud_machine *grown = realloc(*machines, (*count + PAGE_MACHINES) * sizeof *grown);
+    struct bd_cloud_machine *grown =
+        realloc(*machines, (*count + MACHINES_PER_PAGE) * sizeof *grown);
     if (!grown)
         abort();
     *machines = grown;
     int added = -1;
     if (status == CLOUD_OK)
-        added = bd_wire_read_machines(answer, grown + *count, PAGE_MACHINES, has_more);
+        added = bd_wire_read_machines(answer, grown + *count, MACHINES_PER_PAGE, has_more);
     json_decref(answer);
     if (added < 0)
         return status == CLOUD_OK ? CLOUD_NO_ANSWER : status;
@@ -155,8 +157,8 @@
     return status;
 }
 
-bool bd_cloud_list(const struct bd_node *node, struct bd_http *http,
-                   struct bd_cloud_machine **machines, size_t *count)
+bool bd_cloud_list_machines(const struct bd_node *node, struct bd_http *http,
+                            struct bd_cloud_machine **machines, size_t *count)
 {
     bool has_more = true;
     int failures = 0;
@@ -176,7 +178,7 @@
     bool has_more = true;
     inventory->sent_at = bd_now();
     while (has_more) {
-        wait_for_rate(client);
+        wait_for_rate_limit(client);
         if (list_page(client->node, client->http, &inventory->machines, &inventory->count,
                       &has_more) == CLOUD_OK)
             continue;
@@ -184,14 +186,14 @@
         back_off(client);
         return;
     }
-    client->failures = 0;
+    client->consecutive_failures = 0;
     bd_event_post(client->node, event);
-    client->next_inventory = bd_time_add(bd_now(), bd_secs(client->inventory_interval_s));
+    client->next_inventory_read_at = bd_time_add(bd_now(), bd_secs(client->inventory_interval_s));
 }
 
 /* ---- scaling ---- */
 
-/* Reads the machines that the JSON names, at most max of them, into the event. */
+/* Copies the machine names in the JSON, at most max, into the event. */
 static void read_machine_names(struct bd_event_scaling *scaling, json_t *json, int max)
 {
     scaling->machines = calloc((size_t)max, sizeof *scaling->machines);
@@ -199,17 +201,17 @@
     scaling->count = count > 0 ? (size_t)count : 0;
 }
 
-/* Whether the cloud has decided on a scale-out request. If not, it may have executed the request
- * all the same. */
-static bool is_decided(long status, json_t *answer)
+/* Whether the answer settles a scale-out request. If not, the cloud may have executed the request
+ * nevertheless. */
+static bool is_settled(long status, json_t *answer)
 {
     bool is_outage = status == CLOUD_UNAVAILABLE && bd_wire_is_cloud_outage(answer);
     return status == CLOUD_OK || status == CLOUD_REJECTED ||
            (status == CLOUD_UNAVAILABLE && !is_outage);
 }
 
-/* A request that was not decided is repeated: the cloud scales out only once for each request name.
- */
+/* Repeats a request that is not settled. This is safe because the cloud scales out only once for
+ * each request id. */
 static void scale_out(struct cloud_client *client, const struct bd_effect *effect)
 {
     struct bd_event *event = bd_event_new(BD_EVENT_SCALE_OUT_COMPLETED);
@@ -220,9 +222,9 @@
         scaling->status = call_within_rate(client, "POST", BD_PATH_MACHINES, effect->body, &answer);
         if (scaling->status == CLOUD_OK)
             read_machine_names(scaling, answer, SCALE_OUT_MACHINES_MAX);
-        bool decided = is_decided(scaling->status, answer);
+        bool settled = is_settled(scaling->status, answer);
         json_decref(answer);
-        if (decided || !atomic_load(&client->node->is_leading))
+        if (settled || !atomic_load(&client->node->is_leading))
             break;
         back_off(client);
     }
@@ -244,7 +246,7 @@
 
 /* ---- the thread ---- */
 
-/* Performs the next effect, if one comes within QUEUE_WAIT_S. */
+/* Carries out the next effect, if one is queued within QUEUE_WAIT_S. */
 static void serve_queue(struct cloud_client *client)
 {
     void *item;
@@ -267,9 +269,10 @@
         serve_queue(client);
         struct timespec now = bd_now();
         if (!atomic_load(&node->are_machine_types_known) ||
-            bd_time_is_before(client->next_types, now))
+            bd_time_is_before(client->next_types_read_at, now))
             read_types(client);
-        if (atomic_load(&node->is_leading) && bd_time_is_before(client->next_inventory, now))
+        if (atomic_load(&node->is_leading) &&
+            bd_time_is_before(client->next_inventory_read_at, now))
             read_inventory(client);
     }
     return NULL;
@@ -286,7 +289,8 @@
         free(client);
         return -1;
     }
-    client->inventory_interval_s = fmax(bd_to_secs(node->settings.list_lag) / LISTS_PER_LAG,
-                                        CALLS_PER_LIST_MIN / node->settings.cloud_requests_per_s);
+    client->inventory_interval_s =
+        fmax(bd_to_secs(node->settings.list_lag) / INVENTORY_READS_PER_LAG,
+             CALLS_PER_INVENTORY_READ_MIN / node->settings.cloud_requests_per_s);
     return bd_thread_start(cloud_run, client, STACK_BYTES);
 }
