--- a/src/adapters/api_server.c
+++ b/src/adapters/api_server.c
@@ -29,7 +29,8 @@
 #define BYTES_PER_MB 1048576.0
 #define PENDING_LIMIT_MIN 512  /* pending requests; above it, the limit is half the sockets */
 #define USER_PENDING_SHARE 0.6 /* of that limit; the rest is reserved for workers' heartbeats */
-#define LISTEN_BACKLOG 1024u   /* all workers reconnect at once when no controller was reachable */
+/* After an outage of all controllers, all workers reconnect at once. */
+#define LISTEN_BACKLOG 1024u
 #define STACK_BYTES 131072
 #define BUSY_RETRY_S 1
 
--- a/src/adapters/cloud_client.c
+++ b/src/adapters/cloud_client.c
@@ -31,7 +31,7 @@
 /* The pause after a failed call: one step for each consecutive failure. */
 #define BACK_OFF_STEP_S 0.25
 #define BACK_OFF_STEPS_MAX 5
-#define INVENTORY_READS_PER_LAG 3        /* the inventory may lag by the settings' list_lag */
+#define INVENTORY_READS_PER_LAG 3        /* the settings limit the inventory's lag */
 #define CALLS_PER_INVENTORY_READ_MIN 2.0 /* reads begin at no more than half the rate limit */
 #define QUEUE_WAIT_S 0.2
 #define SCALE_OUT_MACHINES_MAX 64
--- a/src/adapters/election.c
+++ b/src/adapters/election.c
@@ -19,63 +19,69 @@
 #include <stdlib.h>
 
 #define FOLLOW_INTERVAL_S 0.3
-#define FOLLOW_JITTER_MIN 0.7 /* shares of the interval */
+/* The interval is multiplied by a random factor from MIN to MIN + RANGE. */
+#define FOLLOW_JITTER_MIN 0.7
 #define FOLLOW_JITTER_RANGE 0.6
 #define LOAD_RETRY_S 0.1
 #define RENEWALS_PER_TTL 6.0
-#define CALLS_PER_TTL 3
+#define CALLS_PER_TTL 3 /* limits the time of each call */
 #define THREAD_STACK_BYTES 131072
 
-double bd_election_timeout_s(const struct bd_candidate *candidate)
+double bd_election_call_timeout_s(const struct bd_election_candidate *candidate)
 {
     return candidate->ttl_s / CALLS_PER_TTL;
 }
 
 /* ---- acquiring leadership ---- */
 
-static bool load_sequence(struct bd_candidate *candidate, struct bd_acquisition *acquisition)
+static bool load_commit_sequence(struct bd_election_candidate *candidate,
+                                 struct bd_acquisition *acquisition)
 {
     json_t *answer = NULL;
     struct bd_change pair;
     uint64_t grant;
     long status = bd_kv_call(candidate->node, candidate->http, "GET", BD_PATH_KEYS "/w", NULL,
-                             bd_election_timeout_s(candidate), &answer);
+                             bd_election_call_timeout_s(candidate), &answer);
     if (status == BD_KV_OK && bd_wire_read_pair(answer, &pair, &grant))
         acquisition->sequence_revision = pair.revision;
     json_decref(answer);
     return status == BD_KV_OK || status == BD_KV_NOT_FOUND;
 }
 
-static bool load_receipts(struct bd_candidate *candidate, struct bd_acquisition *acquisition)
+static bool load_receipts(struct bd_election_candidate *candidate,
+                          struct bd_acquisition *acquisition)
 {
     acquisition->receipts = bd_kv_list(candidate->node, candidate->http, "r/");
     return acquisition->receipts != NULL;
 }
 
-static bool load_intents(struct bd_candidate *candidate, struct bd_acquisition *acquisition)
+static bool load_intents(struct bd_election_candidate *candidate,
+                         struct bd_acquisition *acquisition)
 {
     acquisition->intents = bd_kv_list(candidate->node, candidate->http, "i/");
     return acquisition->intents != NULL;
 }
 
-/* Reads what earlier terms left, renewing the grant in between. False: the grant has expired. */
-static bool load_earlier_terms(struct bd_candidate *candidate, struct bd_acquisition *acquisition)
+/* Loads the records of earlier terms, and renews the grant after each step. False: the grant has
+ * expired. */
+static bool load_earlier_terms(struct bd_election_candidate *candidate,
+                               struct bd_acquisition *acquisition)
 {
-    static bool (*const loads[])(struct bd_candidate *, struct bd_acquisition *) = {
-        load_sequence, load_receipts, load_intents};
-    size_t loaded = 0;
-    while (loaded < sizeof loads / sizeof loads[0]) {
-        bool ok = loads[loaded](candidate, acquisition);
-        loaded += ok;
+    static bool (*const loads[])(struct bd_election_candidate *, struct bd_acquisition *) = {
+        load_commit_sequence, load_receipts, load_intents};
+    size_t nloaded = 0;
+    while (nloaded < sizeof loads / sizeof loads[0]) {
+        bool is_loaded = loads[nloaded](candidate, acquisition);
+        nloaded += is_loaded;
         if (bd_lease_renew(candidate) == BD_GRANT_EXPIRED)
             return false;
-        if (!ok)
+        if (!is_loaded)
             bd_sleep(LOAD_RETRY_S);
     }
     return true;
 }
 
-static void acquire_leadership(struct bd_candidate *candidate, uint64_t revision)
+static void acquire_leadership(struct bd_election_candidate *candidate, uint64_t revision)
 {
     uint64_t term = bd_lease_acquire(candidate, revision);
     if (term == 0)
@@ -93,48 +99,50 @@
     }
     event->acquired.acquisition.renewed = candidate->grant_renewed_at;
     atomic_store(&candidate->node->step_down_requested, false);
-    candidate->leading = true;
+    candidate->is_leading = true;
     bd_event_post(candidate->node, event);
     (void)bd_queue_put(&candidate->node->reader_wakeups, candidate);
 }
 
 /* ---- the thread ---- */
 
-/* One that cannot read the records could not launch anything: it leaves the lease to others. */
-static void follow_once(struct bd_candidate *candidate)
+/* A node that cannot read the jobs' records does not acquire the lease: it could not launch tasks.
+ */
+static void follow_once(struct bd_election_candidate *candidate)
 {
     uint64_t revision = 0;
-    enum bd_lease_view view = bd_lease_observe(candidate, &revision);
+    enum bd_lease_holder holder = bd_lease_observe(candidate, &revision);
     bool can_lead = !atomic_load(&candidate->node->has_refresh_failed);
-    if (view == BD_LEASE_OTHER)
+    if (holder == BD_LEASE_HOLDER_OTHER_NODE)
         bd_liveness_write(candidate, revision);
-    else if (view != BD_LEASE_UNKNOWN && can_lead)
-        acquire_leadership(candidate, view == BD_LEASE_FREE ? 0 : revision);
-    if (candidate->leading)
+    else if (holder != BD_LEASE_HOLDER_UNKNOWN && can_lead)
+        acquire_leadership(candidate, holder == BD_LEASE_HOLDER_NONE ? 0 : revision);
+    if (candidate->is_leading)
         return;
-    /* uneven, so that candidates do not collide for ever */
+    /* random, so that candidates do not collide repeatedly */
     double jitter = FOLLOW_JITTER_MIN + FOLLOW_JITTER_RANGE * gsl_rng_uniform(candidate->rng);
     bd_sleep(FOLLOW_INTERVAL_S * jitter);
 }
 
-/* The owner thread has ended the term already. */
-static void step_down(struct bd_candidate *candidate)
+/* Follows again. The owner thread has ended the term already. */
+static void step_down(struct bd_election_candidate *candidate)
 {
-    candidate->leading = false;
+    candidate->is_leading = false;
     if (atomic_exchange(&candidate->node->must_revoke_grant, false))
-        bd_lease_end(candidate);
+        bd_lease_revoke(candidate);
 }
 
-static void lose_leadership(struct bd_candidate *candidate)
+static void lose_leadership(struct bd_election_candidate *candidate)
 {
     uint64_t revision = 0;
-    enum bd_lease_view view = bd_lease_observe(candidate, &revision);
-    bd_log_write(&candidate->node->log, BD_LOG_INFO, "the grant has expired, view %d", (int)view);
-    candidate->leading = false;
+    enum bd_lease_holder holder = bd_lease_observe(candidate, &revision);
+    bd_log_write(&candidate->node->log, BD_LOG_INFO,
+                 "leadership lost: the grant has expired, lease holder %d", (int)holder);
+    candidate->is_leading = false;
     bd_event_post(candidate->node, bd_event_new(BD_EVENT_LEADERSHIP_LOST));
 }
 
-static void lead_once(struct bd_candidate *candidate)
+static void lead_once(struct bd_election_candidate *candidate)
 {
     if (atomic_exchange(&candidate->node->step_down_requested, false)) {
         step_down(candidate);
@@ -149,9 +157,9 @@
 
 static void *run_election(void *arg)
 {
-    struct bd_candidate *candidate = arg;
+    struct bd_election_candidate *candidate = arg;
     for (;;) {
-        if (candidate->leading)
+        if (candidate->is_leading)
             lead_once(candidate);
         else
             follow_once(candidate);
@@ -159,7 +167,7 @@
     return NULL;
 }
 
-static unsigned long seed_of(const char *node_name)
+static unsigned long random_seed(const char *node_name)
 {
     unsigned long seed = (unsigned long)bd_now().tv_nsec;
     for (const char *p = node_name; *p; p++)
@@ -167,7 +175,7 @@
     return seed;
 }
 
-static void candidate_free(struct bd_candidate *candidate)
+static void candidate_free(struct bd_election_candidate *candidate)
 {
     bd_http_free(candidate->http);
     gsl_rng_free(candidate->rng);
@@ -175,9 +183,9 @@
 }
 
 /* NULL: no memory. */
-static struct bd_candidate *candidate_new(struct bd_node *node)
+static struct bd_election_candidate *candidate_new(struct bd_node *node)
 {
-    struct bd_candidate *candidate = calloc(1, sizeof *candidate);
+    struct bd_election_candidate *candidate = calloc(1, sizeof *candidate);
     if (!candidate)
         return NULL;
     candidate->node = node;
@@ -188,13 +196,13 @@
         candidate_free(candidate);
         return NULL;
     }
-    gsl_rng_set(candidate->rng, seed_of(node->settings.node));
+    gsl_rng_set(candidate->rng, random_seed(node->settings.node));
     return candidate;
 }
 
 int bd_election_start(struct bd_node *node)
 {
-    struct bd_candidate *candidate = candidate_new(node);
+    struct bd_election_candidate *candidate = candidate_new(node);
     if (!candidate)
         return -1;
     int failed = bd_thread_start(run_election, candidate, THREAD_STACK_BYTES);
--- a/src/adapters/election_liveness.c
+++ b/src/adapters/election_liveness.c
@@ -1,4 +1,4 @@
-/* Liveness records: a follower's proof in the store that it is in touch with it, `p/NODE/at`. */
+/* Liveness records, `p/NODE/at`: they prove that a follower can write to the key-value store. */
 #include "adapters/election_internal.h"
 #include "adapters/event.h"
 #include "adapters/kv_client.h"
@@ -12,29 +12,31 @@
 #include <stdlib.h>
 
 #define LIVENESS_INTERVAL_S 0.8
-#define CLOCKS_APART_MAX_S 0.05 /* between the readings of the two clocks */
+#define CLOCK_READING_MAX_S 0.05 /* time that reading both clocks may take */
 #define KEY_BYTES (BD_LABEL_BYTES + 8)
 
-/* The owner thread is not woken: what matters is when the record was sent. */
-static void post_liveness(const struct bd_candidate *candidate, enum bd_event_kind kind,
-                          struct timespec sent)
+/* Does not wake the owner thread: the event matters by the time at which the record was sent. */
+static void post_liveness(const struct bd_election_candidate *candidate, enum bd_event_kind kind,
+                          struct timespec sent_at)
 {
     struct bd_event *event = bd_event_new(kind);
-    event->liveness.sent_at = sent;
+    event->liveness.sent_at = sent_at;
     bd_event_post_without_wakeup(candidate->node, event);
 }
 
-/* Reads both clocks at one moment. False: no clock, or the process stood still in between. */
-static bool read_clocks(struct timespec *steady, struct timespec *wall)
+/* Reads both clocks at almost the same time. False: a clock failed, or the process was suspended in
+ * between. */
+static bool read_clocks(struct timespec *monotonic, struct timespec *wall)
 {
-    *steady = bd_now();
+    *monotonic = bd_now();
     return clock_gettime(CLOCK_REALTIME, wall) == 0 &&
-           bd_seconds_between(*steady, bd_now()) <= CLOCKS_APART_MAX_S;
+           bd_seconds_between(*monotonic, bd_now()) <= CLOCK_READING_MAX_S;
 }
 
-/* The record's transaction, which applies only under the leader that we saw. NULL: no memory. */
-static char *liveness_txn(const struct bd_candidate *candidate, uint64_t leader_revision,
-                          struct timespec wall)
+/* The transaction that writes the record, on condition that the leader's key has the revision.
+ * NULL: out of memory. The caller frees it. */
+static char *encode_liveness_txn(const struct bd_election_candidate *candidate,
+                                 uint64_t leader_revision, struct timespec wall)
 {
     struct bd_txn txn;
     char key[KEY_BYTES];
@@ -46,22 +48,22 @@
     return bd_txn_finish(&txn);
 }
 
-void bd_liveness_write(struct bd_candidate *candidate, uint64_t leader_revision)
+void bd_liveness_write(struct bd_election_candidate *candidate, uint64_t leader_revision)
 {
-    struct timespec sent, wall;
+    struct timespec sent_at, wall;
     json_t *answer = NULL;
     if (bd_seconds_between(candidate->liveness_sent_at, bd_now()) < LIVENESS_INTERVAL_S ||
-        !read_clocks(&sent, &wall))
+        !read_clocks(&sent_at, &wall))
         return;
-    char *body = liveness_txn(candidate, leader_revision, wall);
+    char *body = encode_liveness_txn(candidate, leader_revision, wall);
     if (!body)
         return;
-    candidate->liveness_sent_at = sent;
-    post_liveness(candidate, BD_EVENT_LIVENESS_SENT, sent);
+    candidate->liveness_sent_at = sent_at;
+    post_liveness(candidate, BD_EVENT_LIVENESS_SENT, sent_at);
     long status = bd_kv_call(candidate->node, candidate->http, "POST", BD_PATH_COMMIT, body,
-                             bd_election_timeout_s(candidate), &answer);
+                             bd_election_call_timeout_s(candidate), &answer);
     free(body);
     json_decref(answer);
     if (status == BD_KV_OK)
-        post_liveness(candidate, BD_EVENT_LIVENESS_WRITTEN, sent);
+        post_liveness(candidate, BD_EVENT_LIVENESS_WRITTEN, sent_at);
 }
--- a/src/adapters/event.c
+++ b/src/adapters/event.c
@@ -5,7 +5,8 @@
 #include <jansson.h>
 #include <stdlib.h>
 
-#define QUEUE_FULL_PAUSE_S 0.01 /* rare: the API server admits fewer requests than fit */
+#define QUEUE_FULL_PAUSE_S                                                                         \
+    0.01 /* rare: the API server's limit of pending requests is below the capacity */
 
 struct bd_event *bd_event_new(enum bd_event_kind kind)
 {
@@ -16,7 +17,7 @@
     return event;
 }
 
-/* Frees what the events of the key-value store own. */
+/* Frees what events from the key-value store's client and the election own. */
 static void free_store_payload(struct bd_event *event)
 {
     switch (event->kind) {
--- a/src/adapters/event.h
+++ b/src/adapters/event.h
@@ -18,12 +18,12 @@
 struct bd_node;
 
 enum bd_event_kind {
-    /* of the API server */
+    /* from the API server */
     BD_EVENT_USER_SUBMIT,
     BD_EVENT_USER_STATUS,
     BD_EVENT_USER_CANCEL,
     BD_EVENT_HEARTBEAT,
-    /* of the key-value store's client */
+    /* from the key-value store's client */
     BD_EVENT_USER_TXN_COMPLETED,
     BD_EVENT_JOB_LOOKUP_COMPLETED,
     BD_EVENT_LEADER_TXN_COMPLETED,
@@ -33,42 +33,42 @@
     BD_EVENT_DELEGATE_RECORDS_READ,
     BD_EVENT_DRAIN_RECORDS_READ,
     BD_EVENT_KV_RATE_EXCEEDED,
-    /* of the election */
+    /* from the election */
     BD_EVENT_LEADER_OBSERVED,
     BD_EVENT_LEADERSHIP_ACQUIRED,
     BD_EVENT_LEASE_RENEWED,
     BD_EVENT_LIVENESS_SENT,
     BD_EVENT_LIVENESS_WRITTEN,
     BD_EVENT_LEADERSHIP_LOST,
-    /* of the clients of workers and of the cloud */
+    /* from the clients of the workers and of the cloud */
     BD_EVENT_DIRECT_COMMAND_COMPLETED,
     BD_EVENT_MACHINE_TYPES_READ,
     BD_EVENT_INVENTORY_READ,
     BD_EVENT_SCALE_OUT_COMPLETED,
     BD_EVENT_SCALE_IN_COMPLETED,
-    /* of the peer listener */
+    /* from the peer listener */
     BD_EVENT_PEER_FRAME_RECEIVED
 };
 
-/* A request of a user, or a worker's heartbeat. */
+/* A user's request or a worker's heartbeat, received by the API server. */
 struct bd_event_api_request {
-    void *request; /* borrowed from the API server, which bd_api_reply gives it back to */
-    char *text;    /* the body, terminated: a submission, a heartbeat */
+    void *request; /* owned by the API server; bd_api_reply returns it */
+    char *text;    /* the body, null-terminated: a submission or a heartbeat */
     size_t len;
-    char job_id[BD_LABEL_BYTES]; /* status and cancellation */
+    char job_id[BD_LABEL_BYTES]; /* of status reads and cancellations */
 };
 
 /* The outcome of a user's transaction. */
 struct bd_event_user_txn {
     void *request;
     char job_id[BD_LABEL_BYTES];
-    char *body;                   /* the transaction as it was sent */
+    char *body;                   /* the transaction, as it was sent */
     enum bd_read_purpose purpose; /* as in the effect */
     long status;                  /* enum bd_kv_status */
     uint64_t store_revision;
 };
 
-/* One job's record was looked up. */
+/* The outcome of looking up one job's record. */
 struct bd_event_job_lookup {
     void *request;
     char job_id[BD_LABEL_BYTES];
@@ -79,77 +79,77 @@
 
 /* The outcome of a transaction of the leader. */
 struct bd_event_leader_txn {
-    uint64_t term, sequence; /* which transaction */
+    uint64_t term, sequence; /* of the transaction */
     enum bd_txn_outcome outcome;
     uint64_t store_revision;
-    json_t *answer; /* of a conflict: names the keys whose comparison failed */
+    json_t *answer; /* on a conflict: names the keys whose comparison failed */
 };
 
-/* The outcome of writing our delegate's record, or of reading its revision. */
+/* The outcome of writing this node's delegate record, or of reading its revision. */
 struct bd_event_delegate_txn {
     struct timespec sent_at;
-    long status; /* enum bd_kv_status; BD_KV_NO_ANSWER also if only the revision was read */
+    long status; /* enum bd_kv_status of the write; BD_KV_NO_ANSWER also if there was none */
     uint64_t store_revision;
     bool is_revision_known;
 };
 
-/* The changes of the jobs' records since a revision. */
+/* The changes of the jobs' records after a revision. */
 struct bd_event_refresh {
     struct timespec sent_at;
     uint64_t after_revision, store_revision;
-    bool is_barrier;  /* reads that were pending when it was sent may be answered */
-    bool is_answered; /* the store answered it */
+    bool is_barrier;  /* reads that were pending when the request was sent may be answered */
+    bool is_answered; /* the store returned the changes */
     json_t *answer;
 };
 
 /* A page of the list of all jobs' records. */
 struct bd_event_list_page {
-    struct timespec first_page_sent_at; /* when the first page was asked for */
+    struct timespec first_page_sent_at; /* when the first page was requested */
     uint64_t store_revision;
     bool is_last;
     json_t *pairs;
 };
 
-/* The delegates' records, or those of the drains and of their machines. */
+/* The delegates' records, or the drains' records and those of their machines. */
 struct bd_event_records {
     struct timespec sent_at;
     json_t *records;
-    json_t *machine_records; /* drains: the records of their machines, or NULL */
+    json_t *machine_records; /* drains only: the records of their machines, or NULL if not read */
 };
 
-/* The leader's key as it was read. */
+/* The leader's key, as read from the store. */
 struct bd_event_leader {
-    char name[BD_LABEL_BYTES]; /* empty: there is no leader */
+    char name[BD_LABEL_BYTES]; /* of the leader's node; empty: there is no leader */
     uint64_t revision;
     struct timespec sent_at;
-    bool dismisses_this_node; /* as delegate */
+    bool dismisses_this_node; /* the leader no longer needs it as a delegate */
 };
 
-/* We acquired the lease. */
+/* This node acquired the leader's lease. */
 struct bd_event_acquired {
     char nonce[BD_LABEL_BYTES];
     struct timespec acquired_at;
     struct bd_acquisition acquisition;
 };
 
-/* Our grant was renewed. */
+/* The grant of this node's lease was renewed. */
 struct bd_event_renewed {
     uint64_t grant;
     struct timespec sent_at;
 };
 
-/* Our liveness record is about to be sent, or was written. */
+/* This node's liveness record is about to be sent, or was written. */
 struct bd_event_liveness {
     struct timespec sent_at;
 };
 
 /* The outcome of a direct command. */
 struct bd_event_direct_command {
-    uint32_t machine;
+    uint32_t machine; /* its index */
     uint64_t fencing_token;
-    bool has_launches; /* among the commands */
-    long status;       /* HTTP's; 0: no answer; BD_DIRECT_NOT_SENT */
-    char *text;        /* the worker's heartbeat, or NULL */
+    bool has_launches; /* launches are among the commands */
+    long status;       /* HTTP status; 0: no answer; or BD_DIRECT_NOT_SENT */
+    char *text;        /* the worker's heartbeat, null-terminated, or NULL */
     size_t len;
 };
 
@@ -166,30 +166,30 @@
     size_t count;
 };
 
-/* The outcome of scale out or scale in. */
+/* The outcome of a scale-out or scale-in request. */
 struct bd_event_scaling {
-    char request_id[BD_LABEL_BYTES];  /* scale out: the provisioning request's name */
-    long status;                      /* the cloud's; 0: no answer */
-    char (*machines)[BD_LABEL_BYTES]; /* their ids */
+    char request_id[BD_LABEL_BYTES];  /* scale-out only: id of the provisioning request */
+    long status;                      /* HTTP status; 0: no answer */
+    char (*machines)[BD_LABEL_BYTES]; /* ids of the machines */
     size_t count;
 };
 
 /* A frame from a peer. */
 struct bd_event_peer_frame {
     struct timespec received_at;
-    struct bd_frame *frame; /* its own text pointer is not valid */
-    char *text;             /* terminated, or NULL */
+    struct bd_frame *frame; /* its text pointer is not valid; see text */
+    char *text;             /* the frame's text, null-terminated, or NULL */
     size_t len;
 };
 
-/* One event. The queue owns it once it is posted, the owner thread once it is taken. It owns all
- * that it points to, except requests. */
+/* One event. The queue owns it once it is posted, and the owner thread once it is taken. It owns
+ * all that it points to, except requests. */
 struct bd_event {
     enum bd_event_kind kind;
-    struct timespec queued_at; /* when it was posted; zero: without waking the owner thread */
+    struct timespec queued_at; /* when it was posted; zero: the owner thread was not woken */
     union {
-        struct bd_event_api_request
-            api_request; /* USER_SUBMIT, USER_STATUS, USER_CANCEL, HEARTBEAT */
+        /* USER_SUBMIT, USER_STATUS, USER_CANCEL, HEARTBEAT */
+        struct bd_event_api_request api_request;
         struct bd_event_user_txn user_txn;
         struct bd_event_job_lookup job_lookup;
         struct bd_event_leader_txn leader_txn;
@@ -209,13 +209,13 @@
     };
 };
 
-/* An event with all else zero. Never NULL: without memory the process ends. */
+/* Allocates an event of the kind, otherwise zeroed. Never NULL: aborts if out of memory. */
 struct bd_event *bd_event_new(enum bd_event_kind kind);
-/* Frees the event with all that it owns. */
+/* Frees the event and all that it owns. */
 void bd_event_free(struct bd_event *event);
-/* Posts the event to the owner thread, and waits while its queue is full. */
+/* Posts the event to the owner thread. Blocks while the queue is full. */
 void bd_event_post(struct bd_node *node, struct bd_event *event);
-/* The same for an event that is not urgent: the owner thread is not woken for it, and handles it
- * before the next event that wakes it. */
+/* Posts an event that is not urgent: it does not wake the owner thread, which handles it before the
+ * next event that does. */
 void bd_event_post_without_wakeup(struct bd_node *node, struct bd_event *event);
 #endif
--- a/src/adapters/kv_client.c
+++ b/src/adapters/kv_client.c
@@ -19,7 +19,7 @@
 #define PAGE_PAIRS "1000"
 #define URL_BYTES 640
 #define PATH_BYTES 512
-#define QUEUE_WAIT_S 5.0 /* one wait for an effect; it is repeated */
+#define QUEUE_WAIT_S 5.0 /* of one wait for an effect; waits are repeated */
 
 long bd_kv_call(const struct bd_node *node, struct bd_http *http, const char *method,
                 const char *path, const char *body, double timeout_s, json_t **out)
--- a/src/adapters/kv_leader_writer.c
+++ b/src/adapters/kv_leader_writer.c
@@ -1,8 +1,9 @@
-/* The thread that commits the leader's transactions, one at a time and in order, and finds out what
- * became of each.
+/* The thread that commits the leader's transactions, one at a time and in order, and determines the
+ * outcome of each.
  *
- * A transaction compares the commit sequence (the key `w`) and changes it, so that it applies at
- * most once however often it is sent; without an answer, the sequence shows whether it did. */
+ * A transaction compares the commit sequence (the key `w`) and changes it, so that it is
+ * applied at most once, however often it is sent. If there is no answer, the sequence shows whether
+ * it was applied. */
 #include "adapters/event.h"
 #include "adapters/kv_client.h"
 #include "adapters/kv_client_internal.h"
@@ -21,22 +22,25 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define RATE_EXCEEDED_MAX                                                                          \
-    3 /* answers in a row; then the transaction is built anew, if it may be                        \
-       */
+/* Consecutive answers BD_KV_RATE_EXCEEDED after which the transaction is to be built anew. */
+#define RATE_EXCEEDED_MAX 3
 
-/* A transaction on its way. */
+/* A transaction being committed. */
 struct attempt {
     struct bd_node *node;
     struct bd_http *http;
     struct bd_effect *effect;
-    struct bd_event *event;  /* gets the revision, and the keys whose comparison failed */
-    bool may_be_applied;     /* a copy was sent that got no answer */
-    int rate_exceeded_count; /* answers in a row */
+    struct bd_event *event;  /* receives the outcome */
+    bool may_be_applied;     /* an earlier copy was sent and not answered */
+    int rate_exceeded_count; /* consecutive answers BD_KV_RATE_EXCEEDED */
 };
 
-/* What the commit sequence shows of a transaction. */
-enum sequence_view { SEQUENCE_UNKNOWN, SEQUENCE_BEHIND, SEQUENCE_SHOWS_IT };
+/* The commit sequence compared with a transaction. */
+enum sequence_state {
+    SEQUENCE_UNKNOWN, /* the store did not answer */
+    SEQUENCE_DIFFERS, /* counts as: the transaction was not applied */
+    SEQUENCE_OF_TXN   /* the transaction was applied */
+};
 
 static bool is_sequence_of(json_t *value, const struct bd_effect *effect)
 {
@@ -47,22 +51,22 @@
 }
 
 /* Reads the commit sequence; its revision goes into the event. */
-static enum sequence_view read_sequence(struct attempt *attempt)
+static enum sequence_state read_sequence(struct attempt *attempt)
 {
     json_t *answer = NULL;
     struct bd_change pair;
     uint64_t grant;
-    enum sequence_view view = SEQUENCE_UNKNOWN;
+    enum sequence_state state = SEQUENCE_UNKNOWN;
     long status = bd_kv_call(attempt->node, attempt->http, "GET", BD_PATH_KEYS "/w", NULL,
                              BD_KV_TIMEOUT_S, &answer);
     if (status == BD_KV_NOT_FOUND)
-        view = SEQUENCE_BEHIND;
+        state = SEQUENCE_DIFFERS;
     if (status == BD_KV_OK && bd_wire_read_pair(answer, &pair, &grant)) {
-        view = is_sequence_of(pair.value, attempt->effect) ? SEQUENCE_SHOWS_IT : SEQUENCE_BEHIND;
+        state = is_sequence_of(pair.value, attempt->effect) ? SEQUENCE_OF_TXN : SEQUENCE_DIFFERS;
         attempt->event->leader_txn.store_revision = pair.revision;
     }
     json_decref(answer);
-    return view;
+    return state;
 }
 
 static bool contains(json_t *keys, const char *key)
@@ -78,15 +82,15 @@
     return false;
 }
 
-/* The outcome of a transaction that was refused, if an earlier copy of it may have been applied. */
+/* The outcome of a refused transaction of which an earlier copy may have been applied. */
 static enum bd_txn_outcome outcome_by_sequence(struct attempt *attempt,
-                                               enum bd_txn_outcome if_behind)
+                                               enum bd_txn_outcome if_not_applied)
 {
     switch (read_sequence(attempt)) {
-    case SEQUENCE_SHOWS_IT:
+    case SEQUENCE_OF_TXN:
         return BD_TXN_COMMITTED;
-    case SEQUENCE_BEHIND:
-        return if_behind;
+    case SEQUENCE_DIFFERS:
+        return if_not_applied;
     default:
         return BD_TXN_UNKNOWN;
     }
@@ -108,9 +112,9 @@
 static enum bd_txn_outcome judge_rejection(struct attempt *attempt, json_t *answer)
 {
     if (bd_wire_is_grant_missing(answer)) {
-        /* we were cut off, or stood still, for longer than the grant lives */
+        /* this node was partitioned or suspended for longer than the grant's TTL */
         bd_log_write(&attempt->node->log, BD_LOG_INFO,
-                     "transaction %llu of term %s is refused: the grant has expired",
+                     "store refused transaction %llu of term %s: the grant has expired",
                      (unsigned long long)attempt->effect->sequence, attempt->effect->key);
         return BD_TXN_DEPOSED;
     }
@@ -119,8 +123,9 @@
                                    : BD_TXN_REJECTED;
 }
 
-/* A transaction that is larger than a second's changes would exceed the rate for ever: after some
- * tries it is built anew, once it is sure that no copy of it was applied. */
+/* A transaction with more changes than the store allows in a second would exceed the rate forever.
+ * After RATE_EXCEEDED_MAX answers it is therefore reported as a conflict, to be built anew,
+ * provided that no copy of it was applied. */
 static enum bd_txn_outcome judge_no_answer(struct attempt *attempt, long status)
 {
     if (!atomic_load(&attempt->node->is_leading))
@@ -135,7 +140,7 @@
     bd_sleep(BD_KV_RETRY_S);
     if (attempt->rate_exceeded_count < RATE_EXCEEDED_MAX)
         return BD_TXN_UNKNOWN;
-    if (attempt->may_be_applied && read_sequence(attempt) != SEQUENCE_BEHIND)
+    if (attempt->may_be_applied && read_sequence(attempt) != SEQUENCE_DIFFERS)
         return BD_TXN_UNKNOWN;
     return BD_TXN_CONFLICT;
 }
--- a/src/adapters/kv_reader.c
+++ b/src/adapters/kv_reader.c
@@ -1,5 +1,6 @@
-/* The thread that keeps the replica of the jobs' records fresh: a list of all at first, then their
- * changes. For a leader it reads the delegates' and the drains' records too. */
+/* The thread that keeps the replica of the jobs' records up to date: it lists all records first,
+ * and then reads their changes. While this node leads, it also reads the delegates' and the drains'
+ * records. */
 #include "adapters/event.h"
 #include "adapters/kv_client.h"
 #include "adapters/kv_client_internal.h"
@@ -16,24 +17,24 @@
 #include <stdatomic.h>
 #include <stdio.h>
 
-#define REFRESH_INTERVAL_S 0.2      /* when no read waits for a barrier */
-#define REFRESH_INTERVAL_MIN_S 0.04 /* ... and when some do */
+#define REFRESH_INTERVAL_S 0.2 /* in addition to the minimum, unless a read waits for a barrier */
+#define REFRESH_INTERVAL_MIN_S 0.04 /* if a read waits for a barrier */
 #define DELEGATES_INTERVAL_S 0.7
 #define DRAINS_INTERVAL_S 1.0
 #define PAGE_POLL_S 0.005  /* while the owner thread applies a page */
-#define LIST_SETTLE_S 0.02 /* until the owner has set store_revision after the last page */
+#define LIST_SETTLE_S 0.02 /* lets the owner thread set replica_revision after the last page */
 
 /* The thread's own state. */
 struct reader {
     struct bd_node *node;
     struct bd_http *http;
-    uint64_t revision; /* changes up to it were read */
-    bool must_list;    /* no changes can be read before all records are */
-    struct timespec next_delegates, next_drains;
+    uint64_t revision; /* changes up to this one were read */
+    bool must_list;    /* all records must be listed before changes can be read */
+    struct timespec next_delegates_read_at, next_drains_read_at;
 };
 
-/* Hands one page, which it takes over, to the owner thread and waits until it is taken in: two
- * pages of the many job records need not be in memory at once. */
+/* Posts one page to the owner thread, and waits until it is applied, so that only one page of the
+ * many job records is in memory. Takes ownership of the page. */
 static void post_page(struct bd_node *node, json_t *page, uint64_t store_revision,
                       struct timespec sent, bool is_last)
 {
@@ -50,7 +51,8 @@
         bd_sleep(PAGE_POLL_S);
 }
 
-/* The whole list counts as read when its first page was: changes since then are read again. */
+/* Posts all records. The list counts as read at the time of its first page: later changes are read
+ * again by refresh. */
 static void list_jobs(const struct reader *reader)
 {
     uint64_t store_revision = 0;
@@ -70,7 +72,7 @@
     }
 }
 
-static void list_again(struct reader *reader)
+static void list_and_set_revision(struct reader *reader)
 {
     list_jobs(reader);
     bd_sleep(LIST_SETTLE_S);
@@ -78,7 +80,7 @@
     reader->must_list = reader->revision == 0;
 }
 
-/* Reads the changes since the last call. */
+/* Reads the changes after reader->revision, and posts them. */
 static void refresh(struct reader *reader)
 {
     struct bd_node *node = reader->node;
@@ -91,22 +93,23 @@
              (unsigned long long)reader->revision);
     long status =
         bd_kv_call(node, reader->http, "GET", path, NULL, BD_KV_TIMEOUT_S, &event->refresh.answer);
-    bool has_news = event->refresh.is_barrier || status != BD_KV_OK;
-    bool is_refused = status != BD_KV_OK && status != BD_KV_COMPACTED;
+    bool needs_wakeup = event->refresh.is_barrier || status != BD_KV_OK;
+    bool has_failed = status != BD_KV_OK && status != BD_KV_COMPACTED;
     event->refresh.is_answered = status == BD_KV_OK;
-    atomic_store(&node->has_refresh_failed, is_refused);
+    atomic_store(&node->has_refresh_failed, has_failed);
     if (event->refresh.is_answered) {
         event->refresh.store_revision = bd_wire_read_store_revision(event->refresh.answer);
-        has_news = has_news || json_array_size(bd_wire_read_change_log(event->refresh.answer)) > 0;
+        needs_wakeup =
+            needs_wakeup || json_array_size(bd_wire_read_change_log(event->refresh.answer)) > 0;
         if (event->refresh.store_revision > reader->revision)
             reader->revision = event->refresh.store_revision;
     }
     reader->must_list = status == BD_KV_COMPACTED;
-    if (has_news)
+    if (needs_wakeup)
         bd_event_post(node, event);
     else
-        bd_event_post_without_wakeup(node, event); /* what matters of it is when it was sent */
-    if (is_refused)
+        bd_event_post_without_wakeup(node, event); /* only its time of sending matters */
+    if (has_failed)
         bd_sleep(BD_KV_RETRY_S);
 }
 
@@ -121,8 +124,9 @@
         bd_event_free(event);
 }
 
-/* The drains' own records are few and read each time, their machines' only where they are not known
- * yet: after them, so that the machines of all that were listed are there. */
+/* The drains' own records are few, and read each time. The records of their machines are read only
+ * when the owner thread needs them. They are read last, so that the machines of every drain in the
+ * list are complete. */
 static void read_drains(const struct reader *reader)
 {
     struct bd_event *event = bd_event_new(BD_EVENT_DRAIN_RECORDS_READ);
@@ -135,7 +139,7 @@
         bd_event_free(event);
 }
 
-/* Whether the time has come; if so, the next one is an interval from now. */
+/* Whether the time *next has passed. If so, sets it to an interval from now. */
 static bool is_due(struct timespec *next, double interval_s)
 {
     if (!bd_time_is_before(*next, bd_now()))
@@ -147,14 +151,16 @@
 static void read_leader_records(struct reader *reader)
 {
     struct bd_node *node = reader->node;
-    if (atomic_load(&node->is_leading) && is_due(&reader->next_delegates, DELEGATES_INTERVAL_S))
+    if (atomic_load(&node->is_leading) &&
+        is_due(&reader->next_delegates_read_at, DELEGATES_INTERVAL_S))
         read_delegates(reader);
     if (node->settings.draining && atomic_load(&node->is_leading) &&
-        is_due(&reader->next_drains, DRAINS_INTERVAL_S))
+        is_due(&reader->next_drains_read_at, DRAINS_INTERVAL_S))
         read_drains(reader);
 }
 
-/* Until the next refresh is due, or reads wait for a barrier; one wake-up where that is enough. */
+/* Waits until the next refresh is due. A read that waits for a barrier makes it due after the
+ * minimum interval; otherwise one wait covers both intervals. */
 static void wait_for_refresh(struct bd_node *node)
 {
     void *woken;
@@ -162,9 +168,9 @@
     struct timespec latest = bd_time_add(earliest, bd_secs(REFRESH_INTERVAL_S));
     if (!atomic_load(&node->is_barrier_requested))
         (void)bd_queue_take(&node->reader_wakeups, &woken, 1, latest);
-    double early_s = bd_seconds_between(bd_now(), earliest);
-    if (early_s > 0)
-        bd_sleep(early_s);
+    double remaining_s = bd_seconds_between(bd_now(), earliest);
+    if (remaining_s > 0)
+        bd_sleep(remaining_s);
 }
 
 void *bd_kv_reader_run(void *arg)
@@ -172,10 +178,10 @@
     struct bd_node *node = arg;
     struct reader reader = {.node = node, .must_list = true};
     reader.http = bd_http_new(1, bd_metrics_counter(node->metrics, BD_TRAFFIC_REFRESH));
-    reader.next_delegates = reader.next_drains = bd_now();
+    reader.next_delegates_read_at = reader.next_drains_read_at = bd_now();
     while (reader.http) {
         if (reader.must_list) {
-            list_again(&reader);
+            list_and_set_revision(&reader);
             continue;
         }
         refresh(&reader);
--- a/src/adapters/kv_user_writer.c
+++ b/src/adapters/kv_user_writer.c
@@ -18,7 +18,7 @@
 #define USER_TIMEOUT_S 2.5
 #define PATH_BYTES 128
 
-/* Reads the revision of the delegate's record; 0: there is none. */
+/* Reads the revision of the delegate's record into the event; 0: there is no record. */
 static void read_delegate_revision(struct bd_node *node, struct bd_http *http, const char *key,
                                    struct bd_event *event)
 {
@@ -34,8 +34,8 @@
     json_decref(answer);
 }
 
-static void write_delegate(struct bd_node *node, struct bd_http *http, const char *body,
-                           struct bd_event *event)
+static void write_delegate_record(struct bd_node *node, struct bd_http *http, const char *body,
+                                  struct bd_event *event)
 {
     json_t *answer = NULL;
     event->delegate_txn.status =
@@ -45,22 +45,23 @@
     json_decref(answer);
 }
 
-/* An effect without a body asks for the record's revision only. */
-static void serve_delegate(struct bd_node *node, struct bd_http *http,
-                           const struct bd_effect *effect)
+/* An effect without a body requests only the record's revision. */
+static void serve_delegate_txn(struct bd_node *node, struct bd_http *http,
+                               const struct bd_effect *effect)
 {
     struct bd_event *event = bd_event_new(BD_EVENT_DELEGATE_TXN_COMPLETED);
     event->delegate_txn.sent_at = bd_now();
     if (effect->body)
-        write_delegate(node, http, effect->body, event);
+        write_delegate_record(node, http, effect->body, event);
     else
         read_delegate_revision(node, http, effect->key, event);
     bd_event_post(node, event);
 }
 
-/* Commits a transaction a line, what a record needs before the record itself, until one fails. */
-static void commit_lines(struct bd_node *node, struct bd_http *http, char *lines,
-                         struct bd_event *event)
+/* Commits one transaction for each line, in order, until one fails: the lines that a record depends
+ * on precede the line of the record. */
+static void commit_txn_lines(struct bd_node *node, struct bd_http *http, char *lines,
+                             struct bd_event *event)
 {
     char *rest = NULL;
     event->user_txn.status = BD_KV_OK;
@@ -74,13 +75,13 @@
     }
 }
 
-static void commit_user(struct bd_node *node, struct bd_http *http, struct bd_effect *effect)
+static void commit_user_txn(struct bd_node *node, struct bd_http *http, struct bd_effect *effect)
 {
     struct bd_event *event = bd_event_new(BD_EVENT_USER_TXN_COMPLETED);
     char *lines = strdup(effect->body);
     event->user_txn.status = BD_KV_NO_ANSWER;
     if (lines)
-        commit_lines(node, http, lines, event);
+        commit_txn_lines(node, http, lines, event);
     free(lines);
     event->user_txn.request = effect->request;
     event->user_txn.purpose = effect->purpose;
@@ -106,11 +107,11 @@
 static void serve(struct bd_node *node, struct bd_http *http, struct bd_effect *effect)
 {
     if (effect->kind == BD_EFFECT_DELEGATE_TXN)
-        serve_delegate(node, http, effect);
+        serve_delegate_txn(node, http, effect);
     else if (effect->kind == BD_EFFECT_JOB_LOOKUP)
         look_up_job(node, http, effect);
     else
-        commit_user(node, http, effect);
+        commit_user_txn(node, http, effect);
 }
 
 void *bd_kv_user_writer_run(void *arg)
--- a/src/adapters/peer_listener.c
+++ b/src/adapters/peer_listener.c
@@ -25,7 +25,7 @@
 #include <time.h>
 #include <unistd.h>
 
-#define IDLE_TIMEOUT_S 20.0  /* a connection that receives nothing for so long is closed */
+#define IDLE_TIMEOUT_S 20.0  /* a connection that receives nothing for this time is closed */
 #define POLL_TIMEOUT_MS 2000 /* between checks for idle connections */
 #define CONNECTIONS_MAX (2 * BD_PEERS_MAX + 8) /* a new connection overlaps the old one */
 #define BUFFER_BYTES_MIN 4096
@@ -35,20 +35,20 @@
 struct connection {
     int fd; /* -1: unused */
     unsigned char *buffer;
-    size_t len, capacity; /* of the buffer: bytes received and not read, and allocated */
+    size_t len, capacity; /* of the buffer: bytes received and not parsed yet; bytes allocated */
     struct timespec received_at;
-    /* of the last status received */
-    uint64_t term;
-    uint8_t flags;
-    char name[BD_LABEL_BYTES];
+    /* contents of the last peer status received */
+    uint64_t status_term;
+    uint8_t status_flags;
+    char status_name[BD_LABEL_BYTES];
 };
 
-/* Belongs to the listening thread. */
+/* Owned by the listening thread. */
 struct listener {
     struct bd_node *node;
     int fd;
     struct connection connections[CONNECTIONS_MAX];
-    struct bd_frame frame; /* the one being read */
+    struct bd_frame frame; /* the frame being parsed */
 };
 
 static void close_connection(struct connection *connection)
@@ -59,20 +59,21 @@
     connection->fd = -1;
 }
 
-/* Whether the frame shows its sender unchanged, so that the owner thread need not be woken for it:
- * what it decides depends on when the frame was received, not on when it is handled. */
+/* Whether the frame shows that its sender's status is unchanged. The owner thread is not woken for
+ * such a frame: its decisions depend on when the frame was received, not on when it is handled. */
 static bool is_unchanged_status(struct connection *connection, const struct bd_frame *frame)
 {
     if (frame->type == BD_FRAME_JOB_PROGRESS)
         return true; /* only for display */
     if (frame->type != BD_FRAME_PEER_STATUS)
         return false;
-    bool is_same = connection->term == frame->term && connection->flags == frame->flags &&
-                   strcmp(connection->name, frame->name) == 0;
-    connection->term = frame->term;
-    connection->flags = frame->flags;
-    memcpy(connection->name, frame->name, sizeof connection->name);
-    return is_same;
+    bool is_unchanged = connection->status_term == frame->term &&
+                        connection->status_flags == frame->flags &&
+                        strcmp(connection->status_name, frame->name) == 0;
+    connection->status_term = frame->term;
+    connection->status_flags = frame->flags;
+    memcpy(connection->status_name, frame->name, sizeof connection->status_name);
+    return is_unchanged;
 }
 
 static void post_frame(struct bd_node *node, struct connection *connection,
@@ -96,7 +97,8 @@
         bd_event_free(event); /* peers repeat their status, and requests have deadlines */
 }
 
-/* Makes space to receive. False: no memory, or the buffer holds as much as the largest frame. */
+/* Makes space for received bytes. False: out of memory, or the buffer is full at the size of the
+ * largest frame. */
 static bool grow_buffer(struct connection *connection)
 {
     if (connection->len < connection->capacity)
@@ -113,7 +115,7 @@
     return true;
 }
 
-/* Posts all whole frames in the buffer. False: the bytes are not a frame. */
+/* Posts all complete frames in the buffer. False: the buffer holds a malformed frame. */
 static bool post_frames(struct listener *listener, struct connection *connection)
 {
     size_t consumed = 0;
@@ -129,7 +131,8 @@
     connection->len -= consumed;
     memmove(connection->buffer, connection->buffer + consumed, connection->len);
     if (used < 0)
-        bd_log_write(&listener->node->log, BD_LOG_ERROR, "malformed frame from a peer");
+        bd_log_write(&listener->node->log, BD_LOG_ERROR,
+                     "malformed frame from a peer; closing the connection");
     return used == 0;
 }
 
@@ -139,15 +142,15 @@
         close_connection(connection);
         return;
     }
-    ssize_t got = recv(connection->fd, connection->buffer + connection->len,
-                       connection->capacity - connection->len, MSG_DONTWAIT);
-    if (got < 0 && (errno == EAGAIN || errno == EINTR))
+    ssize_t received = recv(connection->fd, connection->buffer + connection->len,
+                            connection->capacity - connection->len, MSG_DONTWAIT);
+    if (received < 0 && (errno == EAGAIN || errno == EINTR))
         return;
-    if (got <= 0) {
+    if (received <= 0) {
         close_connection(connection);
         return;
     }
-    connection->len += (size_t)got;
+    connection->len += (size_t)received;
     connection->received_at = bd_now();
     if (!post_frames(listener, connection))
         close_connection(connection);
@@ -168,8 +171,8 @@
     (void)close(fd);
 }
 
-/* Fills polled with the listening socket and all connections, and indices with the latter's places.
- * Returns how many sockets there are. */
+/* Fills polled with the listening socket, followed by all open connections, and indices with the
+ * connections' indices at the same positions. Returns the number of sockets. */
 static nfds_t fill_poll_set(const struct listener *listener, struct pollfd *polled, int *indices)
 {
     nfds_t n = 0;
@@ -183,7 +186,7 @@
     return n;
 }
 
-/* The listening thread. */
+/* The function of the listening thread. */
 static void *listen_run(void *arg)
 {
     struct listener *listener = arg;
@@ -206,7 +209,7 @@
     return NULL;
 }
 
-/* A socket that listens on the address, or -1. */
+/* Opens a socket that listens on the address. Returns -1 on failure. */
 static int open_listening_socket(const struct sockaddr_in *address)
 {
     int one = 1;
--- a/src/adapters/peer_listener.h
+++ b/src/adapters/peer_listener.h
@@ -8,7 +8,7 @@
 
 struct bd_node;
 
-/* Listens on the settings' peer address. 0, or -1: the address is malformed, cannot listen (which
- * is logged), no memory or no thread. */
+/* Listens on the settings' peer address. 0, or -1: the address is malformed or cannot be listened
+ * on (the latter is logged), out of memory, or the thread cannot be started. */
 int bd_peer_listener_start(struct bd_node *node);
 #endif
--- a/src/adapters/peer_transport.c
+++ b/src/adapters/peer_transport.c
@@ -23,26 +23,26 @@
 #include <unistd.h>
 
 #define PEER_STATUS_INTERVAL_S 0.4
-#define PROGRESS_INTERVAL_S 1.2 /* of the jobs' counts, which are for display */
+#define PROGRESS_INTERVAL_S 1.2 /* of the jobs' progress, which is for display only */
 #define CONNECT_TIMEOUT_S 0.5
-#define STALL_TIMEOUT_S 0.5   /* a connection that takes no bytes for so long is closed */
+#define STALL_TIMEOUT_S 0.5   /* a connection that accepts no bytes for this time is closed */
 #define CONNECTION_LIFE_S 4.0 /* see connect_run */
 #define OUTBOX_BYTES_MIN 4096u
-#define OUTBOX_BYTES_MAX 524288u /* what does not fit is dropped; whoever waits has a deadline */
+#define OUTBOX_BYTES_MAX 524288u /* frames beyond it are dropped; requests have deadlines */
 #define STACK_BYTES 131072
 
 /* ---- outboxes ---- */
 
-/* The connection to one peer, and the frames that are to be sent on it. Locking order: a link's
- * lock before the node's status_lock. */
+/* The connection to one peer, and the frames to be sent on it. Locking order: a link's lock before
+ * the node's status_lock. */
 struct bd_peer_link {
     struct bd_node *node;
     int peer;                      /* index into the settings' peers */
-    struct bd_queue connector;     /* wakes the thread that connects */
-    pthread_mutex_t lock;          /* protects all below */
+    struct bd_queue reconnects;    /* wakes the connecting thread */
+    pthread_mutex_t lock;          /* protects the fields below */
     int fd;                        /* -1: not connected */
-    size_t len, capacity;          /* of the outbox: bytes not sent, and allocated */
-    struct timespec stalled_since; /* zero: the connection takes bytes */
+    size_t len, capacity;          /* of the outbox: bytes not sent yet; bytes allocated */
+    struct timespec stalled_since; /* zero: not stalled */
     unsigned char *outbox;
 };
 
@@ -54,12 +54,12 @@
     link->fd = -1;
     link->len = link->capacity = 0;
     link->stalled_since = (struct timespec){0, 0};
-    free(link->outbox); /* so that a burst does not occupy memory for good */
+    free(link->outbox); /* memory that a burst needed is not kept */
     link->outbox = NULL;
 }
 
-/* Sends what the connection takes without blocking; one that has failed or stalled is closed, and
- * its connecting thread woken. The caller holds the lock. */
+/* Sends as many bytes as the connection accepts without blocking. If the connection has failed or
+ * stalled, closes it and wakes the connecting thread. The caller holds the lock. */
 static void flush_outbox(struct bd_peer_link *link, enum bd_traffic kind)
 {
     if (link->fd < 0 || link->len == 0)
@@ -79,15 +79,15 @@
     if (is_blocked && bd_seconds_between(link->stalled_since, now) < STALL_TIMEOUT_S)
         return;
     disconnect(link);
-    (void)bd_queue_put(&link->connector, link);
+    (void)bd_queue_put(&link->reconnects, link);
 }
 
-/* Makes space for `more` bytes in the outbox. False: it would become too large, or there is no
+/* Makes space for `added` bytes in the outbox. False: it would exceed OUTBOX_BYTES_MAX, or out of
  * memory. The caller holds the lock. */
-static bool reserve_outbox(struct bd_peer_link *link, size_t more)
+static bool reserve_outbox(struct bd_peer_link *link, size_t added)
 {
     size_t capacity = link->capacity ? link->capacity : OUTBOX_BYTES_MIN;
-    while (capacity < link->len + more)
+    while (capacity < link->len + added)
         capacity *= 2;
     if (capacity > OUTBOX_BYTES_MAX)
         return false;
@@ -100,8 +100,8 @@
     return true;
 }
 
-/* False: there is no space or no connection, and the frame is dropped. The caller holds the lock.
- */
+/* Appends the frame to the outbox. False: the frame is dropped, because there is no space or no
+ * connection. The caller holds the lock. */
 static bool append_frame(struct bd_peer_link *link, const struct bd_frame *frame)
 {
     if (link->fd < 0 || !reserve_outbox(link, bd_frame_bytes_max(frame)))
@@ -134,27 +134,29 @@
 
 /* ---- peer status ---- */
 
-/* Appends the jobs' counts, in as many frames as they need. The caller holds the link's lock. */
+/* Appends the jobs' progress, in as many frames as it needs. frame: scratch space. The caller holds
+ * the link's lock. */
 static void append_progress(struct bd_peer_link *link, struct bd_frame *frame)
 {
     struct bd_node *node = link->node;
-    uint32_t from = 0;
+    uint32_t first = 0;
     bool more = true;
     while (more) {
         (void)pthread_mutex_lock(&node->status_lock);
         memset(frame, 0, sizeof *frame);
         frame->type = BD_FRAME_JOB_PROGRESS;
-        while (frame->count < BD_FRAME_JOBS_MAX && from + frame->count < node->job_progress_count) {
-            frame->jobs[frame->count] = node->job_progress[from + frame->count];
+        while (frame->count < BD_FRAME_JOBS_MAX &&
+               first + frame->count < node->job_progress_count) {
+            frame->jobs[frame->count] = node->job_progress[first + frame->count];
             frame->count++;
         }
         (void)pthread_mutex_unlock(&node->status_lock);
         more = frame->count > 0 && append_frame(link, frame);
-        from += frame->count;
+        first += frame->count;
     }
 }
 
-/* The frame with our status. */
+/* Copies this node's status into the frame. */
 static void read_status(struct bd_node *node, struct bd_frame *frame)
 {
     (void)pthread_mutex_lock(&node->status_lock);
@@ -163,7 +165,7 @@
     (void)pthread_mutex_unlock(&node->status_lock);
 }
 
-/* Sends our status at once, if there is a connection. frame: scratch space. */
+/* Sends this node's status at once, if there is a connection. frame: scratch space. */
 static void send_status(struct bd_peer_link *link, struct bd_frame *frame, bool with_progress)
 {
     (void)pthread_mutex_lock(&link->lock);
@@ -177,17 +179,17 @@
     (void)pthread_mutex_unlock(&link->lock);
 }
 
-/* The status thread: sends our status to all peers at an interval. */
+/* The function of the status thread: sends this node's status to all peers at an interval. */
 static void *status_run(void *arg)
 {
     struct bd_node *node = arg;
-    struct timespec next_progress = bd_now();
+    struct timespec next_progress_at = bd_now();
     struct bd_frame *frame = calloc(1, sizeof *frame);
     while (frame) {
         struct timespec now = bd_now();
-        bool with_progress = bd_time_is_before(next_progress, now);
+        bool with_progress = bd_time_is_before(next_progress_at, now);
         if (with_progress)
-            next_progress = bd_time_add(now, bd_secs(PROGRESS_INTERVAL_S));
+            next_progress_at = bd_time_add(now, bd_secs(PROGRESS_INTERVAL_S));
         for (int i = 0; i < node->settings.npeers; i++)
             send_status(node->links[i], frame, with_progress);
         bd_sleep(PEER_STATUS_INTERVAL_S);
@@ -221,9 +223,9 @@
     return fd;
 }
 
-/* Replaces the old connection by a new one, or by none (-1). What the old one did not take is
- * dropped, since it may begin in the middle of a frame. True: there was no connection before, and
- * now there is. */
+/* Replaces the old connection by a new one, or by none (-1). Bytes that the old connection did not
+ * accept are dropped, because they may begin in the middle of a frame. True: there was no
+ * connection before, and there is one now. */
 static bool replace_connection(struct bd_peer_link *link, int fd)
 {
     (void)pthread_mutex_lock(&link->lock);
@@ -237,9 +239,9 @@
     return is_first;
 }
 
-/* The connecting thread of one peer. A connection can be dead for minutes without an error, while
- * nothing that is sent arrives. So each is replaced after CONNECTION_LIFE_S; the new one is opened
- * before the old one is closed. */
+/* The function of one peer's connecting thread. A connection can be broken for minutes without an
+ * error, while nothing that is sent arrives. Each connection is therefore replaced after
+ * CONNECTION_LIFE_S; the new one is opened before the old one is closed. */
 static void *connect_run(void *arg)
 {
     struct bd_peer_link *link = arg;
@@ -249,11 +251,11 @@
         int fd = open_connection(link->node->settings.peers[link->peer].addr);
         if (replace_connection(link, fd))
             send_status(link, frame, false);
-        struct timespec opened = bd_now();
+        struct timespec opened_at = bd_now();
         double life_s = fd >= 0 ? CONNECTION_LIFE_S : PEER_STATUS_INTERVAL_S;
-        (void)bd_queue_take(&link->connector, &woken, 1, bd_time_add(opened, bd_secs(life_s)));
-        /* one that breaks at once is not reopened in a busy loop */
-        double open_s = bd_seconds_between(opened, bd_now());
+        (void)bd_queue_take(&link->reconnects, &woken, 1, bd_time_add(opened_at, bd_secs(life_s)));
+        /* a connection that fails at once is not reopened in a busy loop */
+        double open_s = bd_seconds_between(opened_at, bd_now());
         if (open_s < PEER_STATUS_INTERVAL_S)
             bd_sleep(PEER_STATUS_INTERVAL_S - open_s);
     }
@@ -268,7 +270,7 @@
     link->node = node;
     link->peer = peer;
     link->fd = -1;
-    if (bd_queue_init(&link->connector, 1) != 0 || pthread_mutex_init(&link->lock, NULL) != 0) {
+    if (bd_queue_init(&link->reconnects, 1) != 0 || pthread_mutex_init(&link->lock, NULL) != 0) {
         free(link);
         return NULL;
     }
--- a/src/adapters/worker_client.c
+++ b/src/adapters/worker_client.c
@@ -18,26 +18,26 @@
 #include <stdlib.h>
 
 #define CALL_TIMEOUT_S 1.5
-#define STALLED_AFTER_S 0.1 /* a sender that waits longer for an answer gets no new command */
+#define STALLED_AFTER_S 0.1 /* a sender that waits longer for an answer gets no new commands */
 #define SENDERS_MIN 6
 #define SENDERS_MAX 64
-#define SOCKETS_PER_SENDER 80 /* senders grow with the fleet: each hanging worker stalls one */
-#define OUTGOING_SHARE 0.35   /* of all sockets, for connections that we open */
+#define SOCKETS_PER_SENDER 80 /* more senders in larger fleets: each hanging worker stalls one */
+#define OUTGOING_SHARE 0.35   /* of all sockets, for connections that this process opens */
 #define POOLED_CONNECTIONS_MIN 4
 #define QUEUE_CAPACITY 1024
 #define QUEUE_WAIT_S 5.0
 #define QUEUE_FULL_PAUSE_S 0.05
 #define STACK_BYTES 131072
 
-/* What the owner thread shares with one sending thread. */
+/* State that the owner thread shares with one sending thread. */
 struct sender {
     struct bd_node *node;
-    struct bd_queue queue;   /* of struct bd_effect */
-    atomic_int pending;      /* commands in the queue, and the one being sent */
-    atomic_llong sent_at_ms; /* when the one being sent went out; 0: none is being sent */
+    struct bd_queue queue;       /* of struct bd_effect */
+    atomic_int pending_commands; /* commands in the queue, and the one being sent */
+    atomic_llong sent_at_ms;     /* when the command being sent was started, monotonic; 0: none */
 };
 
-/* Constant once it is started, but for the senders' shared fields. */
+/* Constant once started, except for the senders' shared fields. */
 struct bd_worker_client {
     int sender_count;
     struct sender senders[SENDERS_MAX];
@@ -68,9 +68,9 @@
     return sender_count_for(settings) * pooled_connections(settings);
 }
 
-/* Sends one command, and posts its outcome to the owner thread. Takes the effect over. A command
- * whose deadline has passed in the queue is not sent: it might start a task that was cancelled
- * meanwhile, and would delay those queued behind it. */
+/* Sends one command, and posts its outcome to the owner thread. Takes ownership of the effect. A
+ * command whose deadline passed in the queue is not sent: it might start a task that has been
+ * cancelled since, and would delay the commands behind it. */
 static void send_command(struct sender *sender, struct bd_http *http, struct bd_effect *effect)
 {
     char url[128];
@@ -92,7 +92,7 @@
     bd_event_post(sender->node, event);
 }
 
-/* A sending thread: serves its sender's queue as long as the process lives. */
+/* The function of a sending thread: serves its sender's queue for the life of the process. */
 static void *sender_run(void *arg)
 {
     struct sender *sender = arg;
@@ -107,7 +107,7 @@
         atomic_store(&sender->sent_at_ms, now_ms());
         send_command(sender, http, item);
         atomic_store(&sender->sent_at_ms, 0);
-        atomic_fetch_sub(&sender->pending, 1);
+        atomic_fetch_sub(&sender->pending_commands, 1);
     }
     return NULL;
 }
@@ -120,10 +120,10 @@
 
 static bool is_full(const struct sender *sender)
 {
-    return atomic_load(&sender->pending) >= QUEUE_CAPACITY;
+    return atomic_load(&sender->pending_commands) >= QUEUE_CAPACITY;
 }
 
-/* Whether a command is better queued with the candidate than with the sender chosen so far. */
+/* Whether the candidate is a better sender for a command than the one chosen so far. */
 static bool is_better_sender(const struct sender *candidate, const struct sender *chosen,
                              long long now)
 {
@@ -134,10 +134,10 @@
     if (is_stalled(candidate, now))
         return false;
     return is_stalled(chosen, now) ||
-           atomic_load(&candidate->pending) < atomic_load(&chosen->pending);
+           atomic_load(&candidate->pending_commands) < atomic_load(&chosen->pending_commands);
 }
 
-/* The machine's own sender, or the least busy one while that has stalled or is full. */
+/* The machine's own sender, or the least busy one while its own is stalled or full. */
 static struct sender *choose_sender(struct bd_worker_client *client, uint32_t machine)
 {
     long long now = now_ms();
@@ -154,9 +154,9 @@
 void bd_worker_client_send(struct bd_node *node, struct bd_effect *effect)
 {
     struct sender *sender = choose_sender(node->worker_client, effect->machine);
-    atomic_fetch_add(&sender->pending, 1);
+    atomic_fetch_add(&sender->pending_commands, 1);
     while (!bd_queue_put(&sender->queue, effect)) {
-        bd_log_write(&node->log, BD_LOG_ERROR, "the queue of direct commands is full");
+        bd_log_write(&node->log, BD_LOG_ERROR, "queue of direct commands is full; retrying");
         bd_sleep(QUEUE_FULL_PAUSE_S);
     }
 }
--- a/src/adapters/worker_client.h
+++ b/src/adapters/worker_client.h
@@ -1,8 +1,9 @@
-/* Direct commands to workers, sent by a pool of threads, each with its own queue and connections.
+/* Sends direct commands to workers from a pool of threads, each with its own queue and connections.
  *
- * A worker's commands go to the same thread, so that its connection is reused, unless that thread
- * has stalled on a worker that does not answer; they then go to the least busy one. Owns the
- * threads and their queues, which live as long as the process. Started and fed by the runtime. */
+ * A worker's commands go to the same thread, so that its connection is reused. If that thread is
+ * stalled by a worker that does not answer, or its queue is full, they go to the least busy thread.
+ * Owns the threads and their queues, which live as long as the process. Started and used by the
+ * runtime. */
 #ifndef BD_WORKER_CLIENT_H
 #define BD_WORKER_CLIENT_H
 
@@ -10,11 +11,11 @@
 struct bd_node;
 struct bd_settings;
 
-/* 0, or -1: no memory or no thread could be had. */
+/* Starts the threads. 0, or -1: out of memory, or a thread cannot be started. */
 int bd_worker_client_start(struct bd_node *node);
-/* Queues a direct command. Takes the effect over; its outcome is posted as
+/* Queues a direct command. Takes ownership of the effect. The outcome is posted as
  * BD_EVENT_DIRECT_COMMAND_COMPLETED. Owner thread only. */
 void bd_worker_client_send(struct bd_node *node, struct bd_effect *effect);
-/* Sockets that it may have open at once. */
+/* The most sockets that the threads keep open at once. */
 int bd_worker_client_sockets_max(const struct bd_settings *settings);
 #endif
