--- a/src/adapters/admin_drain_create.c
+++ b/src/adapters/admin_drain_create.c
@@ -113,8 +113,7 @@
     return normalized;
 }
 
-/* The response when the name is taken: the drain if the same request created it, else a conflict.
- */
+/* The response if the name is taken: the drain if the requests are equal, else a conflict. */
 static struct bd_admin_response show_existing(const struct bd_drain_record *record,
                                               const json_t *normalized)
 {
--- a/src/adapters/admin_server.h
+++ b/src/adapters/admin_server.h
@@ -1,4 +1,4 @@
-/* The administration API: HTTP and JSON on an address of its own.
+/* The administration API: HTTP and JSON on a separate address.
  *
  * Requests are few and may take seconds (the cloud's inventory is long), so each connection has a
  * thread that blocks. Owns its listening socket and threads, which live as long as the process.
--- a/src/adapters/cloud_client.c
+++ b/src/adapters/cloud_client.c
@@ -31,7 +31,7 @@
 /* The pause after a failed call: one step for each consecutive failure. */
 #define BACK_OFF_STEP_S 0.25
 #define BACK_OFF_STEPS_MAX 5
-#define INVENTORY_READS_PER_LAG 3        /* the settings limit the inventory's lag */
+#define INVENTORY_READS_PER_LAG 3        /* of the settings' maximum lag of the inventory */
 #define CALLS_PER_INVENTORY_READ_MIN 2.0 /* reads begin at no more than half the rate limit */
 #define QUEUE_WAIT_S 0.2
 #define SCALE_OUT_MACHINES_MAX 64
@@ -250,8 +250,8 @@
 static void serve_queue(struct cloud_client *client)
 {
     void *item;
-    struct timespec until = bd_time_add(bd_now(), bd_secs(QUEUE_WAIT_S));
-    if (bd_queue_take(&client->node->cloud_effects, &item, 1, until) == 0)
+    struct timespec deadline = bd_time_add(bd_now(), bd_secs(QUEUE_WAIT_S));
+    if (bd_queue_take(&client->node->cloud_effects, &item, 1, deadline) == 0)
         return;
     struct bd_effect *effect = item;
     if (effect->kind == BD_EFFECT_SCALE_OUT)
--- a/src/adapters/election.c
+++ b/src/adapters/election.c
@@ -106,8 +106,7 @@
 
 /* ---- the thread ---- */
 
-/* A node that cannot read the jobs' records does not acquire the lease: it could not launch tasks.
- */
+/* A node that cannot read the jobs' records could not launch tasks, so it does not try to lead. */
 static void follow_once(struct bd_election_candidate *candidate)
 {
     uint64_t revision = 0;
@@ -182,7 +181,7 @@
     free(candidate);
 }
 
-/* NULL: no memory. */
+/* NULL: out of memory. */
 static struct bd_election_candidate *candidate_new(struct bd_node *node)
 {
     struct bd_election_candidate *candidate = calloc(1, sizeof *candidate);
--- a/src/adapters/kv_client.c
+++ b/src/adapters/kv_client.c
@@ -37,7 +37,7 @@
 }
 
 json_t *bd_kv_list_page(const struct bd_node *node, struct bd_http *http, const char *prefix,
-                        char *after, size_t after_cap, bool *more)
+                        char *after, size_t after_capacity, bool *has_more)
 {
     char path[PATH_BYTES];
     json_t *page = NULL;
@@ -50,11 +50,11 @@
         json_decref(page);
         return NULL;
     }
-    json_t *pairs = bd_wire_read_pairs(page, more);
+    json_t *pairs = bd_wire_read_pairs(page, has_more);
     size_t count = json_array_size(pairs);
-    *more = *more && count > 0;
+    *has_more = *has_more && count > 0;
     if (count > 0 && bd_wire_read_change(json_array_get(pairs, count - 1), &last))
-        snprintf(after, after_cap, "%s", last.key);
+        snprintf(after, after_capacity, "%s", last.key);
     return page;
 }
 
@@ -62,10 +62,10 @@
 {
     json_t *all = json_array();
     char after[BD_KV_KEY_BYTES] = "";
-    bool more = true;
-    while (more) {
+    bool has_more = true;
+    while (has_more) {
         bool ignored;
-        json_t *page = bd_kv_list_page(node, http, prefix, after, sizeof after, &more);
+        json_t *page = bd_kv_list_page(node, http, prefix, after, sizeof after, &has_more);
         if (!page) {
             json_decref(all);
             return NULL;
@@ -83,8 +83,8 @@
     struct bd_http *http = bd_http_new(1, bd_metrics_counter(node->metrics, traffic));
     while (http) {
         void *effect;
-        struct timespec until = bd_time_add(bd_now(), bd_secs(QUEUE_WAIT_S));
-        if (bd_queue_take(queue, &effect, 1, until) == 0)
+        struct timespec deadline = bd_time_add(bd_now(), bd_secs(QUEUE_WAIT_S));
+        if (bd_queue_take(queue, &effect, 1, deadline) == 0)
             continue;
         serve(node, http, effect);
         bd_effect_free(effect);
--- a/src/adapters/kv_client.h
+++ b/src/adapters/kv_client.h
@@ -23,9 +23,9 @@
     BD_KV_UNAVAILABLE = 503 /* not executed */
 };
 
-/* Makes one blocking request. path: includes the query; body: NULL for none. Returns
- * an enum bd_kv_status or another HTTP status. *out is the answer's JSON for any status, or NULL;
- * the caller releases it. */
+/* Makes one blocking request. path: includes the query; body: NULL for none. Returns an enum
+ * bd_kv_status or another HTTP status. *out is the answer's JSON for any status, or NULL; the
+ * caller releases it. */
 long bd_kv_call(const struct bd_node *node, struct bd_http *http, const char *method,
                 const char *path, const char *body, double timeout_s, json_t **out);
 /* Reads all pairs whose keys have the prefix, in pages: for lists that fit into memory. NULL: a
--- a/src/adapters/kv_client_internal.h
+++ b/src/adapters/kv_client_internal.h
@@ -18,10 +18,10 @@
 #define BD_KV_RETRY_S 0.25 /* pause after a failed call */
 
 /* Reads one page of the pairs whose keys have the prefix, starting after the key `after`, which is
- * set to the page's last key. *more: whether another page follows. NULL: the call failed. The
+ * set to the page's last key. *has_more: whether another page follows. NULL: the call failed. The
  * caller releases the page. */
 json_t *bd_kv_list_page(const struct bd_node *node, struct bd_http *http, const char *prefix,
-                        char *after, size_t after_cap, bool *more);
+                        char *after, size_t after_capacity, bool *has_more);
 
 /* Serves the queue's effects one by one, and frees each. Uses its own HTTP client, whose traffic is
  * counted as the given kind. Returns only if there is no memory for the client. */
--- a/src/adapters/kv_leader_writer.c
+++ b/src/adapters/kv_leader_writer.c
@@ -1,9 +1,9 @@
 /* The thread that commits the leader's transactions, one at a time and in order, and determines the
  * outcome of each.
  *
- * A transaction compares the commit sequence (the key `w`) and changes it, so that it is
- * applied at most once, however often it is sent. If there is no answer, the sequence shows whether
- * it was applied. */
+ * A transaction compares the commit sequence (the key `w`) and changes it, so that it is applied at
+ * most once, however often it is sent. If there is no answer, the sequence shows whether it was
+ * applied. */
 #include "adapters/event.h"
 #include "adapters/kv_client.h"
 #include "adapters/kv_client_internal.h"
@@ -22,7 +22,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Consecutive answers BD_KV_RATE_EXCEEDED after which the transaction is to be built anew. */
+/* Consecutive answers BD_KV_RATE_EXCEEDED after which the transaction is rebuilt, if possible. */
 #define RATE_EXCEEDED_MAX 3
 
 /* A transaction being committed. */
@@ -124,7 +124,7 @@
 }
 
 /* A transaction with more changes than the store allows in a second would exceed the rate forever.
- * After RATE_EXCEEDED_MAX answers it is therefore reported as a conflict, to be built anew,
+ * After RATE_EXCEEDED_MAX answers it is therefore reported as a conflict, to be rebuilt,
  * provided that no copy of it was applied. */
 static enum bd_txn_outcome judge_no_answer(struct attempt *attempt, long status)
 {
--- a/src/adapters/kv_reader.c
+++ b/src/adapters/kv_reader.c
@@ -36,13 +36,13 @@
 /* Posts one page to the owner thread, and waits until it is applied, so that only one page of the
  * many job records is in memory. Takes ownership of the page. */
 static void post_page(struct bd_node *node, json_t *page, uint64_t store_revision,
-                      struct timespec sent, bool is_last)
+                      struct timespec first_page_sent_at, bool is_last)
 {
     bool ignored;
     struct bd_event *event = bd_event_new(BD_EVENT_REPLICA_LISTED);
     event->page.pairs = json_incref(bd_wire_read_pairs(page, &ignored));
     event->page.store_revision = store_revision;
-    event->page.first_page_sent_at = sent;
+    event->page.first_page_sent_at = first_page_sent_at;
     event->page.is_last = is_last;
     json_decref(page);
     atomic_store(&node->is_page_pending, true);
@@ -56,19 +56,19 @@
 static void list_jobs(const struct reader *reader)
 {
     uint64_t store_revision = 0;
-    struct timespec sent = bd_now();
+    struct timespec first_page_sent_at = bd_now();
     char after[BD_KV_KEY_BYTES] = "";
-    bool more = true;
-    while (more) {
+    bool has_more = true;
+    while (has_more) {
         json_t *page =
-            bd_kv_list_page(reader->node, reader->http, "j/", after, sizeof after, &more);
+            bd_kv_list_page(reader->node, reader->http, "j/", after, sizeof after, &has_more);
         if (!page) {
             bd_sleep(BD_KV_RETRY_S);
             return;
         }
         if (store_revision == 0)
             store_revision = bd_wire_read_store_revision(page);
-        post_page(reader->node, page, store_revision, sent, !more);
+        post_page(reader->node, page, store_revision, first_page_sent_at, !has_more);
     }
 }
 
@@ -125,8 +125,8 @@
 }
 
 /* The drains' own records are few, and read each time. The records of their machines are read only
- * when the owner thread needs them. They are read last, so that the machines of every drain in the
- * list are complete. */
+ * when the owner thread needs them. They are read after the drains' records, so that the
+ * machines of every listed drain are included. */
 static void read_drains(const struct reader *reader)
 {
     struct bd_event *event = bd_event_new(BD_EVENT_DRAIN_RECORDS_READ);
@@ -163,11 +163,11 @@
  * minimum interval; otherwise one wait covers both intervals. */
 static void wait_for_refresh(struct bd_node *node)
 {
-    void *woken;
+    void *wakeup;
     struct timespec earliest = bd_time_add(bd_now(), bd_secs(REFRESH_INTERVAL_MIN_S));
     struct timespec latest = bd_time_add(earliest, bd_secs(REFRESH_INTERVAL_S));
     if (!atomic_load(&node->is_barrier_requested))
-        (void)bd_queue_take(&node->reader_wakeups, &woken, 1, latest);
+        (void)bd_queue_take(&node->reader_wakeups, &wakeup, 1, latest);
     double remaining_s = bd_seconds_between(bd_now(), earliest);
     if (remaining_s > 0)
         bd_sleep(remaining_s);
--- a/src/adapters/node.h
+++ b/src/adapters/node.h
@@ -31,8 +31,7 @@
     /* ---- owner thread only ---- */
     struct bd_core *core;
     struct bd_heartbeat_cache *heartbeat_cache;
-    struct bd_event
-        *pending_acquisition; /* the lease is held, but the replica is older than the term */
+    struct bd_event *pending_acquisition; /* deferred until the replica has the term's revision */
     struct timespec next_metrics_report_at, metrics_period_start; /* of the metrics in the log */
     struct timespec next_status_update_at;                        /* of the status for peers */
     struct timespec commit_queued_at; /* when the leader's newest transaction was queued */
@@ -52,7 +51,7 @@
     atomic_bool is_barrier_requested; /* a read waits for a refresh that is not sent yet */
     atomic_bool needs_drain_machine_records; /* the reader must read them */
     atomic_bool step_down_requested;         /* of the election: the term is over */
-    atomic_bool must_revoke_grant; /* set with step_down_requested: the grant is still valid */
+    atomic_bool must_revoke_grant; /* set with step_down_requested if the grant is valid */
 
     /* ---- shared by the key-value store's reader with the owner thread and the election ---- */
     atomic_bool is_page_pending;    /* a page of the jobs' records is posted and not applied yet */
--- a/src/adapters/peer_listener.c
+++ b/src/adapters/peer_listener.c
@@ -171,39 +171,39 @@
     (void)close(fd);
 }
 
-/* Fills polled with the listening socket, followed by all open connections, and indices with the
+/* Fills poll_fds with the listening socket, followed by all open connections, and indices with the
  * connections' indices at the same positions. Returns the number of sockets. */
-static nfds_t fill_poll_set(const struct listener *listener, struct pollfd *polled, int *indices)
+static nfds_t fill_poll_set(const struct listener *listener, struct pollfd *poll_fds, int *indices)
 {
-    nfds_t n = 0;
-    polled[n++] = (struct pollfd){.fd = listener->fd, .events = POLLIN};
+    nfds_t nsockets = 0;
+    poll_fds[nsockets++] = (struct pollfd){.fd = listener->fd, .events = POLLIN};
     for (int i = 0; i < CONNECTIONS_MAX; i++) {
         if (listener->connections[i].fd < 0)
             continue;
-        indices[n] = i;
-        polled[n++] = (struct pollfd){.fd = listener->connections[i].fd, .events = POLLIN};
+        indices[nsockets] = i;
+        poll_fds[nsockets++] = (struct pollfd){.fd = listener->connections[i].fd, .events = POLLIN};
     }
-    return n;
+    return nsockets;
 }
 
 /* The function of the listening thread. */
 static void *listen_run(void *arg)
 {
     struct listener *listener = arg;
-    struct pollfd polled[CONNECTIONS_MAX + 1];
+    struct pollfd poll_fds[CONNECTIONS_MAX + 1];
     int indices[CONNECTIONS_MAX + 1];
     for (;;) {
-        nfds_t n = fill_poll_set(listener, polled, indices);
-        int ready = poll(polled, n, POLL_TIMEOUT_MS);
+        nfds_t nsockets = fill_poll_set(listener, poll_fds, indices);
+        int ready = poll(poll_fds, nsockets, POLL_TIMEOUT_MS);
         struct timespec now = bd_now();
-        for (nfds_t i = 1; i < n; i++) {
+        for (nfds_t i = 1; i < nsockets; i++) {
             struct connection *connection = &listener->connections[indices[i]];
-            if (ready > 0 && polled[i].revents)
+            if (ready > 0 && poll_fds[i].revents)
                 read_connection(listener, connection);
             else if (bd_seconds_between(connection->received_at, now) > IDLE_TIMEOUT_S)
                 close_connection(connection);
         }
-        if (ready > 0 && polled[0].revents)
+        if (ready > 0 && poll_fds[0].revents)
             accept_connection(listener);
     }
     return NULL;
--- a/src/adapters/peer_transport.c
+++ b/src/adapters/peer_transport.c
@@ -247,13 +247,13 @@
     struct bd_peer_link *link = arg;
     struct bd_frame *frame = calloc(1, sizeof *frame);
     while (frame) {
-        void *woken;
+        void *wakeup;
         int fd = open_connection(link->node->settings.peers[link->peer].addr);
         if (replace_connection(link, fd))
             send_status(link, frame, false);
         struct timespec opened_at = bd_now();
         double life_s = fd >= 0 ? CONNECTION_LIFE_S : PEER_STATUS_INTERVAL_S;
-        (void)bd_queue_take(&link->reconnects, &woken, 1, bd_time_add(opened_at, bd_secs(life_s)));
+        (void)bd_queue_take(&link->reconnects, &wakeup, 1, bd_time_add(opened_at, bd_secs(life_s)));
         /* a connection that fails at once is not reopened in a busy loop */
         double open_s = bd_seconds_between(opened_at, bd_now());
         if (open_s < PEER_STATUS_INTERVAL_S)
--- a/src/adapters/worker_client.c
+++ b/src/adapters/worker_client.c
@@ -43,7 +43,7 @@
     struct sender senders[SENDERS_MAX];
 };
 
-static long long now_ms(void)
+static long long monotonic_ms(void)
 {
     return (long long)(bd_to_secs(bd_now()) * 1000.0);
 }
@@ -104,7 +104,7 @@
         if (bd_queue_take(&sender->queue, &item, 1, bd_time_add(bd_now(), bd_secs(QUEUE_WAIT_S))) ==
             0)
             continue;
-        atomic_store(&sender->sent_at_ms, now_ms());
+        atomic_store(&sender->sent_at_ms, monotonic_ms());
         send_command(sender, http, item);
         atomic_store(&sender->sent_at_ms, 0);
         atomic_fetch_sub(&sender->pending_commands, 1);
@@ -112,10 +112,10 @@
     return NULL;
 }
 
-static bool is_stalled(const struct sender *sender, long long now)
+static bool is_stalled(const struct sender *sender, long long now_ms)
 {
-    long long sent_at = atomic_load(&sender->sent_at_ms);
-    return sent_at != 0 && (double)(now - sent_at) / 1000.0 > STALLED_AFTER_S;
+    long long sent_at_ms = atomic_load(&sender->sent_at_ms);
+    return sent_at_ms != 0 && (double)(now_ms - sent_at_ms) / 1000.0 > STALLED_AFTER_S;
 }
 
 static bool is_full(const struct sender *sender)
@@ -125,27 +125,27 @@
 
 /* Whether the candidate is a better sender for a command than the one chosen so far. */
 static bool is_better_sender(const struct sender *candidate, const struct sender *chosen,
-                             long long now)
+                             long long now_ms)
 {
     if (is_full(candidate))
         return false;
     if (is_full(chosen))
         return true;
-    if (is_stalled(candidate, now))
+    if (is_stalled(candidate, now_ms))
         return false;
-    return is_stalled(chosen, now) ||
+    return is_stalled(chosen, now_ms) ||
            atomic_load(&candidate->pending_commands) < atomic_load(&chosen->pending_commands);
 }
 
 /* The machine's own sender, or the least busy one while its own is stalled or full. */
 static struct sender *choose_sender(struct bd_worker_client *client, uint32_t machine)
 {
-    long long now = now_ms();
+    long long now_ms = monotonic_ms();
     struct sender *chosen = &client->senders[machine % (uint32_t)client->sender_count];
-    if (!is_stalled(chosen, now) && !is_full(chosen))
+    if (!is_stalled(chosen, now_ms) && !is_full(chosen))
         return chosen;
     for (int i = 0; i < client->sender_count; i++) {
-        if (is_better_sender(&client->senders[i], chosen, now))
+        if (is_better_sender(&client->senders[i], chosen, now_ms))
             chosen = &client->senders[i];
     }
     return chosen;
