--- a/src/adapters/admin_server.h
+++ b/src/adapters/admin_server.h
@@ -1,4 +1,4 @@
-/* The administration API: HTTP and JSON on an address of its own.
+/* The administration API: HTTP and JSON on a separate address.
  *
  * Requests are few and may take seconds (the cloud's inventory is long), so each connection has a
  * thread that blocks. Owns its listening socket and threads, which live as long as the process.
@@ -8,6 +8,7 @@
 
 struct bd_node;
 
-/* Listens, if the operators' file names an address. 0, or -1: cannot listen. */
+/* Starts the server if the operators' file configures an address for it. Returns 0, or -1: out of
+ * memory, or the address is malformed or cannot be listened on. */
 int bd_admin_start(struct bd_node *node);
 #endif
--- a/src/adapters/worker_client.c
+++ b/src/adapters/worker_client.c
@@ -18,32 +18,32 @@
 #include <stdlib.h>
 
 #define CALL_TIMEOUT_S 1.5
-#define STALLED_AFTER_S 0.1 /* a sender that waits longer for an answer gets no new command */
+#define STALLED_AFTER_S 0.1 /* a sender that waits longer for an answer gets no new commands */
 #define SENDERS_MIN 6
 #define SENDERS_MAX 64
-#define SOCKETS_PER_SENDER 80 /* senders grow with the fleet: each hanging worker stalls one */
-#define OUTGOING_SHARE 0.35   /* of all sockets, for connections that we open */
+#define SOCKETS_PER_SENDER 80 /* more senders in larger fleets: each hanging worker stalls one */
+#define OUTGOING_SHARE 0.35   /* of all sockets, for connections that this process opens */
 #define POOLED_CONNECTIONS_MIN 4
 #define QUEUE_CAPACITY 1024
 #define QUEUE_WAIT_S 5.0
 #define QUEUE_FULL_PAUSE_S 0.05
 #define STACK_BYTES 131072
 
-/* What the owner thread shares with one sending thread. */
+/* State that the owner thread shares with one sending thread. */
 struct sender {
     struct bd_node *node;
-    struct bd_queue queue;   /* of struct bd_effect */
-    atomic_int pending;      /* commands in the queue, and the one being sent */
-    atomic_llong sent_at_ms; /* when the one being sent went out; 0: none is being sent */
+    struct bd_queue queue;       /* of struct bd_effect */
+    atomic_int pending_commands; /* commands in the queue, and the one being sent */
+    atomic_llong sent_at_ms;     /* when the command being sent was started, monotonic; 0: none */
 };
 
-/* Constant once it is started, but for the senders' shared fields. */
+/* Constant once started, except for the senders' shared fields. */
 struct bd_worker_client {
     int sender_count;
     struct sender senders[SENDERS_MAX];
 };
 
-static long long now_ms(void)
+static long long monotonic_ms(void)
 {
     return (long long)(bd_to_secs(bd_now()) * 1000.0);
 }
@@ -63,14 +63,14 @@
     return per_sender < POOLED_CONNECTIONS_MIN ? POOLED_CONNECTIONS_MIN : per_sender;
 }
 
-int bd_worker_client_sockets(const struct bd_settings *settings)
+int bd_worker_client_sockets_max(const struct bd_settings *settings)
 {
     return sender_count_for(settings) * pooled_connections(settings);
 }
 
-/* Sends one command, and posts its outcome to the owner thread. Takes the effect over. A command
- * whose deadline has passed in the queue is not sent: it might start a task that was cancelled
- * meanwhile, and would delay those queued behind it. */
+/* Sends one command, and posts its outcome to the owner thread. Takes ownership of the effect. A
+ * command whose deadline passed in the queue is not sent: it might start a task that has been
+ * cancelled since, and would delay the commands behind it. */
 static void send_command(struct sender *sender, struct bd_http *http, struct bd_effect *effect)
 {
     char url[128];
@@ -92,7 +92,7 @@
     bd_event_post(sender->node, event);
 }
 
-/* A sending thread: serves its sender's queue as long as the process lives. */
+/* The function of a sending thread: serves its sender's queue for the life of the process. */
 static void *sender_run(void *arg)
 {
     struct sender *sender = arg;
@@ -104,48 +104,48 @@
         if (bd_queue_take(&sender->queue, &item, 1, bd_time_add(bd_now(), bd_secs(QUEUE_WAIT_S))) ==
             0)
             continue;
-        atomic_store(&sender->sent_at_ms, now_ms());
+        atomic_store(&sender->sent_at_ms, monotonic_ms());
         send_command(sender, http, item);
         atomic_store(&sender->sent_at_ms, 0);
-        atomic_fetch_sub(&sender->pending, 1);
+        atomic_fetch_sub(&sender->pending_commands, 1);
     }
     return NULL;
 }
 
-static bool is_stalled(const struct sender *sender, long long now)
+static bool is_stalled(const struct sender *sender, long long now_ms)
 {
-    long long sent_at = atomic_load(&sender->sent_at_ms);
-    return sent_at != 0 && (double)(now - sent_at) / 1000.0 > STALLED_AFTER_S;
+    long long sent_at_ms = atomic_load(&sender->sent_at_ms);
+    return sent_at_ms != 0 && (double)(now_ms - sent_at_ms) / 1000.0 > STALLED_AFTER_S;
 }
 
 static bool is_full(const struct sender *sender)
 {
-    return atomic_load(&sender->pending) >= QUEUE_CAPACITY;
+    return atomic_load(&sender->pending_commands) >= QUEUE_CAPACITY;
 }
 
-/* Whether a command is better queued with the candidate than with the sender chosen so far. */
+/* Whether the candidate is a better sender for a command than the one chosen so far. */
 static bool is_better_sender(const struct sender *candidate, const struct sender *chosen,
-                             long long now)
+                             long long now_ms)
 {
     if (is_full(candidate))
         return false;
     if (is_full(chosen))
         return true;
-    if (is_stalled(candidate, now))
+    if (is_stalled(candidate, now_ms))
         return false;
-    return is_stalled(chosen, now) ||
-           atomic_load(&candidate->pending) < atomic_load(&chosen->pending);
+    return is_stalled(chosen, now_ms) ||
+           atomic_load(&candidate->pending_commands) < atomic_load(&chosen->pending_commands);
 }
 
-/* The machine's own sender, or the least busy one while that has stalled or is full. */
+/* The machine's own sender, or the least busy one while its own is stalled or full. */
 static struct sender *choose_sender(struct bd_worker_client *client, uint32_t machine)
 {
-    long long now = now_ms();
+    long long now_ms = monotonic_ms();
     struct sender *chosen = &client->senders[machine % (uint32_t)client->sender_count];
-    if (!is_stalled(chosen, now) && !is_full(chosen))
+    if (!is_stalled(chosen, now_ms) && !is_full(chosen))
         return chosen;
     for (int i = 0; i < client->sender_count; i++) {
-        if (is_better_sender(&client->senders[i], chosen, now))
+        if (is_better_sender(&client->senders[i], chosen, now_ms))
             chosen = &client->senders[i];
     }
     return chosen;
@@ -154,9 +154,9 @@
 void bd_worker_client_send(struct bd_node *node, struct bd_effect *effect)
 {
     struct sender *sender = choose_sender(node->worker_client, effect->machine);
-    atomic_fetch_add(&sender->pending, 1);
+    atomic_fetch_add(&sender->pending_commands, 1);
     while (!bd_queue_put(&sender->queue, effect)) {
-        bd_log_write(&node->log, BD_LOG_ERROR, "the queue of direct commands is full");
+        bd_log_write(&node->log, BD_LOG_ERROR, "queue of direct commands is full; retrying");
         bd_sleep(QUEUE_FULL_PAUSE_S);
     }
 }
