--- a/tests/scenario_drain.c
+++ b/tests/scenario_drain.c
@@ -97,12 +97,12 @@
         play->sets = json_array();
     }
     replace_pair(play->drains,
-                 pair(key, bd_drain_record_encode(&record), play_number(play, "mark", 1)));
+                 pair(key, bd_drain_record_encode(&record), play_number(play, "revision", 1)));
     add_set(play, record.set);
     json_decref(record.asked);
 }
 
-static void step_drains(struct play *play)
+static void step_drain_records_read(struct play *play)
 {
     bd_drain_apply_records(play->core, play->drains,
                            bd_drain_wants_sets(play->core) ? play->sets : NULL);
@@ -111,7 +111,7 @@
 }
 
 /* stage NAME vm-1 STAGE: how far the machine is by the records, as a leader wrote them */
-static void step_stage(struct play *play)
+static void step_drain_stage(struct play *play)
 {
     struct bd_drain_machine *machines = NULL;
     uint32_t count = 0;
@@ -137,7 +137,7 @@
 }
 
 /* drainrecord NAME JSON: as it stands in the store */
-static void step_drainrecord(struct play *play)
+static void step_drain_record_json(struct play *play)
 {
     char key[BD_LABEL_BYTES + 8];
     snprintf(key, sizeof key, BD_DRAIN_KEY "%s", play->words[1]);
@@ -157,7 +157,7 @@
     return *dashed == *spaced;
 }
 
-static void step_entry(struct play *play)
+static void step_expect_drain_machine(struct play *play)
 {
     struct bd_drain_machine machine;
     if (!bd_drain_copy_entry(play->core, play->words[1], play->words[2], &machine)) {
@@ -165,7 +165,7 @@
         return;
     }
     const char *wait = play_text(play, "wait"), *team = play_text(play, "team"),
-               *by = play_text(play, "by");
+               *by = play_text(play, "replacement");
     if (strcmp(bd_drain_stage_name(machine.stage), play->words[3]) != 0)
         play_fail(play, bd_drain_stage_name(machine.stage));
     if (wait && !same_words(wait, bd_drain_wait_name(machine.wait)))
@@ -174,7 +174,7 @@
         play_fail(play, team ? machine.team : machine.replacement);
 }
 
-static void step_ledger(struct play *play)
+static void step_expect_ledger(struct play *play)
 {
     char team[BD_NAME_BYTES] = "", job_class[BD_NAME_BYTES] = "";
     uint32_t down, up;
@@ -193,8 +193,8 @@
     struct bd_machine *machine = NULL;
     HASH_FIND_STR(play->core->machines, id, machine);
     memset(tasks, 0, PLAY_WORDS_MAX * sizeof *tasks);
-    *heartbeat = (struct bd_heartbeat){.incarnation = (uint64_t)play_number(play, "session", 1),
-                                       .notice = play_number(play, "notice", -1),
+    *heartbeat = (struct bd_heartbeat){.incarnation = (uint64_t)play_number(play, "incarnation", 1),
+                                       .notice = play_number(play, "notice_s", -1),
                                        .fencing_token = play->core->lead.term,
                                        .tasks = tasks};
     snprintf(heartbeat->machine, sizeof heartbeat->machine, "%s", id);
@@ -220,8 +220,8 @@
         snprintf(seen->job, sizeof seen->job, "%s", job->id);
         seen->task = machine->reservations[k].task;
         seen->attempt = task->attempt;
-        bool stops = task->flags & BD_TASK_FLAG_STOP_REQUESTED && !play_flag(play, "deaf");
-        const char *fetches = play_text(play, "fetches");
+        bool stops = task->flags & BD_TASK_FLAG_STOP_REQUESTED && !play_flag(play, "ignore_stops");
+        const char *fetches = play_text(play, "fetching");
         bool waits = fetches && strcmp(fetches, id) == 0 && task->execution != BD_EXECUTION_RUNNING;
         seen->execution = stops   ? BD_EXECUTION_EXITED
                           : waits ? BD_EXECUTION_FETCHING
@@ -242,7 +242,7 @@
     bd_worker_heartbeat_received(play->core, NULL, &heartbeat, "{}", 2);
 }
 
-static void step_running(struct play *play)
+static void step_heartbeat_running(struct play *play)
 {
     report_running(play, play->words[1]);
 }
@@ -260,7 +260,7 @@
         struct bd_reported_task tasks[PLAY_WORDS_MAX];
         if (effect->kind == BD_EFFECT_DIRECT_COMMAND) {
             const char *id = play->core->by_index[effect->machine]->id,
-                       *mute = play_text(play, "mute");
+                       *mute = play_text(play, "no_answer");
             bool answers = !mute || strcmp(mute, id) != 0;
             fill_running(play, id, &heartbeat, tasks);
             bd_worker_direct_command_completed(play->core, effect->machine, effect->fencing_token,
@@ -278,7 +278,7 @@
 /* passes S [vm-1 ...] [mute=vm-2] [fetches=vm-3]: those machines report each second as `running`
  * does; direct commands to the one that is mute get no answer; nothing begins to run on one that
  * fetches */
-static void step_passes(struct play *play)
+static void step_run_for(struct play *play)
 {
     double now = bd_to_secs(play->core->now) - 100, to = now + strtod(play->words[1], NULL);
     for (int half = 0; now < to; half++) {
@@ -292,7 +292,7 @@
         for (int i = 2; i < play->nwords && half % 2 == 0; i++)
             if (!strchr(play->words[i], '='))
                 report_running(play, play->words[i]);
-        step_drains(play);
+        step_drain_records_read(play);
         bd_core_tick(play->core);
         uint64_t revision = play_next_revision(play);
         if (play->core->lead.commit)
@@ -302,7 +302,7 @@
 }
 
 /* asks {json} => [STATUS FIELD]; means {json} vm-1:small:a ... => STATUS FIELD | ids */
-static void step_request(struct play *play)
+static void step_expect_drain_request(struct play *play)
 {
     const char *from = strchr(play->text, '{'), *to = strrchr(play->text, '}');
     struct bd_drain_request request;
@@ -319,7 +319,7 @@
             count++;
     json_t *ids = NULL;
     bool ok = bd_drain_request_read(json, &request, &refusal);
-    if (ok && strcmp(play->words[0], "means") == 0) {
+    if (ok && strcmp(play->words[0], "expect_drain_selection") == 0) {
         ids = bd_drain_request_machines(&request, play->settings.draining, listed, count, &refusal);
         for (size_t i = 0; i < json_array_size(ids); i++)
             snprintf(got + strlen(got), sizeof got - strlen(got), " %s",
@@ -336,11 +336,16 @@
 bool play_drain_step(struct play *play)
 {
     static const struct play_step steps[] = {
-        {"drain", 3, step_drain},     {"drains", 1, step_drains},
-        {"stage", 4, step_stage},     {"drainrecord", 3, step_drainrecord},
-        {"entry", 4, step_entry},     {"ledger", 2, step_ledger},
-        {"running", 2, step_running}, {"passes", 2, step_passes},
-        {"asks", 2, step_request},    {"means", 2, step_request},
+        {"drain", 3, step_drain},
+        {"drain_records_read", 1, step_drain_records_read},
+        {"drain_stage", 4, step_drain_stage},
+        {"drain_record_json", 3, step_drain_record_json},
+        {"expect_drain_machine", 4, step_expect_drain_machine},
+        {"expect_ledger", 2, step_expect_ledger},
+        {"heartbeat_running", 2, step_heartbeat_running},
+        {"run_for", 2, step_run_for},
+        {"expect_drain_request", 2, step_expect_drain_request},
+        {"expect_drain_selection", 2, step_expect_drain_request},
     };
     return play_run_step(play, steps, sizeof steps / sizeof *steps);
 }
--- a/tests/scenario_expect.c
+++ b/tests/scenario_expect.c
@@ -9,9 +9,19 @@
 #define SHOWN_EFFECTS_MAX 40
 
 /* by enum bd_effect_kind */
-static const char *const kind_names[] = {"reply",   "user",    "commit",   "do",       "rent",
-                                         "return",  "barrier", "lost",     "delegate", "lookup",
-                                         "forward", "answer",  "cancelled"};
+static const char *const kind_names[] = {"reply",
+                                         "user_txn",
+                                         "leader_txn",
+                                         "direct_command",
+                                         "scale_out",
+                                         "scale_in",
+                                         "read_barrier",
+                                         "step_down",
+                                         "delegate_txn",
+                                         "job_lookup",
+                                         "forward_heartbeat",
+                                         "forward_reply",
+                                         "announce_cancellation"};
 
 /* "@1.2" inside an expected text becomes the number itself */
 static void expand_attempts(const char *text, char *out, size_t capacity)
@@ -72,7 +82,7 @@
     bd_effect_free(effect);
 }
 
-static void step_none(struct play *play)
+static void step_expect_none(struct play *play)
 {
     struct bd_effect **at = find_effect(play);
     if (at) {
@@ -90,9 +100,10 @@
     }
 }
 
-static void step_task(struct play *play)
+static void step_expect_task(struct play *play)
 {
-    static const char *const states[] = {"wait", "plan", "launch", "live", "unknown", "done"};
+    static const char *const states[] = {"pending",   "planned", "launching",
+                                         "confirmed", "unknown", "done"};
     char id[BD_ID_BYTES];
     uint32_t index = 0;
     struct bd_job *job = NULL;
@@ -112,7 +123,7 @@
         play_fail(play, "on another machine");
 }
 
-static void step_team(struct play *play)
+static void step_expect_team(struct play *play)
 {
     for (int i = 0; i < play->settings.nteams; i++) {
         if (strcmp(play->settings.teams[i].name, play->words[1]) != 0)
@@ -128,9 +139,9 @@
 bool play_expect_step(struct play *play)
 {
     static const struct play_step steps[] = {{"expect", 2, step_expect},
-                                             {"none", 2, step_none},
-                                             {"clear", 1, play_clear_effects},
-                                             {"task", 3, step_task},
-                                             {"team", 2, step_team}};
+                                             {"expect_none", 2, step_expect_none},
+                                             {"clear_effects", 1, play_clear_effects},
+                                             {"expect_task", 3, step_expect_task},
+                                             {"expect_team", 2, step_expect_team}};
     return play_run_step(play, steps, sizeof steps / sizeof *steps);
 }
--- a/tests/scenario_jobs.c
+++ b/tests/scenario_jobs.c
@@ -17,24 +17,24 @@
              play_text(play, "team") ? play_text(play, "team") : "a");
     snprintf(spec->image, sizeof spec->image, "%s",
              play_text(play, "image") ? play_text(play, "image") : "img");
-    spec->image_gb = play_number(play, "gb", 0);
+    spec->image_gb = play_number(play, "image_gb", 0);
     if (play_text(play, "zone"))
         snprintf(spec->zone, sizeof spec->zone, "%s", play_text(play, "zone"));
     spec->ntypes = -1;
-    const char *shape = play_text(play, "shape");
-    if (shape)
-        spec->kind = *shape == 'g' ? BD_JOB_GANG : *shape == 's' ? BD_JOB_SERVICE : BD_JOB_ARRAY;
-    spec->priority = (enum bd_priority)play_number(play, "rank", BD_PRIORITY_STANDARD);
+    const char *kind = play_text(play, "kind");
+    if (kind)
+        spec->kind = *kind == 'g' ? BD_JOB_GANG : *kind == 's' ? BD_JOB_SERVICE : BD_JOB_ARRAY;
+    spec->priority = (enum bd_priority)play_number(play, "priority", BD_PRIORITY_STANDARD);
     spec->tasks = (uint32_t)play_number(play, "tasks", 1);
     spec->cpus = play_number(play, "cpus", 1);
     spec->gpus = play_number(play, "gpus", 0);
-    spec->mem = play_number(play, "mem", 1);
-    spec->checkpoint_interval_s = play_number(play, "checkpoint", 0);
-    spec->checkpoint_save_s = play_number(play, "save", 0);
-    spec->deadline_s = play_number(play, "due", -1);
-    spec->estimate = play_number(play, "guess", 0);
-    spec->spread_zones = play_flag(play, "scatter");
-    spec->same_zone = play_flag(play, "together");
+    spec->mem = play_number(play, "mem_gb", 1);
+    spec->checkpoint_interval_s = play_number(play, "checkpoint_interval_s", 0);
+    spec->checkpoint_save_s = play_number(play, "checkpoint_save_s", 0);
+    spec->deadline_s = play_number(play, "deadline_s", -1);
+    spec->estimate = play_number(play, "estimate_s", 0);
+    spec->spread_zones = play_flag(play, "spread_zones");
+    spec->same_zone = play_flag(play, "same_zone");
     spec->spot = play_flag(play, "spot");
 }
 
@@ -50,18 +50,18 @@
 }
 
 /* part job-1/HASH/0 job-7,job-8: a part of what a job waits for */
-static void step_part(struct play *play)
+static void step_parents_part(struct play *play)
 {
     char key[BD_LABEL_BYTES + 8];
     snprintf(key, sizeof key, "j/%s", play->words[1]);
     json_t *value = bd_wire_write_parents_part(split_names(play->nwords > 2 ? play->words[2] : ""));
-    struct bd_change change = {key, value, (uint64_t)play_number(play, "mark", 1)};
+    struct bd_change change = {key, value, (uint64_t)play_number(play, "revision", 1)};
     bd_replica_apply(play->core, &change);
     json_decref(value);
 }
 
 /* record job-1 MARK {...}: as it stands in the store */
-static void step_record(struct play *play)
+static void step_job_record_json(struct play *play)
 {
     char key[BD_LABEL_BYTES];
     const char *text = strchr(play->text, '{');
@@ -75,9 +75,9 @@
 }
 
 /* state job-1 live|done|cancelled [rank=N] [ready=0|1]: what the core knows of a job */
-static void step_state(struct play *play)
+static void step_expect_job(struct play *play)
 {
-    static const char *const state_names[] = {"live", "done", "cancelled"};
+    static const char *const state_names[] = {"active", "done", "cancelled"};
     struct bd_job *job = NULL;
     HASH_FIND_STR(play->core->jobs, play->words[1], job);
     if (!job) {
@@ -87,7 +87,7 @@
     bd_dag_update_priorities(play->core);
     if (strcmp(state_names[job->state], play->words[2]) != 0)
         play_fail(play, state_names[job->state]);
-    if (play_number(play, "rank", job->priority) != (double)job->priority)
+    if (play_number(play, "priority", job->priority) != (double)job->priority)
         play_fail(play, "another rank");
     if (play_number(play, "ready", job->nopen_parents == 0) != (double)(job->nopen_parents == 0))
         play_fail(play, "its readiness is otherwise");
@@ -96,7 +96,7 @@
 static void step_job(struct play *play)
 {
     struct bd_job_record record = {
-        .state = BD_JOB_ACTIVE, .at = play_number(play, "mark", 1), .has_spec = true};
+        .state = BD_JOB_ACTIVE, .at = play_number(play, "revision", 1), .has_spec = true};
     const char *state = play_text(play, "state");
     char key[BD_LABEL_BYTES];
     read_spec(play, &record.spec);
@@ -104,23 +104,24 @@
     if (state)
         record.state = strcmp(state, "done") == 0 ? BD_JOB_DONE : BD_JOB_CANCELLED;
     snprintf(key, sizeof key, "j/%s", play->words[1]);
-    json_t *names = play_text(play, "needs") ? split_names(play_text(play, "needs")) : NULL;
+    json_t *names = play_text(play, "parents") ? split_names(play_text(play, "parents")) : NULL;
     record.parents.names = names;
     double parts = 0;
-    if (play_text(play, "parts") && numbers_after_name(play_text(play, "parts"), record.parents.of,
-                                                       sizeof record.parents.of, &parts, 1) != 1)
-        play_fail(play, "parts");
+    if (play_text(play, "parent_parts") &&
+        numbers_after_name(play_text(play, "parent_parts"), record.parents.of,
+                           sizeof record.parents.of, &parts, 1) != 1)
+        play_fail(play, "parent_parts");
     record.parents.parts = (uint32_t)parts;
-    record.end = play_number(play, "end", 0);
+    record.end = play_number(play, "ended_at_s", 0);
     json_t *value = bd_wire_write_record(&record);
-    struct bd_change change = {key, value, (uint64_t)play_number(play, "mark", 1)};
+    struct bd_change change = {key, value, (uint64_t)play_number(play, "revision", 1)};
     bd_replica_apply(play->core, &change);
     json_decref(value);
     json_decref(names);
 }
 
 /* many finished jobs, job-1000000 and on, long ago */
-static void step_finals(struct play *play)
+static void step_finished_jobs(struct play *play)
 {
     int count = number_of(play->words[1]);
     for (int i = 0; i < count; i++) {
@@ -135,7 +136,7 @@
     bd_replica_evict(play->core);
 }
 
-static void step_lookedup(struct play *play)
+static void step_job_lookup_completed(struct play *play)
 {
     json_t *value = NULL;
     char key[BD_LABEL_BYTES];
@@ -153,15 +154,15 @@
     json_decref(value);
 }
 
-static void step_looked(struct play *play)
+static void step_refreshed(struct play *play)
 {
-    bool ok = play->nwords < 2 || strcmp(play->words[1], "fail") != 0;
+    bool ok = play->nwords < 2 || strcmp(play->words[1], "failed") != 0;
     bool barrier = play->core->replica.barrier_in_flight;
     bd_replica_refreshed(play->core, play->core->replica.store_revision,
                          play->core->replica.store_revision + 1, play->core->now, barrier, ok);
 }
 
-static void step_ready(struct play *play)
+static void step_records_listed(struct play *play)
 {
     bd_replica_listed(play->core, 10, play->core->now);
 }
@@ -183,7 +184,7 @@
     bd_user_cancel(play->core, NULL, play->words[1]);
 }
 
-static void step_usercommitted(struct play *play)
+static void step_user_txn_completed(struct play *play)
 {
     struct bd_effect **at = &play->effects;
     while (*at && (*at)->kind != BD_EFFECT_USER_TXN)
@@ -200,7 +201,7 @@
     bd_effect_free(effect);
 }
 
-static void step_heard(struct play *play)
+static void step_cancellation_received(struct play *play)
 {
     bd_job_cancellation_received(play->core, play->words[1]);
 }
@@ -208,12 +209,18 @@
 bool play_job_step(struct play *play)
 {
     static const struct play_step steps[] = {
-        {"job", 2, step_job},       {"part", 2, step_part},
-        {"record", 4, step_record}, {"state", 3, step_state},
-        {"finals", 2, step_finals}, {"lookedup", 4, step_lookedup},
-        {"looked", 1, step_looked}, {"ready", 1, step_ready},
-        {"submit", 2, step_submit}, {"get", 2, step_get},
-        {"cancel", 2, step_cancel}, {"usercommitted", 2, step_usercommitted},
-        {"heard", 2, step_heard}};
+        {"job", 2, step_job},
+        {"parents_part", 2, step_parents_part},
+        {"job_record_json", 4, step_job_record_json},
+        {"expect_job", 3, step_expect_job},
+        {"finished_jobs", 2, step_finished_jobs},
+        {"job_lookup_completed", 4, step_job_lookup_completed},
+        {"refreshed", 1, step_refreshed},
+        {"records_listed", 1, step_records_listed},
+        {"submit", 2, step_submit},
+        {"get", 2, step_get},
+        {"cancel", 2, step_cancel},
+        {"user_txn_completed", 2, step_user_txn_completed},
+        {"cancellation_received", 2, step_cancellation_received}};
     return play_run_step(play, steps, sizeof steps / sizeof *steps);
 }
--- a/tests/scenario_leader.c
+++ b/tests/scenario_leader.c
@@ -43,7 +43,7 @@
     return true;
 }
 
-static void step_gain(struct play *play)
+static void step_leadership_acquired(struct play *play)
 {
     struct bd_acquisition acquisition = {.term = strtoull(play->words[1], NULL, 10),
                                          .grant = 7,
@@ -60,27 +60,27 @@
     json_decref(acquisition.intents);
 }
 
-static void step_peer(struct play *play)
+static void step_peer_status(struct play *play)
 {
-    uint8_t flags = play_number(play, "state", 1) != 0 ? BD_PEER_KV_REACHABLE : 0;
-    flags |= play_number(play, "hears", 1) != 0 ? BD_PEER_HEARS_LEADER : 0;
-    flags |= play_number(play, "deaf", 0) != 0 ? BD_PEER_INBOUND_PARTITION : 0;
-    flags |= play_flag(play, "cut") ? BD_PEER_KV_LOST : 0;
-    flags |= play_number(play, "deps", 1) != 0 ? BD_PEER_KNOWS_DAG : 0;
-    flags |= play_number(play, "drains", 1) != 0 ? BD_PEER_KNOWS_DRAINS : 0;
+    uint8_t flags = play_number(play, "kv_reachable", 1) != 0 ? BD_PEER_KV_REACHABLE : 0;
+    flags |= play_number(play, "hears_leader", 1) != 0 ? BD_PEER_HEARS_LEADER : 0;
+    flags |= play_number(play, "inbound_partition", 0) != 0 ? BD_PEER_INBOUND_PARTITION : 0;
+    flags |= play_flag(play, "kv_lost") ? BD_PEER_KV_LOST : 0;
+    flags |= play_number(play, "knows_dag", 1) != 0 ? BD_PEER_KNOWS_DAG : 0;
+    flags |= play_number(play, "knows_drains", 1) != 0 ? BD_PEER_KNOWS_DRAINS : 0;
     bd_peer_status_received(play->core, play->words[1], (uint64_t)play_number(play, "term", 0),
-                            flags, play_number(play, "age", 0),
-                            play->core->wall - play_number(play, "late", 0), play->core->now);
+                            flags, play_number(play, "kv_age_s", 0),
+                            play->core->wall - play_number(play, "sent_ago_s", 0), play->core->now);
 }
 
-static void step_leader(struct play *play)
+static void step_leader_observed(struct play *play)
 {
     const char *name = strcmp(play->words[1], "-") == 0 ? "" : play->words[1];
     bd_core_leader_observed(play->core, name, strtoull(play->words[2], NULL, 10), play->core->now,
-                            play_flag(play, "away"));
+                            play_flag(play, "dismissed"));
 }
 
-static void step_delegates(struct play *play)
+static void step_delegate_records_read(struct play *play)
 {
     json_t *pairs = json_array();
     for (int i = 1; i < play->nwords; i++) {
@@ -102,7 +102,7 @@
 
 /* time passes until the first argument; the leader reads every two seconds when the other
  * controllers last wrote their liveness records */
-static void step_liveness(struct play *play)
+static void step_lead_until(struct play *play)
 {
     double to = strtod(play->words[1], NULL), at = bd_to_secs(play->core->now) - 100;
     json_t *pairs = json_array();
@@ -127,7 +127,7 @@
 }
 
 /* time passes with a refresh every two seconds that shows no delegate */
-static void step_watch(struct play *play)
+static void step_read_delegates_until(struct play *play)
 {
     double to = strtod(play->words[1], NULL), at = bd_to_secs(play->core->now) - 100;
     json_t *none = json_array();
@@ -142,22 +142,22 @@
     json_decref(none);
 }
 
-static void step_delegatecommitted(struct play *play)
+static void step_delegate_txn_completed(struct play *play)
 {
     bool known = play->nwords < 3;
     bd_delegate_txn_completed(play->core, strtol(play->words[1], NULL, 10),
                               play_next_revision(play), play->core->now, known);
 }
 
-static void step_committed(struct play *play)
+static void step_leader_txn_completed(struct play *play)
 {
     json_t *failed = json_array();
     for (int i = 2; i < play->nwords; i++)
         json_array_append_new(failed, json_string(play->words[i]));
-    enum bd_txn_outcome outcome = strcmp(play->words[1], "ok") == 0      ? BD_TXN_COMMITTED
-                                  : strcmp(play->words[1], "lost") == 0  ? BD_TXN_DEPOSED
-                                  : strcmp(play->words[1], "large") == 0 ? BD_TXN_REJECTED
-                                                                         : BD_TXN_CONFLICT;
+    enum bd_txn_outcome outcome = strcmp(play->words[1], "committed") == 0  ? BD_TXN_COMMITTED
+                                  : strcmp(play->words[1], "deposed") == 0  ? BD_TXN_DEPOSED
+                                  : strcmp(play->words[1], "rejected") == 0 ? BD_TXN_REJECTED
+                                                                            : BD_TXN_CONFLICT;
     if (!play->core->lead.commit)
         play_fail(play, "nothing is being committed");
     bd_core_leader_txn_completed(play->core, outcome, play_next_revision(play), failed);
@@ -169,32 +169,32 @@
     bd_core_tick(play->core);
 }
 
-static void step_busy(struct play *play)
+static void step_write_rate_exceeded(struct play *play)
 {
     bd_kv_limits_rate_exceeded(play->core);
 }
 
-static void step_confirmed(struct play *play)
+static void step_liveness_written(struct play *play)
 {
     bd_liveness_written(play->core, play->core->now);
 }
 
-static void step_offered(struct play *play)
+static void step_liveness_sent(struct play *play)
 {
     bd_liveness_sent(play->core, play->core->now);
 }
 
-static void step_renew(struct play *play)
+static void step_leadership_renewed(struct play *play)
 {
     bd_leadership_renewed(play->core, 7, play->core->now);
 }
 
-static void step_lose(struct play *play)
+static void step_leadership_lost(struct play *play)
 {
     bd_leadership_lost(play->core);
 }
 
-static void step_up(struct play *play)
+static void step_expect_healthy(struct play *play)
 {
     if (bd_leadership_is_healthy(play->core) != (number_of(play->words[1]) != 0))
         play_fail(play, "up is otherwise");
@@ -202,20 +202,21 @@
 
 bool play_leader_step(struct play *play)
 {
-    static const struct play_step steps[] = {{"gain", 2, step_gain},
-                                             {"peer", 2, step_peer},
-                                             {"leader", 3, step_leader},
-                                             {"delegates", 1, step_delegates},
-                                             {"touched", 2, step_liveness},
-                                             {"watch", 2, step_watch},
-                                             {"delegatecommitted", 2, step_delegatecommitted},
-                                             {"committed", 2, step_committed},
-                                             {"tick", 1, step_tick},
-                                             {"busy", 1, step_busy},
-                                             {"confirmed", 1, step_confirmed},
-                                             {"offered", 1, step_offered},
-                                             {"renew", 1, step_renew},
-                                             {"lose", 1, step_lose},
-                                             {"up", 2, step_up}};
+    static const struct play_step steps[] = {
+        {"leadership_acquired", 2, step_leadership_acquired},
+        {"peer_status", 2, step_peer_status},
+        {"leader_observed", 3, step_leader_observed},
+        {"delegate_records_read", 1, step_delegate_records_read},
+        {"lead_until", 2, step_lead_until},
+        {"read_delegates_until", 2, step_read_delegates_until},
+        {"delegate_txn_completed", 2, step_delegate_txn_completed},
+        {"leader_txn_completed", 2, step_leader_txn_completed},
+        {"tick", 1, step_tick},
+        {"write_rate_exceeded", 1, step_write_rate_exceeded},
+        {"liveness_written", 1, step_liveness_written},
+        {"liveness_sent", 1, step_liveness_sent},
+        {"leadership_renewed", 1, step_leadership_renewed},
+        {"leadership_lost", 1, step_leadership_lost},
+        {"expect_healthy", 2, step_expect_healthy}};
     return play_run_step(play, steps, sizeof steps / sizeof *steps);
 }
--- a/tests/scenario_machines.c
+++ b/tests/scenario_machines.c
@@ -29,10 +29,10 @@
     memset(heartbeat, 0, sizeof *heartbeat);
     snprintf(heartbeat->machine, sizeof heartbeat->machine, "%s", play->words[1]);
     snprintf(heartbeat->addr, sizeof heartbeat->addr, "addr-%s", play->words[1]);
-    heartbeat->incarnation = (uint64_t)play_number(play, "session", 1);
+    heartbeat->incarnation = (uint64_t)play_number(play, "incarnation", 1);
     heartbeat->seq = (uint64_t)play_number(play, "seq", 1);
     heartbeat->fencing_token = (uint64_t)play_number(play, "token", 0);
-    heartbeat->notice = play_number(play, "notice", -1);
+    heartbeat->notice = play_number(play, "notice_s", -1);
     heartbeat->spot = play_flag(play, "spot");
     heartbeat->tasks = tasks;
     for (int i = 2; i < play->nwords; i++) {
@@ -50,7 +50,7 @@
     }
 }
 
-static void step_report(struct play *play)
+static void step_heartbeat(struct play *play)
 {
     struct bd_heartbeat heartbeat;
     struct bd_reported_task tasks[PLAY_WORDS_MAX];
@@ -61,7 +61,7 @@
     bd_worker_heartbeat_received(play->core, NULL, &heartbeat, "{}", 2);
 }
 
-static void step_forwarded(struct play *play)
+static void step_heartbeat_forwarded(struct play *play)
 {
     struct bd_heartbeat heartbeat;
     struct bd_reported_task tasks[PLAY_WORDS_MAX];
@@ -77,14 +77,14 @@
     bd_worker_heartbeat_forwarded(play->core, peer, id, &heartbeat, "{}", 2);
 }
 
-static void step_answered(struct play *play)
+static void step_forward_reply_received(struct play *play)
 {
     bd_forward_reply_received(play->core, strtoull(play->words[1], NULL, 10),
                               number_of(play->words[2]), play->nwords > 3 ? play->words[3] : "",
                               play->nwords > 3 ? strlen(play->words[3]) : 0);
 }
 
-static void step_did(struct play *play)
+static void step_direct_command_completed(struct play *play)
 {
     struct bd_heartbeat heartbeat;
     struct bd_reported_task tasks[PLAY_WORDS_MAX];
@@ -106,7 +106,7 @@
         play_number(play, "launch", 1) != 0, status, status ? &heartbeat : NULL);
 }
 
-static void step_listed(struct play *play)
+static void step_machines_listed(struct play *play)
 {
     struct bd_cloud_machine machines[PLAY_WORDS_MAX];
     memset(machines, 0, sizeof machines);
@@ -123,7 +123,7 @@
     bd_inventory_machines_received(play->core, machines, count, play->core->now);
 }
 
-static void step_provisioned(struct play *play)
+static void step_scale_out_completed(struct play *play)
 {
     char names[PLAY_WORDS_MAX][BD_LABEL_BYTES];
     int count = 0;
@@ -139,7 +139,7 @@
     bd_core_scale_out_completed(play->core, request, refused ? 503 : 200, names, count);
 }
 
-static void step_returned(struct play *play)
+static void step_scale_in_completed(struct play *play)
 {
     char names[PLAY_WORDS_MAX][BD_LABEL_BYTES];
     int count = 0;
@@ -151,9 +151,12 @@
 bool play_machine_step(struct play *play)
 {
     static const struct play_step steps[] = {
-        {"report", 4, step_report},     {"forwarded", 6, step_forwarded},
-        {"answered", 3, step_answered}, {"did", 2, step_did},
-        {"listed", 1, step_listed},     {"rented", 2, step_provisioned},
-        {"returned", 2, step_returned}};
+        {"heartbeat", 4, step_heartbeat},
+        {"heartbeat_forwarded", 6, step_heartbeat_forwarded},
+        {"forward_reply_received", 3, step_forward_reply_received},
+        {"direct_command_completed", 2, step_direct_command_completed},
+        {"machines_listed", 1, step_machines_listed},
+        {"scale_out_completed", 2, step_scale_out_completed},
+        {"scale_in_completed", 2, step_scale_in_completed}};
     return play_run_step(play, steps, sizeof steps / sizeof *steps);
 }
--- a/tests/scenario_settings.c
+++ b/tests/scenario_settings.c
@@ -24,7 +24,7 @@
     struct bd_slo *slo = &play->settings.slos[play->settings.nslos++];
     double values[2] = {0};
     if (numbers_after_name(text, slo->job_class, sizeof slo->job_class, values, 2) != 2)
-        play_fail(play, "aim");
+        play_fail(play, "slo");
     slo->within_s = values[0];
     slo->share = values[1];
     slo->kind = BD_SLO_WAIT;
@@ -45,17 +45,19 @@
 
 void play_set(struct play *play)
 {
-    play->settings.lease = bd_secs(play_number(play, "lease", bd_to_secs(play->settings.lease)));
-    play->settings.cancel = bd_secs(play_number(play, "cancel", bd_to_secs(play->settings.cancel)));
-    play->settings.heartbeat_interval =
-        bd_secs(play_number(play, "report", bd_to_secs(play->settings.heartbeat_interval)));
+    play->settings.lease = bd_secs(play_number(play, "lease_s", bd_to_secs(play->settings.lease)));
+    play->settings.cancel =
+        bd_secs(play_number(play, "cancel_s", bd_to_secs(play->settings.cancel)));
+    play->settings.heartbeat_interval = bd_secs(
+        play_number(play, "heartbeat_interval_s", bd_to_secs(play->settings.heartbeat_interval)));
     play->settings.leader_ttl =
-        bd_secs(play_number(play, "ttl", bd_to_secs(play->settings.leader_ttl)));
+        bd_secs(play_number(play, "leader_ttl_s", bd_to_secs(play->settings.leader_ttl)));
     play->settings.kv_txn_ops_max =
-        (size_t)play_number(play, "ops", (double)play->settings.kv_txn_ops_max);
+        (size_t)play_number(play, "txn_ops", (double)play->settings.kv_txn_ops_max);
     play->settings.kv_value_bytes_max =
-        (size_t)play_number(play, "value", (double)play->settings.kv_value_bytes_max);
-    play->settings.kv_writes_per_s = play_number(play, "writes", play->settings.kv_writes_per_s);
+        (size_t)play_number(play, "value_bytes", (double)play->settings.kv_value_bytes_max);
+    play->settings.kv_writes_per_s =
+        play_number(play, "writes_per_s", play->settings.kv_writes_per_s);
     char zones[128];
     snprintf(zones, sizeof zones, "%s", play_text(play, "zones") ? play_text(play, "zones") : "");
     for (char *rest = NULL, *zone = strtok_r(zones, ",", &rest); zone;
@@ -65,22 +67,22 @@
         snprintf(play->settings.zone, sizeof play->settings.zone, "%s", play_text(play, "zone"));
     if (play_text(play, "peer"))
         add_peer(play, play_text(play, "peer"));
-    if (play_text(play, "aim"))
-        add_slo(play, play_text(play, "aim"));
+    if (play_text(play, "slo"))
+        add_slo(play, play_text(play, "slo"));
     if (play_text(play, "team"))
         add_team(play, play_text(play, "team"));
 }
 
-static void step_type(struct play *play)
+static void step_machine_type(struct play *play)
 {
     struct bd_machine_type_text type = {0};
     snprintf(type.label, sizeof type.label, "%s", play->words[1]);
     type.cpus = play_number(play, "cpus", 8);
     type.gpus = play_number(play, "gpus", 0);
-    type.mem = play_number(play, "mem", 64);
+    type.mem = play_number(play, "mem_gb", 64);
     type.price = play_number(play, "price", 1);
-    type.spot_price = play_number(play, "spot", type.price / 3);
-    type.boot = play_number(play, "boot", 10);
+    type.spot_price = play_number(play, "spot_price", type.price / 3);
+    type.boot = play_number(play, "boot_s", 10);
     type.fetch = 1;
     type.cache_gb = 50;
     char zones[128];
@@ -103,7 +105,7 @@
     bd_core_seed(play->core, play->nwords > 1 ? strtoull(play->words[1], NULL, 10) : 0);
 }
 
-static void step_limits(struct play *play)
+static void step_expect_kv_limits(struct play *play)
 {
     if (play->core->kv_limits.kv_value_bytes_max != strtoull(play->words[1], NULL, 10) ||
         play->core->kv_limits.kv_txn_ops_max != strtoull(play->words[2], NULL, 10)) {
@@ -115,9 +117,9 @@
 
 bool play_settings_step(struct play *play)
 {
-    static const struct play_step steps[] = {{"type", 2, step_type},
+    static const struct play_step steps[] = {{"machine_type", 2, step_machine_type},
                                              {"at", 2, step_at},
                                              {"seed", 1, step_seed},
-                                             {"limits", 3, step_limits}};
+                                             {"expect_kv_limits", 3, step_expect_kv_limits}};
     return play_run_step(play, steps, sizeof steps / sizeof *steps);
 }
