--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -1,64 +1,104 @@
-/* Plays a scenario, a small text file, against the core. One line, one step:
+/* Runs a scenario against the core: a text file with one step a line. `#` begins a comment line.
+ * Most steps call one function of the core and have its name. The effects of the core are kept
+ * until `expect` removes them or `clear_effects` drops them all.
  *
- * Before anything else:
- * - set lease=10 cancel=35 report=2 ttl=3 team=a:0:0:8:16 zones=a,b aim=k:150:0.9   settings
- * - set zone=a peer=node-1:b
- * - draining (...)   switches draining on; the fields of the operators' entry
+ * Times are in seconds since the scenario's start, which is 100 s of the steady clock and 1000 s of
+ * the time of day. vm-1 is a machine, node-1 another controller,
+ * a zone or a team has a letter, job-1/0 is task 0 of job-1, and @T.N is attempt N of term T.
+ *
+ * Before all other steps:
+ * - set lease_s=10 cancel_s=35 heartbeat_interval_s=2 leader_ttl_s=3 txn_ops=24 value_bytes=8192
+ *   writes_per_s=100 zones=a,b team=NAME:CPUS:CPUS_QUOTA:GPUS:GPUS_QUOTA slo=CLASS:SECONDS:SHARE
+ *   settings, each of them optional
+ * - set zone=a peer=node-1:b   the controller's own zone; another controller and its zone
+ * - draining (...)   enables draining; the fields of the settings' `draining` entry
  *
  * Settings and time, scenario_settings.c:
- * - type small cpus=8 gpus=0 mem=32 boot=10 zones=a,b
- * - at 12.5   the time, in seconds
- * - seed N   where numbers begin
- * - limits BYTES CHANGES   the largest value and transaction are these now
+ * - machine_type small cpus=8 gpus=0 mem_gb=32 price=1 spot_price=0.3 boot_s=10 zones=a,b
+ * - at 12.5   sets the clock
+ * - seed N   the ids of forwarded heartbeats continue after N
+ * - expect_kv_limits BYTES CHANGES   the present limits of a value and of a transaction
  *
  * Jobs and users, scenario_jobs.c:
- * - job job-1 mark=5 tasks=2 cpus=2 ... [state=cancelled] [needs=job-2,job-3] [parts=HASH:N]   a
- *   change of a record that the replica sees
- * - part job-1/HASH/0 job-7,job-8 | record job-1 MARK {...} | ready | finals N
- * - state job-1 live|done|cancelled [rank=N] [ready=0|1]   what the core knows of a job
- * - looked [fail]   a refresh; lookedup JOB VERB STATUS [cancelled]   a lookup of an evicted job
- * - submit {json} | get job-1 | cancel job-1 | usercommitted STATUS
- * - heard job-1   another controller says that the job's cancellation was confirmed
+ * - job job-1 revision=5 tasks=2 cpus=2 ... [state=done|cancelled] [parents=job-2,job-3]
+ *   [parent_parts=HASH:N]   the replica receives a change of the job's record
+ * - parents_part job-1/HASH/0 job-7,job-8   likewise a part of a job's list of parents
+ * - job_record_json job-1 REVISION {...}   likewise any record, also a damaged one
+ * - records_listed   the first listing of all records is complete
+ * - finished_jobs N   N records of jobs that were done long ago, then an eviction from memory
+ * - refreshed [failed]   a refresh of the replica
+ * - job_lookup_completed JOB PURPOSE STATUS [cancelled]   the record of an evicted job was read;
+ *   PURPOSE: a number of enum bd_read_purpose
+ * - submit {json} | get job-1 | cancel job-1   requests of a user
+ * - user_txn_completed STATUS   the outcome of the first user_txn that waits
+ * - cancellation_received job-1   a peer announces that the job's cancellation was confirmed
+ * - expect_job job-1 active|done|cancelled [priority=N] [ready=0|1]   what the core knows of a job
  *
  * Machines, scenario_machines.c:
- * - report vm-1 small a session=1 seq=1 token=1 [notice=5] [job-1/0:@1.1:running ...]
- * - forwarded node-1 5 vm-1 small a session=1 ...   a heartbeat that another controller forwards
- * - answered 1 200 {text}   the answer to a heartbeat that we forwarded
- * - did vm-1 token=1 status=200 ...   the answer to a direct command, as report
- * - listed vm-1:small:a[:running|booting|failed] ...   a list of the cloud
- * - rented N vm-1 vm-2 (status 200), rented refused, returned vm-1
+ * - heartbeat vm-1 TYPE ZONE incarnation=1 seq=1 token=1 [notice_s=5] [spot=1]
+ *   [job-1/0:@1.1:running ...]   token: the highest fencing token that the worker has seen; the
+ *   tasks' states are those of the wire protocol
+ * - heartbeat_forwarded node-1 ID vm-1 TYPE ZONE incarnation=1 ...   a peer forwards a heartbeat
+ * - forward_reply_received ID STATUS {text}   the reply to a heartbeat that this controller
+ *   forwarded
+ * - direct_command_completed vm-1 token=1 [status=200] [launch=0] [incarnation=1] [seq=2]
+ *   [job-1/0:...]   the response to a direct command; status=0: none, status=-1: it was not sent;
+ *   launch=0: it held no launch
+ * - machines_listed vm-1:TYPE:ZONE[:running|booting|failed] ...   the cloud's list of machines
+ * - scale_out_completed N vm-1 ... | scale_out_completed refused   the cloud's response to the
+ *   oldest open provisioning request, 200 or 503; N is ignored
+ * - scale_in_completed vm-1 ...
  *
  * Leadership, scenario_leader.c:
- * - gain 1 [receipt=job-1/0:03] [intent=job-1:@1.1:vm-1:0,1] | renew | lose | tick | busy
- * - peer node-1 term=0 state=1 deaf=0 hears=1 age=0   a status frame of another controller
- * - leader node-1 7 (or - 0) [away=1]   who holds the lease, by a fresh refresh
- * - delegates [p/node-1:mark:vm-1,vm-2]   the delegates' records as the leader reads them
- * - offered | confirmed | touched 28 [node-1:20]   the liveness records
- * - watch 28   as `at`, with a refresh every 2 s that shows no delegate
- * - delegatecommitted STATUS [unknown]   the fate of our own delegate's record
- * - committed ok|lost|large|failed KEY... | up 0|1   whether /up says yes
+ * - leadership_acquired TERM [receipt=job-1/0:03] [intent=job-1:@1.1:vm-1:0,1]   with the records
+ *   that earlier terms left: the value of a part of the receipts; attempt, machine and tasks of an
+ *   intent
+ * - leadership_renewed | leadership_lost | tick
+ * - write_rate_exceeded   the store responded 429
+ * - peer_status node-1 [term=0] [kv_reachable=1] [hears_leader=1] [inbound_partition=0] [kv_lost=0]
+ *   [knows_dag=1] [knows_drains=1] [kv_age_s=0] [sent_ago_s=0]   a status frame of a peer
+ * - leader_observed node-1 REVISION [dismissed=1]   the leader's key was read; `- 0`: there is none
+ * - delegate_records_read [p/node-1:REVISION:vm-1,vm-2 ...]   this leader read the delegates'
+ *   records
+ * - read_delegates_until 28   advances the clock to 28 s; every 2 s this leader reads that there
+ * are no delegates
+ * - lead_until 28 [node-1:20 ...]   advances the clock to 28 s; every 2 s this leader is renewed,
+ *   reads the peers' liveness records (node-1 wrote its own at 20 s) and ticks
+ * - liveness_sent | liveness_written   this controller's own liveness record
+ * - delegate_txn_completed STATUS [revision_unknown]   the outcome of writing this controller's
+ *   delegate record
+ * - leader_txn_completed committed|deposed|rejected|conflict [KEY ...]   KEY: its comparison failed
+ * - expect_healthy 0|1   whether GET /up reports this controller as up
  *
  * What is expected, scenario_expect.c:
- * - expect KIND TEXT...   an effect of the kind that has all the texts; it is taken off
- * - none KIND [TEXT...]   no such effect is waiting
- * - clear   forgets the effects that wait
- * - task job-1/0 STATE [vm-1]   wait plan launch live unknown done
- * - team a cpus=2 gpus=0
+ * - expect KIND TEXT...   removes the first effect of the kind that contains all the texts; a
+ * number also matches the status
+ * - expect_none KIND [TEXT...]   no such effect waits
+ * - clear_effects
+ * - expect_task job-1/0 pending|planned|launching|confirmed|unknown|done [vm-1]
+ * - expect_team a [cpus=2] [gpus=0]   what the team uses
  *
  * Draining, scenario_drain.c:
- * - drain NAME retire|replace [state=paused] [mark=N] vm-1 vm-2 ...   a drain's record appears, or
- *   changes; its machines' records come with it the first time
- * - stage NAME vm-1 STAGE | drainrecord NAME JSON   the records as a leader, or another program,
- *   left them
- * - drains   the leader reads the drains' records
- * - entry NAME vm-1 STAGE [wait=WORDS-WITH-DASHES] [team=a] [by=vm-9]   how far its machine is
- * - ledger TEAM[:CLASS] down=N up=N   what the ledger counts
- * - running vm-1   the machine reports that all its tasks run
- * - asks {json} | means {json} vm-1:small:a ...   an administrator's request: the words of the
- *   refusal come after `=>`; none: it is accepted
- * - passes 12.5   time passes in half seconds: renewals, ticks, commits applied
+ * - drain NAME retire|replace [state=paused] [revision=N] vm-1 vm-2 ...   a drain's record appears
+ * or changes in the store; the machines' records come with it the first time
+ * - drain_stage NAME vm-1 STAGE   changes the machine's record in the store, as an earlier leader
+ *   did
+ * - drain_record_json NAME JSON   any record of a drain, also a damaged one
+ * - drain_records_read   this leader reads the drains' records from the store
+ * - heartbeat_running vm-1 [type=TYPE] [zone=ZONE] [incarnation=1] [notice_s=5] [ignore_stops=1]
+ *   [fetching=vm-1]   the machine's tasks all run, or have stopped if that was requested
+ * - run_for 12.5 [vm-1 ...] [no_answer=vm-2] [fetching=vm-3]   time passes in steps of 0.5 s:
+ *   renewal, refresh, tick, commit. The machines send heartbeat_running each second. Direct
+ * commands to the machine of no_answer get no response; on that of fetching no further task begins
+ * to run
+ * - expect_drain_machine NAME vm-1 STAGE [wait=REASON-WITH-DASHES] [team=a] [replacement=vm-9]
+ * - expect_ledger TEAM[:CLASS] [down=N] [up=N]   what the disruption ledger counts
+ * - expect_drain_request {json} => ok | STATUS FIELD   an administrator's request is valid or
+ * refused
+ * - expect_drain_selection {json} vm-1:TYPE:ZONE ... => ok vm-1 ... | STATUS FIELD   which of the
+ *   listed machines the request selects
  *
- * @T.N is the N-th attempt of term T. LOG_LEVEL shows the core's log. */
+ * The environment's LOG_LEVEL sets the level of the core's log. */
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "core/core.h"
@@ -73,99 +113,101 @@
 #include <stdlib.h>
 #include <string.h>
 
-static void start_core(struct play *play)
+static void start_core(struct scenario *scenario)
 {
-    if (play->core)
+    if (scenario->core)
         return;
-    if (bd_time_is_zero(play->settings.leader_ttl))
-        play->settings.leader_ttl = bd_secs(3);
-    play->core = bd_core_new(&play->settings, &play->log);
-    if (!play->core)
+    if (bd_time_is_zero(scenario->settings.leader_ttl))
+        scenario->settings.leader_ttl = bd_secs(3);
+    scenario->core = bd_core_new(&scenario->settings, &scenario->log);
+    if (!scenario->core)
         abort();
-    bd_core_set_clock(play->core, bd_secs(100), 1000);
+    bd_core_set_clock(scenario->core, bd_secs(100), 1000);
 }
 
-static void collect_effects(struct play *play)
+static void collect_effects(struct scenario *scenario)
 {
-    struct bd_effect **tail = &play->effects;
+    struct bd_effect **tail = &scenario->effects;
     while (*tail)
         tail = &(*tail)->next;
-    *tail = bd_effects_take(play->core);
-    for (const struct bd_effect *effect = *tail; play->digest && effect; effect = effect->next)
-        behaviour_digest_effect(play->digest, bd_to_secs(play->core->now), 0, effect, 0);
+    *tail = bd_effects_take(scenario->core);
+    for (const struct bd_effect *effect = *tail; scenario->digest && effect; effect = effect->next)
+        behaviour_digest_effect(scenario->digest, bd_to_secs(scenario->core->now), 0, effect, 0);
 }
 
-static void play_line(struct play *play)
+static void run_line(struct scenario *scenario)
 {
-    if (strcmp(play->words[0], "set") == 0) {
-        play_set(play);
+    if (strcmp(scenario->words[0], "set") == 0) {
+        scenario_run_set(scenario);
         return;
     }
-    if (strcmp(play->words[0], "draining") == 0) {
-        play_draining(play);
+    if (strcmp(scenario->words[0], "draining") == 0) {
+        scenario_run_draining(scenario);
         return;
     }
-    start_core(play);
-    if (!play_settings_step(play) && !play_job_step(play) && !play_machine_step(play) &&
-        !play_leader_step(play) && !play_expect_step(play) && !play_drain_step(play))
-        play_fail(play, "unknown step");
-    collect_effects(play);
+    start_core(scenario);
+    if (!scenario_run_settings_step(scenario) && !scenario_run_job_step(scenario) &&
+        !scenario_run_machine_step(scenario) && !scenario_run_leader_step(scenario) &&
+        !scenario_run_expect_step(scenario) && !scenario_run_drain_step(scenario))
+        scenario_fail(scenario, "unknown step; the head of tests/scenario.c lists the steps");
+    collect_effects(scenario);
 }
 
-/* Returns how many steps the file has. */
-static int play_file(struct play *play, FILE *file)
+/* Returns the number of steps in the file. */
+static int run_file(struct scenario *scenario, FILE *file)
 {
     char line[4096], copy[4096];
     int steps = 0;
     while (fgets(line, sizeof line, file)) {
-        play->line_number++;
+        scenario->line_number++;
         line[strcspn(line, "\n")] = '\0';
         if (line[0] == '#' || line[strspn(line, " ")] == '\0')
             continue;
         snprintf(copy, sizeof copy, "%s", line);
-        play->text = line;
-        play->nwords = 0;
+        scenario->text = line;
+        scenario->word_count = 0;
         for (char *rest = NULL, *word = strtok_r(copy, " ", &rest);
-             word && play->nwords < PLAY_WORDS_MAX; word = strtok_r(NULL, " ", &rest))
-            play->words[play->nwords++] = word;
-        play_line(play);
+             word && scenario->word_count < SCENARIO_WORDS_MAX; word = strtok_r(NULL, " ", &rest))
+            scenario->words[scenario->word_count++] = word;
+        run_line(scenario);
         steps++;
     }
     return steps;
 }
 
-/* scenario FILE [digest|steps]: with a digest of its effects, or with each of them */
+/* Usage: scenario FILE [digest|steps]. digest: also prints the digest of all effects; steps: prints
+ * each effect as well. */
 int main(int argc, char **argv)
 {
-    struct play play = {.log = {BD_LOG_ERROR, "scenario"}};
+    struct scenario scenario = {.log = {BD_LOG_ERROR, "scenario"}};
     struct behaviour_digest digest;
     bool traced = argc == 3 && strcmp(argv[2], "steps") == 0;
     if (argc != 2 && !traced && (argc != 3 || strcmp(argv[2], "digest") != 0))
         return 2;
     behaviour_digest_start(&digest, traced ? stdout : NULL);
-    play.digest = argc == 3 ? &digest : NULL;
-    play.path = argv[1];
+    scenario.digest = argc == 3 ? &digest : NULL;
+    scenario.path = argv[1];
     FILE *file = fopen(argv[1], "r");
     if (!file) {
         perror(argv[1]);
         return 2;
     }
-    test_settings_init(&play.settings);
+    test_settings_init(&scenario.settings);
     if (getenv("LOG_LEVEL"))
-        play.log.level = bd_log_level_parse(getenv("LOG_LEVEL"));
-    int steps = play_file(&play, file);
+        scenario.log.level = bd_log_level_parse(getenv("LOG_LEVEL"));
+    int steps = run_file(&scenario, file);
     (void)fclose(file);
-    if (play.digest)
+    if (scenario.digest)
         printf("digest %016llx of %llu steps\n", (unsigned long long)digest.hash,
                (unsigned long long)digest.steps);
-    play_clear_effects(&play);
-    bd_core_free(play.core);
-    free(play.settings.draining);
-    json_decref(play.drains);
-    json_decref(play.sets);
+    scenario_clear_effects(&scenario);
+    bd_core_free(scenario.core);
+    free(scenario.settings.draining);
+    json_decref(scenario.drain_records);
+    json_decref(scenario.drain_parts);
     if (steps == 0) {
         fprintf(stderr, "%s: no steps\n", argv[1]);
         return 1;
     }
-    return play.faults ? 1 : 0;
+    return scenario.failures ? 1 : 0;
 }
--- a/tests/scenario_expect.c
+++ b/tests/scenario_expect.c
@@ -1,4 +1,5 @@
-/* The steps of scenarios that compare what the core did with what is expected. */
+/* The steps of scenarios that compare the effects and the state of the core with the expected ones.
+ */
 #include "model/effect.h"
 #include "model/task.h"
 #include "scenario_play.h"
@@ -6,25 +7,25 @@
 #include <stdio.h>
 #include <string.h>
 
-#define SHOWN_EFFECTS_MAX 40
+#define PRINTED_EFFECTS_MAX 40
 
-/* by enum bd_effect_kind */
-static const char *const kind_names[] = {"reply",
-                                         "user_txn",
-                                         "leader_txn",
-                                         "direct_command",
-                                         "scale_out",
-                                         "scale_in",
-                                         "read_barrier",
-                                         "step_down",
-                                         "delegate_txn",
-                                         "job_lookup",
-                                         "forward_heartbeat",
-                                         "forward_reply",
-                                         "announce_cancellation"};
+/* in the order of enum bd_effect_kind */
+static const char *const effect_kind_names[] = {"reply",
+                                                "user_txn",
+                                                "leader_txn",
+                                                "direct_command",
+                                                "scale_out",
+                                                "scale_in",
+                                                "read_barrier",
+                                                "step_down",
+                                                "delegate_txn",
+                                                "job_lookup",
+                                                "forward_heartbeat",
+                                                "forward_reply",
+                                                "announce_cancellation"};
 
-/* "@1.2" inside an expected text becomes the number itself */
-static void expand_attempts(const char *text, char *out, size_t capacity)
+/* Copies an expected text with its first @TERM.N replaced by the attempt's number. */
+static void expand_attempt(const char *text, char *out, size_t capacity)
 {
     const char *at = strchr(text, '@');
     if (!at || at[1] < '0' || at[1] > '9') {
@@ -32,18 +33,18 @@
         return;
     }
     size_t length = strspn(at + 1, "0123456789.");
-    char revision[40];
-    snprintf(revision, sizeof revision, "%.*s", (int)(length + 1), at);
+    char attempt[40];
+    snprintf(attempt, sizeof attempt, "%.*s", (int)(length + 1), at);
     snprintf(out, capacity, "%.*s%llu%s", (int)(at - text), text,
-             (unsigned long long)play_attempt(revision), at + 1 + length);
+             (unsigned long long)scenario_parse_attempt(attempt), at + 1 + length);
 }
 
-static bool matches(struct play *play, const struct bd_effect *effect)
+static bool effect_matches(struct scenario *scenario, const struct bd_effect *effect)
 {
     char status[64], text[256];
     snprintf(status, sizeof status, "%d", effect->status);
-    for (int i = 2; i < play->nwords; i++) {
-        expand_attempts(play->words[i], text, sizeof text);
+    for (int i = 2; i < scenario->word_count; i++) {
+        expand_attempt(scenario->words[i], text, sizeof text);
         if (strcmp(text, status) == 0 || (effect->body && strstr(effect->body, text)) ||
             strstr(effect->addr, text) || strstr(effect->key, text))
             continue;
@@ -52,29 +53,30 @@
     return true;
 }
 
-static struct bd_effect **find_effect(struct play *play)
+static struct bd_effect **find_effect(struct scenario *scenario)
 {
-    struct bd_effect **at = &play->effects;
+    struct bd_effect **at = &scenario->effects;
     for (; *at; at = &(*at)->next)
-        if (strcmp(kind_names[(*at)->kind], play->words[1]) == 0 && matches(play, *at))
+        if (strcmp(effect_kind_names[(*at)->kind], scenario->words[1]) == 0 &&
+            effect_matches(scenario, *at))
             return at;
     return NULL;
 }
 
-static void show_effects(const struct bd_effect *effect)
+static void print_effects(const struct bd_effect *effect)
 {
-    int left = SHOWN_EFFECTS_MAX;
-    for (; effect && left > 0; effect = effect->next, left--)
-        fprintf(stderr, "    %s %d %s %s %s\n", kind_names[effect->kind], effect->status,
+    int remaining = PRINTED_EFFECTS_MAX;
+    for (; effect && remaining > 0; effect = effect->next, remaining--)
+        fprintf(stderr, "    %s %d %s %s %s\n", effect_kind_names[effect->kind], effect->status,
                 effect->addr, effect->key, effect->body ? effect->body : "");
 }
 
-static void step_expect(struct play *play)
+static void step_expect(struct scenario *scenario)
 {
-    struct bd_effect **at = find_effect(play);
+    struct bd_effect **at = find_effect(scenario);
     if (!at) {
-        play_fail(play, "not among the effects");
-        show_effects(play->effects);
+        scenario_fail(scenario, "no effect matches");
+        print_effects(scenario->effects);
         return;
     }
     struct bd_effect *effect = *at;
@@ -82,66 +84,69 @@
     bd_effect_free(effect);
 }
 
-static void step_expect_none(struct play *play)
+static void step_expect_none(struct scenario *scenario)
 {
-    struct bd_effect **at = find_effect(play);
+    struct bd_effect **at = find_effect(scenario);
     if (at) {
-        play_fail(play, "must not happen");
-        show_effects(*at);
+        scenario_fail(scenario, "an effect matches");
+        print_effects(*at);
     }
 }
 
-void play_clear_effects(struct play *play)
+void scenario_clear_effects(struct scenario *scenario)
 {
-    while (play->effects) {
-        struct bd_effect *effect = play->effects;
-        play->effects = effect->next;
+    while (scenario->effects) {
+        struct bd_effect *effect = scenario->effects;
+        scenario->effects = effect->next;
         bd_effect_free(effect);
     }
 }
 
-static void step_expect_task(struct play *play)
+static void step_expect_task(struct scenario *scenario)
 {
-    static const char *const states[] = {"pending",   "planned", "launching",
-                                         "confirmed", "unknown", "done"};
+    static const char *const state_names[] = {"pending",   "planned", "launching",
+                                              "confirmed", "unknown", "done"};
     char id[BD_ID_BYTES];
     uint32_t index = 0;
     struct bd_job *job = NULL;
-    if (bd_wire_read_task_name(play->words[1], id, &index))
-        HASH_FIND_STR(play->core->jobs, id, job);
+    if (bd_wire_read_task_name(scenario->words[1], id, &index))
+        HASH_FIND_STR(scenario->core->jobs, id, job);
     if (!job || !job->tasks || index >= job->ntasks) {
-        play_fail(play, "no such task");
+        scenario_fail(scenario, "no such task");
         return;
     }
     struct bd_task *task = &job->tasks[index];
-    if (strcmp(states[task->state], play->words[2]) != 0) {
-        play_fail(play, states[task->state]);
+    if (strcmp(state_names[task->state], scenario->words[2]) != 0) {
+        scenario_fail(scenario, state_names[task->state]);
         return;
     }
-    if (play->nwords > 3 && (task->machine == BD_NO_MACHINE ||
-                             strcmp(play->core->by_index[task->machine]->id, play->words[3]) != 0))
-        play_fail(play, "on another machine");
+    if (scenario->word_count > 3 &&
+        (task->machine == BD_NO_MACHINE ||
+         strcmp(scenario->core->by_index[task->machine]->id, scenario->words[3]) != 0))
+        scenario_fail(scenario, "the task is on another machine");
 }
 
-static void step_expect_team(struct play *play)
+static void step_expect_team(struct scenario *scenario)
 {
-    for (int i = 0; i < play->settings.nteams; i++) {
-        if (strcmp(play->settings.teams[i].name, play->words[1]) != 0)
+    for (int i = 0; i < scenario->settings.nteams; i++) {
+        if (strcmp(scenario->settings.teams[i].name, scenario->words[1]) != 0)
             continue;
-        if (play_number(play, "cpus", play->core->team_cpus[i]) != play->core->team_cpus[i] ||
-            play_number(play, "gpus", play->core->team_gpus[i]) != play->core->team_gpus[i])
-            play_fail(play, "the team uses another amount");
+        if (scenario_find_number(scenario, "cpus", scenario->core->team_cpus[i]) !=
+                scenario->core->team_cpus[i] ||
+            scenario_find_number(scenario, "gpus", scenario->core->team_gpus[i]) !=
+                scenario->core->team_gpus[i])
+            scenario_fail(scenario, "the team uses another amount");
         return;
     }
-    play_fail(play, "no such team");
+    scenario_fail(scenario, "no such team");
 }
 
-bool play_expect_step(struct play *play)
+bool scenario_run_expect_step(struct scenario *scenario)
 {
-    static const struct play_step steps[] = {{"expect", 2, step_expect},
-                                             {"expect_none", 2, step_expect_none},
-                                             {"clear_effects", 1, play_clear_effects},
-                                             {"expect_task", 3, step_expect_task},
-                                             {"expect_team", 2, step_expect_team}};
-    return play_run_step(play, steps, sizeof steps / sizeof *steps);
+    static const struct scenario_step steps[] = {{"expect", 2, step_expect},
+                                                 {"expect_none", 2, step_expect_none},
+                                                 {"clear_effects", 1, scenario_clear_effects},
+                                                 {"expect_task", 3, step_expect_task},
+                                                 {"expect_team", 2, step_expect_team}};
+    return scenario_run_step(scenario, steps, sizeof steps / sizeof *steps);
 }
--- a/tests/scenario_jobs.c
+++ b/tests/scenario_jobs.c
@@ -1,4 +1,4 @@
-/* The steps of scenarios that concern jobs: their records, and what users ask. */
+/* The steps of scenarios for jobs: their records, and users' requests. */
 #include "jobs/jobs.h"
 #include "model/effect.h"
 #include "numbers.h"
@@ -8,34 +8,35 @@
 #include <stdlib.h>
 #include <string.h>
 
-static void read_spec(struct play *play, struct bd_job_spec_text *spec)
+static void read_spec(struct scenario *scenario, struct bd_job_spec_text *spec)
 {
     memset(spec, 0, sizeof *spec);
     snprintf(spec->job_class, sizeof spec->job_class, "%s",
-             play_text(play, "class") ? play_text(play, "class") : "k");
+             scenario_find_text(scenario, "class") ? scenario_find_text(scenario, "class") : "k");
     snprintf(spec->team, sizeof spec->team, "%s",
-             play_text(play, "team") ? play_text(play, "team") : "a");
+             scenario_find_text(scenario, "team") ? scenario_find_text(scenario, "team") : "a");
     snprintf(spec->image, sizeof spec->image, "%s",
-             play_text(play, "image") ? play_text(play, "image") : "img");
-    spec->image_gb = play_number(play, "image_gb", 0);
-    if (play_text(play, "zone"))
-        snprintf(spec->zone, sizeof spec->zone, "%s", play_text(play, "zone"));
+             scenario_find_text(scenario, "image") ? scenario_find_text(scenario, "image") : "img");
+    spec->image_gb = scenario_find_number(scenario, "image_gb", 0);
+    if (scenario_find_text(scenario, "zone"))
+        snprintf(spec->zone, sizeof spec->zone, "%s", scenario_find_text(scenario, "zone"));
     spec->ntypes = -1;
-    const char *kind = play_text(play, "kind");
+    const char *kind = scenario_find_text(scenario, "kind");
     if (kind)
         spec->kind = *kind == 'g' ? BD_JOB_GANG : *kind == 's' ? BD_JOB_SERVICE : BD_JOB_ARRAY;
-    spec->priority = (enum bd_priority)play_number(play, "priority", BD_PRIORITY_STANDARD);
-    spec->tasks = (uint32_t)play_number(play, "tasks", 1);
-    spec->cpus = play_number(play, "cpus", 1);
-    spec->gpus = play_number(play, "gpus", 0);
-    spec->mem = play_number(play, "mem_gb", 1);
-    spec->checkpoint_interval_s = play_number(play, "checkpoint_interval_s", 0);
-    spec->checkpoint_save_s = play_number(play, "checkpoint_save_s", 0);
-    spec->deadline_s = play_number(play, "deadline_s", -1);
-    spec->estimate = play_number(play, "estimate_s", 0);
-    spec->spread_zones = play_flag(play, "spread_zones");
-    spec->same_zone = play_flag(play, "same_zone");
-    spec->spot = play_flag(play, "spot");
+    spec->priority =
+        (enum bd_priority)scenario_find_number(scenario, "priority", BD_PRIORITY_STANDARD);
+    spec->tasks = (uint32_t)scenario_find_number(scenario, "tasks", 1);
+    spec->cpus = scenario_find_number(scenario, "cpus", 1);
+    spec->gpus = scenario_find_number(scenario, "gpus", 0);
+    spec->mem = scenario_find_number(scenario, "mem_gb", 1);
+    spec->checkpoint_interval_s = scenario_find_number(scenario, "checkpoint_interval_s", 0);
+    spec->checkpoint_save_s = scenario_find_number(scenario, "checkpoint_save_s", 0);
+    spec->deadline_s = scenario_find_number(scenario, "deadline_s", -1);
+    spec->estimate = scenario_find_number(scenario, "estimate_s", 0);
+    spec->spread_zones = scenario_find_flag(scenario, "spread_zones");
+    spec->same_zone = scenario_find_flag(scenario, "same_zone");
+    spec->spot = scenario_find_flag(scenario, "spot");
 }
 
 static json_t *split_names(const char *list)
@@ -49,166 +50,170 @@
     return names;
 }
 
-/* part job-1/HASH/0 job-7,job-8: a part of what a job waits for */
-static void step_parents_part(struct play *play)
+static void step_parents_part(struct scenario *scenario)
 {
     char key[BD_LABEL_BYTES + 8];
-    snprintf(key, sizeof key, "j/%s", play->words[1]);
-    json_t *value = bd_wire_write_parents_part(split_names(play->nwords > 2 ? play->words[2] : ""));
-    struct bd_change change = {key, value, (uint64_t)play_number(play, "revision", 1)};
-    bd_replica_apply(play->core, &change);
+    snprintf(key, sizeof key, "j/%s", scenario->words[1]);
+    json_t *value =
+        bd_wire_write_parents_part(split_names(scenario->word_count > 2 ? scenario->words[2] : ""));
+    struct bd_change change = {key, value, (uint64_t)scenario_find_number(scenario, "revision", 1)};
+    bd_replica_apply(scenario->core, &change);
     json_decref(value);
 }
 
-/* record job-1 MARK {...}: as it stands in the store */
-static void step_job_record_json(struct play *play)
+static void step_job_record_json(struct scenario *scenario)
 {
     char key[BD_LABEL_BYTES];
-    const char *text = strchr(play->text, '{');
+    const char *text = strchr(scenario->text, '{');
     json_t *value = text ? json_loads(text, 0, NULL) : NULL;
     if (!value)
-        play_fail(play, "not JSON");
-    snprintf(key, sizeof key, "j/%s", play->words[1]);
-    struct bd_change change = {key, value, strtoull(play->words[2], NULL, 10)};
-    bd_replica_apply(play->core, &change);
+        scenario_fail(scenario, "not JSON");
+    snprintf(key, sizeof key, "j/%s", scenario->words[1]);
+    struct bd_change change = {key, value, strtoull(scenario->words[2], NULL, 10)};
+    bd_replica_apply(scenario->core, &change);
     json_decref(value);
 }
 
-/* state job-1 live|done|cancelled [rank=N] [ready=0|1]: what the core knows of a job */
-static void step_expect_job(struct play *play)
+static void step_expect_job(struct scenario *scenario)
 {
     static const char *const state_names[] = {"active", "done", "cancelled"};
     struct bd_job *job = NULL;
-    HASH_FIND_STR(play->core->jobs, play->words[1], job);
+    HASH_FIND_STR(scenario->core->jobs, scenario->words[1], job);
     if (!job) {
-        play_fail(play, "no such job");
+        scenario_fail(scenario, "no such job");
         return;
     }
-    bd_dag_update_priorities(play->core);
-    if (strcmp(state_names[job->state], play->words[2]) != 0)
-        play_fail(play, state_names[job->state]);
-    if (play_number(play, "priority", job->priority) != (double)job->priority)
-        play_fail(play, "another rank");
-    if (play_number(play, "ready", job->nopen_parents == 0) != (double)(job->nopen_parents == 0))
-        play_fail(play, "its readiness is otherwise");
-}
-
-static void step_job(struct play *play)
-{
-    struct bd_job_record record = {
-        .state = BD_JOB_ACTIVE, .at = play_number(play, "revision", 1), .has_spec = true};
-    const char *state = play_text(play, "state");
+    bd_dag_update_priorities(scenario->core);
+    if (strcmp(state_names[job->state], scenario->words[2]) != 0)
+        scenario_fail(scenario, state_names[job->state]);
+    if (scenario_find_number(scenario, "priority", job->priority) != (double)job->priority)
+        scenario_fail(scenario, "the priority is different");
+    if (scenario_find_number(scenario, "ready", job->nopen_parents == 0) !=
+        (double)(job->nopen_parents == 0))
+        scenario_fail(scenario, "ready is different");
+}
+
+static void step_job(struct scenario *scenario)
+{
+    struct bd_job_record record = {.state = BD_JOB_ACTIVE,
+                                   .at = scenario_find_number(scenario, "revision", 1),
+                                   .has_spec = true};
+    const char *state = scenario_find_text(scenario, "state");
     char key[BD_LABEL_BYTES];
-    read_spec(play, &record.spec);
+    read_spec(scenario, &record.spec);
     record.tasks = record.spec.tasks;
     if (state)
         record.state = strcmp(state, "done") == 0 ? BD_JOB_DONE : BD_JOB_CANCELLED;
-    snprintf(key, sizeof key, "j/%s", play->words[1]);
-    json_t *names = play_text(play, "parents") ? split_names(play_text(play, "parents")) : NULL;
+    snprintf(key, sizeof key, "j/%s", scenario->words[1]);
+    json_t *names = scenario_find_text(scenario, "parents")
+                        ? split_names(scenario_find_text(scenario, "parents"))
+                        : NULL;
     record.parents.names = names;
     double parts = 0;
-    if (play_text(play, "parent_parts") &&
-        numbers_after_name(play_text(play, "parent_parts"), record.parents.of,
+    if (scenario_find_text(scenario, "parent_parts") &&
+        numbers_after_name(scenario_find_text(scenario, "parent_parts"), record.parents.of,
                            sizeof record.parents.of, &parts, 1) != 1)
-        play_fail(play, "parent_parts");
+        scenario_fail(scenario, "parent_parts has the form HASH:COUNT");
     record.parents.parts = (uint32_t)parts;
-    record.end = play_number(play, "ended_at_s", 0);
+    record.end = scenario_find_number(scenario, "ended_at_s", 0);
     json_t *value = bd_wire_write_record(&record);
-    struct bd_change change = {key, value, (uint64_t)play_number(play, "revision", 1)};
-    bd_replica_apply(play->core, &change);
+    struct bd_change change = {key, value, (uint64_t)scenario_find_number(scenario, "revision", 1)};
+    bd_replica_apply(scenario->core, &change);
     json_decref(value);
     json_decref(names);
 }
 
-/* many finished jobs, job-1000000 and on, long ago */
-static void step_finished_jobs(struct play *play)
+/* The jobs are job-1000000 and following, done at 2 s after the epoch. */
+static void step_finished_jobs(struct scenario *scenario)
 {
-    int count = number_of(play->words[1]);
+    int count = number_of(scenario->words[1]);
     for (int i = 0; i < count; i++) {
         char key[BD_LABEL_BYTES];
         snprintf(key, sizeof key, "j/job-%d", 1000000 + i);
         struct bd_job_record record = {.state = BD_JOB_DONE, .tasks = 1, .at = 1, .end = 2};
         json_t *value = bd_wire_write_record(&record);
         struct bd_change change = {key, value, (uint64_t)(i + 1)};
-        bd_replica_apply(play->core, &change);
+        bd_replica_apply(scenario->core, &change);
         json_decref(value);
     }
-    bd_replica_evict(play->core);
+    bd_replica_evict(scenario->core);
 }
 
-static void step_job_lookup_completed(struct play *play)
+static void step_job_lookup_completed(struct scenario *scenario)
 {
     json_t *value = NULL;
     char key[BD_LABEL_BYTES];
-    snprintf(key, sizeof key, "j/%s", play->words[1]);
-    long status = strtol(play->words[3], NULL, 10);
+    snprintf(key, sizeof key, "j/%s", scenario->words[1]);
+    long status = strtol(scenario->words[3], NULL, 10);
     struct bd_job_record record = {.state = BD_JOB_DONE, .tasks = 1, .at = 1};
-    if (play->nwords > 4 && strcmp(play->words[4], "cancelled") == 0) {
-        read_spec(play, &record.spec);
+    if (scenario->word_count > 4 && strcmp(scenario->words[4], "cancelled") == 0) {
+        read_spec(scenario, &record.spec);
         record.has_spec = true;
         record.state = BD_JOB_CANCELLED;
     }
     struct bd_change change = {key, value = bd_wire_write_record(&record), 5};
-    bd_replica_lookup_completed(play->core, NULL, play->words[1], number_of(play->words[2]), status,
+    bd_replica_lookup_completed(scenario->core, NULL, scenario->words[1],
+                                number_of(scenario->words[2]), status,
                                 status == 200 ? &change : NULL);
     json_decref(value);
 }
 
-static void step_refreshed(struct play *play)
+static void step_refreshed(struct scenario *scenario)
 {
-    bool ok = play->nwords < 2 || strcmp(play->words[1], "failed") != 0;
-    bool barrier = play->core->replica.barrier_in_flight;
-    bd_replica_refreshed(play->core, play->core->replica.store_revision,
-                         play->core->replica.store_revision + 1, play->core->now, barrier, ok);
+    bool ok = scenario->word_count < 2 || strcmp(scenario->words[1], "failed") != 0;
+    bool barrier = scenario->core->replica.barrier_in_flight;
+    bd_replica_refreshed(scenario->core, scenario->core->replica.store_revision,
+                         scenario->core->replica.store_revision + 1, scenario->core->now, barrier,
+                         ok);
 }
 
-static void step_records_listed(struct play *play)
+static void step_records_listed(struct scenario *scenario)
 {
-    bd_replica_listed(play->core, 10, play->core->now);
+    bd_replica_listed(scenario->core, 10, scenario->core->now);
 }
 
-static void step_submit(struct play *play)
+static void step_submit(struct scenario *scenario)
 {
-    const char *body = strchr(play->text, '{');
-    body = body ? body : strchr(play->text, ' ') + 1;
-    bd_user_submit(play->core, NULL, body, strlen(body));
+    const char *body = strchr(scenario->text, '{');
+    body = body ? body : strchr(scenario->text, ' ') + 1;
+    bd_user_submit(scenario->core, NULL, body, strlen(body));
 }
 
-static void step_get(struct play *play)
+static void step_get(struct scenario *scenario)
 {
-    bd_user_status(play->core, NULL, play->words[1]);
+    bd_user_status(scenario->core, NULL, scenario->words[1]);
 }
 
-static void step_cancel(struct play *play)
+static void step_cancel(struct scenario *scenario)
 {
-    bd_user_cancel(play->core, NULL, play->words[1]);
+    bd_user_cancel(scenario->core, NULL, scenario->words[1]);
 }
 
-static void step_user_txn_completed(struct play *play)
+static void step_user_txn_completed(struct scenario *scenario)
 {
-    struct bd_effect **at = &play->effects;
+    struct bd_effect **at = &scenario->effects;
     while (*at && (*at)->kind != BD_EFFECT_USER_TXN)
         at = &(*at)->next;
     struct bd_effect *effect = *at;
     if (!effect) {
-        play_fail(play, "no user's transaction");
+        scenario_fail(scenario, "no user_txn waits");
         return;
     }
     *at = effect->next;
-    uint64_t revision = play_next_revision(play);
-    bd_user_txn_completed(play->core, NULL, effect->key, effect->body, effect->purpose,
-                          strtol(play->words[1], NULL, 10), revision);
+    uint64_t revision = scenario_next_revision(scenario);
+    bd_user_txn_completed(scenario->core, NULL, effect->key, effect->body, effect->purpose,
+                          strtol(scenario->words[1], NULL, 10), revision);
     bd_effect_free(effect);
 }
 
-static void step_cancellation_received(struct play *play)
+static void step_cancellation_received(struct scenario *scenario)
 {
-    bd_job_cancellation_received(play->core, play->words[1]);
+    bd_job_cancellation_received(scenario->core, scenario->words[1]);
 }
 
-bool play_job_step(struct play *play)
+bool scenario_run_job_step(struct scenario *scenario)
 {
-    static const struct play_step steps[] = {
+    static const struct scenario_step steps[] = {
         {"job", 2, step_job},
         {"parents_part", 2, step_parents_part},
         {"job_record_json", 4, step_job_record_json},
@@ -222,5 +227,5 @@
         {"cancel", 2, step_cancel},
         {"user_txn_completed", 2, step_user_txn_completed},
         {"cancellation_received", 2, step_cancellation_received}};
-    return play_run_step(play, steps, sizeof steps / sizeof *steps);
+    return scenario_run_step(scenario, steps, sizeof steps / sizeof *steps);
 }
--- a/tests/scenario_leader.c
+++ b/tests/scenario_leader.c
@@ -1,4 +1,4 @@
-/* The steps of scenarios that concern leadership: terms, peers, delegates and transactions. */
+/* The steps of scenarios for leadership: terms, peers, delegates and transactions. */
 #include "base/timeutil.h"
 #include "core/core.h"
 #include "leadership/leadership.h"
@@ -13,7 +13,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* receipt=JOB:VALUE */
+/* Reads receipt=JOB/PART:VALUE. False: the word is none. */
 static bool add_receipt(struct bd_acquisition *acquisition, const char *word)
 {
     char job[64], value[64], key[BD_LABEL_BYTES + 8];
@@ -25,7 +25,7 @@
     return true;
 }
 
-/* intent=JOB:ATTEMPT:MACHINE:TASK,TASK... */
+/* Reads intent=JOB:ATTEMPT:MACHINE:TASK,TASK... False: the word is none. */
 static bool add_intent(struct bd_acquisition *acquisition, const char *word, int number)
 {
     char job[64], attempt[64], machine[64], list[256], key[32];
@@ -37,58 +37,62 @@
         json_array_append_new(tasks, json_integer(number_of(task)));
     snprintf(key, sizeof key, "i/old-%d", number);
     json_t *entries =
-        json_pack("[[s,I,s,o]]", job, (json_int_t)play_attempt(attempt), machine, tasks);
+        json_pack("[[s,I,s,o]]", job, (json_int_t)scenario_parse_attempt(attempt), machine, tasks);
     json_array_append_new(acquisition->intents, json_pack("{s:s,s:{s:o},s:i}", "k", key, "value",
                                                           "e", entries, "mark", 1));
     return true;
 }
 
-static void step_leadership_acquired(struct play *play)
+static void step_leadership_acquired(struct scenario *scenario)
 {
-    struct bd_acquisition acquisition = {.term = strtoull(play->words[1], NULL, 10),
+    struct bd_acquisition acquisition = {.term = strtoull(scenario->words[1], NULL, 10),
                                          .grant = 7,
                                          .nonce = "n",
-                                         .renewed = play->core->now,
+                                         .renewed = scenario->core->now,
                                          .receipts = json_array(),
                                          .intents = json_array()};
-    for (int i = 2; i < play->nwords; i++)
-        if (!add_receipt(&acquisition, play->words[i]) &&
-            !add_intent(&acquisition, play->words[i], i))
-            play_fail(play, "gain");
-    bd_core_leadership_acquired(play->core, &acquisition);
+    for (int i = 2; i < scenario->word_count; i++)
+        if (!add_receipt(&acquisition, scenario->words[i]) &&
+            !add_intent(&acquisition, scenario->words[i], i))
+            scenario_fail(scenario, "neither receipt= nor intent=");
+    bd_core_leadership_acquired(scenario->core, &acquisition);
     json_decref(acquisition.receipts);
     json_decref(acquisition.intents);
 }
 
-static void step_peer_status(struct play *play)
+static void step_peer_status(struct scenario *scenario)
 {
-    uint8_t flags = play_number(play, "kv_reachable", 1) != 0 ? BD_PEER_KV_REACHABLE : 0;
-    flags |= play_number(play, "hears_leader", 1) != 0 ? BD_PEER_HEARS_LEADER : 0;
-    flags |= play_number(play, "inbound_partition", 0) != 0 ? BD_PEER_INBOUND_PARTITION : 0;
-    flags |= play_flag(play, "kv_lost") ? BD_PEER_KV_LOST : 0;
-    flags |= play_number(play, "knows_dag", 1) != 0 ? BD_PEER_KNOWS_DAG : 0;
-    flags |= play_number(play, "knows_drains", 1) != 0 ? BD_PEER_KNOWS_DRAINS : 0;
-    bd_peer_status_received(play->core, play->words[1], (uint64_t)play_number(play, "term", 0),
-                            flags, play_number(play, "kv_age_s", 0),
-                            play->core->wall - play_number(play, "sent_ago_s", 0), play->core->now);
+    uint8_t flags =
+        scenario_find_number(scenario, "kv_reachable", 1) != 0 ? BD_PEER_KV_REACHABLE : 0;
+    flags |= scenario_find_number(scenario, "hears_leader", 1) != 0 ? BD_PEER_HEARS_LEADER : 0;
+    flags |=
+        scenario_find_number(scenario, "inbound_partition", 0) != 0 ? BD_PEER_INBOUND_PARTITION : 0;
+    flags |= scenario_find_flag(scenario, "kv_lost") ? BD_PEER_KV_LOST : 0;
+    flags |= scenario_find_number(scenario, "knows_dag", 1) != 0 ? BD_PEER_KNOWS_DAG : 0;
+    flags |= scenario_find_number(scenario, "knows_drains", 1) != 0 ? BD_PEER_KNOWS_DRAINS : 0;
+    bd_peer_status_received(scenario->core, scenario->words[1],
+                            (uint64_t)scenario_find_number(scenario, "term", 0), flags,
+                            scenario_find_number(scenario, "kv_age_s", 0),
+                            scenario->core->wall - scenario_find_number(scenario, "sent_ago_s", 0),
+                            scenario->core->now);
 }
 
-static void step_leader_observed(struct play *play)
+static void step_leader_observed(struct scenario *scenario)
 {
-    const char *name = strcmp(play->words[1], "-") == 0 ? "" : play->words[1];
-    bd_core_leader_observed(play->core, name, strtoull(play->words[2], NULL, 10), play->core->now,
-                            play_flag(play, "dismissed"));
+    const char *name = strcmp(scenario->words[1], "-") == 0 ? "" : scenario->words[1];
+    bd_core_leader_observed(scenario->core, name, strtoull(scenario->words[2], NULL, 10),
+                            scenario->core->now, scenario_find_flag(scenario, "dismissed"));
 }
 
-static void step_delegate_records_read(struct play *play)
+static void step_delegate_records_read(struct scenario *scenario)
 {
     json_t *pairs = json_array();
-    for (int i = 1; i < play->nwords; i++) {
+    for (int i = 1; i < scenario->word_count; i++) {
         char key[64], names[256] = "";
         double revision = 0;
-        if (numbers_after_name(play->words[i], key, sizeof key, &revision, 1) != 1 ||
-            sscanf(play->words[i], "%*[^:]:%*[^:]:%255s", names) != 1)
-            play_fail(play, "delegates");
+        if (numbers_after_name(scenario->words[i], key, sizeof key, &revision, 1) != 1 ||
+            sscanf(scenario->words[i], "%*[^:]:%*[^:]:%255s", names) != 1)
+            scenario_fail(scenario, "delegates have the form KEY:REVISION:MACHINE,...");
         json_t *machines = json_array();
         for (char *rest = NULL, *machine = strtok_r(names, ",", &rest); machine;
              machine = strtok_r(NULL, ",", &rest))
@@ -96,21 +100,19 @@
         json_array_append_new(pairs, json_pack("{s:s,s:{s:i,s:o},s:i}", "k", key, "value", "t", 1,
                                                "m", machines, "mark", (int)revision));
     }
-    bd_delegate_records_read(play->core, pairs, play->core->now);
+    bd_delegate_records_read(scenario->core, pairs, scenario->core->now);
     json_decref(pairs);
 }
 
-/* time passes until the first argument; the leader reads every two seconds when the other
- * controllers last wrote their liveness records */
-static void step_lead_until(struct play *play)
+static void step_lead_until(struct scenario *scenario)
 {
-    double to = strtod(play->words[1], NULL), at = bd_to_secs(play->core->now) - 100;
+    double to = strtod(scenario->words[1], NULL), at = bd_to_secs(scenario->core->now) - 100;
     json_t *pairs = json_array();
-    for (int i = 2; i < play->nwords; i++) {
+    for (int i = 2; i < scenario->word_count; i++) {
         char node[64], key[BD_LABEL_BYTES + 8];
         double seen = 0;
-        if (numbers_after_name(play->words[i], node, sizeof node, &seen, 1) != 1)
-            play_fail(play, "touched");
+        if (numbers_after_name(scenario->words[i], node, sizeof node, &seen, 1) != 1)
+            scenario_fail(scenario, "liveness records have the form NODE:SECONDS");
         snprintf(key, sizeof key, "p/%s/at", node);
         json_array_append_new(
             pairs, json_pack("{s:s,s:{s:f},s:i}", "k", key, "value", "at", 1000 + seen, "mark", 1));
@@ -118,91 +120,90 @@
     for (bool more = true; more;) {
         at = at + 2 < to ? at + 2 : to;
         more = at < to;
-        bd_core_set_clock(play->core, bd_secs(100 + at), 1000 + at);
-        bd_leadership_renewed(play->core, 7, play->core->now);
-        bd_delegate_records_read(play->core, pairs, play->core->now);
-        bd_core_tick(play->core);
+        bd_core_set_clock(scenario->core, bd_secs(100 + at), 1000 + at);
+        bd_leadership_renewed(scenario->core, 7, scenario->core->now);
+        bd_delegate_records_read(scenario->core, pairs, scenario->core->now);
+        bd_core_tick(scenario->core);
     }
     json_decref(pairs);
 }
 
-/* time passes with a refresh every two seconds that shows no delegate */
-static void step_read_delegates_until(struct play *play)
+static void step_read_delegates_until(struct scenario *scenario)
 {
-    double to = strtod(play->words[1], NULL), at = bd_to_secs(play->core->now) - 100;
+    double to = strtod(scenario->words[1], NULL), at = bd_to_secs(scenario->core->now) - 100;
     json_t *none = json_array();
     at += 2;
     while (at < to) {
-        bd_core_set_clock(play->core, bd_secs(100 + at), 1000 + at);
-        bd_delegate_records_read(play->core, none, play->core->now);
+        bd_core_set_clock(scenario->core, bd_secs(100 + at), 1000 + at);
+        bd_delegate_records_read(scenario->core, none, scenario->core->now);
         at += 2;
     }
-    bd_core_set_clock(play->core, bd_secs(100 + to), 1000 + to);
-    bd_delegate_records_read(play->core, none, play->core->now);
+    bd_core_set_clock(scenario->core, bd_secs(100 + to), 1000 + to);
+    bd_delegate_records_read(scenario->core, none, scenario->core->now);
     json_decref(none);
 }
 
-static void step_delegate_txn_completed(struct play *play)
+static void step_delegate_txn_completed(struct scenario *scenario)
 {
-    bool known = play->nwords < 3;
-    bd_delegate_txn_completed(play->core, strtol(play->words[1], NULL, 10),
-                              play_next_revision(play), play->core->now, known);
+    bool known = scenario->word_count < 3;
+    bd_delegate_txn_completed(scenario->core, strtol(scenario->words[1], NULL, 10),
+                              scenario_next_revision(scenario), scenario->core->now, known);
 }
 
-static void step_leader_txn_completed(struct play *play)
+static void step_leader_txn_completed(struct scenario *scenario)
 {
     json_t *failed = json_array();
-    for (int i = 2; i < play->nwords; i++)
-        json_array_append_new(failed, json_string(play->words[i]));
-    enum bd_txn_outcome outcome = strcmp(play->words[1], "committed") == 0  ? BD_TXN_COMMITTED
-                                  : strcmp(play->words[1], "deposed") == 0  ? BD_TXN_DEPOSED
-                                  : strcmp(play->words[1], "rejected") == 0 ? BD_TXN_REJECTED
-                                                                            : BD_TXN_CONFLICT;
-    if (!play->core->lead.commit)
-        play_fail(play, "nothing is being committed");
-    bd_core_leader_txn_completed(play->core, outcome, play_next_revision(play), failed);
+    for (int i = 2; i < scenario->word_count; i++)
+        json_array_append_new(failed, json_string(scenario->words[i]));
+    enum bd_txn_outcome outcome = strcmp(scenario->words[1], "committed") == 0  ? BD_TXN_COMMITTED
+                                  : strcmp(scenario->words[1], "deposed") == 0  ? BD_TXN_DEPOSED
+                                  : strcmp(scenario->words[1], "rejected") == 0 ? BD_TXN_REJECTED
+                                                                                : BD_TXN_CONFLICT;
+    if (!scenario->core->lead.commit)
+        scenario_fail(scenario, "no leader transaction is in flight");
+    bd_core_leader_txn_completed(scenario->core, outcome, scenario_next_revision(scenario), failed);
     json_decref(failed);
 }
 
-static void step_tick(struct play *play)
+static void step_tick(struct scenario *scenario)
 {
-    bd_core_tick(play->core);
+    bd_core_tick(scenario->core);
 }
 
-static void step_write_rate_exceeded(struct play *play)
+static void step_write_rate_exceeded(struct scenario *scenario)
 {
-    bd_kv_limits_rate_exceeded(play->core);
+    bd_kv_limits_rate_exceeded(scenario->core);
 }
 
-static void step_liveness_written(struct play *play)
+static void step_liveness_written(struct scenario *scenario)
 {
-    bd_liveness_written(play->core, play->core->now);
+    bd_liveness_written(scenario->core, scenario->core->now);
 }
 
-static void step_liveness_sent(struct play *play)
+static void step_liveness_sent(struct scenario *scenario)
 {
-    bd_liveness_sent(play->core, play->core->now);
+    bd_liveness_sent(scenario->core, scenario->core->now);
 }
 
-static void step_leadership_renewed(struct play *play)
+static void step_leadership_renewed(struct scenario *scenario)
 {
-    bd_leadership_renewed(play->core, 7, play->core->now);
+    bd_leadership_renewed(scenario->core, 7, scenario->core->now);
 }
 
-static void step_leadership_lost(struct play *play)
+static void step_leadership_lost(struct scenario *scenario)
 {
-    bd_leadership_lost(play->core);
+    bd_leadership_lost(scenario->core);
 }
 
-static void step_expect_healthy(struct play *play)
+static void step_expect_healthy(struct scenario *scenario)
 {
-    if (bd_leadership_is_healthy(play->core) != (number_of(play->words[1]) != 0))
-        play_fail(play, "up is otherwise");
+    if (bd_leadership_is_healthy(scenario->core) != (number_of(scenario->words[1]) != 0))
+        scenario_fail(scenario, "GET /up would report otherwise");
 }
 
-bool play_leader_step(struct play *play)
+bool scenario_run_leader_step(struct scenario *scenario)
 {
-    static const struct play_step steps[] = {
+    static const struct scenario_step steps[] = {
         {"leadership_acquired", 2, step_leadership_acquired},
         {"peer_status", 2, step_peer_status},
         {"leader_observed", 3, step_leader_observed},
@@ -218,5 +219,5 @@
         {"leadership_renewed", 1, step_leadership_renewed},
         {"leadership_lost", 1, step_leadership_lost},
         {"expect_healthy", 2, step_expect_healthy}};
-    return play_run_step(play, steps, sizeof steps / sizeof *steps);
+    return scenario_run_step(scenario, steps, sizeof steps / sizeof *steps);
 }
--- a/tests/scenario_line.c
+++ b/tests/scenario_line.c
@@ -1,36 +1,37 @@
-/* The words of a scenario's line, and how a step fails. */
+/* Parses the lines of a scenario, finds the step of a line, and reports failures. */
 #include "scenario_play.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-void play_fail(struct play *play, const char *what)
+void scenario_fail(struct scenario *scenario, const char *reason)
 {
-    fprintf(stderr, "%s:%d: %s: %s\n", play->path, play->line_number, what, play->text);
-    play->faults++;
+    fprintf(stderr, "%s:%d: %s: %s\n", scenario->path, scenario->line_number, reason,
+            scenario->text);
+    scenario->failures++;
 }
 
-const char *play_text(struct play *play, const char *key)
+const char *scenario_find_text(struct scenario *scenario, const char *key)
 {
     size_t length = strlen(key);
-    for (int i = 1; i < play->nwords; i++)
-        if (strncmp(play->words[i], key, length) == 0 && play->words[i][length] == '=')
-            return play->words[i] + length + 1;
+    for (int i = 1; i < scenario->word_count; i++)
+        if (strncmp(scenario->words[i], key, length) == 0 && scenario->words[i][length] == '=')
+            return scenario->words[i] + length + 1;
     return NULL;
 }
 
-double play_number(struct play *play, const char *key, double fallback)
+double scenario_find_number(struct scenario *scenario, const char *key, double fallback)
 {
-    const char *text = play_text(play, key);
+    const char *text = scenario_find_text(scenario, key);
     return text ? strtod(text, NULL) : fallback;
 }
 
-bool play_flag(struct play *play, const char *key)
+bool scenario_find_flag(struct scenario *scenario, const char *key)
 {
-    return play_number(play, key, 0) != 0;
+    return scenario_find_number(scenario, key, 0) != 0;
 }
 
-uint64_t play_attempt(const char *text)
+uint64_t scenario_parse_attempt(const char *text)
 {
     if (*text != '@')
         return strtoull(text, NULL, 10);
@@ -39,21 +40,22 @@
     return (term << 20) + (*end ? strtoull(end + 1, NULL, 10) : 0);
 }
 
-uint64_t play_next_revision(struct play *play)
+uint64_t scenario_next_revision(struct scenario *scenario)
 {
-    play->store_revision = play->store_revision < 1000 ? 1000 : play->store_revision + 1;
-    return play->store_revision;
+    scenario->store_revision =
+        scenario->store_revision < 1000 ? 1000 : scenario->store_revision + 1;
+    return scenario->store_revision;
 }
 
-bool play_run_step(struct play *play, const struct play_step *steps, size_t count)
+bool scenario_run_step(struct scenario *scenario, const struct scenario_step *steps, size_t count)
 {
     for (size_t i = 0; i < count; i++) {
-        if (strcmp(play->words[0], steps[i].verb) != 0)
+        if (strcmp(scenario->words[0], steps[i].name) != 0)
             continue;
-        if (play->nwords < steps[i].words_min)
-            play_fail(play, "too few words");
+        if (scenario->word_count < steps[i].words_min)
+            scenario_fail(scenario, "too few words");
         else
-            steps[i].run(play);
+            steps[i].run(scenario);
         return true;
     }
     return false;
--- a/tests/scenario_machines.c
+++ b/tests/scenario_machines.c
@@ -1,4 +1,4 @@
-/* The steps of scenarios that concern machines: heartbeats, direct commands and the cloud. */
+/* The steps of scenarios for machines: heartbeats, direct commands and the cloud. */
 #include "autoscaling/autoscaling.h"
 #include "numbers.h"
 #include "scenario_play.h"
@@ -23,134 +23,135 @@
     return BD_EXECUTION_EXITED;
 }
 
-static void read_heartbeat(struct play *play, struct bd_heartbeat *heartbeat,
+static void read_heartbeat(struct scenario *scenario, struct bd_heartbeat *heartbeat,
                            struct bd_reported_task *tasks)
 {
     memset(heartbeat, 0, sizeof *heartbeat);
-    snprintf(heartbeat->machine, sizeof heartbeat->machine, "%s", play->words[1]);
-    snprintf(heartbeat->addr, sizeof heartbeat->addr, "addr-%s", play->words[1]);
-    heartbeat->incarnation = (uint64_t)play_number(play, "incarnation", 1);
-    heartbeat->seq = (uint64_t)play_number(play, "seq", 1);
-    heartbeat->fencing_token = (uint64_t)play_number(play, "token", 0);
-    heartbeat->notice = play_number(play, "notice_s", -1);
-    heartbeat->spot = play_flag(play, "spot");
+    snprintf(heartbeat->machine, sizeof heartbeat->machine, "%s", scenario->words[1]);
+    snprintf(heartbeat->addr, sizeof heartbeat->addr, "addr-%s", scenario->words[1]);
+    heartbeat->incarnation = (uint64_t)scenario_find_number(scenario, "incarnation", 1);
+    heartbeat->seq = (uint64_t)scenario_find_number(scenario, "seq", 1);
+    heartbeat->fencing_token = (uint64_t)scenario_find_number(scenario, "token", 0);
+    heartbeat->notice = scenario_find_number(scenario, "notice_s", -1);
+    heartbeat->spot = scenario_find_flag(scenario, "spot");
     heartbeat->tasks = tasks;
-    for (int i = 2; i < play->nwords; i++) {
+    for (int i = 2; i < scenario->word_count; i++) {
         char name[64], attempt[64], state[64];
-        if (sscanf(play->words[i], "%63[^:]:%63[^:]:%63s", name, attempt, state) != 3)
+        if (sscanf(scenario->words[i], "%63[^:]:%63[^:]:%63s", name, attempt, state) != 3)
             continue;
         struct bd_reported_task *task = &tasks[heartbeat->n];
         if (!bd_wire_read_task_name(name, task->job, &task->task)) {
-            play_fail(play, "task name");
+            scenario_fail(scenario, "malformed task name");
             return;
         }
-        task->attempt = play_attempt(attempt);
+        task->attempt = scenario_parse_attempt(attempt);
         task->execution = read_execution(state, &task->exit_reason);
         heartbeat->n++;
     }
 }
 
-static void step_heartbeat(struct play *play)
+static void step_heartbeat(struct scenario *scenario)
 {
     struct bd_heartbeat heartbeat;
-    struct bd_reported_task tasks[PLAY_WORDS_MAX];
+    struct bd_reported_task tasks[SCENARIO_WORDS_MAX];
     memset(tasks, 0, sizeof tasks);
-    read_heartbeat(play, &heartbeat, tasks);
-    snprintf(heartbeat.type, sizeof heartbeat.type, "%s", play->words[2]);
-    snprintf(heartbeat.zone, sizeof heartbeat.zone, "%s", play->words[3]);
-    bd_worker_heartbeat_received(play->core, NULL, &heartbeat, "{}", 2);
+    read_heartbeat(scenario, &heartbeat, tasks);
+    snprintf(heartbeat.type, sizeof heartbeat.type, "%s", scenario->words[2]);
+    snprintf(heartbeat.zone, sizeof heartbeat.zone, "%s", scenario->words[3]);
+    bd_worker_heartbeat_received(scenario->core, NULL, &heartbeat, "{}", 2);
 }
 
-static void step_heartbeat_forwarded(struct play *play)
+static void step_heartbeat_forwarded(struct scenario *scenario)
 {
     struct bd_heartbeat heartbeat;
-    struct bd_reported_task tasks[PLAY_WORDS_MAX];
-    char *peer = play->words[1];
-    uint64_t id = strtoull(play->words[2], NULL, 10);
+    struct bd_reported_task tasks[SCENARIO_WORDS_MAX];
+    char *peer = scenario->words[1];
+    uint64_t id = strtoull(scenario->words[2], NULL, 10);
     memset(tasks, 0, sizeof tasks);
-    for (int i = 1; i + 2 < play->nwords; i++)
-        play->words[i] = play->words[i + 2];
-    play->nwords -= 2;
-    read_heartbeat(play, &heartbeat, tasks);
-    snprintf(heartbeat.type, sizeof heartbeat.type, "%s", play->words[2]);
-    snprintf(heartbeat.zone, sizeof heartbeat.zone, "%s", play->words[3]);
-    bd_worker_heartbeat_forwarded(play->core, peer, id, &heartbeat, "{}", 2);
+    for (int i = 1; i + 2 < scenario->word_count; i++)
+        scenario->words[i] = scenario->words[i + 2];
+    scenario->word_count -= 2;
+    read_heartbeat(scenario, &heartbeat, tasks);
+    snprintf(heartbeat.type, sizeof heartbeat.type, "%s", scenario->words[2]);
+    snprintf(heartbeat.zone, sizeof heartbeat.zone, "%s", scenario->words[3]);
+    bd_worker_heartbeat_forwarded(scenario->core, peer, id, &heartbeat, "{}", 2);
 }
 
-static void step_forward_reply_received(struct play *play)
+static void step_forward_reply_received(struct scenario *scenario)
 {
-    bd_forward_reply_received(play->core, strtoull(play->words[1], NULL, 10),
-                              number_of(play->words[2]), play->nwords > 3 ? play->words[3] : "",
-                              play->nwords > 3 ? strlen(play->words[3]) : 0);
+    bd_forward_reply_received(scenario->core, strtoull(scenario->words[1], NULL, 10),
+                              number_of(scenario->words[2]),
+                              scenario->word_count > 3 ? scenario->words[3] : "",
+                              scenario->word_count > 3 ? strlen(scenario->words[3]) : 0);
 }
 
-static void step_direct_command_completed(struct play *play)
+static void step_direct_command_completed(struct scenario *scenario)
 {
     struct bd_heartbeat heartbeat;
-    struct bd_reported_task tasks[PLAY_WORDS_MAX];
+    struct bd_reported_task tasks[SCENARIO_WORDS_MAX];
     struct bd_machine *machine = NULL;
     memset(tasks, 0, sizeof tasks);
-    HASH_FIND_STR(play->core->machines, play->words[1], machine);
+    HASH_FIND_STR(scenario->core->machines, scenario->words[1], machine);
     if (!machine) {
-        play_fail(play, "no such machine");
+        scenario_fail(scenario, "no such machine");
         return;
     }
-    read_heartbeat(play, &heartbeat, tasks);
+    read_heartbeat(scenario, &heartbeat, tasks);
     snprintf(heartbeat.type, sizeof heartbeat.type, "%s",
-             machine->type < 0 ? "?" : play->core->types[machine->type].label);
+             machine->type < 0 ? "?" : scenario->core->types[machine->type].label);
     snprintf(heartbeat.zone, sizeof heartbeat.zone, "%s",
-             machine->zone < 0 ? "?" : play->core->zones[machine->zone]);
-    long status = (long)play_number(play, "status", 200);
+             machine->zone < 0 ? "?" : scenario->core->zones[machine->zone]);
+    long status = (long)scenario_find_number(scenario, "status", 200);
     bd_worker_direct_command_completed(
-        play->core, machine->index, (uint64_t)play_number(play, "token", 0),
-        play_number(play, "launch", 1) != 0, status, status ? &heartbeat : NULL);
+        scenario->core, machine->index, (uint64_t)scenario_find_number(scenario, "token", 0),
+        scenario_find_number(scenario, "launch", 1) != 0, status, status ? &heartbeat : NULL);
 }
 
-static void step_machines_listed(struct play *play)
+static void step_machines_listed(struct scenario *scenario)
 {
-    struct bd_cloud_machine machines[PLAY_WORDS_MAX];
+    struct bd_cloud_machine machines[SCENARIO_WORDS_MAX];
     memset(machines, 0, sizeof machines);
     size_t count = 0;
-    for (int i = 1; i < play->nwords; i++, count++) {
+    for (int i = 1; i < scenario->word_count; i++, count++) {
         char state[32] = "running";
-        if (sscanf(play->words[i], "%63[^:]:%63[^:]:%63[^:]:%31s", machines[count].id,
+        if (sscanf(scenario->words[i], "%63[^:]:%63[^:]:%63[^:]:%31s", machines[count].id,
                    machines[count].type, machines[count].zone, state) < 3)
-            play_fail(play, "listed");
+            scenario_fail(scenario, "machines have the form NAME:TYPE:ZONE");
         machines[count].state = *state == 'r'   ? BD_MACHINE_UP
                                 : *state == 'f' ? BD_MACHINE_FAILED
                                                 : BD_MACHINE_BOOTING;
     }
-    bd_inventory_machines_received(play->core, machines, count, play->core->now);
+    bd_inventory_machines_received(scenario->core, machines, count, scenario->core->now);
 }
 
-static void step_scale_out_completed(struct play *play)
+static void step_scale_out_completed(struct scenario *scenario)
 {
-    char names[PLAY_WORDS_MAX][BD_LABEL_BYTES];
+    char names[SCENARIO_WORDS_MAX][BD_LABEL_BYTES];
     int count = 0;
-    if (play->core->cloud.nprovision_requests == 0) {
-        play_fail(play, "no rental is open");
+    if (scenario->core->cloud.nprovision_requests == 0) {
+        scenario_fail(scenario, "no provisioning request is open");
         return;
     }
     char request[BD_LABEL_BYTES];
-    snprintf(request, sizeof request, "%s", play->core->cloud.provision_requests[0].request);
-    bool refused = strcmp(play->words[1], "refused") == 0;
-    for (int i = 2; i < play->nwords; i++)
-        snprintf(names[count++], BD_LABEL_BYTES, "%s", play->words[i]);
-    bd_core_scale_out_completed(play->core, request, refused ? 503 : 200, names, count);
+    snprintf(request, sizeof request, "%s", scenario->core->cloud.provision_requests[0].request);
+    bool refused = strcmp(scenario->words[1], "refused") == 0;
+    for (int i = 2; i < scenario->word_count; i++)
+        snprintf(names[count++], BD_LABEL_BYTES, "%s", scenario->words[i]);
+    bd_core_scale_out_completed(scenario->core, request, refused ? 503 : 200, names, count);
 }
 
-static void step_scale_in_completed(struct play *play)
+static void step_scale_in_completed(struct scenario *scenario)
 {
-    char names[PLAY_WORDS_MAX][BD_LABEL_BYTES];
+    char names[SCENARIO_WORDS_MAX][BD_LABEL_BYTES];
     int count = 0;
-    for (int i = 1; i < play->nwords; i++)
-        snprintf(names[count++], BD_LABEL_BYTES, "%s", play->words[i]);
-    bd_scale_in_completed(play->core, names, count, true);
+    for (int i = 1; i < scenario->word_count; i++)
+        snprintf(names[count++], BD_LABEL_BYTES, "%s", scenario->words[i]);
+    bd_scale_in_completed(scenario->core, names, count, true);
 }
 
-bool play_machine_step(struct play *play)
+bool scenario_run_machine_step(struct scenario *scenario)
 {
-    static const struct play_step steps[] = {
+    static const struct scenario_step steps[] = {
         {"heartbeat", 4, step_heartbeat},
         {"heartbeat_forwarded", 6, step_heartbeat_forwarded},
         {"forward_reply_received", 3, step_forward_reply_received},
@@ -158,5 +159,5 @@
         {"machines_listed", 1, step_machines_listed},
         {"scale_out_completed", 2, step_scale_out_completed},
         {"scale_in_completed", 2, step_scale_in_completed}};
-    return play_run_step(play, steps, sizeof steps / sizeof *steps);
+    return scenario_run_step(scenario, steps, sizeof steps / sizeof *steps);
 }
--- a/tests/scenario_play.h
+++ b/tests/scenario_play.h
@@ -1,59 +1,66 @@
-/* A scenario that is being played: the state of one run, shared by the files that know its steps.
- * scenario.c reads the lines and owns the run. */
+/* The state of a running scenario, shared by the files that implement the steps. scenario.c owns it
+ * and reads the lines; its head lists the steps. */
 #ifndef SCENARIO_PLAY_H
 #define SCENARIO_PLAY_H
 #include "behaviour_digest.h"
 #include "brambledoor/log.h"
 #include "core/core.h"
 
-#define PLAY_WORDS_MAX 64 /* of a line */
+#define SCENARIO_WORDS_MAX 64 /* in a line; the rest is ignored */
 
-struct play {
+struct scenario {
     struct bd_settings settings;
     struct bd_log log;
-    struct bd_core *core;      /* NULL until the first step after the settings */
-    struct bd_effect *effects; /* emitted, and not yet expected or cleared */
-    /* the line */
-    char *words[PLAY_WORDS_MAX];
-    int nwords, line_number;
-    const char *path, *text; /* text: the whole line */
-    int faults;
-    uint64_t store_revision, heartbeat_seq;
-    json_t *drains, *sets;           /* their records; NULL: none */
+    struct bd_core *core;            /* NULL until the first step after the settings */
+    struct bd_effect *effects;       /* emitted, but not yet expected or cleared */
+    char *words[SCENARIO_WORDS_MAX]; /* of the present line */
+    int word_count, line_number;
+    const char *path, *text; /* of the file; the whole present line */
+    int failures;
+    uint64_t store_revision;         /* of the last transaction */
+    uint64_t heartbeat_seq;          /* of the last heartbeat_running */
+    json_t *drain_records;           /* in the store; NULL: none yet */
+    json_t *drain_parts;             /* likewise: the records of the drains' machines */
     struct behaviour_digest *digest; /* NULL: none is computed */
 };
 
-/* One kind of line: its first word, how many words it needs, and what it does. */
-struct play_step {
-    const char *verb;
-    int words_min;
-    void (*run)(struct play *play);
+struct scenario_step {
+    const char *name; /* first word of the line */
+    int words_min;    /* with the name */
+    void (*run)(struct scenario *scenario);
 };
 
-/* scenario_line.c. False: the line is none of these. */
-bool play_run_step(struct play *play, const struct play_step *steps, size_t count);
-void play_fail(struct play *play, const char *what);
-/* The value of a word `key=value` of the line, or NULL; as a number; as a switch. */
-const char *play_text(struct play *play, const char *key);
-double play_number(struct play *play, const char *key, double fallback);
-bool play_flag(struct play *play, const char *key);
-/* The attempt that a number or @TERM.N names. */
-uint64_t play_attempt(const char *text);
-/* The store's revision after one more transaction. */
-uint64_t play_next_revision(struct play *play);
-
-/* Steps before the core is made. */
-void play_set(struct play *play);      /* scenario_settings.c */
-void play_draining(struct play *play); /* scenario_drain.c */
-
-/* Each plays the line if it is one of its steps. False: it is not. */
-bool play_settings_step(struct play *play);
-bool play_job_step(struct play *play);
-bool play_machine_step(struct play *play);
-bool play_leader_step(struct play *play);
-bool play_expect_step(struct play *play);
-bool play_drain_step(struct play *play);
-
-/* scenario_expect.c */
-void play_clear_effects(struct play *play);
+/* ---- scenario_line.c ---- */
+
+/* Runs the step of the present line. False: it is none of these steps. */
+bool scenario_run_step(struct scenario *scenario, const struct scenario_step *steps, size_t count);
+/* Reports the present line as failed; the scenario continues. */
+void scenario_fail(struct scenario *scenario, const char *reason);
+/* The value of the word `key=value` in the present line. NULL: there is none. */
+const char *scenario_find_text(struct scenario *scenario, const char *key);
+/* Likewise as a number. */
+double scenario_find_number(struct scenario *scenario, const char *key, double fallback);
+/* Likewise as a flag: whether the number is not 0. */
+bool scenario_find_flag(struct scenario *scenario, const char *key);
+/* The number of the attempt that the text names, as a number or as @TERM.N. */
+uint64_t scenario_parse_attempt(const char *text);
+/* Counts a transaction of the store. Returns the new revision. */
+uint64_t scenario_next_revision(struct scenario *scenario);
+
+/* ---- Steps that precede the creation of the core ---- */
+
+void scenario_run_set(struct scenario *scenario);      /* scenario_settings.c */
+void scenario_run_draining(struct scenario *scenario); /* scenario_drain.c */
+
+/* ---- All other steps. False: the present line is none of the file's steps. ---- */
+
+bool scenario_run_settings_step(struct scenario *scenario);
+bool scenario_run_job_step(struct scenario *scenario);
+bool scenario_run_machine_step(struct scenario *scenario);
+bool scenario_run_leader_step(struct scenario *scenario);
+bool scenario_run_expect_step(struct scenario *scenario);
+bool scenario_run_drain_step(struct scenario *scenario);
+
+/* Drops the effects that wait. */
+void scenario_clear_effects(struct scenario *scenario);
 #endif
--- a/tests/test_settings.h
+++ b/tests/test_settings.h
@@ -5,22 +5,22 @@
 #include "brambledoor/settings.h"
 #include <stdio.h>
 
-static inline void test_settings_init(struct bd_settings *s)
+static inline void test_settings_init(struct bd_settings *settings)
 {
-    snprintf(s->node, sizeof s->node, "node-0");
-    s->heartbeat_interval = bd_secs(2);
-    s->lease = bd_secs(10);
-    s->cancel = bd_secs(35);
-    s->gang_wait = bd_secs(30);
-    s->gang_peer = bd_secs(4);
-    s->list_lag = bd_secs(5);
-    s->kv_writes_per_s = 100;
-    s->kv_requests_per_s = 200;
-    s->cloud_requests_per_s = 3;
-    s->kv_value_bytes_max = 8192;
-    s->kv_txn_ops_max = 24;
-    s->ram_mb = 1;
-    s->headroom_share = 0;
-    s->idle_boots = 1;
+    snprintf(settings->node, sizeof settings->node, "node-0");
+    settings->heartbeat_interval = bd_secs(2);
+    settings->lease = bd_secs(10);
+    settings->cancel = bd_secs(35);
+    settings->gang_wait = bd_secs(30);
+    settings->gang_peer = bd_secs(4);
+    settings->list_lag = bd_secs(5);
+    settings->kv_writes_per_s = 100;
+    settings->kv_requests_per_s = 200;
+    settings->cloud_requests_per_s = 3;
+    settings->kv_value_bytes_max = 8192;
+    settings->kv_txn_ops_max = 24;
+    settings->ram_mb = 1;
+    settings->headroom_share = 0;
+    settings->idle_boots = 1;
 }
 #endif
