--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -3,14 +3,14 @@
  * until `expect` removes them or `clear_effects` drops them all.
  *
  * Times are in seconds since the scenario's start, which is 100 s of the steady clock and 1000 s of
- * the time of day. vm-1 is a machine, node-1 another controller,
- * a zone or a team has a letter, job-1/0 is task 0 of job-1, and @T.N is attempt N of term T.
+ * the time of day. vm-1 is a machine, node-1 a peer (another controller), a and b are zones or
+ * teams, job-1/0 is task 0 of job-1, and @T.N is attempt N of term T.
  *
  * Before all other steps:
  * - set lease_s=10 cancel_s=35 heartbeat_interval_s=2 leader_ttl_s=3 txn_ops=24 value_bytes=8192
  *   writes_per_s=100 zones=a,b team=NAME:CPUS:CPUS_QUOTA:GPUS:GPUS_QUOTA slo=CLASS:SECONDS:SHARE
  *   settings, each of them optional
- * - set zone=a peer=node-1:b   the controller's own zone; another controller and its zone
+ * - set zone=a peer=node-1:b   this controller's zone; a peer and its zone
  * - draining (...)   enables draining; the fields of the settings' `draining` entry
  *
  * Settings and time, scenario_settings.c:
@@ -20,8 +20,12 @@
  * - expect_kv_limits BYTES CHANGES   the present limits of a value and of a transaction
  *
  * Jobs and users, scenario_jobs.c:
- * - job job-1 revision=5 tasks=2 cpus=2 ... [state=done|cancelled] [parents=job-2,job-3]
- *   [parent_parts=HASH:N]   the replica receives a change of the job's record
+ * - job job-1 revision=5 tasks=2 cpus=2 gpus=0 mem_gb=1 kind=array|gang|service class=k team=a
+ *   priority=0...3 image=img image_gb=0 zone=a estimate_s=0 deadline_s=60 spot=0 same_zone=0
+ *   spread_zones=0 checkpoint_interval_s=0 checkpoint_save_s=0 state=done|cancelled
+ *   ended_at_s=900 parents=job-2,job-3 parent_parts=HASH:N
+ *   the replica receives a change of the job's record. All keys are optional. ended_at_s: by the
+ *   time of day
  * - parents_part job-1/HASH/0 job-7,job-8   likewise a part of a job's list of parents
  * - job_record_json job-1 REVISION {...}   likewise any record, also a damaged one
  * - records_listed   the first listing of all records is complete
@@ -60,8 +64,8 @@
  * - leader_observed node-1 REVISION [dismissed=1]   the leader's key was read; `- 0`: there is none
  * - delegate_records_read [p/node-1:REVISION:vm-1,vm-2 ...]   this leader read the delegates'
  *   records
- * - read_delegates_until 28   advances the clock to 28 s; every 2 s this leader reads that there
- * are no delegates
+ * - read_delegates_until 28   advances the clock to 28 s; every 2 s this leader reads the records
+ *   of the delegates and finds none
  * - lead_until 28 [node-1:20 ...]   advances the clock to 28 s; every 2 s this leader is renewed,
  *   reads the peers' liveness records (node-1 wrote its own at 20 s) and ticks
  * - liveness_sent | liveness_written   this controller's own liveness record
@@ -71,16 +75,16 @@
  * - expect_healthy 0|1   whether GET /up reports this controller as up
  *
  * What is expected, scenario_expect.c:
- * - expect KIND TEXT...   removes the first effect of the kind that contains all the texts; a
- * number also matches the status
+ * - expect KIND TEXT...   removes the first effect of the kind that contains all the texts; a text
+ *   also matches an equal status. KIND: one of effect_kind_names
  * - expect_none KIND [TEXT...]   no such effect waits
  * - clear_effects
  * - expect_task job-1/0 pending|planned|launching|confirmed|unknown|done [vm-1]
  * - expect_team a [cpus=2] [gpus=0]   what the team uses
  *
  * Draining, scenario_drain.c:
- * - drain NAME retire|replace [state=paused] [revision=N] vm-1 vm-2 ...   a drain's record appears
- * or changes in the store; the machines' records come with it the first time
+ * - drain NAME retire|replace [state=paused] [revision=N] vm-1 vm-2 ...   writes a drain's record
+ *   to the store, the first time with its machines' records
  * - drain_stage NAME vm-1 STAGE   changes the machine's record in the store, as an earlier leader
  *   did
  * - drain_record_json NAME JSON   any record of a drain, also a damaged one
@@ -88,13 +92,11 @@
  * - heartbeat_running vm-1 [type=TYPE] [zone=ZONE] [incarnation=1] [notice_s=5] [ignore_stops=1]
  *   [fetching=vm-1]   the machine's tasks all run, or have stopped if that was requested
  * - run_for 12.5 [vm-1 ...] [no_answer=vm-2] [fetching=vm-3]   time passes in steps of 0.5 s:
- *   renewal, refresh, tick, commit. The machines send heartbeat_running each second. Direct
- * commands to the machine of no_answer get no response; on that of fetching no further task begins
- * to run
+ *   renewal, refresh, tick, commit. The machines send heartbeat_running each second. no_answer:
+ *   direct commands to this machine get no response; fetching: no further task begins to run on it
  * - expect_drain_machine NAME vm-1 STAGE [wait=REASON-WITH-DASHES] [team=a] [replacement=vm-9]
  * - expect_ledger TEAM[:CLASS] [down=N] [up=N]   what the disruption ledger counts
- * - expect_drain_request {json} => ok | STATUS FIELD   an administrator's request is valid or
- * refused
+ * - expect_drain_request {json} => ok | STATUS FIELD   whether an administrator's request is valid
  * - expect_drain_selection {json} vm-1:TYPE:ZONE ... => ok vm-1 ... | STATUS FIELD   which of the
  *   listed machines the request selects
  *
--- a/tests/scenario_drain.c
+++ b/tests/scenario_drain.c
@@ -45,6 +45,7 @@
     return json_pack("{s:s,s:o,s:I}", "k", key, "value", value, "mark", (json_int_t)revision);
 }
 
+/* Replaces the pair with the same key, or appends it. */
 static void replace_pair(json_t *pairs, json_t *replacement)
 {
     json_t *item;
@@ -76,7 +77,8 @@
                           make_pair(key, bd_drain_part_encode(machines, count), 1));
 }
 
-static enum bd_drain_state drain_state(const char *text)
+/* Compares 4 letters: a state of two words has a dash here. NULL: active. */
+static enum bd_drain_state parse_drain_state(const char *text)
 {
     for (int i = 0; text && i < 4; i++)
         if (strncmp(bd_drain_state_name((enum bd_drain_state)i), text, 4) == 0)
@@ -91,7 +93,7 @@
     snprintf(record.name, sizeof record.name, "%s", scenario->words[1]);
     snprintf(record.set, sizeof record.set, "%.15s", scenario->words[1]);
     record.mode = strcmp(scenario->words[2], "retire") == 0 ? BD_DRAIN_RETIRE : BD_DRAIN_REPLACE;
-    record.state = drain_state(scenario_find_text(scenario, "state"));
+    record.state = parse_drain_state(scenario_find_text(scenario, "state"));
     record.at = scenario_find_number(scenario, "at", scenario->core->wall);
     snprintf(key, sizeof key, BD_DRAIN_KEY "%s", scenario->words[1]);
     if (!scenario->drain_records) {
@@ -191,8 +193,8 @@
 
 /* Fills in the heartbeat of a machine whose tasks all run, or have stopped if that was requested.
  */
-static void fill_running(struct scenario *scenario, const char *id, struct bd_heartbeat *heartbeat,
-                         struct bd_reported_task *tasks)
+static void fill_running_heartbeat(struct scenario *scenario, const char *id,
+                                   struct bd_heartbeat *heartbeat, struct bd_reported_task *tasks)
 {
     struct bd_machine *machine = NULL;
     HASH_FIND_STR(scenario->core->machines, id, machine);
@@ -238,7 +240,7 @@
     }
 }
 
-static void report_running(struct scenario *scenario, const char *id)
+static void send_running_heartbeat(struct scenario *scenario, const char *id)
 {
     struct bd_heartbeat heartbeat;
     struct bd_reported_task tasks[SCENARIO_WORDS_MAX];
@@ -246,31 +248,31 @@
     HASH_FIND_STR(scenario->core->machines, id, machine);
     if (machine && machine->gone)
         return;
-    fill_running(scenario, id, &heartbeat, tasks);
+    fill_running_heartbeat(scenario, id, &heartbeat, tasks);
     bd_worker_heartbeat_received(scenario->core, NULL, &heartbeat, "{}", 2);
 }
 
 static void step_heartbeat_running(struct scenario *scenario)
 {
-    report_running(scenario, scenario->words[1]);
+    send_running_heartbeat(scenario, scenario->words[1]);
 }
 
 /* Completes the direct commands and the scale-ins among the new effects. The effects stay, for
  * `expect`. */
 static void complete_effects(struct scenario *scenario)
 {
-    struct bd_effect **at = &scenario->effects;
-    while (*at)
-        at = &(*at)->next;
-    *at = bd_effects_take(scenario->core);
-    for (const struct bd_effect *effect = *at; effect; effect = effect->next) {
+    struct bd_effect **tail = &scenario->effects;
+    while (*tail)
+        tail = &(*tail)->next;
+    *tail = bd_effects_take(scenario->core);
+    for (const struct bd_effect *effect = *tail; effect; effect = effect->next) {
         struct bd_heartbeat heartbeat;
         struct bd_reported_task tasks[SCENARIO_WORDS_MAX];
         if (effect->kind == BD_EFFECT_DIRECT_COMMAND) {
             const char *id = scenario->core->by_index[effect->machine]->id,
                        *unresponsive = scenario_find_text(scenario, "no_answer");
             bool responds = !unresponsive || strcmp(unresponsive, id) != 0;
-            fill_running(scenario, id, &heartbeat, tasks);
+            fill_running_heartbeat(scenario, id, &heartbeat, tasks);
             bd_worker_direct_command_completed(scenario->core, effect->machine,
                                                effect->fencing_token, effect->launch,
                                                responds ? 200 : 0, &heartbeat);
@@ -287,7 +289,7 @@
 static void step_run_for(struct scenario *scenario)
 {
     double now = bd_to_secs(scenario->core->now) - 100, to = now + strtod(scenario->words[1], NULL);
-    for (int half = 0; now < to; half++) {
+    for (int half_seconds = 0; now < to; half_seconds++) {
         now = now + 0.5 < to ? now + 0.5 : to;
         bd_core_set_clock(scenario->core, bd_secs(100 + now), 1000 + now);
         bd_leadership_renewed(scenario->core, 7, scenario->core->now);
@@ -295,9 +297,9 @@
         bd_replica_refreshed(scenario->core, scenario->core->replica.store_revision,
                              scenario->core->replica.store_revision, scenario->core->now,
                              scenario->core->replica.barrier_in_flight, true);
-        for (int i = 2; i < scenario->word_count && half % 2 == 0; i++)
+        for (int i = 2; i < scenario->word_count && half_seconds % 2 == 0; i++)
             if (!strchr(scenario->words[i], '='))
-                report_running(scenario, scenario->words[i]);
+                send_running_heartbeat(scenario, scenario->words[i]);
         step_drain_records_read(scenario);
         bd_core_tick(scenario->core);
         uint64_t revision = scenario_next_revision(scenario);
--- a/tests/scenario_expect.c
+++ b/tests/scenario_expect.c
@@ -1,5 +1,4 @@
-/* The steps of scenarios that compare the effects and the state of the core with the expected ones.
- */
+/* The steps of scenarios that compare effects and state of the core with the expected ones. */
 #include "model/effect.h"
 #include "model/task.h"
 #include "scenario_play.h"
@@ -55,11 +54,11 @@
 
 static struct bd_effect **find_effect(struct scenario *scenario)
 {
-    struct bd_effect **at = &scenario->effects;
-    for (; *at; at = &(*at)->next)
-        if (strcmp(effect_kind_names[(*at)->kind], scenario->words[1]) == 0 &&
-            effect_matches(scenario, *at))
-            return at;
+    struct bd_effect **link = &scenario->effects;
+    for (; *link; link = &(*link)->next)
+        if (strcmp(effect_kind_names[(*link)->kind], scenario->words[1]) == 0 &&
+            effect_matches(scenario, *link))
+            return link;
     return NULL;
 }
 
@@ -73,23 +72,23 @@
 
 static void step_expect(struct scenario *scenario)
 {
-    struct bd_effect **at = find_effect(scenario);
-    if (!at) {
+    struct bd_effect **link = find_effect(scenario);
+    if (!link) {
         scenario_fail(scenario, "no effect matches");
         print_effects(scenario->effects);
         return;
     }
-    struct bd_effect *effect = *at;
-    *at = effect->next;
+    struct bd_effect *effect = *link;
+    *link = effect->next;
     bd_effect_free(effect);
 }
 
 static void step_expect_none(struct scenario *scenario)
 {
-    struct bd_effect **at = find_effect(scenario);
-    if (at) {
+    struct bd_effect **link = find_effect(scenario);
+    if (link) {
         scenario_fail(scenario, "an effect matches");
-        print_effects(*at);
+        print_effects(*link);
     }
 }
 
--- a/tests/scenario_jobs.c
+++ b/tests/scenario_jobs.c
@@ -191,15 +191,15 @@
 
 static void step_user_txn_completed(struct scenario *scenario)
 {
-    struct bd_effect **at = &scenario->effects;
-    while (*at && (*at)->kind != BD_EFFECT_USER_TXN)
-        at = &(*at)->next;
-    struct bd_effect *effect = *at;
+    struct bd_effect **link = &scenario->effects;
+    while (*link && (*link)->kind != BD_EFFECT_USER_TXN)
+        link = &(*link)->next;
+    struct bd_effect *effect = *link;
     if (!effect) {
         scenario_fail(scenario, "no user_txn waits");
         return;
     }
-    *at = effect->next;
+    *link = effect->next;
     uint64_t revision = scenario_next_revision(scenario);
     bd_user_txn_completed(scenario->core, NULL, effect->key, effect->body, effect->purpose,
                           strtol(scenario->words[1], NULL, 10), revision);
--- a/tests/scenario_leader.c
+++ b/tests/scenario_leader.c
@@ -106,21 +106,21 @@
 
 static void step_lead_until(struct scenario *scenario)
 {
-    double to = strtod(scenario->words[1], NULL), at = bd_to_secs(scenario->core->now) - 100;
+    double end_s = strtod(scenario->words[1], NULL), now_s = bd_to_secs(scenario->core->now) - 100;
     json_t *pairs = json_array();
     for (int i = 2; i < scenario->word_count; i++) {
         char node[64], key[BD_LABEL_BYTES + 8];
-        double seen = 0;
-        if (numbers_after_name(scenario->words[i], node, sizeof node, &seen, 1) != 1)
+        double written_s = 0;
+        if (numbers_after_name(scenario->words[i], node, sizeof node, &written_s, 1) != 1)
             scenario_fail(scenario, "liveness records have the form NODE:SECONDS");
         snprintf(key, sizeof key, "p/%s/at", node);
-        json_array_append_new(
-            pairs, json_pack("{s:s,s:{s:f},s:i}", "k", key, "value", "at", 1000 + seen, "mark", 1));
+        json_array_append_new(pairs, json_pack("{s:s,s:{s:f},s:i}", "k", key, "value", "at",
+                                               1000 + written_s, "mark", 1));
     }
-    for (bool more = true; more;) {
-        at = at + 2 < to ? at + 2 : to;
-        more = at < to;
-        bd_core_set_clock(scenario->core, bd_secs(100 + at), 1000 + at);
+    for (bool has_more = true; has_more;) {
+        now_s = now_s + 2 < end_s ? now_s + 2 : end_s;
+        has_more = now_s < end_s;
+        bd_core_set_clock(scenario->core, bd_secs(100 + now_s), 1000 + now_s);
         bd_leadership_renewed(scenario->core, 7, scenario->core->now);
         bd_delegate_records_read(scenario->core, pairs, scenario->core->now);
         bd_core_tick(scenario->core);
@@ -130,24 +130,25 @@
 
 static void step_read_delegates_until(struct scenario *scenario)
 {
-    double to = strtod(scenario->words[1], NULL), at = bd_to_secs(scenario->core->now) - 100;
-    json_t *none = json_array();
-    at += 2;
-    while (at < to) {
-        bd_core_set_clock(scenario->core, bd_secs(100 + at), 1000 + at);
-        bd_delegate_records_read(scenario->core, none, scenario->core->now);
-        at += 2;
+    double end_s = strtod(scenario->words[1], NULL), now_s = bd_to_secs(scenario->core->now) - 100;
+    json_t *no_records = json_array();
+    now_s += 2;
+    while (now_s < end_s) {
+        bd_core_set_clock(scenario->core, bd_secs(100 + now_s), 1000 + now_s);
+        bd_delegate_records_read(scenario->core, no_records, scenario->core->now);
+        now_s += 2;
     }
-    bd_core_set_clock(scenario->core, bd_secs(100 + to), 1000 + to);
-    bd_delegate_records_read(scenario->core, none, scenario->core->now);
-    json_decref(none);
+    bd_core_set_clock(scenario->core, bd_secs(100 + end_s), 1000 + end_s);
+    bd_delegate_records_read(scenario->core, no_records, scenario->core->now);
+    json_decref(no_records);
 }
 
 static void step_delegate_txn_completed(struct scenario *scenario)
 {
-    bool known = scenario->word_count < 3;
+    bool revision_known = scenario->word_count < 3;
     bd_delegate_txn_completed(scenario->core, strtol(scenario->words[1], NULL, 10),
-                              scenario_next_revision(scenario), scenario->core->now, known);
+                              scenario_next_revision(scenario), scenario->core->now,
+                              revision_known);
 }
 
 static void step_leader_txn_completed(struct scenario *scenario)
