--- a/src/adapters/admin_store.c
+++ b/src/adapters/admin_store.c
@@ -84,7 +84,7 @@
                          struct bd_stored_drain *out)
 {
     char path[PATH_BYTES];
-    struct bd_change pair;
+    struct bd_kv_change pair;
     uint64_t grant;
     out->answer = NULL;
     snprintf(path, sizeof path, BD_PATH_KEYS "/" BD_DRAIN_KEY "%s", name);
@@ -132,7 +132,7 @@
 struct bd_admin_response bd_admin_list(const struct bd_admin_store *store)
 {
     struct bd_drain_record record;
-    struct bd_change pair;
+    struct bd_kv_change pair;
     json_t *value;
     size_t i;
     json_t *pairs = bd_kv_list(store->node, store->http, BD_DRAIN_KEY);
@@ -156,7 +156,7 @@
                           struct bd_drain_machine **machines, uint32_t *count)
 {
     char prefix[BD_LABEL_BYTES];
-    struct bd_change pair;
+    struct bd_kv_change pair;
     json_t *value;
     size_t i;
     snprintf(prefix, sizeof prefix, BD_DRAIN_SET_KEY "%s/", set);
--- a/src/adapters/election.c
+++ b/src/adapters/election.c
@@ -36,7 +36,7 @@
 static bool load_sequence(struct bd_candidate *candidate, struct bd_acquisition *acquisition)
 {
     json_t *answer = NULL;
-    struct bd_change pair;
+    struct bd_kv_change pair;
     uint64_t grant;
     long status = bd_kv_call(candidate->node, candidate->http, "GET", BD_PATH_KEYS "/w", NULL,
                              bd_election_timeout_s(candidate), &answer);
--- a/src/adapters/election_lease.c
+++ b/src/adapters/election_lease.c
@@ -58,8 +58,8 @@
 }
 
 /* The lease by the key's value, which names the leader's node and the acquisition's nonce. */
-static enum bd_lease_view judge_holder(struct bd_candidate *candidate, const struct bd_change *pair,
-                                       struct timespec sent)
+static enum bd_lease_view judge_holder(struct bd_candidate *candidate,
+                                       const struct bd_kv_change *pair, struct timespec sent)
 {
     const char *node = json_string_value(json_object_get(pair->value, "node"));
     const char *nonce = json_string_value(json_object_get(pair->value, "nonce"));
@@ -78,7 +78,7 @@
 enum bd_lease_view bd_lease_observe(struct bd_candidate *candidate, uint64_t *revision)
 {
     json_t *answer = NULL;
-    struct bd_change pair;
+    struct bd_kv_change pair;
     uint64_t grant;
     enum bd_lease_view view = BD_LEASE_UNKNOWN;
     struct timespec sent = bd_now();
--- a/src/adapters/kv_client.c
+++ b/src/adapters/kv_client.c
@@ -41,7 +41,7 @@
 {
     char path[PATH_BYTES];
     json_t *page = NULL;
-    struct bd_change last;
+    struct bd_kv_change last;
     if (*after)
         snprintf(path, sizeof path, BD_PATH_LIST "%s&after=%s&limit=" PAGE_PAIRS, prefix, after);
     else
--- a/src/adapters/kv_leader_writer.c
+++ b/src/adapters/kv_leader_writer.c
@@ -50,7 +50,7 @@
 static enum sequence_view read_sequence(struct attempt *attempt)
 {
     json_t *answer = NULL;
-    struct bd_change pair;
+    struct bd_kv_change pair;
     uint64_t grant;
     enum sequence_view view = SEQUENCE_UNKNOWN;
     long status = bd_kv_call(attempt->node, attempt->http, "GET", BD_PATH_KEYS "/w", NULL,
--- a/src/adapters/kv_user_writer.c
+++ b/src/adapters/kv_user_writer.c
@@ -24,7 +24,7 @@
 {
     char path[PATH_BYTES];
     json_t *answer = NULL;
-    struct bd_change pair;
+    struct bd_kv_change pair;
     uint64_t grant;
     snprintf(path, sizeof path, BD_PATH_KEYS "/%s", key);
     long status = bd_kv_call(node, http, "GET", path, NULL, BD_KV_TIMEOUT_S, &answer);
--- a/src/adapters/peer_listener.c
+++ b/src/adapters/peer_listener.c
@@ -68,10 +68,10 @@
     if (frame->type != BD_FRAME_PEER_STATUS)
         return false;
     bool is_same = connection->term == frame->term && connection->flags == frame->flags &&
-                   strcmp(connection->name, frame->name) == 0;
+                   strcmp(connection->name, frame->sender) == 0;
     connection->term = frame->term;
     connection->flags = frame->flags;
-    memcpy(connection->name, frame->name, sizeof connection->name);
+    memcpy(connection->name, frame->sender, sizeof connection->name);
     return is_same;
 }
 
--- a/src/adapters/peer_transport.c
+++ b/src/adapters/peer_transport.c
@@ -280,7 +280,7 @@
     if (pthread_mutex_init(&node->status_lock, NULL) != 0)
         return -1;
     node->status.type = BD_FRAME_PEER_STATUS;
-    snprintf(node->status.name, sizeof node->status.name, "%s", node->settings.node);
+    snprintf(node->status.sender, sizeof node->status.sender, "%s", node->settings.node);
     for (int i = 0; i < node->settings.npeers; i++) {
         node->links[i] = new_link(node, i);
         if (!node->links[i])
--- a/src/autoscaling/inventory.c
+++ b/src/autoscaling/inventory.c
@@ -21,7 +21,7 @@
 static uint32_t zones_of_type(struct bd_core *core, const struct bd_machine_type_text *text)
 {
     uint32_t zones = 0;
-    for (int i = 0; i < text->nzones; i++) {
+    for (int i = 0; i < text->zone_count; i++) {
         int zone = bd_zone_find_or_add(core, text->zones[i]);
         if (zone >= 0)
             zones |= 1u << zone;
@@ -40,12 +40,12 @@
     type->known = true;
     type->cpus = text->cpus;
     type->gpus = text->gpus;
-    type->mem = text->mem;
+    type->mem = text->mem_gb;
     type->cache_gb = text->cache_gb;
-    type->fetch = text->fetch;
+    type->fetch = text->fetch_gb_per_s;
     type->price = text->price;
     type->spot_price = text->spot_price;
-    type->boot = text->boot;
+    type->boot = text->boot_s;
     type->zones = zones_of_type(core, text);
 }
 
@@ -69,10 +69,10 @@
     machine->type = bd_type_find_or_add(core, entry->type);
     machine->zone = bd_zone_find_or_add(core, entry->zone);
     machine->spot = entry->spot;
-    machine->known_age_s = entry->age;
+    machine->known_age_s = entry->age_s;
     machine->age_known_at = core->now;
     if (!*machine->addr)
-        snprintf(machine->addr, sizeof machine->addr, "%s", entry->addr);
+        snprintf(machine->addr, sizeof machine->addr, "%s", entry->address);
     if (entry->state == BD_MACHINE_FAILED && !machine->failed) {
         machine->failed = true;
         bd_log_write(core->log, BD_LOG_INFO, "%s failed", machine->id);
--- a/src/drain/record_load.c
+++ b/src/drain/record_load.c
@@ -65,7 +65,7 @@
 }
 
 /* Applies one drain's record if it is newer than the known one. */
-static void apply_record(struct bd_core *core, const struct bd_change *change)
+static void apply_record(struct bd_core *core, const struct bd_kv_change *change)
 {
     struct bd_drain_record record;
     struct bd_drain *drain = NULL;
@@ -102,7 +102,7 @@
 static uint32_t read_parts(struct bd_drain *drain, json_t *sets)
 {
     char key[BD_LABEL_BYTES];
-    struct bd_change change;
+    struct bd_kv_change change;
     json_t *pair;
     size_t i;
     uint32_t part = 0;
@@ -137,7 +137,7 @@
 
 static void apply_records(struct bd_core *core, json_t *records)
 {
-    struct bd_change change;
+    struct bd_kv_change change;
     json_t *pair;
     size_t i;
     for (struct bd_drain *drain = core->drains->drains; drain; drain = drain->hh.next)
--- a/src/drain/step_plan.c
+++ b/src/drain/step_plan.c
@@ -246,7 +246,7 @@
 void bd_drain_plan_step(struct bd_core *core)
 {
     /* such a controller would, as leader, place tasks on cordoned machines and ignore budgets */
-    if (bd_peer_lacks_feature(core, BD_PEER_KNOWS_DRAINS)) {
+    if (bd_peer_lacks_feature(core, BD_PEER_SUPPORTS_DRAINS)) {
         set_all_waiting(core, BD_DRAIN_WAIT_OLDER_CONTROLLER);
         return;
     }
--- a/src/jobs/admission.c
+++ b/src/jobs/admission.c
@@ -108,7 +108,7 @@
     else if (parents->has_service)
         bd_effect_reply_error(core, request, 422, "awaits a service, which is never done", 0);
     /* an older controller that leads would start the job too early, and lose its parents */
-    else if (admission->parents && bd_peer_lacks_feature(core, BD_PEER_KNOWS_DAG))
+    else if (admission->parents && bd_peer_lacks_feature(core, BD_PEER_SUPPORTS_DEPENDENCIES))
         bd_effect_reply_error(core, request, 503, "an older controller serves beside this one",
                               BD_KV_OUTAGE_RETRY_S);
     else
--- a/src/jobs/admission_record.c
+++ b/src/jobs/admission_record.c
@@ -76,7 +76,8 @@
 {
     struct bd_job_record_parents *parents = &admission->record.parents;
     char key[2 * BD_LABEL_BYTES];
-    snprintf(key, sizeof key, "j/%s/%s/%u", admission->id, parents->of, parents->parts++);
+    snprintf(key, sizeof key, "j/%s/%s/%u", admission->id, parents->parts_hash,
+             parents->part_count++);
     json_t *names = take_names_for_part(core, admission->parents, next);
     bd_txn_put(txn, key, bd_wire_write_parents_part(names), 0);
 }
@@ -114,12 +115,12 @@
 {
     struct bd_job_record_parents *parents = &admission->record.parents;
     size_t next = 0, count = json_array_size(admission->parents);
-    snprintf(parents->of, sizeof parents->of, "%016llx",
+    snprintf(parents->parts_hash, sizeof parents->parts_hash, "%016llx",
              (unsigned long long)bd_wire_hash_names(admission->parents));
     while (next < count)
         if (!append_parts_txn(core, admission, &next, lines))
             return false;
-    return parents->parts <= BD_PARENT_PARTS_MAX;
+    return parents->part_count <= BD_PARENT_PARTS_MAX;
 }
 
 char *bd_admission_txns(const struct bd_core *core, struct bd_admission *admission)
--- a/src/jobs/dependency_names.c
+++ b/src/jobs/dependency_names.c
@@ -92,15 +92,15 @@
                           const struct bd_job_record_parents *parents)
 {
     bool has_names = json_array_size(parents->names) > 0;
-    job->has_had_parents = parents->damaged || parents->parts || has_names;
-    if (parents->damaged) {
+    job->has_had_parents = parents->is_unreadable || parents->part_count || has_names;
+    if (parents->is_unreadable) {
         bd_log_write(core->log, BD_LOG_ERROR, "%s: its parents cannot be read: it is not started",
                      job->id);
         job->nopen_parents = 1;
-    } else if (parents->parts) {
-        job->parent_parts = parents->parts;
+    } else if (parents->part_count) {
+        job->parent_parts = parents->part_count;
         job->nopen_parents = 1;
-        snprintf(job->parent_parts_hash, sizeof job->parent_parts_hash, "%s", parents->of);
+        snprintf(job->parent_parts_hash, sizeof job->parent_parts_hash, "%s", parents->parts_hash);
         join_parts_if_complete(core, job);
     } else if (has_names) {
         bd_dag_add_parents(core, job, parents->names);
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -29,7 +29,7 @@
 
 /* Applies one change of the store. Ignored: other keys, deletions, and revisions that are not
  * newer. */
-void bd_replica_apply(struct bd_core *core, const struct bd_change *change);
+void bd_replica_apply(struct bd_core *core, const struct bd_kv_change *change);
 /* Completes a refresh that asked for changes after `after` and was sent at `sent`; its changes have
  * been applied. barrier: it was the read barrier, whose reads are answered now. ok: it
  * succeeded. */
@@ -43,7 +43,7 @@
  * none, others: unknown. purpose: that of the effect. */
 void bd_replica_lookup_completed(struct bd_core *core, void *request, const char *id,
                                  enum bd_read_purpose purpose, long status,
-                                 const struct bd_change *change);
+                                 const struct bd_kv_change *change);
 /* A peer announced that the job's cancellation was confirmed. Until the record shows it, its tasks
  * are stopped and none is started; nothing else depends on the announcement. */
 void bd_job_cancellation_received(struct bd_core *core, const char *id);
--- a/src/jobs/pending_reads.c
+++ b/src/jobs/pending_reads.c
@@ -109,7 +109,7 @@
 
 void bd_replica_lookup_completed(struct bd_core *core, void *request, const char *id,
                                  enum bd_read_purpose purpose, long status,
-                                 const struct bd_change *change)
+                                 const struct bd_kv_change *change)
 {
     if (status == 200)
         bd_replica_apply(core, change);
--- a/src/jobs/replica.c
+++ b/src/jobs/replica.c
@@ -53,7 +53,7 @@
     snprintf(job->id, sizeof job->id, "%s", id);
     job->ntasks = record->tasks;
     job->job_class = *job_class ? bd_name_intern(&core->classes, job_class) : -1;
-    job->at = job->ready = record->at;
+    job->at = job->ready = record->submitted_at;
     job->priority = record->spec.priority;
     job->finish_by = INFINITY;
     HASH_ADD_STR(core->jobs, id, job);
@@ -81,9 +81,9 @@
 /* When a final job ended, by the time of day. */
 static double end_of(const struct bd_core *core, const struct bd_job_record *record)
 {
-    if (record->end > 0)
-        return record->end;
-    return core->replica.ready ? core->wall : record->at;
+    if (record->ended_at > 0)
+        return record->ended_at;
+    return core->replica.ready ? core->wall : record->submitted_at;
 }
 
 /* A job that was cancelled by derivation from a parent stays so until its own record is final. */
@@ -101,7 +101,7 @@
 }
 
 static void apply_record(struct bd_core *core, const char *id, const struct bd_job_record *record,
-                         const struct bd_change *change)
+                         const struct bd_kv_change *change)
 {
     struct bd_job *job = bd_job_find(core, id);
     bool is_new = !job;
@@ -111,7 +111,7 @@
         job = add_job(core, id, record);
     job->revision = change->revision;
     job->stale = false;
-    job->at = record->at;
+    job->at = record->submitted_at;
     apply_spec(core, job, record, change->value);
     if (core->role == BD_LEADER && !job->tasks && record->state == BD_JOB_ACTIVE)
         start_tracking(core, job);
@@ -121,7 +121,7 @@
     core->lead.cycle_wanted = true;
 }
 
-void bd_replica_apply(struct bd_core *core, const struct bd_change *change)
+void bd_replica_apply(struct bd_core *core, const struct bd_kv_change *change)
 {
     struct bd_job_record record;
     if (strncmp(change->key, "j/", 2) != 0 || !change->value)
--- a/src/jobs/submission.c
+++ b/src/jobs/submission.c
@@ -23,8 +23,8 @@
 static void read_submission(const struct bd_core *core, const char *body, size_t len,
                             struct submission *out)
 {
-    *out =
-        (struct submission){.record = {.state = BD_JOB_ACTIVE, .at = core->wall, .has_spec = true}};
+    *out = (struct submission){
+        .record = {.state = BD_JOB_ACTIVE, .submitted_at = core->wall, .has_spec = true}};
     json_t *json = json_loadb(body, len, JSON_REJECT_DUPLICATES, NULL);
     out->bad_field = json ? bd_wire_read_submission(json, out->id, &out->record.spec) : "body";
     if (!out->bad_field && !bd_wire_read_parents(json, &out->parents))
--- a/src/jobs/submission_feasibility.c
+++ b/src/jobs/submission_feasibility.c
@@ -12,7 +12,7 @@
 static bool fits_type(const struct bd_type *type, const struct bd_job_spec_text *spec, int zone)
 {
     return type->known && spec->cpus <= type->cpus + ROUNDING &&
-           spec->gpus <= type->gpus + ROUNDING && spec->mem <= type->mem + ROUNDING &&
+           spec->gpus <= type->gpus + ROUNDING && spec->mem_gb <= type->mem + ROUNDING &&
            (zone < 0 || (type->zones >> zone & 1));
 }
 
@@ -23,10 +23,10 @@
 
 static bool allows_type(const struct bd_job_spec_text *spec, const char *label)
 {
-    for (int i = 0; i < spec->ntypes; i++)
+    for (int i = 0; i < spec->type_count; i++)
         if (strcmp(spec->types[i], label) == 0)
             return true;
-    return spec->ntypes < 0;
+    return spec->type_count < 0;
 }
 
 /* The zones, as bits, in which the job's tasks could run. */
--- a/src/jobs/user_requests.c
+++ b/src/jobs/user_requests.c
@@ -91,7 +91,8 @@
  * that have been lowered since. */
 json_t *bd_job_cancelled_record(const struct bd_job *job)
 {
-    struct bd_job_record record = {.state = BD_JOB_CANCELLED, .tasks = job->ntasks, .at = job->at};
+    struct bd_job_record record = {
+        .state = BD_JOB_CANCELLED, .tasks = job->ntasks, .submitted_at = job->at};
     json_t *json = bd_wire_write_record(&record);
     if (json && job->record_spec)
         json_object_set_new(json, "job", bd_wire_write_cancelled_spec(job->record_spec));
--- a/src/leadership/commit.c
+++ b/src/leadership/commit.c
@@ -97,8 +97,10 @@
     struct bd_commit *commit = core->lead.commit;
     if (commit->ndone == BD_CYCLE_JOBS_MAX || !bd_txn_builder_fits(builder, 1, 1, DONE_TXN_BYTES))
         return false;
-    struct bd_job_record record = {
-        .state = BD_JOB_DONE, .tasks = job->ntasks, .at = job->at, .end = core->wall};
+    struct bd_job_record record = {.state = BD_JOB_DONE,
+                                   .tasks = job->ntasks,
+                                   .submitted_at = job->at,
+                                   .ended_at = core->wall};
     snprintf(record.spec.job_class, sizeof record.spec.job_class, "%s",
              bd_job_class_name(core, job->job_class));
     bd_txn_builder_put_job(builder, job, bd_wire_write_record(&record), DONE_RECORD_BYTES);
--- a/src/leadership/reconciliation.c
+++ b/src/leadership/reconciliation.c
@@ -59,7 +59,7 @@
 static void load_pairs(struct bd_core *core, json_t *pairs,
                        void (*load)(struct bd_core *core, const char *key, json_t *value))
 {
-    struct bd_change change;
+    struct bd_kv_change change;
     json_t *pair;
     size_t i;
     json_array_foreach(pairs, i, pair)
--- a/src/model/catalog.c
+++ b/src/model/catalog.c
@@ -86,8 +86,8 @@
     bool is_nowhere = *text->zone && spec->zone < 0;
     if (is_nowhere)
         return;
-    spec->any_type = text->ntypes < 0;
-    for (int i = 0; i < text->ntypes; i++) {
+    spec->any_type = text->type_count < 0;
+    for (int i = 0; i < text->type_count; i++) {
         int type = bd_type_find_or_add(core, text->types[i]);
         if (type >= 0)
             spec->types |= 1u << type;
@@ -105,9 +105,9 @@
         .priority = text->priority,
         .cpus = text->cpus,
         .gpus = text->gpus,
-        .mem = text->mem,
+        .mem = text->mem_gb,
         .image_gb = text->image_gb,
-        .estimate = text->estimate,
+        .estimate = text->estimate_s,
         .checkpoint_interval_s = text->checkpoint_interval_s,
         .checkpoint_save_s = text->checkpoint_save_s,
         .deadline_s = text->deadline_s,
--- a/src/runtime/effect_dispatch.c
+++ b/src/runtime/effect_dispatch.c
@@ -38,8 +38,8 @@
     struct bd_frame frame;
     frame.type =
         effect->kind == BD_EFFECT_FORWARD_HEARTBEAT ? BD_FRAME_HEARTBEAT : BD_FRAME_HEARTBEAT_REPLY;
-    snprintf(frame.name, sizeof frame.name, "%s", node->settings.node);
-    frame.id = effect->forward_id;
+    snprintf(frame.sender, sizeof frame.sender, "%s", node->settings.node);
+    frame.heartbeat_id = effect->forward_id;
     frame.status = (uint16_t)effect->status;
     frame.text = effect->body;
     frame.len = effect->body ? (uint32_t)strlen(effect->body) : 0;
@@ -57,7 +57,7 @@
     frame.len = (uint32_t)strlen(job_id);
     frame.count = 0;
     for (int i = 0; i < node->settings.npeers; i++)
-        if (node->core->peers[i].flags & BD_PEER_READS_CANCELLATIONS)
+        if (node->core->peers[i].flags & BD_PEER_SUPPORTS_CANCELLATION_FRAMES)
             (void)bd_transport_send(node, i, &frame);
 }
 
--- a/src/runtime/event_apply.c
+++ b/src/runtime/event_apply.c
@@ -71,7 +71,7 @@
 /* A malformed record counts as no answer. */
 static void apply_job_lookup(struct bd_node *node, const struct bd_event *event)
 {
-    struct bd_change change;
+    struct bd_kv_change change;
     uint64_t grant;
     const struct bd_event_job_lookup *lookup = &event->job_lookup;
     long status = lookup->status;
@@ -102,7 +102,7 @@
 
 static void apply_changes(struct bd_core *core, json_t *changes)
 {
-    struct bd_change change;
+    struct bd_kv_change change;
     json_t *value;
     size_t i;
     json_array_foreach(changes, i, value)
@@ -219,15 +219,16 @@
 {
     const struct bd_heartbeat *heartbeat = bd_heartbeat_cache_read(node->heartbeats, text, len);
     if (heartbeat)
-        bd_worker_heartbeat_forwarded(node->core, frame->name, frame->id, heartbeat, text, len);
+        bd_worker_heartbeat_forwarded(node->core, frame->sender, frame->heartbeat_id, heartbeat,
+                                      text, len);
 }
 
 static void apply_peer_status(struct bd_core *core, const struct bd_frame *frame,
                               struct timespec received)
 {
-    double kv_age_s = frame->age_ms / 1000.0;
-    double sent_wall_s = (double)frame->at_ms / 1000.0;
-    bd_peer_status_received(core, frame->name, frame->term, frame->flags, kv_age_s, sent_wall_s,
+    double kv_age_s = frame->kv_age_ms / 1000.0;
+    double sent_wall_s = (double)frame->wall_clock_ms / 1000.0;
+    bd_peer_status_received(core, frame->sender, frame->term, frame->flags, kv_age_s, sent_wall_s,
                             received);
 }
 
@@ -244,7 +245,8 @@
         apply_forwarded_heartbeat(node, frame, received->text, received->len);
         break;
     case BD_FRAME_HEARTBEAT_REPLY:
-        bd_forward_reply_received(core, frame->id, frame->status, received->text, received->len);
+        bd_forward_reply_received(core, frame->heartbeat_id, frame->status, received->text,
+                                  received->len);
         break;
     case BD_FRAME_CANCELLATION:
         if (received->len < BD_ID_BYTES)
--- a/src/runtime/peer_status.c
+++ b/src/runtime/peer_status.c
@@ -40,19 +40,19 @@
 {
     const struct bd_core *core = node->core;
     bool is_leader = core->role == BD_LEADER;
-    unsigned flags = BD_PEER_KNOWS_DAG | BD_PEER_READS_CANCELLATIONS;
+    unsigned flags = BD_PEER_SUPPORTS_DEPENDENCIES | BD_PEER_SUPPORTS_CANCELLATION_FRAMES;
     if (is_leader)
-        flags |= BD_PEER_LEADS;
+        flags |= BD_PEER_IS_LEADER;
     if (is_leader && core->lead.inbound_partition)
         flags |= BD_PEER_INBOUND_PARTITION;
     if (node->settings.draining)
-        flags |= BD_PEER_KNOWS_DRAINS;
+        flags |= BD_PEER_SUPPORTS_DRAINS;
     if (bd_forward_hears_leader(core))
-        flags |= BD_PEER_HEARS_LEADER;
+        flags |= BD_PEER_RECEIVES_LEADER_STATUS;
     if (kv_age_s < KV_FRESH_S && core->replica.ready)
         flags |= BD_PEER_KV_REACHABLE;
     if (bd_autonomous_zone_active(core))
-        flags |= BD_PEER_KV_LOST;
+        flags |= BD_PEER_KV_OUTAGE;
     return (uint8_t)flags;
 }
 
@@ -80,8 +80,8 @@
     (void)pthread_mutex_lock(&node->status_lock);
     node->status.term = core->role == BD_LEADER ? core->lead.term : 0;
     node->status.flags = status_flags(node, kv_age_s);
-    node->status.at_ms = (uint64_t)(core->wall * 1000);
-    node->status.age_ms = kv_age_s > AGE_MAX_S ? UNKNOWN_AGE_MS : (uint32_t)(kv_age_s * 1000);
+    node->status.wall_clock_ms = (uint64_t)(core->wall * 1000);
+    node->status.kv_age_ms = kv_age_s > AGE_MAX_S ? UNKNOWN_AGE_MS : (uint32_t)(kv_age_s * 1000);
     collect_progress(node);
     (void)pthread_mutex_unlock(&node->status_lock);
 }
--- a/src/wire/frame.c
+++ b/src/wire/frame.c
@@ -69,22 +69,22 @@
 {
     switch (frame->type) {
     case BD_FRAME_PEER_STATUS:
-        write_short_text(writer, frame->name);
+        write_short_text(writer, frame->sender);
         write_unsigned(writer, frame->term, 8);
         write_unsigned(writer, frame->flags, 1);
-        write_unsigned(writer, frame->age_ms, 4);
-        write_unsigned(writer, frame->at_ms, 8);
+        write_unsigned(writer, frame->kv_age_ms, 4);
+        write_unsigned(writer, frame->wall_clock_ms, 8);
         break;
     case BD_FRAME_JOB_PROGRESS:
         write_progress(writer, frame);
         break;
     case BD_FRAME_HEARTBEAT:
-        write_unsigned(writer, frame->id, 8);
-        write_short_text(writer, frame->name);
+        write_unsigned(writer, frame->heartbeat_id, 8);
+        write_short_text(writer, frame->sender);
         write_long_text(writer, frame->text, frame->len);
         break;
     case BD_FRAME_HEARTBEAT_REPLY:
-        write_unsigned(writer, frame->id, 8);
+        write_unsigned(writer, frame->heartbeat_id, 8);
         write_unsigned(writer, frame->status, 2);
         write_long_text(writer, frame->text, frame->len);
         break;
@@ -182,22 +182,22 @@
 {
     switch (frame->type) {
     case BD_FRAME_PEER_STATUS:
-        read_short_text(reader, frame->name, sizeof frame->name);
+        read_short_text(reader, frame->sender, sizeof frame->sender);
         frame->term = read_unsigned(reader, 8);
         frame->flags = (uint8_t)read_unsigned(reader, 1);
-        frame->age_ms = (uint32_t)read_unsigned(reader, 4);
-        frame->at_ms = read_unsigned(reader, 8);
+        frame->kv_age_ms = (uint32_t)read_unsigned(reader, 4);
+        frame->wall_clock_ms = read_unsigned(reader, 8);
         break;
     case BD_FRAME_JOB_PROGRESS:
         read_progress(reader, frame);
         break;
     case BD_FRAME_HEARTBEAT:
-        frame->id = read_unsigned(reader, 8);
-        read_short_text(reader, frame->name, sizeof frame->name);
+        frame->heartbeat_id = read_unsigned(reader, 8);
+        read_short_text(reader, frame->sender, sizeof frame->sender);
         read_long_text(reader, frame);
         break;
     case BD_FRAME_HEARTBEAT_REPLY:
-        frame->id = read_unsigned(reader, 8);
+        frame->heartbeat_id = read_unsigned(reader, 8);
         frame->status = (uint16_t)read_unsigned(reader, 2);
         read_long_text(reader, frame);
         break;
--- a/src/wire/frame.h
+++ b/src/wire/frame.h
@@ -10,7 +10,8 @@
  *   2 progress of jobs       count u16, then for each job: id short, done u32, running u32
  *   3 forwarded heartbeat    id u64, sender's name short, a worker's heartbeat long
  *   4 reply to a heartbeat   id u64, HTTP status u16, the reply's body long
- *   5 confirmed cancellation a job's id long; only to peers with BD_PEER_READS_CANCELLATIONS
+ *   5 confirmed cancellation a job's id long; only to peers with
+ * BD_PEER_SUPPORTS_CANCELLATION_FRAMES
  *
  * where "short" is a text with its length as u8 before it, "long" one with its length as u32.
  *
@@ -37,14 +38,15 @@
 /* Bits of a peer status: what a controller is and sees, and which features its version has. A
  * version that does not know a bit ignores it. */
 enum bd_peer_flag {
-    BD_PEER_LEADS = 1,
-    BD_PEER_KV_REACHABLE = 2,         /* the key-value store answers it */
-    BD_PEER_INBOUND_PARTITION = 4,    /* as leader: most workers' heartbeats do not arrive */
-    BD_PEER_HEARS_LEADER = 8,         /* the leader's statuses arrive at it */
-    BD_PEER_KV_LOST = 16,             /* the key-value store has not answered it for a while */
-    BD_PEER_KNOWS_DAG = 32,           /* feature: jobs may have parents */
-    BD_PEER_READS_CANCELLATIONS = 64, /* feature: reads frames of confirmed cancellations */
-    BD_PEER_KNOWS_DRAINS = 128        /* feature: drains machines within disruption budgets */
+    BD_PEER_IS_LEADER = 1,
+    BD_PEER_KV_REACHABLE = 2,           /* the key-value store answers it */
+    BD_PEER_INBOUND_PARTITION = 4,      /* as leader: most workers' heartbeats do not arrive */
+    BD_PEER_RECEIVES_LEADER_STATUS = 8, /* the leader's statuses arrive at it */
+    BD_PEER_KV_OUTAGE = 16,             /* the key-value store has not answered it for a while */
+    BD_PEER_SUPPORTS_DEPENDENCIES = 32, /* feature: jobs may have parents */
+    BD_PEER_SUPPORTS_CANCELLATION_FRAMES =
+        64,                       /* feature: reads frames of confirmed cancellations */
+    BD_PEER_SUPPORTS_DRAINS = 128 /* feature: drains machines within disruption budgets */
 };
 
 /* Progress of a job as the leader counts it. */
@@ -57,17 +59,17 @@
 /* A frame of any type; its type says which fields are used, the others are zero after a read. */
 struct bd_frame {
     enum bd_frame_type type;
-    char name[BD_LABEL_BYTES]; /* STATUS, HEARTBEAT: the sender */
-    uint64_t term;             /* STATUS: the term in which the sender leads; 0: it does not */
-    uint8_t flags;             /* STATUS: bits of enum bd_peer_flag */
-    uint32_t age_ms;           /* STATUS: since the key-value store last answered the sender */
-    uint64_t at_ms;            /* STATUS: the sender's time of day, ms since the epoch */
-    uint64_t id;      /* HEARTBEAT: the sender's number for it; ANSWER: the number answered */
-    uint16_t status;  /* ANSWER: HTTP status */
-    const char *text; /* HEARTBEAT, ANSWER: a body; CANCELLED: a job's id. Borrowed; of a frame
-                       * that was read: inside the buffer, not terminated */
-    uint32_t len;     /* bytes of `text` */
-    uint16_t count;   /* PROGRESS: jobs used */
+    char sender[BD_LABEL_BYTES]; /* STATUS, HEARTBEAT: the sender */
+    uint64_t term;               /* STATUS: the term in which the sender leads; 0: it does not */
+    uint8_t flags;               /* STATUS: bits of enum bd_peer_flag */
+    uint32_t kv_age_ms;          /* STATUS: since the key-value store last answered the sender */
+    uint64_t wall_clock_ms;      /* STATUS: the sender's time of day, ms since the epoch */
+    uint64_t heartbeat_id; /* HEARTBEAT: the sender's number for it; ANSWER: the number answered */
+    uint16_t status;       /* ANSWER: HTTP status */
+    const char *text;      /* HEARTBEAT, ANSWER: a body; CANCELLED: a job's id. Borrowed; of a frame
+                            * that was read: inside the buffer, not terminated */
+    uint32_t len;          /* bytes of `text` */
+    uint16_t count;        /* PROGRESS: jobs used */
     struct bd_job_progress
         jobs[BD_FRAME_JOBS_MAX]; /* last, so that a copy may end after those used */
 };
--- a/src/wire/heartbeat_cache.c
+++ b/src/wire/heartbeat_cache.c
@@ -75,7 +75,7 @@
 {
     size_t tail_at = seq->offset + seq->len;
     size_t size = sizeof(struct entry) + len - seq->len;
-    size_t bytes = size + cache->uncached.n * sizeof cache->uncached.tasks[0];
+    size_t bytes = size + cache->uncached.task_count * sizeof cache->uncached.tasks[0];
     if (bytes > cache->bytes_max)
         return NULL;
     while (cache->entries && cache->bytes + bytes > cache->bytes_max)
--- a/src/wire/wire_cloud.c
+++ b/src/wire/wire_cloud.c
@@ -29,20 +29,22 @@
     memset(out, 0, sizeof *out);
     if (!bd_wire_read_label(object, KEY_TYPE_LABEL, out->label) ||
         !bd_wire_read_amount(object, KEY_CPUS, &out->cpus) ||
-        !bd_wire_read_amount(object, KEY_MEMORY_GB, &out->mem) ||
+        !bd_wire_read_amount(object, KEY_MEMORY_GB, &out->mem_gb) ||
         !bd_wire_read_amount(object, KEY_PRICE, &out->price))
         return false;
     if (!bd_wire_read_amount(object, KEY_GPUS, &out->gpus))
         out->gpus = 0;
     if (!bd_wire_read_amount(object, KEY_CACHE_GB, &out->cache_gb))
         out->cache_gb = 0;
-    if (!bd_wire_read_amount(object, KEY_FETCH_GB_PER_S, &out->fetch) || out->fetch <= 0)
-        out->fetch = FETCH_DEFAULT_GB_PER_S;
+    if (!bd_wire_read_amount(object, KEY_FETCH_GB_PER_S, &out->fetch_gb_per_s) ||
+        out->fetch_gb_per_s <= 0)
+        out->fetch_gb_per_s = FETCH_DEFAULT_GB_PER_S;
     if (!bd_wire_read_amount(object, KEY_SPOT_PRICE, &out->spot_price))
         out->spot_price = out->price;
-    if (!bd_wire_read_amount(object, KEY_BOOT_S, &out->boot))
-        out->boot = BOOT_DEFAULT_S;
-    out->nzones = read_labels(json_object_get(object, KEY_ZONES), out->zones, BD_TYPE_ZONES_MAX);
+    if (!bd_wire_read_amount(object, KEY_BOOT_S, &out->boot_s))
+        out->boot_s = BOOT_DEFAULT_S;
+    out->zone_count =
+        read_labels(json_object_get(object, KEY_ZONES), out->zones, BD_TYPE_ZONES_MAX);
     return true;
 }
 
@@ -79,10 +81,10 @@
         !bd_wire_read_label(object, KEY_ZONE, out->zone) ||
         !bd_wire_read_bool(object, KEY_SPOT, &out->spot))
         return false;
-    if (!bd_wire_read_label(object, KEY_ADDRESS, out->addr))
-        out->addr[0] = '\0';
-    if (!bd_wire_read_amount(object, KEY_MACHINE_AGE_S, &out->age))
-        out->age = 0;
+    if (!bd_wire_read_label(object, KEY_ADDRESS, out->address))
+        out->address[0] = '\0';
+    if (!bd_wire_read_amount(object, KEY_MACHINE_AGE_S, &out->age_s))
+        out->age_s = 0;
     out->state = parse_machine_state(state);
     return true;
 }
--- a/src/wire/wire_cloud.h
+++ b/src/wire/wire_cloud.h
@@ -9,16 +9,16 @@
 
 struct bd_machine_type_text {
     char label[BD_LABEL_BYTES];
-    double cpus;       /* cores */
-    double gpus;       /* devices */
-    double mem;        /* GB */
-    double cache_gb;   /* local space for images, GB */
-    double fetch;      /* rate at which images are fetched, GB per second */
-    double price;      /* on demand, per hour */
-    double spot_price; /* of a spot machine, per hour */
-    double boot;       /* from the request to the first heartbeat, seconds */
+    double cpus; /* cores */
+    double gpus; /* devices */
+    double mem_gb;
+    double cache_gb;       /* local disk space for images */
+    double fetch_gb_per_s; /* download rate of images */
+    double price;          /* on demand, per hour */
+    double spot_price;     /* of a spot machine, per hour */
+    double boot_s;         /* from the provisioning request to the first heartbeat */
     char zones[BD_TYPE_ZONES_MAX][BD_LABEL_BYTES];
-    int nzones;
+    int zone_count;
 };
 
 enum bd_cloud_machine_state { BD_MACHINE_BOOTING, BD_MACHINE_UP, BD_MACHINE_FAILED };
@@ -26,12 +26,12 @@
 /* A machine in the cloud's list. */
 struct bd_cloud_machine {
     char id[BD_LABEL_BYTES];
-    char addr[BD_LABEL_BYTES]; /* "HOST:PORT" of its worker; empty: not known yet */
+    char address[BD_LABEL_BYTES]; /* "HOST:PORT" of its worker; empty: not known yet */
     char type[BD_LABEL_BYTES];
     char zone[BD_LABEL_BYTES];
     bool spot;
     enum bd_cloud_machine_state state;
-    double age; /* since the cloud provided it, seconds */
+    double age_s; /* since the cloud provided the machine */
 };
 
 /* Reads at most `max` machine types; malformed ones are left out. Returns their number; -1: the
--- a/src/wire/wire_job_records.c
+++ b/src/wire/wire_job_records.c
@@ -29,9 +29,9 @@
 
 static void write_parents(json_t *object, const struct bd_job_record_parents *parents)
 {
-    if (parents->parts) {
-        json_t *parts = json_pack("{s:s,s:i}", KEY_PARTS_HASH, parents->of, KEY_PARTS_COUNT,
-                                  (int)parents->parts);
+    if (parents->part_count) {
+        json_t *parts = json_pack("{s:s,s:i}", KEY_PARTS_HASH, parents->parts_hash, KEY_PARTS_COUNT,
+                                  (int)parents->part_count);
         json_object_set_new(object, KEY_RECORD_PARTS, parts);
     } else if (parents->names) {
         json_object_set(object, KEY_PARENTS, parents->names);
@@ -40,9 +40,9 @@
 
 json_t *bd_wire_write_record(const struct bd_job_record *record)
 {
-    json_t *value =
-        json_pack("{s:s,s:i,s:f}", KEY_RECORD_STATE, job_states[record->state],
-                  KEY_RECORD_TASK_COUNT, (int)record->tasks, KEY_RECORD_SUBMITTED_AT, record->at);
+    json_t *value = json_pack("{s:s,s:i,s:f}", KEY_RECORD_STATE, job_states[record->state],
+                              KEY_RECORD_TASK_COUNT, (int)record->tasks, KEY_RECORD_SUBMITTED_AT,
+                              record->submitted_at);
     if (!value)
         return NULL;
     if (record->has_spec)
@@ -50,8 +50,8 @@
     else if (*record->spec.job_class) /* the rate at which jobs of a class come rests on it */
         json_object_set_new(value, KEY_RECORD_JOB_CLASS, json_string(record->spec.job_class));
     write_parents(value, &record->parents);
-    if (record->end > 0)
-        json_object_set_new(value, KEY_RECORD_ENDED_AT, json_real(record->end));
+    if (record->ended_at > 0)
+        json_object_set_new(value, KEY_RECORD_ENDED_AT, json_real(record->ended_at));
     return value;
 }
 
@@ -62,7 +62,7 @@
     const char *hash = json_string_value(json_object_get(parts, KEY_PARTS_HASH));
     uint64_t count = 0;
     if (names && !json_is_array(names))
-        out->damaged = true;
+        out->is_unreadable = true;
     else
         out->names = names;
     if (!parts)
@@ -70,11 +70,11 @@
     if (!hash || strlen(hash) >= BD_HASH_BYTES ||
         !bd_wire_read_unsigned(parts, KEY_PARTS_COUNT, &count) || count < 1 ||
         count > BD_PARENT_PARTS_MAX) {
-        out->damaged = true;
+        out->is_unreadable = true;
         return;
     }
-    strcpy(out->of, hash);
-    out->parts = (uint32_t)count;
+    strcpy(out->parts_hash, hash);
+    out->part_count = (uint32_t)count;
 }
 
 bool bd_wire_read_record(json_t *value, struct bd_job_record *out)
@@ -87,8 +87,8 @@
         return false;
     out->state = (enum bd_job_state)state;
     out->tasks = (uint32_t)tasks;
-    out->at = json_number_value(json_object_get(value, KEY_RECORD_SUBMITTED_AT));
-    out->end = json_number_value(json_object_get(value, KEY_RECORD_ENDED_AT));
+    out->submitted_at = json_number_value(json_object_get(value, KEY_RECORD_SUBMITTED_AT));
+    out->ended_at = json_number_value(json_object_get(value, KEY_RECORD_ENDED_AT));
     read_parents(value, &out->parents);
     json_t *spec = json_object_get(value, KEY_RECORD_SPEC);
     out->has_spec = json_is_object(spec) && bd_wire_read_spec(spec, &out->spec) == NULL;
--- a/src/wire/wire_job_spec.c
+++ b/src/wire/wire_job_spec.c
@@ -12,18 +12,18 @@
 {
     json_t *types = json_object_get(object, KEY_MACHINE_TYPES), *type;
     size_t i;
-    spec->ntypes = -1;
+    spec->type_count = -1;
     if (bd_wire_is_null(types))
         return true;
     if (!json_is_array(types) || json_array_size(types) > BD_TYPES_MAX)
         return false;
-    spec->ntypes = 0;
+    spec->type_count = 0;
     json_array_foreach(types, i, type)
     {
         const char *label = json_string_value(type);
         if (!label || !*label || strlen(label) >= BD_LABEL_BYTES)
             return false;
-        strcpy(spec->types[spec->ntypes++], label);
+        strcpy(spec->types[spec->type_count++], label);
     }
     return true;
 }
@@ -37,9 +37,9 @@
     } amounts[] = {
         {KEY_CPUS, &spec->cpus},
         {KEY_GPUS, &spec->gpus},
-        {KEY_MEMORY_GB, &spec->mem},
+        {KEY_MEMORY_GB, &spec->mem_gb},
         {KEY_IMAGE_GB, &spec->image_gb},
-        {KEY_ESTIMATE_S, &spec->estimate},
+        {KEY_ESTIMATE_S, &spec->estimate_s},
         {KEY_CHECKPOINT_INTERVAL_S, &spec->checkpoint_interval_s},
         {KEY_CHECKPOINT_SAVE_S, &spec->checkpoint_save_s},
     };
@@ -104,10 +104,10 @@
 
 static json_t *write_machine_types(const struct bd_job_spec_text *spec)
 {
-    if (spec->ntypes < 0)
+    if (spec->type_count < 0)
         return json_null();
     json_t *types = json_array();
-    for (int i = 0; i < spec->ntypes; i++)
+    for (int i = 0; i < spec->type_count; i++)
         json_array_append_new(types, json_string(spec->types[i]));
     return types;
 }
@@ -127,7 +127,7 @@
         KEY_TASK_COUNT, (int)spec->tasks,
         KEY_CPUS, spec->cpus,
         KEY_GPUS, spec->gpus,
-        KEY_MEMORY_GB, spec->mem,
+        KEY_MEMORY_GB, spec->mem_gb,
         KEY_IMAGE, spec->image,
         KEY_IMAGE_GB, spec->image_gb,
         KEY_MACHINE_TYPES, write_machine_types(spec),
@@ -135,7 +135,7 @@
         KEY_SAME_ZONE, (int)spec->same_zone,
         KEY_SPREAD_ZONES, (int)spec->spread_zones,
         KEY_SPOT, (int)spec->spot,
-        KEY_ESTIMATE_S, spec->estimate,
+        KEY_ESTIMATE_S, spec->estimate_s,
         KEY_CHECKPOINT_INTERVAL_S, spec->checkpoint_interval_s,
         KEY_CHECKPOINT_SAVE_S, spec->checkpoint_save_s,
         KEY_DEADLINE_S, deadline);
--- a/src/wire/wire_jobs.h
+++ b/src/wire/wire_jobs.h
@@ -30,15 +30,15 @@
     char image[BD_LABEL_BYTES];
     char zone[BD_LABEL_BYTES]; /* empty: any */
     char types[BD_TYPES_MAX][BD_LABEL_BYTES];
-    int ntypes; /* machine types it may run on; -1: any */
+    int type_count; /* machine types it may run on; -1: any */
     enum bd_job_kind kind;
     enum bd_priority priority;
     uint32_t tasks;               /* 1 to BD_TASKS_MAX */
     double cpus;                  /* cores */
     double gpus;                  /* devices */
-    double mem;                   /* GB */
+    double mem_gb;                /* GB */
     double image_gb;              /* GB */
-    double estimate;              /* run time that the user expects, seconds */
+    double estimate_s;            /* run time that the user expects, seconds */
     double checkpoint_interval_s; /* progress between two checkpoints; 0: it makes none */
     double checkpoint_save_s;     /* that a checkpoint takes when the task is stopped */
     double deadline_s;            /* from submission to the end that is wanted; < 0: none */
@@ -56,19 +56,19 @@
 /* A job's parents: the ids of the jobs that it waits for. They stand in its record or, where one
  * value cannot hold them, in parts: keys of their own that are written before the record. */
 struct bd_job_record_parents {
-    json_t *names;          /* list of ids, borrowed; NULL: none in the record */
-    uint32_t parts;         /* number of parts; 0: none */
-    char of[BD_HASH_BYTES]; /* hash of the whole list, which names the parts' keys */
-    bool damaged;           /* what the record says of its parents cannot be read */
+    json_t *names;                  /* list of ids, borrowed; NULL: none in the record */
+    uint32_t part_count;            /* number of parts; 0: none */
+    char parts_hash[BD_HASH_BYTES]; /* hash of the whole list, which names the parts' keys */
+    bool is_unreadable;             /* what the record says of its parents cannot be read */
 };
 
 /* A job's record in the key-value store. */
 struct bd_job_record {
     enum bd_job_state state;
     uint32_t tasks;
-    double at;     /* of the submission, time of day, seconds since the epoch */
-    double end;    /* done: of its last task's end, likewise; 0: not known */
-    bool has_spec; /* else `spec` holds the job's class only, if that */
+    double submitted_at; /* of the submission, time of day, seconds since the epoch */
+    double ended_at;     /* done: of its last task's end, likewise; 0: not known */
+    bool has_spec;       /* else `spec` holds the job's class only, if that */
     struct bd_job_spec_text spec;
     struct bd_job_record_parents parents;
 };
--- a/src/wire/wire_store.c
+++ b/src/wire/wire_store.c
@@ -52,7 +52,7 @@
 
 /* ---- values and changes ---- */
 
-bool bd_wire_read_change(json_t *entry, struct bd_change *out)
+bool bd_wire_read_change(json_t *entry, struct bd_kv_change *out)
 {
     out->value = json_object_get(entry, KEY_VALUE);
     out->key = json_string_value(json_object_get(entry, KEY_STORE_KEY));
@@ -70,7 +70,7 @@
     json_object_set_new(change, KEY_REVISION, json_integer((json_int_t)revision));
 }
 
-bool bd_wire_read_pair(json_t *body, struct bd_change *out, uint64_t *grant)
+bool bd_wire_read_pair(json_t *body, struct bd_kv_change *out, uint64_t *grant)
 {
     *grant = 0;
     if (!bd_wire_read_change(body, out) || !out->value)
--- a/src/wire/wire_store.h
+++ b/src/wire/wire_store.h
@@ -35,20 +35,20 @@
 /* ---- values and changes ---- */
 
 /* A key with its new value, or its deletion; key and value are borrowed from the entry read. */
-struct bd_change {
+struct bd_kv_change {
     const char *key;
     json_t *value; /* NULL: deleted */
     uint64_t revision;
 };
 
 /* Reads an entry of bd_wire_read_pairs or bd_wire_read_change_log. False: malformed. */
-bool bd_wire_read_change(json_t *entry, struct bd_change *out);
+bool bd_wire_read_change(json_t *entry, struct bd_kv_change *out);
 /* Gives a change of a transaction its revision, so that bd_wire_read_change reads it as one of a
  * log. */
 void bd_wire_write_revision(json_t *change, uint64_t revision);
 /* Reads the answer to a GET of one key; `grant` is that of the key, 0: none. False: malformed, or
  * without a value. */
-bool bd_wire_read_pair(json_t *body, struct bd_change *out, uint64_t *grant);
+bool bd_wire_read_pair(json_t *body, struct bd_kv_change *out, uint64_t *grant);
 /* The entries in a page of a list, borrowed; `more` says whether others follow. NULL: malformed. */
 json_t *bd_wire_read_pairs(json_t *body, bool *more);
 /* The changes in the answer to a refresh, borrowed. NULL: malformed. */
--- a/src/wire/wire_workers.c
+++ b/src/wire/wire_workers.c
@@ -43,7 +43,7 @@
 static bool read_machine(json_t *body, struct bd_heartbeat *out)
 {
     if (!bd_wire_read_label(body, KEY_MACHINE, out->machine) ||
-        !bd_wire_read_label(body, KEY_ADDRESS, out->addr) ||
+        !bd_wire_read_label(body, KEY_ADDRESS, out->address) ||
         !bd_wire_read_label(body, KEY_MACHINE_TYPE, out->type) ||
         !bd_wire_read_label(body, KEY_ZONE, out->zone) ||
         !bd_wire_read_bool(body, KEY_SPOT, &out->spot) ||
@@ -51,9 +51,9 @@
         !bd_wire_read_unsigned(body, KEY_HEARTBEAT_SEQ, &out->seq) ||
         !bd_wire_read_unsigned(body, KEY_FENCING_TOKEN, &out->fencing_token))
         return false;
-    out->notice = -1;
+    out->notice_s = -1;
     return bd_wire_is_null(json_object_get(body, KEY_NOTICE_S)) ||
-           bd_wire_read_amount(body, KEY_NOTICE_S, &out->notice);
+           bd_wire_read_amount(body, KEY_NOTICE_S, &out->notice_s);
 }
 
 static bool read_tasks(json_t *body, struct bd_heartbeat *out)
@@ -67,11 +67,11 @@
         return false;
     json_array_foreach(list, i, entry)
     {
-        if (!read_task(entry, &out->tasks[out->n])) {
+        if (!read_task(entry, &out->tasks[out->task_count])) {
             bd_wire_release_heartbeat(out);
             return false;
         }
-        out->n++;
+        out->task_count++;
     }
     return true;
 }
@@ -86,7 +86,7 @@
 {
     free(heartbeat->tasks);
     heartbeat->tasks = NULL;
-    heartbeat->n = 0;
+    heartbeat->task_count = 0;
 }
 
 /* The end of the key and colon before the sequence number. NULL: they do not stand there exactly
@@ -148,7 +148,7 @@
            command_verbs[command->verb], command->job, command->task);
     append(buffer, ",\"" KEY_ATTEMPT "\":%llu", (unsigned long long)command->attempt);
     if (command->verb == BD_COMMAND_HALT)
-        append(buffer, ",\"" KEY_STOP_GRACE_S "\":%.3f", command->grace);
+        append(buffer, ",\"" KEY_STOP_GRACE_S "\":%.3f", command->grace_s);
     append(buffer, "}");
 }
 
--- a/src/wire/wire_workers.h
+++ b/src/wire/wire_workers.h
@@ -40,15 +40,15 @@
 
 struct bd_heartbeat {
     char machine[BD_LABEL_BYTES];
-    char addr[BD_LABEL_BYTES]; /* "HOST:PORT" where the worker takes direct commands */
-    char type[BD_LABEL_BYTES]; /* machine type */
+    char address[BD_LABEL_BYTES]; /* "HOST:PORT" where the worker takes direct commands */
+    char type[BD_LABEL_BYTES];    /* machine type */
     char zone[BD_LABEL_BYTES];
     bool spot;
     uint64_t incarnation;   /* of the worker's agent: it grows with each start of the agent */
     uint64_t seq;           /* number of the heartbeat in the incarnation */
     uint64_t fencing_token; /* the highest one that the worker has seen */
-    double notice;          /* seconds until the cloud takes the machine back; < 0: no notice */
-    size_t n;               /* of `tasks` */
+    double notice_s;        /* seconds until the cloud takes the machine back; < 0: no notice */
+    size_t task_count;      /* of `tasks` */
     struct bd_reported_task *tasks; /* owned, see bd_wire_release_heartbeat */
 };
 
@@ -63,7 +63,7 @@
     char job[BD_ID_BYTES];
     uint32_t task; /* its index in the job */
     uint64_t attempt;
-    double grace; /* HALT: seconds that it has to save its progress */
+    double grace_s; /* HALT: seconds that it has to save its progress */
 };
 
 /* Where the digits of a heartbeat's sequence number stand in its text, and their value. */
--- a/src/workers/autonomous_zone.c
+++ b/src/workers/autonomous_zone.c
@@ -58,7 +58,8 @@
         if (!bd_peer_is_local(core, i))
             continue;
         is_alone = false;
-        if (core->peers[i].flags & BD_PEER_KV_LOST && bd_peer_heard(core, i, PEER_STATUS_FRESH_S) &&
+        if (core->peers[i].flags & BD_PEER_KV_OUTAGE &&
+            bd_peer_heard(core, i, PEER_STATUS_FRESH_S) &&
             core->wall - core->peers[i].status_sent_wall_s < late_s)
             return true;
     }
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -40,7 +40,7 @@
     snprintf(command->job, sizeof command->job, "%s", job);
     command->task = task;
     command->attempt = attempt;
-    command->grace = grace_s;
+    command->grace_s = grace_s;
 }
 
 /* The time for a checkpoint before the task is killed. */
@@ -152,7 +152,7 @@
 static void add_halts_of_cancelled(struct bd_core *core, const struct bd_heartbeat *heartbeat,
                                    struct bd_command_list *commands)
 {
-    for (size_t i = 0; i < heartbeat->n; i++) {
+    for (size_t i = 0; i < heartbeat->task_count; i++) {
         const struct bd_reported_task *reported = &heartbeat->tasks[i];
         if (reported->execution == BD_EXECUTION_EXITED)
             continue;
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -105,7 +105,7 @@
     for (int i = 0; i < core->settings->npeers; i++)
         if (bd_peer_is_local(core, i) && i != bd_leader_index(core) &&
             core->peers[i].flags & BD_PEER_KV_REACHABLE &&
-            !(core->peers[i].flags & BD_PEER_HEARS_LEADER) &&
+            !(core->peers[i].flags & BD_PEER_RECEIVES_LEADER_STATUS) &&
             bd_peer_heard(core, i, BD_PEER_SILENT_S))
             return true;
     return false;
--- a/src/workers/delegate_probes.c
+++ b/src/workers/delegate_probes.c
@@ -47,7 +47,7 @@
 {
     const struct bd_delegate *delegate = &core->delegate;
     double wait_s = hears_nobody(core) ? PROBE_INTERVAL_ALONE_S : PROBE_WITH_TASKS_S;
-    return heartbeat->n == 0 || bd_to_secs(core->settings->lease) > return_s(core) ||
+    return heartbeat->task_count == 0 || bd_to_secs(core->settings->lease) > return_s(core) ||
            delegate->probe_batch > 1 ||
            bd_seconds_between(delegate->serving_since, core->now) > wait_s;
 }
--- a/src/workers/delegate_view.c
+++ b/src/workers/delegate_view.c
@@ -56,7 +56,7 @@
         machine->delegate = (int)(record - core->delegates.records);
 }
 
-static void read_delegate_record(struct bd_core *core, const struct bd_change *change)
+static void read_delegate_record(struct bd_core *core, const struct bd_kv_change *change)
 {
     struct bd_delegate_view *view = &core->delegates;
     const char *key = change->key + strlen(BD_NODE_RECORD_PREFIX);
@@ -77,7 +77,7 @@
 }
 
 /* A controller writes NODE/at for its liveness, and NODE or NODE/PART as a delegate. */
-static void read_record(struct bd_core *core, const struct bd_change *change)
+static void read_record(struct bd_core *core, const struct bd_kv_change *change)
 {
     const char *node = change->key + strlen(BD_NODE_RECORD_PREFIX);
     const char *slash = strchr(node, '/');
@@ -115,7 +115,7 @@
 
 void bd_delegate_records_read(struct bd_core *core, json_t *pairs, struct timespec sent)
 {
-    struct bd_change change;
+    struct bd_kv_change change;
     json_t *pair;
     size_t i;
     if (core->role != BD_LEADER)
--- a/src/workers/forwarding.c
+++ b/src/workers/forwarding.c
@@ -60,7 +60,7 @@
 bool bd_forward_can_relay(const struct bd_core *core, int peer)
 {
     return core->peers[peer].flags & BD_PEER_KV_REACHABLE &&
-           core->peers[peer].flags & BD_PEER_HEARS_LEADER &&
+           core->peers[peer].flags & BD_PEER_RECEIVES_LEADER_STATUS &&
            bd_seconds_between(core->peers[peer].heard, core->now) <= BD_PEER_SILENT_S;
 }
 
@@ -86,11 +86,11 @@
     if (!copy)
         abort();
     *copy = *heartbeat;
-    copy->tasks = calloc(heartbeat->n + 1, sizeof *copy->tasks);
+    copy->tasks = calloc(heartbeat->task_count + 1, sizeof *copy->tasks);
     if (!copy->tasks)
         abort();
-    if (heartbeat->n > 0)
-        memcpy(copy->tasks, heartbeat->tasks, heartbeat->n * sizeof *copy->tasks);
+    if (heartbeat->task_count > 0)
+        memcpy(copy->tasks, heartbeat->tasks, heartbeat->task_count * sizeof *copy->tasks);
     return copy;
 }
 
--- a/src/workers/heartbeat_tasks.c
+++ b/src/workers/heartbeat_tasks.c
@@ -161,7 +161,7 @@
 static void mark_reported_tasks(struct bd_core *core, const struct bd_machine *machine,
                                 const struct bd_heartbeat *heartbeat)
 {
-    for (size_t i = 0; i < heartbeat->n; i++) {
+    for (size_t i = 0; i < heartbeat->task_count; i++) {
         const struct bd_reported_task *reported = &heartbeat->tasks[i];
         struct bd_job *job = find_tracked_job(core, reported);
         if (job && is_current_attempt(machine, &job->tasks[reported->task], reported->attempt))
@@ -215,7 +215,7 @@
 {
     mark_reported_tasks(core, machine, heartbeat);
     release_unreported_tasks(core, machine);
-    for (size_t i = 0; i < heartbeat->n; i++) {
+    for (size_t i = 0; i < heartbeat->task_count; i++) {
         const struct bd_reported_task *reported = &heartbeat->tasks[i];
         struct bd_job *job = find_tracked_job(core, reported);
         if (!job)
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -24,11 +24,11 @@
 static void update_identity(struct bd_core *core, struct bd_machine *machine,
                             const struct bd_heartbeat *heartbeat)
 {
-    snprintf(machine->addr, sizeof machine->addr, "%s", heartbeat->addr);
+    snprintf(machine->addr, sizeof machine->addr, "%s", heartbeat->address);
     machine->type = bd_type_find_or_add(core, heartbeat->type);
     machine->zone = bd_zone_find_or_add(core, heartbeat->zone);
     machine->spot = heartbeat->spot;
-    machine->notice_left = heartbeat->notice;
+    machine->notice_left = heartbeat->notice_s;
 }
 
 static bool is_newer(const struct bd_machine *machine, const struct bd_heartbeat *heartbeat)
--- a/tests/behaviour_digest.c
+++ b/tests/behaviour_digest.c
@@ -111,7 +111,7 @@
 {
     begin_step(digest, at, controller, "status");
     add_text(digest, " peer=%d term=%llu flags=%u age=%u at=%llu", peer,
-             (unsigned long long)frame->term, frame->flags, frame->age_ms,
-             (unsigned long long)frame->at_ms);
+             (unsigned long long)frame->term, frame->flags, frame->kv_age_ms,
+             (unsigned long long)frame->wall_clock_ms);
     end_step(digest);
 }
--- a/tests/drain_profile_fleet.c
+++ b/tests/drain_profile_fleet.c
@@ -40,20 +40,20 @@
     *heartbeat = (struct bd_heartbeat){.incarnation = 1,
                                        .seq = ++fleet->seq,
                                        .fencing_token = fleet->core->lead.term,
-                                       .notice = -1,
+                                       .notice_s = -1,
                                        .tasks = tasks};
     snprintf(heartbeat->machine, sizeof heartbeat->machine, "vm-%06u", number);
-    snprintf(heartbeat->addr, sizeof heartbeat->addr, "10.1.0.1:%u", number);
+    snprintf(heartbeat->address, sizeof heartbeat->address, "10.1.0.1:%u", number);
     snprintf(heartbeat->type, sizeof heartbeat->type, "small");
     snprintf(heartbeat->zone, sizeof heartbeat->zone, "%s", number % 2 ? "a" : "b");
     HASH_FIND_STR(fleet->core->machines, heartbeat->machine, machine);
-    for (uint32_t k = 0; machine && k < machine->nreservations && heartbeat->n < REPORTED_TASKS_MAX;
-         k++) {
+    for (uint32_t k = 0;
+         machine && k < machine->nreservations && heartbeat->task_count < REPORTED_TASKS_MAX; k++) {
         const struct bd_job *job = machine->reservations[k].job;
         const struct bd_task *task = &job->tasks[machine->reservations[k].task];
         if (task->state == BD_TASK_PLANNED)
             continue;
-        struct bd_reported_task *seen = &tasks[heartbeat->n++];
+        struct bd_reported_task *seen = &tasks[heartbeat->task_count++];
         bool stops = task->flags & BD_TASK_FLAG_STOP_REQUESTED;
         bool begins = bd_seconds_between(job->last_placed_at, fleet->core->now) < START_S;
         snprintf(seen->job, sizeof seen->job, "%s", job->id);
@@ -130,10 +130,10 @@
 static void add_service(struct fleet *fleet, uint32_t number)
 {
     struct bd_job_record record = {.state = BD_JOB_ACTIVE,
-                                   .at = 1000,
+                                   .submitted_at = 1000,
                                    .has_spec = true,
                                    .tasks = JOB_TASKS,
-                                   .spec = {.ntypes = -1}};
+                                   .spec = {.type_count = -1}};
     char key[BD_LABEL_BYTES];
     snprintf(key, sizeof key, "j/job-%06u", number);
     snprintf(record.spec.job_class, sizeof record.spec.job_class, "web");
@@ -142,10 +142,10 @@
     record.spec.kind = BD_JOB_SERVICE;
     record.spec.priority = BD_PRIORITY_PRODUCTION;
     record.spec.tasks = JOB_TASKS;
-    record.spec.cpus = record.spec.mem = 1;
+    record.spec.cpus = record.spec.mem_gb = 1;
     record.spec.deadline_s = -1;
     json_t *value = bd_wire_write_record(&record);
-    struct bd_change change = {key, value, ++fleet->revision};
+    struct bd_kv_change change = {key, value, ++fleet->revision};
     bd_replica_apply(fleet->core, &change);
     json_decref(value);
 }
@@ -181,9 +181,9 @@
         abort();
     fleet_set_time(fleet, 0);
     struct bd_machine_type_text type = {
-        .label = "small", .cpus = 2 * REPLICAS, .mem = 640, .price = 1};
-    type.spot_price = type.fetch = type.cache_gb = type.boot = 30;
-    type.nzones = 2;
+        .label = "small", .cpus = 2 * REPLICAS, .mem_gb = 640, .price = 1};
+    type.spot_price = type.fetch_gb_per_s = type.cache_gb = type.boot_s = 30;
+    type.zone_count = 2;
     snprintf(type.zones[0], BD_LABEL_BYTES, "a");
     snprintf(type.zones[1], BD_LABEL_BYTES, "b");
     bd_inventory_types_received(fleet->core, &type, 1);
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -101,7 +101,7 @@
 {
     uint64_t after = run->seen[node];
     for (int i = 0; ok && i < run->nkeys; i++) {
-        struct bd_change change = {run->keys[i].name, run->keys[i].value, run->keys[i].revision};
+        struct bd_kv_change change = {run->keys[i].name, run->keys[i].value, run->keys[i].revision};
         if (change.revision > after && strncmp(change.key, "j/", 2) == 0)
             bd_replica_apply(run->cores[node], &change);
     }
@@ -139,10 +139,10 @@
 {
     static const double cpus = 10000;
     struct bd_machine_type_text type = {
-        .cpus = cpus, .mem = cpus, .price = 1, .spot_price = 1, .boot = 5};
+        .cpus = cpus, .mem_gb = cpus, .price = 1, .spot_price = 1, .boot_s = 5};
     snprintf(type.label, sizeof type.label, "big");
-    snprintf(type.zones[type.nzones++], BD_LABEL_BYTES, "a");
-    type.fetch = type.cache_gb = 100;
+    snprintf(type.zones[type.zone_count++], BD_LABEL_BYTES, "a");
+    type.fetch_gb_per_s = type.cache_gb = 100;
     run->cores[node] = bd_core_new(&run->settings[node], &run->log);
     if (!run->cores[node])
         abort();
@@ -151,7 +151,7 @@
     unsigned from = run->nkeys ? graph_dice(run, (unsigned)run->nkeys) : 0;
     for (int i = 0; i < run->nkeys; i++) {
         struct graph_key *key = &run->keys[((unsigned)i + from) % (unsigned)run->nkeys];
-        struct bd_change change = {key->name, key->value, key->revision};
+        struct bd_kv_change change = {key->name, key->value, key->revision};
         if (strncmp(change.key, "j/", 2) == 0)
             bd_replica_apply(run->cores[node], &change);
     }
--- a/tests/graphs_large.c
+++ b/tests/graphs_large.c
@@ -17,7 +17,7 @@
 {
     char key[64], name[32];
     struct bd_job_record record = {
-        .state = BD_JOB_ACTIVE, .tasks = 1, .at = 1000, .has_spec = true};
+        .state = BD_JOB_ACTIVE, .tasks = 1, .submitted_at = 1000, .has_spec = true};
     json_t *names = json_array();
     snprintf(key, sizeof key, "j/job-%d", number);
     snprintf(name, sizeof name, "job-%d", parent);
@@ -26,7 +26,7 @@
     snprintf(record.spec.job_class, BD_LABEL_BYTES, "k");
     snprintf(record.spec.team, BD_LABEL_BYTES, "a");
     snprintf(record.spec.image, BD_LABEL_BYTES, "i");
-    record.spec.ntypes = -1;
+    record.spec.type_count = -1;
     record.spec.deadline_s = -1;
     record.spec.cpus = 1;
     record.spec.tasks = 1;
@@ -34,7 +34,7 @@
     record.parents.names = names;
     record.state = strcmp(state, "cancelled") == 0 ? BD_JOB_CANCELLED : BD_JOB_ACTIVE;
     json_t *value = bd_wire_write_record(&record);
-    struct bd_change change = {key, value, revision};
+    struct bd_kv_change change = {key, value, revision};
     bd_replica_apply(core, &change);
     json_decref(value);
     json_decref(names);
--- a/tests/graphs_machine.c
+++ b/tests/graphs_machine.c
@@ -48,19 +48,19 @@
 {
     memset(heartbeat, 0, sizeof *heartbeat);
     snprintf(heartbeat->machine, sizeof heartbeat->machine, "vm-1");
-    snprintf(heartbeat->addr, sizeof heartbeat->addr, "addr");
+    snprintf(heartbeat->address, sizeof heartbeat->address, "addr");
     snprintf(heartbeat->type, sizeof heartbeat->type, "big");
     snprintf(heartbeat->zone, sizeof heartbeat->zone, "a");
     heartbeat->incarnation = 1;
     heartbeat->seq = ++run->seq;
     heartbeat->fencing_token = run->fencing_token;
-    heartbeat->notice = -1;
+    heartbeat->notice_s = -1;
     heartbeat->tasks = tasks;
     for (int i = 0; i < TASKS; i++) {
         struct graph_task *task = &run->tasks[i];
         if (!task->used)
             continue;
-        struct bd_reported_task *reported = &tasks[heartbeat->n++];
+        struct bd_reported_task *reported = &tasks[heartbeat->task_count++];
         (void)bd_wire_read_task_name(task->name, reported->job, &reported->task);
         reported->attempt = task->attempt;
         reported->execution = task->ended ? BD_EXECUTION_EXITED : BD_EXECUTION_RUNNING;
--- a/tests/inputs_frames.c
+++ b/tests/inputs_frames.c
@@ -11,14 +11,14 @@
 {
     unsigned char bytes[BD_FRAME_BYTES_MAX];
     written->type = BD_FRAME_PEER_STATUS;
-    snprintf(written->name, sizeof written->name, "node-7");
+    snprintf(written->sender, sizeof written->sender, "node-7");
     written->term = 0x0102030405060708u;
     written->flags = BD_PEER_KV_REACHABLE;
-    written->age_ms = 1500;
+    written->kv_age_ms = 1500;
     size_t length = bd_frame_write(written, bytes, sizeof bytes);
     inputs_check(length > 0 && bd_frame_read(bytes, length, read) == (long)length &&
-                     strcmp(read->name, "node-7") == 0 && read->term == written->term &&
-                     read->flags == written->flags && read->age_ms == 1500,
+                     strcmp(read->sender, "node-7") == 0 && read->term == written->term &&
+                     read->flags == written->flags && read->kv_age_ms == 1500,
                  "a status frame survives");
     for (size_t i = 0; i < length; i++)
         inputs_check(bd_frame_read(bytes, i, read) == 0, "a frame that is cut off waits for more");
@@ -74,13 +74,13 @@
                      read->len == 6 && memcmp(read->text, "job-23", 6) == 0,
                  "news of a cancellation survives");
     written->type = BD_FRAME_HEARTBEAT_REPLY;
-    written->id = 77;
+    written->heartbeat_id = 77;
     written->status = 421;
     written->text = "{\"steward\":\"node-1\"}";
     written->len = (uint32_t)strlen(written->text);
     length = bd_frame_write(written, bytes, sizeof bytes);
     inputs_check(length > 0 && bd_frame_read(bytes, length, read) == (long)length &&
-                     read->id == 77 && read->status == 421 && read->len == written->len &&
+                     read->heartbeat_id == 77 && read->status == 421 && read->len == written->len &&
                      memcmp(read->text, written->text, written->len) == 0,
                  "an answer frame survives");
     bytes[12 + 8 + 2 + 3]++; /* the text's length goes past the frame */
@@ -117,8 +117,8 @@
         if (strncmp(key, "j/", 2) != 0)
             continue;
         bool ok = bd_wire_read_record(value, &record);
-        inputs_check(ok && !record.parents.names && !record.parents.parts &&
-                         !record.parents.damaged && record.end == 0,
+        inputs_check(ok && !record.parents.names && !record.parents.part_count &&
+                         !record.parents.is_unreadable && record.ended_at == 0,
                      key);
         jobs[ok ? record.state : 0]++;
     }
@@ -134,8 +134,8 @@
     for (long used = 1; used > 0 && at < length; at += (size_t)(used > 0 ? used : 0)) {
         used = bd_frame_read(bytes + at, length - at, frame);
         inputs_check(used >= 0 && (used == 0 || frame->type != BD_FRAME_PEER_STATUS ||
-                                   (strcmp(frame->name, "node-0") == 0 &&
-                                    !(frame->flags & BD_PEER_KNOWS_DAG))),
+                                   (strcmp(frame->sender, "node-0") == 0 &&
+                                    !(frame->flags & BD_PEER_SUPPORTS_DEPENDENCIES))),
                      "a frame of production");
         frames += used > 0;
     }
--- a/tests/inputs_wire.c
+++ b/tests/inputs_wire.c
@@ -174,12 +174,12 @@
     if (!cache)
         exit(2);
     const struct bd_heartbeat *heartbeat = read_cached(cache, "vm-1", "7", "running");
-    inputs_check(heartbeat && heartbeat->seq == 7 && heartbeat->n == 1 &&
+    inputs_check(heartbeat && heartbeat->seq == 7 && heartbeat->task_count == 1 &&
                      heartbeat->tasks[0].execution == BD_EXECUTION_RUNNING,
                  "a report is read");
     heartbeat = read_cached(cache, "vm-1", "1008", "running");
     inputs_check(heartbeat && heartbeat->seq == 1008 && heartbeat->incarnation == 1 &&
-                     heartbeat->fencing_token == 4 && heartbeat->n == 1 &&
+                     heartbeat->fencing_token == 4 && heartbeat->task_count == 1 &&
                      strcmp(heartbeat->machine, "vm-1") == 0 &&
                      heartbeat->tasks[0].execution == BD_EXECUTION_RUNNING,
                  "one that only has another number says the same");
@@ -217,12 +217,12 @@
     json_decref(submission);
     record.state = BD_JOB_ACTIVE;
     record.tasks = 3;
-    record.at = 1000.5;
+    record.submitted_at = 1000.5;
     record.has_spec = true;
     json_t *value = bd_wire_write_record(&record);
-    inputs_check(bd_wire_read_record(value, &back) && back.spec.ntypes == 2 && back.tasks == 3 &&
-                     back.at == 1000.5 && strcmp(back.spec.zone, "z") == 0 &&
-                     back.spec.deadline_s < 0,
+    inputs_check(bd_wire_read_record(value, &back) && back.spec.type_count == 2 &&
+                     back.tasks == 3 && back.submitted_at == 1000.5 &&
+                     strcmp(back.spec.zone, "z") == 0 && back.spec.deadline_s < 0,
                  "a record survives being written and read");
     json_decref(value);
     static const char *const bad[] = {"{}",
--- a/tests/profile_costs.c
+++ b/tests/profile_costs.c
@@ -93,14 +93,15 @@
     struct bd_heartbeat heartbeat;
     char *text = heartbeat_text(deployment, n % deployment->machines, ++deployment->seq);
     frame = (struct bd_frame){
-        .type = BD_FRAME_HEARTBEAT, .id = n, .text = text, .len = (uint32_t)strlen(text)};
-    snprintf(frame.name, sizeof frame.name, PEER);
+        .type = BD_FRAME_HEARTBEAT, .heartbeat_id = n, .text = text, .len = (uint32_t)strlen(text)};
+    snprintf(frame.sender, sizeof frame.sender, PEER);
     size_t length = bd_frame_write(&frame, bytes, sizeof bytes);
     CALLGRIND_TOGGLE_COLLECT;
     if (bd_frame_read(bytes, length, &in) != (long)length)
         abort();
     read_heartbeat(text, &heartbeat);
-    bd_worker_heartbeat_forwarded(deployment->core, in.name, in.id, &heartbeat, text, in.len);
+    bd_worker_heartbeat_forwarded(deployment->core, in.sender, in.heartbeat_id, &heartbeat, text,
+                                  in.len);
     bd_wire_release_heartbeat(&heartbeat);
     bd_effect_free(bd_effects_take(deployment->core));
     CALLGRIND_TOGGLE_COLLECT;
@@ -178,14 +179,14 @@
 {
     static struct bd_frame frame, in;
     static unsigned char bytes[1024];
-    frame =
-        (struct bd_frame){.type = BD_FRAME_PEER_STATUS, .flags = BD_PEER_KV_REACHABLE, .at_ms = n};
-    snprintf(frame.name, sizeof frame.name, PEER);
+    frame = (struct bd_frame){
+        .type = BD_FRAME_PEER_STATUS, .flags = BD_PEER_KV_REACHABLE, .wall_clock_ms = n};
+    snprintf(frame.sender, sizeof frame.sender, PEER);
     CALLGRIND_TOGGLE_COLLECT;
     size_t length = bd_frame_write(&frame, bytes, sizeof bytes);
     if (bd_frame_read(bytes, length, &in) != (long)length)
         abort();
-    bd_peer_status_received(deployment->core, in.name, in.term, in.flags, 0, 0,
+    bd_peer_status_received(deployment->core, in.sender, in.term, in.flags, 0, 0,
                             deployment->core->now);
     CALLGRIND_TOGGLE_COLLECT;
 }
--- a/tests/profile_deployment.c
+++ b/tests/profile_deployment.c
@@ -88,13 +88,13 @@
 {
     struct bd_machine_type_text type = {.cpus = cpus,
                                         .gpus = gpus,
-                                        .mem = mem,
+                                        .mem_gb = mem,
                                         .price = price,
                                         .spot_price = price / 3,
-                                        .boot = 45,
-                                        .fetch = 0.2,
+                                        .boot_s = 45,
+                                        .fetch_gb_per_s = 0.2,
                                         .cache_gb = 50,
-                                        .nzones = ZONES};
+                                        .zone_count = ZONES};
     snprintf(type.label, sizeof type.label, "%s", name);
     snprintf(type.zones[0], BD_LABEL_BYTES, "a");
     snprintf(type.zones[1], BD_LABEL_BYTES, "b");
@@ -110,27 +110,29 @@
 void deployment_add_job(struct deployment *deployment, int number, enum bd_job_kind kind,
                         uint32_t tasks, double cpus, double gpus, double mem)
 {
-    struct bd_job_record record = {
-        .state = BD_JOB_ACTIVE, .at = 1000 + deployment->now, .has_spec = true, .tasks = tasks};
+    struct bd_job_record record = {.state = BD_JOB_ACTIVE,
+                                   .submitted_at = 1000 + deployment->now,
+                                   .has_spec = true,
+                                   .tasks = tasks};
     char key[BD_LABEL_BYTES];
     snprintf(key, sizeof key, "j/job-%06d", number);
     snprintf(record.spec.job_class, sizeof record.spec.job_class, "class-%d", (int)kind);
     snprintf(record.spec.team, sizeof record.spec.team, "team-%d", number % 2);
     snprintf(record.spec.image, sizeof record.spec.image, "img-%d-%d", (int)kind, number % 8);
-    record.spec.ntypes = -1;
+    record.spec.type_count = -1;
     record.spec.kind = kind;
     record.spec.priority = kind == BD_JOB_SERVICE ? BD_PRIORITY_PRODUCTION : BD_PRIORITY_STANDARD;
     record.spec.tasks = tasks;
     record.spec.cpus = cpus;
     record.spec.gpus = gpus;
-    record.spec.mem = mem;
+    record.spec.mem_gb = mem;
     record.spec.image_gb = 2;
-    record.spec.estimate = 60;
+    record.spec.estimate_s = 60;
     record.spec.deadline_s = -1;
     record.spec.spread_zones = kind == BD_JOB_SERVICE;
     record.spec.spot = kind == BD_JOB_ARRAY;
     json_t *value = bd_wire_write_record(&record);
-    struct bd_change change = {key, value, ++deployment->revision};
+    struct bd_kv_change change = {key, value, ++deployment->revision};
     bd_replica_apply(deployment->core, &change);
     json_decref(value);
 }
@@ -140,21 +142,21 @@
     struct bd_heartbeat heartbeat = {.incarnation = 1,
                                      .seq = ++deployment->seq,
                                      .fencing_token = deployment->core->lead.term,
-                                     .notice = -1};
+                                     .notice_s = -1};
     struct bd_reported_task tasks[REPORTED_TASKS_MAX];
     struct bd_machine *machine = NULL;
     snprintf(heartbeat.machine, sizeof heartbeat.machine, "vm-%06u", number);
-    snprintf(heartbeat.addr, sizeof heartbeat.addr, "10.1.0.1:%u", number);
+    snprintf(heartbeat.address, sizeof heartbeat.address, "10.1.0.1:%u", number);
     snprintf(heartbeat.type, sizeof heartbeat.type, "%s",
              number % 5 && !deployment->is_plain ? "gpu" : "small");
     snprintf(heartbeat.zone, sizeof heartbeat.zone, "%s", number % 2 ? "a" : "b");
     memset(tasks, 0, sizeof tasks);
     heartbeat.tasks = tasks;
     HASH_FIND_STR(deployment->core->machines, heartbeat.machine, machine);
-    for (uint32_t k = 0; machine && k < machine->nreservations && heartbeat.n < REPORTED_TASKS_MAX;
-         k++) {
+    for (uint32_t k = 0;
+         machine && k < machine->nreservations && heartbeat.task_count < REPORTED_TASKS_MAX; k++) {
         const struct bd_job *job = machine->reservations[k].job;
-        struct bd_reported_task *task = &tasks[heartbeat.n++];
+        struct bd_reported_task *task = &tasks[heartbeat.task_count++];
         snprintf(task->job, sizeof task->job, "%s", job->id);
         task->task = machine->reservations[k].task;
         task->attempt = job->tasks[task->task].attempt;
--- a/tests/profile_full.c
+++ b/tests/profile_full.c
@@ -111,7 +111,7 @@
 static void delegate_heartbeat(struct deployment *deployment, uint32_t i)
 {
     struct bd_heartbeat heartbeat = {
-        .incarnation = 1, .seq = ++deployment->seq, .fencing_token = 1, .notice = -1};
+        .incarnation = 1, .seq = ++deployment->seq, .fencing_token = 1, .notice_s = -1};
     snprintf(heartbeat.machine, sizeof heartbeat.machine, "vm-%06u", i);
     snprintf(heartbeat.type, sizeof heartbeat.type, "small");
     snprintf(heartbeat.zone, sizeof heartbeat.zone, "a");
@@ -136,7 +136,7 @@
     uint32_t written = 0;
     bd_leadership_lost(deployment->core);
     deployment_drop_effects(deployment);
-    bd_peer_status_received(deployment->core, PEER, 9, BD_PEER_LEADS | BD_PEER_KV_REACHABLE, 0,
+    bd_peer_status_received(deployment->core, PEER, 9, BD_PEER_IS_LEADER | BD_PEER_KV_REACHABLE, 0,
                             deployment->core->wall, deployment->core->now);
     deployment_set_time(deployment, deployment->now + 30);
     bd_core_leader_observed(deployment->core, PEER, 9, deployment->core->now, false);
--- a/tests/scenario_drain.c
+++ b/tests/scenario_drain.c
@@ -194,11 +194,11 @@
     HASH_FIND_STR(play->core->machines, id, machine);
     memset(tasks, 0, PLAY_WORDS_MAX * sizeof *tasks);
     *heartbeat = (struct bd_heartbeat){.incarnation = (uint64_t)play_number(play, "session", 1),
-                                       .notice = play_number(play, "notice", -1),
+                                       .notice_s = play_number(play, "notice", -1),
                                        .fencing_token = play->core->lead.term,
                                        .tasks = tasks};
     snprintf(heartbeat->machine, sizeof heartbeat->machine, "%s", id);
-    snprintf(heartbeat->addr, sizeof heartbeat->addr, "addr-%s", id);
+    snprintf(heartbeat->address, sizeof heartbeat->address, "addr-%s", id);
     bool typed = machine && machine->type >= 0 && machine->zone >= 0;
     const char *type = play_text(play, "type"), *zone = play_text(play, "zone");
     snprintf(heartbeat->type, sizeof heartbeat->type, "%s",
@@ -210,13 +210,13 @@
              : typed ? play->core->zones[machine->zone]
                      : "a");
     heartbeat->seq = ++play->heartbeat_seq + 1000;
-    for (uint32_t k = 0; machine && k < machine->nreservations && heartbeat->n < PLAY_WORDS_MAX;
-         k++) {
+    for (uint32_t k = 0;
+         machine && k < machine->nreservations && heartbeat->task_count < PLAY_WORDS_MAX; k++) {
         const struct bd_job *job = machine->reservations[k].job;
         const struct bd_task *task = &job->tasks[machine->reservations[k].task];
         if (task->state == BD_TASK_PLANNED)
             continue;
-        struct bd_reported_task *seen = &tasks[heartbeat->n++];
+        struct bd_reported_task *seen = &tasks[heartbeat->task_count++];
         snprintf(seen->job, sizeof seen->job, "%s", job->id);
         seen->task = machine->reservations[k].task;
         seen->attempt = task->attempt;
--- a/tests/scenario_jobs.c
+++ b/tests/scenario_jobs.c
@@ -20,7 +20,7 @@
     spec->image_gb = play_number(play, "gb", 0);
     if (play_text(play, "zone"))
         snprintf(spec->zone, sizeof spec->zone, "%s", play_text(play, "zone"));
-    spec->ntypes = -1;
+    spec->type_count = -1;
     const char *shape = play_text(play, "shape");
     if (shape)
         spec->kind = *shape == 'g' ? BD_JOB_GANG : *shape == 's' ? BD_JOB_SERVICE : BD_JOB_ARRAY;
@@ -28,11 +28,11 @@
     spec->tasks = (uint32_t)play_number(play, "tasks", 1);
     spec->cpus = play_number(play, "cpus", 1);
     spec->gpus = play_number(play, "gpus", 0);
-    spec->mem = play_number(play, "mem", 1);
+    spec->mem_gb = play_number(play, "mem", 1);
     spec->checkpoint_interval_s = play_number(play, "checkpoint", 0);
     spec->checkpoint_save_s = play_number(play, "save", 0);
     spec->deadline_s = play_number(play, "due", -1);
-    spec->estimate = play_number(play, "guess", 0);
+    spec->estimate_s = play_number(play, "guess", 0);
     spec->spread_zones = play_flag(play, "scatter");
     spec->same_zone = play_flag(play, "together");
     spec->spot = play_flag(play, "spot");
@@ -55,7 +55,7 @@
     char key[BD_LABEL_BYTES + 8];
     snprintf(key, sizeof key, "j/%s", play->words[1]);
     json_t *value = bd_wire_write_parents_part(split_names(play->nwords > 2 ? play->words[2] : ""));
-    struct bd_change change = {key, value, (uint64_t)play_number(play, "mark", 1)};
+    struct bd_kv_change change = {key, value, (uint64_t)play_number(play, "mark", 1)};
     bd_replica_apply(play->core, &change);
     json_decref(value);
 }
@@ -69,7 +69,7 @@
     if (!value)
         play_fail(play, "not JSON");
     snprintf(key, sizeof key, "j/%s", play->words[1]);
-    struct bd_change change = {key, value, strtoull(play->words[2], NULL, 10)};
+    struct bd_kv_change change = {key, value, strtoull(play->words[2], NULL, 10)};
     bd_replica_apply(play->core, &change);
     json_decref(value);
 }
@@ -96,7 +96,7 @@
 static void step_job(struct play *play)
 {
     struct bd_job_record record = {
-        .state = BD_JOB_ACTIVE, .at = play_number(play, "mark", 1), .has_spec = true};
+        .state = BD_JOB_ACTIVE, .submitted_at = play_number(play, "mark", 1), .has_spec = true};
     const char *state = play_text(play, "state");
     char key[BD_LABEL_BYTES];
     read_spec(play, &record.spec);
@@ -107,13 +107,14 @@
     json_t *names = play_text(play, "needs") ? split_names(play_text(play, "needs")) : NULL;
     record.parents.names = names;
     double parts = 0;
-    if (play_text(play, "parts") && numbers_after_name(play_text(play, "parts"), record.parents.of,
-                                                       sizeof record.parents.of, &parts, 1) != 1)
+    if (play_text(play, "parts") &&
+        numbers_after_name(play_text(play, "parts"), record.parents.parts_hash,
+                           sizeof record.parents.parts_hash, &parts, 1) != 1)
         play_fail(play, "parts");
-    record.parents.parts = (uint32_t)parts;
-    record.end = play_number(play, "end", 0);
+    record.parents.part_count = (uint32_t)parts;
+    record.ended_at = play_number(play, "end", 0);
     json_t *value = bd_wire_write_record(&record);
-    struct bd_change change = {key, value, (uint64_t)play_number(play, "mark", 1)};
+    struct bd_kv_change change = {key, value, (uint64_t)play_number(play, "mark", 1)};
     bd_replica_apply(play->core, &change);
     json_decref(value);
     json_decref(names);
@@ -126,9 +127,10 @@
     for (int i = 0; i < count; i++) {
         char key[BD_LABEL_BYTES];
         snprintf(key, sizeof key, "j/job-%d", 1000000 + i);
-        struct bd_job_record record = {.state = BD_JOB_DONE, .tasks = 1, .at = 1, .end = 2};
+        struct bd_job_record record = {
+            .state = BD_JOB_DONE, .tasks = 1, .submitted_at = 1, .ended_at = 2};
         json_t *value = bd_wire_write_record(&record);
-        struct bd_change change = {key, value, (uint64_t)(i + 1)};
+        struct bd_kv_change change = {key, value, (uint64_t)(i + 1)};
         bd_replica_apply(play->core, &change);
         json_decref(value);
     }
@@ -141,13 +143,13 @@
     char key[BD_LABEL_BYTES];
     snprintf(key, sizeof key, "j/%s", play->words[1]);
     long status = strtol(play->words[3], NULL, 10);
-    struct bd_job_record record = {.state = BD_JOB_DONE, .tasks = 1, .at = 1};
+    struct bd_job_record record = {.state = BD_JOB_DONE, .tasks = 1, .submitted_at = 1};
     if (play->nwords > 4 && strcmp(play->words[4], "cancelled") == 0) {
         read_spec(play, &record.spec);
         record.has_spec = true;
         record.state = BD_JOB_CANCELLED;
     }
-    struct bd_change change = {key, value = bd_wire_write_record(&record), 5};
+    struct bd_kv_change change = {key, value = bd_wire_write_record(&record), 5};
     bd_replica_lookup_completed(play->core, NULL, play->words[1], number_of(play->words[2]), status,
                                 status == 200 ? &change : NULL);
     json_decref(value);
--- a/tests/scenario_leader.c
+++ b/tests/scenario_leader.c
@@ -63,11 +63,11 @@
 static void step_peer(struct play *play)
 {
     uint8_t flags = play_number(play, "state", 1) != 0 ? BD_PEER_KV_REACHABLE : 0;
-    flags |= play_number(play, "hears", 1) != 0 ? BD_PEER_HEARS_LEADER : 0;
+    flags |= play_number(play, "hears", 1) != 0 ? BD_PEER_RECEIVES_LEADER_STATUS : 0;
     flags |= play_number(play, "deaf", 0) != 0 ? BD_PEER_INBOUND_PARTITION : 0;
-    flags |= play_flag(play, "cut") ? BD_PEER_KV_LOST : 0;
-    flags |= play_number(play, "deps", 1) != 0 ? BD_PEER_KNOWS_DAG : 0;
-    flags |= play_number(play, "drains", 1) != 0 ? BD_PEER_KNOWS_DRAINS : 0;
+    flags |= play_flag(play, "cut") ? BD_PEER_KV_OUTAGE : 0;
+    flags |= play_number(play, "deps", 1) != 0 ? BD_PEER_SUPPORTS_DEPENDENCIES : 0;
+    flags |= play_number(play, "drains", 1) != 0 ? BD_PEER_SUPPORTS_DRAINS : 0;
     bd_peer_status_received(play->core, play->words[1], (uint64_t)play_number(play, "term", 0),
                             flags, play_number(play, "age", 0),
                             play->core->wall - play_number(play, "late", 0), play->core->now);
--- a/tests/scenario_machines.c
+++ b/tests/scenario_machines.c
@@ -28,25 +28,25 @@
 {
     memset(heartbeat, 0, sizeof *heartbeat);
     snprintf(heartbeat->machine, sizeof heartbeat->machine, "%s", play->words[1]);
-    snprintf(heartbeat->addr, sizeof heartbeat->addr, "addr-%s", play->words[1]);
+    snprintf(heartbeat->address, sizeof heartbeat->address, "addr-%s", play->words[1]);
     heartbeat->incarnation = (uint64_t)play_number(play, "session", 1);
     heartbeat->seq = (uint64_t)play_number(play, "seq", 1);
     heartbeat->fencing_token = (uint64_t)play_number(play, "token", 0);
-    heartbeat->notice = play_number(play, "notice", -1);
+    heartbeat->notice_s = play_number(play, "notice", -1);
     heartbeat->spot = play_flag(play, "spot");
     heartbeat->tasks = tasks;
     for (int i = 2; i < play->nwords; i++) {
         char name[64], attempt[64], state[64];
         if (sscanf(play->words[i], "%63[^:]:%63[^:]:%63s", name, attempt, state) != 3)
             continue;
-        struct bd_reported_task *task = &tasks[heartbeat->n];
+        struct bd_reported_task *task = &tasks[heartbeat->task_count];
         if (!bd_wire_read_task_name(name, task->job, &task->task)) {
             play_fail(play, "task name");
             return;
         }
         task->attempt = play_attempt(attempt);
         task->execution = read_execution(state, &task->exit_reason);
-        heartbeat->n++;
+        heartbeat->task_count++;
     }
 }
 
--- a/tests/scenario_settings.c
+++ b/tests/scenario_settings.c
@@ -77,18 +77,18 @@
     snprintf(type.label, sizeof type.label, "%s", play->words[1]);
     type.cpus = play_number(play, "cpus", 8);
     type.gpus = play_number(play, "gpus", 0);
-    type.mem = play_number(play, "mem", 64);
+    type.mem_gb = play_number(play, "mem", 64);
     type.price = play_number(play, "price", 1);
     type.spot_price = play_number(play, "spot", type.price / 3);
-    type.boot = play_number(play, "boot", 10);
-    type.fetch = 1;
+    type.boot_s = play_number(play, "boot", 10);
+    type.fetch_gb_per_s = 1;
     type.cache_gb = 50;
     char zones[128];
     snprintf(zones, sizeof zones, "%s",
              play_text(play, "zones") ? play_text(play, "zones") : "a,b");
     for (char *rest = NULL, *zone = strtok_r(zones, ",", &rest); zone;
          zone = strtok_r(NULL, ",", &rest))
-        snprintf(type.zones[type.nzones++], BD_LABEL_BYTES, "%s", zone);
+        snprintf(type.zones[type.zone_count++], BD_LABEL_BYTES, "%s", zone);
     bd_inventory_types_received(play->core, &type, 1);
 }
 
--- a/tests/sim_commit.c
+++ b/tests/sim_commit.c
@@ -42,7 +42,7 @@
 void sim_commit_answered(struct sim *sim, struct sim_node *node, struct sim_call *call, long status,
                          json_t *answer)
 {
-    struct bd_change change;
+    struct bd_kv_change change;
     uint64_t grant;
     json_t *failed = bd_wire_read_failed_compares(answer);
     if (!node->commit)
--- a/tests/sim_effects.c
+++ b/tests/sim_effects.c
@@ -38,9 +38,9 @@
     event->epoch = sim->nodes[to].epoch;
     event->data = frame;
     frame->type = type;
-    snprintf(frame->name, sizeof frame->name, "%s", node->settings.node);
+    snprintf(frame->sender, sizeof frame->sender, "%s", node->settings.node);
     if (effect) {
-        frame->id = effect->forward_id;
+        frame->heartbeat_id = effect->forward_id;
         frame->status = (uint16_t)effect->status;
         event->text = effect->body;
         effect->body = NULL;
--- a/tests/sim_election.c
+++ b/tests/sim_election.c
@@ -64,7 +64,7 @@
 static void leader_key_read(struct sim *sim, struct sim_node *node, struct sim_call *call,
                             long status, json_t *answer)
 {
-    struct bd_change change;
+    struct bd_kv_change change;
     uint64_t grant;
     bool told = node->core->role == BD_FOLLOWER && !node->leadership_acquired;
     if (status == 404) {
@@ -125,7 +125,7 @@
 static void acquisition_read(struct sim *sim, struct sim_node *node, const struct sim_call *call,
                              long status, json_t *answer)
 {
-    struct bd_change change;
+    struct bd_kv_change change;
     uint64_t grant;
     bool ignored;
     bool is_sequence = call->purpose == SIM_FOR_SEQUENCE;
@@ -151,7 +151,7 @@
 void sim_election_answered(struct sim *sim, struct sim_node *node, struct sim_call *call,
                            long status, json_t *answer)
 {
-    struct bd_change change;
+    struct bd_kv_change change;
     uint64_t grant;
     switch (call->purpose) {
     case SIM_FOR_LEADER_KEY:
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -91,19 +91,20 @@
         return;
     node->next_status = sim->now + 0.3;
     double age = bd_seconds_between(core->replica.refreshed_at, core->now);
-    uint8_t flags = (uint8_t)(BD_PEER_KNOWS_DAG | (sim->draining ? BD_PEER_KNOWS_DRAINS : 0));
-    flags |= core->role == BD_LEADER ? BD_PEER_LEADS : 0;
-    flags |= bd_forward_hears_leader(core) ? BD_PEER_HEARS_LEADER : 0;
+    uint8_t flags =
+        (uint8_t)(BD_PEER_SUPPORTS_DEPENDENCIES | (sim->draining ? BD_PEER_SUPPORTS_DRAINS : 0));
+    flags |= core->role == BD_LEADER ? BD_PEER_IS_LEADER : 0;
+    flags |= bd_forward_hears_leader(core) ? BD_PEER_RECEIVES_LEADER_STATUS : 0;
     flags |=
         core->role == BD_LEADER && core->lead.inbound_partition ? BD_PEER_INBOUND_PARTITION : 0;
     flags |= age < 1.0 && core->replica.ready ? BD_PEER_KV_REACHABLE : 0;
-    flags |= bd_autonomous_zone_active(core) ? BD_PEER_KV_LOST : 0;
+    flags |= bd_autonomous_zone_active(core) ? BD_PEER_KV_OUTAGE : 0;
     for (int i = 0; i < node->settings.npeers; i++) {
         struct bd_frame *frame = sim_send_frame(sim, node, i, BD_FRAME_PEER_STATUS, NULL)->data;
         frame->term = core->role == BD_LEADER ? core->lead.term : 0;
         frame->flags = flags;
-        frame->age_ms = age > 1e6 ? 1000000000u : (uint32_t)(age * 1000);
-        frame->at_ms = (uint64_t)(core->wall * 1000);
+        frame->kv_age_ms = age > 1e6 ? 1000000000u : (uint32_t)(age * 1000);
+        frame->wall_clock_ms = (uint64_t)(core->wall * 1000);
         if (sim->digest)
             behaviour_digest_status(sim->digest, sim->now, (int)(node - sim->nodes), i, frame);
     }
@@ -128,7 +129,7 @@
 {
     const struct bd_effect *effect = call->effect;
     uint64_t grant, revision = bd_wire_read_store_revision(answer);
-    struct bd_change change;
+    struct bd_kv_change change;
     bool is_pair = status == 200 && bd_wire_read_pair(answer, &change, &grant);
     switch (call->purpose) {
     case SIM_FOR_USER:
@@ -275,13 +276,13 @@
     bd_core_seed(node->core, (uint64_t)(sim_random(sim) * 1e15));
     struct bd_machine_type_text type = {.label = "small",
                                         .cpus = 8,
-                                        .mem = 64,
+                                        .mem_gb = 64,
                                         .price = 1,
                                         .spot_price = 0.3,
-                                        .boot = 8,
-                                        .fetch = 1,
+                                        .boot_s = 8,
+                                        .fetch_gb_per_s = 1,
                                         .cache_gb = 50,
-                                        .nzones = 2};
+                                        .zone_count = 2};
     snprintf(type.zones[0], BD_LABEL_BYTES, "a");
     snprintf(type.zones[1], BD_LABEL_BYTES, "b");
     bd_inventory_types_received(node->core, &type, 1);
--- a/tests/sim_reader.c
+++ b/tests/sim_reader.c
@@ -37,7 +37,7 @@
 
 static void apply_changes(struct sim_node *node, json_t *list)
 {
-    struct bd_change change;
+    struct bd_kv_change change;
     json_t *item;
     size_t i;
     json_array_foreach(list, i, item)
--- a/tests/sim_receive.c
+++ b/tests/sim_receive.c
@@ -54,18 +54,18 @@
     if (node->core && node->epoch == event->epoch && !peers_apart(sim, event->node, event->who)) {
         sim_node_set_clock(sim, node);
         if (frame->type == BD_FRAME_PEER_STATUS)
-            bd_peer_status_received(node->core, frame->name, frame->term, frame->flags,
-                                    frame->age_ms / 1000.0, (double)frame->at_ms / 1000.0,
-                                    node->core->now);
+            bd_peer_status_received(node->core, frame->sender, frame->term, frame->flags,
+                                    frame->kv_age_ms / 1000.0,
+                                    (double)frame->wall_clock_ms / 1000.0, node->core->now);
         if (frame->type == BD_FRAME_HEARTBEAT && read_heartbeat(event->text, &heartbeat)) {
-            bd_worker_heartbeat_forwarded(node->core, frame->name, frame->id, &heartbeat,
-                                          event->text, strlen(event->text));
+            bd_worker_heartbeat_forwarded(node->core, frame->sender, frame->heartbeat_id,
+                                          &heartbeat, event->text, strlen(event->text));
             bd_wire_release_heartbeat(&heartbeat);
         }
         if (frame->type == BD_FRAME_CANCELLATION)
             bd_job_cancellation_received(node->core, event->text);
         if (frame->type == BD_FRAME_HEARTBEAT_REPLY)
-            bd_forward_reply_received(node->core, frame->id, frame->status, event->text,
+            bd_forward_reply_received(node->core, frame->heartbeat_id, frame->status, event->text,
                                       event->text ? strlen(event->text) : 0);
         sim_node_settle(sim, node);
     }
@@ -235,11 +235,11 @@
         if (worker->gone || sim->now - worker->provisioned_at < 3) /* the list lags */
             continue;
         snprintf(machines[count].id, BD_LABEL_BYTES, "%s", worker->id);
-        snprintf(machines[count].addr, BD_LABEL_BYTES, "w-%d", i);
+        snprintf(machines[count].address, BD_LABEL_BYTES, "w-%d", i);
         snprintf(machines[count].type, BD_LABEL_BYTES, "%s", worker->type);
         snprintf(machines[count].zone, BD_LABEL_BYTES, "%s", worker->zone);
         machines[count].state = sim->now < worker->up_at ? BD_MACHINE_BOOTING : BD_MACHINE_UP;
-        machines[count++].age = sim->now - worker->provisioned_at;
+        machines[count++].age_s = sim->now - worker->provisioned_at;
     }
     bd_inventory_machines_received(node->core, machines, count,
                                    bd_time_sub(node->core->now, bd_secs(0.1)));
