--- a/src/autoscaling/inventory.c
+++ b/src/autoscaling/inventory.c
@@ -73,7 +73,7 @@
     machine->age_known_at = core->now;
     if (!*machine->addr)
         snprintf(machine->addr, sizeof machine->addr, "%s", entry->address);
-    if (entry->state == BD_MACHINE_FAILED && !machine->failed) {
+    if (entry->state == BD_CLOUD_MACHINE_FAILED && !machine->failed) {
         machine->failed = true;
         bd_log_write(core->log, BD_LOG_INFO, "%s failed", machine->id);
         bd_machine_release_reservations(core, machine, BD_RELEASE_MACHINE_FAILED);
--- a/src/jobs/admission_record.c
+++ b/src/jobs/admission_record.c
@@ -53,7 +53,7 @@
 static json_t *build_record(struct bd_admission *admission, bool with_names)
 {
     admission->record.parents.names = with_names ? admission->parents : NULL;
-    return bd_wire_write_record(&admission->record);
+    return bd_wire_write_job_record(&admission->record);
 }
 
 /* The names from *next on that fit one value; moves *next behind them. The caller owns the list. */
--- a/src/jobs/dependency_names.c
+++ b/src/jobs/dependency_names.c
@@ -70,7 +70,7 @@
 
 void bd_dag_parents_part_loaded(struct bd_core *core, const char *key, json_t *value)
 {
-    char id[BD_ID_BYTES];
+    char id[BD_JOB_ID_BYTES];
     json_t *names = bd_wire_read_parents_part(value);
     size_t id_len = strcspn(key, "/");
     if (!names || id_len >= sizeof id || strlen(key) >= BD_LABEL_BYTES) {
--- a/src/jobs/replica.c
+++ b/src/jobs/replica.c
@@ -129,7 +129,7 @@
     const char *id = change->key + 2;
     if (strchr(id, '/'))
         bd_dag_parents_part_loaded(core, id, change->value);
-    else if (strlen(id) >= BD_ID_BYTES || !bd_wire_read_record(change->value, &record))
+    else if (strlen(id) >= BD_JOB_ID_BYTES || !bd_wire_read_job_record(change->value, &record))
         bd_log_write(core->log, BD_LOG_ERROR, "record %s cannot be read", change->key);
     else
         apply_record(core, id, &record, change);
--- a/src/jobs/submission.c
+++ b/src/jobs/submission.c
@@ -14,7 +14,7 @@
 #include <stdio.h>
 
 struct submission {
-    char id[BD_ID_BYTES]; /* empty: none could be read */
+    char id[BD_JOB_ID_BYTES]; /* empty: none could be read */
     struct bd_job_record record;
     json_t *parents;       /* owned; NULL: none */
     const char *bad_field; /* NULL: well formed */
--- a/src/jobs/user_requests.c
+++ b/src/jobs/user_requests.c
@@ -52,7 +52,7 @@
 
 static bool is_valid_id(const char *id)
 {
-    return bd_wire_is_job_id(id) && strlen(id) < BD_ID_BYTES - 1;
+    return bd_wire_is_job_id(id) && strlen(id) < BD_JOB_ID_BYTES - 1;
 }
 
 /* Replies if the request needs neither a read barrier nor a transaction. True: it did. */
@@ -93,7 +93,7 @@
 {
     struct bd_job_record record = {
         .state = BD_JOB_CANCELLED, .tasks = job->ntasks, .submitted_at = job->at};
-    json_t *json = bd_wire_write_record(&record);
+    json_t *json = bd_wire_write_job_record(&record);
     if (json && job->record_spec)
         json_object_set_new(json, "job", bd_wire_write_cancelled_spec(job->record_spec));
     return json;
--- a/src/jobs/user_txn.c
+++ b/src/jobs/user_txn.c
@@ -53,7 +53,7 @@
     json_array_foreach(json_object_get(txn, "apply"), i, op)
     {
         struct bd_kv_change change;
-        bd_wire_write_revision(op, store_revision);
+        bd_wire_set_revision(op, store_revision);
         if (bd_wire_read_change(op, &change))
             bd_replica_apply(core, &change);
     }
--- a/src/leadership/commit.c
+++ b/src/leadership/commit.c
@@ -103,7 +103,7 @@
                                    .ended_at = core->wall};
     snprintf(record.spec.job_class, sizeof record.spec.job_class, "%s",
              bd_job_class_name(core, job->job_class));
-    bd_txn_builder_put_job(builder, job, bd_wire_write_record(&record), DONE_RECORD_BYTES);
+    bd_txn_builder_put_job(builder, job, bd_wire_write_job_record(&record), DONE_RECORD_BYTES);
     commit->done[commit->ndone++] = job;
     return true;
 }
--- a/src/leadership/receipt.c
+++ b/src/leadership/receipt.c
@@ -79,7 +79,7 @@
 
 void bd_receipt_load(struct bd_core *core, const char *key, json_t *value)
 {
-    char id[BD_ID_BYTES];
+    char id[BD_JOB_ID_BYTES];
     uint32_t chunk = 0;
     if (strncmp(key, "r/", 2) != 0 || !bd_wire_read_task_name(key + 2, id, &chunk))
         return;
--- a/src/model/dependency_state.h
+++ b/src/model/dependency_state.h
@@ -9,7 +9,7 @@
 /* A job that others wait for. It is active, or its record has not been read. */
 struct bd_parent_job {
     UT_hash_handle hh;
-    char id[BD_ID_BYTES];
+    char id[BD_JOB_ID_BYTES];
     struct bd_job *job;                    /* NULL: not in memory */
     struct bd_dependency_edge *dependents; /* list of the edges from those that wait for it */
     uint32_t ndependents;
@@ -34,7 +34,7 @@
 /* A submission that waits until the records of its parents are known. */
 struct bd_admission {
     void *request;
-    char id[BD_ID_BYTES];
+    char id[BD_JOB_ID_BYTES];
     struct bd_job_record record;
     json_t *parents;  /* NULL: none */
     uint32_t lookups; /* that were sent */
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -27,7 +27,7 @@
 /* A job. Its record is applied by src/jobs/; its tasks are changed by task_state.c. */
 struct bd_job {
     UT_hash_handle hh;
-    char id[BD_ID_BYTES];
+    char id[BD_JOB_ID_BYTES];
     uint64_t revision; /* of its record */
     enum bd_job_state state;
     bool stale; /* a transaction saw another revision: nothing is written before it is read */
--- a/src/model/replica_state.h
+++ b/src/model/replica_state.h
@@ -23,7 +23,7 @@
 /* A user's request that waits for a read barrier. */
 struct bd_pending_read {
     void *request;
-    char id[BD_ID_BYTES];
+    char id[BD_JOB_ID_BYTES];
     enum bd_read_purpose purpose;
     struct bd_admission *accept; /* owned; NULL: no submission */
     struct bd_pending_read *next;
--- a/src/model/task_state.c
+++ b/src/model/task_state.c
@@ -90,7 +90,7 @@
 static void clear_attempt(struct bd_task *task)
 {
     task->flags = 0;
-    task->execution = BD_EXECUTION_FETCHING;
+    task->execution = BD_EXECUTION_FETCHING_IMAGE;
 }
 
 void bd_task_assign(struct bd_core *core, struct bd_job *job, uint32_t index,
--- a/src/runtime/event_apply.c
+++ b/src/runtime/event_apply.c
@@ -249,7 +249,7 @@
                                   received->len);
         break;
     case BD_FRAME_CANCELLATION:
-        if (received->len < BD_ID_BYTES)
+        if (received->len < BD_JOB_ID_BYTES)
             bd_job_cancellation_received(core, received->text);
         break;
     case BD_FRAME_JOB_PROGRESS:
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -86,7 +86,7 @@
     uint32_t all, repeated;
     if (bd_time_is_before(now, node->next_metrics))
         return;
-    bd_heartbeat_cache_counts(node->heartbeats, &all, &repeated);
+    bd_heartbeat_cache_take_counts(node->heartbeats, &all, &repeated);
     if (all > 0)
         bd_log_write(&node->log, BD_LOG_INFO, "heartbeats: %u, %u of them unchanged", all,
                      repeated);
--- a/src/wire/frame.h
+++ b/src/wire/frame.h
@@ -51,7 +51,7 @@
 
 /* Progress of a job as the leader counts it. */
 struct bd_job_progress {
-    char id[BD_ID_BYTES];
+    char id[BD_JOB_ID_BYTES];
     uint32_t done;    /* tasks that have completed */
     uint32_t running; /* tasks that run now */
 };
--- a/src/wire/heartbeat_cache.c
+++ b/src/wire/heartbeat_cache.c
@@ -138,7 +138,8 @@
     return entry ? &entry->heartbeat : &cache->uncached;
 }
 
-void bd_heartbeat_cache_counts(struct bd_heartbeat_cache *cache, uint32_t *total, uint32_t *hits)
+void bd_heartbeat_cache_take_counts(struct bd_heartbeat_cache *cache, uint32_t *total,
+                                    uint32_t *hits)
 {
     *total = cache->total;
     *hits = cache->hits;
--- a/src/wire/heartbeat_cache.h
+++ b/src/wire/heartbeat_cache.h
@@ -26,5 +26,6 @@
                                                    const char *text, size_t len);
 /* Heartbeats read since the last call of this function, and how many of them came from the cache.
  */
-void bd_heartbeat_cache_counts(struct bd_heartbeat_cache *cache, uint32_t *total, uint32_t *hits);
+void bd_heartbeat_cache_take_counts(struct bd_heartbeat_cache *cache, uint32_t *total,
+                                    uint32_t *hits);
 #endif
--- a/src/wire/wire_cloud.c
+++ b/src/wire/wire_cloud.c
@@ -66,10 +66,10 @@
 static enum bd_cloud_machine_state parse_machine_state(const char *text)
 {
     if (strcmp(text, "running") == 0)
-        return BD_MACHINE_UP;
+        return BD_CLOUD_MACHINE_RUNNING;
     if (strcmp(text, "failed") == 0)
-        return BD_MACHINE_FAILED;
-    return BD_MACHINE_BOOTING;
+        return BD_CLOUD_MACHINE_FAILED;
+    return BD_CLOUD_MACHINE_BOOTING;
 }
 
 static bool read_machine(json_t *object, struct bd_cloud_machine *out)
--- a/src/wire/wire_cloud.h
+++ b/src/wire/wire_cloud.h
@@ -21,7 +21,11 @@
     int zone_count;
 };
 
-enum bd_cloud_machine_state { BD_MACHINE_BOOTING, BD_MACHINE_UP, BD_MACHINE_FAILED };
+enum bd_cloud_machine_state {
+    BD_CLOUD_MACHINE_BOOTING,
+    BD_CLOUD_MACHINE_RUNNING,
+    BD_CLOUD_MACHINE_FAILED
+};
 
 /* A machine in the cloud's list. */
 struct bd_cloud_machine {
--- a/src/wire/wire_internal.h
+++ b/src/wire/wire_internal.h
@@ -31,7 +31,7 @@
 char *bd_wire_write_text(json_t *object);
 
 /* Reads a job's spec. NULL, or the name of the field at fault, a constant. */
-const char *bd_wire_read_spec(json_t *object, struct bd_job_spec_text *out);
+const char *bd_wire_read_job_spec(json_t *object, struct bd_job_spec_text *out);
 /* A job's spec as a JSON object. NULL: out of memory. */
-json_t *bd_wire_write_spec(const struct bd_job_spec_text *spec);
+json_t *bd_wire_write_job_spec(const struct bd_job_spec_text *spec);
 #endif
--- a/src/wire/wire_job_records.c
+++ b/src/wire/wire_job_records.c
@@ -38,7 +38,7 @@
     }
 }
 
-json_t *bd_wire_write_record(const struct bd_job_record *record)
+json_t *bd_wire_write_job_record(const struct bd_job_record *record)
 {
     json_t *value = json_pack("{s:s,s:i,s:f}", KEY_RECORD_STATE, job_states[record->state],
                               KEY_RECORD_TASK_COUNT, (int)record->tasks, KEY_RECORD_SUBMITTED_AT,
@@ -46,7 +46,7 @@
     if (!value)
         return NULL;
     if (record->has_spec)
-        json_object_set_new(value, KEY_RECORD_SPEC, bd_wire_write_spec(&record->spec));
+        json_object_set_new(value, KEY_RECORD_SPEC, bd_wire_write_job_spec(&record->spec));
     else if (*record->spec.job_class) /* the rate at which jobs of a class come rests on it */
         json_object_set_new(value, KEY_RECORD_JOB_CLASS, json_string(record->spec.job_class));
     write_parents(value, &record->parents);
@@ -77,7 +77,7 @@
     out->part_count = (uint32_t)count;
 }
 
-bool bd_wire_read_record(json_t *value, struct bd_job_record *out)
+bool bd_wire_read_job_record(json_t *value, struct bd_job_record *out)
 {
     uint64_t tasks = 0;
     memset(out, 0, sizeof *out);
@@ -91,7 +91,7 @@
     out->ended_at = json_number_value(json_object_get(value, KEY_RECORD_ENDED_AT));
     read_parents(value, &out->parents);
     json_t *spec = json_object_get(value, KEY_RECORD_SPEC);
-    out->has_spec = json_is_object(spec) && bd_wire_read_spec(spec, &out->spec) == NULL;
+    out->has_spec = json_is_object(spec) && bd_wire_read_job_spec(spec, &out->spec) == NULL;
     if (!out->has_spec && !bd_wire_read_label(value, KEY_RECORD_JOB_CLASS, out->spec.job_class))
         out->spec.job_class[0] = '\0';
     return out->has_spec || out->state == BD_JOB_DONE;
--- a/src/wire/wire_job_spec.c
+++ b/src/wire/wire_job_spec.c
@@ -82,7 +82,7 @@
     return NULL;
 }
 
-const char *bd_wire_read_spec(json_t *object, struct bd_job_spec_text *out)
+const char *bd_wire_read_job_spec(json_t *object, struct bd_job_spec_text *out)
 {
     uint64_t tasks = 0;
     memset(out, 0, sizeof *out);
@@ -112,7 +112,7 @@
     return types;
 }
 
-json_t *bd_wire_write_spec(const struct bd_job_spec_text *spec)
+json_t *bd_wire_write_job_spec(const struct bd_job_spec_text *spec)
 {
     json_t *zone = *spec->zone ? json_string(spec->zone) : json_null();
     json_t *deadline = spec->deadline_s < 0 ? json_null() : json_real(spec->deadline_s);
--- a/src/wire/wire_jobs.c
+++ b/src/wire/wire_jobs.c
@@ -22,10 +22,10 @@
     return digits >= 1 && digits <= JOB_DIGITS_MAX && id[prefix_len + digits] == '\0';
 }
 
-bool bd_wire_read_task_name(const char *text, char job[BD_ID_BYTES], uint32_t *task)
+bool bd_wire_read_task_name(const char *text, char job[BD_JOB_ID_BYTES], uint32_t *task)
 {
     const char *slash = text ? strchr(text, '/') : NULL;
-    if (!slash || (size_t)(slash - text) >= BD_ID_BYTES)
+    if (!slash || (size_t)(slash - text) >= BD_JOB_ID_BYTES)
         return false;
     memcpy(job, text, (size_t)(slash - text));
     job[slash - text] = '\0';
@@ -37,7 +37,7 @@
     return *task < BD_TASKS_MAX;
 }
 
-const char *bd_wire_read_submission(json_t *body, char id[BD_ID_BYTES],
+const char *bd_wire_read_submission(json_t *body, char id[BD_JOB_ID_BYTES],
                                     struct bd_job_spec_text *out)
 {
     id[0] = '\0';
@@ -47,7 +47,7 @@
     if (!bd_wire_is_job_id(text))
         return KEY_ID;
     strcpy(id, text);
-    return bd_wire_read_spec(body, out);
+    return bd_wire_read_job_spec(body, out);
 }
 
 /* The ids in the list, each once. NULL: one of them is malformed. */
--- a/src/wire/wire_jobs.h
+++ b/src/wire/wire_jobs.h
@@ -76,11 +76,11 @@
 /* Whether the text is a job's id: "job-" and 1 to 18 digits. NULL is none. */
 bool bd_wire_is_job_id(const char *id);
 /* Reads a task's name, "JOB/INDEX". False: malformed; `job` may have been overwritten. */
-bool bd_wire_read_task_name(const char *text, char job[BD_ID_BYTES], uint32_t *task);
+bool bd_wire_read_task_name(const char *text, char job[BD_JOB_ID_BYTES], uint32_t *task);
 
 /* Reads a submission. `id` gets the job's id as soon as that was read, else it is empty. NULL, or
  * the name of the field at fault, a constant. */
-const char *bd_wire_read_submission(json_t *body, char id[BD_ID_BYTES],
+const char *bd_wire_read_submission(json_t *body, char id[BD_JOB_ID_BYTES],
                                     struct bd_job_spec_text *out);
 /* Reads the parents of a submission. `out` gets a new list of their ids, each once, or NULL if
  * there are none. False: malformed or out of memory, and `out` is NULL. */
@@ -95,10 +95,10 @@
  * cancelled. NULL: out of memory. */
 json_t *bd_wire_write_cancelled_spec(json_t *spec);
 /* The value of a job's record. NULL: out of memory. */
-json_t *bd_wire_write_record(const struct bd_job_record *record);
+json_t *bd_wire_write_job_record(const struct bd_job_record *record);
 /* Reads a job's record; `out->parents.names` lives as long as `value`. False: malformed, or a job
  * that is not done has no spec. */
-bool bd_wire_read_record(json_t *value, struct bd_job_record *out);
+bool bd_wire_read_job_record(json_t *value, struct bd_job_record *out);
 
 /* The reply to a submission that was accepted. */
 char *bd_wire_write_accepted(const char *id);
--- a/src/wire/wire_store.c
+++ b/src/wire/wire_store.c
@@ -65,7 +65,7 @@
     return out->key && bd_wire_read_unsigned(entry, KEY_REVISION, &out->revision);
 }
 
-void bd_wire_write_revision(json_t *change, uint64_t revision)
+void bd_wire_set_revision(json_t *change, uint64_t revision)
 {
     json_object_set_new(change, KEY_REVISION, json_integer((json_int_t)revision));
 }
--- a/src/wire/wire_store.h
+++ b/src/wire/wire_store.h
@@ -45,7 +45,7 @@
 bool bd_wire_read_change(json_t *entry, struct bd_kv_change *out);
 /* Gives a change of a transaction its revision, so that bd_wire_read_change reads it as one of a
  * log. */
-void bd_wire_write_revision(json_t *change, uint64_t revision);
+void bd_wire_set_revision(json_t *change, uint64_t revision);
 /* Reads the answer to a GET of one key; `grant` is that of the key, 0: none. False: malformed, or
  * without a value. */
 bool bd_wire_read_pair(json_t *body, struct bd_kv_change *out, uint64_t *grant);
--- a/src/wire/wire_workers.h
+++ b/src/wire/wire_workers.h
@@ -11,8 +11,8 @@
 
 /* What a task does on its worker. */
 enum bd_execution_state {
-    BD_EXECUTION_FETCHING,     /* its image */
-    BD_EXECUTION_JOINING_GANG, /* waits for the gang's other tasks */
+    BD_EXECUTION_FETCHING_IMAGE, /* its image */
+    BD_EXECUTION_JOINING_GANG,   /* waits for the gang's other tasks */
     BD_EXECUTION_RUNNING,
     BD_EXECUTION_CHECKPOINTING, /* saves its progress, before it stops */
     BD_EXECUTION_EXITED
@@ -31,7 +31,7 @@
 
 /* A task in a heartbeat. */
 struct bd_reported_task {
-    char job[BD_ID_BYTES];
+    char job[BD_JOB_ID_BYTES];
     uint32_t task;    /* its index in the job */
     uint64_t attempt; /* number of its attempt */
     enum bd_execution_state execution;
@@ -60,7 +60,7 @@
 
 struct bd_command {
     enum bd_command_verb verb;
-    char job[BD_ID_BYTES];
+    char job[BD_JOB_ID_BYTES];
     uint32_t task; /* its index in the job */
     uint64_t attempt;
     double grace_s; /* HALT: seconds that it has to save its progress */
--- a/tests/drain_profile_fleet.c
+++ b/tests/drain_profile_fleet.c
@@ -62,7 +62,7 @@
         seen->execution = stops ? BD_EXECUTION_EXITED
                           : task->execution == BD_EXECUTION_RUNNING || !begins
                               ? BD_EXECUTION_RUNNING
-                              : BD_EXECUTION_FETCHING;
+                              : BD_EXECUTION_FETCHING_IMAGE;
         seen->exit_reason = stops ? BD_EXIT_STOPPED : BD_EXIT_NONE;
     }
 }
@@ -144,7 +144,7 @@
     record.spec.tasks = JOB_TASKS;
     record.spec.cpus = record.spec.mem_gb = 1;
     record.spec.deadline_s = -1;
-    json_t *value = bd_wire_write_record(&record);
+    json_t *value = bd_wire_write_job_record(&record);
     struct bd_kv_change change = {key, value, ++fleet->revision};
     bd_replica_apply(fleet->core, &change);
     json_decref(value);
--- a/tests/graphs_large.c
+++ b/tests/graphs_large.c
@@ -33,7 +33,7 @@
     record.spec.priority = number == CHAIN_JOBS - 1 ? BD_PRIORITY_HIGH : BD_PRIORITY_IDLE;
     record.parents.names = names;
     record.state = strcmp(state, "cancelled") == 0 ? BD_JOB_CANCELLED : BD_JOB_ACTIVE;
-    json_t *value = bd_wire_write_record(&record);
+    json_t *value = bd_wire_write_job_record(&record);
     struct bd_kv_change change = {key, value, revision};
     bd_replica_apply(core, &change);
     json_decref(value);
--- a/tests/inputs_frames.c
+++ b/tests/inputs_frames.c
@@ -51,9 +51,9 @@
     unsigned char bytes[BD_FRAME_BYTES_MAX];
     written->type = BD_FRAME_JOB_PROGRESS;
     written->count = 2;
-    snprintf(written->jobs[0].id, BD_ID_BYTES, "job-1");
+    snprintf(written->jobs[0].id, BD_JOB_ID_BYTES, "job-1");
     written->jobs[0].done = 3;
-    snprintf(written->jobs[1].id, BD_ID_BYTES, "job-22");
+    snprintf(written->jobs[1].id, BD_JOB_ID_BYTES, "job-22");
     written->jobs[1].running = 100000;
     size_t length = bd_frame_write(written, bytes, sizeof bytes);
     inputs_check(length > 0 && bd_frame_read(bytes, length, read) == (long)length &&
@@ -116,7 +116,7 @@
         intents += strncmp(key, "i/", 2) == 0;
         if (strncmp(key, "j/", 2) != 0)
             continue;
-        bool ok = bd_wire_read_record(value, &record);
+        bool ok = bd_wire_read_job_record(value, &record);
         inputs_check(ok && !record.parents.names && !record.parents.part_count &&
                          !record.parents.is_unreadable && record.ended_at == 0,
                      key);
--- a/tests/inputs_wire.c
+++ b/tests/inputs_wire.c
@@ -8,7 +8,7 @@
 
 static const char *read_submission(const char *text)
 {
-    char id[BD_ID_BYTES];
+    char id[BD_JOB_ID_BYTES];
     struct bd_job_spec_text spec;
     json_t *json = json_loads(text, 0, NULL);
     const char *bad = json ? bd_wire_read_submission(json, id, &spec) : "body";
@@ -143,9 +143,9 @@
         "-7", "7.5", "07", "7e3", "\"7\"", "", "99999999999999999999", "7,\"tally\":8"};
     for (size_t i = 0; i < sizeof malformed / sizeof malformed[0]; i++) {
         (void)read_cached(cache, "vm-1", "1009", "pulling");
-        bd_heartbeat_cache_counts(cache, &all, &repeated);
+        bd_heartbeat_cache_take_counts(cache, &all, &repeated);
         (void)read_cached(cache, "vm-1", malformed[i], "pulling");
-        bd_heartbeat_cache_counts(cache, &all, &repeated);
+        bd_heartbeat_cache_take_counts(cache, &all, &repeated);
         inputs_check(all == 1 && repeated == 0, "an odd number is left to the JSON parser");
     }
 }
@@ -158,10 +158,10 @@
         snprintf(name, sizeof name, "vm-%d", i);
         (void)read_cached(cache, name, "1", "running");
     }
-    bd_heartbeat_cache_counts(cache, &all, &repeated);
+    bd_heartbeat_cache_take_counts(cache, &all, &repeated);
     (void)read_cached(cache, "vm-199", "2", "running");
     (void)read_cached(cache, "vm-0", "2", "running");
-    bd_heartbeat_cache_counts(cache, &all, &repeated);
+    bd_heartbeat_cache_take_counts(cache, &all, &repeated);
     inputs_check(repeated == 1, "the oldest reports leave when there is no room");
 }
 
@@ -185,12 +185,12 @@
                  "one that only has another number says the same");
     heartbeat = read_cached(cache, "vm-1", "1009", "pulling");
     inputs_check(heartbeat && heartbeat->seq == 1009 &&
-                     heartbeat->tasks[0].execution == BD_EXECUTION_FETCHING,
+                     heartbeat->tasks[0].execution == BD_EXECUTION_FETCHING_IMAGE,
                  "another state is seen");
     heartbeat = read_cached(cache, "vm-2", "1010", "pulling");
     inputs_check(heartbeat && heartbeat->seq == 1010 && strcmp(heartbeat->machine, "vm-2") == 0,
                  "another machine is seen");
-    bd_heartbeat_cache_counts(cache, &all, &repeated);
+    bd_heartbeat_cache_take_counts(cache, &all, &repeated);
     inputs_check(all == 4 && repeated == 1, "only the one was a repetition");
     malformed_numbers(cache);
     inputs_check(!read_cached(cache, "vm-1", "7.5", "pulling") &&
@@ -203,7 +203,7 @@
 void inputs_records(void)
 {
     struct bd_job_record record, back;
-    char id[BD_ID_BYTES];
+    char id[BD_JOB_ID_BYTES];
     json_t *submission =
         json_loads("{\"id\":\"job-1\",\"kin\":\"k\",\"household\":\"t\",\"shape\":\"gang\","
                    "\"rank\":\"high\",\"chores\":3,\"vcpus\":1.5,\"accelerators\":0,"
@@ -219,8 +219,8 @@
     record.tasks = 3;
     record.submitted_at = 1000.5;
     record.has_spec = true;
-    json_t *value = bd_wire_write_record(&record);
-    inputs_check(bd_wire_read_record(value, &back) && back.spec.type_count == 2 &&
+    json_t *value = bd_wire_write_job_record(&record);
+    inputs_check(bd_wire_read_job_record(value, &back) && back.spec.type_count == 2 &&
                      back.tasks == 3 && back.submitted_at == 1000.5 &&
                      strcmp(back.spec.zone, "z") == 0 && back.spec.deadline_s < 0,
                  "a record survives being written and read");
@@ -233,7 +233,7 @@
                                       "7"};
     for (size_t i = 0; i < sizeof bad / sizeof *bad; i++) {
         value = json_loads(bad[i], JSON_DECODE_ANY, NULL);
-        inputs_check(!bd_wire_read_record(value, &back), bad[i]);
+        inputs_check(!bd_wire_read_job_record(value, &back), bad[i]);
         json_decref(value);
     }
 }
--- a/tests/loopback_drain.c
+++ b/tests/loopback_drain.c
@@ -41,7 +41,7 @@
 static void watch(void *arg, enum fake_task_event event, const char *task)
 {
     struct history *history = arg;
-    char id[BD_ID_BYTES];
+    char id[BD_JOB_ID_BYTES];
     uint32_t number;
     if (!bd_wire_read_task_name(task, id, &number) || number_of(id + 4) < FIRST_JOB)
         return;
--- a/tests/profile_costs.c
+++ b/tests/profile_costs.c
@@ -110,7 +110,7 @@
 
 static void cost_poll(struct deployment *deployment, uint32_t n)
 {
-    char id[BD_ID_BYTES];
+    char id[BD_JOB_ID_BYTES];
     snprintf(id, sizeof id, "job-%06u", n % 100);
     CALLGRIND_TOGGLE_COLLECT;
     bd_user_status(deployment->core, NULL, id);
--- a/tests/profile_deployment.c
+++ b/tests/profile_deployment.c
@@ -131,7 +131,7 @@
     record.spec.deadline_s = -1;
     record.spec.spread_zones = kind == BD_JOB_SERVICE;
     record.spec.spot = kind == BD_JOB_ARRAY;
-    json_t *value = bd_wire_write_record(&record);
+    json_t *value = bd_wire_write_job_record(&record);
     struct bd_kv_change change = {key, value, ++deployment->revision};
     bd_replica_apply(deployment->core, &change);
     json_decref(value);
--- a/tests/scenario_drain.c
+++ b/tests/scenario_drain.c
@@ -224,7 +224,7 @@
         const char *fetches = play_text(play, "fetches");
         bool waits = fetches && strcmp(fetches, id) == 0 && task->execution != BD_EXECUTION_RUNNING;
         seen->execution = stops   ? BD_EXECUTION_EXITED
-                          : waits ? BD_EXECUTION_FETCHING
+                          : waits ? BD_EXECUTION_FETCHING_IMAGE
                                   : BD_EXECUTION_RUNNING;
         seen->exit_reason = stops ? BD_EXIT_STOPPED : BD_EXIT_NONE;
     }
--- a/tests/scenario_expect.c
+++ b/tests/scenario_expect.c
@@ -93,7 +93,7 @@
 static void step_task(struct play *play)
 {
     static const char *const states[] = {"wait", "plan", "launch", "live", "unknown", "done"};
-    char id[BD_ID_BYTES];
+    char id[BD_JOB_ID_BYTES];
     uint32_t index = 0;
     struct bd_job *job = NULL;
     if (bd_wire_read_task_name(play->words[1], id, &index))
--- a/tests/scenario_jobs.c
+++ b/tests/scenario_jobs.c
@@ -113,7 +113,7 @@
         play_fail(play, "parts");
     record.parents.part_count = (uint32_t)parts;
     record.ended_at = play_number(play, "end", 0);
-    json_t *value = bd_wire_write_record(&record);
+    json_t *value = bd_wire_write_job_record(&record);
     struct bd_kv_change change = {key, value, (uint64_t)play_number(play, "mark", 1)};
     bd_replica_apply(play->core, &change);
     json_decref(value);
@@ -129,7 +129,7 @@
         snprintf(key, sizeof key, "j/job-%d", 1000000 + i);
         struct bd_job_record record = {
             .state = BD_JOB_DONE, .tasks = 1, .submitted_at = 1, .ended_at = 2};
-        json_t *value = bd_wire_write_record(&record);
+        json_t *value = bd_wire_write_job_record(&record);
         struct bd_kv_change change = {key, value, (uint64_t)(i + 1)};
         bd_replica_apply(play->core, &change);
         json_decref(value);
@@ -149,7 +149,7 @@
         record.has_spec = true;
         record.state = BD_JOB_CANCELLED;
     }
-    struct bd_kv_change change = {key, value = bd_wire_write_record(&record), 5};
+    struct bd_kv_change change = {key, value = bd_wire_write_job_record(&record), 5};
     bd_replica_lookup_completed(play->core, NULL, play->words[1], number_of(play->words[2]), status,
                                 status == 200 ? &change : NULL);
     json_decref(value);
--- a/tests/scenario_machines.c
+++ b/tests/scenario_machines.c
@@ -116,9 +116,9 @@
         if (sscanf(play->words[i], "%63[^:]:%63[^:]:%63[^:]:%31s", machines[count].id,
                    machines[count].type, machines[count].zone, state) < 3)
             play_fail(play, "listed");
-        machines[count].state = *state == 'r'   ? BD_MACHINE_UP
-                                : *state == 'f' ? BD_MACHINE_FAILED
-                                                : BD_MACHINE_BOOTING;
+        machines[count].state = *state == 'r'   ? BD_CLOUD_MACHINE_RUNNING
+                                : *state == 'f' ? BD_CLOUD_MACHINE_FAILED
+                                                : BD_CLOUD_MACHINE_BOOTING;
     }
     bd_inventory_machines_received(play->core, machines, count, play->core->now);
 }
--- a/tests/sim_receive.c
+++ b/tests/sim_receive.c
@@ -238,7 +238,8 @@
         snprintf(machines[count].address, BD_LABEL_BYTES, "w-%d", i);
         snprintf(machines[count].type, BD_LABEL_BYTES, "%s", worker->type);
         snprintf(machines[count].zone, BD_LABEL_BYTES, "%s", worker->zone);
-        machines[count].state = sim->now < worker->up_at ? BD_MACHINE_BOOTING : BD_MACHINE_UP;
+        machines[count].state =
+            sim->now < worker->up_at ? BD_CLOUD_MACHINE_BOOTING : BD_CLOUD_MACHINE_RUNNING;
         machines[count++].age_s = sim->now - worker->provisioned_at;
     }
     bd_inventory_machines_received(node->core, machines, count,
--- a/tests/sim_tasks.c
+++ b/tests/sim_tasks.c
@@ -141,7 +141,7 @@
 
 static bool read_task(struct sim *sim, json_t *command, int *job, uint32_t *task)
 {
-    char id[BD_ID_BYTES];
+    char id[BD_JOB_ID_BYTES];
     if (!bd_wire_read_task_name(json_string_value(json_object_get(command, "chore")), id, task))
         return false;
     struct sim_job *found = sim_job_named(sim, id);
@@ -172,7 +172,7 @@
             old = &worker->slots[i];
     struct sim_slot *slot = &worker->slots[worker->nslots++];
     *slot = (struct sim_slot){
-        job, task, attempt, BD_EXECUTION_FETCHING, BD_EXIT_NONE, sim->now + sim->fetch_s};
+        job, task, attempt, BD_EXECUTION_FETCHING_IMAGE, BD_EXIT_NONE, sim->now + sim->fetch_s};
     if (old) {
         slot->execution = BD_EXECUTION_EXITED;
         slot->exit_reason = BD_EXIT_BUSY;
@@ -243,7 +243,7 @@
 void sim_run_task(struct sim *sim, struct sim_worker *worker, struct sim_slot *slot)
 {
     struct sim_job *job = &sim->jobs[slot->job];
-    if (slot->execution == BD_EXECUTION_FETCHING && sim->now >= slot->until) {
+    if (slot->execution == BD_EXECUTION_FETCHING_IMAGE && sim->now >= slot->until) {
         bool gang = job->kind == BD_JOB_GANG && job->tasks > 1;
         if (job->done[slot->task]) { /* its result is kept */
             sim_task_exit(sim, worker, slot, BD_EXIT_DONE);
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -155,7 +155,7 @@
 };
 
 struct sim_job {
-    char id[BD_ID_BYTES];
+    char id[BD_JOB_ID_BYTES];
     enum bd_job_kind kind;
     uint32_t tasks;
     int team, priority;
