--- a/src/base/address.c
+++ b/src/base/address.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define HOST_BYTES 64 /* with the terminator */
+#define HOST_BYTES 64 /* including the terminator */
 
 bool bd_address_parse(const char *text, struct sockaddr_in *out)
 {
--- a/src/base/http.c
+++ b/src/base/http.c
@@ -5,19 +5,20 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Far above any answer of a healthy server; keeps a broken one from filling the memory. */
+/* Far above any response of a healthy server; protects against memory exhaustion by a faulty one.
+ */
 #define BODY_BYTES_MAX ((size_t)8 << 20)
 #define RECEIVE_BUFFER_BYTES 16384L
 
 struct bd_http {
-    CURL *easy;                 /* holds the connections */
-    struct curl_slist *headers; /* of every request */
+    CURL *easy;                 /* owns the connections */
+    struct curl_slist *headers; /* sent with every request */
     struct bd_counter *counter; /* borrowed, may be NULL */
 };
 
 int bd_http_global_init(void)
 {
-    /* plain HTTP only: without CURL_GLOBAL_SSL no TLS tables are built at start-up */
+    /* Only plain HTTP is used; without CURL_GLOBAL_SSL no TLS tables are built at start-up. */
     return curl_global_init(CURL_GLOBAL_NOTHING) == CURLE_OK ? 0 : -1;
 }
 
@@ -26,7 +27,7 @@
     curl_global_cleanup();
 }
 
-/* libcurl's write callback: a return value other than the bytes given ends the transfer. */
+/* Write callback of libcurl. A return value other than the number of bytes aborts the transfer. */
 static size_t append_to_body(char *data, size_t size, size_t count, void *arg)
 {
     struct bd_http_response *response = arg;
@@ -43,10 +44,10 @@
     return bytes;
 }
 
-static void set_fixed_options(struct bd_http *http, long keep)
+static void set_fixed_options(struct bd_http *http, long idle_connections_max)
 {
     curl_easy_setopt(http->easy, CURLOPT_NOSIGNAL, 1L);
-    curl_easy_setopt(http->easy, CURLOPT_MAXCONNECTS, keep);
+    curl_easy_setopt(http->easy, CURLOPT_MAXCONNECTS, idle_connections_max);
     curl_easy_setopt(http->easy, CURLOPT_WRITEFUNCTION, append_to_body);
     curl_easy_setopt(http->easy, CURLOPT_HTTPHEADER, http->headers);
     curl_easy_setopt(http->easy, CURLOPT_PROXY, "");
@@ -54,7 +55,7 @@
     curl_easy_setopt(http->easy, CURLOPT_BUFFERSIZE, RECEIVE_BUFFER_BYTES);
 }
 
-struct bd_http *bd_http_new(long keep, struct bd_counter *counter)
+struct bd_http *bd_http_new(long idle_connections_max, struct bd_counter *counter)
 {
     struct bd_http *http = calloc(1, sizeof *http);
     if (!http)
@@ -62,13 +63,13 @@
     http->counter = counter;
     http->easy = curl_easy_init();
     http->headers = curl_slist_append(NULL, "Content-Type: application/json");
-    /* an empty Expect: no round trip for "100 Continue" before a long body */
+    /* An empty Expect header avoids the round trip for "100 Continue" before a long body. */
     struct curl_slist *headers = http->headers ? curl_slist_append(http->headers, "Expect:") : NULL;
     if (!http->easy || !headers) {
         bd_http_free(http);
         return NULL;
     }
-    set_fixed_options(http, keep);
+    set_fixed_options(http, idle_connections_max);
     return http;
 }
 
--- a/src/base/http.h
+++ b/src/base/http.h
@@ -1,7 +1,7 @@
-/* Blocking HTTP client, for calls to the key-value store, the cloud and workers.
+/* Blocking HTTP client for calls to the key-value store, the cloud, workers and controllers.
  *
- * A client owns its reusable connections and belongs to one thread; several threads use a client
- * each. Bodies are JSON. Proxies of the environment are ignored.
+ * A client owns a pool of reusable connections and must only be used by one thread. Bodies are
+ * JSON. Proxy settings of the environment are ignored.
  */
 #ifndef BD_HTTP_H
 #define BD_HTTP_H
@@ -11,25 +11,27 @@
 struct bd_counter;
 
 struct bd_http_response {
-    long status; /* 0: no answer, the request may or may not have been executed */
-    char *body;  /* NULL: empty; else terminated, freed by bd_http_response_free */
-    size_t len;  /* bytes of the body without the terminator */
+    long status; /* 0: no response; the request may or may not have been executed */
+    char *body;  /* terminated, freed by bd_http_response_free; NULL: empty */
+    size_t len;  /* bytes of the body, without the terminator */
 };
 
-/* Prepares the client library, once in a process and before its first thread starts. 0, or -1. */
+/* Initializes the client library. Call once per process, before the first thread starts. Returns 0,
+ * or -1 on failure. */
 int bd_http_global_init(void);
-/* Gives back what bd_http_global_init took; no client may be left. */
+/* Releases the resources of bd_http_global_init. All clients must have been freed. */
 void bd_http_global_cleanup(void);
-/* A client that keeps at most `keep` idle connections open. Its calls are counted in `counter`,
- * which may be NULL and must outlive it. NULL: out of memory. */
-struct bd_http *bd_http_new(long keep, struct bd_counter *counter);
-/* Closes its connections. `http` may be NULL. */
+/* Creates a client that keeps at most `idle_connections_max` idle connections open. `counter`,
+ * which may be NULL, counts its calls and must outlive the client. Returns NULL if out of memory.
+ */
+struct bd_http *bd_http_new(long idle_connections_max, struct bd_counter *counter);
+/* Closes the connections and frees the client. `http` may be NULL. */
 void bd_http_free(struct bd_http *http);
-/* Makes one call, of at most `timeout_s` seconds all in all, and fills `out`, which the caller
- * releases. `method` is GET, POST or DELETE; `body` is sent with POST only and may be NULL. An
- * answer that is too long or breaks off counts as none. */
+/* Sends a request and waits for the response, at most `timeout_s` seconds in total. The caller
+ * releases `out`. `method` is GET, POST or DELETE; `body` is sent with POST only and may be NULL. A
+ * response that is too long or truncated counts as no response. */
 void bd_http_call(struct bd_http *http, const char *method, const char *url, const char *body,
                   double timeout_s, struct bd_http_response *out);
-/* Frees the body and zeroes the response; harmless on one that is zeroed already. */
+/* Frees the body and zeroes the response. Does nothing on a zeroed response. */
 void bd_http_response_free(struct bd_http_response *response);
 #endif
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <unistd.h>
 
-#define LINE_BYTES 1024 /* with the end of the line */
+#define LINE_BYTES 1024 /* including the newline */
 
 enum bd_log_level bd_log_level_parse(const char *name)
 {
@@ -27,7 +27,7 @@
         return;
     va_list args;
     va_start(args, fmt);
-    /* the last byte is left for the line's end, which takes the terminator's place */
+    /* One byte is reserved: the newline below replaces the terminator. */
     int text_len = vsnprintf(line + prefix_len, sizeof line - (size_t)prefix_len - 1, fmt, args);
     va_end(args);
     if (text_len < 0)
@@ -35,5 +35,5 @@
     size_t len = strlen(line);
     line[len++] = '\n';
     if (write(STDERR_FILENO, line, len) < 0)
-        return; /* there is nowhere to report it */
+        return; /* a failure to log cannot be reported */
 }
--- a/src/base/metrics.c
+++ b/src/base/metrics.c
@@ -5,8 +5,8 @@
 #include <math.h>
 #include <stdlib.h>
 
-/* A histogram's bins have equal widths in the logarithm, from a tenth of a millisecond to more than
- * a minute. A quantile is reported as its bin's upper edge. */
+/* The histogram bins have equal widths on a logarithmic scale, from 0.1 ms to more than a minute. A
+ * quantile is reported as the upper edge of its bin. */
 #define SHORTEST_S 1e-4
 #define BINS_PER_DOUBLING 3
 #define DOUBLINGS 20
@@ -17,7 +17,7 @@
 struct bd_metrics {
     struct bd_counter counters[BD_TRAFFIC_KINDS];
     gsl_histogram *histograms[BD_TIMINGS];
-    double longest_s[BD_TIMINGS]; /* exact, where the histogram knows only the bin */
+    double longest_s[BD_TIMINGS]; /* exact maximum; the histogram only gives its bin */
 };
 
 static const char *const traffic_names[BD_TRAFFIC_KINDS] = {
@@ -28,7 +28,6 @@
     "queue", "heartbeat", "status-read", "submission", "cancellation",
     "cycle", "commit",    "start",       "failover",   "direct-command"};
 
-/* The upper end of all bins, seconds. */
 static double histogram_end_s(void)
 {
     return SHORTEST_S * exp2(DOUBLINGS);
@@ -47,7 +46,7 @@
     return histogram;
 }
 
-/* One that is built in part, too. */
+/* Also frees partially initialized metrics. */
 static void free_metrics(struct bd_metrics *metrics)
 {
     for (size_t i = 0; i < BD_TIMINGS; i++)
@@ -101,14 +100,15 @@
 {
     if (!metrics || !isfinite(seconds))
         return;
-    double longest_s = histogram_end_s() * 0.999; /* the last bin's end is not in it */
+    /* The range of the last bin excludes its upper edge. */
+    double bin_max_s = histogram_end_s() * 0.999;
     (void)gsl_histogram_increment(metrics->histograms[timing],
-                                  fmin(fmax(seconds, SHORTEST_S), longest_s));
+                                  fmin(fmax(seconds, SHORTEST_S), bin_max_s));
     metrics->longest_s[timing] = fmax(metrics->longest_s[timing], seconds);
 }
 
 static void report_traffic(struct bd_counter *counter, const char *name, const struct bd_log *log,
-                           double seconds)
+                           double interval_s)
 {
     double messages = (double)atomic_exchange(&counter->messages, 0);
     double bytes_out = (double)atomic_exchange(&counter->bytes_out, 0);
@@ -120,20 +120,20 @@
     bd_log_write(log, BD_LOG_INFO,
                  "traffic %s: %.1f messages, %.0f bytes out, %.0f bytes in, %.2f connections, %.1f "
                  "writes a second",
-                 name, messages / seconds, bytes_out / seconds, bytes_in / seconds,
-                 connections / seconds, writes / seconds);
+                 name, messages / interval_s, bytes_out / interval_s, bytes_in / interval_s,
+                 connections / interval_s, writes / interval_s);
 }
 
-/* The upper edge of the bin in which the quantile lies, but no more than the longest duration;
+/* Returns the upper edge of the bin that contains the quantile, limited to the longest duration, in
  * milliseconds. `total` is the number of durations. */
-static double quantile_ms(const struct bd_metrics *metrics, enum bd_timing timing, double share,
+static double quantile_ms(const struct bd_metrics *metrics, enum bd_timing timing, double fraction,
                           double total)
 {
     const gsl_histogram *histogram = metrics->histograms[timing];
     double count = 0, lower_s = 0, upper_s = 0, quantile_s = histogram_end_s();
     for (size_t i = 0; i < BINS; i++) {
         count += gsl_histogram_get(histogram, i);
-        if (count >= share * total &&
+        if (count >= fraction * total &&
             gsl_histogram_get_range(histogram, i, &lower_s, &upper_s) == 0) {
             quantile_s = upper_s;
             break;
@@ -162,12 +162,13 @@
                  heap.uordblks / BYTES_PER_KB, (heap.arena + heap.hblkhd) / BYTES_PER_KB);
 }
 
-void bd_metrics_write_report(struct bd_metrics *metrics, const struct bd_log *log, double seconds)
+void bd_metrics_write_report(struct bd_metrics *metrics, const struct bd_log *log,
+                             double interval_s)
 {
-    if (!metrics || seconds <= 0)
+    if (!metrics || interval_s <= 0)
         return;
     for (size_t i = 0; i < BD_TRAFFIC_KINDS; i++)
-        report_traffic(&metrics->counters[i], traffic_names[i], log, seconds);
+        report_traffic(&metrics->counters[i], traffic_names[i], log, interval_s);
     for (size_t i = 0; i < BD_TIMINGS; i++)
         report_timing(metrics, (enum bd_timing)i, log);
     report_memory(log);
--- a/src/base/queue.c
+++ b/src/base/queue.c
@@ -2,7 +2,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* pthread functions return 0 or an error's number; so does this. */
+/* Returns 0 or an error number, like the pthread functions. */
 static int init_monotonic_condition(pthread_cond_t *condition)
 {
     pthread_condattr_t attr;
@@ -52,17 +52,17 @@
 bool bd_queue_put(struct bd_queue *queue, void *item)
 {
     bool was_put = bd_queue_put_without_wakeup(queue, item);
-    if (was_put) /* without the lock: the thread that wakes up would only wait for it */
+    if (was_put) /* signalled without the lock, which the woken thread would otherwise wait for */
         (void)pthread_cond_signal(&queue->not_empty);
     return was_put;
 }
 
-size_t bd_queue_take(struct bd_queue *queue, void **out, size_t max, struct timespec until)
+size_t bd_queue_take(struct bd_queue *queue, void **out, size_t max, struct timespec deadline)
 {
     size_t taken = 0;
     (void)pthread_mutex_lock(&queue->lock);
     while (queue->count == 0)
-        if (pthread_cond_timedwait(&queue->not_empty, &queue->lock, &until) != 0)
+        if (pthread_cond_timedwait(&queue->not_empty, &queue->lock, &deadline) != 0)
             break;
     while (taken < max && queue->count > 0) {
         out[taken++] = queue->items[queue->head];
--- a/src/jobs/admission_record.c
+++ b/src/jobs/admission_record.c
@@ -52,7 +52,7 @@
 
 static json_t *build_record(struct bd_admission *admission, bool with_names)
 {
-    admission->record.parents.names = with_names ? admission->parents : NULL;
+    admission->record.parents.ids = with_names ? admission->parents : NULL;
     return bd_wire_write_job_record(&admission->record);
 }
 
--- a/src/jobs/dependency_names.c
+++ b/src/jobs/dependency_names.c
@@ -91,7 +91,7 @@
 void bd_dag_record_loaded(struct bd_core *core, struct bd_job *job,
                           const struct bd_job_record_parents *parents)
 {
-    bool has_names = json_array_size(parents->names) > 0;
+    bool has_names = json_array_size(parents->ids) > 0;
     job->has_had_parents = parents->is_unreadable || parents->part_count || has_names;
     if (parents->is_unreadable) {
         bd_log_write(core->log, BD_LOG_ERROR, "%s: its parents cannot be read: it is not started",
@@ -103,7 +103,7 @@
         snprintf(job->parent_parts_hash, sizeof job->parent_parts_hash, "%s", parents->parts_hash);
         join_parts_if_complete(core, job);
     } else if (has_names) {
-        bd_dag_add_parents(core, job, parents->names);
+        bd_dag_add_parents(core, job, parents->ids);
     }
 }
 
--- a/src/runtime/effect_dispatch.c
+++ b/src/runtime/effect_dispatch.c
@@ -57,7 +57,7 @@
     frame.len = (uint32_t)strlen(job_id);
     frame.count = 0;
     for (int i = 0; i < node->settings.npeers; i++)
-        if (node->core->peers[i].flags & BD_PEER_SUPPORTS_CANCELLATION_FRAMES)
+        if (node->core->peers[i].flags & BD_PEER_SUPPORTS_CANCELLATIONS)
             (void)bd_transport_send(node, i, &frame);
 }
 
--- a/src/runtime/peer_status.c
+++ b/src/runtime/peer_status.c
@@ -40,7 +40,7 @@
 {
     const struct bd_core *core = node->core;
     bool is_leader = core->role == BD_LEADER;
-    unsigned flags = BD_PEER_SUPPORTS_DEPENDENCIES | BD_PEER_SUPPORTS_CANCELLATION_FRAMES;
+    unsigned flags = BD_PEER_SUPPORTS_DEPENDENCIES | BD_PEER_SUPPORTS_CANCELLATIONS;
     if (is_leader)
         flags |= BD_PEER_IS_LEADER;
     if (is_leader && core->lead.inbound_partition)
--- a/src/wire/frame.c
+++ b/src/wire/frame.c
@@ -5,14 +5,14 @@
 #define MAGIC 0x42444d31u
 #define VERSION 2u
 #define HEADER_BYTES 12u
-#define LENGTH_OFFSET 8u /* of the body's length in the header */
+#define LENGTH_OFFSET 8u /* position of the body length in the header */
 #define LENGTH_BYTES 4u
-#define FIXED_BYTES_MAX 128u /* of a frame without its jobs and its text */
-#define SHORT_TEXT_MAX 255u  /* bytes, as its length is one byte */
+#define FIXED_FIELDS_BYTES_MAX 128u /* body without its jobs and its text */
+#define SHORT_TEXT_BYTES_MAX 255u   /* the length is encoded in one byte */
 
 /* ---- writing ---- */
 
-/* Fields are appended until one does not fit; from then on nothing is. */
+/* Appends fields. Once a field does not fit, has_failed is set and the frame is discarded. */
 struct frame_writer {
     unsigned char *bytes;
     size_t len, capacity;
@@ -43,7 +43,7 @@
 static void write_short_text(struct frame_writer *writer, const char *text)
 {
     size_t len = strlen(text);
-    if (len > SHORT_TEXT_MAX)
+    if (len > SHORT_TEXT_BYTES_MAX)
         writer->has_failed = true;
     write_unsigned(writer, len, 1);
     write_bytes(writer, text, len);
@@ -96,18 +96,19 @@
 
 size_t bd_frame_bytes_max(const struct bd_frame *frame)
 {
-    return HEADER_BYTES + FIXED_BYTES_MAX + frame->count * sizeof frame->jobs[0] + frame->len;
+    return HEADER_BYTES + FIXED_FIELDS_BYTES_MAX + frame->count * sizeof frame->jobs[0] +
+           frame->len;
 }
 
-size_t bd_frame_write(const struct bd_frame *frame, unsigned char *buf, size_t cap)
+size_t bd_frame_write(const struct bd_frame *frame, unsigned char *buf, size_t capacity)
 {
-    struct frame_writer writer = {buf, 0, cap < BD_FRAME_BYTES_MAX ? cap : BD_FRAME_BYTES_MAX,
-                                  false};
+    struct frame_writer writer = {
+        buf, 0, capacity < BD_FRAME_BYTES_MAX ? capacity : BD_FRAME_BYTES_MAX, false};
     write_unsigned(&writer, MAGIC, 4);
     write_unsigned(&writer, VERSION, 1);
     write_unsigned(&writer, frame->type, 1);
     write_unsigned(&writer, 0, 2);
-    write_unsigned(&writer, 0, LENGTH_BYTES); /* the body's length, set below */
+    write_unsigned(&writer, 0, LENGTH_BYTES); /* placeholder for the body length */
     write_body(&writer, frame);
     if (writer.has_failed)
         return 0;
@@ -118,7 +119,8 @@
 
 /* ---- reading ---- */
 
-/* Fields are read until one is not there or not valid; from then on they are zero or empty. */
+/* Reads fields in sequence. Once a field is missing or invalid, has_failed is set and the frame is
+ * rejected. */
 struct frame_reader {
     const unsigned char *bytes;
     size_t len, position;
@@ -138,7 +140,7 @@
     return value;
 }
 
-/* A text of fewer than `size` bytes without a zero byte. */
+/* Fails if the text does not fit into `out` of `size` bytes or contains a zero byte. */
 static void read_short_text(struct frame_reader *reader, char *out, size_t size)
 {
     size_t len = (size_t)read_unsigned(reader, 1);
@@ -207,7 +209,7 @@
     }
 }
 
-/* False: no header of a frame that this version reads. */
+/* Returns false if the header is invalid or of another protocol version. */
 static bool read_header(const unsigned char *buf, enum bd_frame_type *type, size_t *body_len)
 {
     struct frame_reader reader = {buf, HEADER_BYTES, 0, false};
--- a/src/wire/frame.h
+++ b/src/wire/frame.h
@@ -1,21 +1,21 @@
-/* What passes between controllers over their TCP connections: frames of packed fields, big-endian.
+/* Binary frames that controllers exchange over TCP. All integers are big-endian.
  *
- * A frame is a header of 12 bytes and a body:
+ * A frame consists of a header of 12 bytes and a body:
  *
- *   header: magic u32 "BDM1", version u8 (2), type u8, zero u16, length of the body u32
+ *   header: magic u32 "BDM1", version u8 (2), type u8, zero u16, body length in bytes u32
  *
  *   type                     body
- *   1 peer status            name short, term u64, flags u8, age u32 (ms since the key-value store
- *                            last answered), time of day u64 (ms)
- *   2 progress of jobs       count u16, then for each job: id short, done u32, running u32
- *   3 forwarded heartbeat    id u64, sender's name short, a worker's heartbeat long
- *   4 reply to a heartbeat   id u64, HTTP status u16, the reply's body long
- *   5 confirmed cancellation a job's id long; only to peers with
- * BD_PEER_SUPPORTS_CANCELLATION_FRAMES
+ *   1 peer status            sender's name short, term u64, flags u8, age u32 (ms since the
+ *                            key-value store last answered the sender), wall clock u64 (ms since
+ *                            the epoch)
+ *   2 job progress           count u16, then for each job: id short, done u32, running u32
+ *   3 forwarded heartbeat    id u64, sender's name short, worker's heartbeat long
+ *   4 heartbeat reply        id u64, HTTP status u16, reply body long
+ *   5 confirmed cancellation job id long; sent only to peers with BD_PEER_SUPPORTS_CANCELLATIONS
  *
- * where "short" is a text with its length as u8 before it, "long" one with its length as u32.
+ * "short" is a string preceded by its length as u8, "long" one preceded by its length as u32.
  *
- * Pure functions; the adapters' peer transport and listener call them.
+ * The functions are pure. The peer transport and the peer listener (adapters/) call them.
  */
 #ifndef BD_FRAME_H
 #define BD_FRAME_H
@@ -23,10 +23,10 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define BD_FRAME_BYTES_MAX 70000u /* bytes of a whole frame */
-#define BD_FRAME_JOBS_MAX 96u     /* jobs in one progress frame */
+#define BD_FRAME_BYTES_MAX 70000u /* header and body */
+#define BD_FRAME_JOBS_MAX 96u     /* jobs in a job progress frame */
 
-/* The values are those on the wire. */
+/* The values are part of the protocol. */
 enum bd_frame_type {
     BD_FRAME_PEER_STATUS = 1,
     BD_FRAME_JOB_PROGRESS = 2,
@@ -35,51 +35,52 @@
     BD_FRAME_CANCELLATION = 5
 };
 
-/* Bits of a peer status: what a controller is and sees, and which features its version has. A
- * version that does not know a bit ignores it. */
+/* Flag bits of a peer status: the state of the sending controller and the features that its version
+ * supports. Receivers ignore bits that they do not know. */
 enum bd_peer_flag {
     BD_PEER_IS_LEADER = 1,
-    BD_PEER_KV_REACHABLE = 2,           /* the key-value store answers it */
-    BD_PEER_INBOUND_PARTITION = 4,      /* as leader: most workers' heartbeats do not arrive */
-    BD_PEER_RECEIVES_LEADER_STATUS = 8, /* the leader's statuses arrive at it */
-    BD_PEER_KV_OUTAGE = 16,             /* the key-value store has not answered it for a while */
-    BD_PEER_SUPPORTS_DEPENDENCIES = 32, /* feature: jobs may have parents */
-    BD_PEER_SUPPORTS_CANCELLATION_FRAMES =
-        64,                       /* feature: reads frames of confirmed cancellations */
-    BD_PEER_SUPPORTS_DRAINS = 128 /* feature: drains machines within disruption budgets */
+    BD_PEER_KV_REACHABLE = 2,            /* the key-value store answers the sender */
+    BD_PEER_INBOUND_PARTITION = 4,       /* leader only: most workers' heartbeats do not arrive */
+    BD_PEER_RECEIVES_LEADER_STATUS = 8,  /* peer statuses of the leader arrive at the sender */
+    BD_PEER_KV_OUTAGE = 16,              /* the store has not answered the sender for a while */
+    BD_PEER_SUPPORTS_DEPENDENCIES = 32,  /* feature: dependencies between jobs */
+    BD_PEER_SUPPORTS_CANCELLATIONS = 64, /* feature: frames of confirmed cancellations */
+    BD_PEER_SUPPORTS_DRAINS = 128        /* feature: drains machines within disruption budgets */
 };
 
-/* Progress of a job as the leader counts it. */
+/* A job's task counts according to the leader. */
 struct bd_job_progress {
     char id[BD_JOB_ID_BYTES];
-    uint32_t done;    /* tasks that have completed */
-    uint32_t running; /* tasks that run now */
+    uint32_t done;    /* completed tasks */
+    uint32_t running; /* running tasks */
 };
 
-/* A frame of any type; its type says which fields are used, the others are zero after a read. */
+/* A frame of any type. The capitals in a field's comment name the types that use the field, without
+ * BD_FRAME_. After a read, unused fields are zero. */
 struct bd_frame {
     enum bd_frame_type type;
-    char sender[BD_LABEL_BYTES]; /* STATUS, HEARTBEAT: the sender */
-    uint64_t term;               /* STATUS: the term in which the sender leads; 0: it does not */
-    uint8_t flags;               /* STATUS: bits of enum bd_peer_flag */
-    uint32_t kv_age_ms;          /* STATUS: since the key-value store last answered the sender */
-    uint64_t wall_clock_ms;      /* STATUS: the sender's time of day, ms since the epoch */
-    uint64_t heartbeat_id; /* HEARTBEAT: the sender's number for it; ANSWER: the number answered */
-    uint16_t status;       /* ANSWER: HTTP status */
-    const char *text;      /* HEARTBEAT, ANSWER: a body; CANCELLED: a job's id. Borrowed; of a frame
-                            * that was read: inside the buffer, not terminated */
-    uint32_t len;          /* bytes of `text` */
-    uint16_t count;        /* PROGRESS: jobs used */
+    char sender[BD_LABEL_BYTES]; /* PEER_STATUS, HEARTBEAT: name of the sender */
+    uint64_t term;               /* PEER_STATUS: term in which the sender is leader; 0: it is not */
+    uint8_t flags;               /* PEER_STATUS: bits of enum bd_peer_flag */
+    uint32_t kv_age_ms;          /* PEER_STATUS: time since the store last answered the sender */
+    uint64_t wall_clock_ms;      /* PEER_STATUS: the sender's wall clock, since the epoch */
+    uint64_t heartbeat_id; /* HEARTBEAT: number given by the sender; HEARTBEAT_REPLY: that number */
+    uint16_t status;       /* HEARTBEAT_REPLY: HTTP status */
+    const char *text; /* HEARTBEAT, HEARTBEAT_REPLY: body; CANCELLATION: job id. Borrowed. After a
+                         read it points into the buffer and is not terminated. */
+    uint32_t len;     /* bytes of `text` */
+    uint16_t count;   /* JOB_PROGRESS: entries used in `jobs` */
     struct bd_job_progress
-        jobs[BD_FRAME_JOBS_MAX]; /* last, so that a copy may end after those used */
+        jobs[BD_FRAME_JOBS_MAX]; /* last field, so that copies may omit unused entries */
 };
 
-/* An upper bound of the bytes that the frame takes when written. */
+/* Returns an upper bound of the encoded size of the frame in bytes. */
 size_t bd_frame_bytes_max(const struct bd_frame *frame);
-/* Writes the frame into `buf` of `cap` bytes. Returns the bytes written; 0: it does not fit. */
-size_t bd_frame_write(const struct bd_frame *frame, unsigned char *buf, size_t cap);
-/* Reads the frame at the start of `buf`. Returns the bytes that it took; 0: it is incomplete, more
- * bytes are needed; -1: the bytes are no valid frame, the connection must end. `frame` is valid
- * only where the result is positive, and its text for as long as `buf`. */
+/* Encodes the frame into `buf` of `capacity` bytes. Returns the bytes written, or 0 if the frame
+ * does not fit. */
+size_t bd_frame_write(const struct bd_frame *frame, unsigned char *buf, size_t capacity);
+/* Decodes the frame at the start of `buf`. Returns the bytes consumed; 0 if the frame is
+ * incomplete; -1 if it is invalid and the connection must be closed. `frame` is valid only if the
+ * result is positive, and its text as long as `buf` is. */
 long bd_frame_read(const unsigned char *buf, size_t len, struct bd_frame *frame);
 #endif
--- a/src/wire/heartbeat_cache.c
+++ b/src/wire/heartbeat_cache.c
@@ -6,23 +6,23 @@
 #include <string.h>
 #include <uthash.h>
 
-/* A cached heartbeat, found by its head: the text before the sequence number, which names the
+/* A cached heartbeat. Its key is its head: the text before the sequence number, which contains the
  * machine and its incarnation. */
 struct entry {
     UT_hash_handle hh;
     struct bd_heartbeat heartbeat;
-    size_t bytes; /* of the entry and all that it owns */
+    size_t bytes; /* size of the entry with all memory that it owns */
     size_t head_len, tail_len;
-    const char *tail; /* the text after the sequence number, in `text` */
-    char text[];      /* head and tail, without the number between them */
+    const char *tail; /* the text after the sequence number; points into `text` */
+    char text[];      /* head and tail */
 };
 
 struct bd_heartbeat_cache {
-    struct entry *entries; /* in the order of their use, the least recent first */
+    struct entry *entries; /* least recently used first */
     size_t bytes, bytes_max;
-    struct bd_heartbeat uncached; /* the last heartbeat read, if it is not in an entry */
+    struct bd_heartbeat uncached; /* the last heartbeat parsed, unless an entry owns it */
     bool has_uncached;
-    uint32_t total, hits; /* since they were last asked for */
+    uint32_t total, hits; /* reads and cache hits since the counts were last taken */
 };
 
 struct bd_heartbeat_cache *bd_heartbeat_cache_new(size_t bytes_max)
@@ -68,8 +68,8 @@
     return entry;
 }
 
-/* Moves the heartbeat of `uncached`, read from this text, into a new entry. NULL: it does not fit,
- * or out of memory; it stays where it is. */
+/* Moves the heartbeat `uncached`, which was parsed from this text, into a new entry. Returns NULL
+ * and leaves it in `uncached` if it does not fit or if out of memory. */
 static struct entry *add_entry(struct bd_heartbeat_cache *cache, const char *text, size_t len,
                                const struct bd_heartbeat_seq *seq)
 {
@@ -97,7 +97,7 @@
     return entry;
 }
 
-/* Reads the text's JSON into `uncached`. False: malformed, or out of memory. */
+/* Parses the text into `uncached`. Returns false if it is malformed or if out of memory. */
 static bool read_uncached(struct bd_heartbeat_cache *cache, const char *text, size_t len)
 {
     json_t *body = text ? json_loadb(text, len, 0, NULL) : NULL;
@@ -106,7 +106,7 @@
     return cache->has_uncached;
 }
 
-/* A hit: the entry becomes the most recently used one and gets the new sequence number. */
+/* Marks the entry as the most recently used one and gives it the new sequence number. */
 static const struct bd_heartbeat *reuse_entry(struct bd_heartbeat_cache *cache, struct entry *entry,
                                               uint64_t seq)
 {
--- a/src/wire/heartbeat_cache.h
+++ b/src/wire/heartbeat_cache.h
@@ -1,11 +1,12 @@
-/* The newest heartbeat of each machine, as text and as read.
+/* Cache of the newest heartbeat of each machine, as text and parsed.
  *
- * Most heartbeats repeat the last one but for their sequence number, and reading their JSON is most
- * of what a heartbeat costs. A text that equals a cached one, byte for byte but for the digits of
- * that number, reads the same but for the number; so nothing in the cache can be out of date.
+ * Most heartbeats differ from the previous one only in their sequence number, and parsing their
+ * JSON is most of the cost of a heartbeat. A text that equals a cached one in all bytes but the
+ * digits of the sequence number parses to the same heartbeat with the new number, so entries are
+ * never stale.
  *
- * A cache owns copies of the texts and what was read from them. The event loop's thread owns the
- * cache and alone calls it.
+ * A cache owns copies of the texts and the parsed heartbeats. Only the event loop's thread may use
+ * it.
  */
 #ifndef BD_HEARTBEAT_CACHE_H
 #define BD_HEARTBEAT_CACHE_H
@@ -15,17 +16,18 @@
 
 struct bd_heartbeat_cache;
 
-/* A cache of at most `bytes_max` bytes; the least recently used heartbeats are evicted first. NULL:
+/* Creates a cache of at most `bytes_max` bytes, with least-recently-used eviction. Returns NULL if
  * out of memory. */
 struct bd_heartbeat_cache *bd_heartbeat_cache_new(size_t bytes_max);
 /* `cache` may be NULL. */
 void bd_heartbeat_cache_free(struct bd_heartbeat_cache *cache);
-/* Reads a heartbeat of `len` bytes. What is returned belongs to the cache and is valid until its
- * next call. NULL: malformed, `text` is NULL, or out of memory. */
+/* Parses a heartbeat of `len` bytes, or returns it from the cache. The result belongs to the cache
+ * and is valid until the next call. Returns NULL if the text is malformed or NULL, or if out of
+ * memory. */
 const struct bd_heartbeat *bd_heartbeat_cache_read(struct bd_heartbeat_cache *cache,
                                                    const char *text, size_t len);
-/* Heartbeats read since the last call of this function, and how many of them came from the cache.
- */
+/* Returns the number of heartbeats read since the last call of this function and the number of
+ * cache hits among them, and resets both. */
 void bd_heartbeat_cache_take_counts(struct bd_heartbeat_cache *cache, uint32_t *total,
                                     uint32_t *hits);
 #endif
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -1,16 +1,17 @@
-/* The protocols with users, workers, the cloud and the key-value store: the face of this folder.
+/* Protocols with users, workers, the cloud and the key-value store. This header includes all public
+ * headers of these protocols.
  *
- * Only the files wire* know the protocols' words and forms; everything above works with the types
- * of these headers. What is read comes as parsed JSON, what is written goes out as JSON or as text.
- * All functions are pure, but for the memory that they allocate. Frames between controllers are in
- * frame.h, the cache of heartbeats in heartbeat_cache.h.
+ * Only the files wire* contain the field names and formats of the protocols; other modules use the
+ * types of these headers. Readers take parsed JSON, writers return JSON or text. All functions are
+ * pure apart from allocating memory. Frames between controllers are in frame.h, the heartbeat cache
+ * is in heartbeat_cache.h.
  *
- * In all of them:
- * - A json_t that is passed in is borrowed, unless the comment says that it is consumed; one that
- * is returned is a new reference, unless the comment says that it is borrowed.
- * - A char * that is returned is a text on the heap that the caller frees; NULL: out of memory.
- * - Durations and times are seconds, memory and images GB, CPUs and GPUs numbers of cores and
- *   devices, prices the cloud's currency per hour.
+ * Conventions:
+ * - A json_t argument is borrowed unless the comment says that it is consumed. A returned json_t is
+ *   a new reference unless the comment says that it is borrowed.
+ * - A returned char * is allocated on the heap and freed by the caller; NULL: out of memory.
+ * - Durations and times are in seconds, memory and images in GB, CPUs in cores, GPUs in devices,
+ *   prices in the cloud's currency per hour.
  */
 #ifndef BD_WIRE_H
 #define BD_WIRE_H
--- a/src/wire/wire_cloud.c
+++ b/src/wire/wire_cloud.c
@@ -4,12 +4,11 @@
 #include "wire/wire_names.h"
 #include <string.h>
 
-/* of a machine type for which the cloud does not say */
+/* used if the cloud omits the field in a machine type */
 #define FETCH_DEFAULT_GB_PER_S 0.1
 #define BOOT_DEFAULT_S 60.0
 
-/* Copies at most `max` labels of a list; entries that are none are left out. Returns their number.
- */
+/* Copies at most `max` labels of a list and skips invalid entries. Returns the number copied. */
 static int read_labels(json_t *list, char (*out)[BD_LABEL_BYTES], int max)
 {
     json_t *entry;
@@ -89,14 +88,14 @@
     return true;
 }
 
-int bd_wire_read_machines(json_t *body, struct bd_cloud_machine *out, int max, bool *more)
+int bd_wire_read_machines(json_t *body, struct bd_cloud_machine *out, int max, bool *has_more)
 {
     json_t *machines = json_object_get(body, KEY_MACHINES), *machine;
     size_t i;
     int count = 0;
     if (!json_is_array(machines))
         return -1;
-    *more = json_is_true(json_object_get(body, KEY_MORE));
+    *has_more = json_is_true(json_object_get(body, KEY_MORE));
     json_array_foreach(machines, i, machine)
     {
         if (count == max || !read_machine(machine, &out[count]))
@@ -106,18 +105,18 @@
     return count;
 }
 
-char *bd_wire_write_provisioning_request(const char *request, const char *type, const char *zone,
+char *bd_wire_write_provisioning_request(const char *request_id, const char *type, const char *zone,
                                          bool spot, int count)
 {
-    return bd_wire_write_text(json_pack("{s:s,s:s,s:s,s:b,s:i}", KEY_REQUEST_ID, request,
+    return bd_wire_write_text(json_pack("{s:s,s:s,s:s,s:b,s:i}", KEY_REQUEST_ID, request_id,
                                         KEY_MACHINE_TYPE, type, KEY_ZONE, zone, KEY_SPOT, (int)spot,
                                         KEY_MACHINE_COUNT, count));
 }
 
-char *bd_wire_write_return_request(char (*names)[BD_LABEL_BYTES], int n)
+char *bd_wire_write_return_request(char (*names)[BD_LABEL_BYTES], int count)
 {
     json_t *machines = json_array();
-    for (int i = 0; i < n; i++)
+    for (int i = 0; i < count; i++)
         json_array_append_new(machines, json_string(names[i]));
     return bd_wire_write_text(json_pack("{s:o}", KEY_MACHINES, machines));
 }
--- a/src/wire/wire_cloud.h
+++ b/src/wire/wire_cloud.h
@@ -1,5 +1,5 @@
-/* The cloud in the protocol: machine types, machines, and requests to scale out and in. The cloud's
- * client (adapters/) and autoscaling/ call it. See wire.h for units and ownership.
+/* Cloud protocol: machine types, machines, and requests to provision and to return machines. Used
+ * by the cloud client (adapters/) and autoscaling/. See wire.h for units and ownership.
  */
 #ifndef BD_WIRE_CLOUD_H
 #define BD_WIRE_CLOUD_H
@@ -7,6 +7,7 @@
 #include <jansson.h>
 #include <stdbool.h>
 
+/* A machine type offered by the cloud; its zones are not yet resolved to indices. */
 struct bd_machine_type_text {
     char label[BD_LABEL_BYTES];
     double cpus; /* cores */
@@ -14,8 +15,8 @@
     double mem_gb;
     double cache_gb;       /* local disk space for images */
     double fetch_gb_per_s; /* download rate of images */
-    double price;          /* on demand, per hour */
-    double spot_price;     /* of a spot machine, per hour */
+    double price;          /* on-demand price per hour */
+    double spot_price;     /* per hour */
     double boot_s;         /* from the provisioning request to the first heartbeat */
     char zones[BD_TYPE_ZONES_MAX][BD_LABEL_BYTES];
     int zone_count;
@@ -30,7 +31,7 @@
 /* A machine in the cloud's list. */
 struct bd_cloud_machine {
     char id[BD_LABEL_BYTES];
-    char address[BD_LABEL_BYTES]; /* "HOST:PORT" of its worker; empty: not known yet */
+    char address[BD_LABEL_BYTES]; /* "HOST:PORT" of its worker; empty: not yet known */
     char type[BD_LABEL_BYTES];
     char zone[BD_LABEL_BYTES];
     bool spot;
@@ -38,20 +39,21 @@
     double age_s; /* since the cloud provided the machine */
 };
 
-/* Reads at most `max` machine types; malformed ones are left out. Returns their number; -1: the
- * answer is malformed. */
+/* Reads at most `max` machine types and skips malformed ones. Returns their number, or -1 if the
+ * response is malformed. */
 int bd_wire_read_machine_types(json_t *body, struct bd_machine_type_text *out, int max);
-/* Reads a page of the cloud's list of machines; `more` says whether others follow. Returns their
- * number; -1: malformed, or more than `max`. */
-int bd_wire_read_machines(json_t *body, struct bd_cloud_machine *out, int max, bool *more);
-/* Writes a provisioning request; `request` is its idempotency key. */
-char *bd_wire_write_provisioning_request(const char *request, const char *type, const char *zone,
+/* Reads a page of the cloud's list of machines; `has_more` is set if further pages follow. Returns
+ * the number of machines, or -1 if the page is malformed or has more than `max` machines. */
+int bd_wire_read_machines(json_t *body, struct bd_cloud_machine *out, int max, bool *has_more);
+/* Writes a request for `count` machines; `request_id` is its idempotency key. */
+char *bd_wire_write_provisioning_request(const char *request_id, const char *type, const char *zone,
                                          bool spot, int count);
-/* Writes a request to return `n` machines. */
-char *bd_wire_write_return_request(char (*names)[BD_LABEL_BYTES], int n);
-/* Reads at most `max` machine names, from an answer to a provisioning request or from a request to
- * return machines. Returns their number; -1: malformed. */
+/* Writes a request to return `count` machines to the cloud. */
+char *bd_wire_write_return_request(char (*names)[BD_LABEL_BYTES], int count);
+/* Reads at most `max` machine names from the response to a provisioning request or from a request
+ * to return machines. Returns their number, or -1 if the list is malformed. */
 int bd_wire_read_machine_names(json_t *body, char (*names)[BD_LABEL_BYTES], int max);
-/* Whether a 503 of the cloud means an outage, rather than that it has no such machines left. */
+/* Whether a 503 response of the cloud means an outage; otherwise it has no more machines of the
+ * requested type. */
 bool bd_wire_is_cloud_outage(json_t *body);
 #endif
--- a/src/wire/wire_fields.c
+++ b/src/wire/wire_fields.c
@@ -1,4 +1,4 @@
-/* Single fields of a JSON object, and objects as text. */
+/* Readers for fields of JSON objects, and serialization of objects. */
 #include "wire/wire_internal.h"
 #include "wire/wire_limits.h"
 #include <math.h>
--- a/src/wire/wire_internal.h
+++ b/src/wire/wire_internal.h
@@ -1,7 +1,8 @@
-/* Private to wire*.c: reading single fields of a JSON object, writing one as text, and a job's
- * spec.
+/* Private to wire*.c: helpers to read fields of JSON objects, to serialize objects, and to read and
+ * write job specs.
  *
- * The readers return false, and leave `out` as it is, where the field is missing or malformed.
+ * Unless stated otherwise, a reader returns false and leaves `out` unchanged if the field is
+ * missing or malformed.
  */
 #ifndef BD_WIRE_INTERNAL_H
 #define BD_WIRE_INTERNAL_H
@@ -14,24 +15,24 @@
 
 #define COUNT_OF(array) ((int)(sizeof(array) / sizeof((array)[0])))
 
-/* A text that is neither empty nor too long. */
+/* Reads a string of 1 to BD_LABEL_BYTES - 1 bytes. */
 bool bd_wire_read_label(json_t *object, const char *key, char out[BD_LABEL_BYTES]);
-/* A number from 0 to 1e9. */
+/* Reads a number from 0 to 1e9. */
 bool bd_wire_read_amount(json_t *object, const char *key, double *out);
 bool bd_wire_read_bool(json_t *object, const char *key, bool *out);
-/* An integer of at least 0. */
+/* Reads a non-negative integer. */
 bool bd_wire_read_unsigned(json_t *object, const char *key, uint64_t *out);
-/* The place of a field's text in a table of `count` names; -1: it is not there. */
+/* Returns the index of the field's string in a table of `count` names, or -1 if it is not there. */
 int bd_wire_read_enum(json_t *object, const char *key, const char *const *names, int count);
 /* Whether a field is missing or null. */
 bool bd_wire_is_null(json_t *value);
 
-/* The object as compact text on the heap; the object is consumed. NULL: out of memory, also if the
- * object is NULL. */
+/* Serializes the object as compact JSON and consumes it. Returns NULL if out of memory, or if the
+ * object is NULL because building it ran out of memory. */
 char *bd_wire_write_text(json_t *object);
 
-/* Reads a job's spec. NULL, or the name of the field at fault, a constant. */
+/* Reads a job spec. Returns NULL on success, or the name of the invalid field, a constant. */
 const char *bd_wire_read_job_spec(json_t *object, struct bd_job_spec_text *out);
-/* A job's spec as a JSON object. NULL: out of memory. */
+/* Returns a job spec as a JSON object, or NULL if out of memory. */
 json_t *bd_wire_write_job_spec(const struct bd_job_spec_text *spec);
 #endif
--- a/src/wire/wire_job_records.c
+++ b/src/wire/wire_job_records.c
@@ -1,22 +1,22 @@
-/* Jobs' records in the key-value store, and the parts of long lists of parents. */
+/* Job records in the key-value store, and the parts that long lists of parents are split into. */
 #include "wire/wire_internal.h"
 #include "wire/wire_jobs.h"
 #include "wire/wire_limits.h"
 #include "wire/wire_names.h"
 #include <string.h>
 
-/* in the order of enum bd_job_state */
+/* Indexed by enum bd_job_state. */
 static const char *const job_states[] = {"live", "done", "cancelled"};
 
-json_t *bd_wire_write_parents_part(json_t *names)
+json_t *bd_wire_write_parents_part(json_t *ids)
 {
-    return json_pack("{s:o}", KEY_PARENTS, names);
+    return json_pack("{s:o}", KEY_PARENTS, ids);
 }
 
 json_t *bd_wire_read_parents_part(json_t *value)
 {
-    json_t *names = json_object_get(value, KEY_PARENTS);
-    return json_is_array(names) ? names : NULL;
+    json_t *ids = json_object_get(value, KEY_PARENTS);
+    return json_is_array(ids) ? ids : NULL;
 }
 
 json_t *bd_wire_write_cancelled_spec(json_t *spec)
@@ -33,8 +33,8 @@
         json_t *parts = json_pack("{s:s,s:i}", KEY_PARTS_HASH, parents->parts_hash, KEY_PARTS_COUNT,
                                   (int)parents->part_count);
         json_object_set_new(object, KEY_RECORD_PARTS, parts);
-    } else if (parents->names) {
-        json_object_set(object, KEY_PARENTS, parents->names);
+    } else if (parents->ids) {
+        json_object_set(object, KEY_PARENTS, parents->ids);
     }
 }
 
@@ -47,7 +47,7 @@
         return NULL;
     if (record->has_spec)
         json_object_set_new(value, KEY_RECORD_SPEC, bd_wire_write_job_spec(&record->spec));
-    else if (*record->spec.job_class) /* the rate at which jobs of a class come rests on it */
+    else if (*record->spec.job_class) /* the arrival rate of the job class is computed from it */
         json_object_set_new(value, KEY_RECORD_JOB_CLASS, json_string(record->spec.job_class));
     write_parents(value, &record->parents);
     if (record->ended_at > 0)
@@ -57,14 +57,14 @@
 
 static void read_parents(json_t *value, struct bd_job_record_parents *out)
 {
-    json_t *names = json_object_get(value, KEY_PARENTS);
+    json_t *ids = json_object_get(value, KEY_PARENTS);
     json_t *parts = json_object_get(value, KEY_RECORD_PARTS);
     const char *hash = json_string_value(json_object_get(parts, KEY_PARTS_HASH));
     uint64_t count = 0;
-    if (names && !json_is_array(names))
+    if (ids && !json_is_array(ids))
         out->is_unreadable = true;
     else
-        out->names = names;
+        out->ids = ids;
     if (!parts)
         return;
     if (!hash || strlen(hash) >= BD_HASH_BYTES ||
--- a/src/wire/wire_job_spec.c
+++ b/src/wire/wire_job_spec.c
@@ -1,10 +1,10 @@
-/* A job's spec, in submissions and in records. */
+/* Job specs in submissions and in job records. */
 #include "wire/wire_internal.h"
 #include "wire/wire_limits.h"
 #include "wire/wire_names.h"
 #include <string.h>
 
-/* in the order of enum bd_job_kind and of enum bd_priority */
+/* Indexed by enum bd_job_kind and enum bd_priority. */
 static const char *const job_kinds[] = {"sweep", "gang", "service"};
 static const char *const priorities[] = {"idle", "standard", "high", "production"};
 
@@ -28,7 +28,7 @@
     return true;
 }
 
-/* NULL, or the name of the field at fault; so do the readers below. */
+/* The readers below return NULL on success, or the name of the invalid field. */
 static const char *read_amounts(json_t *object, struct bd_job_spec_text *spec)
 {
     const struct {
@@ -90,16 +90,16 @@
         return KEY_JOB_CLASS;
     if (!bd_wire_read_label(object, KEY_TEAM, out->team))
         return KEY_TEAM;
-    const char *fault = read_kind_and_priority(object, out);
-    if (fault)
-        return fault;
+    const char *invalid_field = read_kind_and_priority(object, out);
+    if (invalid_field)
+        return invalid_field;
     if (!bd_wire_read_unsigned(object, KEY_TASK_COUNT, &tasks) || tasks < 1 || tasks > BD_TASKS_MAX)
         return KEY_TASK_COUNT;
     out->tasks = (uint32_t)tasks;
     if (!bd_wire_read_label(object, KEY_IMAGE, out->image))
         return KEY_IMAGE;
-    fault = read_placement(object, out);
-    return fault ? fault : read_amounts(object, out);
+    invalid_field = read_placement(object, out);
+    return invalid_field ? invalid_field : read_amounts(object, out);
 }
 
 static json_t *write_machine_types(const struct bd_job_spec_text *spec)
@@ -116,7 +116,7 @@
 {
     json_t *zone = *spec->zone ? json_string(spec->zone) : json_null();
     json_t *deadline = spec->deadline_s < 0 ? json_null() : json_real(spec->deadline_s);
-    /* clang-format off */ /* one field a line */
+    /* clang-format off */ /* one field per line */
     return json_pack(
         "{s:s, s:s, s:s, s:s, s:i, s:f, s:f, s:f, s:s, s:f, s:o, s:o, s:b, s:b, s:b, s:f, s:f, s:f,"
         " s:o}",
--- a/src/wire/wire_jobs.c
+++ b/src/wire/wire_jobs.c
@@ -1,4 +1,4 @@
-/* Names of jobs and tasks, submissions, and the replies to users. */
+/* Job ids and task names, submissions, and the replies to users. */
 #include "wire/wire_jobs.h"
 #include "wire/wire_internal.h"
 #include "wire/wire_limits.h"
@@ -11,7 +11,7 @@
 #define JOB_DIGITS_MAX 18
 #define TASK_DIGITS_MAX 6
 #define DIGITS "0123456789"
-#define REPLY_BYTES 160 /* with room for an id, a state's name and two numbers */
+#define REPLY_BYTES 160 /* fits a job id, a state name and two numbers */
 
 bool bd_wire_is_job_id(const char *id)
 {
@@ -50,7 +50,7 @@
     return bd_wire_read_job_spec(body, out);
 }
 
-/* The ids in the list, each once. NULL: one of them is malformed. */
+/* Returns a new array of the distinct job ids in the list. NULL: one of them is malformed. */
 static json_t *read_distinct_ids(json_t *list)
 {
     json_t *seen = json_object(), *ids = json_array(), *entry;
--- a/src/wire/wire_jobs.h
+++ b/src/wire/wire_jobs.h
@@ -1,5 +1,5 @@
-/* Jobs in the protocols: submissions of users, the replies to them, and the jobs' records in the
- * key-value store. Admission, the replica and the dependency graph (jobs/) call it. See wire.h for
+/* Jobs in the protocols: submissions by users, the replies to users, and job records in the
+ * key-value store. Used by admission, the replica and the dependency graph (jobs/). See wire.h for
  * units and ownership.
  */
 #ifndef BD_WIRE_JOBS_H
@@ -11,10 +11,10 @@
 
 enum bd_job_kind {
     BD_JOB_ARRAY,  /* independent tasks */
-    BD_JOB_GANG,   /* tasks that run only together */
+    BD_JOB_GANG,   /* tasks that must run at the same time */
     BD_JOB_SERVICE /* replicas that run until the job is cancelled */
 };
-/* from the least to the most important */
+/* From the lowest to the highest priority. */
 enum bd_priority {
     BD_PRIORITY_IDLE,
     BD_PRIORITY_STANDARD,
@@ -22,87 +22,90 @@
     BD_PRIORITY_PRODUCTION
 };
 
-/* A job as its user wrote it, names not yet looked up. Amounts are per task. */
+/* A job spec as submitted, with names not yet resolved to indices. Resources are per task. */
 struct bd_job_spec_text {
-    char job_class[BD_LABEL_BYTES]; /* jobs of a class behave alike: run times, service-level
-                                       objectives */
+    char job_class[BD_LABEL_BYTES]; /* jobs of a class have similar run times and the same
+                                       service-level objectives */
     char team[BD_LABEL_BYTES];
     char image[BD_LABEL_BYTES];
-    char zone[BD_LABEL_BYTES]; /* empty: any */
+    char zone[BD_LABEL_BYTES]; /* required zone; empty: any */
     char types[BD_TYPES_MAX][BD_LABEL_BYTES];
-    int type_count; /* machine types it may run on; -1: any */
+    int type_count; /* entries of `types`, the allowed machine types; -1: any type */
     enum bd_job_kind kind;
     enum bd_priority priority;
-    uint32_t tasks;               /* 1 to BD_TASKS_MAX */
-    double cpus;                  /* cores */
-    double gpus;                  /* devices */
-    double mem_gb;                /* GB */
-    double image_gb;              /* GB */
-    double estimate_s;            /* run time that the user expects, seconds */
-    double checkpoint_interval_s; /* progress between two checkpoints; 0: it makes none */
-    double checkpoint_save_s;     /* that a checkpoint takes when the task is stopped */
-    double deadline_s;            /* from submission to the end that is wanted; < 0: none */
-    bool same_zone;               /* all tasks in one zone */
-    bool spread_zones;            /* tasks spread over zones (anti-affinity) */
-    bool spot;                    /* may run on spot machines */
+    uint32_t tasks; /* 1 to BD_TASKS_MAX */
+    double cpus;    /* cores */
+    double gpus;    /* devices */
+    double mem_gb;
+    double image_gb;
+    double estimate_s;            /* run time of a task expected by the user */
+    double checkpoint_interval_s; /* run time between checkpoints; 0: no checkpoints */
+    double checkpoint_save_s;     /* time to save a checkpoint when the task is stopped */
+    double deadline_s;            /* from the submission to the requested end; < 0: none */
+    bool same_zone;               /* all tasks must run in one zone */
+    bool spread_zones;            /* zone anti-affinity between the tasks */
+    bool spot;                    /* spot machines are allowed */
 };
 
 enum bd_job_state {
-    BD_JOB_ACTIVE, /* accepted, and neither of those below */
+    BD_JOB_ACTIVE, /* accepted, neither done nor cancelled */
     BD_JOB_DONE,
     BD_JOB_CANCELLED
 };
 
-/* A job's parents: the ids of the jobs that it waits for. They stand in its record or, where one
- * value cannot hold them, in parts: keys of their own that are written before the record. */
+/* The parents of a job: the jobs that must be done before it starts. Their ids are stored in the
+ * job record or, if they do not fit into one value, in parts: separate keys that are written before
+ * the record. */
 struct bd_job_record_parents {
-    json_t *names;                  /* list of ids, borrowed; NULL: none in the record */
-    uint32_t part_count;            /* number of parts; 0: none */
-    char parts_hash[BD_HASH_BYTES]; /* hash of the whole list, which names the parts' keys */
-    bool is_unreadable;             /* what the record says of its parents cannot be read */
+    json_t *ids;                    /* array of job ids, borrowed; NULL: none in the record */
+    uint32_t part_count;            /* 0: the ids are not split into parts */
+    char parts_hash[BD_HASH_BYTES]; /* hash of all ids; contained in the keys of the parts */
+    bool is_unreadable;             /* the parents in the record are malformed */
 };
 
-/* A job's record in the key-value store. */
+/* A job record in the key-value store. Times are wall-clock seconds since the epoch. */
 struct bd_job_record {
     enum bd_job_state state;
     uint32_t tasks;
-    double submitted_at; /* of the submission, time of day, seconds since the epoch */
-    double ended_at;     /* done: of its last task's end, likewise; 0: not known */
-    bool has_spec;       /* else `spec` holds the job's class only, if that */
+    double submitted_at;
+    double ended_at; /* BD_JOB_DONE: end of the last task; 0: not known */
+    bool has_spec;   /* otherwise `spec` holds at most the job class */
     struct bd_job_spec_text spec;
     struct bd_job_record_parents parents;
 };
 
-/* Whether the text is a job's id: "job-" and 1 to 18 digits. NULL is none. */
+/* Whether the text is a job id: "job-" and 1 to 18 digits. False for NULL. */
 bool bd_wire_is_job_id(const char *id);
-/* Reads a task's name, "JOB/INDEX". False: malformed; `job` may have been overwritten. */
+/* Reads a task name, "JOB/INDEX". Returns false if it is malformed; `job` may have been
+ * overwritten.
+ */
 bool bd_wire_read_task_name(const char *text, char job[BD_JOB_ID_BYTES], uint32_t *task);
 
-/* Reads a submission. `id` gets the job's id as soon as that was read, else it is empty. NULL, or
- * the name of the field at fault, a constant. */
+/* Reads a submission. Returns NULL on success, or the name of the invalid field, a constant. `id`
+ * is the job id if that is valid, also when another field is not; otherwise it is empty. */
 const char *bd_wire_read_submission(json_t *body, char id[BD_JOB_ID_BYTES],
                                     struct bd_job_spec_text *out);
-/* Reads the parents of a submission. `out` gets a new list of their ids, each once, or NULL if
- * there are none. False: malformed or out of memory, and `out` is NULL. */
+/* Reads the parents in a submission into a new array of distinct job ids, or NULL if there are
+ * none. Returns false and sets `out` to NULL if they are malformed or if out of memory. */
 bool bd_wire_read_parents(json_t *body, json_t **out);
 
-/* The value of a part that holds these parents; `names` is consumed. NULL: out of memory. */
-json_t *bd_wire_write_parents_part(json_t *names);
-/* The parents in a part's value, borrowed. NULL: malformed. */
+/* Returns the value of a part with these parents; `ids` is consumed. NULL: out of memory. */
+json_t *bd_wire_write_parents_part(json_t *ids);
+/* Returns the array of job ids in a part's value, borrowed. NULL: malformed. */
 json_t *bd_wire_read_parents_part(json_t *value);
 
-/* A copy of a job's spec in its record, made as short as it can still be read, for a job that is
- * cancelled. NULL: out of memory. */
+/* Returns a copy of a spec for the record of a cancelled job, shortened as far as it remains
+ * readable. NULL: out of memory. */
 json_t *bd_wire_write_cancelled_spec(json_t *spec);
-/* The value of a job's record. NULL: out of memory. */
+/* Returns the value of a job record. NULL: out of memory. */
 json_t *bd_wire_write_job_record(const struct bd_job_record *record);
-/* Reads a job's record; `out->parents.names` lives as long as `value`. False: malformed, or a job
- * that is not done has no spec. */
+/* Reads a job record; `out->parents.ids` is borrowed from `value`. Returns false if the record is
+ * malformed or if a job that is not done has no spec. */
 bool bd_wire_read_job_record(json_t *value, struct bd_job_record *out);
 
-/* The reply to a submission that was accepted. */
+/* Returns the reply to an accepted submission. */
 char *bd_wire_write_accepted(const char *id);
-/* The reply to a question for a job's state: its name in the protocol, a constant of the caller,
- * and the numbers of completed and of running tasks. */
+/* Returns the reply to a job status request. `state` is the state's name in the protocol, `done`
+ * and `running` are numbers of tasks. */
 char *bd_wire_write_job_state(const char *id, const char *state, uint32_t done, uint32_t running);
 #endif
--- a/src/wire/wire_names.h
+++ b/src/wire/wire_names.h
@@ -1,27 +1,27 @@
-/* The protocols' words, each under the field's term: the one place where they are mapped.
+/* Maps the field names of the protocols to the standard terms used in the code.
  *
- * The names on the left are used in wire*.c only. A word that stands for two things has two names.
- * Words of enums stand in tables beside the code that reads and writes them.
+ * Only wire*.c use these constants. A protocol word with two meanings has two constants. The words
+ * for enum values are in tables next to the code that reads and writes them.
  */
 #ifndef BD_WIRE_NAMES_H
 #define BD_WIRE_NAMES_H
 
-/* ---- in several protocols ---- */
+/* ---- several protocols ---- */
 #define KEY_ID "id"
 #define KEY_ERROR "error"
-#define KEY_MORE "more"  /* whether other pages follow */
+#define KEY_MORE "more"  /* whether further pages follow */
 #define KEY_STATE "mood" /* of a job, a task or a machine */
 #define KEY_ZONE "glade"
 #define KEY_ZONES "glades"
 #define KEY_MACHINE_TYPE "breed"
 #define KEY_MACHINE_TYPES "breeds"
-#define KEY_SPOT "windfall" /* a spot machine, or that a job may run on one */
+#define KEY_SPOT "windfall" /* of a machine: is a spot machine; of a job: may run on one */
 #define KEY_ADDRESS "endpoint"
 #define KEY_CPUS "vcpus"
 #define KEY_GPUS "accelerators"
 #define KEY_MEMORY_GB "memGb"
 
-/* ---- a job's spec, in submissions and in records ---- */
+/* ---- job specs, in submissions and in job records ---- */
 #define KEY_JOB_CLASS "kin"
 #define KEY_TEAM "household"
 #define KEY_JOB_KIND "shape"
@@ -41,14 +41,14 @@
 #define KEY_DONE_COUNT "done"
 #define KEY_RUNNING_COUNT "running"
 
-/* ---- a job's record ---- */
+/* ---- job records ---- */
 #define KEY_RECORD_STATE "s"
 #define KEY_RECORD_TASK_COUNT "n"
 #define KEY_RECORD_SUBMITTED_AT "at"
 #define KEY_RECORD_ENDED_AT "end"
 #define KEY_RECORD_SPEC "job"
-#define KEY_RECORD_JOB_CLASS "k" /* where there is no spec */
-#define KEY_RECORD_PARTS "parts" /* of the list of parents */
+#define KEY_RECORD_JOB_CLASS "k" /* only in records without a spec */
+#define KEY_RECORD_PARTS "parts" /* the parts that the parents are split into */
 #define KEY_PARTS_HASH "of"
 #define KEY_PARTS_COUNT "n"
 
@@ -76,21 +76,21 @@
 #define KEY_BOOT_S "readyS"
 #define KEY_MACHINES "hearths"
 #define KEY_MACHINE_AGE_S "heldS"
-#define KEY_REQUEST_ID "plea"
+#define KEY_REQUEST_ID "plea" /* idempotency key of a provisioning request */
 #define KEY_MACHINE_COUNT "howMany"
 #define ERROR_CLOUD_OUTAGE "trouble"
 
 /* ---- the key-value store ---- */
-#define KEY_COMPARES "if"
-#define KEY_CHANGES "apply"
+#define KEY_COMPARES "if"   /* conditions of a transaction */
+#define KEY_CHANGES "apply" /* operations of a transaction */
 #define KEY_FAILED_COMPARES "failed"
 #define KEY_STORE_KEY "k"
 #define KEY_PUT_KEY "set"
 #define KEY_DELETED_KEY "drop"
 #define KEY_VALUE "value"
-#define KEY_REVISION "mark"       /* of a key */
-#define KEY_STORE_REVISION "ring" /* of the whole store */
-#define KEY_GRANT "charter"
+#define KEY_REVISION "mark"       /* revision of a key */
+#define KEY_STORE_REVISION "ring" /* revision of the whole store */
+#define KEY_GRANT "charter"       /* id of a lease */
 #define KEY_GRANT_TTL_MS "ttlMs"
 #define KEY_PAIRS "pairs"
 #define KEY_CHANGE_LOG "log"
--- a/src/wire/wire_store.c
+++ b/src/wire/wire_store.c
@@ -79,9 +79,9 @@
     return true;
 }
 
-json_t *bd_wire_read_pairs(json_t *body, bool *more)
+json_t *bd_wire_read_pairs(json_t *body, bool *has_more)
 {
-    *more = json_is_true(json_object_get(body, KEY_MORE));
+    *has_more = json_is_true(json_object_get(body, KEY_MORE));
     return json_object_get(body, KEY_PAIRS);
 }
 
@@ -104,7 +104,7 @@
     return bytes;
 }
 
-/* FNV-1a of the texts, with a comma after each */
+/* FNV-1a over the strings, with a comma after each. */
 uint64_t bd_wire_hash_names(json_t *names)
 {
     const uint64_t prime = 1099511628211u;
@@ -128,10 +128,10 @@
     return bd_wire_read_unsigned(body, KEY_GRANT, &grant) ? grant : 0;
 }
 
-char *bd_wire_write_grant_request(double seconds)
+char *bd_wire_write_grant_request(double ttl_s)
 {
     char body[GRANT_BODY_BYTES];
-    snprintf(body, sizeof body, "{\"" KEY_GRANT_TTL_MS "\":%ld}", lround(seconds * MS_PER_S));
+    snprintf(body, sizeof body, "{\"" KEY_GRANT_TTL_MS "\":%ld}", lround(ttl_s * MS_PER_S));
     return strdup(body);
 }
 
--- a/src/wire/wire_store.h
+++ b/src/wire/wire_store.h
@@ -1,6 +1,6 @@
-/* The key-value store's protocol: transactions, changes, pages of pairs, and grants (its leases).
- * The store's client and the election (adapters/), and whoever builds transactions or applies
- * changes, call it. See wire.h for units and ownership.
+/* Protocol of the key-value store: transactions, changes, pages of key-value pairs, and grants,
+ * which are the store's leases. Used by the store client and the election (adapters/) and by the
+ * modules that build transactions or apply changes. See wire.h for units and ownership.
  */
 #ifndef BD_WIRE_STORE_H
 #define BD_WIRE_STORE_H
@@ -11,62 +11,66 @@
 
 /* ---- transactions ---- */
 
-/* A compare-and-swap transaction that is being built: its changes apply only if all compares hold.
- * Lack of memory while it is built leaves a part of it out. */
+/* A compare-and-swap transaction under construction: the store applies its operations only if all
+ * compares hold. If memory runs out while it is built, compares or operations are missing. */
 struct bd_txn {
-    json_t *compares; /* owned, as are the changes */
+    json_t *compares; /* owned, as is `ops` */
     json_t *ops;
 };
 
-/* Begins a transaction. False: out of memory. */
+/* Begins a transaction. Returns false if out of memory. */
 bool bd_txn_begin(struct bd_txn *txn);
-/* Requires that the key has this revision; 0: that it does not exist. */
+/* Adds the condition that the key has this revision; 0: that the key does not exist. */
 void bd_txn_compare(struct bd_txn *txn, const char *key, uint64_t revision);
-/* Sets the key to the value, which is consumed. `grant`: the key is deleted when that ends; 0: it
- * stays. */
+/* Adds a put of the value, which is consumed. The store deletes the key when `grant` expires; 0:
+ * the key has no lease. */
 void bd_txn_put(struct bd_txn *txn, const char *key, json_t *value, uint64_t grant);
-/* Deletes the key. */
+/* Adds a deletion of the key. */
 void bd_txn_delete(struct bd_txn *txn, const char *key);
-/* Ends the transaction, frees its parts and returns the body of its request. */
+/* Returns the request body of the transaction and frees the transaction's compares and operations.
+ */
 char *bd_txn_finish(struct bd_txn *txn);
-/* The list of compares that did not hold, in the answer to a transaction; borrowed, NULL: none. */
+/* Returns the list of compares that failed, from the response to a transaction; borrowed. NULL:
+ * none.
+ */
 json_t *bd_wire_read_failed_compares(json_t *body);
 
 /* ---- values and changes ---- */
 
-/* A key with its new value, or its deletion; key and value are borrowed from the entry read. */
+/* A put or deletion of a key. `key` and `value` are borrowed from the JSON entry. */
 struct bd_kv_change {
     const char *key;
     json_t *value; /* NULL: deleted */
     uint64_t revision;
 };
 
-/* Reads an entry of bd_wire_read_pairs or bd_wire_read_change_log. False: malformed. */
+/* Reads an entry of bd_wire_read_pairs or bd_wire_read_change_log. Returns false if malformed. */
 bool bd_wire_read_change(json_t *entry, struct bd_kv_change *out);
-/* Gives a change of a transaction its revision, so that bd_wire_read_change reads it as one of a
- * log. */
+/* Sets the revision in an operation of a committed transaction, so that bd_wire_read_change can
+ * read it like an entry of a change log. */
 void bd_wire_set_revision(json_t *change, uint64_t revision);
-/* Reads the answer to a GET of one key; `grant` is that of the key, 0: none. False: malformed, or
- * without a value. */
+/* Reads the response to a GET of one key; `grant` is the key's lease, 0: none. Returns false if the
+ * response is malformed or has no value. */
 bool bd_wire_read_pair(json_t *body, struct bd_kv_change *out, uint64_t *grant);
-/* The entries in a page of a list, borrowed; `more` says whether others follow. NULL: malformed. */
-json_t *bd_wire_read_pairs(json_t *body, bool *more);
-/* The changes in the answer to a refresh, borrowed. NULL: malformed. */
+/* Returns the entries in a page of key-value pairs, borrowed; `has_more` is set if further pages
+ * follow. NULL: malformed. */
+json_t *bd_wire_read_pairs(json_t *body, bool *has_more);
+/* Returns the changes in the response to a refresh, borrowed. NULL: malformed. */
 json_t *bd_wire_read_change_log(json_t *body);
-/* The store's revision at an answer; 0: none is given. */
+/* Returns the store revision of a response; 0: not given. */
 uint64_t bd_wire_read_store_revision(json_t *body);
-/* Bytes of the value as it is sent; SIZE_MAX: out of memory. */
+/* Returns the encoded size of the value in bytes; SIZE_MAX: out of memory. */
 size_t bd_wire_value_bytes(const json_t *value);
-/* A hash of a list of texts, for records that cannot hold the list. It is stored: it must not
- * change. */
+/* Returns a hash of a list of strings, for records that cannot hold the list. The hash is stored,
+ * so the algorithm must not change. */
 uint64_t bd_wire_hash_names(json_t *names);
 
 /* ---- grants ---- */
 
-/* The grant in the answer to a request for one; 0: none is given. */
+/* Returns the grant in the response to a grant request; 0: not given. */
 uint64_t bd_wire_read_grant(json_t *body);
-/* The body of a request for a grant that ends after so many seconds unless renewed. */
-char *bd_wire_write_grant_request(double seconds);
-/* Whether a refusal says that the grant of a key does not exist any more. */
+/* Returns the body of a request for a grant that expires `ttl_s` seconds after its last renewal. */
+char *bd_wire_write_grant_request(double ttl_s);
+/* Whether an error response says that the grant no longer exists. */
 bool bd_wire_is_grant_missing(json_t *body);
 #endif
--- a/src/wire/wire_workers.c
+++ b/src/wire/wire_workers.c
@@ -7,15 +7,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define SEQ_DIGITS_MAX                                                                             \
-    18 /* 19 could overflow a signed integer, and are left to the JSON parser                      \
-        */
-/* Upper bounds of what the numbers and names of commands take as text. */
+/* Numbers of 19 digits could overflow a signed integer and are left to the JSON parser. */
+#define SEQ_DIGITS_MAX 18
+/* Upper bounds of the encoded sizes. */
 #define COMMANDS_FIXED_BYTES 96
 #define COMMAND_BYTES 128
 #define REDIRECT_BYTES 128
 
-/* in the order of enum bd_execution_state, enum bd_exit_reason and enum bd_command_verb */
+/* Indexed by enum bd_execution_state, enum bd_exit_reason and enum bd_command_verb. */
 static const char *const execution_states[] = {"pulling", "gathering", "running", "saving",
                                                "exited"};
 static const char *const exit_reasons[] = {"",      "done",    "stopped", "peers",  "alone",
@@ -89,8 +88,8 @@
     heartbeat->task_count = 0;
 }
 
-/* The end of the key and colon before the sequence number. NULL: they do not stand there exactly
- * once. Where they do they are a key, since a quote inside a string is escaped. */
+/* Returns the end of the key and colon before the sequence number, or NULL unless they occur
+ * exactly once. An occurrence is always a key, because quotes inside strings are escaped. */
 static const char *find_seq_key_end(const char *text, size_t len)
 {
     static const char key[] = "\"" KEY_HEARTBEAT_SEQ "\":";
@@ -105,27 +104,29 @@
 
 bool bd_wire_find_heartbeat_seq(const char *text, size_t len, struct bd_heartbeat_seq *out)
 {
-    const char *end = text + len, *digits = find_seq_key_end(text, len);
+    const char *text_end = text + len, *digits = find_seq_key_end(text, len);
     if (!digits)
         return false;
-    while (digits < end && *digits == ' ')
+    while (digits < text_end && *digits == ' ')
         digits++;
-    const char *after = digits;
+    const char *digits_end = digits;
     out->offset = (size_t)(digits - text);
     out->value = 0;
-    while (after < end && *after >= '0' && *after <= '9' && after - digits <= SEQ_DIGITS_MAX)
-        out->value = out->value * 10 + (uint64_t)(*after++ - '0');
-    out->len = (size_t)(after - digits);
+    while (digits_end < text_end && *digits_end >= '0' && *digits_end <= '9' &&
+           digits_end - digits <= SEQ_DIGITS_MAX)
+        out->value = out->value * 10 + (uint64_t)(*digits_end++ - '0');
+    out->len = (size_t)(digits_end - digits);
     if (out->len == 0 || out->len > SEQ_DIGITS_MAX)
         return false;
     bool has_leading_zero = *digits == '0' && out->len > 1;
-    bool is_ended = after < end && (*after == ',' || *after == '}' || *after == ' ');
-    return !has_leading_zero && is_ended;
+    bool is_terminated =
+        digits_end < text_end && (*digits_end == ',' || *digits_end == '}' || *digits_end == ' ');
+    return !has_leading_zero && is_terminated;
 }
 
 /* ---- replies and commands ---- */
 
-/* A text of at most `capacity` bytes, which suffice for all that is appended. */
+/* A buffer whose `capacity` is large enough for all text that is appended. */
 struct text_buffer {
     char *bytes;
     size_t len, capacity;
@@ -153,9 +154,9 @@
 }
 
 char *bd_wire_write_commands(uint64_t fencing_token, uint64_t incarnation,
-                             const struct bd_command *commands, size_t n)
+                             const struct bd_command *commands, size_t count)
 {
-    struct text_buffer buffer = {NULL, 0, COMMANDS_FIXED_BYTES + n * COMMAND_BYTES};
+    struct text_buffer buffer = {NULL, 0, COMMANDS_FIXED_BYTES + count * COMMAND_BYTES};
     buffer.bytes = malloc(buffer.capacity);
     if (!buffer.bytes)
         return NULL;
@@ -163,9 +164,9 @@
     if (incarnation)
         append(&buffer, "\"" KEY_INCARNATION "\":%llu,", (unsigned long long)incarnation);
     append(&buffer, "\"" KEY_COMMANDS "\":[");
-    for (size_t i = 0; i < n; i++) {
+    for (size_t i = 0; i < count; i++) {
         if (i > 0)
-            append(&buffer, ",\n"); /* no line of a reply may be longer than 64 KiB */
+            append(&buffer, ",\n"); /* lines of a reply are limited to 64 KiB */
         append_command(&buffer, &commands[i]);
     }
     append(&buffer, "]}");
--- a/src/wire/wire_workers.h
+++ b/src/wire/wire_workers.h
@@ -1,5 +1,5 @@
-/* Workers in the protocol: their heartbeats, the replies, and the commands they are given. The
- * modules of workers/ and the cache of heartbeats call it. See wire.h for units and ownership.
+/* Protocol with workers: heartbeats, replies to them, and commands. Used by workers/ and the
+ * heartbeat cache. See wire.h for units and ownership.
  */
 #ifndef BD_WIRE_WORKERS_H
 #define BD_WIRE_WORKERS_H
@@ -9,53 +9,53 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* What a task does on its worker. */
+/* State of a task on its worker. */
 enum bd_execution_state {
-    BD_EXECUTION_FETCHING_IMAGE, /* its image */
-    BD_EXECUTION_JOINING_GANG,   /* waits for the gang's other tasks */
+    BD_EXECUTION_FETCHING_IMAGE, /* downloads the task's image */
+    BD_EXECUTION_JOINING_GANG,   /* waits for the other tasks of its gang */
     BD_EXECUTION_RUNNING,
-    BD_EXECUTION_CHECKPOINTING, /* saves its progress, before it stops */
+    BD_EXECUTION_CHECKPOINTING, /* saves its progress before it stops */
     BD_EXECUTION_EXITED
 };
 enum bd_exit_reason {
-    BD_EXIT_NONE, /* it has not exited, or gives a reason that is not known */
+    BD_EXIT_NONE, /* not exited, or the reason is missing or not known */
     BD_EXIT_DONE,
-    BD_EXIT_STOPPED,          /* by a command */
-    BD_EXIT_GANG_MEMBER_LOST, /* another task of its gang has ended */
-    BD_EXIT_GANG_INCOMPLETE,  /* the gang's tasks did not come together in time */
+    BD_EXIT_STOPPED,          /* stopped by a command */
+    BD_EXIT_GANG_MEMBER_LOST, /* another task of the gang has exited */
+    BD_EXIT_GANG_INCOMPLETE,  /* not all tasks of the gang joined in time */
     BD_EXIT_ERROR,
-    BD_EXIT_NO_CAPACITY, /* the worker's resources do not suffice for it */
-    BD_EXIT_BUSY,        /* the worker cannot take it now */
-    BD_EXIT_UNKNOWN      /* the worker does not know such a task */
+    BD_EXIT_NO_CAPACITY, /* the worker has too few resources for the task */
+    BD_EXIT_BUSY,        /* the worker cannot accept the task now */
+    BD_EXIT_UNKNOWN      /* the worker does not know the task */
 };
 
-/* A task in a heartbeat. */
+/* State of a task as reported in a heartbeat. */
 struct bd_reported_task {
     char job[BD_JOB_ID_BYTES];
     uint32_t task;    /* its index in the job */
-    uint64_t attempt; /* number of its attempt */
+    uint64_t attempt; /* attempt number */
     enum bd_execution_state execution;
     enum bd_exit_reason exit_reason;
 };
 
 struct bd_heartbeat {
     char machine[BD_LABEL_BYTES];
-    char address[BD_LABEL_BYTES]; /* "HOST:PORT" where the worker takes direct commands */
+    char address[BD_LABEL_BYTES]; /* "HOST:PORT" at which the worker receives direct commands */
     char type[BD_LABEL_BYTES];    /* machine type */
     char zone[BD_LABEL_BYTES];
     bool spot;
-    uint64_t incarnation;   /* of the worker's agent: it grows with each start of the agent */
-    uint64_t seq;           /* number of the heartbeat in the incarnation */
-    uint64_t fencing_token; /* the highest one that the worker has seen */
-    double notice_s;        /* seconds until the cloud takes the machine back; < 0: no notice */
-    size_t task_count;      /* of `tasks` */
-    struct bd_reported_task *tasks; /* owned, see bd_wire_release_heartbeat */
+    uint64_t incarnation;   /* of the worker's agent; increases with each start of the agent */
+    uint64_t seq;           /* sequence number within the incarnation */
+    uint64_t fencing_token; /* highest token that the worker has seen */
+    double notice_s;        /* time until the cloud terminates the machine; < 0: no notice given */
+    size_t task_count;      /* length of `tasks` */
+    struct bd_reported_task *tasks; /* owned; freed by bd_wire_release_heartbeat */
 };
 
 enum bd_command_verb {
     BD_COMMAND_LAUNCH, /* start the attempt */
-    BD_COMMAND_HALT,   /* stop it */
-    BD_COMMAND_FORGET  /* no longer report it: its end has been recorded */
+    BD_COMMAND_HALT,   /* stop the attempt */
+    BD_COMMAND_FORGET  /* stop reporting the attempt, because its end has been recorded */
 };
 
 struct bd_command {
@@ -63,28 +63,29 @@
     char job[BD_JOB_ID_BYTES];
     uint32_t task; /* its index in the job */
     uint64_t attempt;
-    double grace_s; /* HALT: seconds that it has to save its progress */
+    double grace_s; /* BD_COMMAND_HALT: time allowed to save a checkpoint */
 };
 
-/* Where the digits of a heartbeat's sequence number stand in its text, and their value. */
+/* Position of the sequence number's digits in the text of a heartbeat, and their value. */
 struct bd_heartbeat_seq {
     size_t offset, len; /* bytes */
     uint64_t value;
 };
 
-/* Reads a heartbeat, which the caller releases. False: malformed or out of memory; there is nothing
- * to be released. */
+/* Reads a heartbeat, which the caller releases with bd_wire_release_heartbeat. Returns false if it
+ * is malformed or if out of memory; nothing needs to be released then. */
 bool bd_wire_read_heartbeat(json_t *body, struct bd_heartbeat *out);
 /* Frees the heartbeat's tasks. */
 void bd_wire_release_heartbeat(struct bd_heartbeat *heartbeat);
-/* Finds the sequence number in a heartbeat's text of `len` bytes. False: that cannot be told
- * without parsing the text as JSON. */
+/* Finds the sequence number in the heartbeat text of `len` bytes. Returns false if this requires
+ * parsing the text as JSON. */
 bool bd_wire_find_heartbeat_seq(const char *text, size_t len, struct bd_heartbeat_seq *out);
 
-/* Writes `n` commands. `incarnation` is that of the worker for direct commands, and 0 in the reply
- * to a heartbeat. */
+/* Writes `count` commands. For direct commands, `incarnation` is the worker's; in the reply to a
+ * heartbeat it is 0 and is omitted. */
 char *bd_wire_write_commands(uint64_t fencing_token, uint64_t incarnation,
-                             const struct bd_command *commands, size_t n);
-/* Writes the reply that sends a worker to another controller; NULL or empty: to any. */
+                             const struct bd_command *commands, size_t count);
+/* Writes the reply that redirects a worker to the controller `node`; NULL or empty: to any
+ * controller. */
 char *bd_wire_write_redirect(const char *node);
 #endif
--- a/tests/graphs_large.c
+++ b/tests/graphs_large.c
@@ -31,7 +31,7 @@
     record.spec.cpus = 1;
     record.spec.tasks = 1;
     record.spec.priority = number == CHAIN_JOBS - 1 ? BD_PRIORITY_HIGH : BD_PRIORITY_IDLE;
-    record.parents.names = names;
+    record.parents.ids = names;
     record.state = strcmp(state, "cancelled") == 0 ? BD_JOB_CANCELLED : BD_JOB_ACTIVE;
     json_t *value = bd_wire_write_job_record(&record);
     struct bd_kv_change change = {key, value, revision};
--- a/tests/inputs_frames.c
+++ b/tests/inputs_frames.c
@@ -117,7 +117,7 @@
         if (strncmp(key, "j/", 2) != 0)
             continue;
         bool ok = bd_wire_read_job_record(value, &record);
-        inputs_check(ok && !record.parents.names && !record.parents.part_count &&
+        inputs_check(ok && !record.parents.ids && !record.parents.part_count &&
                          !record.parents.is_unreadable && record.ended_at == 0,
                      key);
         jobs[ok ? record.state : 0]++;
--- a/tests/scenario_jobs.c
+++ b/tests/scenario_jobs.c
@@ -105,7 +105,7 @@
         record.state = strcmp(state, "done") == 0 ? BD_JOB_DONE : BD_JOB_CANCELLED;
     snprintf(key, sizeof key, "j/%s", play->words[1]);
     json_t *names = play_text(play, "needs") ? split_names(play_text(play, "needs")) : NULL;
-    record.parents.names = names;
+    record.parents.ids = names;
     double parts = 0;
     if (play_text(play, "parts") &&
         numbers_after_name(play_text(play, "parts"), record.parents.parts_hash,
