--- a/cli/drain_command.c
+++ b/cli/drain_command.c
@@ -18,7 +18,7 @@
 
 enum option_key { KEY_ALL = 256, KEY_JSON };
 
-/* What is done with a drain. */
+/* Subcommands. */
 enum verb {
     VERB_NONE,
     VERB_LIST,
@@ -35,23 +35,23 @@
                                               "start", "pause", "resume", "cancel"};
 
 struct arguments {
-    const char *admin; /* HOST:PORT */
-    const char *word;  /* the verb as given; NULL: missing */
+    const char *admin;         /* HOST:PORT */
+    const char *verb_argument; /* the verb as given; NULL: missing */
     enum verb verb;
-    const char *name; /* the drain's; NULL: missing */
-    json_t *request;  /* the body of `start` */
-    bool as_json;
+    const char *name; /* name of the drain; NULL: missing */
+    json_t *request;  /* request body of `start` */
+    bool prints_json;
 };
 
 static const struct argp_option options[] = {
-    {"admin", 'a', "HOST:PORT", 0, "the administration address of a controller", 0},
-    {"json", KEY_JSON, NULL, 0, "print the answer as JSON", 0},
+    {"admin", 'a', "HOST:PORT", 0, "administration address of a controller", 0},
+    {"json", KEY_JSON, NULL, 0, "print the response as JSON", 0},
     {"mode", 'm', "MODE", 0, "start: retire or replace", 1},
     {"machine", 'M', "ID", 0, "start: a machine; may be repeated", 1},
     {"type", 't', "TYPE", 0, "start: all machines of this type", 1},
     {"zone", 'z', "ZONE", 0, "start: all machines of this zone", 1},
     {"selection", 's', "LABEL", 0, "start: the operators' selection of this label", 1},
-    {"all", KEY_ALL, NULL, 0, "start: all machines are meant, if they are", 1},
+    {"all", KEY_ALL, NULL, 0, "start: confirm that all machines are to be drained", 1},
     {0}};
 
 static void add_machine(json_t *request, const char *id)
@@ -72,27 +72,27 @@
     return VERB_NONE;
 }
 
-static void add_word(struct arguments *arguments, const char *word, struct argp_state *state)
+static void add_positional(struct arguments *arguments, const char *value, struct argp_state *state)
 {
-    if (!arguments->word) {
-        arguments->word = word;
-        arguments->verb = find_verb(word);
+    if (!arguments->verb_argument) {
+        arguments->verb_argument = value;
+        arguments->verb = find_verb(value);
     } else if (!arguments->name) {
-        arguments->name = word;
+        arguments->name = value;
     } else {
-        argp_error(state, "too many words");
+        argp_error(state, "too many arguments: %s", value);
     }
 }
 
-/* argp_error ends the program. */
+/* Checks that all required arguments are given. argp_error exits the program. */
 static void check_arguments(const struct arguments *arguments, struct argp_state *state)
 {
     if (arguments->verb == VERB_NONE)
-        argp_error(state, "list, show, watch, start, pause, resume or cancel");
+        argp_error(state, "expected list, show, watch, start, pause, resume or cancel");
     if (arguments->verb != VERB_LIST && !arguments->name)
-        argp_error(state, "%s needs the drain's name", arguments->word);
+        argp_error(state, "%s requires the name of a drain", arguments->verb_argument);
     if (!arguments->admin)
-        argp_error(state, "--admin HOST:PORT is needed");
+        argp_error(state, "--admin HOST:PORT is required");
 }
 
 static error_t parse_argument(int key, char *value, struct argp_state *state)
@@ -103,7 +103,7 @@
         arguments->admin = value;
         return 0;
     case KEY_JSON:
-        arguments->as_json = true;
+        arguments->prints_json = true;
         return 0;
     case 'm':
         json_object_set_new(arguments->request, "mode", json_string(value));
@@ -124,7 +124,7 @@
         json_object_set_new(arguments->request, "all", json_true());
         return 0;
     case ARGP_KEY_ARG:
-        add_word(arguments, value, state);
+        add_positional(arguments, value, state);
         return 0;
     case ARGP_KEY_END:
         check_arguments(arguments, state);
@@ -134,21 +134,20 @@
     }
 }
 
-/* ---- calls ---- */
+/* ---- requests ---- */
 
-/* A controller's response. */
 struct response {
-    long status;  /* of HTTP; 0: none came */
-    json_t *body; /* owned by the response; NULL: none, or no JSON */
+    long status;  /* HTTP status; 0: no response */
+    json_t *body; /* owned by the response; NULL: missing or not JSON */
 };
 
-/* Calls a resource of the drains; tail: the path after theirs; body: NULL for none. */
-static struct response call_drains(const struct arguments *arguments, struct bd_http *http,
-                                   const char *method, const char *tail, const char *body)
+/* Sends a request to the drains API. `path` is relative to DRAINS_PATH; `body` may be NULL. */
+static struct response send_request(const struct arguments *arguments, struct bd_http *http,
+                                    const char *method, const char *path, const char *body)
 {
     char url[URL_BYTES];
     struct bd_http_response reply;
-    snprintf(url, sizeof url, "http://%s" DRAINS_PATH "%s", arguments->admin, tail);
+    snprintf(url, sizeof url, "http://%s" DRAINS_PATH "%s", arguments->admin, path);
     bd_http_call(http, method, url, body, RESPONSE_TIMEOUT_S, &reply);
     struct response response = {.status = reply.status};
     if (reply.body)
@@ -165,7 +164,7 @@
         print_refusal(response->status, response->body);
         bool is_reached = response->status != 0 && response->status < 500;
         result = is_reached ? EXIT_REFUSED : EXIT_UNREACHED;
-    } else if (arguments->as_json) {
+    } else if (arguments->prints_json) {
         (void)json_dumpf(response->body, stdout, JSON_INDENT(1) | JSON_ENCODE_ANY);
     } else {
         print_drains(response->body);
@@ -174,11 +173,11 @@
     return result;
 }
 
-/* Calls, prints the response, and frees it. */
-static enum exit_status call_and_print(const struct arguments *arguments, struct bd_http *http,
-                                       const char *method, const char *tail, const char *body)
+/* Sends a request and prints the response. */
+static enum exit_status request_and_print(const struct arguments *arguments, struct bd_http *http,
+                                          const char *method, const char *path, const char *body)
 {
-    struct response response = call_drains(arguments, http, method, tail, body);
+    struct response response = send_request(arguments, http, method, path, body);
     enum exit_status result = print_response(arguments, &response);
     json_decref(response.body);
     return result;
@@ -188,17 +187,17 @@
 {
     json_object_set_new(arguments->request, "name", json_string(arguments->name));
     char *body = json_dumps(arguments->request, JSON_COMPACT);
-    enum exit_status result = call_and_print(arguments, http, "POST", "", body);
+    enum exit_status result = request_and_print(arguments, http, "POST", "", body);
     free(body);
     return result;
 }
 
-/* Prints the drain again and again until it has ended, also while no controller is reached. */
+/* Prints the drain periodically until it has ended. Continues if no controller is reached. */
 static enum exit_status watch_drain(const struct arguments *arguments, struct bd_http *http,
-                                    const char *tail)
+                                    const char *path)
 {
     for (;;) {
-        struct response response = call_drains(arguments, http, "GET", tail, NULL);
+        struct response response = send_request(arguments, http, "GET", path, NULL);
         enum exit_status result = print_response(arguments, &response);
         const char *state = text_field(response.body, "state");
         bool has_ended = strcmp(state, "done") == 0 || strcmp(state, "called off") == 0;
@@ -211,21 +210,21 @@
 
 static enum exit_status run_verb(const struct arguments *arguments, struct bd_http *http)
 {
-    char tail[URL_BYTES / 2];
+    char path[URL_BYTES / 2];
     switch (arguments->verb) {
     case VERB_LIST:
-        return call_and_print(arguments, http, "GET", "", NULL);
+        return request_and_print(arguments, http, "GET", "", NULL);
     case VERB_START:
         return start_drain(arguments, http);
     case VERB_SHOW:
-        snprintf(tail, sizeof tail, "/%s", arguments->name);
-        return call_and_print(arguments, http, "GET", tail, NULL);
+        snprintf(path, sizeof path, "/%s", arguments->name);
+        return request_and_print(arguments, http, "GET", path, NULL);
     case VERB_WATCH:
-        snprintf(tail, sizeof tail, "/%s", arguments->name);
-        return watch_drain(arguments, http, tail);
-    default: /* a change of the drain's state */
-        snprintf(tail, sizeof tail, "/%s/%s", arguments->name, arguments->word);
-        return call_and_print(arguments, http, "POST", tail, "{}");
+        snprintf(path, sizeof path, "/%s", arguments->name);
+        return watch_drain(arguments, http, path);
+    default: /* pause, resume or cancel */
+        snprintf(path, sizeof path, "/%s/%s", arguments->name, arguments->verb_argument);
+        return request_and_print(arguments, http, "POST", path, "{}");
     }
 }
 
@@ -236,10 +235,10 @@
         .parser = parse_argument,
         .args_doc = "list | show NAME | watch NAME | start NAME | pause NAME | resume NAME | "
                     "cancel NAME",
-        .doc = "Drains machines in steps, within the disruption that each team declared."};
+        .doc = "Drains machines in steps, within the disruption budgets of the teams."};
     char name[] = "brambledoor drain";
     struct arguments arguments = {.request = json_object()};
-    argv[0] = name; /* in argp's messages */
+    argv[0] = name; /* the program name in argp's messages */
     argp_err_exit_status = EXIT_USAGE;
     enum exit_status result = EXIT_USAGE;
     if (argp_parse(&argp, argc, argv, 0, 0, &arguments) != 0 || bd_http_global_init() != 0)
--- a/cli/drain_command.h
+++ b/cli/drain_command.h
@@ -1,9 +1,9 @@
-/* `brambledoor drain ...`: the administrators' client of a controller's HTTP resources for drains.
- * Called by main() alone. */
+/* `brambledoor drain ...`: command-line client for the HTTP administration API of drains. Called
+ * only by main(). */
 #ifndef BD_DRAIN_COMMAND_H
 #define BD_DRAIN_COMMAND_H
 
-/* Runs the command; argv[0] is the word `drain`. Returns the program's exit status: 0 done, 1
- * refused, 2 wrong arguments, 3 no controller was reached. */
+/* Runs the command; argv[0] is `drain`. Returns the exit status of the program: 0 success, 1
+ * request refused, 2 invalid arguments, 3 no controller reached. */
 int drain_command(int argc, char **argv);
 #endif
--- a/cli/drain_output.c
+++ b/cli/drain_output.c
@@ -16,12 +16,11 @@
            (long long)json_integer_value(json_object_get(drain, "machines")));
 }
 
-/* now: wall clock, seconds. */
-static void print_machine(json_t *machine, double now)
+static void print_machine(json_t *machine, double wall_clock_s)
 {
-    double since = json_number_value(json_object_get(machine, "since"));
+    double stage_since_s = json_number_value(json_object_get(machine, "since"));
     printf("  %-20s %-9s %6.0f s", text_field(machine, "machine"), text_field(machine, "stage"),
-           now > since ? now - since : 0);
+           wall_clock_s > stage_since_s ? wall_clock_s - stage_since_s : 0);
     if (*text_field(machine, "waits_for"))
         printf("  waits for %s", text_field(machine, "waits_for"));
     if (*text_field(machine, "team"))
@@ -33,13 +32,13 @@
 
 static void print_machines(json_t *machines)
 {
-    struct timespec wall = {0, 0};
+    struct timespec wall_clock = {0, 0};
     json_t *machine;
     size_t i;
-    (void)clock_gettime(CLOCK_REALTIME, &wall);
+    (void)clock_gettime(CLOCK_REALTIME, &wall_clock);
     json_array_foreach(machines, i, machine)
     {
-        print_machine(machine, bd_to_secs(wall));
+        print_machine(machine, bd_to_secs(wall_clock));
     }
 }
 
@@ -62,7 +61,7 @@
 {
     const char *field = text_field(response, "field");
     if (status == 0)
-        fprintf(stderr, "brambledoor drain: no answer\n");
+        fprintf(stderr, "brambledoor drain: no response from the controller\n");
     else
         fprintf(stderr, "brambledoor drain: %ld %s%s%s\n", status, field, *field ? ": " : "",
                 text_field(response, "error"));
--- a/cli/main.c
+++ b/cli/main.c
@@ -1,4 +1,4 @@
-/* The program: a controller, or the `drain` command. */
+/* Entry point of the program: runs a controller or the `drain` command. */
 #include "brambledoor/controller.h"
 #include "brambledoor/log.h"
 #include "brambledoor/settings.h"
@@ -12,16 +12,19 @@
 const char *argp_program_version = "brambledoor " BD_VERSION;
 
 struct arguments {
-    const char *config, *operators;
-    bool check;
+    const char *settings_path;  /* --config */
+    const char *operators_path; /* --operators; NULL: not given */
+    bool checks_only;           /* --check */
 };
 
 static const struct argp_option options[] = {
-    {"config", 'c', "FILE", 0, "the platform's settings (JSON)", 0},
-    {"operators", 'o', "FILE", 0, "the operators' own settings (S-expressions)", 0},
+    {"config", 'c', "FILE", 0, "settings of the platform (JSON)", 0},
+    {"operators", 'o', "FILE", 0, "settings of the operators (S-expressions)", 0},
     {"check", 'k', 0, 0, "check the settings and exit", 0},
     {0}};
 
+#define ERROR_BYTES 256
+
 enum exit_status { EXIT_DONE = 0, EXIT_FAILED = 1, EXIT_USAGE = 2 };
 
 static error_t parse_argument(int key, char *value, struct argp_state *state)
@@ -29,38 +32,39 @@
     struct arguments *arguments = state->input;
     switch (key) {
     case 'c':
-        arguments->config = value;
+        arguments->settings_path = value;
         return 0;
     case 'o':
-        arguments->operators = value;
+        arguments->operators_path = value;
         return 0;
     case 'k':
-        arguments->check = true;
+        arguments->checks_only = true;
         return 0;
     case ARGP_KEY_END:
-        if (!arguments->config)
-            argp_error(state, "--config FILE is needed");
+        if (!arguments->settings_path)
+            argp_error(state, "--config FILE is required");
         return 0;
     default:
         return ARGP_ERR_UNKNOWN;
     }
 }
 
-/* Reads the settings and the operators' file; prints what is wrong. The caller frees what
- * settings->draining points to, also after a failure. */
+/* Reads the settings and the operators' file. Prints the error on failure. The caller frees
+ * settings->draining, also after a failure. */
 static bool load_settings(const struct arguments *arguments, struct bd_settings *settings)
 {
-    char error[256];
-    if (bd_settings_load(settings, arguments->config, error, sizeof error) == 0 &&
-        (!arguments->operators ||
-         bd_settings_load_operators_file(settings, arguments->operators, error, sizeof error) == 0))
+    char error[ERROR_BYTES];
+    if (bd_settings_load(settings, arguments->settings_path, error, sizeof error) == 0 &&
+        (!arguments->operators_path ||
+         bd_settings_load_operators_file(settings, arguments->operators_path, error,
+                                         sizeof error) == 0))
         return true;
     fprintf(stderr, "brambledoor: %s\n", error);
     return false;
 }
 
-/* Makes a controller as the arguments say; *node stays NULL if the settings are only checked, or
- * after a failure. */
+/* Creates a controller from the settings files. `*node` stays NULL after a failure or if the
+ * settings are only checked. */
 static enum exit_status create_controller(const struct arguments *arguments, struct bd_node **node)
 {
     struct bd_settings *settings = calloc(1, sizeof *settings);
@@ -70,11 +74,11 @@
     if (!load_settings(arguments, settings))
         goto free_settings;
     result = EXIT_DONE;
-    if (arguments->check)
+    if (arguments->checks_only)
         goto free_settings;
     *node = bd_controller_new(settings, bd_log_level_parse(getenv("LOG_LEVEL")));
     if (*node)
-        settings->draining = NULL; /* the controller's copy of the settings owns it */
+        settings->draining = NULL; /* now owned by the controller's copy of the settings */
     else
         result = EXIT_FAILED;
 free_settings:
