--- a/cli/drain_command.c
+++ b/cli/drain_command.c
@@ -28,11 +28,11 @@
     VERB_PAUSE,
     VERB_RESUME,
     VERB_CANCEL,
-    VERBS
+    VERB_COUNT
 };
 
-static const char *const verb_names[VERBS] = {"",      "list",  "show",   "watch",
-                                              "start", "pause", "resume", "cancel"};
+static const char *const verb_names[VERB_COUNT] = {"",      "list",  "show",   "watch",
+                                                   "start", "pause", "resume", "cancel"};
 
 struct arguments {
     const char *admin;         /* HOST:PORT */
@@ -66,7 +66,7 @@
 
 static enum verb find_verb(const char *name)
 {
-    for (int verb = VERB_LIST; verb < VERBS; verb++)
+    for (int verb = VERB_LIST; verb < VERB_COUNT; verb++)
         if (strcmp(verb_names[verb], name) == 0)
             return (enum verb)verb;
     return VERB_NONE;
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -74,13 +74,11 @@
 /* Counts one system call that sent bytes. */
 void bd_count_write(struct bd_counter *counter);
 
-/* Histograms and reports, for the event loop's thread only. If `metrics` is NULL, nothing is done.
- */
+/* Histograms and reports: event loop's thread only. If `metrics` is NULL, nothing is done. */
 
 /* Adds a duration in seconds; values that are not finite are ignored. */
 void bd_metrics_record_duration(struct bd_metrics *metrics, enum bd_timing timing, double seconds);
-/* Logs the counters and histograms collected over the last `interval_s` seconds, and resets them.
- */
+/* Logs and resets the counters and histograms, which cover the last `interval_s` seconds. */
 void bd_metrics_write_report(struct bd_metrics *metrics, const struct bd_log *log,
                              double interval_s);
 #endif
--- a/src/base/queue.h
+++ b/src/base/queue.h
@@ -25,8 +25,8 @@
 /* Appends an item and wakes a waiting thread. Returns false if the queue is full; the caller then
  * keeps the item. */
 bool bd_queue_put(struct bd_queue *queue, void *item);
-/* Like bd_queue_put, but wakes no thread: the item is taken after the next bd_queue_put or when a
- * current wait times out. Avoids a context switch for items that are not urgent. */
+/* Like bd_queue_put, but wakes no thread: a waiting thread takes the item at the next bd_queue_put
+ * or when its wait ends. Avoids a context switch for items that are not urgent. */
 bool bd_queue_put_without_wakeup(struct bd_queue *queue, void *item);
 /* Takes up to `max` items, oldest first, and waits for the first one until `deadline`, an instant
  * of CLOCK_MONOTONIC (see bd_now). Returns the number of items taken; 0: the wait timed out. */
--- a/src/wire/wire_cloud.c
+++ b/src/wire/wire_cloud.c
@@ -4,7 +4,7 @@
 #include "wire/wire_names.h"
 #include <string.h>
 
-/* used if the cloud omits the field in a machine type */
+/* Used if the cloud omits the field in a machine type. */
 #define FETCH_DEFAULT_GB_PER_S 0.1
 #define BOOT_DEFAULT_S 60.0
 
@@ -108,9 +108,9 @@
 char *bd_wire_write_provisioning_request(const char *request_id, const char *type, const char *zone,
                                          bool spot, int count)
 {
-    return bd_wire_write_text(json_pack("{s:s,s:s,s:s,s:b,s:i}", KEY_REQUEST_ID, request_id,
-                                        KEY_MACHINE_TYPE, type, KEY_ZONE, zone, KEY_SPOT, (int)spot,
-                                        KEY_MACHINE_COUNT, count));
+    return bd_wire_serialize(json_pack("{s:s,s:s,s:s,s:b,s:i}", KEY_REQUEST_ID, request_id,
+                                       KEY_MACHINE_TYPE, type, KEY_ZONE, zone, KEY_SPOT, (int)spot,
+                                       KEY_MACHINE_COUNT, count));
 }
 
 char *bd_wire_write_return_request(char (*names)[BD_LABEL_BYTES], int count)
@@ -118,7 +118,7 @@
     json_t *machines = json_array();
     for (int i = 0; i < count; i++)
         json_array_append_new(machines, json_string(names[i]));
-    return bd_wire_write_text(json_pack("{s:o}", KEY_MACHINES, machines));
+    return bd_wire_serialize(json_pack("{s:o}", KEY_MACHINES, machines));
 }
 
 int bd_wire_read_machine_names(json_t *body, char (*names)[BD_LABEL_BYTES], int max)
--- a/src/wire/wire_fields.c
+++ b/src/wire/wire_fields.c
@@ -52,12 +52,12 @@
     return -1;
 }
 
-bool bd_wire_is_null(json_t *value)
+bool bd_wire_is_missing_or_null(json_t *value)
 {
     return !value || json_is_null(value);
 }
 
-char *bd_wire_write_text(json_t *object)
+char *bd_wire_serialize(json_t *object)
 {
     char *text = json_dumps(object, JSON_COMPACT);
     json_decref(object);
--- a/src/wire/wire_internal.h
+++ b/src/wire/wire_internal.h
@@ -24,12 +24,11 @@
 bool bd_wire_read_unsigned(json_t *object, const char *key, uint64_t *out);
 /* Returns the index of the field's string in a table of `count` names, or -1 if it is not there. */
 int bd_wire_read_enum(json_t *object, const char *key, const char *const *names, int count);
-/* Whether a field is missing or null. */
-bool bd_wire_is_null(json_t *value);
+bool bd_wire_is_missing_or_null(json_t *value);
 
 /* Serializes the object as compact JSON and consumes it. Returns NULL if out of memory, or if the
  * object is NULL because building it ran out of memory. */
-char *bd_wire_write_text(json_t *object);
+char *bd_wire_serialize(json_t *object);
 
 /* Reads a job spec. Returns NULL on success, or the name of the invalid field, a constant. */
 const char *bd_wire_read_job_spec(json_t *object, struct bd_job_spec_text *out);
--- a/src/wire/wire_job_spec.c
+++ b/src/wire/wire_job_spec.c
@@ -13,7 +13,7 @@
     json_t *types = json_object_get(object, KEY_MACHINE_TYPES), *type;
     size_t i;
     spec->type_count = -1;
-    if (bd_wire_is_null(types))
+    if (bd_wire_is_missing_or_null(types))
         return true;
     if (!json_is_array(types) || json_array_size(types) > BD_TYPES_MAX)
         return false;
@@ -47,7 +47,7 @@
         if (!bd_wire_read_amount(object, amounts[i].key, amounts[i].out))
             return amounts[i].key;
     spec->deadline_s = -1;
-    if (!bd_wire_is_null(json_object_get(object, KEY_DEADLINE_S)) &&
+    if (!bd_wire_is_missing_or_null(json_object_get(object, KEY_DEADLINE_S)) &&
         !bd_wire_read_amount(object, KEY_DEADLINE_S, &spec->deadline_s))
         return KEY_DEADLINE_S;
     return NULL;
@@ -68,7 +68,7 @@
 
 static const char *read_placement(json_t *object, struct bd_job_spec_text *spec)
 {
-    if (!bd_wire_is_null(json_object_get(object, KEY_ZONE)) &&
+    if (!bd_wire_is_missing_or_null(json_object_get(object, KEY_ZONE)) &&
         !bd_wire_read_label(object, KEY_ZONE, spec->zone))
         return KEY_ZONE;
     if (!read_machine_types(object, spec))
--- a/src/wire/wire_jobs.c
+++ b/src/wire/wire_jobs.c
@@ -76,7 +76,7 @@
 {
     json_t *list = json_object_get(body, KEY_PARENTS);
     *out = NULL;
-    if (bd_wire_is_null(list))
+    if (bd_wire_is_missing_or_null(list))
         return true;
     if (!json_is_array(list))
         return false;
--- a/src/wire/wire_jobs.h
+++ b/src/wire/wire_jobs.h
@@ -76,9 +76,7 @@
 
 /* Whether the text is a job id: "job-" and 1 to 18 digits. False for NULL. */
 bool bd_wire_is_job_id(const char *id);
-/* Reads a task name, "JOB/INDEX". Returns false if it is malformed; `job` may have been
- * overwritten.
- */
+/* Reads a task name, "JOB/INDEX". Returns false if it is malformed; `job` is undefined then. */
 bool bd_wire_read_task_name(const char *text, char job[BD_JOB_ID_BYTES], uint32_t *task);
 
 /* Reads a submission. Returns NULL on success, or the name of the invalid field, a constant. `id`
--- a/src/wire/wire_paths.h
+++ b/src/wire/wire_paths.h
@@ -2,20 +2,20 @@
 #ifndef BD_WIRE_PATHS_H
 #define BD_WIRE_PATHS_H
 
-/* served by controllers for users and workers */
+/* Served by controllers for users and workers. */
 #define BD_PATH_HEALTH "/up"
 #define BD_PATH_HEARTBEAT "/checkin"
 #define BD_PATH_JOBS "/submissions"
 #define BD_PATH_CANCEL "/withdraw" /* appended to a job's path */
 
-/* served by workers */
+/* Served by workers. */
 #define BD_PATH_COMMANDS "/do" /* direct commands */
 
-/* served by the cloud */
+/* Served by the cloud. */
 #define BD_PATH_MACHINES "/machines" /* GET: list of machines; POST: provisioning request */
 #define BD_PATH_RETURN_MACHINES "/machines/return" /* scale-in */
 
-/* served by the key-value store */
+/* Served by the key-value store. */
 #define BD_PATH_COMMIT "/commit"          /* compare-and-swap transaction */
 #define BD_PATH_GRANTS "/grants"          /* leases */
 #define BD_PATH_RENEW "/renew"            /* appended to a grant's path */
--- a/src/wire/wire_store.c
+++ b/src/wire/wire_store.c
@@ -42,7 +42,7 @@
     json_t *body = json_pack("{s:o,s:o}", KEY_COMPARES, txn->compares, KEY_CHANGES, txn->ops);
     txn->compares = NULL;
     txn->ops = NULL;
-    return bd_wire_write_text(body);
+    return bd_wire_serialize(body);
 }
 
 json_t *bd_wire_read_failed_compares(json_t *body)
--- a/src/wire/wire_store.h
+++ b/src/wire/wire_store.h
@@ -22,17 +22,14 @@
 bool bd_txn_begin(struct bd_txn *txn);
 /* Adds the condition that the key has this revision; 0: that the key does not exist. */
 void bd_txn_compare(struct bd_txn *txn, const char *key, uint64_t revision);
-/* Adds a put of the value, which is consumed. The store deletes the key when `grant` expires; 0:
- * the key has no lease. */
+/* Adds a put of the value, which is consumed. The store deletes the key when `grant` ends; 0: the
+ * key has no lease. */
 void bd_txn_put(struct bd_txn *txn, const char *key, json_t *value, uint64_t grant);
 /* Adds a deletion of the key. */
 void bd_txn_delete(struct bd_txn *txn, const char *key);
-/* Returns the request body of the transaction and frees the transaction's compares and operations.
- */
+/* Returns the request body of the transaction and frees its compares and operations. */
 char *bd_txn_finish(struct bd_txn *txn);
-/* Returns the list of compares that failed, from the response to a transaction; borrowed. NULL:
- * none.
- */
+/* Returns the failed compares in the response to a transaction, borrowed. NULL: none. */
 json_t *bd_wire_read_failed_compares(json_t *body);
 
 /* ---- values and changes ---- */
--- a/src/wire/wire_workers.c
+++ b/src/wire/wire_workers.c
@@ -51,7 +51,7 @@
         !bd_wire_read_unsigned(body, KEY_FENCING_TOKEN, &out->fencing_token))
         return false;
     out->notice_s = -1;
-    return bd_wire_is_null(json_object_get(body, KEY_NOTICE_S)) ||
+    return bd_wire_is_missing_or_null(json_object_get(body, KEY_NOTICE_S)) ||
            bd_wire_read_amount(body, KEY_NOTICE_S, &out->notice_s);
 }
 
