--- a/src/adapters/election.c
+++ b/src/adapters/election.c
@@ -38,7 +38,7 @@
                                  struct bd_acquisition *acquisition)
 {
     json_t *answer = NULL;
-    struct bd_change pair;
+    struct bd_kv_change pair;
     uint64_t grant;
     long status = bd_kv_call(candidate->node, candidate->http, "GET", BD_PATH_KEYS "/w", NULL,
                              bd_election_call_timeout_s(candidate), &answer);
--- a/src/adapters/election_lease.c
+++ b/src/adapters/election_lease.c
@@ -60,7 +60,7 @@
 /* Returns who holds the lease, and posts the leader to the owner thread. The key's value names the
  * leader's node and the nonce of its acquisition. */
 static enum bd_lease_holder read_holder(struct bd_election_candidate *candidate,
-                                        const struct bd_change *pair, struct timespec sent_at)
+                                        const struct bd_kv_change *pair, struct timespec sent_at)
 {
     const char *node = json_string_value(json_object_get(pair->value, "node"));
     const char *nonce = json_string_value(json_object_get(pair->value, "nonce"));
@@ -80,7 +80,7 @@
 enum bd_lease_holder bd_lease_observe(struct bd_election_candidate *candidate, uint64_t *revision)
 {
     json_t *answer = NULL;
-    struct bd_change pair;
+    struct bd_kv_change pair;
     uint64_t grant;
     enum bd_lease_holder holder = BD_LEASE_HOLDER_UNKNOWN;
     struct timespec sent_at = bd_now();
--- a/src/adapters/peer_listener.c
+++ b/src/adapters/peer_listener.c
@@ -69,10 +69,10 @@
         return false;
     bool is_unchanged = connection->status_term == frame->term &&
                         connection->status_flags == frame->flags &&
-                        strcmp(connection->status_name, frame->name) == 0;
+                        strcmp(connection->status_name, frame->sender) == 0;
     connection->status_term = frame->term;
     connection->status_flags = frame->flags;
-    memcpy(connection->status_name, frame->name, sizeof connection->status_name);
+    memcpy(connection->status_name, frame->sender, sizeof connection->status_name);
     return is_unchanged;
 }
 
--- a/src/jobs/admission.c
+++ b/src/jobs/admission.c
@@ -109,7 +109,7 @@
     else if (parents->has_active_service)
         bd_effect_reply_error(core, request, 422, "awaits a service, which is never done", 0);
     /* an older controller, if elected leader, would start the job too early and lose its parents */
-    else if (admission->parents && bd_peer_lacks_feature(core, BD_PEER_KNOWS_DAG))
+    else if (admission->parents && bd_peer_lacks_feature(core, BD_PEER_SUPPORTS_DEPENDENCIES))
         bd_effect_reply_error(core, request, 503, "an older controller serves beside this one",
                               BD_KV_OUTAGE_RETRY_AFTER_S);
     else
--- a/src/jobs/admission_record.c
+++ b/src/jobs/admission_record.c
@@ -52,8 +52,8 @@
 
 static json_t *build_record(struct bd_admission *admission, bool with_names)
 {
-    admission->record.parents.names = with_names ? admission->parents : NULL;
-    return bd_wire_write_record(&admission->record);
+    admission->record.parents.ids = with_names ? admission->parents : NULL;
+    return bd_wire_write_job_record(&admission->record);
 }
 
 /* Returns the names from index *next on that fit into one value, and sets *next to the index after
@@ -78,7 +78,8 @@
 {
     struct bd_job_record_parents *parents = &admission->record.parents;
     char key[2 * BD_LABEL_BYTES];
-    snprintf(key, sizeof key, "j/%s/%s/%u", admission->id, parents->of, parents->parts++);
+    snprintf(key, sizeof key, "j/%s/%s/%u", admission->id, parents->parts_hash,
+             parents->part_count++);
     json_t *names = take_names_for_part(core, admission->parents, next);
     bd_txn_put(txn, key, bd_wire_write_parents_part(names), 0);
 }
@@ -116,12 +117,12 @@
 {
     struct bd_job_record_parents *parents = &admission->record.parents;
     size_t next = 0, name_count = json_array_size(admission->parents);
-    snprintf(parents->of, sizeof parents->of, "%016llx",
+    snprintf(parents->parts_hash, sizeof parents->parts_hash, "%016llx",
              (unsigned long long)bd_wire_hash_names(admission->parents));
     while (next < name_count)
         if (!append_parts_txn(core, admission, &next, lines))
             return false;
-    return parents->parts <= BD_PARENT_PARTS_MAX;
+    return parents->part_count <= BD_PARENT_PARTS_MAX;
 }
 
 char *bd_admission_txns(const struct bd_core *core, struct bd_admission *admission)
--- a/src/jobs/dependency_names.c
+++ b/src/jobs/dependency_names.c
@@ -70,7 +70,7 @@
 
 void bd_dag_parents_part_loaded(struct bd_core *core, const char *key, json_t *value)
 {
-    char id[BD_ID_BYTES];
+    char id[BD_JOB_ID_BYTES];
     json_t *names = bd_wire_read_parents_part(value);
     size_t id_len = strcspn(key, "/");
     if (!names || id_len >= sizeof id || strlen(key) >= BD_LABEL_BYTES) {
@@ -92,19 +92,19 @@
 void bd_dag_record_loaded(struct bd_core *core, struct bd_job *job,
                           const struct bd_job_record_parents *parents)
 {
-    bool has_names = json_array_size(parents->names) > 0;
-    job->has_had_parents = parents->damaged || parents->parts || has_names;
-    if (parents->damaged) {
+    bool has_names = json_array_size(parents->ids) > 0;
+    job->has_had_parents = parents->is_unreadable || parents->part_count || has_names;
+    if (parents->is_unreadable) {
         bd_log_write(core->log, BD_LOG_ERROR,
                      "job %s is not started: its list of parents is malformed", job->id);
         job->nopen_parents = 1;
-    } else if (parents->parts) {
-        job->parent_parts = parents->parts;
+    } else if (parents->part_count) {
+        job->parent_parts = parents->part_count;
         job->nopen_parents = 1;
-        snprintf(job->parent_parts_hash, sizeof job->parent_parts_hash, "%s", parents->of);
+        snprintf(job->parent_parts_hash, sizeof job->parent_parts_hash, "%s", parents->parts_hash);
         join_parts_if_complete(core, job);
     } else if (has_names) {
-        bd_dag_add_parents(core, job, parents->names);
+        bd_dag_add_parents(core, job, parents->ids);
     }
 }
 
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -30,7 +30,7 @@
 
 /* Applies one change of the store to the job that its key names. Ignores keys outside j/,
  * deletions, and revisions that are not newer than the job's. */
-void bd_replica_apply(struct bd_core *core, const struct bd_change *change);
+void bd_replica_apply(struct bd_core *core, const struct bd_kv_change *change);
 /* Completes a refresh that requested the changes after after_revision. The caller has applied them.
  * is_barrier: the refresh was the read barrier, so that the reads that wait for it are answered. */
 void bd_replica_refreshed(struct bd_core *core, uint64_t after_revision, uint64_t store_revision,
@@ -43,7 +43,7 @@
  * record, any other value: unknown. purpose is that of the effect. */
 void bd_replica_lookup_completed(struct bd_core *core, void *request, const char *id,
                                  enum bd_read_purpose purpose, long status,
-                                 const struct bd_change *change);
+                                 const struct bd_kv_change *change);
 /* Handles a peer's announcement that the job's cancellation was committed. Stops the job's tasks
  * and prevents new starts until the record arrives; nothing else depends on the announcement. */
 void bd_job_cancellation_announcement_received(struct bd_core *core, const char *id);
--- a/src/jobs/replica.c
+++ b/src/jobs/replica.c
@@ -53,7 +53,7 @@
     snprintf(job->id, sizeof job->id, "%s", id);
     job->ntasks = record->tasks;
     job->job_class = *job_class ? bd_name_intern(&core->classes, job_class) : -1;
-    job->submitted_at = job->ready_at = record->at;
+    job->submitted_at = job->ready_at = record->submitted_at;
     job->priority = record->spec.priority;
     job->finish_by = INFINITY;
     HASH_ADD_STR(core->jobs, id, job);
@@ -82,9 +82,9 @@
 /* When a final job ended, as time of day in seconds; an estimate if the record does not say so. */
 static double end_time(const struct bd_core *core, const struct bd_job_record *record)
 {
-    if (record->end > 0)
-        return record->end;
-    return core->replica.ready ? core->wall_s : record->at;
+    if (record->ended_at > 0)
+        return record->ended_at;
+    return core->replica.ready ? core->wall_s : record->submitted_at;
 }
 
 /* An active record does not undo a cancellation that was derived from a parent. */
@@ -102,7 +102,7 @@
 }
 
 static void apply_record(struct bd_core *core, const char *id, const struct bd_job_record *record,
-                         const struct bd_change *change)
+                         const struct bd_kv_change *change)
 {
     struct bd_job *job = bd_job_find(core, id);
     bool is_new = !job;
@@ -112,7 +112,7 @@
         job = add_job(core, id, record);
     job->revision = change->revision;
     job->record_stale = false;
-    job->submitted_at = record->at;
+    job->submitted_at = record->submitted_at;
     apply_spec(core, job, record, change->value);
     if (core->role == BD_LEADER && !job->tasks && record->state == BD_JOB_ACTIVE)
         start_tracking(core, job);
@@ -122,7 +122,7 @@
     core->lead.cycle_wanted = true;
 }
 
-void bd_replica_apply(struct bd_core *core, const struct bd_change *change)
+void bd_replica_apply(struct bd_core *core, const struct bd_kv_change *change)
 {
     struct bd_job_record record;
     if (strncmp(change->key, "j/", 2) != 0 || !change->value)
@@ -130,7 +130,7 @@
     const char *id = change->key + 2;
     if (strchr(id, '/'))
         bd_dag_parents_part_loaded(core, id, change->value);
-    else if (strlen(id) >= BD_ID_BYTES || !bd_wire_read_record(change->value, &record))
+    else if (strlen(id) >= BD_JOB_ID_BYTES || !bd_wire_read_job_record(change->value, &record))
         bd_log_write(core->log, BD_LOG_ERROR, "record %s is malformed, ignored", change->key);
     else
         apply_record(core, id, &record, change);
--- a/src/jobs/submission.c
+++ b/src/jobs/submission.c
@@ -15,7 +15,7 @@
 #include <stdio.h>
 
 struct submission {
-    char id[BD_ID_BYTES]; /* empty: missing or invalid */
+    char id[BD_JOB_ID_BYTES]; /* empty: missing or invalid */
     struct bd_job_record record;
     json_t *parents;           /* owned; NULL: none */
     const char *invalid_field; /* the first one; NULL: all fields are valid */
@@ -25,7 +25,7 @@
                             struct submission *out)
 {
     *out = (struct submission){
-        .record = {.state = BD_JOB_ACTIVE, .at = core->wall_s, .has_spec = true}};
+        .record = {.state = BD_JOB_ACTIVE, .submitted_at = core->wall_s, .has_spec = true}};
     json_t *json = json_loadb(body, len, JSON_REJECT_DUPLICATES, NULL);
     out->invalid_field = json ? bd_wire_read_submission(json, out->id, &out->record.spec) : "body";
     if (!out->invalid_field && !bd_wire_read_parents(json, &out->parents))
--- a/src/jobs/user_requests.c
+++ b/src/jobs/user_requests.c
@@ -52,7 +52,7 @@
 
 static bool is_valid_id(const char *id)
 {
-    return bd_wire_is_job_id(id) && strlen(id) < BD_ID_BYTES - 1;
+    return bd_wire_is_job_id(id) && strlen(id) < BD_JOB_ID_BYTES - 1;
 }
 
 /* Replies if neither a read barrier nor a transaction is needed. Returns whether it replied. */
@@ -92,8 +92,8 @@
 json_t *bd_job_cancelled_record(const struct bd_job *job)
 {
     struct bd_job_record record = {
-        .state = BD_JOB_CANCELLED, .tasks = job->ntasks, .at = job->submitted_at};
-    json_t *json = bd_wire_write_record(&record);
+        .state = BD_JOB_CANCELLED, .tasks = job->ntasks, .submitted_at = job->submitted_at};
+    json_t *json = bd_wire_write_job_record(&record);
     if (json && job->record_spec)
         json_object_set_new(json, "job", bd_wire_write_cancelled_spec(job->record_spec));
     return json;
--- a/src/leadership/receipt.c
+++ b/src/leadership/receipt.c
@@ -82,7 +82,7 @@
 
 void bd_receipt_load(struct bd_core *core, const char *key, json_t *value)
 {
-    char id[BD_ID_BYTES];
+    char id[BD_JOB_ID_BYTES];
     uint32_t chunk = 0;
     if (strncmp(key, "r/", 2) != 0 || !bd_wire_read_task_name(key + 2, id, &chunk))
         return;
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -27,7 +27,7 @@
 /* A job. src/jobs/ applies its record; task_state.c changes its tasks. */
 struct bd_job {
     UT_hash_handle hh;
-    char id[BD_ID_BYTES];
+    char id[BD_JOB_ID_BYTES];
     uint64_t revision; /* of the job's record */
     enum bd_job_state state;
     /* A transaction found another revision of the record: nothing is written until it is read. */
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -87,7 +87,7 @@
     uint32_t total, unchanged;
     if (bd_time_is_before(now, node->next_metrics_report_at))
         return;
-    bd_heartbeat_cache_counts(node->heartbeat_cache, &total, &unchanged);
+    bd_heartbeat_cache_take_counts(node->heartbeat_cache, &total, &unchanged);
     if (total > 0)
         bd_log_write(&node->log, BD_LOG_INFO, "heartbeats: %u, %u of them unchanged", total,
                      unchanged);
--- a/src/wire/wire_job_spec.c
+++ b/src/wire/wire_job_spec.c
@@ -1,10 +1,10 @@
-/* A job's spec, in submissions and in records. */
+/* Job specs in submissions and in job records. */
 #include "wire/wire_internal.h"
 #include "wire/wire_limits.h"
 #include "wire/wire_names.h"
 #include <string.h>
 
-/* in the order of enum bd_job_kind and of enum bd_priority */
+/* Indexed by enum bd_job_kind and enum bd_priority. */
 static const char *const job_kinds[] = {"sweep", "gang", "service"};
 static const char *const priorities[] = {"idle", "standard", "high", "production"};
 
@@ -12,23 +12,23 @@
 {
     json_t *types = json_object_get(object, KEY_MACHINE_TYPES), *type;
     size_t i;
-    spec->ntypes = -1;
-    if (bd_wire_is_null(types))
+    spec->type_count = -1;
+    if (bd_wire_is_missing_or_null(types))
         return true;
     if (!json_is_array(types) || json_array_size(types) > BD_TYPES_MAX)
         return false;
-    spec->ntypes = 0;
+    spec->type_count = 0;
     json_array_foreach(types, i, type)
     {
         const char *label = json_string_value(type);
         if (!label || !*label || strlen(label) >= BD_LABEL_BYTES)
             return false;
-        strcpy(spec->types[spec->ntypes++], label);
+        strcpy(spec->types[spec->type_count++], label);
     }
     return true;
 }
 
-/* NULL, or the name of the field at fault; so do the readers below. */
+/* The readers below return NULL on success, or the name of the invalid field. */
 static const char *read_amounts(json_t *object, struct bd_job_spec_text *spec)
 {
     const struct {
@@ -37,9 +37,9 @@
     } amounts[] = {
         {KEY_CPUS, &spec->cpus},
         {KEY_GPUS, &spec->gpus},
-        {KEY_MEMORY_GB, &spec->mem},
+        {KEY_MEMORY_GB, &spec->mem_gb},
         {KEY_IMAGE_GB, &spec->image_gb},
-        {KEY_ESTIMATE_S, &spec->estimate},
+        {KEY_ESTIMATE_S, &spec->estimate_s},
         {KEY_CHECKPOINT_INTERVAL_S, &spec->checkpoint_interval_s},
         {KEY_CHECKPOINT_SAVE_S, &spec->checkpoint_save_s},
     };
@@ -47,7 +47,7 @@
         if (!bd_wire_read_amount(object, amounts[i].key, amounts[i].out))
             return amounts[i].key;
     spec->deadline_s = -1;
-    if (!bd_wire_is_null(json_object_get(object, KEY_DEADLINE_S)) &&
+    if (!bd_wire_is_missing_or_null(json_object_get(object, KEY_DEADLINE_S)) &&
         !bd_wire_read_amount(object, KEY_DEADLINE_S, &spec->deadline_s))
         return KEY_DEADLINE_S;
     return NULL;
@@ -68,7 +68,7 @@
 
 static const char *read_placement(json_t *object, struct bd_job_spec_text *spec)
 {
-    if (!bd_wire_is_null(json_object_get(object, KEY_ZONE)) &&
+    if (!bd_wire_is_missing_or_null(json_object_get(object, KEY_ZONE)) &&
         !bd_wire_read_label(object, KEY_ZONE, spec->zone))
         return KEY_ZONE;
     if (!read_machine_types(object, spec))
@@ -82,7 +82,7 @@
     return NULL;
 }
 
-const char *bd_wire_read_spec(json_t *object, struct bd_job_spec_text *out)
+const char *bd_wire_read_job_spec(json_t *object, struct bd_job_spec_text *out)
 {
     uint64_t tasks = 0;
     memset(out, 0, sizeof *out);
@@ -90,33 +90,33 @@
         return KEY_JOB_CLASS;
     if (!bd_wire_read_label(object, KEY_TEAM, out->team))
         return KEY_TEAM;
-    const char *fault = read_kind_and_priority(object, out);
-    if (fault)
-        return fault;
+    const char *invalid_field = read_kind_and_priority(object, out);
+    if (invalid_field)
+        return invalid_field;
     if (!bd_wire_read_unsigned(object, KEY_TASK_COUNT, &tasks) || tasks < 1 || tasks > BD_TASKS_MAX)
         return KEY_TASK_COUNT;
     out->tasks = (uint32_t)tasks;
     if (!bd_wire_read_label(object, KEY_IMAGE, out->image))
         return KEY_IMAGE;
-    fault = read_placement(object, out);
-    return fault ? fault : read_amounts(object, out);
+    invalid_field = read_placement(object, out);
+    return invalid_field ? invalid_field : read_amounts(object, out);
 }
 
 static json_t *write_machine_types(const struct bd_job_spec_text *spec)
 {
-    if (spec->ntypes < 0)
+    if (spec->type_count < 0)
         return json_null();
     json_t *types = json_array();
-    for (int i = 0; i < spec->ntypes; i++)
+    for (int i = 0; i < spec->type_count; i++)
         json_array_append_new(types, json_string(spec->types[i]));
     return types;
 }
 
-json_t *bd_wire_write_spec(const struct bd_job_spec_text *spec)
+json_t *bd_wire_write_job_spec(const struct bd_job_spec_text *spec)
 {
     json_t *zone = *spec->zone ? json_string(spec->zone) : json_null();
     json_t *deadline = spec->deadline_s < 0 ? json_null() : json_real(spec->deadline_s);
-    /* clang-format off */ /* one field a line */
+    /* clang-format off */ /* one field per line */
     return json_pack(
         "{s:s, s:s, s:s, s:s, s:i, s:f, s:f, s:f, s:s, s:f, s:o, s:o, s:b, s:b, s:b, s:f, s:f, s:f,"
         " s:o}",
@@ -127,7 +127,7 @@
         KEY_TASK_COUNT, (int)spec->tasks,
         KEY_CPUS, spec->cpus,
         KEY_GPUS, spec->gpus,
-        KEY_MEMORY_GB, spec->mem,
+        KEY_MEMORY_GB, spec->mem_gb,
         KEY_IMAGE, spec->image,
         KEY_IMAGE_GB, spec->image_gb,
         KEY_MACHINE_TYPES, write_machine_types(spec),
@@ -135,7 +135,7 @@
         KEY_SAME_ZONE, (int)spec->same_zone,
         KEY_SPREAD_ZONES, (int)spec->spread_zones,
         KEY_SPOT, (int)spec->spot,
-        KEY_ESTIMATE_S, spec->estimate,
+        KEY_ESTIMATE_S, spec->estimate_s,
         KEY_CHECKPOINT_INTERVAL_S, spec->checkpoint_interval_s,
         KEY_CHECKPOINT_SAVE_S, spec->checkpoint_save_s,
         KEY_DEADLINE_S, deadline);
--- a/src/wire/wire_jobs.c
+++ b/src/wire/wire_jobs.c
@@ -1,4 +1,4 @@
-/* Names of jobs and tasks, submissions, and the replies to users. */
+/* Job ids and task names, submissions, and the replies to users. */
 #include "wire/wire_jobs.h"
 #include "wire/wire_internal.h"
 #include "wire/wire_limits.h"
@@ -11,7 +11,7 @@
 #define JOB_DIGITS_MAX 18
 #define TASK_DIGITS_MAX 6
 #define DIGITS "0123456789"
-#define REPLY_BYTES 160 /* with room for an id, a state's name and two numbers */
+#define REPLY_BYTES 160 /* fits a job id, a state name and two numbers */
 
 bool bd_wire_is_job_id(const char *id)
 {
@@ -22,10 +22,10 @@
     return digits >= 1 && digits <= JOB_DIGITS_MAX && id[prefix_len + digits] == '\0';
 }
 
-bool bd_wire_read_task_name(const char *text, char job[BD_ID_BYTES], uint32_t *task)
+bool bd_wire_read_task_name(const char *text, char job[BD_JOB_ID_BYTES], uint32_t *task)
 {
     const char *slash = text ? strchr(text, '/') : NULL;
-    if (!slash || (size_t)(slash - text) >= BD_ID_BYTES)
+    if (!slash || (size_t)(slash - text) >= BD_JOB_ID_BYTES)
         return false;
     memcpy(job, text, (size_t)(slash - text));
     job[slash - text] = '\0';
@@ -37,7 +37,7 @@
     return *task < BD_TASKS_MAX;
 }
 
-const char *bd_wire_read_submission(json_t *body, char id[BD_ID_BYTES],
+const char *bd_wire_read_submission(json_t *body, char id[BD_JOB_ID_BYTES],
                                     struct bd_job_spec_text *out)
 {
     id[0] = '\0';
@@ -47,10 +47,10 @@
     if (!bd_wire_is_job_id(text))
         return KEY_ID;
     strcpy(id, text);
-    return bd_wire_read_spec(body, out);
+    return bd_wire_read_job_spec(body, out);
 }
 
-/* The ids in the list, each once. NULL: one of them is malformed. */
+/* Returns a new array of the distinct job ids in the list. NULL: one of them is malformed. */
 static json_t *read_distinct_ids(json_t *list)
 {
     json_t *seen = json_object(), *ids = json_array(), *entry;
@@ -76,7 +76,7 @@
 {
     json_t *list = json_object_get(body, KEY_PARENTS);
     *out = NULL;
-    if (bd_wire_is_null(list))
+    if (bd_wire_is_missing_or_null(list))
         return true;
     if (!json_is_array(list))
         return false;
--- a/src/workers/autonomous_zone.c
+++ b/src/workers/autonomous_zone.c
@@ -67,7 +67,7 @@
         if (!bd_peer_is_local(core, i))
             continue;
         is_alone = false;
-        if (core->peers[i].flags & BD_PEER_KV_LOST &&
+        if (core->peers[i].flags & BD_PEER_KV_OUTAGE &&
             bd_peer_status_is_recent(core, i, PEER_STATUS_FRESH_S) &&
             core->wall_s - core->peers[i].status_sent_wall_s < status_age_max_s)
             return true;
--- a/src/workers/delegate_probes.c
+++ b/src/workers/delegate_probes.c
@@ -50,7 +50,8 @@
 {
     const struct bd_delegate *delegate = &core->delegate;
     double wait_s = are_all_peers_silent(core) ? PROBE_INTERVAL_ALONE_S : PROBE_WITH_TASKS_S;
-    return heartbeat->n == 0 || bd_to_secs(core->settings->worker_lease) > return_max_s(core) ||
+    return heartbeat->task_count == 0 ||
+           bd_to_secs(core->settings->worker_lease) > return_max_s(core) ||
            delegate->probe_batch > 1 ||
            bd_seconds_between(delegate->serving_since, core->now) > wait_s;
 }
--- a/src/workers/delegate_view.c
+++ b/src/workers/delegate_view.c
@@ -57,7 +57,7 @@
         machine->delegate_index = (int)(record - core->delegates.records);
 }
 
-static void read_delegate_record(struct bd_core *core, const struct bd_change *change)
+static void read_delegate_record(struct bd_core *core, const struct bd_kv_change *change)
 {
     struct bd_delegate_view *view = &core->delegates;
     const char *key = change->key + strlen(BD_NODE_RECORD_PREFIX);
@@ -79,7 +79,7 @@
 
 /* A controller writes its liveness record to NODE/at. As a delegate it writes its record to NODE,
  * and further parts to NODE/PART. */
-static void read_record(struct bd_core *core, const struct bd_change *change)
+static void read_record(struct bd_core *core, const struct bd_kv_change *change)
 {
     const char *node = change->key + strlen(BD_NODE_RECORD_PREFIX);
     const char *slash = strchr(node, '/');
@@ -118,7 +118,7 @@
 
 void bd_delegate_records_read(struct bd_core *core, json_t *pairs, struct timespec sent)
 {
-    struct bd_change change;
+    struct bd_kv_change change;
     json_t *pair;
     size_t i;
     if (core->role != BD_LEADER)
--- a/tests/scenario_drain.c
+++ b/tests/scenario_drain.c
@@ -203,11 +203,11 @@
     memset(tasks, 0, SCENARIO_WORDS_MAX * sizeof *tasks);
     *heartbeat = (struct bd_heartbeat){
         .incarnation = (uint64_t)scenario_find_number(scenario, "incarnation", 1),
-        .notice = scenario_find_number(scenario, "notice_s", -1),
+        .notice_s = scenario_find_number(scenario, "notice_s", -1),
         .fencing_token = scenario->core->lead.term,
         .tasks = tasks};
     snprintf(heartbeat->machine, sizeof heartbeat->machine, "%s", id);
-    snprintf(heartbeat->addr, sizeof heartbeat->addr, "addr-%s", id);
+    snprintf(heartbeat->address, sizeof heartbeat->address, "addr-%s", id);
     bool has_type_and_zone = machine && machine->type >= 0 && machine->zone >= 0;
     const char *type = scenario_find_text(scenario, "type"),
                *zone = scenario_find_text(scenario, "zone");
@@ -220,13 +220,13 @@
              : has_type_and_zone ? scenario->core->zones[machine->zone]
                                  : "a");
     heartbeat->seq = ++scenario->heartbeat_seq + 1000;
-    for (uint32_t k = 0; machine && k < machine->nreservations && heartbeat->n < SCENARIO_WORDS_MAX;
-         k++) {
+    for (uint32_t k = 0;
+         machine && k < machine->nreservations && heartbeat->task_count < SCENARIO_WORDS_MAX; k++) {
         const struct bd_job *job = machine->reservations[k].job;
         const struct bd_task *task = &job->tasks[machine->reservations[k].task];
         if (task->state == BD_TASK_PLANNED)
             continue;
-        struct bd_reported_task *reported = &tasks[heartbeat->n++];
+        struct bd_reported_task *reported = &tasks[heartbeat->task_count++];
         snprintf(reported->job, sizeof reported->job, "%s", job->id);
         reported->task = machine->reservations[k].task;
         reported->attempt = task->attempt;
@@ -236,7 +236,7 @@
         bool is_fetching =
             fetching && strcmp(fetching, id) == 0 && task->execution != BD_EXECUTION_RUNNING;
         reported->execution = has_stopped   ? BD_EXECUTION_EXITED
-                              : is_fetching ? BD_EXECUTION_FETCHING
+                              : is_fetching ? BD_EXECUTION_FETCHING_IMAGE
                                             : BD_EXECUTION_RUNNING;
         reported->exit_reason = has_stopped ? BD_EXIT_STOPPED : BD_EXIT_NONE;
     }
--- a/tests/scenario_expect.c
+++ b/tests/scenario_expect.c
@@ -105,7 +105,7 @@
 {
     static const char *const state_names[] = {"pending",   "planned", "launching",
                                               "confirmed", "unknown", "done"};
-    char id[BD_ID_BYTES];
+    char id[BD_JOB_ID_BYTES];
     uint32_t index = 0;
     struct bd_job *job = NULL;
     if (bd_wire_read_task_name(scenario->words[1], id, &index))
--- a/tests/scenario_jobs.c
+++ b/tests/scenario_jobs.c
@@ -20,7 +20,7 @@
     spec->image_gb = scenario_find_number(scenario, "image_gb", 0);
     if (scenario_find_text(scenario, "zone"))
         snprintf(spec->zone, sizeof spec->zone, "%s", scenario_find_text(scenario, "zone"));
-    spec->ntypes = -1;
+    spec->type_count = -1;
     const char *kind = scenario_find_text(scenario, "kind");
     if (kind)
         spec->kind = *kind == 'g' ? BD_JOB_GANG : *kind == 's' ? BD_JOB_SERVICE : BD_JOB_ARRAY;
@@ -29,11 +29,11 @@
     spec->tasks = (uint32_t)scenario_find_number(scenario, "tasks", 1);
     spec->cpus = scenario_find_number(scenario, "cpus", 1);
     spec->gpus = scenario_find_number(scenario, "gpus", 0);
-    spec->mem = scenario_find_number(scenario, "mem_gb", 1);
+    spec->mem_gb = scenario_find_number(scenario, "mem_gb", 1);
     spec->checkpoint_interval_s = scenario_find_number(scenario, "checkpoint_interval_s", 0);
     spec->checkpoint_save_s = scenario_find_number(scenario, "checkpoint_save_s", 0);
     spec->deadline_s = scenario_find_number(scenario, "deadline_s", -1);
-    spec->estimate = scenario_find_number(scenario, "estimate_s", 0);
+    spec->estimate_s = scenario_find_number(scenario, "estimate_s", 0);
     spec->spread_zones = scenario_find_flag(scenario, "spread_zones");
     spec->same_zone = scenario_find_flag(scenario, "same_zone");
     spec->spot = scenario_find_flag(scenario, "spot");
@@ -56,7 +56,8 @@
     snprintf(key, sizeof key, "j/%s", scenario->words[1]);
     json_t *value =
         bd_wire_write_parents_part(split_names(scenario->word_count > 2 ? scenario->words[2] : ""));
-    struct bd_change change = {key, value, (uint64_t)scenario_find_number(scenario, "revision", 1)};
+    struct bd_kv_change change = {key, value,
+                                  (uint64_t)scenario_find_number(scenario, "revision", 1)};
     bd_replica_apply(scenario->core, &change);
     json_decref(value);
 }
@@ -69,7 +70,7 @@
     if (!value)
         scenario_fail(scenario, "not JSON");
     snprintf(key, sizeof key, "j/%s", scenario->words[1]);
-    struct bd_change change = {key, value, strtoull(scenario->words[2], NULL, 10)};
+    struct bd_kv_change change = {key, value, strtoull(scenario->words[2], NULL, 10)};
     bd_replica_apply(scenario->core, &change);
     json_decref(value);
 }
@@ -96,7 +97,7 @@
 static void step_job(struct scenario *scenario)
 {
     struct bd_job_record record = {.state = BD_JOB_ACTIVE,
-                                   .at = scenario_find_number(scenario, "revision", 1),
+                                   .submitted_at = scenario_find_number(scenario, "revision", 1),
                                    .has_spec = true};
     const char *state = scenario_find_text(scenario, "state");
     char key[BD_LABEL_BYTES];
@@ -108,16 +109,17 @@
     json_t *names = scenario_find_text(scenario, "parents")
                         ? split_names(scenario_find_text(scenario, "parents"))
                         : NULL;
-    record.parents.names = names;
+    record.parents.ids = names;
     double parts = 0;
     if (scenario_find_text(scenario, "parent_parts") &&
-        numbers_after_name(scenario_find_text(scenario, "parent_parts"), record.parents.of,
-                           sizeof record.parents.of, &parts, 1) != 1)
+        numbers_after_name(scenario_find_text(scenario, "parent_parts"), record.parents.parts_hash,
+                           sizeof record.parents.parts_hash, &parts, 1) != 1)
         scenario_fail(scenario, "parent_parts has the form HASH:COUNT");
-    record.parents.parts = (uint32_t)parts;
-    record.end = scenario_find_number(scenario, "ended_at_s", 0);
-    json_t *value = bd_wire_write_record(&record);
-    struct bd_change change = {key, value, (uint64_t)scenario_find_number(scenario, "revision", 1)};
+    record.parents.part_count = (uint32_t)parts;
+    record.ended_at = scenario_find_number(scenario, "ended_at_s", 0);
+    json_t *value = bd_wire_write_job_record(&record);
+    struct bd_kv_change change = {key, value,
+                                  (uint64_t)scenario_find_number(scenario, "revision", 1)};
     bd_replica_apply(scenario->core, &change);
     json_decref(value);
     json_decref(names);
@@ -130,9 +132,10 @@
     for (int i = 0; i < count; i++) {
         char key[BD_LABEL_BYTES];
         snprintf(key, sizeof key, "j/job-%d", 1000000 + i);
-        struct bd_job_record record = {.state = BD_JOB_DONE, .tasks = 1, .at = 1, .end = 2};
-        json_t *value = bd_wire_write_record(&record);
-        struct bd_change change = {key, value, (uint64_t)(i + 1)};
+        struct bd_job_record record = {
+            .state = BD_JOB_DONE, .tasks = 1, .submitted_at = 1, .ended_at = 2};
+        json_t *value = bd_wire_write_job_record(&record);
+        struct bd_kv_change change = {key, value, (uint64_t)(i + 1)};
         bd_replica_apply(scenario->core, &change);
         json_decref(value);
     }
@@ -145,13 +148,13 @@
     char key[BD_LABEL_BYTES];
     snprintf(key, sizeof key, "j/%s", scenario->words[1]);
     long status = strtol(scenario->words[3], NULL, 10);
-    struct bd_job_record record = {.state = BD_JOB_DONE, .tasks = 1, .at = 1};
+    struct bd_job_record record = {.state = BD_JOB_DONE, .tasks = 1, .submitted_at = 1};
     if (scenario->word_count > 4 && strcmp(scenario->words[4], "cancelled") == 0) {
         read_spec(scenario, &record.spec);
         record.has_spec = true;
         record.state = BD_JOB_CANCELLED;
     }
-    struct bd_change change = {key, value = bd_wire_write_record(&record), 5};
+    struct bd_kv_change change = {key, value = bd_wire_write_job_record(&record), 5};
     bd_replica_lookup_completed(scenario->core, NULL, scenario->words[1],
                                 number_of(scenario->words[2]), status,
                                 status == 200 ? &change : NULL);
--- a/tests/scenario_leader.c
+++ b/tests/scenario_leader.c
@@ -64,12 +64,14 @@
 {
     uint8_t flags =
         scenario_find_number(scenario, "kv_reachable", 1) != 0 ? BD_PEER_KV_REACHABLE : 0;
-    flags |= scenario_find_number(scenario, "hears_leader", 1) != 0 ? BD_PEER_HEARS_LEADER : 0;
+    flags |=
+        scenario_find_number(scenario, "hears_leader", 1) != 0 ? BD_PEER_RECEIVES_LEADER_STATUS : 0;
     flags |=
         scenario_find_number(scenario, "inbound_partition", 0) != 0 ? BD_PEER_INBOUND_PARTITION : 0;
-    flags |= scenario_find_flag(scenario, "kv_lost") ? BD_PEER_KV_LOST : 0;
-    flags |= scenario_find_number(scenario, "knows_dag", 1) != 0 ? BD_PEER_KNOWS_DAG : 0;
-    flags |= scenario_find_number(scenario, "knows_drains", 1) != 0 ? BD_PEER_KNOWS_DRAINS : 0;
+    flags |= scenario_find_flag(scenario, "kv_lost") ? BD_PEER_KV_OUTAGE : 0;
+    flags |=
+        scenario_find_number(scenario, "knows_dag", 1) != 0 ? BD_PEER_SUPPORTS_DEPENDENCIES : 0;
+    flags |= scenario_find_number(scenario, "knows_drains", 1) != 0 ? BD_PEER_SUPPORTS_DRAINS : 0;
     bd_peer_status_received(
         scenario->core, scenario->words[1], (uint64_t)scenario_find_number(scenario, "term", 0),
         flags, scenario_find_number(scenario, "kv_age_s", 0),
--- a/tests/scenario_machines.c
+++ b/tests/scenario_machines.c
@@ -28,25 +28,25 @@
 {
     memset(heartbeat, 0, sizeof *heartbeat);
     snprintf(heartbeat->machine, sizeof heartbeat->machine, "%s", scenario->words[1]);
-    snprintf(heartbeat->addr, sizeof heartbeat->addr, "addr-%s", scenario->words[1]);
+    snprintf(heartbeat->address, sizeof heartbeat->address, "addr-%s", scenario->words[1]);
     heartbeat->incarnation = (uint64_t)scenario_find_number(scenario, "incarnation", 1);
     heartbeat->seq = (uint64_t)scenario_find_number(scenario, "seq", 1);
     heartbeat->fencing_token = (uint64_t)scenario_find_number(scenario, "token", 0);
-    heartbeat->notice = scenario_find_number(scenario, "notice_s", -1);
+    heartbeat->notice_s = scenario_find_number(scenario, "notice_s", -1);
     heartbeat->spot = scenario_find_flag(scenario, "spot");
     heartbeat->tasks = tasks;
     for (int i = 2; i < scenario->word_count; i++) {
         char name[64], attempt[64], state[64];
         if (sscanf(scenario->words[i], "%63[^:]:%63[^:]:%63s", name, attempt, state) != 3)
             continue;
-        struct bd_reported_task *task = &tasks[heartbeat->n];
+        struct bd_reported_task *task = &tasks[heartbeat->task_count];
         if (!bd_wire_read_task_name(name, task->job, &task->task)) {
             scenario_fail(scenario, "malformed task name");
             return;
         }
         task->attempt = scenario_parse_attempt(attempt);
         task->execution = read_execution(state, &task->exit_reason);
-        heartbeat->n++;
+        heartbeat->task_count++;
     }
 }
 
@@ -117,9 +117,9 @@
         if (sscanf(scenario->words[i], "%63[^:]:%63[^:]:%63[^:]:%31s", machines[count].id,
                    machines[count].type, machines[count].zone, state) < 3)
             scenario_fail(scenario, "machines have the form NAME:TYPE:ZONE");
-        machines[count].state = *state == 'r'   ? BD_MACHINE_UP
-                                : *state == 'f' ? BD_MACHINE_FAILED
-                                                : BD_MACHINE_BOOTING;
+        machines[count].state = *state == 'r'   ? BD_CLOUD_MACHINE_RUNNING
+                                : *state == 'f' ? BD_CLOUD_MACHINE_FAILED
+                                                : BD_CLOUD_MACHINE_BOOTING;
     }
     bd_inventory_machines_received(scenario->core, machines, count, scenario->core->now);
 }
--- a/tests/scenario_settings.c
+++ b/tests/scenario_settings.c
@@ -82,18 +82,18 @@
     snprintf(type.label, sizeof type.label, "%s", scenario->words[1]);
     type.cpus = scenario_find_number(scenario, "cpus", 8);
     type.gpus = scenario_find_number(scenario, "gpus", 0);
-    type.mem = scenario_find_number(scenario, "mem_gb", 64);
+    type.mem_gb = scenario_find_number(scenario, "mem_gb", 64);
     type.price = scenario_find_number(scenario, "price", 1);
     type.spot_price = scenario_find_number(scenario, "spot_price", type.price / 3);
-    type.boot = scenario_find_number(scenario, "boot_s", 10);
-    type.fetch = 1;
+    type.boot_s = scenario_find_number(scenario, "boot_s", 10);
+    type.fetch_gb_per_s = 1;
     type.cache_gb = 50;
     char zones[128];
     snprintf(zones, sizeof zones, "%s",
              scenario_find_text(scenario, "zones") ? scenario_find_text(scenario, "zones") : "a,b");
     for (char *rest = NULL, *zone = strtok_r(zones, ",", &rest); zone;
          zone = strtok_r(NULL, ",", &rest))
-        snprintf(type.zones[type.nzones++], BD_LABEL_BYTES, "%s", zone);
+        snprintf(type.zones[type.zone_count++], BD_LABEL_BYTES, "%s", zone);
     bd_inventory_types_received(scenario->core, &type, 1);
 }
 
