--- a/tests/fake_server.h
+++ b/tests/fake_server.h
@@ -1,5 +1,5 @@
-/* Stand-ins for the key-value store, the cloud and the workers, on loopback, written from the
- * published protocol. They keep to it only as far as the loopback test needs. */
+/* Fake key-value store, cloud and workers on loopback, written from the published protocol. They
+ * implement only what the loopback tests need. */
 #ifndef FAKE_SERVER_H
 #define FAKE_SERVER_H
 #include <stdbool.h>
@@ -8,56 +8,62 @@
 
 struct fake_cluster;
 
-/* The store listens on one port for each controller, from store_port on; the workers from
- * worker_port on. `nodes`: the controllers' addresses, which must outlive it. NULL: an address is
- * taken. */
+/* The store listens on one port for each controller, starting at store_port; worker i listens on
+ * worker_port + i. `node_addresses` holds the controllers' addresses and must outlive the cluster.
+ * Returns NULL if memory is short or a port cannot be listened on. */
 struct fake_cluster *fake_cluster_new(int store_port, int cloud_port, int worker_port,
-                                      const char *const *nodes, int nnodes);
+                                      const char *const *node_addresses, int nnodes);
+/* Stops all servers and worker threads and frees the cluster. */
 void fake_cluster_stop(struct fake_cluster *cluster);
-/* what happens to a task on a worker: it runs, is stopped on command, or is lost with its machine
- */
-enum fake_task_event { FAKE_TASK_RUNS, FAKE_TASK_STOPPED, FAKE_TASK_LOST };
-/* Called for each, one at a time, with the lock held. */
-typedef void (*fake_observer)(void *arg, enum fake_task_event event, const char *task);
-void fake_set_observer(struct fake_cluster *cluster, fake_observer observer, void *arg);
-/* the cloud has so many machines at once */
+/* STARTED and STOPPED: on a controller's command. LOST: the machine died or was returned, or its
+ * lease expired. */
+enum fake_task_event { FAKE_TASK_STARTED, FAKE_TASK_STOPPED, FAKE_TASK_LOST };
+/* Called for each event, one at a time, with the cluster's lock held. */
+typedef void (*fake_task_observer)(void *arg, enum fake_task_event event, const char *task);
+void fake_set_task_observer(struct fake_cluster *cluster, fake_task_observer observer, void *arg);
+/* Limits the number of machines that exist at the same time. */
 void fake_cloud_set_capacity(struct fake_cluster *cluster, int machines);
-/* The machine dies: it is silent from now on, and stays in the cloud's list for a while. */
+/* The machine neither sends nor answers requests from now on. The cloud lists it as running for
+ * another 4 s, then as failed. */
 void fake_kill_machine(struct fake_cluster *cluster, const char *machine);
-/* machines that are neither dead nor returned; their names, a space after each, into `names` */
+/* Returns the number of machines that are neither dead nor returned, and writes their names, each
+ * followed by a space, to `names`. */
 int fake_machine_names(struct fake_cluster *cluster, char *names, size_t capacity);
-/* the number of tasks that ran while another copy of them did */
+/* Starts of tasks while another worker ran the same task. */
 int fake_duplicate_runs(struct fake_cluster *cluster);
-/* starts of tasks, and tasks that run now */
-int fake_starts(struct fake_cluster *cluster);
-int fake_running(struct fake_cluster *cluster);
-/* late copies of leaders' transactions that the store got, and how many of them applied */
-int fake_store_late_copies(struct fake_cluster *cluster, int *applied);
-/* starts of tasks whose job needs another that was not done */
-int fake_early_starts(struct fake_cluster *cluster);
-/* workers' leases that expired */
+int fake_task_starts(struct fake_cluster *cluster);
+int fake_running_tasks(struct fake_cluster *cluster);
+/* Returns how many leader transactions the store received a second time, and in `applied` how many
+ * of these replays were applied. */
+int fake_store_replayed_txns(struct fake_cluster *cluster, int *applied);
+/* Starts of tasks whose job awaited a job that was not done. */
+int fake_early_task_starts(struct fake_cluster *cluster);
 int fake_lease_expiries(struct fake_cluster *cluster);
-/* from now on larger values and transactions get 400 and changes beyond the rate 429; 0: no limit.
- * refused, busy: how many did */
+/* Larger values and larger transactions get status 400, changes beyond the rate (per second) 429.
+ * 0: no limit. */
 void fake_store_set_limits(struct fake_cluster *cluster, size_t kv_value_bytes_max,
                            size_t txn_ops_max, int write_rps);
-void fake_store_rejections(struct fake_cluster *cluster, int *refused, int *busy);
-/* all keys and values, to a file; false: it cannot be written */
+/* Counts the transactions that got status 400 and those that got 429. */
+void fake_store_rejections(struct fake_cluster *cluster, int *too_large, int *rate_limited);
+/* Writes all keys and values to a file as JSON. Returns false if it cannot be written. */
 bool fake_store_dump(struct fake_cluster *cluster, const char *path);
-/* while on, the store answers 503 to everything */
-void fake_store_set_down(struct fake_cluster *cluster, bool down);
-/* while on, it answers 503 to this controller alone */
-void fake_store_refuse(struct fake_cluster *cluster, int node, bool refused);
-/* while on, this controller cannot read the jobs' records; its lease and its writes are served */
-void fake_store_refuse_job_reads(struct fake_cluster *cluster, int node, bool refused);
-/* of its transactions, the share that is applied while the answer is lost, and the share that
- * is applied seconds late, after newer ones; how many did */
-void fake_store_lose_answers(struct fake_cluster *cluster, double lost_share, double late_share);
-int fake_store_lost_answers(struct fake_cluster *cluster, int *late);
-/* tasks of the job that run now */
-int fake_running_of(struct fake_cluster *cluster, const char *job);
-/* the controller that the leader's key names, or -1 */
+/* While it is down, the store answers every request with 503. */
+void fake_store_set_down(struct fake_cluster *cluster, bool is_down);
+/* While `is_refused` is set, the store answers this controller with 503, and serves the others. */
+void fake_store_refuse_node(struct fake_cluster *cluster, int node, bool is_refused);
+/* While `is_refused` is set, this controller gets 503 when it reads job records; its lease requests
+ * and writes are served. */
+void fake_store_refuse_job_reads(struct fake_cluster *cluster, int node, bool is_refused);
+/* Sets two shares of the transactions: those that are applied but get no response, and those that
+ * get no response and are carried out 2.5 s later, after newer ones. */
+void fake_store_set_txn_faults(struct fake_cluster *cluster, double lost_response_share,
+                               double delayed_share);
+/* Returns the number of lost responses, and in `delayed_applied` how many delayed transactions were
+ * applied. */
+int fake_store_lost_responses(struct fake_cluster *cluster, int *delayed_applied);
+int fake_running_tasks_of_job(struct fake_cluster *cluster, const char *job);
+/* Returns the index of the controller that the leader key names, or -1. */
 int fake_store_leader(struct fake_cluster *cluster);
-/* the next answers of the store are cut off in the middle of their JSON */
-void fake_store_truncate_answers(struct fake_cluster *cluster, int answers);
+/* The next responses, whether of the store or the cloud, end in the middle of their JSON. */
+void fake_store_truncate_responses(struct fake_cluster *cluster, int responses);
 #endif
--- a/tests/fake_store.c
+++ b/tests/fake_store.c
@@ -1,4 +1,4 @@
-/* The stand-in of the key-value store, one address a controller. */
+/* Fake key-value store with one port for each controller. */
 #include "base/timeutil.h"
 #include "fake_server_internal.h"
 #include "key_table.h"
@@ -7,20 +7,23 @@
 #include <stdlib.h>
 #include <string.h>
 
+#define LIST_PAGE_KEYS 5 /* small, so that the controllers read several pages */
+#define TXN_DELAY_S 2.5
+
 static void expire_grants(struct fake_cluster *cluster)
 {
     struct timespec now = bd_now();
     for (int i = 0; i < cluster->ngrants;) {
-        if (bd_time_is_before(now, cluster->grants[i].ends)) {
+        if (bd_time_is_before(now, cluster->grants[i].expires_at)) {
             i++;
             continue;
         }
-        table_end_grant(&cluster->table, cluster->grants[i].id);
+        table_end_grant(&cluster->store_table, cluster->grants[i].id);
         cluster->grants[i] = cluster->grants[--cluster->ngrants];
     }
 }
 
-bool fake_grant_lives(void *owner, uint64_t id)
+bool fake_grant_is_valid(void *owner, uint64_t id)
 {
     const struct fake_cluster *cluster = owner;
     for (int i = 0; i < cluster->ngrants; i++)
@@ -29,54 +32,54 @@
     return false;
 }
 
-static bool exceeds_size(const struct fake_cluster *cluster, json_t *in)
+static bool exceeds_size(const struct fake_cluster *cluster, json_t *request)
 {
-    json_t *ops = json_object_get(in, "apply"), *item;
+    json_t *ops = json_object_get(request, "apply"), *item;
     size_t i;
     if (cluster->txn_ops_max && json_array_size(ops) > cluster->txn_ops_max)
         return true;
     json_array_foreach(ops, i, item)
     {
         char *text = json_dumps(json_object_get(item, "value"), JSON_COMPACT | JSON_ENCODE_ANY);
-        bool large =
+        bool is_too_large =
             cluster->kv_value_bytes_max && text && strlen(text) > cluster->kv_value_bytes_max;
         free(text);
-        if (large)
+        if (is_too_large)
             return true;
     }
     return false;
 }
 
-static bool exceeds_rate(struct fake_cluster *cluster, json_t *in)
+static bool exceeds_rate(struct fake_cluster *cluster, json_t *request)
 {
     struct timespec now = bd_now();
-    if (bd_seconds_between(cluster->rate_from, now) >= 1) {
-        cluster->rate_from = now;
-        cluster->writes = 0;
+    if (bd_seconds_between(cluster->rate_window_start, now) >= 1) {
+        cluster->rate_window_start = now;
+        cluster->writes_in_window = 0;
     }
-    cluster->writes += (int)json_array_size(json_object_get(in, "apply"));
-    return cluster->write_rps && cluster->writes > cluster->write_rps;
+    cluster->writes_in_window += (int)json_array_size(json_object_get(request, "apply"));
+    return cluster->write_rps && cluster->writes_in_window > cluster->write_rps;
 }
 
-/* 0: within the limits */
-static int beyond_limits(struct fake_cluster *cluster, json_t *in)
+/* Returns the status of a transaction that exceeds a limit, otherwise 0. */
+static int check_limits(struct fake_cluster *cluster, json_t *request)
 {
-    if (exceeds_size(cluster, in)) {
-        cluster->refused++;
+    if (exceeds_size(cluster, request)) {
+        cluster->too_large_txns++;
         return 400;
     }
-    if (exceeds_rate(cluster, in)) {
-        cluster->busy++;
+    if (exceeds_rate(cluster, request)) {
+        cluster->rate_limited_txns++;
         return 429;
     }
     return 0;
 }
 
-static bool is_leader_txn(json_t *in)
+static bool is_leader_txn(json_t *request)
 {
     json_t *item;
     size_t i;
-    json_array_foreach(json_object_get(in, "if"), i, item)
+    json_array_foreach(json_object_get(request, "if"), i, item)
     {
         if (strcmp(json_string_value(json_object_get(item, "k")), "w") == 0)
             return true;
@@ -84,23 +87,25 @@
     return false;
 }
 
-/* A transaction, and after it a late copy of one that applied some time ago. */
-static int commit_and_replay(struct fake_cluster *cluster, json_t *in, json_t **out)
+/* Commits a transaction. After a leader transaction it replays the one that was applied
+ * REPLAY_DELAY_TXNS before it. */
+static int commit_and_replay(struct fake_cluster *cluster, json_t *request, json_t **response)
 {
     json_t *ignored = NULL;
-    int beyond = beyond_limits(cluster, in);
-    int status = beyond ? beyond : table_commit(&cluster->table, in, out);
-    if (status != 200 || !is_leader_txn(in))
+    int limit_status = check_limits(cluster, request);
+    int status =
+        limit_status ? limit_status : table_commit(&cluster->store_table, request, response);
+    if (status != 200 || !is_leader_txn(request))
         return status;
-    int at = cluster->napplied++ % APPLIED_TXNS;
-    if (cluster->applied[at]) {
-        cluster->copies++;
-        cluster->copies_applied +=
-            table_commit(&cluster->table, cluster->applied[at], &ignored) == 200;
+    int slot = cluster->napplied_txns++ % REPLAY_DELAY_TXNS;
+    if (cluster->applied_txns[slot]) {
+        cluster->replayed_txns++;
+        cluster->replayed_txns_applied +=
+            table_commit(&cluster->store_table, cluster->applied_txns[slot], &ignored) == 200;
         json_decref(ignored);
-        json_decref(cluster->applied[at]);
+        json_decref(cluster->applied_txns[slot]);
     }
-    cluster->applied[at] = json_incref(in);
+    cluster->applied_txns[slot] = json_incref(request);
     return status;
 }
 
@@ -109,58 +114,61 @@
     return strcmp(((const struct table_key *)a)->name, ((const struct table_key *)b)->name);
 }
 
-static int list_keys(struct fake_cluster *cluster, struct MHD_Connection *conn, json_t **out)
+static int list_keys(struct fake_cluster *cluster, struct MHD_Connection *connection,
+                     json_t **response)
 {
-    const char *starts = MHD_lookup_connection_value(conn, MHD_GET_ARGUMENT_KIND, "starts");
-    const char *after = MHD_lookup_connection_value(conn, MHD_GET_ARGUMENT_KIND, "after");
+    const char *starts = MHD_lookup_connection_value(connection, MHD_GET_ARGUMENT_KIND, "starts");
+    const char *after = MHD_lookup_connection_value(connection, MHD_GET_ARGUMENT_KIND, "after");
     json_t *pairs = json_array();
     bool more = false;
-    if (cluster->table.nkeys > 0)
-        qsort(cluster->table.keys, cluster->table.nkeys, sizeof *cluster->table.keys, by_name);
-    for (size_t i = 0; i < cluster->table.nkeys; i++) {
-        struct table_key *key = &cluster->table.keys[i];
+    if (cluster->store_table.nkeys > 0)
+        qsort(cluster->store_table.keys, cluster->store_table.nkeys,
+              sizeof *cluster->store_table.keys, by_name);
+    for (size_t i = 0; i < cluster->store_table.nkeys; i++) {
+        struct table_key *key = &cluster->store_table.keys[i];
         if (!key->value || strncmp(key->name, starts, strlen(starts)) != 0 ||
             (after && strcmp(key->name, after) <= 0))
             continue;
-        if (json_array_size(pairs) == 5) { /* small pages, so that paging is played */
+        if (json_array_size(pairs) == LIST_PAGE_KEYS) {
             more = true;
             break;
         }
         json_array_append_new(pairs, table_pair(key));
     }
-    *out = json_pack("{s:o,s:b,s:I}", "pairs", pairs, "more", more, "ring",
-                     (json_int_t)cluster->table.revision);
+    *response = json_pack("{s:o,s:b,s:I}", "pairs", pairs, "more", more, "ring",
+                          (json_int_t)cluster->store_table.revision);
     return 200;
 }
 
-static int list_changes(struct fake_cluster *cluster, struct MHD_Connection *conn, json_t **out)
+static int list_changes(struct fake_cluster *cluster, struct MHD_Connection *connection,
+                        json_t **response)
 {
-    const char *starts = MHD_lookup_connection_value(conn, MHD_GET_ARGUMENT_KIND, "starts");
-    const char *after = MHD_lookup_connection_value(conn, MHD_GET_ARGUMENT_KIND, "after");
-    *out = table_changes(&cluster->table, starts, strtoull(after, NULL, 10));
+    const char *starts = MHD_lookup_connection_value(connection, MHD_GET_ARGUMENT_KIND, "starts");
+    const char *after = MHD_lookup_connection_value(connection, MHD_GET_ARGUMENT_KIND, "after");
+    *response = table_changes(&cluster->store_table, starts, strtoull(after, NULL, 10));
     return 200;
 }
 
 static int serve_grants(struct fake_cluster *cluster, const char *method, const char *url,
-                        json_t *in, json_t **out)
+                        json_t *request, json_t **response)
 {
     uint64_t id = strtoull(url + strlen("/grants") + (url[7] == '/'), NULL, 10);
     if (id == 0) {
-        double ttl = (double)json_integer_value(json_object_get(in, "ttlMs")) / 1000.0;
+        double ttl = (double)json_integer_value(json_object_get(request, "ttlMs")) / 1000.0;
         if (cluster->ngrants == GRANTS_MAX)
             return 503;
         cluster->grants[cluster->ngrants].id = ++cluster->last_grant;
         cluster->grants[cluster->ngrants].ttl_s = ttl;
-        cluster->grants[cluster->ngrants++].ends = bd_time_add(bd_now(), bd_secs(ttl));
-        *out = json_pack("{s:I}", "charter", (json_int_t)cluster->last_grant);
+        cluster->grants[cluster->ngrants++].expires_at = bd_time_add(bd_now(), bd_secs(ttl));
+        *response = json_pack("{s:I}", "charter", (json_int_t)cluster->last_grant);
         return 200;
     }
     for (int i = 0; i < cluster->ngrants; i++) {
         if (cluster->grants[i].id != id)
             continue;
-        bool ends = strcmp(method, "DELETE") == 0;
-        cluster->grants[i].ends =
-            ends ? bd_now() : bd_time_add(bd_now(), bd_secs(cluster->grants[i].ttl_s));
+        bool is_revoked = strcmp(method, "DELETE") == 0;
+        cluster->grants[i].expires_at =
+            is_revoked ? bd_now() : bd_time_add(bd_now(), bd_secs(cluster->grants[i].ttl_s));
         return 200;
     }
     return 404;
@@ -168,68 +176,70 @@
 
 static void apply_late_txns(struct fake_cluster *cluster)
 {
-    for (int i = 0; i < cluster->nlate;) {
+    for (int i = 0; i < cluster->ndelayed_txns;) {
         json_t *ignored = NULL;
-        if (bd_time_is_before(bd_now(), cluster->late[i].deliver_at)) {
+        if (bd_time_is_before(bd_now(), cluster->delayed_txns[i].deliver_at)) {
             i++;
             continue;
         }
-        cluster->late_applied +=
-            table_commit(&cluster->table, cluster->late[i].txn, &ignored) == 200;
+        cluster->delayed_txns_applied +=
+            table_commit(&cluster->store_table, cluster->delayed_txns[i].txn, &ignored) == 200;
         json_decref(ignored);
-        json_decref(cluster->late[i].txn);
-        cluster->late[i] = cluster->late[--cluster->nlate];
+        json_decref(cluster->delayed_txns[i].txn);
+        cluster->delayed_txns[i] = cluster->delayed_txns[--cluster->ndelayed_txns];
     }
 }
 
+/* True with the probability `share`. */
 static bool draw(struct fake_cluster *cluster, double share)
 {
     cluster->random_state = cluster->random_state * 1103515245u + 12345u;
     return (cluster->random_state >> 16 & 0x7fff) < share * 0x8000;
 }
 
-/* Some are applied while only the answer is lost, some late and after newer ones. */
-static int commit_or_lose_answer(struct fake_cluster *cluster, json_t *in, json_t **out)
+/* Commits a transaction. Some responses are lost; some transactions are delayed and carried out
+ * after newer ones. */
+static int commit_with_faults(struct fake_cluster *cluster, json_t *request, json_t **response)
 {
-    if (draw(cluster, cluster->late_share) && cluster->nlate < LATE_TXNS_MAX) {
-        cluster->late[cluster->nlate++] =
-            (struct fake_late_txn){json_incref(in), bd_time_add(bd_now(), bd_secs(2.5))};
-        return NO_ANSWER;
+    if (draw(cluster, cluster->delayed_share) && cluster->ndelayed_txns < DELAYED_TXNS_MAX) {
+        cluster->delayed_txns[cluster->ndelayed_txns++] = (struct fake_delayed_txn){
+            json_incref(request), bd_time_add(bd_now(), bd_secs(TXN_DELAY_S))};
+        return NO_RESPONSE;
     }
-    int status = commit_and_replay(cluster, in, out);
-    if (status != 200 || !draw(cluster, cluster->lost_share))
+    int status = commit_and_replay(cluster, request, response);
+    if (status != 200 || !draw(cluster, cluster->lost_response_share))
         return status;
-    cluster->lost++;
-    return NO_ANSWER;
+    cluster->lost_responses++;
+    return NO_RESPONSE;
 }
 
-static bool reads_jobs(const char *url, struct MHD_Connection *conn)
+static bool reads_jobs(const char *url, struct MHD_Connection *connection)
 {
-    const char *prefix = MHD_lookup_connection_value(conn, MHD_GET_ARGUMENT_KIND, "starts");
+    const char *prefix = MHD_lookup_connection_value(connection, MHD_GET_ARGUMENT_KIND, "starts");
     return (strcmp(url, "/follow") == 0 || strcmp(url, "/kv") == 0) && prefix &&
            strcmp(prefix, "j/") == 0;
 }
 
-int fake_store_answer(void *arg, const char *method, const char *url, struct MHD_Connection *conn,
-                      json_t *in, json_t **out)
+int fake_store_handle(void *arg, const char *method, const char *url,
+                      struct MHD_Connection *connection, json_t *request, json_t **response)
 {
     struct fake_store_endpoint *endpoint = arg;
     struct fake_cluster *cluster = endpoint->cluster;
-    if (cluster->down || endpoint->refused ||
-        (endpoint->job_reads_refused && reads_jobs(url, conn)))
+    if (cluster->is_down || endpoint->is_refused ||
+        (endpoint->are_job_reads_refused && reads_jobs(url, connection)))
         return 503;
     expire_grants(cluster);
     apply_late_txns(cluster);
     if (strcmp(url, "/commit") == 0)
-        return commit_or_lose_answer(cluster, in, out);
+        return commit_with_faults(cluster, request, response);
     if (strcmp(url, "/kv") == 0)
-        return list_keys(cluster, conn, out);
+        return list_keys(cluster, connection, response);
     if (strncmp(url, "/kv/", 4) == 0)
-        return table_get(&cluster->table, url + 4, out);
+        return table_get(&cluster->store_table, url + 4, response);
     if (strcmp(url, "/follow") == 0)
-        return list_changes(cluster, conn, out);
+        return list_changes(cluster, connection, response);
     if (strncmp(url, "/grants", 7) == 0)
-        return serve_grants(cluster, method, url, in, out);
+        return serve_grants(cluster, method, url, request, response);
     return 404;
 }
 
@@ -243,11 +253,11 @@
     pthread_mutex_unlock(&cluster->lock);
 }
 
-void fake_store_rejections(struct fake_cluster *cluster, int *refused, int *busy)
+void fake_store_rejections(struct fake_cluster *cluster, int *too_large, int *rate_limited)
 {
     pthread_mutex_lock(&cluster->lock);
-    *refused = cluster->refused;
-    *busy = cluster->busy;
+    *too_large = cluster->too_large_txns;
+    *rate_limited = cluster->rate_limited_txns;
     pthread_mutex_unlock(&cluster->lock);
 }
 
@@ -255,75 +265,77 @@
 {
     json_t *all = json_object();
     pthread_mutex_lock(&cluster->lock);
-    for (size_t i = 0; i < cluster->table.nkeys; i++)
-        if (cluster->table.keys[i].value)
-            json_object_set(all, cluster->table.keys[i].name, cluster->table.keys[i].value);
+    for (size_t i = 0; i < cluster->store_table.nkeys; i++)
+        if (cluster->store_table.keys[i].value)
+            json_object_set(all, cluster->store_table.keys[i].name,
+                            cluster->store_table.keys[i].value);
     pthread_mutex_unlock(&cluster->lock);
-    bool ok = json_dump_file(all, path, JSON_INDENT(1) | JSON_SORT_KEYS) == 0;
+    bool is_written = json_dump_file(all, path, JSON_INDENT(1) | JSON_SORT_KEYS) == 0;
     json_decref(all);
-    return ok;
+    return is_written;
 }
 
-int fake_store_late_copies(struct fake_cluster *cluster, int *applied)
+int fake_store_replayed_txns(struct fake_cluster *cluster, int *applied)
 {
     pthread_mutex_lock(&cluster->lock);
-    int n = cluster->copies;
-    *applied = cluster->copies_applied;
+    int replayed = cluster->replayed_txns;
+    *applied = cluster->replayed_txns_applied;
     pthread_mutex_unlock(&cluster->lock);
-    return n;
+    return replayed;
 }
 
-void fake_store_set_down(struct fake_cluster *cluster, bool down)
+void fake_store_set_down(struct fake_cluster *cluster, bool is_down)
 {
     pthread_mutex_lock(&cluster->lock);
-    cluster->down = down;
+    cluster->is_down = is_down;
     pthread_mutex_unlock(&cluster->lock);
 }
 
-void fake_store_refuse(struct fake_cluster *cluster, int node, bool refused)
+void fake_store_refuse_node(struct fake_cluster *cluster, int node, bool is_refused)
 {
     pthread_mutex_lock(&cluster->lock);
-    cluster->endpoints[node].refused = refused;
+    cluster->endpoints[node].is_refused = is_refused;
     pthread_mutex_unlock(&cluster->lock);
 }
 
-void fake_store_refuse_job_reads(struct fake_cluster *cluster, int node, bool refused)
+void fake_store_refuse_job_reads(struct fake_cluster *cluster, int node, bool is_refused)
 {
     pthread_mutex_lock(&cluster->lock);
-    cluster->endpoints[node].job_reads_refused = refused;
+    cluster->endpoints[node].are_job_reads_refused = is_refused;
     pthread_mutex_unlock(&cluster->lock);
 }
 
-void fake_store_lose_answers(struct fake_cluster *cluster, double lost_share, double late_share)
+void fake_store_set_txn_faults(struct fake_cluster *cluster, double lost_response_share,
+                               double delayed_share)
 {
     pthread_mutex_lock(&cluster->lock);
-    cluster->lost_share = lost_share;
-    cluster->late_share = late_share;
+    cluster->lost_response_share = lost_response_share;
+    cluster->delayed_share = delayed_share;
     pthread_mutex_unlock(&cluster->lock);
 }
 
-int fake_store_lost_answers(struct fake_cluster *cluster, int *late)
+int fake_store_lost_responses(struct fake_cluster *cluster, int *delayed_applied)
 {
     pthread_mutex_lock(&cluster->lock);
-    int n = cluster->lost;
-    *late = cluster->late_applied;
+    int lost = cluster->lost_responses;
+    *delayed_applied = cluster->delayed_txns_applied;
     pthread_mutex_unlock(&cluster->lock);
-    return n;
+    return lost;
 }
 
 int fake_store_leader(struct fake_cluster *cluster)
 {
     pthread_mutex_lock(&cluster->lock);
-    struct table_key *key = table_find(&cluster->table, "leader");
+    struct table_key *key = table_find(&cluster->store_table, "leader");
     const char *name = key ? json_string_value(json_object_get(key->value, "node")) : NULL;
     int node = fake_node_index(cluster, name);
     pthread_mutex_unlock(&cluster->lock);
     return node;
 }
 
-void fake_store_truncate_answers(struct fake_cluster *cluster, int answers)
+void fake_store_truncate_responses(struct fake_cluster *cluster, int responses)
 {
     pthread_mutex_lock(&cluster->lock);
-    cluster->truncated_answers = answers;
+    cluster->truncated_responses = responses;
     pthread_mutex_unlock(&cluster->lock);
 }
--- a/tests/fake_worker.c
+++ b/tests/fake_worker.c
@@ -1,5 +1,4 @@
-/* The stand-ins of the workers: each sends heartbeats from a thread of its own and takes direct
- * commands. */
+/* Fake workers. Each sends heartbeats from its own thread and accepts direct commands. */
 #include "base/http.h"
 #include "base/timeutil.h"
 #include "fake_server_internal.h"
@@ -10,12 +9,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-static bool runs_elsewhere(struct fake_cluster *cluster, const struct fake_worker *me,
-                           const char *name)
+#define HEARTBEAT_INTERVAL_S 0.2 /* report_s in the loopback tests' settings */
+#define HEARTBEAT_TIMEOUT_S 2
+
+static bool runs_on_other_worker(struct fake_cluster *cluster, const struct fake_worker *worker,
+                                 const char *name)
 {
     for (int i = 0; i < cluster->nworkers; i++)
         for (int k = 0;
-             cluster->workers[i].used && &cluster->workers[i] != me && k < WORKER_TASKS_MAX; k++)
+             cluster->workers[i].is_used && &cluster->workers[i] != worker && k < WORKER_TASKS_MAX;
+             k++)
             if (cluster->workers[i].tasks[k].state == FAKE_RUNNING &&
                 strcmp(cluster->workers[i].tasks[k].name, name) == 0)
                 return true;
@@ -25,11 +28,10 @@
 static void notify_observer(struct fake_cluster *cluster, enum fake_task_event event,
                             const char *task)
 {
-    if (cluster->observer)
-        cluster->observer(cluster->observer_arg, event, task);
+    if (cluster->task_observer)
+        cluster->task_observer(cluster->task_observer_arg, event, task);
 }
 
-/* All that runs on the worker is gone. */
 void fake_lose_tasks(struct fake_worker *worker)
 {
     for (int i = 0; i < WORKER_TASKS_MAX; i++)
@@ -51,19 +53,19 @@
 {
     char key[96];
     snprintf(key, sizeof key, "j/%s", id);
-    struct table_key *record = table_find(&cluster->table, key);
+    struct table_key *record = table_find(&cluster->store_table, key);
     const char *state = record ? json_string_value(json_object_get(record->value, "s")) : NULL;
     return state && strcmp(state, "done") == 0;
 }
 
-/* Whether the task's job needs one that is not done, by the records as they are now. */
-static bool starts_early(struct fake_cluster *cluster, const char *task)
+/* Whether the task's job awaits a job that is not done according to the current records. */
+static bool awaits_unfinished_job(struct fake_cluster *cluster, const char *task)
 {
     char key[96];
     json_t *item;
     size_t i;
     snprintf(key, sizeof key, "j/%.*s", (int)strcspn(task, "/"), task);
-    struct table_key *record = table_find(&cluster->table, key);
+    struct table_key *record = table_find(&cluster->store_table, key);
     json_array_foreach(record ? json_object_get(record->value, "awaits") : NULL, i, item)
     {
         if (!job_is_done(cluster, json_string_value(item)))
@@ -72,7 +74,7 @@
     return false;
 }
 
-static void launch(struct fake_worker *worker, const char *name, uint64_t attempt)
+static void launch_task(struct fake_worker *worker, const char *name, uint64_t attempt)
 {
     if (find_task(worker, name, attempt))
         return;
@@ -80,16 +82,16 @@
         struct fake_task *task = &worker->tasks[i];
         if (task->state != FAKE_FREE)
             continue;
-        if (runs_elsewhere(worker->cluster, worker, name))
+        if (runs_on_other_worker(worker->cluster, worker, name))
             worker->cluster->duplicate_runs++;
-        worker->cluster->starts++;
-        worker->cluster->early_starts += starts_early(worker->cluster, name);
+        worker->cluster->task_starts++;
+        worker->cluster->early_task_starts += awaits_unfinished_job(worker->cluster, name);
         snprintf(task->name, sizeof task->name, "%s", name);
         task->attempt = attempt;
         task->state = FAKE_RUNNING;
-        task->is_service = strncmp(name, "job-9", 5) == 0; /* the test's services */
-        task->ends = bd_time_add(bd_now(), bd_secs(RUN_S));
-        notify_observer(worker->cluster, FAKE_TASK_RUNS, name);
+        task->is_service = strncmp(name, "job-9", 5) == 0; /* the tests' service jobs */
+        task->ends_at = bd_time_add(bd_now(), bd_secs(TASK_RUN_S));
+        notify_observer(worker->cluster, FAKE_TASK_STARTED, name);
         return;
     }
 }
@@ -103,17 +105,18 @@
     if (!verb || !name)
         return;
     if (strcmp(verb, "launch") == 0) {
-        launch(worker, name, attempt);
+        launch_task(worker, name, attempt);
     } else if (task && strcmp(verb, "halt") == 0 && task->state == FAKE_RUNNING) {
         task->state = FAKE_EXITED;
-        task->cause = "stopped";
+        task->exit_cause = "stopped";
         notify_observer(worker->cluster, FAKE_TASK_STOPPED, name);
     } else if (task && strcmp(verb, "forget") == 0 && task->state == FAKE_EXITED) {
         task->state = FAKE_FREE;
     }
 }
 
-static json_t *heartbeat(struct fake_worker *worker)
+/* Builds the worker's next heartbeat. Tasks whose run time is over exit first. */
+static json_t *next_heartbeat(struct fake_worker *worker)
 {
     json_t *tasks = json_array();
     struct timespec now = bd_now();
@@ -121,9 +124,9 @@
     for (int i = 0; i < WORKER_TASKS_MAX; i++) {
         struct fake_task *task = &worker->tasks[i];
         if (task->state == FAKE_RUNNING && !task->is_service &&
-            bd_time_is_before(task->ends, now)) {
+            bd_time_is_before(task->ends_at, now)) {
             task->state = FAKE_EXITED;
-            task->cause = "done";
+            task->exit_cause = "done";
         }
         if (task->state == FAKE_RUNNING)
             json_array_append_new(tasks, json_pack("{s:s,s:I,s:s}", "chore", task->name, "try",
@@ -131,43 +134,44 @@
         else if (task->state == FAKE_EXITED)
             json_array_append_new(tasks, json_pack("{s:s,s:I,s:s,s:s}", "chore", task->name, "try",
                                                    (json_int_t)task->attempt, "mood", "exited",
-                                                   "cause", task->cause));
+                                                   "cause", task->exit_cause));
     }
     snprintf(addr, sizeof addr, "127.0.0.1:%d", worker->port);
     return json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:n,s:o}", "hearth", worker->id, "endpoint",
                      addr, "breed", "small", "glade", "a", "windfall", 0, "tenancy",
-                     (json_int_t)worker->incarnation, "tally", (json_int_t)++worker->tally, "seal",
-                     (json_int_t)worker->fencing_token, "warningS", "chores", tasks);
+                     (json_int_t)worker->incarnation, "tally", (json_int_t)++worker->heartbeat_seq,
+                     "seal", (json_int_t)worker->fencing_token, "warningS", "chores", tasks);
 }
 
-static bool execute_commands(struct fake_worker *worker, json_t *in)
+/* False: the fencing token is missing or outdated, and no command is executed. */
+static bool execute_commands(struct fake_worker *worker, json_t *request)
 {
     json_t *item;
     size_t i;
-    uint64_t fencing_token = (uint64_t)json_integer_value(json_object_get(in, "seal"));
-    if (fencing_token < worker->fencing_token || !json_object_get(in, "seal"))
+    uint64_t fencing_token = (uint64_t)json_integer_value(json_object_get(request, "seal"));
+    if (fencing_token < worker->fencing_token || !json_object_get(request, "seal"))
         return false;
     worker->fencing_token = fencing_token;
-    json_array_foreach(json_object_get(in, "bids"), i, item)
+    json_array_foreach(json_object_get(request, "bids"), i, item)
     {
         execute_command(worker, item);
     }
     return true;
 }
 
-int fake_worker_answer(void *arg, const char *method, const char *url, struct MHD_Connection *conn,
-                       json_t *in, json_t **out)
+int fake_worker_handle(void *arg, const char *method, const char *url,
+                       struct MHD_Connection *connection, json_t *request, json_t **response)
 {
     struct fake_worker *worker = arg;
     (void)method;
     (void)url;
-    (void)conn;
-    json_t *incarnation = json_object_get(in, "tenancy");
-    if (worker->dead)
-        return NO_ANSWER;
-    bool ours = (uint64_t)json_integer_value(incarnation) == worker->incarnation;
-    int status = ours && execute_commands(worker, in) ? 200 : 409;
-    *out = heartbeat(worker);
+    (void)connection;
+    json_t *incarnation = json_object_get(request, "tenancy");
+    if (worker->is_dead)
+        return NO_RESPONSE;
+    bool is_current = (uint64_t)json_integer_value(incarnation) == worker->incarnation;
+    int status = is_current && execute_commands(worker, request) ? 200 : 409;
+    *response = next_heartbeat(worker);
     return status;
 }
 
@@ -181,46 +185,46 @@
 
 static void expire_lease(struct fake_worker *worker)
 {
-    if (bd_seconds_between(worker->answered, bd_now()) <= LEASE_S)
+    if (bd_seconds_between(worker->lease_started_at, bd_now()) <= LEASE_S)
         return;
     worker->cluster->lease_expiries++;
     worker->incarnation++;
-    worker->answered = bd_now();
+    worker->lease_started_at = bd_now();
     fake_lose_tasks(worker);
 }
 
-/* One heartbeat to the controller `*at`, which names the one that gets the next afterwards. False:
- * the worker was returned, and sent none. */
-static bool send_heartbeat(struct fake_worker *worker, struct bd_http *client, int *at)
+/* Sends one heartbeat to the controller `*node` and sets `*node` to the one that gets the next. A
+ * dead or returned worker sends none. Returns false if the worker was returned. */
+static bool send_heartbeat(struct fake_worker *worker, struct bd_http *client, int *node)
 {
     struct fake_cluster *cluster = worker->cluster;
     pthread_mutex_lock(&cluster->lock);
-    bool is_returned = worker->stop, is_dead = worker->dead;
+    bool is_returned = worker->is_returned, is_dead = worker->is_dead;
     expire_lease(worker);
-    struct timespec sent = bd_now();
+    struct timespec sent_at = bd_now();
     uint64_t incarnation = worker->incarnation;
-    json_t *report = heartbeat(worker);
+    json_t *heartbeat = next_heartbeat(worker);
     pthread_mutex_unlock(&cluster->lock);
-    char *text = json_dumps(report, JSON_COMPACT), url[96];
-    json_decref(report);
-    struct bd_http_response response = {0};
-    snprintf(url, sizeof url, "http://%s/checkin", cluster->nodes[*at]);
+    char *text = json_dumps(heartbeat, JSON_COMPACT), url[96];
+    json_decref(heartbeat);
+    struct bd_http_response reply = {0};
+    snprintf(url, sizeof url, "http://%s/checkin", cluster->node_addresses[*node]);
     if (!is_returned && !is_dead)
-        bd_http_call(client, "POST", url, text, 2, &response);
+        bd_http_call(client, "POST", url, text, HEARTBEAT_TIMEOUT_S, &reply);
     free(text);
-    json_t *in = response.body ? json_loadb(response.body, response.len, 0, NULL) : NULL;
+    json_t *content = reply.body ? json_loadb(reply.body, reply.len, 0, NULL) : NULL;
     pthread_mutex_lock(&cluster->lock);
-    int named = -1;
-    if (response.status == 200 && incarnation == worker->incarnation &&
-        execute_commands(worker, in))
-        worker->answered = sent;
-    else if (response.status == 421)
-        named = fake_node_index(cluster, json_string_value(json_object_get(in, "steward")));
-    if (response.status != 200)
-        *at = named >= 0 ? named : (*at + 1) % cluster->nnodes;
+    int leader = -1;
+    if (reply.status == 200 && incarnation == worker->incarnation &&
+        execute_commands(worker, content))
+        worker->lease_started_at = sent_at;
+    else if (reply.status == 421)
+        leader = fake_node_index(cluster, json_string_value(json_object_get(content, "steward")));
+    if (reply.status != 200)
+        *node = leader >= 0 ? leader : (*node + 1) % cluster->nnodes;
     pthread_mutex_unlock(&cluster->lock);
-    json_decref(in);
-    bd_http_response_free(&response);
+    json_decref(content);
+    bd_http_response_free(&reply);
     return !is_returned;
 }
 
@@ -228,9 +232,9 @@
 {
     struct fake_worker *worker = arg;
     struct bd_http *client = bd_http_new(2, NULL);
-    int at = 0;
-    while (send_heartbeat(worker, client, &at))
-        bd_sleep(0.2);
+    int node = 0;
+    while (send_heartbeat(worker, client, &node))
+        bd_sleep(HEARTBEAT_INTERVAL_S);
     bd_http_free(client);
     return NULL;
 }
--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -47,10 +47,10 @@
     nodes_check(test, fake_duplicate_runs(test->cluster) == 0,
                 "no task ran twice at the same time");
     int applied = 0;
-    int copies = fake_store_late_copies(test->cluster, &applied);
+    int copies = fake_store_replayed_txns(test->cluster, &applied);
     nodes_check(test, (copies >= LATE_COPIES_MIN || !mode->expects_late_copies) && applied == 0,
                 "late copies of transactions came and none applied");
-    nodes_check(test, fake_starts(test->cluster) >= mode->starts_min,
+    nodes_check(test, fake_task_starts(test->cluster) >= mode->starts_min,
                 "all of the work was started");
     for (int i = 0; i < NODES; i++)
         nodes_check(test, test->pid[i] > 0 && waitpid(test->pid[i], NULL, WNOHANG) == 0,
--- a/tests/loopback_drain.c
+++ b/tests/loopback_drain.c
@@ -48,7 +48,7 @@
     int job = number_of(id + 4) - FIRST_JOB;
     double now = bd_seconds_between(history->began, bd_now());
     (void)pthread_mutex_lock(&history->lock);
-    if (event == FAKE_TASK_RUNS)
+    if (event == FAKE_TASK_STARTED)
         drain_check_runs(&history->check, job, number, job % 2);
     else if (event == FAKE_TASK_LOST)
         drain_check_lost(&history->check, now, job, number);
@@ -121,9 +121,9 @@
 static bool running(struct loopback *test, int tasks, double seconds)
 {
     struct timespec end = bd_time_add(bd_now(), bd_secs(seconds));
-    while (fake_running(test->cluster) != tasks && bd_time_is_before(bd_now(), end))
+    while (fake_running_tasks(test->cluster) != tasks && bd_time_is_before(bd_now(), end))
         bd_sleep(0.1);
-    return fake_running(test->cluster) == tasks;
+    return fake_running_tasks(test->cluster) == tasks;
 }
 
 static bool submit_service(struct loopback *test, int job)
@@ -327,7 +327,7 @@
     if (pthread_mutex_init(&history.lock, NULL) != 0 || !nodes_prepare(&test, argv[1]))
         return 2;
     drain_check_start(&history.check, budgets);
-    fake_set_observer(test.cluster, watch, &history);
+    fake_set_task_observer(test.cluster, watch, &history);
     fake_cloud_set_capacity(test.cluster, MACHINES_MAX);
     for (int i = 0; i < NODES; i++) {
         bool older = older_program && i == NODES - 1;
--- a/tests/loopback_faults.c
+++ b/tests/loopback_faults.c
@@ -10,18 +10,19 @@
 {
     struct timespec told = bd_now();
     fake_store_set_down(test->cluster, true);
-    while (fake_running_of(test->cluster, "job-91") > 0 &&
+    while (fake_running_tasks_of_job(test->cluster, "job-91") > 0 &&
            bd_seconds_between(told, bd_now()) < CANCEL_S)
         bd_sleep(0.1);
     printf("     gone after %.1f s\n", bd_seconds_between(told, bd_now()));
-    nodes_check(test, fake_running_of(test->cluster, "job-91") == 0,
+    nodes_check(test, fake_running_tasks_of_job(test->cluster, "job-91") == 0,
                 "its tasks are gone in time, though all is out");
     while (bd_seconds_between(told, bd_now()) < CANCEL_S + 2) {
-        if (fake_running_of(test->cluster, "job-91") > 0)
+        if (fake_running_tasks_of_job(test->cluster, "job-91") > 0)
             break;
         bd_sleep(0.1);
     }
-    nodes_check(test, fake_running_of(test->cluster, "job-91") == 0, "and none comes back");
+    nodes_check(test, fake_running_tasks_of_job(test->cluster, "job-91") == 0,
+                "and none comes back");
 }
 
 /* The store refuses the leader alone, another node confirms a cancellation, then it is out
@@ -35,10 +36,10 @@
                     nodes_submit(test, "job-92", "service", 2, 10),
                 "two services are accepted");
     nodes_wait_running(test, 4, 20);
-    nodes_check(test, fake_running(test->cluster) == 4, "all replicas run");
+    nodes_check(test, fake_running_tasks(test->cluster) == 4, "all replicas run");
     int leader = fake_store_leader(test->cluster);
     nodes_check(test, leader >= 0, "somebody leads");
-    fake_store_refuse(test->cluster, leader, true);
+    fake_store_refuse_node(test->cluster, leader, true);
     bd_sleep(0.5);
     int other = (leader + 1) % NODES;
     nodes_check(test,
@@ -47,16 +48,17 @@
                     strstr(out, "cancelled"),
                 "another node confirms a withdrawal");
     check_cancelled_in_time(test);
-    fake_store_refuse(test->cluster, leader, false);
+    fake_store_refuse_node(test->cluster, leader, false);
     fake_store_set_down(test->cluster, false);
     nodes_check(test, nodes_all_wait_for(test, "/submissions/job-91", "cancelled", 20),
                 "all nodes say so");
     struct timespec end = bd_time_add(bd_now(), bd_secs(30));
-    while (fake_running_of(test->cluster, "job-92") < 2 && bd_time_is_before(bd_now(), end))
+    while (fake_running_tasks_of_job(test->cluster, "job-92") < 2 &&
+           bd_time_is_before(bd_now(), end))
         bd_sleep(0.1);
     nodes_check(test,
-                fake_running_of(test->cluster, "job-92") == 2 &&
-                    fake_running_of(test->cluster, "job-91") == 0,
+                fake_running_tasks_of_job(test->cluster, "job-92") == 2 &&
+                    fake_running_tasks_of_job(test->cluster, "job-91") == 0,
                 "the other service runs again");
 }
 
@@ -131,7 +133,7 @@
                                                                                         NULL};
     char id[32], path[64];
     int late = 0, withdrawn = 0;
-    fake_store_lose_answers(test->cluster, 0.3, 0.1);
+    fake_store_set_txn_faults(test->cluster, 0.3, 0.1);
     for (int i = 0; i < 16; i++) {
         snprintf(id, sizeof id, "job-7%02d", i);
         snprintf(path, sizeof path, "/submissions/%s", id);
@@ -149,8 +151,8 @@
         withdrawn += cancelled;
         check_answers(test, id, cancelled ? cancelled_answers : done, i + 1);
     }
-    fake_store_lose_answers(test->cluster, 0, 0);
-    int lost = fake_store_lost_answers(test->cluster, &late);
+    fake_store_set_txn_faults(test->cluster, 0, 0);
+    int lost = fake_store_lost_responses(test->cluster, &late);
     printf("     %d answers were lost, %d transactions applied late, %d jobs withdrawn\n", lost,
            late, withdrawn);
     nodes_check(test, lost > 0 && withdrawn > 0, "answers were lost, and jobs withdrawn");
--- a/tests/loopback_memory.c
+++ b/tests/loopback_memory.c
@@ -87,7 +87,7 @@
     nodes_check(test, nodes_submit(test, "job-9", "service", 32, 10), "a service is accepted");
     nodes_wait_running(test, 32, 30);
     int leader = fake_store_leader(test->cluster);
-    nodes_check(test, leader >= 0 && fake_running(test->cluster) == 32, "it runs");
+    nodes_check(test, leader >= 0 && fake_running_tasks(test->cluster) == 32, "it runs");
     long start = memory_kb(test, leader);
     submit_many(test, 10000, MEMORY_JOBS, 1);
     wait_until_known(test, 10000, MEMORY_JOBS);
--- a/tests/loopback_nodes.c
+++ b/tests/loopback_nodes.c
@@ -160,7 +160,7 @@
 void nodes_wait_running(struct loopback *test, int tasks, double seconds)
 {
     struct timespec end = bd_time_add(bd_now(), bd_secs(seconds));
-    while (fake_running(test->cluster) < tasks && bd_time_is_before(bd_now(), end))
+    while (fake_running_tasks(test->cluster) < tasks && bd_time_is_before(bd_now(), end))
         bd_sleep(0.1);
 }
 
--- a/tests/loopback_overload.c
+++ b/tests/loopback_overload.c
@@ -112,14 +112,15 @@
     nodes_check(test, nodes_submit(test, "job-9", "service", 2, 10), "a service is accepted");
     nodes_wait_running(test, 2, 20);
     int leader = fake_store_leader(test->cluster), other = (leader + 1) % NODES;
-    nodes_check(test, leader >= 0 && fake_running(test->cluster) == 2, "it runs");
+    nodes_check(test, leader >= 0 && fake_running_tasks(test->cluster) == 2, "it runs");
     crowd_run(test, crowd, leader, 6);
     printf("     %d answered, %d refused, %d without an answer\n", crowd->answered, crowd->refused,
            crowd->dropped);
     nodes_check(test, crowd->answered > CONNECTIONS && crowd->unexpected == 0,
                 "the crowd is answered");
     nodes_check(test, fake_store_leader(test->cluster) == leader, "the leader goes on leading");
-    nodes_check(test, fake_lease_expiries(test->cluster) == 0 && fake_running(test->cluster) == 2,
+    nodes_check(test,
+                fake_lease_expiries(test->cluster) == 0 && fake_running_tasks(test->cluster) == 2,
                 "no lease was lost");
     nodes_check(test,
                 nodes_ask(test, other, "POST", "/submissions",
@@ -127,10 +128,10 @@
                     nodes_wait_for(test, "/submissions/job-85", "\"mood\":\"done\"", 30),
                 "another job is done");
     int before = crowd->refused;
-    fake_store_refuse(test->cluster, other, true);
+    fake_store_refuse_node(test->cluster, other, true);
     bd_sleep(2.5);
     crowd_run(test, crowd, other, 3);
-    fake_store_refuse(test->cluster, other, false);
+    fake_store_refuse_node(test->cluster, other, false);
     printf("     %d refused, %d of them without a time\n", crowd->refused - before,
            crowd->without_retry_after);
     nodes_check(test, crowd->refused - before > CONNECTIONS && crowd->without_retry_after == 0,
@@ -141,7 +142,7 @@
                 "all nodes are well again");
     nodes_check(test,
                 fake_lease_expiries(test->cluster) == 0 &&
-                    fake_running_of(test->cluster, "job-9") == 2,
+                    fake_running_tasks_of_job(test->cluster, "job-9") == 2,
                 "the service went on all the time");
     free(crowd);
 }
--- a/tests/loopback_requests.c
+++ b/tests/loopback_requests.c
@@ -21,16 +21,16 @@
                     nodes_wait_for(test, "/submissions/job-9", "job-9", 10),
                 "a service is accepted");
     nodes_wait_running(test, 2, 20);
-    nodes_check(test, fake_running(test->cluster) == 2, "both replicas run");
+    nodes_check(test, fake_running_tasks(test->cluster) == 2, "both replicas run");
     nodes_check(test,
                 nodes_ask(test, 0, "POST", "/submissions/job-9/withdraw", "{}", out, sizeof out) ==
                         200 &&
                     strstr(out, "cancelled"),
                 "it is withdrawn");
     struct timespec end = bd_time_add(bd_now(), bd_secs(20));
-    while (fake_running(test->cluster) > 0 && bd_time_is_before(bd_now(), end))
+    while (fake_running_tasks(test->cluster) > 0 && bd_time_is_before(bd_now(), end))
         bd_sleep(0.1);
-    nodes_check(test, fake_running(test->cluster) == 0, "its replicas are gone");
+    nodes_check(test, fake_running_tasks(test->cluster) == 0, "its replicas are gone");
 }
 
 void test_quiet_work(struct loopback *test)
@@ -137,7 +137,7 @@
     fake_store_set_down(test->cluster, false);
     nodes_check(test, nodes_wait_for(test, "/submissions/job-4", "\"mood\":\"done\"", 40),
                 "it is done afterwards");
-    fake_store_truncate_answers(test->cluster, 12);
+    fake_store_truncate_responses(test->cluster, 12);
     nodes_check(test,
                 nodes_submit(test, "job-7", "sweep", 3, 20) &&
                     nodes_wait_for(test, "/submissions/job-7", "\"mood\":\"done\"", 40),
@@ -182,7 +182,7 @@
                 "a pipeline is accepted");
     nodes_check(test, nodes_wait_for(test, "/submissions/job-32", "\"mood\":\"done\"", 40),
                 "it is done");
-    nodes_check(test, fake_early_starts(test->cluster) == 0, "none of it began too early");
+    nodes_check(test, fake_early_task_starts(test->cluster) == 0, "none of it began too early");
     nodes_check(test,
                 nodes_ask(test, 1, "POST", "/submissions",
                           nodes_submission_after("job-33", "sweep", 1,
--- a/tests/loopback_upgrade.c
+++ b/tests/loopback_upgrade.c
@@ -30,7 +30,8 @@
                 nodes_all_wait_for(test, path, "\"done\":8", 20) &&
                     nodes_all_wait_for(test, "/up", "up", 20),
                 "all nodes are back and know it");
-    nodes_check(test, fake_running(test->cluster) == 2 && fake_lease_expiries(test->cluster) == 0,
+    nodes_check(test,
+                fake_running_tasks(test->cluster) == 2 && fake_lease_expiries(test->cluster) == 0,
                 "the replicas went on and no lease was lost");
 }
 
@@ -51,10 +52,11 @@
     upgrade_stage(test, 3, test->program, "job-24", "the old one leads alone");
     upgrade_stage(test, 4, test->program, "job-25", "all are new");
     upgrade_stage(test, 7, test->program, "job-26", "none was there for a moment");
-    nodes_check(test, fake_starts(test->cluster) == 2 + 2 + 7 * 8, "every task was started once");
+    nodes_check(test, fake_task_starts(test->cluster) == 2 + 2 + 7 * 8,
+                "every task was started once");
     test_dependencies(test);
     test_lower_limits(test, 2048, 8, true);
-    nodes_check(test, fake_early_starts(test->cluster) == 0, "none began too early");
+    nodes_check(test, fake_early_task_starts(test->cluster) == 0, "none began too early");
 }
 
 /* The socket that stands for the last controller's peer address; -1: it cannot be had. */
