--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -1,17 +1,17 @@
-/* The real program, three times, over loopback against the stand-ins of store, cloud and workers:
- * quiet work, bad requests, killed nodes, an outage of the store and answers that are cut off. */
+/* Runs the loopback tests: three processes of the real program against the fake store, cloud and
+ * workers. */
 #include "loopback_tests.h"
 #include <stdio.h>
 #include <string.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
-#define SKIPPED 77 /* as in CMakeLists.txt */
-#define LATE_COPIES_MIN 6
+#define EXIT_SKIPPED 77 /* SKIP_RETURN_CODE in CMakeLists.txt */
+#define REPLAYED_TXNS_MIN 6
 
 static void test_all_requests(struct loopback *test)
 {
-    test_quiet_work(test);
+    test_normal_operation(test);
     test_bad_requests(test);
     test_killed_nodes(test);
     test_store_outage(test);
@@ -24,7 +24,7 @@
     const char *name;
     void (*run)(struct loopback *test);
     int starts_min;
-    bool expects_late_copies; /* of leaders' transactions */
+    bool expects_replayed_txns;
 };
 
 static const struct mode requests = {"requests", test_all_requests, 29, true};
@@ -41,20 +41,20 @@
     return NULL;
 }
 
-/* What holds at the end of each mode. */
-static void check_end(struct loopback *test, const struct mode *mode)
+static void check_invariants(struct loopback *test, const struct mode *mode)
 {
     nodes_check(test, fake_duplicate_runs(test->cluster) == 0,
-                "no task ran twice at the same time");
+                "no task ran on two workers at the same time");
     int applied = 0;
-    int copies = fake_store_replayed_txns(test->cluster, &applied);
-    nodes_check(test, (copies >= LATE_COPIES_MIN || !mode->expects_late_copies) && applied == 0,
-                "late copies of transactions came and none applied");
+    int replayed = fake_store_replayed_txns(test->cluster, &applied);
+    nodes_check(test,
+                (replayed >= REPLAYED_TXNS_MIN || !mode->expects_replayed_txns) && applied == 0,
+                "enough transactions were replayed where expected, and none was applied");
     nodes_check(test, fake_task_starts(test->cluster) >= mode->starts_min,
-                "all of the work was started");
+                "at least as many tasks as expected were started");
     for (int i = 0; i < NODES; i++)
         nodes_check(test, test->pid[i] > 0 && waitpid(test->pid[i], NULL, WNOHANG) == 0,
-                    "no node ended by itself");
+                    "no node exited by itself");
 }
 
 /* loopback PROGRAM [faults|overload|memory|OLDER_PROGRAM]; loopback PROGRAM capture DIRECTORY */
@@ -66,8 +66,8 @@
     const struct mode *mode = argc == 3 ? mode_named(argv[2]) : &requests;
     if (!mode) {
         if (access(argv[2], X_OK) != 0) {
-            printf("skipped: the version in production is not there: %s\n", argv[2]);
-            return SKIPPED;
+            printf("skipped: no executable of the version in production: %s\n", argv[2]);
+            return EXIT_SKIPPED;
         }
         mode = &upgrade;
         test.older_program = argv[2];
@@ -80,10 +80,10 @@
         return status;
     }
     for (int i = 0; i < NODES; i++)
-        nodes_restart(&test, i, test.older_program);
+        nodes_start_program(&test, i, test.older_program);
     mode->run(&test);
-    check_end(&test, mode);
+    check_invariants(&test, mode);
     nodes_finish(&test);
-    printf("%d faults\n", test.faults);
-    return test.faults ? 1 : 0;
+    printf("%d failed checks\n", test.failures);
+    return test.failures ? 1 : 0;
 }
--- a/tests/loopback_drain.c
+++ b/tests/loopback_drain.c
@@ -1,7 +1,7 @@
-/* Draining with the real program, three times, over loopback: ten workers that run two teams'
- * services are drained and replaced, one worker is killed in a step and the leader once. The
- * workers' own history is held against the budgets. With the version in production as a second
- * argument: no step begins while it is a peer. */
+/* Loopback test of drains, with three real controllers. Ten workers that run two teams' services
+ * are drained and replaced; one worker and the leader are killed meanwhile. The task events of the
+ * workers are checked against the teams' disruption budgets. With the version in production as a
+ * second argument, no step may begin while a controller of that version is a peer. */
 #include "base/timeutil.h"
 #include "drain_check.h"
 #include "loopback_nodes.h"
@@ -18,27 +18,28 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
+#define EXIT_SKIPPED 77 /* SKIP_RETURN_CODE in CMakeLists.txt */
 #define SERVICES 10
-#define REPLICAS 4 /* of a service, a CPU each: ten machines of four */
+#define REPLICAS 4 /* per service, 1 CPU each: they fill ten machines of 4 CPUs */
 #define FIRST_JOB 900
 #define MACHINES_MAX 16
 #define BUDGET_BLUE 2u
 #define BUDGET_RED 1u
-#define ADMIN_PORT 6 /* after the first of the test's ports, one a node */
+#define ADMIN_PORT_OFFSET 6 /* from the first port; one port for each node */
 #define ADMIN_TIMEOUT_S 15
-#define DRAIN_S 150.0
-#define COMMAND_WORDS_MAX 15
+#define DRAIN_TIMEOUT_S 150.0
+#define COMMAND_ARGUMENTS_MAX 15
 
-/* What happened to replicas, recorded by the workers' threads; the lock protects the check and the
- * count. */
+/* Events of the replicas, recorded by the workers' threads. The lock protects `check` and
+ * `violations`. */
 struct history {
     pthread_mutex_t lock;
     struct drain_check check;
-    struct timespec began;
-    int broken;
+    struct timespec started_at;
+    int violations;
 };
 
-static void watch(void *arg, enum fake_task_event event, const char *task)
+static void record_task_event(void *arg, enum fake_task_event event, const char *task)
 {
     struct history *history = arg;
     char id[BD_ID_BYTES];
@@ -46,20 +47,21 @@
     if (!bd_wire_read_task_name(task, id, &number) || number_of(id + 4) < FIRST_JOB)
         return;
     int job = number_of(id + 4) - FIRST_JOB;
-    double now = bd_seconds_between(history->began, bd_now());
+    double now = bd_seconds_between(history->started_at, bd_now());
     (void)pthread_mutex_lock(&history->lock);
     if (event == FAKE_TASK_STARTED)
         drain_check_runs(&history->check, job, number, job % 2);
     else if (event == FAKE_TASK_LOST)
         drain_check_lost(&history->check, now, job, number);
     else if (!drain_check_stopped(&history->check, now, job, number)) {
-        history->broken++;
-        printf("     %.2f s: %s is stopped beyond its team's budget\n", now, task);
+        history->violations++;
+        printf("     %.2f s: %s was stopped in excess of its team's disruption budget\n", now,
+               task);
     }
     (void)pthread_mutex_unlock(&history->lock);
 }
 
-static uint32_t stops(struct history *history)
+static uint32_t stop_count(struct history *history)
 {
     (void)pthread_mutex_lock(&history->lock);
     uint32_t count = history->check.stops;
@@ -67,11 +69,11 @@
     return count;
 }
 
-static void write_operators(struct loopback *test, int i)
+static void write_operators_file(struct loopback *test, int node)
 {
-    snprintf(test->operators_file[i], sizeof test->operators_file[i], "%s/node-%d.sexp", test->dir,
-             i);
-    FILE *file = fopen(test->operators_file[i], "w");
+    snprintf(test->operators_file[node], sizeof test->operators_file[node], "%s/node-%d.sexp",
+             test->dir, node);
+    FILE *file = fopen(test->operators_file[node], "w");
     if (!file)
         abort();
     fprintf(file,
@@ -79,46 +81,47 @@
             "(wait-s 5)\n"
             " (replace-s 20) (selection everything (type small))\n"
             " (team blue (down %u)) (team red (down %u)))\n",
-            test->first_port + ADMIN_PORT + i, BUDGET_BLUE, BUDGET_RED);
+            test->first_port + ADMIN_PORT_OFFSET + node, BUDGET_BLUE, BUDGET_RED);
     (void)fclose(file);
 }
 
-static long ask_admin(struct loopback *test, int node, const char *method, const char *path,
-                      const char *body, char *out, size_t capacity)
+static long request_admin(struct loopback *test, int node, const char *method, const char *path,
+                          const char *body, char *out, size_t capacity)
 {
     char address[32], url[128];
-    snprintf(address, sizeof address, "127.0.0.1:%d", test->first_port + ADMIN_PORT + node);
+    snprintf(address, sizeof address, "127.0.0.1:%d", test->first_port + ADMIN_PORT_OFFSET + node);
     snprintf(url, sizeof url, "/admin/v1/drains%s", path);
-    return nodes_call(test, address, method, url, body, ADMIN_TIMEOUT_S, out, capacity);
+    return nodes_request_address(test, address, method, url, body, ADMIN_TIMEOUT_S, out, capacity);
 }
 
-/* The exit status of `brambledoor drain ...`. */
-static int command(struct loopback *test, int node, const char *words)
+/* Runs `brambledoor drain ...`. Returns its exit status, or -1 if it could not be run. */
+static int run_drain_command(struct loopback *test, int node, const char *command)
 {
     char address[32], copy[256];
-    char *arguments[COMMAND_WORDS_MAX + 1] = {(char *)test->program, "drain", "--admin", address};
+    char *arguments[COMMAND_ARGUMENTS_MAX + 1] = {(char *)test->program, "drain", "--admin",
+                                                  address};
     size_t count = 4;
-    snprintf(address, sizeof address, "127.0.0.1:%d", test->first_port + ADMIN_PORT + node);
-    snprintf(copy, sizeof copy, "%s", words);
-    for (char *rest = NULL, *word = strtok_r(copy, " ", &rest); word && count < COMMAND_WORDS_MAX;
-         word = strtok_r(NULL, " ", &rest))
+    snprintf(address, sizeof address, "127.0.0.1:%d", test->first_port + ADMIN_PORT_OFFSET + node);
+    snprintf(copy, sizeof copy, "%s", command);
+    for (char *rest = NULL, *word = strtok_r(copy, " ", &rest);
+         word && count < COMMAND_ARGUMENTS_MAX; word = strtok_r(NULL, " ", &rest))
         arguments[count++] = word;
     pid_t child = -1;
     int status = -1;
     posix_spawn_file_actions_t actions;
     if (posix_spawn_file_actions_init(&actions) != 0)
         return -1;
-    bool ready =
+    bool is_spawned =
         posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, "/dev/null", O_WRONLY, 0) == 0 &&
         posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO) == 0 &&
         posix_spawn(&child, test->program, &actions, NULL, arguments, environ) == 0;
     (void)posix_spawn_file_actions_destroy(&actions);
-    if (!ready || waitpid(child, &status, 0) != child || !WIFEXITED(status))
+    if (!is_spawned || waitpid(child, &status, 0) != child || !WIFEXITED(status))
         return -1;
     return WEXITSTATUS(status);
 }
 
-static bool running(struct loopback *test, int tasks, double seconds)
+static bool wait_for_running_tasks(struct loopback *test, int tasks, double seconds)
 {
     struct timespec end = bd_time_add(bd_now(), bd_secs(seconds));
     while (fake_running_tasks(test->cluster) != tasks && bd_time_is_before(bd_now(), end))
@@ -137,7 +140,7 @@
              "\"dueS\":null}",
              job, job % 2 ? "red" : "blue", REPLICAS);
     for (int tries = 0; tries < 50; tries++) {
-        long status = nodes_ask(test, tries % NODES, "POST", "/submissions", body, NULL, 0);
+        long status = nodes_request(test, tries % NODES, "POST", "/submissions", body, NULL, 0);
         if (status == 200 || status == 201)
             return true;
         bd_sleep(0.2);
@@ -145,211 +148,226 @@
     return false;
 }
 
-static void begin(struct loopback *test)
+static void start_services(struct loopback *test)
 {
     for (int i = 0; i < NODES; i++)
-        nodes_check(test, nodes_wait_for(test, "/up", "up", 20), "a node comes up");
-    bool all = true;
+        nodes_check(test, nodes_wait_for(test, "/up", "up", 20), "a node answers /up");
+    bool all_accepted = true;
     for (int i = 0; i < SERVICES; i++)
-        all = submit_service(test, FIRST_JOB + i) && all;
-    nodes_check(test, all, "two teams' services are accepted");
-    nodes_check(test, running(test, SERVICES * REPLICAS, 40), "all replicas run");
+        all_accepted = submit_service(test, FIRST_JOB + i) && all_accepted;
+    nodes_check(test, all_accepted, "the services of two teams are accepted");
+    nodes_check(test, wait_for_running_tasks(test, SERVICES * REPLICAS, 40), "all replicas run");
     char names[2048];
     for (int i = 0; i < 200 && fake_machine_names(test->cluster, names, sizeof names) > 10; i++)
         bd_sleep(0.1);
     nodes_check(test, fake_machine_names(test->cluster, names, sizeof names) == 10,
-                "ten workers run them");
+                "there are ten workers");
 }
 
-static void bad_requests(struct loopback *test)
+static void test_bad_admin_requests(struct loopback *test)
 {
     char out[512];
-    char *big = malloc(70001);
-    memset(big, ' ', 70000);
-    big[70000] = '\0';
-    nodes_check(test,
-                ask_admin(test, 0, "GET", "", NULL, out, sizeof out) == 200 && strstr(out, "[]"),
-                "no drains at first");
-    nodes_check(test, ask_admin(test, 1, "GET", "/none", NULL, out, sizeof out) == 404,
-                "no drain: 404");
-    nodes_check(test, ask_admin(test, 1, "POST", "/none/pause", "{}", NULL, 0) == 404,
-                "no drain to pause: 404");
-    nodes_check(test, ask_admin(test, 1, "POST", "/none/explode", "{}", NULL, 0) == 404,
-                "no such verb: 404");
-    nodes_check(test, ask_admin(test, 1, "POST", "/none", "{}", NULL, 0) == 405,
+    char *large_body = malloc(70001);
+    memset(large_body, ' ', 70000);
+    large_body[70000] = '\0';
+    nodes_check(
+        test, request_admin(test, 0, "GET", "", NULL, out, sizeof out) == 200 && strstr(out, "[]"),
+        "initially there are no drains");
+    nodes_check(test, request_admin(test, 1, "GET", "/none", NULL, out, sizeof out) == 404,
+                "unknown drain: 404");
+    nodes_check(test, request_admin(test, 1, "POST", "/none/pause", "{}", NULL, 0) == 404,
+                "unknown drain to pause: 404");
+    nodes_check(test, request_admin(test, 1, "POST", "/none/explode", "{}", NULL, 0) == 404,
+                "unknown action: 404");
+    nodes_check(test, request_admin(test, 1, "POST", "/none", "{}", NULL, 0) == 405,
                 "wrong method: 405");
     nodes_check(test,
-                ask_admin(test, 2, "POST", "", "{", out, sizeof out) == 400 && strstr(out, "body"),
-                "not JSON: 400");
-    nodes_check(
-        test,
-        ask_admin(test, 2, "POST", "", "{\"name\":\"d\",\"mode\":\"x\"}", out, sizeof out) == 400 &&
-            strstr(out, "\"mode\""),
-        "a wrong mode: 400 and the field");
-    nodes_check(test, ask_admin(test, 0, "POST", "", big, NULL, 0) == 413, "a body too large: 413");
-    nodes_check(test, command(test, 0, "start one --mode retire --machine vm-999999") == 1,
-                "an unknown machine is refused");
-    nodes_check(test, command(test, 0, "start one --mode retire --type small") == 1,
-                "all machines without saying so is refused");
-    nodes_check(test, command(test, 0, "start one --mode retire --type none") == 1,
-                "no machine at all is refused");
-    nodes_check(test, command(test, 0, "explode one") == 2, "a wrong word is wrong usage");
-    free(big);
+                request_admin(test, 2, "POST", "", "{", out, sizeof out) == 400 &&
+                    strstr(out, "body"),
+                "not JSON: 400 that names the body");
+    nodes_check(test,
+                request_admin(test, 2, "POST", "", "{\"name\":\"d\",\"mode\":\"x\"}", out,
+                              sizeof out) == 400 &&
+                    strstr(out, "\"mode\""),
+                "unknown mode: 400 that names the field");
+    nodes_check(test, request_admin(test, 0, "POST", "", large_body, NULL, 0) == 413,
+                "body too large: 413");
+    nodes_check(test,
+                run_drain_command(test, 0, "start one --mode retire --machine vm-999999") == 1,
+                "a drain of an unknown machine is refused");
+    nodes_check(test, run_drain_command(test, 0, "start one --mode retire --type small") == 1,
+                "a drain of all machines without --all is refused");
+    nodes_check(test, run_drain_command(test, 0, "start one --mode retire --type none") == 1,
+                "a drain without machines is refused");
+    nodes_check(test, run_drain_command(test, 0, "explode one") == 2,
+                "an unknown action is a usage error");
+    free(large_body);
 }
 
-static void unreached(struct loopback *test)
+static void test_store_down(struct loopback *test)
 {
     char out[512];
     fake_store_set_down(test->cluster, true);
-    nodes_check(test, ask_admin(test, 0, "GET", "", NULL, out, sizeof out) == 503,
-                "without the store: 503");
-    nodes_check(test, command(test, 1, "list") == 3,
-                "... which the command tells by its exit status");
+    nodes_check(test, request_admin(test, 0, "GET", "", NULL, out, sizeof out) == 503,
+                "store down: 503");
+    nodes_check(test, run_drain_command(test, 1, "list") == 3,
+                "store down: the command exits with status 3");
     fake_store_set_down(test->cluster, false);
 }
 
-static void repeats(struct loopback *test, struct history *history)
+static void test_repeated_commands(struct loopback *test, struct history *history)
 {
+    nodes_check(
+        test,
+        run_drain_command(test, 1, "start all --mode replace --selection everything --all") == 0,
+        "a repeated start of the drain at another node is accepted");
+    nodes_check(
+        test,
+        run_drain_command(test, 2, "start all --mode retire --selection everything --all") == 1,
+        "a different drain with the same name is refused");
     nodes_check(test,
-                command(test, 1, "start all --mode replace --selection everything --all") == 0,
-                "the same once more, at another node, is taken");
-    nodes_check(test, command(test, 2, "start all --mode retire --selection everything --all") == 1,
-                "another one under its name is refused");
-    nodes_check(test, command(test, 2, "pause all") == 0 && command(test, 0, "pause all") == 0,
-                "it is paused, twice");
-    uint32_t before = stops(history);
+                run_drain_command(test, 2, "pause all") == 0 &&
+                    run_drain_command(test, 0, "pause all") == 0,
+                "pausing the drain twice is accepted");
+    uint32_t stops_before = stop_count(history);
     bd_sleep(3);
-    nodes_check(test, stops(history) <= before + BUDGET_BLUE + BUDGET_RED,
-                "paused: no new step begins");
-    nodes_check(test, command(test, 1, "resume all") == 0, "it is resumed");
+    nodes_check(test, stop_count(history) <= stops_before + BUDGET_BLUE + BUDGET_RED,
+                "no new step begins while the drain is paused");
+    nodes_check(test, run_drain_command(test, 1, "resume all") == 0, "the drain is resumed");
 }
 
-static bool reach_stops(struct history *history, uint32_t wanted, double seconds)
+static bool wait_for_stops(struct history *history, uint32_t min_stops, double seconds)
 {
     struct timespec end = bd_time_add(bd_now(), bd_secs(seconds));
-    while (stops(history) < wanted && bd_time_is_before(bd_now(), end))
+    while (stop_count(history) < min_stops && bd_time_is_before(bd_now(), end))
         bd_sleep(0.02);
-    return stops(history) >= wanted;
+    return stop_count(history) >= min_stops;
 }
 
-static bool is_over(struct loopback *test, double seconds)
+static bool wait_until_done(struct loopback *test, double seconds)
 {
     char out[8192] = "";
     struct timespec end = bd_time_add(bd_now(), bd_secs(seconds));
     for (int tries = 0; bd_time_is_before(bd_now(), end); tries++) {
-        if (ask_admin(test, tries % NODES, "GET", "/all", NULL, out, sizeof out) == 200 &&
+        if (request_admin(test, tries % NODES, "GET", "/all", NULL, out, sizeof out) == 200 &&
             strstr(out, "\"state\": \"done\""))
             return true;
         bd_sleep(0.2);
     }
-    printf("     last answer: %s\n", out);
+    printf("     last response: %s\n", out);
     return false;
 }
 
-static bool holds_any(const char *names, const char *others)
+static bool contains_any_name(const char *names, const char *searched_names)
 {
     char copy[2048];
-    snprintf(copy, sizeof copy, "%s", others);
+    snprintf(copy, sizeof copy, "%s", searched_names);
     for (char *rest = NULL, *id = strtok_r(copy, " ", &rest); id; id = strtok_r(NULL, " ", &rest))
         if (strstr(names, id))
             return true;
     return false;
 }
 
-/* The last of the names. */
-static void last_of(const char *names, char *out, size_t cap)
+static void copy_last_name(const char *names, char *out, size_t capacity)
 {
     char copy[2048];
     snprintf(copy, sizeof copy, "%s", names);
     for (char *rest = NULL, *id = strtok_r(copy, " ", &rest); id; id = strtok_r(NULL, " ", &rest))
-        snprintf(out, cap, "%s", id);
+        snprintf(out, capacity, "%s", id);
 }
 
-static void drain_ten(struct loopback *test, struct history *history)
+static void test_drain_with_failures(struct loopback *test, struct history *history)
 {
-    char before[2048], after[2048], victim[64] = "";
-    (void)fake_machine_names(test->cluster, before, sizeof before);
-    nodes_check(test,
-                command(test, 0, "start all --mode replace --selection everything --all") == 0,
-                "a drain of all of them is accepted");
-    nodes_check(test, reach_stops(history, 2, 40), "the first step begins");
-    repeats(test, history);
-    last_of(before, victim, sizeof victim);
-    fake_kill_machine(test->cluster, victim);
-    nodes_check(test, reach_stops(history, 10, 60), "it goes on after a worker died in a step");
+    char names_before[2048], names_after[2048], killed_name[64] = "";
+    (void)fake_machine_names(test->cluster, names_before, sizeof names_before);
+    nodes_check(
+        test,
+        run_drain_command(test, 0, "start all --mode replace --selection everything --all") == 0,
+        "a drain of all workers is accepted");
+    nodes_check(test, wait_for_stops(history, 2, 40), "the first step begins");
+    test_repeated_commands(test, history);
+    copy_last_name(names_before, killed_name, sizeof killed_name);
+    fake_kill_machine(test->cluster, killed_name);
+    nodes_check(test, wait_for_stops(history, 10, 60),
+                "the drain goes on after a worker died during a step");
     int leader = fake_store_leader(test->cluster);
     if (leader >= 0) {
         nodes_kill(test, leader);
         bd_sleep(1);
-        nodes_restart(test, leader, NULL);
+        nodes_start_program(test, leader, NULL);
     }
-    nodes_check(test, is_over(test, DRAIN_S), "the drain is done");
-    nodes_check(test, running(test, SERVICES * REPLICAS, 20), "all replicas run");
-    (void)fake_machine_names(test->cluster, after, sizeof after);
-    nodes_check(test, !holds_any(after, before), "none of the drained workers is left");
-    nodes_check(test, stops(history) >= 30, "the replicas were moved");
+    nodes_check(test, wait_until_done(test, DRAIN_TIMEOUT_S), "the drain is done");
+    nodes_check(test, wait_for_running_tasks(test, SERVICES * REPLICAS, 20), "all replicas run");
+    (void)fake_machine_names(test->cluster, names_after, sizeof names_after);
+    nodes_check(test, !contains_any_name(names_after, names_before),
+                "none of the drained workers is left");
+    nodes_check(test, stop_count(history) >= 30, "at least 30 replicas were stopped");
 }
 
-/* An older controller is a peer: the drain waits, names the reason, and goes on once it is
- * replaced. */
-static void beside_older(struct loopback *test, struct history *history)
+/* While a controller of the older version is a peer, a drain must wait and report the reason. It
+ * must complete once that controller is replaced. */
+static void test_drain_beside_older(struct loopback *test, struct history *history)
 {
     char out[8192];
-    nodes_check(test,
-                command(test, 0, "start all --mode replace --selection everything --all") == 0,
-                "a drain is accepted beside an older controller");
+    nodes_check(
+        test,
+        run_drain_command(test, 0, "start all --mode replace --selection everything --all") == 0,
+        "a drain is accepted beside an older controller");
     bd_sleep(6);
-    uint32_t before = stops(history);
-    nodes_check(test, before == 0, "no step begins while an older controller is heard");
+    uint32_t stops = stop_count(history);
+    nodes_check(test, stops == 0, "no step begins while an older controller is a peer");
     nodes_check(
         test,
-        ask_admin(test, 0, "GET", "/all", NULL, out, sizeof out) == 200 &&
+        request_admin(test, 0, "GET", "/all", NULL, out, sizeof out) == 200 &&
             (fake_store_leader(test->cluster) == NODES - 1 || strstr(out, "older controller")),
-        "it says what it waits for");
+        "the drain reports what it waits for, unless the older controller leads");
     nodes_kill(test, NODES - 1);
-    write_operators(test, NODES - 1);
-    nodes_restart(test, NODES - 1, NULL);
-    nodes_check(test, is_over(test, DRAIN_S), "the drain is done once all are new");
+    write_operators_file(test, NODES - 1);
+    nodes_start_program(test, NODES - 1, NULL);
+    nodes_check(test, wait_until_done(test, DRAIN_TIMEOUT_S),
+                "the drain is done once all controllers have the new version");
 }
 
 int main(int argc, char **argv)
 {
     static const uint32_t budgets[2] = {BUDGET_BLUE, BUDGET_RED};
-    struct loopback test = {.teams = 2};
-    struct history history = {.began = bd_now()};
+    struct loopback test = {.nteams = 2};
+    struct history history = {.started_at = bd_now()};
     if (argc < 2 || argc > 3)
         return 2;
     const char *older_program = argc == 3 ? argv[2] : NULL;
     if (older_program && access(older_program, X_OK) != 0) {
-        printf("skipped: the version in production is not there: %s\n", older_program);
-        return 77;
+        printf("skipped: no executable of the version in production: %s\n", older_program);
+        return EXIT_SKIPPED;
     }
     if (pthread_mutex_init(&history.lock, NULL) != 0 || !nodes_prepare(&test, argv[1]))
         return 2;
     drain_check_start(&history.check, budgets);
-    fake_set_task_observer(test.cluster, watch, &history);
+    fake_set_task_observer(test.cluster, record_task_event, &history);
     fake_cloud_set_capacity(test.cluster, MACHINES_MAX);
     for (int i = 0; i < NODES; i++) {
-        bool older = older_program && i == NODES - 1;
-        if (!older)
-            write_operators(&test, i);
-        nodes_restart(&test, i, older ? older_program : NULL);
+        bool is_older = older_program && i == NODES - 1;
+        if (!is_older)
+            write_operators_file(&test, i);
+        nodes_start_program(&test, i, is_older ? older_program : NULL);
     }
-    begin(&test);
+    start_services(&test);
     if (older_program) {
-        beside_older(&test, &history);
+        test_drain_beside_older(&test, &history);
     } else {
-        bad_requests(&test);
-        unreached(&test);
-        drain_ten(&test, &history);
+        test_bad_admin_requests(&test);
+        test_store_down(&test);
+        test_drain_with_failures(&test, &history);
     }
-    nodes_check(&test, history.broken == 0, "no team was beyond its budget by our doing");
+    nodes_check(&test, history.violations == 0,
+                "the drain stopped no replica in excess of a team's disruption budget");
     nodes_check(&test, fake_duplicate_runs(test.cluster) == 0,
-                "no task ran twice at the same time");
-    printf("     %u replicas stopped, at most %u of %u and %u of %u down at once\n",
+                "no task ran on two workers at the same time");
+    printf("     %u replicas stopped; down at the same time: blue at most %u (budget %u), red at "
+           "most %u (budget %u)\n",
            history.check.stops, history.check.most[0], budgets[0], history.check.most[1],
            budgets[1]);
     nodes_finish(&test);
-    printf("%d faults\n", test.faults);
-    return test.faults ? 1 : 0;
+    printf("%d failed checks\n", test.failures);
+    return test.failures ? 1 : 0;
 }
--- a/tests/loopback_requests.c
+++ b/tests/loopback_requests.c
@@ -1,5 +1,5 @@
-/* Loopback tests of quiet work: users' requests, killed controllers, an outage of the store, job
- * dependencies and lower limits of the store. */
+/* Loopback tests of users' requests, killed controllers, a store outage, job dependencies and lower
+ * store limits. */
 #include "adapters/node.h"
 #include "base/address.h"
 #include "base/timeutil.h"
@@ -20,24 +20,24 @@
                 nodes_submit(test, "job-9", "service", 2, 10) &&
                     nodes_wait_for(test, "/submissions/job-9", "job-9", 10),
                 "a service is accepted");
-    nodes_wait_running(test, 2, 20);
+    nodes_wait_for_running_tasks(test, 2, 20);
     nodes_check(test, fake_running_tasks(test->cluster) == 2, "both replicas run");
     nodes_check(test,
-                nodes_ask(test, 0, "POST", "/submissions/job-9/withdraw", "{}", out, sizeof out) ==
-                        200 &&
+                nodes_request(test, 0, "POST", "/submissions/job-9/withdraw", "{}", out,
+                              sizeof out) == 200 &&
                     strstr(out, "cancelled"),
-                "it is withdrawn");
+                "the service is cancelled");
     struct timespec end = bd_time_add(bd_now(), bd_secs(20));
     while (fake_running_tasks(test->cluster) > 0 && bd_time_is_before(bd_now(), end))
         bd_sleep(0.1);
-    nodes_check(test, fake_running_tasks(test->cluster) == 0, "its replicas are gone");
+    nodes_check(test, fake_running_tasks(test->cluster) == 0, "its replicas are stopped");
 }
 
-void test_quiet_work(struct loopback *test)
+void test_normal_operation(struct loopback *test)
 {
     char out[256];
     for (int i = 0; i < NODES; i++)
-        nodes_check(test, nodes_wait_for(test, "/up", "up", 20), "a node comes up");
+        nodes_check(test, nodes_wait_for(test, "/up", "up", 20), "a node answers /up");
     nodes_check(test, nodes_submit(test, "job-1", "sweep", 6, 10), "a job is accepted");
     nodes_check(test, nodes_wait_for(test, "/submissions/job-1", "\"done\",\"done\":6", 30),
                 "an array is done");
@@ -46,10 +46,10 @@
                     nodes_wait_for(test, "/submissions/job-2", "\"mood\":\"done\"", 30),
                 "a gang is done");
     nodes_check(test,
-                nodes_ask(test, 1, "POST", "/submissions", nodes_submission("job-1", "sweep", 6),
-                          out, sizeof out) == 200 &&
+                nodes_request(test, 1, "POST", "/submissions",
+                              nodes_submission("job-1", "sweep", 6), out, sizeof out) == 200 &&
                     strstr(out, "done"),
-                "a repeated submission gets the final state");
+                "a repeated submission gets 200 and the final state");
     test_service(test);
 }
 
@@ -58,29 +58,31 @@
     char *body = malloc(70000);
     memset(body, ' ', 69999);
     body[69999] = '\0';
-    nodes_check(test, nodes_ask(test, 0, "POST", "/submissions", "{", NULL, 0) == 400,
+    nodes_check(test, nodes_request(test, 0, "POST", "/submissions", "{", NULL, 0) == 400,
                 "not JSON: 400");
-    nodes_check(test, nodes_ask(test, 0, "POST", "/submissions", "[]", NULL, 0) == 400,
+    nodes_check(test, nodes_request(test, 0, "POST", "/submissions", "[]", NULL, 0) == 400,
                 "not an object: 400");
-    nodes_check(test, nodes_ask(test, 0, "POST", "/submissions", body, NULL, 0) == 413,
+    nodes_check(test, nodes_request(test, 0, "POST", "/submissions", body, NULL, 0) == 413,
                 "too large: 413");
     nodes_check(test,
-                nodes_ask(test, 0, "POST", "/submissions", nodes_submission("job-5", "sweep", 0),
-                          NULL, 0) == 400,
+                nodes_request(test, 0, "POST", "/submissions",
+                              nodes_submission("job-5", "sweep", 0), NULL, 0) == 400,
                 "no tasks: 400");
-    nodes_check(test, nodes_ask(test, 0, "GET", "/submissions/job-77", NULL, NULL, 0) == 404,
+    nodes_check(test, nodes_request(test, 0, "GET", "/submissions/job-77", NULL, NULL, 0) == 404,
                 "unknown job: 404");
-    nodes_check(test, nodes_ask(test, 0, "GET", "/nowhere", NULL, NULL, 0) == 404,
+    nodes_check(test, nodes_request(test, 0, "GET", "/nowhere", NULL, NULL, 0) == 404,
                 "unknown path: 404");
-    nodes_check(test, nodes_ask(test, 0, "POST", "/up", "{}", NULL, 0) == 405, "wrong method: 405");
-    nodes_check(test, nodes_ask(test, 0, "POST", "/checkin", "{\"hearth\":3}", NULL, 0) == 400,
-                "malformed report: 400");
+    nodes_check(test, nodes_request(test, 0, "POST", "/up", "{}", NULL, 0) == 405,
+                "wrong method: 405");
+    nodes_check(test, nodes_request(test, 0, "POST", "/checkin", "{\"hearth\":3}", NULL, 0) == 400,
+                "malformed heartbeat: 400");
     free(body);
 }
 
 void test_killed_nodes(struct loopback *test)
 {
-    nodes_check(test, nodes_submit(test, "job-3", "sweep", 12, 10), "a job before the kills");
+    nodes_check(test, nodes_submit(test, "job-3", "sweep", 12, 10),
+                "a job is accepted before the nodes are killed");
     nodes_kill(test, 0);
     bd_sleep(0.2);
     nodes_kill(test, 1);
@@ -88,153 +90,159 @@
     for (int i = 0; i < NODES; i++)
         nodes_start(test, i);
     nodes_check(test, nodes_wait_for(test, "/submissions/job-3", "\"mood\":\"done\"", 60),
-                "it is done although all nodes were killed");
+                "the job is done although all nodes were killed");
     nodes_check(test, nodes_wait_for(test, "/submissions/job-9", "cancelled", 10),
-                "what was withdrawn still is");
+                "the cancelled service is still cancelled");
     nodes_check(test, nodes_wait_for(test, "/submissions/job-1", "\"done\"", 10),
-                "what was done still is");
+                "the finished job is still done");
 }
 
-/* A refused user is to come through the load balancer again: the connection ends with the 503. */
+/* A 503 closes the connection, so that the user's retry goes through the load balancer again. */
 static void check_closed_after_503(struct loopback *test)
 {
-    const char *text = "GET /submissions/job-88 HTTP/1.1\r\nHost: a\r\n\r\n";
+    const char *request = "GET /submissions/job-88 HTTP/1.1\r\nHost: a\r\n\r\n";
     char out[1024];
     size_t length = 0;
-    ssize_t got = 1;
-    struct sockaddr_in to;
-    struct timeval limit = {3, 0};
+    ssize_t received = 1;
+    struct sockaddr_in address;
+    struct timeval timeout = {.tv_sec = 3};
     int fd = socket(AF_INET, SOCK_STREAM, 0);
-    bool sent = fd >= 0 && bd_address_parse(test->addr[0], &to) &&
-                setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit) == 0 &&
-                connect(fd, (struct sockaddr *)&to, sizeof to) == 0 &&
-                send(fd, text, strlen(text), 0) == (ssize_t)strlen(text);
-    while (sent && got > 0 && length < sizeof out - 1) {
-        got = recv(fd, out + length, sizeof out - 1 - length, 0);
-        length += got > 0 ? (size_t)got : 0;
+    bool sent = fd >= 0 && bd_address_parse(test->addr[0], &address) &&
+                setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout) == 0 &&
+                connect(fd, (struct sockaddr *)&address, sizeof address) == 0 &&
+                send(fd, request, strlen(request), 0) == (ssize_t)strlen(request);
+    while (sent && received > 0 && length < sizeof out - 1) {
+        received = recv(fd, out + length, sizeof out - 1 - length, 0);
+        length += received > 0 ? (size_t)received : 0;
     }
     out[length] = '\0';
-    nodes_check(test, sent && got == 0 && strstr(out, " 503 ") && strstr(out, "Retry-After"),
-                "a 503 names a time to come again and closes the connection");
+    nodes_check(test, sent && received == 0 && strstr(out, " 503 ") && strstr(out, "Retry-After"),
+                "a 503 carries Retry-After and closes the connection");
     if (fd >= 0)
         (void)close(fd);
 }
 
 void test_store_outage(struct loopback *test)
 {
-    nodes_check(test, nodes_submit(test, "job-4", "sweep", 4, 10), "a job before the outage");
+    nodes_check(test, nodes_submit(test, "job-4", "sweep", 4, 10),
+                "a job is accepted before the outage");
     fake_store_set_down(test->cluster, true);
     bd_sleep(3);
-    struct timespec asked = bd_now();
+    struct timespec submitted_at = bd_now();
     nodes_check(test,
-                nodes_ask(test, 0, "POST", "/submissions", nodes_submission("job-6", "sweep", 1),
-                          NULL, 0) == 503 &&
-                    bd_seconds_between(asked, bd_now()) < 1.5,
-                "during the outage a submission is refused at once");
+                nodes_request(test, 0, "POST", "/submissions",
+                              nodes_submission("job-6", "sweep", 1), NULL, 0) == 503 &&
+                    bd_seconds_between(submitted_at, bd_now()) < 1.5,
+                "during the outage a submission gets 503 within 1.5 s");
     check_closed_after_503(test);
-    nodes_check(test, nodes_ask(test, 0, "GET", "/submissions/job-1", NULL, NULL, 0) == 200,
-                "a final state is answered");
+    nodes_check(test, nodes_request(test, 0, "GET", "/submissions/job-1", NULL, NULL, 0) == 200,
+                "during the outage a final state is still served");
     fake_store_set_down(test->cluster, false);
     nodes_check(test, nodes_wait_for(test, "/submissions/job-4", "\"mood\":\"done\"", 40),
-                "it is done afterwards");
+                "the earlier job is done after the outage");
     fake_store_truncate_responses(test->cluster, 12);
     nodes_check(test,
                 nodes_submit(test, "job-7", "sweep", 3, 20) &&
                     nodes_wait_for(test, "/submissions/job-7", "\"mood\":\"done\"", 40),
-                "answers that are cut off do no harm");
+                "a job is done although store responses are truncated");
 }
 
-/* Cancelling the first of a chain cancels all of it, on every node at once. */
+/* Cancelling the first job of a chain cancels all jobs that await it, immediately on every node. */
 static void test_chain_cancelled(struct loopback *test)
 {
     char out[256];
     nodes_check(
         test,
         nodes_submit(test, "job-40", "sweep", 60, 10) &&
-            nodes_submit_after(test, "job-41", "sweep", 2, ",\"awaits\":[\"job-40\"]", 10) &&
-            nodes_submit_after(test, "job-42", "sweep", 2, ",\"awaits\":[\"job-41\"]", 10) &&
-            nodes_ask(test, 0, "POST", "/submissions/job-40/withdraw", "{}", out, sizeof out) ==
+            nodes_submit_dependent(test, "job-41", "sweep", 2, ",\"awaits\":[\"job-40\"]", 10) &&
+            nodes_submit_dependent(test, "job-42", "sweep", 2, ",\"awaits\":[\"job-41\"]", 10) &&
+            nodes_request(test, 0, "POST", "/submissions/job-40/withdraw", "{}", out, sizeof out) ==
                 200 &&
             strstr(out, "cancelled"),
-        "the first of a chain is withdrawn");
+        "the first job of a chain is cancelled");
     for (int i = 0; i < NODES; i++)
         nodes_check(test,
-                    nodes_ask(test, i, "GET", "/submissions/job-42", NULL, out, sizeof out) ==
+                    nodes_request(test, i, "GET", "/submissions/job-42", NULL, out, sizeof out) ==
                             200 &&
                         strstr(out, "cancelled"),
-                    "every node says at once that the last is cancelled");
-    nodes_check(test,
-                nodes_submit_after(test, "job-43", "sweep", 2, ",\"awaits\":[\"job-42\"]", 10) &&
-                    nodes_wait_for(test, "/submissions/job-43", "cancelled", 5),
-                "one that needs a cancelled one is accepted, and is cancelled");
+                    "every node reports at once that the last job is cancelled");
+    nodes_check(
+        test,
+        nodes_submit_dependent(test, "job-43", "sweep", 2, ",\"awaits\":[\"job-42\"]", 10) &&
+            nodes_wait_for(test, "/submissions/job-43", "cancelled", 5),
+        "a job that awaits a cancelled job is accepted, and is cancelled");
 }
 
-/* Jobs that need others, on any node: in order, cancelled together, refused where one was never
- * accepted. */
+/* Jobs that await others are submitted to any node. They run in order, are cancelled together, and
+ * are refused if they await a job that was never accepted. */
 void test_dependencies(struct loopback *test)
 {
     char out[256];
-    nodes_check(test,
-                nodes_submit(test, "job-30", "sweep", 3, 10) &&
-                    nodes_submit_after(test, "job-31", "gang", 2, ",\"awaits\":[\"job-30\"]", 10) &&
-                    nodes_submit_after(test, "job-32", "sweep", 2,
-                                       ",\"awaits\":[\"job-30\",\"job-31\"]", 10),
-                "a pipeline is accepted");
+    nodes_check(
+        test,
+        nodes_submit(test, "job-30", "sweep", 3, 10) &&
+            nodes_submit_dependent(test, "job-31", "gang", 2, ",\"awaits\":[\"job-30\"]", 10) &&
+            nodes_submit_dependent(test, "job-32", "sweep", 2,
+                                   ",\"awaits\":[\"job-30\",\"job-31\"]", 10),
+        "a chain of jobs is accepted");
     nodes_check(test, nodes_wait_for(test, "/submissions/job-32", "\"mood\":\"done\"", 40),
-                "it is done");
-    nodes_check(test, fake_early_task_starts(test->cluster) == 0, "none of it began too early");
+                "the last job of the chain is done");
+    nodes_check(test, fake_early_task_starts(test->cluster) == 0,
+                "no task started before the jobs that its job awaits were done");
     nodes_check(test,
-                nodes_ask(test, 1, "POST", "/submissions",
-                          nodes_submission_after("job-33", "sweep", 1,
-                                                 ",\"awaits\":[\"job-30\",\"job-77\"]"),
-                          out, sizeof out) == 422,
-                "a job that was never accepted is not awaited: 422");
+                nodes_request(test, 1, "POST", "/submissions",
+                              nodes_dependent_submission("job-33", "sweep", 1,
+                                                         ",\"awaits\":[\"job-30\",\"job-77\"]"),
+                              out, sizeof out) == 422,
+                "awaiting a job that was never accepted: 422");
     nodes_check(test,
-                nodes_ask(test, 1, "POST", "/submissions",
-                          nodes_submission_after("job-33", "sweep", 1, ",\"awaits\":7"), out,
-                          sizeof out) == 400,
-                "no list: 400");
+                nodes_request(test, 1, "POST", "/submissions",
+                              nodes_dependent_submission("job-33", "sweep", 1, ",\"awaits\":7"),
+                              out, sizeof out) == 400,
+                "awaits is not a list: 400");
     test_chain_cancelled(test);
 }
 
-/* Until a transaction was too large: jobs that ended leave records to drop. */
-static void work_until_refused(struct loopback *test)
+/* Runs jobs until the store has refused a transaction as too large: the records of ended jobs add
+ * deletions to the transactions. */
+static void run_jobs_until_refused(struct loopback *test)
 {
-    int refused = 0, busy = 0;
-    for (int i = 0; i < 20 && refused == 0; i++) {
+    int too_large = 0, rate_limited = 0;
+    for (int i = 0; i < 20 && too_large == 0; i++) {
         char id[32], path[64];
         snprintf(id, sizeof id, "job-62%02d", i);
         snprintf(path, sizeof path, "/submissions/%s", id);
         nodes_check(test,
                     nodes_submit(test, id, "sweep", 2, 20) &&
                         nodes_wait_for(test, path, "\"mood\":\"done\"", 60),
-                    "one more is done");
-        fake_store_rejections(test->cluster, &refused, &busy);
+                    "another job is done");
+        fake_store_rejections(test->cluster, &too_large, &rate_limited);
     }
 }
 
-/* The store's limits fall: announced or not, work goes on. */
+/* The store's limits are lowered. Jobs must still complete, whether this was announced or not. */
 void test_lower_limits(struct loopback *test, size_t value_bytes, size_t txn_ops, bool is_announced)
 {
-    int refused = 0, busy = 0;
+    int too_large = 0, rate_limited = 0;
     fake_store_set_limits(test->cluster, value_bytes, txn_ops, 60);
     nodes_check(test,
                 nodes_submit(test, "job-60", "sweep", 40, 20) &&
                     nodes_wait_for(test, "/submissions/job-60", "\"mood\":\"done\"", 60),
-                "a job under lower limits is done");
+                "a job is done under lower limits");
     if (!is_announced)
-        work_until_refused(test);
-    fake_store_rejections(test->cluster, &refused, &busy);
-    printf("     %d transactions got 400, %d got 429\n", refused, busy);
-    nodes_check(test, is_announced ? refused == 0 : refused > 0,
-                is_announced ? "nothing was too large" : "what was too large was decided anew");
-    int busy_before = busy;
+        run_jobs_until_refused(test);
+    fake_store_rejections(test->cluster, &too_large, &rate_limited);
+    printf("     %d transactions got 400, %d got 429\n", too_large, rate_limited);
+    nodes_check(test, is_announced ? too_large == 0 : too_large > 0,
+                is_announced ? "no transaction was too large"
+                             : "some transactions were refused as too large");
+    int rate_limited_before = rate_limited;
     fake_store_set_limits(test->cluster, value_bytes, txn_ops, 6);
     nodes_check(test,
                 nodes_submit(test, "job-61", "sweep", 20, 40) &&
                     nodes_wait_for(test, "/submissions/job-61", "\"mood\":\"done\"", 60),
-                "a job under a lower rate is done");
-    fake_store_rejections(test->cluster, &refused, &busy);
-    nodes_check(test, busy > busy_before, "some of it was asked too fast, and came later");
+                "a job is done under a lower rate");
+    fake_store_rejections(test->cluster, &too_large, &rate_limited);
+    nodes_check(test, rate_limited > rate_limited_before, "some transactions exceeded the rate");
     fake_store_set_limits(test->cluster, 0, 0, 0);
 }
--- a/tests/loopback_tests.h
+++ b/tests/loopback_tests.h
@@ -1,16 +1,16 @@
-/* The loopback tests by subject; loopback.c chooses among them. Each expects running controllers
- * and reports with nodes_check. */
+/* The loopback tests by subject; loopback.c selects which of them run. Each expects running
+ * controllers and reports with nodes_check. */
 #ifndef LOOPBACK_TESTS_H
 #define LOOPBACK_TESTS_H
 #include "loopback_nodes.h"
 
 /* loopback_requests.c, in this order */
-void test_quiet_work(struct loopback *test);
+void test_normal_operation(struct loopback *test);
 void test_bad_requests(struct loopback *test);
 void test_killed_nodes(struct loopback *test);
 void test_store_outage(struct loopback *test);
 void test_dependencies(struct loopback *test);
-/* is_announced: the settings name the lower limits beforehand */
+/* is_announced: the settings already contain the lower limits as the next ones. */
 void test_lower_limits(struct loopback *test, size_t value_bytes, size_t txn_ops,
                        bool is_announced);
 
@@ -20,7 +20,7 @@
 void test_overload(struct loopback *test);        /* loopback_overload.c */
 void test_memory(struct loopback *test);          /* loopback_memory.c */
 
-/* Keeps what the older version writes in the directory: its records, and its frames to another
- * controller. Returns an exit status. */
+/* Writes two files to the directory: the store records of the program under test and its frames to
+ * a peer. Returns an exit status. */
 int capture_production(struct loopback *test, const char *directory);
 #endif
--- a/tests/loopback_upgrade.c
+++ b/tests/loopback_upgrade.c
@@ -1,5 +1,5 @@
-/* Loopback test of a rolling upgrade from the version in production, and the capture of what that
- * version writes. */
+/* Loopback test of a rolling upgrade from the version in production, and the capture of the records
+ * and frames that this version writes. */
 #include "adapters/node.h"
 #include "base/address.h"
 #include "base/timeutil.h"
@@ -9,88 +9,101 @@
 #include <stdio.h>
 #include <sys/socket.h>
 
-#define CAPTURED_BYTES_MIN 2000 /* of frames */
+#define CAPTURED_FRAME_BYTES_MIN 2000
 
-/* One stage: the nodes of the mask end, a job is submitted meanwhile, then they start again. */
-static void upgrade_stage(struct loopback *test, unsigned ends, const char *back, const char *id,
-                          const char *what)
+/* Submits a job, kills the nodes of the mask, waits for the job if any node is left, then starts
+ * the killed nodes with `program`. */
+static void upgrade_stage(struct loopback *test, unsigned killed_nodes, const char *program,
+                          const char *id, const char *description)
 {
     char path[64];
     snprintf(path, sizeof path, "/submissions/%s", id);
-    int taken = nodes_submit(test, id, "sweep", 8, 10); /* in the middle of its scheduling */
+    /* the nodes are killed while the job is being scheduled */
+    int is_accepted = nodes_submit(test, id, "sweep", 8, 10);
     for (int i = 0; i < NODES; i++)
-        if (ends >> i & 1)
+        if (killed_nodes >> i & 1)
             nodes_kill(test, i);
-    bool none = ends == (1u << NODES) - 1;
-    nodes_check(test, taken && (none || nodes_wait_for(test, path, "\"mood\":\"done\"", 30)), what);
+    bool all_killed = killed_nodes == (1u << NODES) - 1;
+    nodes_check(test,
+                is_accepted && (all_killed || nodes_wait_for(test, path, "\"mood\":\"done\"", 30)),
+                description);
     for (int i = 0; i < NODES; i++)
-        if (ends >> i & 1)
-            nodes_restart(test, i, back);
+        if (killed_nodes >> i & 1)
+            nodes_start_program(test, i, program);
     nodes_check(test,
-                nodes_all_wait_for(test, path, "\"done\":8", 20) &&
-                    nodes_all_wait_for(test, "/up", "up", 20),
-                "all nodes are back and know it");
+                nodes_wait_for_all(test, path, "\"done\":8", 20) &&
+                    nodes_wait_for_all(test, "/up", "up", 20),
+                "all nodes are up and report the job as done");
     nodes_check(test,
                 fake_running_tasks(test->cluster) == 2 && fake_lease_expiries(test->cluster) == 0,
-                "the replicas went on and no lease was lost");
+                "both replicas run and no worker lease expired");
 }
 
-/* From the version in production to this one while both serve: leadership passes to and fro. */
+/* Upgrades the nodes one after the other while both versions serve. Leadership passes between the
+ * versions in both directions. */
 void test_rolling_upgrade(struct loopback *test)
 {
-    nodes_check(test, nodes_all_wait_for(test, "/up", "up", 30), "three nodes of the old version");
+    nodes_check(test, nodes_wait_for_all(test, "/up", "up", 30),
+                "three nodes of the older version are up");
     nodes_check(test, nodes_submit(test, "job-9", "service", 2, 10), "a service is accepted");
     nodes_check(test,
                 nodes_submit(test, "job-1", "gang", 2, 10) &&
                     nodes_wait_for(test, "/submissions/job-1", "done\",\"done\":2", 30),
                 "a gang is done");
-    upgrade_stage(test, 1, test->program, "job-20", "one node is new");
-    upgrade_stage(test, 6, test->older_program, "job-21",
-                  "the new one leads alone; others die and come back old");
-    upgrade_stage(test, 1, test->program, "job-22", "an old one leads");
-    upgrade_stage(test, 2, test->program, "job-23", "two nodes are new");
-    upgrade_stage(test, 3, test->program, "job-24", "the old one leads alone");
-    upgrade_stage(test, 4, test->program, "job-25", "all are new");
-    upgrade_stage(test, 7, test->program, "job-26", "none was there for a moment");
+    upgrade_stage(test, 1, test->program, "job-20",
+                  "a job is done while the first node is down for its upgrade");
+    upgrade_stage(test, 6, test->older_program, "job-21", "a job is done by the new node alone");
+    upgrade_stage(test, 1, test->program, "job-22",
+                  "a job is done by two nodes of the older version");
+    upgrade_stage(test, 2, test->program, "job-23",
+                  "a job is done while the second node is down for its upgrade");
+    upgrade_stage(test, 3, test->program, "job-24",
+                  "a job is done by the node of the older version alone");
+    upgrade_stage(test, 4, test->program, "job-25",
+                  "a job is done while the last node is down for its upgrade");
+    upgrade_stage(test, 7, test->program, "job-26",
+                  "a job is accepted before all nodes are killed");
     nodes_check(test, fake_task_starts(test->cluster) == 2 + 2 + 7 * 8,
                 "every task was started once");
     test_dependencies(test);
     test_lower_limits(test, 2048, 8, true);
-    nodes_check(test, fake_early_task_starts(test->cluster) == 0, "none began too early");
+    nodes_check(test, fake_early_task_starts(test->cluster) == 0,
+                "no task started before the jobs that its job awaits were done");
 }
 
-/* The socket that stands for the last controller's peer address; -1: it cannot be had. */
+/* Listens on the last controller's peer address in its place. Returns the socket, or -1. */
 static int listen_as_last_peer(const struct loopback *test)
 {
     char text[32];
     struct sockaddr_in address;
-    int one = 1;
-    snprintf(text, sizeof text, "127.0.0.1:%d", test->first_port + 10 + NODES - 1);
+    int enabled = 1;
+    snprintf(text, sizeof text, "127.0.0.1:%d", test->first_port + PEER_PORT_OFFSET + NODES - 1);
     int listener = socket(AF_INET, SOCK_STREAM, 0);
     if (listener < 0 || !bd_address_parse(text, &address) ||
-        setsockopt(listener, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one) != 0 ||
+        setsockopt(listener, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled) != 0 ||
         bind(listener, (struct sockaddr *)&address, sizeof address) != 0 ||
         listen(listener, 4) != 0)
         return -1;
     return listener;
 }
 
-/* Frames from the connection, to a file. */
+/* Reads frames from the connection and writes them to a file. Returns false if the file cannot be
+ * written. */
 static bool capture_frames(int fd, const char *path)
 {
     unsigned char bytes[8192];
     size_t length = 0;
-    while (length < CAPTURED_BYTES_MIN) {
-        ssize_t got = recv(fd, bytes + length, sizeof bytes - length, 0);
-        if (got <= 0)
+    while (length < CAPTURED_FRAME_BYTES_MIN) {
+        ssize_t received = recv(fd, bytes + length, sizeof bytes - length, 0);
+        if (received <= 0)
             break;
-        length += (size_t)got;
+        length += (size_t)received;
     }
     FILE *file = fopen(path, "wb");
-    bool ok = file && fwrite(bytes, 1, length, file) == length;
+    bool is_written = file && fwrite(bytes, 1, length, file) == length;
     if (file)
         (void)fclose(file);
-    return ok;
+    return is_written;
 }
 
 int capture_production(struct loopback *test, const char *directory)
@@ -100,14 +113,14 @@
     if (listener < 0)
         return 2;
     for (int i = 0; i < NODES - 1; i++)
-        nodes_restart(test, i, test->program);
+        nodes_start_program(test, i, test->program);
     int fd = accept(listener, NULL, NULL);
     (void)nodes_submit(test, "job-9", "service", 2, 20);
     (void)nodes_submit(test, "job-1", "sweep", 3, 20);
     (void)nodes_wait_for(test, "/submissions/job-1", "\"mood\":\"done\"", 30);
     (void)nodes_submit(test, "job-2", "gang", 2, 20);
     (void)nodes_submit(test, "job-3", "sweep", 60, 20);
-    (void)nodes_ask(test, 0, "POST", "/submissions/job-3/withdraw", "{}", NULL, 0);
+    (void)nodes_request(test, 0, "POST", "/submissions/job-3/withdraw", "{}", NULL, 0);
     bd_sleep(0.5);
     snprintf(path, sizeof path, "%s/production-records.json", directory);
     if (fd < 0 || !fake_store_dump(test->cluster, path))
