--- a/tests/drain_check.c
+++ b/tests/drain_check.c
@@ -27,14 +27,14 @@
     return replica;
 }
 
-void drain_check_runs(struct drain_check *check, int job, uint32_t task, int team)
+void drain_check_replica_running(struct drain_check *check, int job, uint32_t task, int team)
 {
     struct drain_replica *replica = replica_of(check, job, task);
     replica->team = team;
     replica->state = REPLICA_UP;
 }
 
-void drain_check_lost(struct drain_check *check, double now, int job, uint32_t task)
+void drain_check_replica_lost(struct drain_check *check, double now, int job, uint32_t task)
 {
     struct drain_replica *replica = replica_of(check, job, task);
     if (replica->state != REPLICA_UP)
@@ -43,7 +43,7 @@
     replica->since = now;
 }
 
-void drain_check_ended(struct drain_check *check, int job)
+void drain_check_job_cancelled(struct drain_check *check, int job)
 {
     for (int i = 0; i < check->n; i++)
         if (check->replicas[i].job == job)
@@ -62,7 +62,7 @@
     return count;
 }
 
-bool drain_check_stopped(struct drain_check *check, double now, int job, uint32_t task)
+bool drain_check_replica_stopped(struct drain_check *check, double now, int job, uint32_t task)
 {
     struct drain_replica *replica = replica_of(check, job, task);
     if (replica->state != REPLICA_UP)
@@ -71,29 +71,29 @@
     replica->since = now;
     check->stops++;
     uint32_t ours = down_of(check, now, replica->team, false);
-    check->most[replica->team] =
-        ours > check->most[replica->team] ? ours : check->most[replica->team];
+    check->peak_down[replica->team] =
+        ours > check->peak_down[replica->team] ? ours : check->peak_down[replica->team];
     return ours <= check->budgets[replica->team] &&
            down_of(check, now, replica->team, true) <= check->budgets[replica->team];
 }
 
 /* An invented history: the checker must see an overlap beyond the budget, and a stop beside an old
  * loss; and nothing in one that keeps to it. */
-bool drain_check_works(void)
+bool drain_check_self_test(void)
 {
     static const uint32_t budgets[TEAMS] = {1, 1};
     struct drain_check check;
     drain_check_start(&check, budgets);
     for (uint32_t task = 0; task < 3; task++)
-        drain_check_runs(&check, 0, task, 0);
-    bool first = drain_check_stopped(&check, 10, 0, 0);
-    drain_check_runs(&check, 0, 0, 0);
-    bool second = drain_check_stopped(&check, 11, 0, 1);
-    bool overlap = drain_check_stopped(&check, 12, 0, 2);
+        drain_check_replica_running(&check, 0, task, 0);
+    bool first = drain_check_replica_stopped(&check, 10, 0, 0);
+    drain_check_replica_running(&check, 0, 0, 0);
+    bool second = drain_check_replica_stopped(&check, 11, 0, 1);
+    bool overlap = drain_check_replica_stopped(&check, 12, 0, 2);
     drain_check_start(&check, budgets);
     for (uint32_t task = 0; task < 2; task++)
-        drain_check_runs(&check, 0, task, 0);
-    drain_check_lost(&check, 20, 0, 0);
-    bool beside_loss = drain_check_stopped(&check, 20 + 2 * LEARNT_S, 0, 1);
+        drain_check_replica_running(&check, 0, task, 0);
+    drain_check_replica_lost(&check, 20, 0, 0);
+    bool beside_loss = drain_check_replica_stopped(&check, 20 + 2 * LEARNT_S, 0, 1);
     return first && second && !overlap && !beside_loss;
 }
--- a/tests/drain_profile.c
+++ b/tests/drain_profile.c
@@ -82,12 +82,12 @@
 int main(int argc, char **argv)
 {
     if (argc == 5 && strcmp(argv[1], "fleet") == 0)
-        return drain_fleet((uint32_t)number_of(argv[2]), strtod(argv[3], NULL),
-                           (uint32_t)number_of(argv[4])) < 0;
+        return drain_fleet((uint32_t)parse_number(argv[2]), strtod(argv[3], NULL),
+                           (uint32_t)parse_number(argv[4])) < 0;
     if (argc == 4 && strcmp(argv[1], "steps") == 0)
-        return profile_choices((uint32_t)number_of(argv[2]), (uint32_t)number_of(argv[3]));
+        return profile_choices((uint32_t)parse_number(argv[2]), (uint32_t)parse_number(argv[3]));
     if (argc == 4 && strcmp(argv[1], "ticks") == 0)
-        return profile_ticks((uint32_t)number_of(argv[2]), argv[3]);
+        return profile_ticks((uint32_t)parse_number(argv[2]), argv[3]);
     if (argc == 2 && strcmp(argv[1], "check") == 0)
         return drain_fleet(20, 5, 8) < 0 || profile_choices(30, 20) != 0;
     return 2;
--- a/tests/drain_profile_fleet.c
+++ b/tests/drain_profile_fleet.c
@@ -90,7 +90,7 @@
         struct bd_reported_task tasks[REPORTED_TASKS_MAX];
         if (effect->kind == BD_EFFECT_DIRECT_COMMAND) {
             fill_heartbeat(fleet,
-                           (uint32_t)number_of(fleet->core->by_index[effect->machine]->id + 3),
+                           (uint32_t)parse_number(fleet->core->by_index[effect->machine]->id + 3),
                            &heartbeat, tasks);
             bd_worker_direct_command_completed(fleet->core, effect->machine, effect->fencing_token,
                                                effect->launch, 200, &heartbeat);
--- a/tests/fake_server.c
+++ b/tests/fake_server.c
@@ -14,7 +14,7 @@
     if (!cluster || pthread_mutex_init(&cluster->lock, NULL) != 0)
         return NULL;
     cluster->table.owner = cluster;
-    cluster->table.grant_lives = fake_grant_lives;
+    cluster->table.is_grant_live = fake_grant_lives;
     cluster->worker_port = worker_port;
     cluster->capacity = CAPACITY_DEFAULT;
     cluster->nodes = nodes;
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -360,7 +360,7 @@
 
 int main(int argc, char **argv)
 {
-    int faults = 0, ends = 0, cancels = 0, seeds = argc > 1 ? number_of(argv[1]) : 0;
+    int faults = 0, ends = 0, cancels = 0, seeds = argc > 1 ? parse_number(argv[1]) : 0;
     for (int s = 1; s <= seeds; s++)
         faults += play((unsigned long)s, &ends, &cancels);
     faults += graph_check_large();
--- a/tests/graphs_model.c
+++ b/tests/graphs_model.c
@@ -36,7 +36,7 @@
 
 void graph_check_start(struct graph_run *run, const char *task)
 {
-    int number = number_of(task + strlen("job-"));
+    int number = parse_number(task + strlen("job-"));
     char id[32];
     for (int k = 0; k < run->jobs[number].nparents; k++) {
         snprintf(id, sizeof id, "job-%d", run->jobs[number].parents[k]);
--- a/tests/key_table.c
+++ b/tests/key_table.c
@@ -83,7 +83,7 @@
     json_array_foreach(json_object_get(in, "apply"), i, item)
     {
         json_t *g = json_object_get(item, "charter");
-        if (g && !table->grant_lives(table->owner, (uint64_t)json_integer_value(g)))
+        if (g && !table->is_grant_live(table->owner, (uint64_t)json_integer_value(g)))
             return false;
     }
     return true;
--- a/tests/key_table.h
+++ b/tests/key_table.h
@@ -25,7 +25,7 @@
     size_t nlog, cap_log;
     uint64_t revision;
     void *owner; /* for the two below */
-    bool (*grant_lives)(void *owner, uint64_t grant);
+    bool (*is_grant_live)(void *owner, uint64_t grant);
     void (*before_set)(void *owner, const char *name, json_t *value); /* NULL: none */
 };
 
--- a/tests/loopback_drain.c
+++ b/tests/loopback_drain.c
@@ -43,16 +43,16 @@
     struct history *history = arg;
     char id[BD_ID_BYTES];
     uint32_t number;
-    if (!bd_wire_read_task_name(task, id, &number) || number_of(id + 4) < FIRST_JOB)
+    if (!bd_wire_read_task_name(task, id, &number) || parse_number(id + 4) < FIRST_JOB)
         return;
-    int job = number_of(id + 4) - FIRST_JOB;
+    int job = parse_number(id + 4) - FIRST_JOB;
     double now = bd_seconds_between(history->began, bd_now());
     (void)pthread_mutex_lock(&history->lock);
     if (event == FAKE_TASK_RUNS)
-        drain_check_runs(&history->check, job, number, job % 2);
+        drain_check_replica_running(&history->check, job, number, job % 2);
     else if (event == FAKE_TASK_LOST)
-        drain_check_lost(&history->check, now, job, number);
-    else if (!drain_check_stopped(&history->check, now, job, number)) {
+        drain_check_replica_lost(&history->check, now, job, number);
+    else if (!drain_check_replica_stopped(&history->check, now, job, number)) {
         history->broken++;
         printf("     %.2f s: %s is stopped beyond its team's budget\n", now, task);
     }
@@ -347,7 +347,7 @@
     nodes_check(&test, fake_duplicate_runs(test.cluster) == 0,
                 "no task ran twice at the same time");
     printf("     %u replicas stopped, at most %u of %u and %u of %u down at once\n",
-           history.check.stops, history.check.most[0], budgets[0], history.check.most[1],
+           history.check.stops, history.check.peak_down[0], budgets[0], history.check.peak_down[1],
            budgets[1]);
     nodes_finish(&test);
     printf("%d faults\n", test.faults);
--- a/tests/loopback_memory.c
+++ b/tests/loopback_memory.c
@@ -29,7 +29,7 @@
     snprintf(path, sizeof path, "/proc/%d/status", (int)test->pid[node]);
     FILE *file = fopen(path, "r");
     while (file && fgets(line, sizeof line, file))
-        if (number_after(line, "RssAnon:", &kb))
+        if (parse_number_after(line, "RssAnon:", &kb))
             break;
     if (file)
         (void)fclose(file);
--- a/tests/loopback_overload.c
+++ b/tests/loopback_overload.c
@@ -54,7 +54,8 @@
     crowd->length[i] += received > 0 ? (size_t)received : 0;
     crowd->answer[i][crowd->length[i]] = '\0';
     long status = 0;
-    if (number_after(crowd->answer[i], "HTTP/1.1 ", &status) && strstr(crowd->answer[i], "}")) {
+    if (parse_number_after(crowd->answer[i], "HTTP/1.1 ", &status) &&
+        strstr(crowd->answer[i], "}")) {
         bool good = status == 200 || status == 201 || status == 404;
         crowd->answered += good;
         crowd->refused += status == 503 || status == 429;
--- a/tests/numbers.c
+++ b/tests/numbers.c
@@ -3,12 +3,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-int number_of(const char *text)
+int parse_number(const char *text)
 {
     return (int)strtol(text, NULL, 10);
 }
 
-bool number_after(const char *text, const char *prefix, long *number)
+bool parse_number_after(const char *text, const char *prefix, long *number)
 {
     size_t length = strlen(prefix);
     if (strncmp(text, prefix, length) != 0)
@@ -18,7 +18,7 @@
     return end != text + length;
 }
 
-size_t numbers_split(const char *text, char separator, double *numbers, size_t max)
+size_t parse_numbers(const char *text, char separator, double *numbers, size_t max)
 {
     size_t count = 0;
     while (count < max) {
@@ -34,12 +34,12 @@
     return count;
 }
 
-size_t numbers_after_name(const char *text, char *name, size_t capacity, double *numbers,
-                          size_t max)
+size_t parse_name_and_numbers(const char *text, char *name, size_t capacity, double *numbers,
+                              size_t max)
 {
     size_t length = strcspn(text, ":");
     if (length == 0 || length >= capacity || text[length] != ':')
         return 0;
     snprintf(name, capacity, "%.*s", (int)length, text);
-    return numbers_split(text + length + 1, ':', numbers, max);
+    return parse_numbers(text + length + 1, ':', numbers, max);
 }
--- a/tests/scenario_jobs.c
+++ b/tests/scenario_jobs.c
@@ -107,8 +107,9 @@
     json_t *names = play_text(play, "needs") ? split_names(play_text(play, "needs")) : NULL;
     record.parents.names = names;
     double parts = 0;
-    if (play_text(play, "parts") && numbers_after_name(play_text(play, "parts"), record.parents.of,
-                                                       sizeof record.parents.of, &parts, 1) != 1)
+    if (play_text(play, "parts") &&
+        parse_name_and_numbers(play_text(play, "parts"), record.parents.of,
+                               sizeof record.parents.of, &parts, 1) != 1)
         play_fail(play, "parts");
     record.parents.parts = (uint32_t)parts;
     record.end = play_number(play, "end", 0);
@@ -122,7 +123,7 @@
 /* many finished jobs, job-1000000 and on, long ago */
 static void step_finals(struct play *play)
 {
-    int count = number_of(play->words[1]);
+    int count = parse_number(play->words[1]);
     for (int i = 0; i < count; i++) {
         char key[BD_LABEL_BYTES];
         snprintf(key, sizeof key, "j/job-%d", 1000000 + i);
@@ -148,8 +149,8 @@
         record.state = BD_JOB_CANCELLED;
     }
     struct bd_change change = {key, value = bd_wire_write_record(&record), 5};
-    bd_replica_lookup_completed(play->core, NULL, play->words[1], number_of(play->words[2]), status,
-                                status == 200 ? &change : NULL);
+    bd_replica_lookup_completed(play->core, NULL, play->words[1], parse_number(play->words[2]),
+                                status, status == 200 ? &change : NULL);
     json_decref(value);
 }
 
--- a/tests/scenario_leader.c
+++ b/tests/scenario_leader.c
@@ -34,7 +34,7 @@
     json_t *tasks = json_array();
     for (char *rest = NULL, *task = strtok_r(list, ",", &rest); task;
          task = strtok_r(NULL, ",", &rest))
-        json_array_append_new(tasks, json_integer(number_of(task)));
+        json_array_append_new(tasks, json_integer(parse_number(task)));
     snprintf(key, sizeof key, "i/old-%d", number);
     json_t *entries =
         json_pack("[[s,I,s,o]]", job, (json_int_t)play_attempt(attempt), machine, tasks);
@@ -86,7 +86,7 @@
     for (int i = 1; i < play->nwords; i++) {
         char key[64], names[256] = "";
         double revision = 0;
-        if (numbers_after_name(play->words[i], key, sizeof key, &revision, 1) != 1 ||
+        if (parse_name_and_numbers(play->words[i], key, sizeof key, &revision, 1) != 1 ||
             sscanf(play->words[i], "%*[^:]:%*[^:]:%255s", names) != 1)
             play_fail(play, "delegates");
         json_t *machines = json_array();
@@ -109,7 +109,7 @@
     for (int i = 2; i < play->nwords; i++) {
         char node[64], key[BD_LABEL_BYTES + 8];
         double seen = 0;
-        if (numbers_after_name(play->words[i], node, sizeof node, &seen, 1) != 1)
+        if (parse_name_and_numbers(play->words[i], node, sizeof node, &seen, 1) != 1)
             play_fail(play, "touched");
         snprintf(key, sizeof key, "p/%s/at", node);
         json_array_append_new(
@@ -196,7 +196,7 @@
 
 static void step_up(struct play *play)
 {
-    if (bd_leadership_is_healthy(play->core) != (number_of(play->words[1]) != 0))
+    if (bd_leadership_is_healthy(play->core) != (parse_number(play->words[1]) != 0))
         play_fail(play, "up is otherwise");
 }
 
--- a/tests/scenario_machines.c
+++ b/tests/scenario_machines.c
@@ -80,7 +80,7 @@
 static void step_answered(struct play *play)
 {
     bd_forward_reply_received(play->core, strtoull(play->words[1], NULL, 10),
-                              number_of(play->words[2]), play->nwords > 3 ? play->words[3] : "",
+                              parse_number(play->words[2]), play->nwords > 3 ? play->words[3] : "",
                               play->nwords > 3 ? strlen(play->words[3]) : 0);
 }
 
--- a/tests/scenario_settings.c
+++ b/tests/scenario_settings.c
@@ -23,7 +23,7 @@
 {
     struct bd_slo *slo = &play->settings.slos[play->settings.nslos++];
     double values[2] = {0};
-    if (numbers_after_name(text, slo->job_class, sizeof slo->job_class, values, 2) != 2)
+    if (parse_name_and_numbers(text, slo->job_class, sizeof slo->job_class, values, 2) != 2)
         play_fail(play, "aim");
     slo->within_s = values[0];
     slo->share = values[1];
@@ -35,7 +35,7 @@
 {
     struct bd_team_quota *team = &play->settings.teams[play->settings.nteams++];
     double values[4] = {0};
-    if (numbers_after_name(text, team->name, sizeof team->name, values, 4) != 4)
+    if (parse_name_and_numbers(text, team->name, sizeof team->name, values, 4) != 4)
         play_fail(play, "team");
     team->cpus = values[0];
     team->cpus_quota = values[1];
--- a/tests/sim_drain.c
+++ b/tests/sim_drain.c
@@ -164,10 +164,10 @@
         return;
     for (int i = 0; i < sim->njobs; i++)
         if (sim->jobs[i].asked_cancel > 0)
-            drain_check_ended(&sim->check, i);
+            drain_check_job_cancelled(&sim->check, i);
     if (job->asked_cancel > 0)
         return;
-    if (!drain_check_stopped(&sim->check, sim->now, slot->job, slot->task))
+    if (!drain_check_replica_stopped(&sim->check, sim->now, slot->job, slot->task))
         sim_violation(sim, "budget: %s/%u is stopped on %s, more of team %d are down than %u",
                       job->id, slot->task, worker->id, job->team, sim->check.budgets[job->team]);
 }
@@ -176,11 +176,11 @@
 {
     const struct sim_job *job = &sim->jobs[slot->job];
     if (sim->draining && job->kind == BD_JOB_SERVICE && job->asked_cancel <= 0)
-        drain_check_runs(&sim->check, slot->job, slot->task, job->team);
+        drain_check_replica_running(&sim->check, slot->job, slot->task, job->team);
 }
 
 void sim_drain_lost(struct sim *sim, const struct sim_slot *slot)
 {
     if (sim->draining && sim->jobs[slot->job].kind == BD_JOB_SERVICE)
-        drain_check_lost(&sim->check, sim->now, slot->job, slot->task);
+        drain_check_replica_lost(&sim->check, sim->now, slot->job, slot->task);
 }
--- a/tests/sim_effects.c
+++ b/tests/sim_effects.c
@@ -58,7 +58,7 @@
                                            .machine = effect->machine,
                                            .fencing_token = effect->fencing_token,
                                            .launch = effect->launch};
-    command->worker = number_of(effect->addr + 2); /* "w-N" */
+    command->worker = parse_number(effect->addr + 2); /* "w-N" */
     command->until = effect->until;
     struct sim_event *event =
         sim_node_post(sim, node, node->senders_stalled_until - sim->now, SIM_COMMAND_SEND);
--- a/tests/sim_faults.c
+++ b/tests/sim_faults.c
@@ -15,7 +15,7 @@
     for (int i = 0; strcmp(who, "leader") == 0 && i < SIM_NODES; i++)
         if (sim->nodes[i].core && bd_leadership_lease_valid(sim->nodes[i].core))
             return i;
-    return *who >= '0' && *who <= '9' ? number_of(who) : (int)(sim_random(sim) * SIM_NODES);
+    return *who >= '0' && *who <= '9' ? parse_number(who) : (int)(sim_random(sim) * SIM_NODES);
 }
 
 static void crash(struct sim *sim, int node, double back)
--- a/tests/sim_heartbeats.c
+++ b/tests/sim_heartbeats.c
@@ -112,7 +112,7 @@
 static void redirected(struct sim *sim, struct sim_worker *worker, json_t *answer)
 {
     const char *leader = json_string_value(json_object_get(answer, "steward"));
-    int node = leader ? number_of(leader + strlen("node-")) : worker->node;
+    int node = leader ? parse_number(leader + strlen("node-")) : worker->node;
     if (!leader || node == worker->node) {
         sim_try_next_node(sim, worker, 1);
         return;
--- a/tests/sim_plan.c
+++ b/tests/sim_plan.c
@@ -136,7 +136,7 @@
     double values[2] = {0};
     if (sscanf(line, "%15s %127[^\n]", name, rest) != 2)
         return false;
-    size_t count = numbers_split(rest, ' ', values, 2);
+    size_t count = parse_numbers(rest, ' ', values, 2);
     if (count == 0)
         return false;
     if (strcmp(name, "small") == 0)
@@ -175,9 +175,9 @@
         return false;
     if (has_who(fault->verb)) {
         bool is_whole = sscanf(rest, "%15s %127[^\n]", fault->who, amounts) == 2;
-        return is_whole && numbers_split(amounts, ' ', &fault->a, 1) == 1;
+        return is_whole && parse_numbers(amounts, ' ', &fault->a, 1) == 1;
     }
-    size_t count = numbers_split(rest, ' ', values, 2);
+    size_t count = parse_numbers(rest, ' ', values, 2);
     fault->a = values[0];
     fault->b = values[1];
     return count >= 1;
--- a/tests/sim_store.c
+++ b/tests/sim_store.c
@@ -25,7 +25,7 @@
     return NULL;
 }
 
-static bool grant_lives(void *owner, uint64_t id)
+static bool is_grant_live(void *owner, uint64_t id)
 {
     return grant_of(owner, id) != NULL;
 }
@@ -77,7 +77,7 @@
 void sim_store_start(struct sim *sim)
 {
     sim->table.owner = sim;
-    sim->table.grant_lives = grant_lives;
+    sim->table.is_grant_live = is_grant_live;
     sim->table.before_set = before_set;
 }
 
--- a/tests/sim_worker.c
+++ b/tests/sim_worker.c
@@ -7,7 +7,7 @@
 
 struct sim_job *sim_job_named(struct sim *sim, const char *id)
 {
-    int i = id && strncmp(id, "job-", 4) == 0 ? number_of(id + 4) : -1;
+    int i = id && strncmp(id, "job-", 4) == 0 ? parse_number(id + 4) : -1;
     return i >= 0 && i < sim->njobs ? &sim->jobs[i] : NULL;
 }
 
--- a/tests/simulation.c
+++ b/tests/simulation.c
@@ -71,8 +71,8 @@
 {
     if (sim->draining)
         printf("%d drains, %u stops of replicas, at most %u of %u and %u of %u down; ",
-               sim->ndrains, sim->check.stops, sim->check.most[0], sim->check.budgets[0],
-               sim->check.most[1], sim->check.budgets[1]);
+               sim->ndrains, sim->check.stops, sim->check.peak_down[0], sim->check.budgets[0],
+               sim->check.peak_down[1], sim->check.budgets[1]);
     printf("%s seed %lu: %d jobs, %d starts, %d terms, %llu events, %d started long after a "
            "cancellation\n",
            sim->violations ? "FAIL" : "ok  ", sim->seed, sim->njobs, sim->starts, sim->terms,
@@ -167,7 +167,7 @@
         return play_digests(argc, argv, &plan);
     (void)setvbuf(stdout, NULL, _IONBF, 0); /* in step with the log */
     if (argc == 2 && strcmp(verb, "checker") == 0)
-        return drain_check_works() ? 0 : 1;
+        return drain_check_self_test() ? 0 : 1;
     int failed = 0;
     if (argc >= 4 && strcmp(verb, "seed") == 0) {
         unsigned long seed = strtoul(argv[3], NULL, 10);
