--- a/tests/sim_faults.c
+++ b/tests/sim_faults.c
@@ -38,15 +38,15 @@
         left--;
         if (strcmp(fault->verb, "hang") == 0)
             worker->hangs_until = until;
-        else if (strcmp(fault->verb, "deaf") == 0)
+        else if (strcmp(fault->verb, "inbound-cut") == 0)
             worker->inbound_cut_until = until;
-        else if (strcmp(fault->verb, "mute") == 0)
+        else if (strcmp(fault->verb, "outbound-cut") == 0)
             worker->outbound_cut_until = until;
         else if (strcmp(fault->verb, "die") == 0)
             sim_worker_gone(sim, worker);
         else {
             worker->cut_until = until;
-            worker->delivers_late = strcmp(fault->verb, "hold") == 0;
+            worker->delivers_late = strcmp(fault->verb, "cut-buffered") == 0;
         }
         sim_trace(sim, "%s %s until %.1f", worker->id, fault->verb, until);
     }
@@ -75,18 +75,18 @@
 static bool apply_store_fault(struct sim *sim, const struct sim_fault *fault)
 {
     double until = sim->now + fault->a;
-    if (is_verb(fault, "outage"))
+    if (is_verb(fault, "store-outage"))
         sim->outage_until = until;
-    else if (is_verb(fault, "slow"))
+    else if (is_verb(fault, "store-slow"))
         sim->slow_until = until;
-    else if (is_verb(fault, "refuse"))
+    else if (is_verb(fault, "store-refuse"))
         sim->refused_until[node_named(sim, fault->who)] = until;
-    else if (is_verb(fault, "blind"))
+    else if (is_verb(fault, "refresh-fail"))
         sim->reads_refused_until[node_named(sim, fault->who)] = until;
-    else if (is_verb(fault, "late")) {
+    else if (is_verb(fault, "late-writes")) {
         sim->late_share = fault->a;
         sim->late_until = sim->now + fault->b;
-    } else if (is_verb(fault, "lost")) {
+    } else if (is_verb(fault, "lost-answers")) {
         sim->lost_share = fault->a;
         sim->lost_until = sim->now + fault->b;
     } else
@@ -97,19 +97,19 @@
 static bool apply_network_fault(struct sim *sim, const struct sim_fault *fault)
 {
     double until = sim->now + fault->a;
-    if (is_verb(fault, "peers"))
+    if (is_verb(fault, "peer-cut"))
         sim->peers_cut_until[node_named(sim, fault->who)] = until;
-    else if (is_verb(fault, "alone")) {
+    else if (is_verb(fault, "isolate")) {
         int node = node_named(sim, fault->who);
         sim->peers_cut_until[node] = sim->refused_until[node] = until;
-    } else if (is_verb(fault, "zones"))
+    } else if (is_verb(fault, "zone-cut"))
         sim->zones_cut_until = until;
-    else if (is_verb(fault, "held"))
+    else if (is_verb(fault, "delay-commands"))
         sim->delayed_until = until;
-    else if (is_verb(fault, "copies") || is_verb(fault, "next")) {
+    else if (is_verb(fault, "replay") || is_verb(fault, "replay-failover")) {
         sim->copies_share = fault->a;
         sim->copies_until = sim->now + fault->b;
-        sim->copies_for_next = is_verb(fault, "next");
+        sim->copies_for_next = is_verb(fault, "replay-failover");
     } else
         return false;
     return true;
@@ -118,13 +118,13 @@
 static bool apply_controller_fault(struct sim *sim, const struct sim_fault *fault)
 {
     double until = sim->now + fault->a;
-    if (is_verb(fault, "stall"))
+    if (is_verb(fault, "process-pause"))
         sim->nodes[node_named(sim, fault->who)].stalled_until = until;
-    else if (is_verb(fault, "senders"))
+    else if (is_verb(fault, "delay-sends"))
         sim->nodes[node_named(sim, fault->who)].senders_stalled_until = until;
     else if (is_verb(fault, "crash"))
         crash(sim, node_named(sim, fault->who), fault->a);
-    else if (is_verb(fault, "all")) {
+    else if (is_verb(fault, "crash-all")) {
         for (int i = 0; i < SIM_NODES; i++)
             crash(sim, i, fault->a * sim_between(sim, 0.7, 1.3));
     } else
@@ -143,11 +143,11 @@
             sim_add_job(sim, plan, sim_between(sim, 0, 5));
     } else if (is_verb(fault, "drain"))
         sim_drain_ask(sim, (uint32_t)fault->a, fault->b > 0);
-    else if (is_verb(fault, "pause"))
+    else if (is_verb(fault, "pause-drain"))
         sim_drain_change(sim, BD_DRAIN_PAUSED);
-    else if (is_verb(fault, "resume"))
+    else if (is_verb(fault, "resume-drain"))
         sim_drain_change(sim, BD_DRAIN_ACTIVE);
-    else if (is_verb(fault, "calloff"))
+    else if (is_verb(fault, "cancel-drain"))
         sim_drain_change(sim, BD_DRAIN_CANCELLED);
     else
         return false;
@@ -168,9 +168,10 @@
         return 5;
     if (is_verb(fault, "drain"))
         return 1;
-    if (is_verb(fault, "copies"))
+    if (is_verb(fault, "replay"))
         return fault->b + LAST_COPY_S;
-    bool is_share = is_verb(fault, "late") || is_verb(fault, "lost") || is_verb(fault, "next");
+    bool is_share = is_verb(fault, "late-writes") || is_verb(fault, "lost-answers") ||
+                    is_verb(fault, "replay-failover");
     return is_share || fault->b > 0 ? fault->b : fault->a;
 }
 
--- a/tests/sim_plan.c
+++ b/tests/sim_plan.c
@@ -20,12 +20,30 @@
     plan->budgets[0] = plan->budgets[1] = 1;
 }
 
+/* Faults that take a share of the messages and a duration. */
+static const char *const share_verbs[] = {"late-writes", "lost-answers", "replay",
+                                          "replay-failover"};
+/* Faults that take a number of machines and a duration. */
+static const char *const machine_verbs[] = {"hang", "inbound-cut",  "outbound-cut",
+                                            "cut",  "cut-buffered", "die"};
+
+static bool is_one_of(const char *verb, const char *const *verbs, size_t count)
+{
+    for (size_t i = 0; i < count; i++)
+        if (strcmp(verb, verbs[i]) == 0)
+            return true;
+    return false;
+}
+
 void sim_plan_draw(struct sim_plan *plan, unsigned long seed)
 {
     static const char *const verbs[] = {
-        "outage", "slow",   "refuse", "blind", "late",  "lost",   "peers", "zones", "held",
-        "copies", "next",   "hang",   "deaf",  "mute",  "cut",    "hold",  "die",   "crash",
-        "all",    "cancel", "burst",  "alone", "crash", "cancel", "hang",  "stall", "stall"};
+        "store-outage",    "store-slow",   "store-refuse", "refresh-fail",   "late-writes",
+        "lost-answers",    "peer-cut",     "zone-cut",     "delay-commands", "replay",
+        "replay-failover", "hang",         "inbound-cut",  "outbound-cut",   "cut",
+        "cut-buffered",    "die",          "crash",        "crash-all",      "cancel",
+        "burst",           "isolate",      "crash",        "cancel",         "hang",
+        "process-pause",   "process-pause"};
     const int n = (int)(sizeof verbs / sizeof *verbs);
     gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
     if (!rng)
@@ -40,15 +58,14 @@
         fault->at = at;
         snprintf(fault->verb, sizeof fault->verb, "%s", verb);
         snprintf(fault->who, sizeof fault->who, "%s", w < 0.7 ? "leader" : "any");
-        bool shared = *verb == 'l' || strcmp(verb, "copies") == 0 || strcmp(verb, "next") == 0;
-        bool machine = strchr("hdm", *verb) || strcmp(verb, "cut") == 0;
-        if (strcmp(verb, "held") == 0)
-            machine = false;
-        fault->a = shared ? 0.1 + 0.6 * u : machine ? 1 + floor(2 * u) : 2 + 20 * u;
-        fault->b = shared ? 10 + 20 * w : machine ? 1 + 14 * w : 0;
-        if (strcmp(verb, "crash") == 0 || strcmp(verb, "all") == 0)
+        bool has_share = is_one_of(verb, share_verbs, sizeof share_verbs / sizeof *share_verbs);
+        bool is_machine_fault =
+            is_one_of(verb, machine_verbs, sizeof machine_verbs / sizeof *machine_verbs);
+        fault->a = has_share ? 0.1 + 0.6 * u : is_machine_fault ? 1 + floor(2 * u) : 2 + 20 * u;
+        fault->b = has_share ? 10 + 20 * w : is_machine_fault ? 1 + 14 * w : 0;
+        if (strcmp(verb, "crash") == 0 || strcmp(verb, "crash-all") == 0)
             fault->a = w < 0.5 ? 0.2 + u : 2 + 3 * u;
-        if (strcmp(verb, "outage") == 0 && w < 0.3)
+        if (strcmp(verb, "store-outage") == 0 && w < 0.3)
             fault->a = 36 + 10 * u;
         if (strcmp(verb, "cancel") == 0 || strcmp(verb, "burst") == 0)
             fault->a = 2 + floor(5 * u);
@@ -60,7 +77,8 @@
 /* A drawn day on which the controllers' own queues and processes are late as well. */
 void sim_plan_draw_delays(struct sim_plan *plan, unsigned long seed)
 {
-    static const char *const verbs[] = {"senders", "senders", "stall", "hang", "cancel", "burst"};
+    static const char *const verbs[] = {"delay-sends", "delay-sends", "process-pause",
+                                        "hang",        "cancel",      "burst"};
     sim_plan_draw(plan, seed);
     gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
     if (!rng)
@@ -78,9 +96,9 @@
         snprintf(fault->verb, sizeof fault->verb, "%s", verb);
         snprintf(fault->who, sizeof fault->who, "%s", u < 0.8 ? "leader" : "any");
         fault->a = 2 + floor(5 * u);
-        if (strcmp(verb, "senders") == 0)
+        if (strcmp(verb, "delay-sends") == 0)
             fault->a = 3 + 70 * gsl_rng_uniform(rng);
-        else if (strcmp(verb, "stall") == 0)
+        else if (strcmp(verb, "process-pause") == 0)
             fault->a = 1 + 8 * u;
         else if (strcmp(verb, "hang") == 0)
             fault->b = 1 + 14 * gsl_rng_uniform(rng);
@@ -92,7 +110,7 @@
 /* A drawn day with more services, and drains among its faults. */
 void sim_plan_draw_drains(struct sim_plan *plan, unsigned long seed)
 {
-    static const char *const verbs[] = {"drain", "drain", "drain", "pause", "calloff"};
+    static const char *const verbs[] = {"drain", "drain", "drain", "pause-drain", "cancel-drain"};
     sim_plan_draw(plan, seed);
     gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
     if (!rng)
@@ -109,12 +127,12 @@
         const char *verb = verbs[gsl_rng_uniform_int(rng, 5)];
         snprintf(fault->verb, sizeof fault->verb, "%s", verb);
         fault->at = at;
-        fault->a = *verb == 'd' ? 1 + floor(10 * gsl_rng_uniform(rng)) : 1;
+        fault->a = strcmp(verb, "drain") == 0 ? 1 + floor(10 * gsl_rng_uniform(rng)) : 1;
         fault->b = gsl_rng_uniform(rng) < 0.5;
-        if (*verb == 'p') {
+        if (strcmp(verb, "pause-drain") == 0) {
             struct sim_fault *back = &plan->faults[plan->nfaults++];
             *back = *fault;
-            snprintf(back->verb, sizeof back->verb, "resume");
+            snprintf(back->verb, sizeof back->verb, "resume-drain");
             back->at = at + 10 * gsl_rng_uniform(rng);
         }
         at += 5 + 30 * gsl_rng_uniform(rng);
@@ -124,9 +142,10 @@
 
 static bool has_who(const char *verb)
 {
-    return strcmp(verb, "refuse") == 0 || strcmp(verb, "peers") == 0 ||
-           strcmp(verb, "crash") == 0 || strcmp(verb, "alone") == 0 || strcmp(verb, "blind") == 0 ||
-           strcmp(verb, "stall") == 0 || strcmp(verb, "senders") == 0;
+    return strcmp(verb, "store-refuse") == 0 || strcmp(verb, "peer-cut") == 0 ||
+           strcmp(verb, "crash") == 0 || strcmp(verb, "isolate") == 0 ||
+           strcmp(verb, "refresh-fail") == 0 || strcmp(verb, "process-pause") == 0 ||
+           strcmp(verb, "delay-sends") == 0;
 }
 
 /* False: the line names no setting of the day. */
@@ -139,7 +158,7 @@
     size_t count = parse_numbers(rest, ' ', values, 2);
     if (count == 0)
         return false;
-    if (strcmp(name, "small") == 0)
+    if (strcmp(name, "one-task-jobs") == 0)
         plan->small = (int)values[0];
     else if (strcmp(name, "drains") == 0)
         plan->drains = (int)values[0];
@@ -149,9 +168,9 @@
         plan->services = (int)values[0];
     else if (strcmp(name, "jobs") == 0)
         plan->jobs = (int)values[0];
-    else if (strcmp(name, "fetch") == 0)
+    else if (strcmp(name, "image-fetch-s") == 0)
         plan->fetch = values[0];
-    else if (strcmp(name, "cancelled") == 0)
+    else if (strcmp(name, "cancelled-share") == 0)
         plan->cancelled = values[0];
     else if (strcmp(name, "budget") == 0 && count == 2) {
         plan->budgets[0] = (uint32_t)values[0];
