--- a/tests/sim_commit.c
+++ b/tests/sim_commit.c
@@ -10,8 +10,8 @@
 
 void sim_commit_send(struct sim *sim, struct sim_node *node)
 {
-    (void)sim_node_call(sim, node, SIM_COMMIT, SIM_FOR_COMMIT, NULL, strdup(node->commit->body),
-                        1.5);
+    (void)sim_node_call(sim, node, SIM_COMMIT, SIM_FOR_COMMIT, NULL,
+                        strdup(node->pending_commit->body), 1.5);
 }
 
 static bool has_key(json_t *failed, const char *key)
@@ -29,9 +29,9 @@
 static void complete_commit(struct sim_node *node, enum bd_txn_outcome outcome,
                             uint64_t store_revision, json_t *answer)
 {
-    struct bd_effect *effect = node->commit;
+    struct bd_effect *effect = node->pending_commit;
     struct bd_core *core = node->core;
-    node->commit = NULL;
+    node->pending_commit = NULL;
     if (strtoull(effect->key, NULL, 10) == core->lead.base_term &&
         effect->sequence == core->lead.sequence)
         bd_core_leader_txn_completed(core, outcome, store_revision,
@@ -45,14 +45,14 @@
     struct bd_change change;
     uint64_t grant;
     json_t *failed = bd_wire_read_failed_compares(answer);
-    if (!node->commit)
+    if (!node->pending_commit)
         return;
     if (call->purpose == SIM_FOR_COMMIT_OUTCOME) {
         bool ours = status == 200 && bd_wire_read_pair(answer, &change, &grant) &&
                     (uint64_t)json_integer_value(json_object_get(change.value, "t")) ==
-                        strtoull(node->commit->key, NULL, 10) &&
+                        strtoull(node->pending_commit->key, NULL, 10) &&
                     (uint64_t)json_integer_value(json_object_get(change.value, "n")) ==
-                        node->commit->sequence;
+                        node->pending_commit->sequence;
         if (ours)
             complete_commit(node, BD_TXN_COMMITTED, change.revision, NULL);
         else if (status == 200 || status == 404)
@@ -66,9 +66,9 @@
     } else if (status == 409) {
         complete_commit(node, has_key(failed, "leader") ? BD_TXN_DEPOSED : BD_TXN_CONFLICT, 0,
                         answer);
-    } else if (status == 400 || !node->leading) {
+    } else if (status == 400 || !node->is_leading) {
         complete_commit(node, BD_TXN_DEPOSED, 0, NULL);
     } else {
-        sim_node_post(sim, node, 0.25, SIM_ELECTION)->flag = true; /* the same once more */
+        sim_node_schedule(sim, node, 0.25, SIM_ELECTION)->flag = true; /* the same once more */
     }
 }
--- a/tests/sim_day.c
+++ b/tests/sim_day.c
@@ -1,4 +1,4 @@
-/* A simulated day from its begin to its end: settings, events, and what is freed. */
+/* A simulated day from start to end: its settings, its events, and the release of its memory. */
 #include "sim_day.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
@@ -12,9 +12,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define QUIET_S 130.0 /* after the last fault all work is to be served */
+#define QUIET_S 130.0 /* from the last fault to the day's end, for all work to finish */
 
-/* Two zones of two controllers, or one that is alone in its zone. */
+/* Two zones with two controllers each, or with three and one. */
 static const char *zone_of(const struct sim *sim, int node)
 {
     return (sim->seed / 2 % 2 ? node == 3 : node % 2) ? "b" : "a";
@@ -56,9 +56,9 @@
     for (int k = 0; k < 2; k++) {
         snprintf(settings->teams[k].name, BD_NAME_BYTES, "%s", k ? "b" : "a");
         settings->teams[k].cpus = 4;
-        settings->teams[k].cpus_quota = sim->team_max[k];
+        settings->teams[k].cpus_quota = sim->team_quota_cpus[k];
     }
-    if (sim->draining)
+    if (sim->has_drains)
         settings->draining = sim_drain_rules(sim);
     sim->nodes[i].log = (struct bd_log){BD_LOG_ERROR, sim->nodes[i].settings.node};
 }
@@ -71,15 +71,15 @@
     if (!sim->rng)
         abort();
     gsl_rng_set(sim->rng, seed * 7919 + 1);
-    /* two operators' settings, in turn */
+    /* two sets of operator settings, by the parity of the seed */
     sim->lease_s = seed % 2 ? 10 : 32;
     sim->cancel_s = seed % 2 ? 35 : 52;
     sim->heartbeat_s = seed % 2 ? 2 : 3;
-    sim->fetch_s = plan->fetch;
-    sim->team_max[0] = 20.0 * plan->machines / SIM_PLAN_MACHINES;
-    sim->team_max[1] = 16.0 * plan->machines / SIM_PLAN_MACHINES;
+    sim->image_fetch_s = plan->image_fetch_s;
+    sim->team_quota_cpus[0] = 20.0 * plan->machines / SIM_PLAN_MACHINES;
+    sim->team_quota_cpus[1] = 16.0 * plan->machines / SIM_PLAN_MACHINES;
     sim->machines_max = plan->machines * 3 / 2;
-    sim->draining = plan->drains != 0;
+    sim->has_drains = plan->has_drains != 0;
     drain_check_start(&sim->check, plan->budgets);
     sim_store_start(sim);
     for (int i = 0; i < SIM_NODES; i++) {
@@ -90,72 +90,72 @@
         (void)sim_provision(sim, i % 2 ? "b" : "a", 0.1);
     for (int i = 0; i < plan->nfaults; i++) {
         const struct sim_fault *fault = &plan->faults[i];
-        sim->faults_end = fmax(sim->faults_end, fault->at + sim_fault_duration(fault));
-        sim_post(sim, fault->at, SIM_FAULT)->who = i;
+        sim->faults_end_at = fmax(sim->faults_end_at, fault->at_s + sim_fault_duration(fault));
+        sim_schedule(sim, fault->at_s, SIM_FAULT)->index = i;
     }
-    sim->ends = sim->faults_end + QUIET_S;
+    sim->ends_at = sim->faults_end_at + QUIET_S;
     for (int i = 0; i < plan->jobs; i++)
         sim_add_job(sim, plan,
-                    i < 6 ? sim_between(sim, 2, 6) : sim_between(sim, 3, sim->faults_end));
+                    i < 6 ? sim_uniform(sim, 2, 6) : sim_uniform(sim, 3, sim->faults_end_at));
 }
 
-/* What comes to a process that stands still waits there. */
-static bool waits_at_node(struct sim *sim, struct sim_event *event)
+/* Events that reach a paused process wait until it resumes. */
+static bool wait_for_paused_node(struct sim *sim, struct sim_event *event)
 {
     int node = -1;
     switch (event->kind) {
-    case SIM_STORE_BACK:
+    case SIM_STORE_ANSWER:
     case SIM_STORE_TIMEOUT:
         node = event->call->node;
         break;
     case SIM_FRAME:
-        node = event->who;
+        node = event->index;
         break;
     case SIM_READER:
     case SIM_ELECTION:
     case SIM_NODE_TICK:
-    case SIM_HEARTBEAT_IN:
-    case SIM_HEARTBEAT_COPY:
+    case SIM_HEARTBEAT_ARRIVAL:
+    case SIM_HEARTBEAT_REPLAY:
     case SIM_COMMAND_SEND:
-    case SIM_COMMAND_BACK:
+    case SIM_COMMAND_ANSWER:
     case SIM_COMMAND_TIMEOUT:
-    case SIM_CLOUD_BACK:
-    case SIM_USER_IN:
+    case SIM_CLOUD_ANSWER:
+    case SIM_USER_REQUEST:
         node = event->node;
         break;
     default:
         return false;
     }
-    double left = sim->nodes[node].stalled_until - sim->now;
-    if (left <= 0)
+    double remaining_s = sim->nodes[node].paused_until - sim->now;
+    if (remaining_s <= 0)
         return false;
-    (void)sim_post_again(sim, event, left + 0.001);
+    (void)sim_reschedule(sim, event, remaining_s + 0.001);
     return true;
 }
 
 void sim_day_event(struct sim *sim, const struct sim_plan *plan, struct sim_event *event)
 {
-    if (waits_at_node(sim, event))
+    if (wait_for_paused_node(sim, event))
         return;
     switch (event->kind) {
-    case SIM_STORE_RUN:
-    case SIM_STORE_BACK:
+    case SIM_STORE_EXECUTE:
+    case SIM_STORE_ANSWER:
     case SIM_STORE_TIMEOUT:
         sim_store_event(sim, event);
         break;
-    case SIM_COMMAND_IN:
-    case SIM_HEARTBEAT_BACK:
+    case SIM_COMMAND_ARRIVAL:
+    case SIM_HEARTBEAT_ANSWER:
     case SIM_HEARTBEAT_TIMEOUT:
         sim_worker_event(sim, event);
         break;
-    case SIM_USER_WAKE:
-        sim_user_wake(sim, event);
+    case SIM_USER_TIMER:
+        sim_user_timer(sim, event);
         break;
-    case SIM_USER_BACK:
+    case SIM_USER_ANSWER:
         sim_user_answered(sim, event);
         break;
     case SIM_FAULT:
-        sim_apply_fault(sim, plan, &plan->faults[event->who]);
+        sim_apply_fault(sim, plan, &plan->faults[event->index]);
         break;
     default:
         sim_node_event(sim, event);
@@ -163,20 +163,20 @@
     sim->events++;
 }
 
-/* An event that never came. */
-static void drop_event(struct sim_event *event)
+/* Frees an event that was never handled. */
+static void free_event(struct sim_event *event)
 {
-    bool is_command = event->kind == SIM_COMMAND_SEND || event->kind == SIM_COMMAND_IN ||
-                      event->kind == SIM_COMMAND_BACK || event->kind == SIM_COMMAND_TIMEOUT;
+    bool is_command = event->kind == SIM_COMMAND_SEND || event->kind == SIM_COMMAND_ARRIVAL ||
+                      event->kind == SIM_COMMAND_ANSWER || event->kind == SIM_COMMAND_TIMEOUT;
     struct sim_direct_command *command = is_command ? event->data : NULL;
     if (command && --command->references == 0)
         free(command);
-    if (event->kind == SIM_STORE_BACK)
+    if (event->kind == SIM_STORE_ANSWER)
         json_decref(event->data);
     if (event->kind == SIM_FRAME)
         free(event->data);
     if (event->call)
-        sim_call_drop(event->call);
+        sim_call_release(event->call);
     free(event->text);
     free(event);
 }
@@ -190,7 +190,7 @@
     while (sim->queue) {
         struct sim_event *event = sim->queue;
         sim->queue = event->next;
-        drop_event(event);
+        free_event(event);
     }
     while (sim->requests) {
         struct sim_request *request = sim->requests;
--- a/tests/sim_drain.c
+++ b/tests/sim_drain.c
@@ -81,7 +81,7 @@
     }
 }
 
-void sim_drain_ask(struct sim *sim, uint32_t machines, bool replaces)
+void sim_drain_request(struct sim *sim, uint32_t machines, bool replaces)
 {
     struct bd_drain_machine entries[SIM_MACHINES];
     struct bd_drain_record record = {.mode = replaces ? BD_DRAIN_REPLACE : BD_DRAIN_RETIRE,
@@ -91,7 +91,7 @@
     char key[BD_LABEL_BYTES + 8];
     memset(entries, 0, sizeof entries);
     for (int i = 0; i < sim->nworkers && record.machines < machines; i++)
-        if (!sim->workers[i].gone && sim->now > sim->workers[i].up_at)
+        if (!sim->workers[i].is_gone && sim->now > sim->workers[i].up_at)
             snprintf(entries[record.machines++].id, BD_LABEL_BYTES, "%s", sim->workers[i].id);
     snprintf(record.name, sizeof record.name, "drain-%d", sim->ndrains);
     snprintf(record.set, sizeof record.set, "set-%d", sim->ndrains);
@@ -145,7 +145,7 @@
         sim_drain_change(sim, BD_DRAIN_ACTIVE);
 }
 
-bool sim_drains_over(const struct sim *sim)
+bool sim_drains_finished(const struct sim *sim)
 {
     struct bd_drain_record record;
     for (int i = 0; i < sim->ndrains; i++)
@@ -156,31 +156,31 @@
 
 /* ---- what the workers did ---- */
 
-void sim_drain_stopped(struct sim *sim, const struct sim_worker *worker,
-                       const struct sim_slot *slot)
+void sim_drain_replica_stopped(struct sim *sim, const struct sim_worker *worker,
+                               const struct sim_slot *slot)
 {
     const struct sim_job *job = &sim->jobs[slot->job];
-    if (!sim->draining || job->kind != BD_JOB_SERVICE)
+    if (!sim->has_drains || job->kind != BD_JOB_SERVICE)
         return;
     for (int i = 0; i < sim->njobs; i++)
-        if (sim->jobs[i].asked_cancel > 0)
+        if (sim->jobs[i].cancel_requested_at > 0)
             drain_check_job_cancelled(&sim->check, i);
-    if (job->asked_cancel > 0)
+    if (job->cancel_requested_at > 0)
         return;
     if (!drain_check_replica_stopped(&sim->check, sim->now, slot->job, slot->task))
         sim_violation(sim, "budget: %s/%u is stopped on %s, more of team %d are down than %u",
                       job->id, slot->task, worker->id, job->team, sim->check.budgets[job->team]);
 }
 
-void sim_drain_runs(struct sim *sim, const struct sim_slot *slot)
+void sim_drain_replica_running(struct sim *sim, const struct sim_slot *slot)
 {
     const struct sim_job *job = &sim->jobs[slot->job];
-    if (sim->draining && job->kind == BD_JOB_SERVICE && job->asked_cancel <= 0)
+    if (sim->has_drains && job->kind == BD_JOB_SERVICE && job->cancel_requested_at <= 0)
         drain_check_replica_running(&sim->check, slot->job, slot->task, job->team);
 }
 
-void sim_drain_lost(struct sim *sim, const struct sim_slot *slot)
+void sim_drain_replica_lost(struct sim *sim, const struct sim_slot *slot)
 {
-    if (sim->draining && sim->jobs[slot->job].kind == BD_JOB_SERVICE)
+    if (sim->has_drains && sim->jobs[slot->job].kind == BD_JOB_SERVICE)
         drain_check_replica_lost(&sim->check, sim->now, slot->job, slot->task);
 }
--- a/tests/sim_drain.h
+++ b/tests/sim_drain.h
@@ -5,14 +5,14 @@
 
 struct bd_drain_rules *sim_drain_rules(const struct sim *sim);
 /* A drain of the first machines that are up. */
-void sim_drain_ask(struct sim *sim, uint32_t machines, bool replaces);
+void sim_drain_request(struct sim *sim, uint32_t machines, bool replaces);
 /* The newest drain that goes on is paused, resumed or called off. */
 void sim_drain_change(struct sim *sim, enum bd_drain_state to);
 void sim_drains_resume(struct sim *sim);
-bool sim_drains_over(const struct sim *sim);
+bool sim_drains_finished(const struct sim *sim);
 /* a worker has stopped a task on command; one runs; one was lost */
-void sim_drain_stopped(struct sim *sim, const struct sim_worker *worker,
-                       const struct sim_slot *slot);
-void sim_drain_runs(struct sim *sim, const struct sim_slot *slot);
-void sim_drain_lost(struct sim *sim, const struct sim_slot *slot);
+void sim_drain_replica_stopped(struct sim *sim, const struct sim_worker *worker,
+                               const struct sim_slot *slot);
+void sim_drain_replica_running(struct sim *sim, const struct sim_slot *slot);
+void sim_drain_replica_lost(struct sim *sim, const struct sim_slot *slot);
 #endif
--- a/tests/sim_effects.c
+++ b/tests/sim_effects.c
@@ -15,11 +15,11 @@
     struct sim_request *request = effect->request;
     if (!request)
         return;
-    bool held = !request->user && sim_is_delayed(sim);
+    bool held = !request->is_user && sim_draw_command_delayed(sim);
     struct sim_event *event =
-        sim_node_post(sim, node, sim_delay(sim) + (held ? sim_between(sim, 0.3, 4) : 0),
-                      request->user ? SIM_USER_BACK : SIM_HEARTBEAT_BACK);
-    event->who = request->who;
+        sim_node_schedule(sim, node, sim_network_delay(sim) + (held ? sim_uniform(sim, 0.3, 4) : 0),
+                          request->is_user ? SIM_USER_ANSWER : SIM_HEARTBEAT_ANSWER);
+    event->index = request->index;
     event->number = request->number;
     event->status = effect->status;
     event->text = effect->body;
@@ -30,11 +30,11 @@
                                  enum bd_frame_type type, struct bd_effect *effect)
 {
     int to = peer + (peer >= (int)(node - sim->nodes)); /* the settings leave ourselves out */
-    struct sim_event *event = sim_node_post(sim, node, sim_delay(sim), SIM_FRAME);
+    struct sim_event *event = sim_node_schedule(sim, node, sim_network_delay(sim), SIM_FRAME);
     struct bd_frame *frame = calloc(1, sizeof *frame);
     if (!frame)
         abort();
-    event->who = to;
+    event->index = to;
     event->epoch = sim->nodes[to].epoch;
     event->data = frame;
     frame->type = type;
@@ -57,11 +57,11 @@
     *command = (struct sim_direct_command){.references = 1,
                                            .machine = effect->machine,
                                            .fencing_token = effect->fencing_token,
-                                           .launch = effect->launch};
+                                           .is_launch = effect->launch};
     command->worker = parse_number(effect->addr + 2); /* "w-N" */
-    command->until = effect->until;
+    command->deadline = effect->until;
     struct sim_event *event =
-        sim_node_post(sim, node, node->senders_stalled_until - sim->now, SIM_COMMAND_SEND);
+        sim_node_schedule(sim, node, node->sends_delayed_until - sim->now, SIM_COMMAND_SEND);
     event->text = effect->body;
     event->data = command;
     effect->body = NULL;
@@ -69,7 +69,8 @@
 
 static void call_cloud(struct sim *sim, struct sim_node *node, struct bd_effect *effect)
 {
-    struct sim_event *event = sim_node_post(sim, node, sim_between(sim, 0.1, 0.4), SIM_CLOUD_BACK);
+    struct sim_event *event =
+        sim_node_schedule(sim, node, sim_uniform(sim, 0.1, 0.4), SIM_CLOUD_ANSWER);
     event->flag = effect->kind == BD_EFFECT_SCALE_OUT;
     event->text = effect->body;
     effect->body = NULL;
@@ -80,7 +81,8 @@
     const struct sim_request *request = effect->request;
     if (effect->kind != BD_EFFECT_REPLY || !request)
         return 0;
-    return (request->number << 20 | (uint64_t)request->who << 2 | (uint64_t)request->user << 1 | 1);
+    return (request->number << 20 | (uint64_t)request->index << 2 |
+            (uint64_t)request->is_user << 1 | 1);
 }
 
 /* True: the effect asks for a call of the key-value store, which owns it from now on. */
@@ -97,9 +99,9 @@
         sim_node_call(sim, node, SIM_GET, SIM_FOR_LOOKUP, key, NULL, 1.5)->effect = effect;
         return true;
     case BD_EFFECT_LEADER_TXN:
-        if (node->commit)
-            bd_effect_free(node->commit);
-        node->commit = effect;
+        if (node->pending_commit)
+            bd_effect_free(node->pending_commit);
+        node->pending_commit = effect;
         sim_commit_send(sim, node);
         return true;
     default:
@@ -139,10 +141,10 @@
         break;
     case BD_EFFECT_READ_BARRIER:
         node->wants_barrier = true;
-        sim_node_post(sim, node, 0.01, SIM_READER);
+        sim_node_schedule(sim, node, 0.01, SIM_READER);
         break;
     case BD_EFFECT_STEP_DOWN:
-        node->step_down = true;
+        node->wants_step_down = true;
         if (effect->step_down_reason == BD_STEP_DOWN_RESIGNED)
             sim_end_grant(sim, node->grant);
         break;
--- a/tests/sim_election.c
+++ b/tests/sim_election.c
@@ -15,18 +15,18 @@
 static void post_election(struct sim *sim, struct sim_node *node, double delay)
 {
     node->is_electing = false;
-    sim_node_post(sim, node, delay, SIM_ELECTION);
+    sim_node_schedule(sim, node, delay, SIM_ELECTION);
 }
 
-void sim_election_next(struct sim *sim, struct sim_node *node)
+void sim_election_step(struct sim *sim, struct sim_node *node)
 {
     if (node->is_electing)
         return;
     node->is_electing = true;
-    if (node->leading && node->step_down)
-        node->leading = false;
-    node->step_down = false;
-    if (node->leading) {
+    if (node->is_leading && node->wants_step_down)
+        node->is_leading = false;
+    node->wants_step_down = false;
+    if (node->is_leading) {
         struct sim_call *renewal =
             sim_node_call(sim, node, SIM_RENEW, SIM_FOR_RENEW, NULL, NULL, TTL_S / 3);
         renewal->number = node->grant;
@@ -39,7 +39,7 @@
 {
     snprintf(node->nonce, sizeof node->nonce, "%d-%llu-%llu", (int)(node - sim->nodes),
              (unsigned long long)node->epoch, (unsigned long long)sim->order);
-    node->granted = sim_node_monotonic(sim, node);
+    node->granted_at = sim_node_monotonic(sim, node);
     struct sim_call *request =
         sim_node_call(sim, node, SIM_GRANT, SIM_FOR_GRANT, NULL, NULL, TTL_S / 3);
     request->number = revision;
@@ -49,14 +49,14 @@
 {
     struct bd_txn txn;
     char key[BD_LABEL_BYTES + 8];
-    if (bd_seconds_between(node->liveness_at, sim_node_monotonic(sim, node)) < 0.8 ||
+    if (bd_seconds_between(node->liveness_sent_at, sim_node_monotonic(sim, node)) < 0.8 ||
         !bd_txn_begin(&txn))
         return;
-    node->liveness_at = sim_node_monotonic(sim, node);
+    node->liveness_sent_at = sim_node_monotonic(sim, node);
     snprintf(key, sizeof key, "p/%.50s/at", node->settings.node);
     bd_txn_compare(&txn, "leader", revision);
     bd_txn_put(&txn, key, json_pack("{s:f}", "at", sim_node_wall(sim, node)), 0);
-    bd_liveness_sent(node->core, node->liveness_at);
+    bd_liveness_sent(node->core, node->liveness_sent_at);
     (void)sim_node_call(sim, node, SIM_COMMIT, SIM_FOR_LIVENESS, NULL, bd_txn_finish(&txn),
                         TTL_S / 3);
 }
@@ -66,11 +66,11 @@
 {
     struct bd_change change;
     uint64_t grant;
-    bool told = node->core->role == BD_FOLLOWER && !node->leadership_acquired;
+    bool told = node->core->role == BD_FOLLOWER && !node->is_acquisition_pending;
     if (status == 404) {
         if (told)
-            bd_core_leader_observed(node->core, "", 0, call->sent, false);
-        if (node->reads_refused)
+            bd_core_leader_observed(node->core, "", 0, call->sent_at, false);
+        if (node->last_refresh_failed)
             post_election(sim, node, 0.3);
         else
             request_grant(sim, node, 0);
@@ -86,14 +86,14 @@
             away = away || strcmp(json_string_value(item), node->settings.node) == 0;
         }
         if (told)
-            bd_core_leader_observed(node->core, name, change.revision, call->sent, away);
-        if (strcmp(name, node->settings.node) == 0 && !node->reads_refused) {
+            bd_core_leader_observed(node->core, name, change.revision, call->sent_at, away);
+        if (strcmp(name, node->settings.node) == 0 && !node->last_refresh_failed) {
             request_grant(sim, node, change.revision);
             return;
         }
         write_liveness(sim, node, change.revision);
     }
-    post_election(sim, node, sim_between(sim, 0.2, 0.4));
+    post_election(sim, node, sim_uniform(sim, 0.2, 0.4));
 }
 
 static void grant_received(struct sim *sim, struct sim_node *node, struct sim_call *call,
@@ -141,9 +141,9 @@
         (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_INTENTS, "i/", NULL, 1.5);
     } else {
         node->acquisition.intents = json_incref(bd_wire_read_pairs(answer, &ignored));
-        node->acquisition.renewed = node->granted;
-        node->step_down = false;
-        node->leading = node->leadership_acquired = true;
+        node->acquisition.renewed = node->granted_at;
+        node->wants_step_down = false;
+        node->is_leading = node->is_acquisition_pending = true;
         post_election(sim, node, 0);
     }
 }
@@ -189,14 +189,14 @@
                           long status)
 {
     if (status == 404) {
-        node->leading = false;
+        node->is_leading = false;
         sim_release_acquisition(node);
-        node->leadership_acquired = false;
+        node->is_acquisition_pending = false;
         bd_leadership_lost(node->core);
         post_election(sim, node, 0);
         return;
     }
     if (status == 200)
-        bd_leadership_renewed(node->core, call->number, call->sent);
+        bd_leadership_renewed(node->core, call->number, call->sent_at);
     post_election(sim, node, TTL_S / 6);
 }
--- a/tests/sim_events.c
+++ b/tests/sim_events.c
@@ -9,14 +9,14 @@
     return gsl_rng_uniform(sim->rng);
 }
 
-double sim_between(struct sim *sim, double a, double b)
+double sim_uniform(struct sim *sim, double a, double b)
 {
     return a + (b - a) * sim_random(sim);
 }
 
-double sim_delay(struct sim *sim)
+double sim_network_delay(struct sim *sim)
 {
-    return sim_random(sim) < 0.02 ? sim_between(sim, 0.05, 0.4) : sim_between(sim, 0.001, 0.006);
+    return sim_random(sim) < 0.02 ? sim_uniform(sim, 0.05, 0.4) : sim_uniform(sim, 0.001, 0.006);
 }
 
 void sim_trace(struct sim *sim, const char *fmt, ...)
@@ -43,7 +43,7 @@
     va_end(ap);
 }
 
-struct sim_event *sim_post(struct sim *sim, double delay, enum sim_event_kind kind)
+struct sim_event *sim_schedule(struct sim *sim, double delay, enum sim_event_kind kind)
 {
     struct sim_event *event = calloc(1, sizeof *event), **at = &sim->queue;
     if (!event)
@@ -58,9 +58,9 @@
     return event;
 }
 
-struct sim_event *sim_post_again(struct sim *sim, struct sim_event *event, double delay)
+struct sim_event *sim_reschedule(struct sim *sim, struct sim_event *event, double delay)
 {
-    struct sim_event *again = sim_post(sim, delay, event->kind), copy = *event;
+    struct sim_event *again = sim_schedule(sim, delay, event->kind), copy = *event;
     copy.at = again->at;
     copy.order = again->order;
     copy.next = again->next;
@@ -69,7 +69,7 @@
     return again;
 }
 
-bool sim_is_delayed(struct sim *sim)
+bool sim_draw_command_delayed(struct sim *sim)
 {
-    return sim->now < sim->delayed_until && sim_random(sim) < 0.3;
+    return sim->now < sim->commands_delayed_until && sim_random(sim) < 0.3;
 }
--- a/tests/sim_heartbeats.c
+++ b/tests/sim_heartbeats.c
@@ -37,32 +37,33 @@
 
 static bool is_reachable(const struct sim *sim, int node, const struct sim_worker *worker)
 {
-    return !worker->gone && sim->now >= worker->cut_until &&
+    return !worker->is_gone && sim->now >= worker->cut_until &&
            !(sim->now < sim->zones_cut_until &&
              strcmp(sim->nodes[node].settings.zone, worker->zone) != 0);
 }
 
-static void copy_heartbeat(struct sim *sim, const char *text, int node, int who)
+static void replay_heartbeat(struct sim *sim, const char *text, int node, int who)
 {
-    if (sim->now >= sim->copies_until || sim_random(sim) >= sim->copies_share)
+    if (sim->now >= sim->replay_until || sim_random(sim) >= sim->replay_share)
         return;
-    if (sim->copies_for_next) { /* every controller gets it as a new leader begins */
+    if (sim->replays_at_failover) { /* every controller gets it as a new leader begins */
         if (sim->nsaved_heartbeats <
             (int)(sizeof sim->saved_heartbeats / sizeof *sim->saved_heartbeats))
             sim->saved_heartbeats[sim->nsaved_heartbeats++] = strdup(text);
         return;
     }
-    struct sim_event *event = sim_post(sim, sim_between(sim, 2, 25), SIM_HEARTBEAT_COPY);
+    struct sim_event *event = sim_schedule(sim, sim_uniform(sim, 2, 25), SIM_HEARTBEAT_REPLAY);
     event->node = node;
-    event->who = who;
+    event->index = who;
     event->text = strdup(text);
 }
 
-void sim_copies_now(struct sim *sim)
+void sim_replay_saved_heartbeats(struct sim *sim)
 {
     for (int k = 0; k < sim->nsaved_heartbeats; k++) {
         for (int i = 0; i < SIM_NODES; i++) {
-            struct sim_event *event = sim_post(sim, sim_between(sim, 0, 0.3), SIM_HEARTBEAT_COPY);
+            struct sim_event *event =
+                sim_schedule(sim, sim_uniform(sim, 0, 0.3), SIM_HEARTBEAT_REPLAY);
             event->node = i;
             event->text = strdup(sim->saved_heartbeats[k]);
         }
@@ -77,35 +78,35 @@
     char *text = heartbeat_text(sim, worker);
     bool arrives =
         is_reachable(sim, worker->node, worker) && sim->now >= worker->outbound_cut_until;
-    worker->is_asking = true;
-    worker->received_seq = worker->seq;
-    worker->asked_at = sim->now;
+    worker->awaits_answer = true;
+    worker->pending_seq = worker->seq;
+    worker->heartbeat_sent_at = sim->now;
     if (arrives) {
-        struct sim_event *event = sim_post(sim, sim_delay(sim), SIM_HEARTBEAT_IN);
+        struct sim_event *event = sim_schedule(sim, sim_network_delay(sim), SIM_HEARTBEAT_ARRIVAL);
         event->node = worker->node;
-        event->who = who;
+        event->index = who;
         event->number = worker->seq;
         event->text = strdup(text);
-        copy_heartbeat(sim, text, worker->node, who);
-    } else if (worker->delivers_late && sim->now < worker->cut_until) {
+        replay_heartbeat(sim, text, worker->node, who);
+    } else if (worker->is_cut_buffered && sim->now < worker->cut_until) {
         struct sim_event *event =
-            sim_post(sim, worker->cut_until - sim->now + 0.1, SIM_HEARTBEAT_COPY);
+            sim_schedule(sim, worker->cut_until - sim->now + 0.1, SIM_HEARTBEAT_REPLAY);
         event->node = worker->node;
-        event->who = who;
+        event->index = who;
         event->text = strdup(text);
     }
     bool refused = arrives && !sim->nodes[worker->node].core;
-    struct sim_event *timeout = sim_post(sim, refused ? 0.01 : 4.0, SIM_HEARTBEAT_TIMEOUT);
-    timeout->who = who;
+    struct sim_event *timeout = sim_schedule(sim, refused ? 0.01 : 4.0, SIM_HEARTBEAT_TIMEOUT);
+    timeout->index = who;
     timeout->number = worker->seq;
     free(text);
 }
 
 void sim_try_next_node(struct sim *sim, struct sim_worker *worker, double pause_s)
 {
-    worker->is_asking = false;
+    worker->awaits_answer = false;
     worker->node = (worker->node + 1) % SIM_NODES;
-    worker->next_heartbeat = sim->now + pause_s;
+    worker->next_heartbeat_at = sim->now + pause_s;
 }
 
 /* Another controller leads: the next heartbeat goes to the one that the answer names. */
@@ -117,22 +118,23 @@
         sim_try_next_node(sim, worker, 1);
         return;
     }
-    worker->is_asking = false;
+    worker->awaits_answer = false;
     worker->node = node;
-    worker->next_heartbeat = sim->now + 0.1;
+    worker->next_heartbeat_at = sim->now + 0.1;
 }
 
 static void heartbeat_accepted(struct sim *sim, struct sim_worker *worker, int node, json_t *answer)
 {
     uint64_t fencing_token = (uint64_t)json_integer_value(json_object_get(answer, "seal"));
-    worker->is_asking = false;
-    worker->next_heartbeat = worker->asked_at + sim->heartbeat_s * sim_between(sim, 0.75, 1.25);
+    worker->awaits_answer = false;
+    worker->next_heartbeat_at =
+        worker->heartbeat_sent_at + sim->heartbeat_s * sim_uniform(sim, 0.75, 1.25);
     if (fencing_token < worker->fencing_token)
         return;
-    if (fencing_token > worker->fencing_token && worker->next_heartbeat > sim->now + 0.5)
-        worker->next_heartbeat = sim->now + 0.5;
+    if (fencing_token > worker->fencing_token && worker->next_heartbeat_at > sim->now + 0.5)
+        worker->next_heartbeat_at = sim->now + 0.5;
     worker->fencing_token = fencing_token;
-    worker->answered = worker->asked_at;
+    worker->lease_renewed_at = worker->heartbeat_sent_at;
     sim_trace(sim, "%s is answered by node-%d, fencing token %llu", worker->id, node,
               (unsigned long long)fencing_token);
     sim_execute_commands(sim, worker, answer);
@@ -141,8 +143,8 @@
 static void heartbeat_answered(struct sim *sim, struct sim_worker *worker, struct sim_event *event)
 {
     bool is_lost = sim->now < worker->inbound_cut_until || !is_reachable(sim, event->node, worker);
-    bool is_late = !worker->is_asking || worker->received_seq != event->number;
-    if (worker->gone || is_late || is_lost || sim->now < worker->hangs_until)
+    bool is_late = !worker->awaits_answer || worker->pending_seq != event->number;
+    if (worker->is_gone || is_late || is_lost || sim->now < worker->hangs_until)
         return;
     json_t *answer = event->text ? json_loads(event->text, 0, NULL) : NULL;
     if (event->status == 200)
@@ -168,12 +170,12 @@
         sim_execute_commands(sim, worker, message);
     }
     json_decref(message);
-    bool is_delayed = sim_is_delayed(sim);
-    double delay = sim_delay(sim) + (is_delayed ? sim_between(sim, 0.3, 4) : 0);
-    struct sim_event *answer = sim_post(sim, delay, SIM_COMMAND_BACK);
+    bool is_delayed = sim_draw_command_delayed(sim);
+    double delay = sim_network_delay(sim) + (is_delayed ? sim_uniform(sim, 0.3, 4) : 0);
+    struct sim_event *answer = sim_schedule(sim, delay, SIM_COMMAND_ANSWER);
     answer->node = event->node;
     answer->epoch = event->epoch;
-    answer->who = event->who;
+    answer->index = event->index;
     answer->status = is_accepted ? 200 : 409;
     answer->text = heartbeat_text(sim, worker);
     answer->data = command;
@@ -182,21 +184,21 @@
 
 static void receive_command(struct sim *sim, struct sim_event *event)
 {
-    struct sim_worker *worker = &sim->workers[event->who];
+    struct sim_worker *worker = &sim->workers[event->index];
     struct sim_direct_command *command = event->data;
     bool arrives = is_reachable(sim, event->node, worker) && sim->now >= worker->inbound_cut_until;
     bool is_zone_cut = sim->now < sim->zones_cut_until &&
                        strcmp(sim->nodes[event->node].settings.zone, worker->zone) != 0;
-    bool is_late = (!arrives && worker->delivers_late && sim->now < worker->cut_until) ||
+    bool is_late = (!arrives && worker->is_cut_buffered && sim->now < worker->cut_until) ||
                    (arrives && sim->now < worker->hangs_until) ||
                    (is_zone_cut && sim_random(sim) < 0.5);
-    if (is_late && !worker->gone) { /* executed when the cut ends, or the machine goes on */
+    if (is_late && !worker->is_gone) { /* executed when the cut ends, or the machine goes on */
         double until = worker->cut_until;
         if (arrives)
             until = worker->hangs_until;
         else if (is_zone_cut)
             until = sim->zones_cut_until;
-        (void)sim_post_again(sim, event, until - sim->now + 0.05);
+        (void)sim_reschedule(sim, event, until - sim->now + 0.05);
         command->references++;
     } else if (arrives && sim->now >= worker->up_at) {
         execute_direct_command(sim, worker, event);
@@ -207,12 +209,12 @@
 
 void sim_worker_event(struct sim *sim, struct sim_event *event)
 {
-    struct sim_worker *worker = &sim->workers[event->who];
-    if (event->kind == SIM_COMMAND_IN)
+    struct sim_worker *worker = &sim->workers[event->index];
+    if (event->kind == SIM_COMMAND_ARRIVAL)
         receive_command(sim, event);
-    else if (event->kind == SIM_HEARTBEAT_BACK)
+    else if (event->kind == SIM_HEARTBEAT_ANSWER)
         heartbeat_answered(sim, worker, event);
-    else if (event->kind == SIM_HEARTBEAT_TIMEOUT && worker->is_asking &&
-             worker->received_seq == event->number)
+    else if (event->kind == SIM_HEARTBEAT_TIMEOUT && worker->awaits_answer &&
+             worker->pending_seq == event->number)
         sim_try_next_node(sim, worker, 1);
 }
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -21,7 +21,7 @@
 
 struct timespec sim_node_monotonic(const struct sim *sim, const struct sim_node *node)
 {
-    return bd_secs(node->clock_from + (sim->now - node->started_at) * node->clock_rate);
+    return bd_secs(node->clock_start + (sim->now - node->started_at) * node->clock_rate);
 }
 
 double sim_node_wall(const struct sim *sim, const struct sim_node *node)
@@ -47,15 +47,15 @@
     call->epoch = node->epoch;
     snprintf(call->key, sizeof call->key, "%s", key ? key : "");
     call->body = body;
-    call->sent = sim_node_monotonic(sim, node);
+    call->sent_at = sim_node_monotonic(sim, node);
     sim_store_call(sim, call, timeout);
     return call;
 }
 
-struct sim_event *sim_node_post(struct sim *sim, struct sim_node *node, double delay,
-                                enum sim_event_kind kind)
+struct sim_event *sim_node_schedule(struct sim *sim, struct sim_node *node, double delay,
+                                    enum sim_event_kind kind)
 {
-    struct sim_event *event = sim_post(sim, delay, kind);
+    struct sim_event *event = sim_schedule(sim, delay, kind);
     event->node = (int)(node - sim->nodes);
     event->epoch = node->epoch;
     return event;
@@ -71,15 +71,15 @@
 /* What the election acquired goes to the core once its replica is as new as the term. */
 static void acquire_leadership(struct sim *sim, struct sim_node *node)
 {
-    if (!node->leadership_acquired || !node->core->replica.ready ||
+    if (!node->is_acquisition_pending || !node->core->replica.ready ||
         node->core->replica.store_revision < node->acquisition.term)
         return;
-    node->leadership_acquired = false;
+    node->is_acquisition_pending = false;
     node->acquisition.nonce = node->nonce;
     bd_core_leadership_acquired(node->core, &node->acquisition);
     sim_release_acquisition(node);
     sim->terms++;
-    sim_copies_now(sim);
+    sim_replay_saved_heartbeats(sim);
     sim_trace(sim, "%s leads, term %llu", node->settings.node,
               (unsigned long long)node->core->lead.term);
 }
@@ -87,11 +87,11 @@
 static void send_status(struct sim *sim, struct sim_node *node)
 {
     struct bd_core *core = node->core;
-    if (sim->now < node->next_status)
+    if (sim->now < node->next_status_at)
         return;
-    node->next_status = sim->now + 0.3;
+    node->next_status_at = sim->now + 0.3;
     double age = bd_seconds_between(core->replica.refreshed_at, core->now);
-    uint8_t flags = (uint8_t)(BD_PEER_KNOWS_DAG | (sim->draining ? BD_PEER_KNOWS_DRAINS : 0));
+    uint8_t flags = (uint8_t)(BD_PEER_KNOWS_DAG | (sim->has_drains ? BD_PEER_KNOWS_DRAINS : 0));
     flags |= core->role == BD_LEADER ? BD_PEER_LEADS : 0;
     flags |= bd_forward_hears_leader(core) ? BD_PEER_HEARS_LEADER : 0;
     flags |=
@@ -109,7 +109,7 @@
     }
 }
 
-void sim_node_settle(struct sim *sim, struct sim_node *node)
+void sim_node_step(struct sim *sim, struct sim_node *node)
 {
     acquire_leadership(sim, node);
     bd_core_tick(node->core);
@@ -136,10 +136,10 @@
                               effect->purpose, status, revision);
         break;
     case SIM_FOR_DELEGATE:
-        bd_delegate_txn_completed(node->core, status, revision, call->sent, status == 200);
+        bd_delegate_txn_completed(node->core, status, revision, call->sent_at, status == 200);
         break;
     case SIM_FOR_DELEGATE_REVISION:
-        bd_delegate_txn_completed(node->core, 0, is_pair ? change.revision : 0, call->sent,
+        bd_delegate_txn_completed(node->core, 0, is_pair ? change.revision : 0, call->sent_at,
                                   status == 404 || is_pair);
         break;
     case SIM_FOR_LOOKUP:
@@ -167,11 +167,11 @@
     case SIM_FOR_DRAINS:
     case SIM_FOR_DRAIN_SETS:
         node->is_reading = false;
-        sim_drains_listed(sim, node, call, status, answer);
+        sim_drain_records_read(sim, node, call, status, answer);
         break;
     case SIM_FOR_LIVENESS:
         if (status == 200)
-            bd_liveness_written(node->core, call->sent);
+            bd_liveness_written(node->core, call->sent_at);
         break;
     case SIM_FOR_RENEW:
         sim_election_renewed(sim, node, call, status);
@@ -189,18 +189,18 @@
     default:
         sim_election_answered(sim, node, call, status, answer);
     }
-    sim_node_settle(sim, node);
+    sim_node_step(sim, node);
 }
 
 static void tick_node(struct sim *sim, struct sim_node *node)
 {
     sim_node_set_clock(sim, node);
-    if (node->core->role == BD_LEADER && sim->now > node->next_list) {
-        node->next_list = sim->now + 2;
+    if (node->core->role == BD_LEADER && sim->now > node->next_machine_list_at) {
+        node->next_machine_list_at = sim->now + 2;
         sim_list_machines(sim, node);
     }
-    sim_node_settle(sim, node);
-    sim_node_post(sim, node, 0.05, SIM_NODE_TICK);
+    sim_node_step(sim, node);
+    sim_node_schedule(sim, node, 0.05, SIM_NODE_TICK);
 }
 
 void sim_node_event(struct sim *sim, struct sim_event *event)
@@ -210,40 +210,40 @@
     switch (event->kind) {
     case SIM_READER:
         if (ours)
-            sim_reader_next(sim, node);
+            sim_reader_read(sim, node);
         break;
     case SIM_ELECTION:
-        if (ours && event->flag && node->commit)
+        if (ours && event->flag && node->pending_commit)
             sim_commit_send(sim, node);
         else if (ours && !event->flag)
-            sim_election_next(sim, node);
+            sim_election_step(sim, node);
         break;
     case SIM_NODE_TICK:
         if (ours)
             tick_node(sim, node);
         break;
-    case SIM_NODE_UP:
+    case SIM_NODE_START:
         if (!node->core)
             sim_node_start(sim, event->node);
         break;
     case SIM_FRAME:
         sim_receive_frame(sim, event);
         break;
-    case SIM_HEARTBEAT_IN:
-    case SIM_HEARTBEAT_COPY:
+    case SIM_HEARTBEAT_ARRIVAL:
+    case SIM_HEARTBEAT_REPLAY:
         sim_receive_heartbeat(sim, event);
         break;
     case SIM_COMMAND_SEND:
         sim_send_direct_command(sim, event);
         break;
-    case SIM_COMMAND_BACK:
+    case SIM_COMMAND_ANSWER:
     case SIM_COMMAND_TIMEOUT:
         sim_direct_command_ended(sim, event);
         break;
-    case SIM_USER_IN:
+    case SIM_USER_REQUEST:
         sim_receive_user_request(sim, event);
         break;
-    case SIM_CLOUD_BACK:
+    case SIM_CLOUD_ANSWER:
         sim_cloud_answered(sim, event);
         break;
     default:
@@ -257,16 +257,16 @@
     uint64_t epoch = node->epoch + 1;
     struct bd_settings settings = node->settings;
     struct bd_log log = node->log;
-    double stalled = node->stalled_until;
+    double stalled = node->paused_until;
     memset(node, 0, sizeof *node);
     node->settings = settings;
     node->log = log;
-    node->stalled_until = stalled;
+    node->paused_until = stalled;
     node->epoch = epoch;
     node->started_at = sim->now;
-    node->clock_rate = 1 + sim_between(sim, -0.0005, 0.0005);
-    node->clock_from = sim_between(sim, 1000, 5000);
-    node->wall_offset = sim_between(sim, -0.005, 0.005);
+    node->clock_rate = 1 + sim_uniform(sim, -0.0005, 0.0005);
+    node->clock_start = sim_uniform(sim, 1000, 5000);
+    node->wall_offset = sim_uniform(sim, -0.005, 0.005);
     node->wants_list = true;
     node->core = bd_core_new(&node->settings, &node->log);
     if (!node->core)
@@ -285,9 +285,9 @@
     snprintf(type.zones[0], BD_LABEL_BYTES, "a");
     snprintf(type.zones[1], BD_LABEL_BYTES, "b");
     bd_inventory_types_received(node->core, &type, 1);
-    sim_node_post(sim, node, 0.01, SIM_READER);
-    sim_node_post(sim, node, 0.02, SIM_ELECTION);
-    sim_node_post(sim, node, 0.03, SIM_NODE_TICK);
+    sim_node_schedule(sim, node, 0.01, SIM_READER);
+    sim_node_schedule(sim, node, 0.02, SIM_ELECTION);
+    sim_node_schedule(sim, node, 0.03, SIM_NODE_TICK);
 }
 
 void sim_node_end(struct sim *sim, int i)
@@ -297,12 +297,12 @@
         return;
     sim_release_acquisition(node);
     memset(&node->acquisition, 0, sizeof node->acquisition);
-    node->leadership_acquired = false;
-    if (node->commit)
-        bd_effect_free(node->commit);
-    node->commit = NULL;
-    json_decref(node->drains);
-    node->drains = NULL;
+    node->is_acquisition_pending = false;
+    if (node->pending_commit)
+        bd_effect_free(node->pending_commit);
+    node->pending_commit = NULL;
+    json_decref(node->drain_records);
+    node->drain_records = NULL;
     bd_core_free(node->core);
     node->core = NULL;
     node->epoch++;
--- a/tests/sim_node.h
+++ b/tests/sim_node.h
@@ -16,10 +16,10 @@
                                enum sim_purpose purpose, const char *key, char *body,
                                double timeout_s);
 /* An event of this start of the node after a delay in seconds. */
-struct sim_event *sim_node_post(struct sim *sim, struct sim_node *node, double delay,
-                                enum sim_event_kind kind);
+struct sim_event *sim_node_schedule(struct sim *sim, struct sim_node *node, double delay,
+                                    enum sim_event_kind kind);
 /* A step of the core and all of its effects. */
-void sim_node_settle(struct sim *sim, struct sim_node *node);
+void sim_node_step(struct sim *sim, struct sim_node *node);
 void sim_release_acquisition(struct sim_node *node);
 
 /* sim_effects.c. Takes the effect. */
@@ -30,20 +30,20 @@
                                  enum bd_frame_type type, struct bd_effect *effect);
 
 /* sim_reader.c */
-void sim_reader_next(struct sim *sim, struct sim_node *node);
+void sim_reader_read(struct sim *sim, struct sim_node *node);
 void sim_reader_answered(struct sim *sim, struct sim_node *node, struct sim_call *call, long status,
                          json_t *answer);
-void sim_drains_listed(struct sim *sim, struct sim_node *node, struct sim_call *call, long status,
-                       json_t *answer);
+void sim_drain_records_read(struct sim *sim, struct sim_node *node, struct sim_call *call,
+                            long status, json_t *answer);
 
 /* sim_election.c */
-void sim_election_next(struct sim *sim, struct sim_node *node);
+void sim_election_step(struct sim *sim, struct sim_node *node);
 void sim_election_answered(struct sim *sim, struct sim_node *node, struct sim_call *call,
                            long status, json_t *answer);
 void sim_election_renewed(struct sim *sim, struct sim_node *node, struct sim_call *call,
                           long status);
 
-/* sim_commit.c: the leader's transaction, node->commit */
+/* sim_commit.c: the leader's transaction, node->pending_commit */
 void sim_commit_send(struct sim *sim, struct sim_node *node);
 void sim_commit_answered(struct sim *sim, struct sim_node *node, struct sim_call *call, long status,
                          json_t *answer);
--- a/tests/sim_plan.c
+++ b/tests/sim_plan.c
@@ -6,149 +6,152 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define SERVICES 3
-#define FETCH_S 0.6
+#define SERVICES 3 /* by default */
+#define IMAGE_FETCH_S 0.6
+#define LAST_FAULT_S 130 /* drawn faults begin before it */
 
-static void plain(struct sim_plan *plan, int jobs, double cancelled)
+static void init_plan(struct sim_plan *plan, int jobs, double cancelled)
 {
     memset(plan, 0, sizeof *plan);
     plan->jobs = jobs;
-    plan->cancelled = cancelled;
-    plan->fetch = FETCH_S;
+    plan->cancelled_share = cancelled;
+    plan->image_fetch_s = IMAGE_FETCH_S;
     plan->machines = SIM_PLAN_MACHINES;
     plan->services = SERVICES;
     plan->budgets[0] = plan->budgets[1] = 1;
 }
 
 /* Faults that take a share of the messages and a duration. */
-static const char *const share_verbs[] = {"late-writes", "lost-answers", "replay",
-                                          "replay-failover"};
+static const char *const share_faults[] = {"late-writes", "lost-answers", "replay",
+                                           "replay-failover"};
 /* Faults that take a number of machines and a duration. */
-static const char *const machine_verbs[] = {"hang", "inbound-cut",  "outbound-cut",
-                                            "cut",  "cut-buffered", "die"};
+static const char *const machine_faults[] = {"hang", "inbound-cut",  "outbound-cut",
+                                             "cut",  "cut-buffered", "die"};
 
-static bool is_one_of(const char *verb, const char *const *verbs, size_t count)
+static bool is_one_of(const char *kind, const char *const *kinds, size_t count)
 {
     for (size_t i = 0; i < count; i++)
-        if (strcmp(verb, verbs[i]) == 0)
+        if (strcmp(kind, kinds[i]) == 0)
             return true;
     return false;
 }
 
 void sim_plan_draw(struct sim_plan *plan, unsigned long seed)
 {
-    static const char *const verbs[] = {
+    static const char *const kinds[] = {
         "store-outage",    "store-slow",   "store-refuse", "refresh-fail",   "late-writes",
         "lost-answers",    "peer-cut",     "zone-cut",     "delay-commands", "replay",
         "replay-failover", "hang",         "inbound-cut",  "outbound-cut",   "cut",
         "cut-buffered",    "die",          "crash",        "crash-all",      "cancel",
         "burst",           "isolate",      "crash",        "cancel",         "hang",
         "process-pause",   "process-pause"};
-    const int n = (int)(sizeof verbs / sizeof *verbs);
+    const int nkinds = (int)(sizeof kinds / sizeof *kinds);
     gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
     if (!rng)
         abort();
     gsl_rng_set(rng, seed * 104729 + 5);
-    plain(plan, 45, 0.3);
-    double at = 12;
-    while (at < 130 && plan->nfaults < 40) {
+    init_plan(plan, 45, 0.3);
+    double at_s = 12;
+    while (at_s < LAST_FAULT_S && plan->nfaults < 40) {
         struct sim_fault *fault = &plan->faults[plan->nfaults++];
-        const char *verb = verbs[gsl_rng_uniform_int(rng, (unsigned long)n)];
-        double u = gsl_rng_uniform(rng), w = gsl_rng_uniform(rng);
-        fault->at = at;
-        snprintf(fault->verb, sizeof fault->verb, "%s", verb);
-        snprintf(fault->who, sizeof fault->who, "%s", w < 0.7 ? "leader" : "any");
-        bool has_share = is_one_of(verb, share_verbs, sizeof share_verbs / sizeof *share_verbs);
+        const char *kind = kinds[gsl_rng_uniform_int(rng, (unsigned long)nkinds)];
+        double first_draw = gsl_rng_uniform(rng), second_draw = gsl_rng_uniform(rng);
+        fault->at_s = at_s;
+        snprintf(fault->kind, sizeof fault->kind, "%s", kind);
+        snprintf(fault->node, sizeof fault->node, "%s", second_draw < 0.7 ? "leader" : "any");
+        bool has_share = is_one_of(kind, share_faults, sizeof share_faults / sizeof *share_faults);
         bool is_machine_fault =
-            is_one_of(verb, machine_verbs, sizeof machine_verbs / sizeof *machine_verbs);
-        fault->a = has_share ? 0.1 + 0.6 * u : is_machine_fault ? 1 + floor(2 * u) : 2 + 20 * u;
-        fault->b = has_share ? 10 + 20 * w : is_machine_fault ? 1 + 14 * w : 0;
-        if (strcmp(verb, "crash") == 0 || strcmp(verb, "crash-all") == 0)
-            fault->a = w < 0.5 ? 0.2 + u : 2 + 3 * u;
-        if (strcmp(verb, "store-outage") == 0 && w < 0.3)
-            fault->a = 36 + 10 * u;
-        if (strcmp(verb, "cancel") == 0 || strcmp(verb, "burst") == 0)
-            fault->a = 2 + floor(5 * u);
-        at += gsl_rng_uniform(rng) < 0.5 ? 3 * gsl_rng_uniform(rng) : 14 * gsl_rng_uniform(rng);
+            is_one_of(kind, machine_faults, sizeof machine_faults / sizeof *machine_faults);
+        fault->first_value = has_share          ? 0.1 + 0.6 * first_draw
+                             : is_machine_fault ? 1 + floor(2 * first_draw)
+                                                : 2 + 20 * first_draw;
+        fault->second_value = has_share          ? 10 + 20 * second_draw
+                              : is_machine_fault ? 1 + 14 * second_draw
+                                                 : 0;
+        if (strcmp(kind, "crash") == 0 || strcmp(kind, "crash-all") == 0)
+            fault->first_value = second_draw < 0.5 ? 0.2 + first_draw : 2 + 3 * first_draw;
+        if (strcmp(kind, "store-outage") == 0 && second_draw < 0.3)
+            fault->first_value = 36 + 10 * first_draw;
+        if (strcmp(kind, "cancel") == 0 || strcmp(kind, "burst") == 0)
+            fault->first_value = 2 + floor(5 * first_draw);
+        at_s += gsl_rng_uniform(rng) < 0.5 ? 3 * gsl_rng_uniform(rng) : 14 * gsl_rng_uniform(rng);
     }
     gsl_rng_free(rng);
 }
 
-/* A drawn day on which the controllers' own queues and processes are late as well. */
 void sim_plan_draw_delays(struct sim_plan *plan, unsigned long seed)
 {
-    static const char *const verbs[] = {"delay-sends", "delay-sends", "process-pause",
+    static const char *const kinds[] = {"delay-sends", "delay-sends", "process-pause",
                                         "hang",        "cancel",      "burst"};
     sim_plan_draw(plan, seed);
     gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
     if (!rng)
         abort();
     gsl_rng_set(rng, seed * 49979687 + 7);
-    plan->cancelled = 0.5;
+    plan->cancelled_share = 0.5;
     plan->machines = 2 * SIM_PLAN_MACHINES;
-    plan->fetch = gsl_rng_uniform(rng) < 0.5 ? 0.01 : FETCH_S;
-    double at = 15;
-    while (at < 130 && plan->nfaults < 80) {
+    plan->image_fetch_s = gsl_rng_uniform(rng) < 0.5 ? 0.01 : IMAGE_FETCH_S;
+    double at_s = 15;
+    while (at_s < LAST_FAULT_S && plan->nfaults < 80) {
         struct sim_fault *fault = &plan->faults[plan->nfaults++];
-        const char *verb = verbs[gsl_rng_uniform_int(rng, sizeof verbs / sizeof *verbs)];
-        double u = gsl_rng_uniform(rng);
-        *fault = (struct sim_fault){.at = at};
-        snprintf(fault->verb, sizeof fault->verb, "%s", verb);
-        snprintf(fault->who, sizeof fault->who, "%s", u < 0.8 ? "leader" : "any");
-        fault->a = 2 + floor(5 * u);
-        if (strcmp(verb, "delay-sends") == 0)
-            fault->a = 3 + 70 * gsl_rng_uniform(rng);
-        else if (strcmp(verb, "process-pause") == 0)
-            fault->a = 1 + 8 * u;
-        else if (strcmp(verb, "hang") == 0)
-            fault->b = 1 + 14 * gsl_rng_uniform(rng);
-        at += 2 + 12 * gsl_rng_uniform(rng);
+        const char *kind = kinds[gsl_rng_uniform_int(rng, sizeof kinds / sizeof *kinds)];
+        double draw = gsl_rng_uniform(rng);
+        *fault = (struct sim_fault){.at_s = at_s};
+        snprintf(fault->kind, sizeof fault->kind, "%s", kind);
+        snprintf(fault->node, sizeof fault->node, "%s", draw < 0.8 ? "leader" : "any");
+        fault->first_value = 2 + floor(5 * draw);
+        if (strcmp(kind, "delay-sends") == 0)
+            fault->first_value = 3 + 70 * gsl_rng_uniform(rng);
+        else if (strcmp(kind, "process-pause") == 0)
+            fault->first_value = 1 + 8 * draw;
+        else if (strcmp(kind, "hang") == 0)
+            fault->second_value = 1 + 14 * gsl_rng_uniform(rng);
+        at_s += 2 + 12 * gsl_rng_uniform(rng);
     }
     gsl_rng_free(rng);
 }
 
-/* A drawn day with more services, and drains among its faults. */
 void sim_plan_draw_drains(struct sim_plan *plan, unsigned long seed)
 {
-    static const char *const verbs[] = {"drain", "drain", "drain", "pause-drain", "cancel-drain"};
+    static const char *const kinds[] = {"drain", "drain", "drain", "pause-drain", "cancel-drain"};
     sim_plan_draw(plan, seed);
     gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
     if (!rng)
         abort();
     gsl_rng_set(rng, seed * 15485863 + 3);
-    plan->drains = 1;
+    plan->has_drains = 1;
     plan->services = 12;
     plan->machines = 2 * SIM_PLAN_MACHINES;
     plan->budgets[0] = 1 + (uint32_t)gsl_rng_uniform_int(rng, 3);
     plan->budgets[1] = 1 + (uint32_t)gsl_rng_uniform_int(rng, 3);
-    double at = 20;
-    while (at < 130 && plan->nfaults < 60) {
+    double at_s = 20;
+    while (at_s < LAST_FAULT_S && plan->nfaults < 60) {
         struct sim_fault *fault = &plan->faults[plan->nfaults++];
-        const char *verb = verbs[gsl_rng_uniform_int(rng, 5)];
-        snprintf(fault->verb, sizeof fault->verb, "%s", verb);
-        fault->at = at;
-        fault->a = strcmp(verb, "drain") == 0 ? 1 + floor(10 * gsl_rng_uniform(rng)) : 1;
-        fault->b = gsl_rng_uniform(rng) < 0.5;
-        if (strcmp(verb, "pause-drain") == 0) {
-            struct sim_fault *back = &plan->faults[plan->nfaults++];
-            *back = *fault;
-            snprintf(back->verb, sizeof back->verb, "resume-drain");
-            back->at = at + 10 * gsl_rng_uniform(rng);
+        const char *kind = kinds[gsl_rng_uniform_int(rng, 5)];
+        snprintf(fault->kind, sizeof fault->kind, "%s", kind);
+        fault->at_s = at_s;
+        fault->first_value = strcmp(kind, "drain") == 0 ? 1 + floor(10 * gsl_rng_uniform(rng)) : 1;
+        fault->second_value = gsl_rng_uniform(rng) < 0.5;
+        if (strcmp(kind, "pause-drain") == 0) {
+            struct sim_fault *resume = &plan->faults[plan->nfaults++];
+            *resume = *fault;
+            snprintf(resume->kind, sizeof resume->kind, "resume-drain");
+            resume->at_s = at_s + 10 * gsl_rng_uniform(rng);
         }
-        at += 5 + 30 * gsl_rng_uniform(rng);
+        at_s += 5 + 30 * gsl_rng_uniform(rng);
     }
     gsl_rng_free(rng);
 }
 
-static bool has_who(const char *verb)
+static bool takes_node(const char *kind)
 {
-    return strcmp(verb, "store-refuse") == 0 || strcmp(verb, "peer-cut") == 0 ||
-           strcmp(verb, "crash") == 0 || strcmp(verb, "isolate") == 0 ||
-           strcmp(verb, "refresh-fail") == 0 || strcmp(verb, "process-pause") == 0 ||
-           strcmp(verb, "delay-sends") == 0;
+    return strcmp(kind, "store-refuse") == 0 || strcmp(kind, "peer-cut") == 0 ||
+           strcmp(kind, "crash") == 0 || strcmp(kind, "isolate") == 0 ||
+           strcmp(kind, "refresh-fail") == 0 || strcmp(kind, "process-pause") == 0 ||
+           strcmp(kind, "delay-sends") == 0;
 }
 
-/* False: the line names no setting of the day. */
+/* Returns false if the line is not a setting of the day. */
 static bool read_setting(struct sim_plan *plan, const char *line)
 {
     char name[16], rest[128];
@@ -159,9 +162,9 @@
     if (count == 0)
         return false;
     if (strcmp(name, "one-task-jobs") == 0)
-        plan->small = (int)values[0];
+        plan->has_one_task_jobs = (int)values[0];
     else if (strcmp(name, "drains") == 0)
-        plan->drains = (int)values[0];
+        plan->has_drains = (int)values[0];
     else if (strcmp(name, "machines") == 0)
         plan->machines = (int)values[0];
     else if (strcmp(name, "services") == 0)
@@ -169,9 +172,9 @@
     else if (strcmp(name, "jobs") == 0)
         plan->jobs = (int)values[0];
     else if (strcmp(name, "image-fetch-s") == 0)
-        plan->fetch = values[0];
+        plan->image_fetch_s = values[0];
     else if (strcmp(name, "cancelled-share") == 0)
-        plan->cancelled = values[0];
+        plan->cancelled_share = values[0];
     else if (strcmp(name, "budget") == 0 && count == 2) {
         plan->budgets[0] = (uint32_t)values[0];
         plan->budgets[1] = (uint32_t)values[1];
@@ -180,47 +183,49 @@
     return true;
 }
 
-/* `at SECONDS FAULT [WHO] NUMBERS`; false: the line is none. */
-static bool read_trouble(struct sim_fault *fault, const char *line)
+/* Reads `at SECONDS FAULT [NODE] NUMBERS`. Returns false if the line is not a fault. */
+static bool read_fault(struct sim_fault *fault, const char *line)
 {
     static const char at[] = "at ";
-    char rest[128] = "", amounts[128];
+    char rest[128] = "", values_text[128];
     double values[2] = {0};
     if (strncmp(line, at, strlen(at)) != 0)
         return false;
     char *end;
-    fault->at = strtod(line + strlen(at), &end);
-    if (end == line + strlen(at) || sscanf(end, "%15s %127[^\n]", fault->verb, rest) < 1)
+    fault->at_s = strtod(line + strlen(at), &end);
+    if (end == line + strlen(at) || sscanf(end, "%15s %127[^\n]", fault->kind, rest) < 1)
         return false;
-    if (has_who(fault->verb)) {
-        bool is_whole = sscanf(rest, "%15s %127[^\n]", fault->who, amounts) == 2;
-        return is_whole && parse_numbers(amounts, ' ', &fault->a, 1) == 1;
+    if (takes_node(fault->kind)) {
+        bool has_both = sscanf(rest, "%15s %127[^\n]", fault->node, values_text) == 2;
+        return has_both && parse_numbers(values_text, ' ', &fault->first_value, 1) == 1;
     }
     size_t count = parse_numbers(rest, ' ', values, 2);
-    fault->a = values[0];
-    fault->b = values[1];
+    fault->first_value = values[0];
+    fault->second_value = values[1];
     return count >= 1;
 }
 
 bool sim_plan_read(struct sim_plan *plan, const char *path)
 {
     char line[256];
-    int at_line = 0;
+    int line_number = 0;
     FILE *file = fopen(path, "r");
-    plain(plan, 40, 0.25);
-    bool good = file != NULL;
-    while (file && good && fgets(line, sizeof line, file)) {
-        at_line++;
+    init_plan(plan, 40, 0.25);
+    bool is_valid = file != NULL;
+    while (file && is_valid && fgets(line, sizeof line, file)) {
+        line_number++;
         if (line[0] == '#' || line[strspn(line, " \n")] == '\0')
             continue;
         if (read_setting(plan, line))
             continue;
-        good = plan->nfaults < PLAN_FAULTS_MAX && read_trouble(&plan->faults[plan->nfaults], line);
+        is_valid =
+            plan->nfaults < PLAN_FAULTS_MAX && read_fault(&plan->faults[plan->nfaults], line);
         plan->nfaults++;
     }
-    if (!good)
-        fprintf(stderr, "%s:%d: not a day\n", path, at_line);
+    if (!is_valid)
+        fprintf(stderr, "%s:%d: neither a setting nor a fault of a simulated day\n", path,
+                line_number);
     if (file)
         (void)fclose(file);
-    return good && plan->nfaults > 0;
+    return is_valid && plan->nfaults > 0;
 }
--- a/tests/sim_plan.h
+++ b/tests/sim_plan.h
@@ -1,30 +1,31 @@
-/* What a simulated day holds: its faults in the order of time, read from a file or drawn from a
- * seed. The head of simulation.c says what the files look like. */
+/* The plan of a simulated day: its settings and its faults in order of time, read from a file or
+ * drawn from a seed. The head of simulation.c describes the files. */
 #ifndef BD_TESTS_SIM_PLAN_H
 #define BD_TESTS_SIM_PLAN_H
 #include <stdbool.h>
 #include <stdint.h>
 
 #define PLAN_FAULTS_MAX 128
-#define SIM_PLAN_MACHINES 6 /* at first, where the day does not say */
+#define SIM_PLAN_MACHINES 6 /* initial machines, by default */
 
 struct sim_plan {
     struct sim_fault {
-        double at;
-        char verb[16], who[16];
-        double a, b;
+        double at_s;
+        char kind[16];
+        char node[16];                    /* a controller's number, "leader" or "any" */
+        double first_value, second_value; /* their meaning depends on the kind */
     } faults[PLAN_FAULTS_MAX];
     int nfaults, jobs, machines, services;
-    int small, drains; /* flags: jobs of one short task; with drains */
-    uint32_t budgets[2];
-    double cancelled, fetch;
+    int has_one_task_jobs, has_drains; /* flags */
+    uint32_t budgets[2];               /* by team */
+    double cancelled_share, image_fetch_s;
 };
 
-/* False: it cannot be read, or names no fault; standard error says where. */
+/* Returns false if the file cannot be read or has no fault; standard error names the line. */
 bool sim_plan_read(struct sim_plan *plan, const char *path);
 void sim_plan_draw(struct sim_plan *plan, unsigned long seed);
-/* ... with more services, and drains among the faults */
+/* As sim_plan_draw, with more services, and drains among the faults. */
 void sim_plan_draw_drains(struct sim_plan *plan, unsigned long seed);
-/* ... on which the controllers' own queues and processes are late as well */
+/* As sim_plan_draw, with delays in the controllers' own queues and processes as well. */
 void sim_plan_draw_delays(struct sim_plan *plan, unsigned long seed);
 #endif
--- a/tests/sim_reader.c
+++ b/tests/sim_reader.c
@@ -9,7 +9,7 @@
 #include "workers/workers.h"
 #include <stdlib.h>
 
-void sim_reader_next(struct sim *sim, struct sim_node *node)
+void sim_reader_read(struct sim *sim, struct sim_node *node)
 {
     if (node->is_reading)
         return;
@@ -18,20 +18,20 @@
         (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_LIST, "j/", NULL, 1.5);
         return;
     }
-    if (node->core->role == BD_LEADER && sim->now > node->next_delegates) {
-        node->next_delegates = sim->now + 0.7;
+    if (node->core->role == BD_LEADER && sim->now > node->next_delegates_read_at) {
+        node->next_delegates_read_at = sim->now + 0.7;
         (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_DELEGATES, "p/", NULL, 1.5);
         return;
     }
-    if (sim->draining && node->core->role == BD_LEADER && sim->now > node->next_drains) {
-        node->next_drains = sim->now + 1;
+    if (sim->has_drains && node->core->role == BD_LEADER && sim->now > node->next_drains_read_at) {
+        node->next_drains_read_at = sim->now + 1;
         (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_DRAINS, BD_DRAIN_KEY, NULL, 1.5);
         return;
     }
     struct sim_call *refresh =
         sim_node_call(sim, node, SIM_REFRESH, SIM_FOR_REFRESH, NULL, NULL, 1.5);
-    refresh->number = node->after;
-    refresh->flag = node->wants_barrier;
+    refresh->number = node->last_read_revision;
+    refresh->is_barrier = node->wants_barrier;
     node->wants_barrier = false;
 }
 
@@ -48,21 +48,21 @@
 }
 
 /* The drains' records, and after them their machines' if those are not known. */
-void sim_drains_listed(struct sim *sim, struct sim_node *node, struct sim_call *call, long status,
-                       json_t *answer)
+void sim_drain_records_read(struct sim *sim, struct sim_node *node, struct sim_call *call,
+                            long status, json_t *answer)
 {
     bool ignored, sets = call->purpose == SIM_FOR_DRAIN_SETS;
     json_t *pairs = status == 200 ? bd_wire_read_pairs(answer, &ignored) : NULL;
     if (!sets && pairs && bd_drain_wants_sets(node->core)) {
-        json_decref(node->drains);
-        node->drains = json_incref(pairs);
+        json_decref(node->drain_records);
+        node->drain_records = json_incref(pairs);
         node->is_reading = true;
         (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_DRAIN_SETS, BD_DRAIN_SET_KEY, NULL, 1.5);
         return;
     }
     if (pairs)
-        bd_drain_apply_records(node->core, sets ? node->drains : pairs, sets ? pairs : NULL);
-    sim_node_post(sim, node, status == 200 ? 0.2 : 0.25, SIM_READER);
+        bd_drain_apply_records(node->core, sets ? node->drain_records : pairs, sets ? pairs : NULL);
+    sim_node_schedule(sim, node, status == 200 ? 0.2 : 0.25, SIM_READER);
 }
 
 void sim_reader_answered(struct sim *sim, struct sim_node *node, struct sim_call *call, long status,
@@ -72,24 +72,25 @@
     node->is_reading = false;
     if (call->purpose == SIM_FOR_LIST && status == 200) {
         apply_changes(node, bd_wire_read_pairs(answer, &ignored));
-        bd_replica_listed(node->core, bd_wire_read_store_revision(answer), call->sent);
-        node->after = node->core->replica.store_revision;
+        bd_replica_listed(node->core, bd_wire_read_store_revision(answer), call->sent_at);
+        node->last_read_revision = node->core->replica.store_revision;
         node->wants_list = false;
     } else if (call->purpose == SIM_FOR_REFRESH) {
-        node->reads_refused = status != 200;
+        node->last_refresh_failed = status != 200;
         if (status == 200)
             apply_changes(node, bd_wire_read_change_log(answer));
         bd_replica_refreshed(node->core, call->number, bd_wire_read_store_revision(answer),
-                             call->sent, call->flag, status == 200);
-        if (status == 200 && bd_wire_read_store_revision(answer) > node->after)
-            node->after = bd_wire_read_store_revision(answer);
+                             call->sent_at, call->is_barrier, status == 200);
+        if (status == 200 && bd_wire_read_store_revision(answer) > node->last_read_revision)
+            node->last_read_revision = bd_wire_read_store_revision(answer);
     } else if (call->purpose == SIM_FOR_DELEGATES && status == 200) {
         if (sim->is_verbose && getenv("SIM_DEPUTIES")) {
             char *text = json_dumps(bd_wire_read_pairs(answer, &ignored), JSON_COMPACT);
             sim_trace(sim, "%s sees %s", node->settings.node, text);
             free(text);
         }
-        bd_delegate_records_read(node->core, bd_wire_read_pairs(answer, &ignored), call->sent);
+        bd_delegate_records_read(node->core, bd_wire_read_pairs(answer, &ignored), call->sent_at);
     }
-    sim_node_post(sim, node, status == 200 ? (node->wants_barrier ? 0.04 : 0.2) : 0.25, SIM_READER);
+    sim_node_schedule(sim, node, status == 200 ? (node->wants_barrier ? 0.04 : 0.2) : 0.25,
+                      SIM_READER);
 }
--- a/tests/sim_receive.c
+++ b/tests/sim_receive.c
@@ -36,11 +36,11 @@
 static bool delay_frame(struct sim *sim, struct sim_event *event)
 {
     double until = sim->peers_cut_until[event->node];
-    until = sim->peers_cut_until[event->who] > until ? sim->peers_cut_until[event->who] : until;
+    until = sim->peers_cut_until[event->index] > until ? sim->peers_cut_until[event->index] : until;
     until = sim->zones_cut_until > until ? sim->zones_cut_until : until;
-    if (!peers_apart(sim, event->node, event->who) || sim_random(sim) < 0.5)
+    if (!peers_apart(sim, event->node, event->index) || sim_random(sim) < 0.5)
         return false;
-    (void)sim_post_again(sim, event, until - sim->now + sim_between(sim, 0.01, 0.3));
+    (void)sim_reschedule(sim, event, until - sim->now + sim_uniform(sim, 0.01, 0.3));
     return true;
 }
 
@@ -48,10 +48,10 @@
 {
     if (delay_frame(sim, event))
         return;
-    struct sim_node *node = &sim->nodes[event->who];
+    struct sim_node *node = &sim->nodes[event->index];
     struct bd_frame *frame = event->data;
     struct bd_heartbeat heartbeat;
-    if (node->core && node->epoch == event->epoch && !peers_apart(sim, event->node, event->who)) {
+    if (node->core && node->epoch == event->epoch && !peers_apart(sim, event->node, event->index)) {
         sim_node_set_clock(sim, node);
         if (frame->type == BD_FRAME_PEER_STATUS)
             bd_peer_status_received(node->core, frame->name, frame->term, frame->flags,
@@ -67,7 +67,7 @@
         if (frame->type == BD_FRAME_HEARTBEAT_REPLY)
             bd_forward_reply_received(node->core, frame->id, frame->status, event->text,
                                       event->text ? strlen(event->text) : 0);
-        sim_node_settle(sim, node);
+        sim_node_step(sim, node);
     }
     free(frame);
 }
@@ -78,8 +78,8 @@
     struct sim_request *request = calloc(1, sizeof *request);
     if (!request)
         abort();
-    request->who = event->who;
-    request->number = event->kind == SIM_HEARTBEAT_COPY
+    request->index = event->index;
+    request->number = event->kind == SIM_HEARTBEAT_REPLAY
                           ? UINT64_MAX
                           : event->number; /* nobody waits for the answer */
     request->next = sim->requests;
@@ -97,7 +97,7 @@
     sim_node_set_clock(sim, node);
     bd_worker_heartbeat_received(node->core, request, &heartbeat, event->text, strlen(event->text));
     bd_wire_release_heartbeat(&heartbeat);
-    sim_node_settle(sim, node);
+    sim_node_step(sim, node);
 }
 
 /* Taken out of the queue: sent before its deadline only, as worker_client.c does. */
@@ -109,23 +109,24 @@
         free(command);
         return;
     }
-    if (!bd_time_is_before(sim_node_monotonic(sim, node), command->until)) {
+    if (!bd_time_is_before(sim_node_monotonic(sim, node), command->deadline)) {
         sim_node_set_clock(sim, node);
         bd_worker_direct_command_completed(node->core, command->machine, command->fencing_token,
-                                           command->launch, BD_DIRECT_NOT_SENT, NULL);
-        sim_node_settle(sim, node);
+                                           command->is_launch, BD_DIRECT_NOT_SENT, NULL);
+        sim_node_step(sim, node);
         free(command);
         return;
     }
     command->references = 2;
-    bool held = sim_is_delayed(sim);
-    struct sim_event *arrival = sim_node_post(
-        sim, node, sim_delay(sim) + (held ? sim_between(sim, 0.5, 6) : 0), SIM_COMMAND_IN);
-    arrival->who = command->worker;
+    bool held = sim_draw_command_delayed(sim);
+    struct sim_event *arrival =
+        sim_node_schedule(sim, node, sim_network_delay(sim) + (held ? sim_uniform(sim, 0.5, 6) : 0),
+                          SIM_COMMAND_ARRIVAL);
+    arrival->index = command->worker;
     arrival->text = event->text;
     arrival->data = command;
     event->text = NULL;
-    struct sim_event *timeout = sim_node_post(sim, node, 1.5, SIM_COMMAND_TIMEOUT);
+    struct sim_event *timeout = sim_node_schedule(sim, node, 1.5, SIM_COMMAND_TIMEOUT);
     timeout->data = command;
 }
 
@@ -134,17 +135,17 @@
     struct sim_node *node = &sim->nodes[event->node];
     struct sim_direct_command *command = event->data;
     struct bd_heartbeat heartbeat;
-    if (!command->is_over && node->core && node->epoch == event->epoch) {
-        bool ok = event->kind == SIM_COMMAND_BACK && read_heartbeat(event->text, &heartbeat);
+    if (!command->is_completed && node->core && node->epoch == event->epoch) {
+        bool ok = event->kind == SIM_COMMAND_ANSWER && read_heartbeat(event->text, &heartbeat);
         sim_node_set_clock(sim, node);
         bd_worker_direct_command_completed(node->core, command->machine, command->fencing_token,
-                                           command->launch, ok ? event->status : 0,
+                                           command->is_launch, ok ? event->status : 0,
                                            ok ? &heartbeat : NULL);
         if (ok)
             bd_wire_release_heartbeat(&heartbeat);
-        sim_node_settle(sim, node);
+        sim_node_step(sim, node);
     }
-    command->is_over = true;
+    command->is_completed = true;
     if (--command->references == 0)
         free(command);
 }
@@ -152,12 +153,12 @@
 void sim_receive_user_request(struct sim *sim, struct sim_event *event)
 {
     struct sim_node *node = &sim->nodes[event->node];
-    struct sim_job *job = &sim->jobs[event->who];
+    struct sim_job *job = &sim->jobs[event->index];
     if (!node->core)
         return;
     struct sim_request *request = new_request(sim, event);
-    request->user = true;
-    request->verb = (int)event->status;
+    request->is_user = true;
+    request->kind = (int)event->status;
     sim_node_set_clock(sim, node);
     if (event->status == SIM_SUBMIT)
         bd_user_submit(node->core, request, event->text, strlen(event->text));
@@ -165,7 +166,7 @@
         bd_user_cancel(node->core, request, job->id);
     else
         bd_user_status(node->core, request, job->id);
-    sim_node_settle(sim, node);
+    sim_node_step(sim, node);
 }
 
 /* Machines come within two seconds, or late. Returns how many, their names in `names`. */
@@ -175,7 +176,7 @@
     int count = 0;
     while (count < wanted && count < PROVISIONED_MAX) {
         const char *zone = json_string_value(json_object_get(request, "glade"));
-        double boot = sim_random(sim) < 0.6 ? sim_between(sim, 0.3, 2) : sim_between(sim, 5, 15);
+        double boot = sim_random(sim) < 0.6 ? sim_uniform(sim, 0.3, 2) : sim_uniform(sim, 5, 15);
         int worker = sim_provision(sim, zone, boot);
         if (worker < 0)
             break;
@@ -192,7 +193,7 @@
     {
         for (int worker = 0; worker < sim->nworkers; worker++)
             if (strcmp(sim->workers[worker].id, json_string_value(item)) == 0)
-                sim_worker_gone(sim, &sim->workers[worker]);
+                sim_worker_remove(sim, &sim->workers[worker]);
     }
 }
 
@@ -219,7 +220,7 @@
             bd_scale_in_completed(node->core, returned, count, true);
             free(returned);
         }
-        sim_node_settle(sim, node);
+        sim_node_step(sim, node);
     }
     json_decref(request);
 }
@@ -232,7 +233,7 @@
         abort();
     for (int i = 0; i < sim->nworkers; i++) {
         struct sim_worker *worker = &sim->workers[i];
-        if (worker->gone || sim->now - worker->provisioned_at < 3) /* the list lags */
+        if (worker->is_gone || sim->now - worker->provisioned_at < 3) /* the list lags */
             continue;
         snprintf(machines[count].id, BD_LABEL_BYTES, "%s", worker->id);
         snprintf(machines[count].addr, BD_LABEL_BYTES, "w-%d", i);
--- a/tests/sim_rules.c
+++ b/tests/sim_rules.c
@@ -1,23 +1,24 @@
-/* What holds on every simulated day, at each step and at its end. */
+/* The rules that hold on every simulated day, at each step and at its end. */
 #include "sim_day.h"
 #include "sim_drain.h"
 #include "simulation.h"
 #include "wire/wire.h"
 
-#define WAIT_MAX_S 90.0 /* a lease that may have to expire first included */
+#define WAIT_MAX_S 90.0 /* includes the expiry of an earlier lease */
 
-/* Once the faults are over no job waits while its team's quota allows it. */
+/* After the last fault no job waits for long while its team's quota allows it. */
 static void check_waiting(struct sim *sim, struct sim_job *job)
 {
-    uint32_t left = 0, missing = 0;
+    uint32_t unfinished = 0, missing = 0;
     for (uint32_t i = 0; i < job->tasks; i++) {
-        left += !job->done[i];
+        unfinished += !job->done[i];
         missing += !job->done[i] && job->machine[i] < 0;
     }
     double needed_cpus = job->cpus * (job->kind == BD_JOB_ARRAY ? 1 : missing);
-    bool is_placeable = job->accepted_at > 0 && job->asked_cancel <= 0 && left > 0 && missing > 0 &&
-                        sim->now > sim->faults_end &&
-                        sim->team_use[job->team] + needed_cpus <= sim->team_max[job->team] + 1e-6;
+    bool is_placeable =
+        job->accepted_at > 0 && job->cancel_requested_at <= 0 && unfinished > 0 && missing > 0 &&
+        sim->now > sim->faults_end_at &&
+        sim->team_used_cpus[job->team] + needed_cpus <= sim->team_quota_cpus[job->team] + 1e-6;
     if (!is_placeable)
         job->placeable_since = 0;
     else if (job->placeable_since <= 0)
@@ -26,15 +27,15 @@
         sim_violation(sim, "waits: %s could begin for %.0f s", job->id, WAIT_MAX_S);
 }
 
-bool sim_all_served(const struct sim *sim)
+bool sim_is_work_complete(const struct sim *sim)
 {
     for (int i = 0; i < sim->njobs; i++) {
         const struct sim_job *job = &sim->jobs[i];
-        if (!job->is_invalid && job->asked_cancel <= 0 &&
+        if (!job->is_invalid && job->cancel_requested_at <= 0 &&
             (job->kind == BD_JOB_SERVICE ? job->nrunning < (int)job->tasks : job->done_at <= 0))
             return false;
     }
-    return sim_drains_over(sim);
+    return sim_drains_finished(sim);
 }
 
 void sim_check_rules(struct sim *sim)
@@ -52,7 +53,7 @@
 {
     for (int i = 0; i < sim->njobs; i++) {
         struct sim_job *job = &sim->jobs[i];
-        if (job->is_invalid || job->asked_cancel > 0)
+        if (job->is_invalid || job->cancel_requested_at > 0)
             continue;
         if (job->accepted_at <= 0)
             sim_violation(sim, "not accepted: %s", job->id);
@@ -63,6 +64,6 @@
             sim_violation(sim, "not served: %s (%u tasks of %.0f, on %d)", job->id, job->tasks,
                           job->cpus, job->nrunning);
     }
-    if (!sim_drains_over(sim))
+    if (!sim_drains_finished(sim))
         sim_violation(sim, "a drain is not over");
 }
--- a/tests/sim_store.c
+++ b/tests/sim_store.c
@@ -1,37 +1,39 @@
-/* The key-value store of the simulated day. */
+/* The key-value store of a simulated day, and the rules that its writes must keep. */
 #include "model/effect.h"
 #include "simulation.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
+#define GRANT_TTL_S 2.0
+#define NOT_EXECUTED (-1) /* as the status of an event: its copy executes the call later */
+
 void sim_store_tick(struct sim *sim)
 {
-    for (int i = 0; sim->now >= sim->outage_until && i < sim->ngrants;) {
-        if (sim->now < sim->grant[i].ends) {
+    for (int i = 0; sim->now >= sim->store_outage_until && i < sim->ngrants;) {
+        if (sim->now < sim->grants[i].expires_at) {
             i++;
             continue;
         }
-        table_end_grant(&sim->table, sim->grant[i].id);
-        sim->grant[i] = sim->grant[--sim->ngrants];
+        table_end_grant(&sim->table, sim->grants[i].id);
+        sim->grants[i] = sim->grants[--sim->ngrants];
     }
 }
 
-static struct sim_grant *grant_of(struct sim *sim, uint64_t id)
+static struct sim_grant *find_grant(struct sim *sim, uint64_t id)
 {
     for (int i = 0; i < sim->ngrants; i++)
-        if (sim->grant[i].id == id)
-            return &sim->grant[i];
+        if (sim->grants[i].id == id)
+            return &sim->grants[i];
     return NULL;
 }
 
 static bool is_grant_live(void *owner, uint64_t id)
 {
-    return grant_of(owner, id) != NULL;
+    return find_grant(owner, id) != NULL;
 }
 
-/* What the rules want of what is written, whoever writes it: no intent for a job that is cancelled
- * or done, and of the leaders' transactions each once, in order, by the one whose key stands. */
+/* No node may write an intent for a job that is cancelled or done. */
 static void check_intents(struct sim *sim, json_t *value)
 {
     char key[96];
@@ -48,6 +50,8 @@
     }
 }
 
+/* Each leader's transaction is applied once, in order, and only if the node that sent it holds the
+ * leader's key. */
 static void check_sequence(struct sim *sim, json_t *value)
 {
     json_int_t term = json_integer_value(json_object_get(value, "t"));
@@ -113,16 +117,17 @@
     case SIM_COMMIT:
         return commit(sim, call->node, call->body, out);
     case SIM_GRANT:
-        if (sim->ngrants == (int)(sizeof sim->grant / sizeof *sim->grant))
+        if (sim->ngrants == (int)(sizeof sim->grants / sizeof *sim->grants))
             return 429;
-        sim->grant[sim->ngrants++] = (struct sim_grant){++sim->grants, sim->now + 2.0, 2.0};
-        *out = json_pack("{s:I}", "charter", (json_int_t)sim->grants);
+        sim->grants[sim->ngrants++] =
+            (struct sim_grant){++sim->last_grant_id, sim->now + GRANT_TTL_S, GRANT_TTL_S};
+        *out = json_pack("{s:I}", "charter", (json_int_t)sim->last_grant_id);
         return 200;
     case SIM_RENEW:
-        grant = grant_of(sim, call->number);
+        grant = find_grant(sim, call->number);
         if (!grant)
             return 404;
-        grant->ends = sim->now + grant->ttl;
+        grant->expires_at = sim->now + grant->ttl_s;
         *out = json_object();
         return 200;
     }
@@ -131,12 +136,12 @@
 
 void sim_end_grant(struct sim *sim, uint64_t id)
 {
-    struct sim_grant *grant = grant_of(sim, id);
-    if (grant && grant->ends > sim->now + sim_delay(sim))
-        grant->ends = sim->now + sim_delay(sim);
+    struct sim_grant *grant = find_grant(sim, id);
+    if (grant && grant->expires_at > sim->now + sim_network_delay(sim))
+        grant->expires_at = sim->now + sim_network_delay(sim);
 }
 
-void sim_call_drop(struct sim_call *call)
+void sim_call_release(struct sim_call *call)
 {
     if (--call->references > 0)
         return;
@@ -146,33 +151,34 @@
     free(call);
 }
 
-/* Whether a fault refuses the call, now. */
+/* Whether a fault refuses the call at this time. */
 static bool is_refused(const struct sim *sim, const struct sim_call *call)
 {
-    bool refuses_reads = sim->now < sim->reads_refused_until[call->node];
-    return sim->now < sim->outage_until || sim->now < sim->refused_until[call->node] ||
-           (call->op == SIM_REFRESH && refuses_reads);
+    bool refuses_refreshes = sim->now < sim->refreshes_refused_until[call->node];
+    return sim->now < sim->store_outage_until || sim->now < sim->store_refused_until[call->node] ||
+           (call->op == SIM_REFRESH && refuses_refreshes);
 }
 
-/* The call goes out now; it is answered, or given up after the timeout. */
+/* Sends the call. It completes with its answer, or after the timeout. */
 void sim_store_call(struct sim *sim, struct sim_call *call, double timeout_s)
 {
-    double delay = sim_delay(sim) + (sim->now < sim->slow_until ? sim_between(sim, 0.02, 0.6) : 0);
-    bool write = call->op == SIM_COMMIT && !is_refused(sim, call);
-    struct sim_event *event = sim_post(sim, delay, SIM_STORE_RUN);
+    double delay = sim_network_delay(sim) +
+                   (sim->now < sim->store_slow_until ? sim_uniform(sim, 0.02, 0.6) : 0);
+    bool is_write = call->op == SIM_COMMIT && !is_refused(sim, call);
+    struct sim_event *event = sim_schedule(sim, delay, SIM_STORE_EXECUTE);
     event->call = call;
     call->references++;
-    event->flag = true; /* its answer arrives */
-    if (write && sim->now < sim->lost_until && sim_random(sim) < sim->lost_share)
+    event->flag = true; /* the answer arrives */
+    if (is_write && sim->now < sim->lost_answers_until && sim_random(sim) < sim->lost_answers_share)
         event->flag = false;
-    if (write && sim->now < sim->late_until && sim_random(sim) < sim->late_share) {
+    if (is_write && sim->now < sim->late_writes_until && sim_random(sim) < sim->late_writes_share) {
         event->flag = false;
-        double late = sim_between(sim, 2, 12);
-        (void)sim_post_again(sim, event, late);
-        event->status = -1; /* not now */
+        double lateness_s = sim_uniform(sim, 2, 12);
+        (void)sim_reschedule(sim, event, lateness_s);
+        event->status = NOT_EXECUTED;
         call->references++;
     }
-    struct sim_event *timeout_event = sim_post(sim, timeout_s, SIM_STORE_TIMEOUT);
+    struct sim_event *timeout_event = sim_schedule(sim, timeout_s, SIM_STORE_TIMEOUT);
     timeout_event->call = call;
     call->references++;
 }
@@ -181,28 +187,28 @@
 {
     struct sim_call *call = event->call;
     json_t *out = NULL;
-    if (event->kind == SIM_STORE_RUN && event->status != -1) {
+    if (event->kind == SIM_STORE_EXECUTE && event->status != NOT_EXECUTED) {
         long status = is_refused(sim, call) ? 503 : execute(sim, call, &out);
         if (event->flag) {
-            struct sim_event *back = sim_post(sim, sim_delay(sim), SIM_STORE_BACK);
-            back->call = call;
-            back->status = status;
-            back->data = out;
+            struct sim_event *answer = sim_schedule(sim, sim_network_delay(sim), SIM_STORE_ANSWER);
+            answer->call = call;
+            answer->status = status;
+            answer->data = out;
             call->references++;
             out = NULL;
         }
-    } else if (event->kind == SIM_STORE_BACK) {
+    } else if (event->kind == SIM_STORE_ANSWER) {
         out = event->data;
-        if (!call->is_over) {
-            call->is_over = true;
+        if (!call->is_completed) {
+            call->is_completed = true;
             sim_node_answered(sim, call, event->status, out);
         }
-    } else if (event->kind == SIM_STORE_TIMEOUT && !call->is_over) {
-        call->is_over = true;
+    } else if (event->kind == SIM_STORE_TIMEOUT && !call->is_completed) {
+        call->is_completed = true;
         sim_node_answered(sim, call, 0, NULL);
     }
     json_decref(out);
-    sim_call_drop(call);
+    sim_call_release(call);
 }
 
 void sim_store_free(struct sim *sim)
--- a/tests/sim_tasks.c
+++ b/tests/sim_tasks.c
@@ -21,8 +21,8 @@
 /* The next heartbeat comes at most so many seconds from now. */
 static void hasten_heartbeat(const struct sim *sim, struct sim_worker *worker, double delay_s)
 {
-    if (worker->next_heartbeat > sim->now + delay_s)
-        worker->next_heartbeat = sim->now + delay_s;
+    if (worker->next_heartbeat_at > sim->now + delay_s)
+        worker->next_heartbeat_at = sim->now + delay_s;
 }
 
 static void trace_usage(struct sim *sim, int team)
@@ -49,7 +49,7 @@
         sim_violation(sim, "ran_cancelled: %s/%u starts on %s, %.1f s after", job->id, slot->task,
                       worker->id, sim->now - job->cancelled_at);
     if (job->cancelled_at > 0 && sim->now > job->cancelled_at + sim->lease_s + 2)
-        sim->late_starts++;
+        sim->starts_after_cancellation++;
 }
 
 static void place_task(struct sim *sim, struct sim_worker *worker, struct sim_slot *slot)
@@ -60,14 +60,14 @@
     sim_trace(sim, "%s/%u begins on %s", job->id, slot->task, worker->id);
     check_start(sim, worker, slot);
     job->machine[slot->task] = at;
-    sim_drain_runs(sim, slot);
+    sim_drain_replica_running(sim, slot);
     job->nrunning++;
-    sim->team_use[job->team] += job->cpus;
-    if (sim->team_use[job->team] <= sim->team_max[job->team] + ROUNDING)
+    sim->team_used_cpus[job->team] += job->cpus;
+    if (sim->team_used_cpus[job->team] <= sim->team_quota_cpus[job->team] + ROUNDING)
         return;
     trace_usage(sim, job->team);
     sim_violation(sim, "quota: team %d uses %.0f with %s/%u on %s", job->team,
-                  sim->team_use[job->team], job->id, slot->task, worker->id);
+                  sim->team_used_cpus[job->team], job->id, slot->task, worker->id);
 }
 
 static void remove_task(struct sim *sim, struct sim_worker *worker, struct sim_slot *slot)
@@ -80,7 +80,7 @@
     if (job->machine[slot->task] == at)
         job->machine[slot->task] = -1;
     job->nrunning--;
-    sim->team_use[job->team] -= job->cpus;
+    sim->team_used_cpus[job->team] -= job->cpus;
 }
 
 static void complete_gang(struct sim *sim, const struct sim_slot *first);
@@ -111,7 +111,7 @@
     uint64_t attempt = first->attempt;
     for (int i = 0; i < sim->nworkers; i++) {
         struct sim_worker *worker = &sim->workers[i];
-        for (int k = 0; !worker->gone && k < worker->nslots; k++) {
+        for (int k = 0; !worker->is_gone && k < worker->nslots; k++) {
             struct sim_slot *slot = &worker->slots[k];
             if (slot->job == job && slot->attempt == attempt &&
                 slot->execution == BD_EXECUTION_RUNNING)
@@ -124,7 +124,7 @@
 {
     for (int i = 0; i < worker->nslots; i++) {
         if (worker->slots[i].execution == BD_EXECUTION_RUNNING)
-            sim_drain_lost(sim, &worker->slots[i]);
+            sim_drain_replica_lost(sim, &worker->slots[i]);
         remove_task(sim, worker, &worker->slots[i]);
     }
     worker->nslots = 0;
@@ -144,7 +144,7 @@
     char id[BD_ID_BYTES];
     if (!bd_wire_read_task_name(json_string_value(json_object_get(command, "chore")), id, task))
         return false;
-    struct sim_job *found = sim_job_named(sim, id);
+    struct sim_job *found = sim_find_job(sim, id);
     *job = found ? (int)(found - sim->jobs) : -1;
     return found != NULL && *task < SIM_TASKS;
 }
@@ -172,7 +172,7 @@
             old = &worker->slots[i];
     struct sim_slot *slot = &worker->slots[worker->nslots++];
     *slot = (struct sim_slot){
-        job, task, attempt, BD_EXECUTION_FETCHING, BD_EXIT_NONE, sim->now + sim->fetch_s};
+        job, task, attempt, BD_EXECUTION_FETCHING, BD_EXIT_NONE, sim->now + sim->image_fetch_s};
     if (old) {
         slot->execution = BD_EXECUTION_EXITED;
         slot->exit_reason = BD_EXIT_BUSY;
@@ -200,7 +200,7 @@
             launch_task(sim, worker, job, task, attempt);
         else if (strcmp(verb, "halt") == 0 && slot && slot->execution != BD_EXECUTION_EXITED) {
             if (slot->execution == BD_EXECUTION_RUNNING)
-                sim_drain_stopped(sim, worker, slot);
+                sim_drain_replica_stopped(sim, worker, slot);
             sim_task_exit(sim, worker, slot, BD_EXIT_STOPPED);
         } else if (strcmp(verb, "forget") == 0 && slot && slot->execution == BD_EXECUTION_EXITED)
             *slot = worker->slots[--worker->nslots];
@@ -214,7 +214,7 @@
     uint32_t n = 0;
     for (int i = 0; i < sim->nworkers; i++) {
         struct sim_worker *worker = &sim->workers[i];
-        for (int k = 0; !worker->gone && sim->now >= worker->hangs_until && k < worker->nslots;
+        for (int k = 0; !worker->is_gone && sim->now >= worker->hangs_until && k < worker->nslots;
              k++) {
             struct sim_slot *slot = &worker->slots[k];
             if (slot->job == job && slot->attempt == attempt)
@@ -234,16 +234,18 @@
     bool is_gang = job->kind == BD_JOB_GANG && job->tasks > 1;
     bool is_complete = !is_gang || is_gang_complete(sim, slot->job, slot->attempt);
     if (slot->execution == BD_EXECUTION_JOINING_GANG)
-        return !is_complete && sim->now >= slot->until ? BD_EXIT_GANG_INCOMPLETE : BD_EXIT_NONE;
+        return !is_complete && sim->now >= slot->phase_ends_at ? BD_EXIT_GANG_INCOMPLETE
+                                                               : BD_EXIT_NONE;
     if (!is_complete)
         return BD_EXIT_GANG_MEMBER_LOST;
-    return job->kind != BD_JOB_SERVICE && sim->now >= slot->until ? BD_EXIT_DONE : BD_EXIT_NONE;
+    return job->kind != BD_JOB_SERVICE && sim->now >= slot->phase_ends_at ? BD_EXIT_DONE
+                                                                          : BD_EXIT_NONE;
 }
 
 void sim_run_task(struct sim *sim, struct sim_worker *worker, struct sim_slot *slot)
 {
     struct sim_job *job = &sim->jobs[slot->job];
-    if (slot->execution == BD_EXECUTION_FETCHING && sim->now >= slot->until) {
+    if (slot->execution == BD_EXECUTION_FETCHING && sim->now >= slot->phase_ends_at) {
         bool gang = job->kind == BD_JOB_GANG && job->tasks > 1;
         if (job->done[slot->task]) { /* its result is kept */
             sim_task_exit(sim, worker, slot, BD_EXIT_DONE);
@@ -251,7 +253,7 @@
         }
         place_task(sim, worker, slot);
         slot->execution = gang ? BD_EXECUTION_JOINING_GANG : BD_EXECUTION_RUNNING;
-        slot->until = sim->now + (gang ? GANG_WAIT_S : job->run_s);
+        slot->phase_ends_at = sim->now + (gang ? GANG_WAIT_S : job->run_s);
         hasten_heartbeat(sim, worker, 0.4);
     }
     bool joins_gang = slot->execution == BD_EXECUTION_JOINING_GANG;
@@ -262,6 +264,6 @@
         sim_task_exit(sim, worker, slot, reason);
     } else if (joins_gang && is_gang_complete(sim, slot->job, slot->attempt)) {
         slot->execution = BD_EXECUTION_RUNNING;
-        slot->until = sim->now + job->run_s;
+        slot->phase_ends_at = sim->now + job->run_s;
     }
 }
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -10,19 +10,19 @@
 
 #define FORGOTTEN_S 75.0 /* without an answer a job counts as forgotten */
 
-void sim_ask_node(struct sim *sim, int job, int node, enum sim_verb verb)
+void sim_send_request(struct sim *sim, int job, int node, enum sim_request_kind verb)
 {
     static const char *const kind_names[] = {"sweep", "gang", "service"};
     static const char *const priority_names[] = {"idle", "standard", "high", "production"};
     struct sim_job *j = &sim->jobs[job];
     char text[640];
-    struct sim_event *event = sim_post(sim, sim_delay(sim), SIM_USER_IN);
+    struct sim_event *event = sim_schedule(sim, sim_network_delay(sim), SIM_USER_REQUEST);
     event->node = node;
-    event->who = job;
+    event->index = job;
     event->status = verb;
     event->number = (uint64_t)(sim->now * 1e6);
-    if (verb == SIM_CANCEL && j->asked_cancel <= 0)
-        j->asked_cancel = sim->now;
+    if (verb == SIM_CANCEL && j->cancel_requested_at <= 0)
+        j->cancel_requested_at = sim->now;
     if (verb != SIM_SUBMIT)
         return;
     snprintf(text, sizeof text,
@@ -50,39 +50,40 @@
 static void ask_all_nodes(struct sim *sim, int job)
 {
     for (int i = 0; i < SIM_NODES; i++)
-        sim_ask_node(sim, job, i, SIM_ASK);
+        sim_send_request(sim, job, i, SIM_QUERY);
     if (sim_random(sim) < 0.5)
-        sim_ask_node(sim, job, sim_healthy_node(sim), SIM_SUBMIT);
+        sim_send_request(sim, job, sim_healthy_node(sim), SIM_SUBMIT);
 }
 
-void sim_user_wake(struct sim *sim, struct sim_event *event)
+void sim_user_timer(struct sim *sim, struct sim_event *event)
 {
-    struct sim_job *job = &sim->jobs[event->who];
+    struct sim_job *job = &sim->jobs[event->index];
     bool over = job->done_at > 0 || job->cancelled_at > 0;
     if (job->accepted_at <= 0)
-        sim_ask_node(sim, event->who, sim_healthy_node(sim), SIM_SUBMIT);
+        sim_send_request(sim, event->index, sim_healthy_node(sim), SIM_SUBMIT);
     else if (job->cancel_at > 0 && sim->now >= job->cancel_at && !over)
-        sim_ask_node(sim, event->who, sim_healthy_node(sim), SIM_CANCEL);
+        sim_send_request(sim, event->index, sim_healthy_node(sim), SIM_CANCEL);
     else
-        sim_ask_node(sim, event->who, sim_healthy_node(sim), SIM_ASK);
-    double last = job->answered_at > sim->faults_end ? job->answered_at : sim->faults_end;
+        sim_send_request(sim, event->index, sim_healthy_node(sim), SIM_QUERY);
+    double last =
+        job->last_answer_at > sim->faults_end_at ? job->last_answer_at : sim->faults_end_at;
     if (job->accepted_at > 0 && sim->now - last > FORGOTTEN_S)
         sim_violation(sim, "forgotten: no question about %s is answered for %.0f s", job->id,
                       FORGOTTEN_S);
-    if (job->is_invalid && sim->now > sim->faults_end)
+    if (job->is_invalid && sim->now > sim->faults_end_at)
         return;
-    sim_post(sim, over ? sim_between(sim, 5, 15) : sim_between(sim, 1, 4), SIM_USER_WAKE)->who =
-        event->who;
+    sim_schedule(sim, over ? sim_uniform(sim, 5, 15) : sim_uniform(sim, 1, 4), SIM_USER_TIMER)
+        ->index = event->index;
 }
 
 static void state_told(struct sim *sim, struct sim_event *event, const char *state)
 {
-    struct sim_job *job = &sim->jobs[event->who];
+    struct sim_job *job = &sim->jobs[event->index];
     double sent = (double)event->number / 1e6;
     bool first = job->accepted_at <= 0;
     if (first)
         job->accepted_at = sim->now;
-    job->answered_at = sim->now;
+    job->last_answer_at = sim->now;
     if (strcmp(state, "done") == 0) {
         for (uint32_t i = 0; i < job->tasks; i++)
             if (!job->done[i])
@@ -92,7 +93,7 @@
             sim_violation(sim, "went_back: %s was cancelled, now done", job->id);
         job->done_at = job->done_at > 0 ? job->done_at : sim->now;
     } else if (strcmp(state, "cancelled") == 0) {
-        if (job->asked_cancel <= 0)
+        if (job->cancel_requested_at <= 0)
             sim_violation(sim, "went_back: %s is called cancelled, nobody asked for it", job->id);
         if (job->done_at > 0 && sent > job->done_at)
             sim_violation(sim, "went_back: %s was done, now cancelled", job->id);
@@ -106,16 +107,16 @@
                       job->done_at > 0 ? "done" : "cancelled", state);
     }
     if (first)
-        ask_all_nodes(sim, event->who);
+        ask_all_nodes(sim, event->index);
     if (first && job->cancel_at < 0) { /* some cancel at once */
         job->cancel_at = sim->now;
-        sim_ask_node(sim, event->who, sim_healthy_node(sim), SIM_CANCEL);
+        sim_send_request(sim, event->index, sim_healthy_node(sim), SIM_CANCEL);
     }
 }
 
 void sim_user_answered(struct sim *sim, struct sim_event *event)
 {
-    struct sim_job *job = &sim->jobs[event->who];
+    struct sim_job *job = &sim->jobs[event->index];
     bool known = job->accepted_at > 0 && (double)event->number / 1e6 > job->accepted_at;
     json_t *answer = event->text ? json_loads(event->text, 0, NULL) : NULL;
     const char *state = json_string_value(json_object_get(answer, "mood"));
@@ -146,22 +147,23 @@
     job->priority = job->kind == BD_JOB_SERVICE ? 3 : (int)(sim_random(sim) * 3);
     job->tasks = job->kind == BD_JOB_ARRAY ? 1 + (uint32_t)(sim_random(sim) * 5) : 2;
     job->cpus = job->kind == BD_JOB_SERVICE ? 1 : 1 + (int)(sim_random(sim) * 3);
-    job->run_s = sim_random(sim) < 0.15 ? sim_between(sim, 30, 60) : sim_between(sim, 1, 12);
-    if (plan->small) {
+    job->run_s = sim_random(sim) < 0.15 ? sim_uniform(sim, 30, 60) : sim_uniform(sim, 1, 12);
+    if (plan->has_one_task_jobs) {
         job->kind = BD_JOB_ARRAY;
         job->tasks = 1;
         job->cpus = 1;
-        job->run_s = sim_between(sim, 1, 6);
+        job->run_s = sim_uniform(sim, 1, 6);
     }
     job->is_invalid = number > 3 && number % 17 == 0;
-    double where = plan->small ? 1 : sim_random(sim);
+    double where = plan->has_one_task_jobs ? 1 : sim_random(sim);
     job->zone = job->is_invalid && number % 2 == 0 ? "\"nowhere\""
                 : where < 0.1                      ? "\"a\""
                 : where < 0.2                      ? "\"b\""
                                                    : "null";
-    if (sim_random(sim) < plan->cancelled && !(plan->drains && job->kind == BD_JOB_SERVICE))
-        job->cancel_at = sim_random(sim) < 0.2 ? -1 : sim->now + at + sim_between(sim, 0.1, 40);
+    if (sim_random(sim) < plan->cancelled_share &&
+        !(plan->has_drains && job->kind == BD_JOB_SERVICE))
+        job->cancel_at = sim_random(sim) < 0.2 ? -1 : sim->now + at + sim_uniform(sim, 0.1, 40);
     for (int i = 0; i < SIM_TASKS; i++)
         job->machine[i] = -1;
-    sim_post(sim, at, SIM_USER_WAKE)->who = number;
+    sim_schedule(sim, at, SIM_USER_TIMER)->index = number;
 }
--- a/tests/sim_worker.c
+++ b/tests/sim_worker.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 #include <string.h>
 
-struct sim_job *sim_job_named(struct sim *sim, const char *id)
+struct sim_job *sim_find_job(struct sim *sim, const char *id)
 {
     int i = id && strncmp(id, "job-", 4) == 0 ? parse_number(id + 4) : -1;
     return i >= 0 && i < sim->njobs ? &sim->jobs[i] : NULL;
@@ -17,7 +17,7 @@
         return -1;
     int up = 0;
     for (int i = 0; i < sim->nworkers; i++)
-        up += !sim->workers[i].gone;
+        up += !sim->workers[i].is_gone;
     if (up >= sim->machines_max)
         return -1;
     struct sim_worker *worker = &sim->workers[sim->nworkers];
@@ -26,42 +26,42 @@
     snprintf(worker->zone, sizeof worker->zone, "%s", zone);
     snprintf(worker->type, sizeof worker->type, "small");
     worker->provisioned_at = sim->now;
-    worker->up_at = worker->answered = sim->now + boot;
-    worker->next_heartbeat = worker->up_at + sim_between(sim, 0, 0.5);
+    worker->up_at = worker->lease_renewed_at = sim->now + boot;
+    worker->next_heartbeat_at = worker->up_at + sim_uniform(sim, 0, 0.5);
     worker->incarnation = 1;
     worker->node = (int)(sim_random(sim) * SIM_NODES);
     return sim->nworkers++;
 }
 
-void sim_worker_gone(struct sim *sim, struct sim_worker *worker)
+void sim_worker_remove(struct sim *sim, struct sim_worker *worker)
 {
-    if (worker->gone)
+    if (worker->is_gone)
         return;
     sim_kill_tasks(sim, worker);
-    worker->gone = true;
+    worker->is_gone = true;
 }
 
 void sim_workers_tick(struct sim *sim)
 {
     for (int i = 0; i < sim->nworkers; i++) {
         struct sim_worker *worker = &sim->workers[i];
-        if (worker->gone || sim->now < worker->up_at)
+        if (worker->is_gone || sim->now < worker->up_at)
             continue;
-        if (sim->now - worker->answered > sim->lease_s) {
+        if (sim->now - worker->lease_renewed_at > sim->lease_s) {
             sim_trace(sim, "%s: its lease expires, %d tasks", worker->id, worker->nslots);
             sim_kill_tasks(sim, worker);
             worker->incarnation++;
-            worker->answered = sim->now;
-            worker->received_seq =
+            worker->lease_renewed_at = sim->now;
+            worker->pending_seq =
                 0; /* answers to an earlier incarnation's heartbeats are dropped */
-            if (worker->is_asking)
+            if (worker->awaits_answer)
                 sim_try_next_node(sim, worker, 1);
         }
         if (sim->now < worker->hangs_until)
             continue;
         for (int k = 0; k < worker->nslots; k++)
             sim_run_task(sim, worker, &worker->slots[k]);
-        if (!worker->is_asking && sim->now >= worker->next_heartbeat)
+        if (!worker->awaits_answer && sim->now >= worker->next_heartbeat_at)
             sim_send_heartbeat(sim, worker);
     }
 }
--- a/tests/simulation.c
+++ b/tests/simulation.c
@@ -1,29 +1,41 @@
-/* Days on which faults meet, in simulated time, against the protocol's rules.
+/* Simulated days: several controllers' cores run against models of everything else, faults overlap,
+ * and the rules of the protocol are checked.
  *
- * - simulation FILE [SEEDS]: a day from a file, with so many seeds
- * - simulation random FROM N: days drawn from N seeds
- * - simulation seed FILE|random N [debug]: one of them, printed step by step
+ * - simulation FILE [SEEDS]: the day of a file, with the seeds 1 to SEEDS
+ * - simulation random|delays|drains FROM N: N drawn days, from the seed FROM on
+ * - simulation seed FILE|KIND SEED [debug]: one day, with a trace; debug: with the log too
+ * - simulation digest FILE|KIND FROM N: the digest of each day's steps
+ * - simulation steps FILE|KIND SEED: the steps of one day
+ * - simulation checker: whether the checker of drains detects what it must
  *
- * A file has lines `at SECONDS FAULT ...`. The day ends long enough after the last fault for
- * all work to be served. `jobs N`: how many come; `cancelled SHARE`; `small 1`: jobs of one short
- * task; `fetch SECONDS` of an image. Faults, with FOR in seconds and WHO a controller's number,
- * `leader` or `any`:
+ * A file has one setting or fault a line. The settings are `jobs N`; `cancelled-share SHARE` of
+ * them; `one-task-jobs 1`: each job is one short task; `image-fetch-s SECONDS`; `machines N` at the
+ * start; `services N`: the first N jobs are services; `drains 1`: the controllers have rules for
+ * drains; `budget A B`: how many replicas of each team may be down.
  *
- * - store: outage FOR, slow FOR, refuse WHO FOR, blind WHO FOR (its refreshes of the
- *   records fail), late SHARE FOR, lost SHARE FOR
- * - network: peers WHO FOR, alone WHO FOR (from peers and store), zones FOR, held FOR
- * - late heartbeats: copies SHARE FOR, next SHARE FOR (to all as the next leader begins)
- * - machines: hang N FOR, deaf N FOR, mute N FOR, cut N FOR, hold N FOR, die N
- * - controllers: crash WHO BACK, all BACK, stall WHO FOR (the process stands still), senders WHO
- *   FOR (its direct commands wait in its own queue)
- * - users: cancel N, burst N
- * - administrators: drain N REPLACES (the first N machines that are up; 1: replaced), pause 0,
- *   resume 0, calloff 0 (the newest drain)
+ * A fault is `at SECONDS FAULT ...`. The day ends long enough after the last fault for all work to
+ * finish. FOR is in seconds, and NODE is a controller's number, `leader` or `any`:
  *
- * `simulation delays FROM N` draws days with delays inside the controllers (`senders`, `stall`)
- * among machines that hang and cancellations. `simulation drains FROM N` draws days with drains. In
- * a file `drains 1` switches them on, `machines N` is how many there are at first, `services N` how
- * many services come first, and `budget A B` what each team bears. */
+ * - state service: store-outage FOR; store-slow FOR; store-refuse NODE FOR: it refuses this
+ *   controller; refresh-fail NODE FOR: refreshes of the records fail; late-writes SHARE FOR: this
+ *   share of the transactions is applied late and not answered; lost-answers SHARE FOR: this share
+ *   is applied and not answered
+ * - network: peer-cut NODE FOR: from the other controllers; isolate NODE FOR: from them and from
+ *   the state service; zone-cut FOR: between the zones; delay-commands FOR: some commands and
+ *   answers are delayed
+ * - heartbeats: replay SHARE FOR: copies arrive later; replay-failover SHARE FOR: copies reach all
+ *   controllers as the next leader starts
+ * - machines: hang N FOR; inbound-cut N FOR and outbound-cut N FOR: in one direction; cut N FOR;
+ *   cut-buffered N FOR: the cut delivers at its end what it stopped; die N
+ * - controllers: crash NODE FOR and crash-all FOR: until the restart; process-pause NODE FOR;
+ *   delay-sends NODE FOR: direct commands wait in the controller's own queue
+ * - users: cancel N: running jobs; burst N: of new jobs
+ * - administrators: drain N REPLACES: of the first N machines that are up, 1 if they are to be
+ *   replaced; pause-drain 0, resume-drain 0 and cancel-drain 0: of the newest drain
+ *
+ * Of the drawn days, those of the kind `delays` have delays inside the controllers (delay-sends,
+ * process-pause) while machines hang and jobs are cancelled, and those of the kind `drains` have
+ * drains. */
 #include "simulation.h"
 #include "brambledoor/log.h"
 #include "drain/drain_record.h"
@@ -36,16 +48,15 @@
 #include <string.h>
 
 #define STEP_S 0.02
-#define OVERTIME_MAX_S 400.0 /* so long work may take after the day's end */
-#define SEEDS 3              /* of a file's day, unless told otherwise */
+#define OVERTIME_MAX_S 400.0 /* after the day's end, while work is not complete */
+#define DEFAULT_SEEDS 3
 
-/* One step of simulated time. */
 static void step(struct sim *sim, const struct sim_plan *plan)
 {
-    bool was_out = sim->now < sim->outage_until;
+    bool was_outage = sim->now < sim->store_outage_until;
     sim->now += STEP_S;
-    if (was_out && sim->now >= sim->outage_until)
-        sim_outage_over(sim);
+    if (was_outage && sim->now >= sim->store_outage_until)
+        sim_store_outage_ended(sim);
     sim_store_tick(sim);
     while (sim->queue && sim->queue->at <= sim->now) {
         struct sim_event *event = sim->queue;
@@ -55,33 +66,34 @@
         free(event);
     }
     sim_workers_tick(sim);
-    if (sim->now > sim->faults_end && sim->now < sim->faults_end + 2 * STEP_S)
+    if (sim->now > sim->faults_end_at && sim->now < sim->faults_end_at + 2 * STEP_S)
         sim_drains_resume(sim);
     sim_check_rules(sim);
 }
 
-static bool goes_on(const struct sim *sim)
+static bool is_day_running(const struct sim *sim)
 {
     if (sim->violations > SIM_VIOLATIONS_MAX)
         return false;
-    return sim->now < sim->ends || (sim->now < sim->ends + OVERTIME_MAX_S && !sim_all_served(sim));
+    return sim->now < sim->ends_at ||
+           (sim->now < sim->ends_at + OVERTIME_MAX_S && !sim_is_work_complete(sim));
 }
 
 static void print_summary(const struct sim *sim)
 {
-    if (sim->draining)
+    if (sim->has_drains)
         printf("%d drains, %u stops of replicas, at most %u of %u and %u of %u down; ",
                sim->ndrains, sim->check.stops, sim->check.peak_down[0], sim->check.budgets[0],
                sim->check.peak_down[1], sim->check.budgets[1]);
     printf("%s seed %lu: %d jobs, %d starts, %d terms, %llu events, %d started long after a "
            "cancellation\n",
            sim->violations ? "FAIL" : "ok  ", sim->seed, sim->njobs, sim->starts, sim->terms,
-           (unsigned long long)sim->events, sim->late_starts);
+           (unsigned long long)sim->events, sim->starts_after_cancellation);
 }
 
 enum output { QUIET, VERBOSE, VERBOSE_WITH_LOG };
 
-/* Returns how many rules were broken. */
+/* Returns the number of violations. */
 static int play(const struct sim_plan *plan, unsigned long seed, enum output output,
                 struct behaviour_digest *digest)
 {
@@ -93,7 +105,7 @@
     sim->digest = digest;
     for (int i = 0; output == VERBOSE_WITH_LOG && i < SIM_NODES; i++)
         sim->nodes[i].log.level = BD_LOG_DEBUG;
-    while (goes_on(sim))
+    while (is_day_running(sim))
         step(sim, plan);
     if (sim->violations == 0)
         sim_check_end(sim);
@@ -110,7 +122,7 @@
 } kinds[] = {
     {"random", sim_plan_draw}, {"drains", sim_plan_draw_drains}, {"delays", sim_plan_draw_delays}};
 
-static const struct kind *kind_named(const char *name)
+static const struct kind *find_kind(const char *name)
 {
     for (size_t i = 0; i < sizeof kinds / sizeof *kinds; i++)
         if (strcmp(kinds[i].name, name) == 0)
@@ -118,27 +130,26 @@
     return NULL;
 }
 
-/* The plan of a drawn kind of day or of a file. False: there is no such. */
-static bool plan_named(struct sim_plan *plan, const char *name, unsigned long seed)
+/* Draws the plan of a kind of day, or reads it from a file. Returns false if there is neither. */
+static bool load_plan(struct sim_plan *plan, const char *name, unsigned long seed)
 {
-    const struct kind *kind = kind_named(name);
+    const struct kind *kind = find_kind(name);
     if (kind)
         kind->draw(plan, seed);
     return kind || sim_plan_read(plan, name);
 }
 
-/* digest KIND|FILE FROM N: a line a day with the digest of its steps.
- * steps KIND|FILE SEED: the steps of one day. */
+/* The commands `digest` and `steps`. */
 static int play_digests(int argc, char **argv, struct sim_plan *plan)
 {
-    bool traced = strcmp(argv[1], "steps") == 0;
+    bool prints_steps = strcmp(argv[1], "steps") == 0;
     unsigned long from = strtoul(argv[3], NULL, 10);
-    unsigned long n = !traced && argc > 4 ? strtoul(argv[4], NULL, 10) : 1;
-    for (unsigned long seed = from; seed < from + n; seed++) {
+    unsigned long count = !prints_steps && argc > 4 ? strtoul(argv[4], NULL, 10) : 1;
+    for (unsigned long seed = from; seed < from + count; seed++) {
         struct behaviour_digest digest;
-        if (!plan_named(plan, argv[2], seed))
+        if (!load_plan(plan, argv[2], seed))
             return 2;
-        behaviour_digest_start(&digest, traced ? stdout : NULL);
+        behaviour_digest_start(&digest, prints_steps ? stdout : NULL);
         (void)play(plan, seed, QUIET, &digest);
         printf("digest %016llx of %llu steps, seed %lu\n", (unsigned long long)digest.hash,
                (unsigned long long)digest.steps, seed);
@@ -146,7 +157,7 @@
     return 0;
 }
 
-/* Returns how many of the days FROM, FROM + 1, ... failed. */
+/* Returns how many of the days from seed `from` on failed. */
 static int play_days(struct sim_plan *plan, const struct kind *kind, unsigned long from,
                      unsigned long count)
 {
@@ -162,23 +173,23 @@
 int main(int argc, char **argv)
 {
     static struct sim_plan plan;
-    const char *verb = argc > 1 ? argv[1] : "";
-    if (argc >= 4 && (strcmp(verb, "digest") == 0 || strcmp(verb, "steps") == 0))
+    const char *command = argc > 1 ? argv[1] : "";
+    if (argc >= 4 && (strcmp(command, "digest") == 0 || strcmp(command, "steps") == 0))
         return play_digests(argc, argv, &plan);
-    (void)setvbuf(stdout, NULL, _IONBF, 0); /* in step with the log */
-    if (argc == 2 && strcmp(verb, "checker") == 0)
+    (void)setvbuf(stdout, NULL, _IONBF, 0); /* keeps the order of the trace and the log */
+    if (argc == 2 && strcmp(command, "checker") == 0)
         return drain_check_self_test() ? 0 : 1;
     int failed = 0;
-    if (argc >= 4 && strcmp(verb, "seed") == 0) {
+    if (argc >= 4 && strcmp(command, "seed") == 0) {
         unsigned long seed = strtoul(argv[3], NULL, 10);
-        if (!plan_named(&plan, argv[2], seed))
+        if (!load_plan(&plan, argv[2], seed))
             return 2;
         failed = play(&plan, seed, argc > 4 ? VERBOSE_WITH_LOG : VERBOSE, NULL);
-    } else if (argc == 4 && kind_named(verb)) {
-        failed = play_days(&plan, kind_named(verb), strtoul(argv[2], NULL, 10),
+    } else if (argc == 4 && find_kind(command)) {
+        failed = play_days(&plan, find_kind(command), strtoul(argv[2], NULL, 10),
                            strtoul(argv[3], NULL, 10));
-    } else if (argc >= 2 && sim_plan_read(&plan, verb)) {
-        failed = play_days(&plan, NULL, 1, argc > 2 ? strtoul(argv[2], NULL, 10) : SEEDS);
+    } else if (argc >= 2 && sim_plan_read(&plan, command)) {
+        failed = play_days(&plan, NULL, 1, argc > 2 ? strtoul(argv[2], NULL, 10) : DEFAULT_SEEDS);
     } else {
         return 2;
     }
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -1,6 +1,6 @@
-/* A day of several controllers' cores in simulated time: a model of the adapters, of the state
- * service, the cloud, the workers and the users, with faults at set times. What is real is the
- * pure core; the protocol's rules are the oracle. One seed, one day, always the same. */
+/* A day of several controllers' cores in simulated time. The cores are those of the product; the
+ * adapters, the state service, the cloud, the workers and the users are models. Faults occur at set
+ * times, and the rules of the protocol are checked. A seed always gives the same day. */
 #ifndef BD_TESTS_SIM_H
 #define BD_TESTS_SIM_H
 #include "base/timeutil.h"
@@ -19,44 +19,46 @@
 #define SIM_NODES 4
 #define SIM_MACHINES 160
 #define SIM_JOBS 700
-#define SIM_TASKS 8          /* of a job */
-#define SIM_SLOTS 400        /* what a worker knows */
-#define SIM_VIOLATIONS_MAX 5 /* printed; more end the day */
+#define SIM_TASKS 8          /* per job */
+#define SIM_SLOTS 400        /* tasks that a worker runs or remembers */
+#define SIM_VIOLATIONS_MAX 5 /* printed; the day ends when there are more */
 
 enum sim_event_kind {
-    SIM_STORE_RUN,
-    SIM_STORE_BACK,
+    SIM_STORE_EXECUTE,
+    SIM_STORE_ANSWER,
     SIM_STORE_TIMEOUT,
     SIM_READER,
     SIM_ELECTION,
     SIM_NODE_TICK,
-    SIM_NODE_UP,
+    SIM_NODE_START,
     SIM_FRAME,
-    SIM_HEARTBEAT_IN,
-    SIM_HEARTBEAT_BACK,
+    SIM_HEARTBEAT_ARRIVAL,
+    SIM_HEARTBEAT_ANSWER,
     SIM_HEARTBEAT_TIMEOUT,
     SIM_COMMAND_SEND,
-    SIM_COMMAND_IN,
-    SIM_HEARTBEAT_COPY,
-    SIM_COMMAND_BACK,
+    SIM_COMMAND_ARRIVAL,
+    SIM_HEARTBEAT_REPLAY,
+    SIM_COMMAND_ANSWER,
     SIM_COMMAND_TIMEOUT,
-    SIM_CLOUD_BACK,
-    SIM_USER_IN,
-    SIM_USER_BACK,
-    SIM_USER_WAKE,
+    SIM_CLOUD_ANSWER,
+    SIM_USER_REQUEST,
+    SIM_USER_ANSWER,
+    SIM_USER_TIMER,
     SIM_FAULT
 };
 
 struct sim_call;
 struct sim_request;
 struct sim_event {
-    double at;
+    double at; /* simulated time in seconds */
     uint64_t order;
     enum sim_event_kind kind;
-    int node, who;
-    uint64_t epoch, number;
-    long status;
-    bool flag;
+    int node;
+    int index;       /* of the worker, job, receiving node or fault, depending on the kind */
+    uint64_t epoch;  /* of the node that scheduled it, or that it is sent to */
+    uint64_t number; /* a heartbeat's sequence number, or when a user sent the request, in us */
+    long status;     /* HTTP status of an answer, or the sim_request_kind of a user's request */
+    bool flag;       /* depends on the kind */
     char *text;
     void *data;
     struct sim_call *call;
@@ -65,12 +67,12 @@
 
 struct sim_grant {
     uint64_t id;
-    double ends, ttl;
+    double expires_at, ttl_s;
 };
 
 enum sim_op { SIM_GET, SIM_LIST, SIM_REFRESH, SIM_COMMIT, SIM_GRANT, SIM_RENEW };
 
-enum sim_purpose { /* what an answer of the key-value store is for */
+enum sim_purpose { /* which part of the controller awaits the store's answer */
                    SIM_FOR_LIST,
                    SIM_FOR_REFRESH,
                    SIM_FOR_DELEGATES,
@@ -93,41 +95,41 @@
                    SIM_FOR_LOOKUP
 };
 
-struct sim_call { /* of a controller to the key-value store */
+struct sim_call { /* a controller's call of the key-value store */
     enum sim_op op;
     enum sim_purpose purpose;
     int node, references;
-    uint64_t epoch, number;
+    uint64_t epoch;
+    uint64_t number; /* a revision or a grant, depending on the purpose */
     char key[96];
     char *body;
-    struct bd_effect *effect;
-    struct timespec sent; /* by the node's own clock */
-    bool is_over, flag;
+    struct bd_effect *effect; /* that requested the call; NULL: none */
+    struct timespec sent_at;  /* by the node's own clock */
+    bool is_completed, is_barrier;
 };
 
 struct sim_node {
     struct bd_settings settings;
     struct bd_log log;
     struct bd_core *core; /* NULL: not running */
-    uint64_t epoch;
-    double started_at, clock_rate, clock_from, wall_offset;
-    double stalled_until;         /* the process stands still */
-    double senders_stalled_until; /* its direct commands wait in its own queue */
+    uint64_t epoch; /* changes at each start and stop; events of an earlier epoch are dropped */
+    double started_at, clock_rate, clock_start, wall_offset;
+    double paused_until;        /* the process is paused */
+    double sends_delayed_until; /* direct commands wait in the controller's own queue */
     /* reader of the store */
-    uint64_t after;
-    bool wants_list, wants_barrier, is_reading, reads_refused;
-    double next_delegates, next_drains;
-    json_t *drains; /* as listed, while the machines' records are read */
+    uint64_t last_read_revision;
+    bool wants_list, wants_barrier, is_reading, last_refresh_failed;
+    double next_delegates_read_at, next_drains_read_at;
+    json_t *drain_records; /* kept while the records of their machines are read */
     /* election */
-    bool leading, is_electing, step_down;
+    bool is_leading, is_electing, wants_step_down;
     char nonce[BD_LABEL_BYTES];
     uint64_t grant;
-    struct timespec granted, liveness_at;
+    struct timespec granted_at, liveness_sent_at;
     struct bd_acquisition acquisition;
-    bool leadership_acquired; /* an acquisition waits for the replica */
-    /* the leader's transaction on its way; NULL: none */
-    struct bd_effect *commit;
-    double next_status, next_list;
+    bool is_acquisition_pending;      /* the replica is older than the acquired term */
+    struct bd_effect *pending_commit; /* the leader's unanswered transaction; NULL: none */
+    double next_status_at, next_machine_list_at;
 };
 
 struct sim_slot { /* a task on a worker */
@@ -136,20 +138,22 @@
     uint64_t attempt;
     enum bd_execution_state execution;
     enum bd_exit_reason exit_reason;
-    double until;
+    double phase_ends_at; /* end of the fetch, of the wait for the gang, or of the run */
 };
 
 struct sim_worker {
     char id[BD_LABEL_BYTES], zone[BD_LABEL_BYTES], type[BD_LABEL_BYTES];
-    bool gone;
-    double provisioned_at, up_at, answered, next_heartbeat;
+    bool is_gone;
+    double provisioned_at, up_at;
+    double lease_renewed_at; /* when the last answered heartbeat was sent */
+    double next_heartbeat_at;
     uint64_t incarnation, seq, fencing_token;
-    uint64_t received_seq; /* of the heartbeat under way */
-    bool is_asking;
-    double asked_at;
-    int node;
+    uint64_t pending_seq; /* of the heartbeat that awaits its answer */
+    bool awaits_answer;
+    double heartbeat_sent_at;
+    int node; /* where heartbeats are sent */
     double hangs_until, outbound_cut_until, inbound_cut_until, cut_until;
-    bool delivers_late; /* what a cut stops, instead of never */
+    bool is_cut_buffered; /* the cut delivers at its end what it stopped */
     int nslots;
     struct sim_slot slots[SIM_SLOTS];
 };
@@ -159,101 +163,113 @@
     enum bd_job_kind kind;
     uint32_t tasks;
     int team, priority;
-    double cpus, run_s, cancel_at;                           /* withdraw_at: 0 never */
-    double asked_cancel, accepted_at, done_at, cancelled_at; /* when the user was told; 0 not yet */
-    double answered_at;
-    double placeable_since; /* it waits since then though it could begin; 0: it could not */
-    bool is_invalid;        /* can never be accepted */
+    double cpus, run_s;
+    double cancel_at; /* when the user cancels it; -1: once it is accepted; 0: never */
+    double cancel_requested_at, last_answer_at; /* 0: not yet */
+    double accepted_at, done_at, cancelled_at;  /* when a user was first told so; 0: not yet */
+    double placeable_since; /* since when it waits although its quota allows it; 0: it does not */
+    bool is_invalid;        /* must never be accepted */
     const char *zone;       /* as it is submitted: quoted, or null */
     bool done[SIM_TASKS];
-    int machine[SIM_TASKS]; /* -1: on none */
+    int machine[SIM_TASKS]; /* index of the worker; -1: none */
     int nrunning;
 };
 
 struct sim {
     gsl_rng *rng;
     unsigned long seed;
-    double now, faults_end, ends;
-    uint64_t order, events;
+    double now, faults_end_at, ends_at;
+    uint64_t order; /* of the last event that was scheduled */
+    uint64_t events;
     struct sim_event *queue;
     struct sim_request *requests;
     /* key-value store */
     struct key_table table;
-    int writer; /* whose transaction is carried out */
-    uint64_t grants;
-    struct sim_grant grant[64];
+    int writer; /* the node whose transaction is applied; -1: an administrator */
+    uint64_t last_grant_id;
+    struct sim_grant grants[64];
     int ngrants;
-    double outage_until, slow_until;
-    double refused_until[SIM_NODES], reads_refused_until[SIM_NODES];
-    double lost_share, lost_until, late_share, late_until;
+    double store_outage_until, store_slow_until;
+    double store_refused_until[SIM_NODES], refreshes_refused_until[SIM_NODES];
+    double lost_answers_share, lost_answers_until, late_writes_share, late_writes_until;
     /* network */
-    double peers_cut_until[SIM_NODES], zones_cut_until, delayed_until;
-    double copies_share, copies_until;
-    bool copies_for_next;
-    char *saved_heartbeats[256]; /* for the next leader */
+    double peers_cut_until[SIM_NODES], zones_cut_until, commands_delayed_until;
+    double replay_share, replay_until;
+    bool replays_at_failover;    /* copies arrive when the next leader starts */
+    char *saved_heartbeats[256]; /* the copies kept for that */
     int nsaved_heartbeats;
     struct sim_node nodes[SIM_NODES];
     struct sim_worker workers[SIM_MACHINES];
     int nworkers;
     struct sim_job jobs[SIM_JOBS];
     int njobs;
-    double lease_s, cancel_s, heartbeat_s, fetch_s, team_max[2], team_use[2];
-    int violations, starts, late_starts, terms;
-    bool draining;
-    int machines_max, ndrains; /* up at once; drains that were requested */
+    double lease_s, cancel_s, heartbeat_s, image_fetch_s, team_quota_cpus[2], team_used_cpus[2];
+    int violations, starts, terms;
+    int starts_after_cancellation; /* more than lease_s and 2 s after it */
+    bool has_drains;
+    int machines_max; /* at once */
+    int ndrains;      /* drains that were requested */
     struct drain_check check;
     bool is_verbose;
-    struct behaviour_digest *digest; /* NULL: none is taken */
+    struct behaviour_digest *digest; /* NULL: steps are not digested */
 };
 
-/* sim_events.c */
-double sim_random(struct sim *sim);
-double sim_between(struct sim *sim, double a, double b);
+/* sim_events.c. Delays are seconds from now. */
+double sim_random(struct sim *sim); /* from 0 to below 1 */
+double sim_uniform(struct sim *sim, double min, double max);
 void sim_trace(struct sim *sim, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
-/* A rule of the protocol is broken. */
+/* Reports that a rule of the protocol is broken. */
 void sim_violation(struct sim *sim, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
-struct sim_event *sim_post(struct sim *sim, double delay, enum sim_event_kind kind);
-/* the same event once more, later; its text goes along */
-struct sim_event *sim_post_again(struct sim *sim, struct sim_event *event, double delay);
-bool sim_is_delayed(struct sim *sim); /* whether a command or an answer is, now */
-double sim_delay(struct sim *sim);
+struct sim_event *sim_schedule(struct sim *sim, double delay_s, enum sim_event_kind kind);
+/* Schedules a copy of the event, which takes over the event's text. */
+struct sim_event *sim_reschedule(struct sim *sim, struct sim_event *event, double delay_s);
+/* Draws whether a command or an answer that is sent now is delayed by a fault. */
+bool sim_draw_command_delayed(struct sim *sim);
+double sim_network_delay(struct sim *sim); /* drawn, in seconds */
 
 /* key-value store, sim_store.c */
-void sim_store_call(struct sim *sim, struct sim_call *call, double timeout);
+void sim_store_call(struct sim *sim, struct sim_call *call, double timeout_s);
 void sim_store_event(struct sim *sim, struct sim_event *event);
 void sim_store_start(struct sim *sim);
 void sim_store_tick(struct sim *sim);
-void sim_end_grant(struct sim *sim, uint64_t id); /* once the request for it has arrived */
-void sim_call_drop(struct sim_call *call);
+/* Ends the grant after a network delay, as a request to end it does. */
+void sim_end_grant(struct sim *sim, uint64_t id);
+/* Drops a reference; the last one frees the call. */
+void sim_call_release(struct sim_call *call);
 void sim_store_free(struct sim *sim);
 
 /* controllers, sim_node.c */
-struct sim_request { /* what the core holds of a user's or a worker's request */
+struct sim_request { /* a user's or a worker's request; begins as the core expects */
     struct bd_remote head;
-    bool user;
-    int who;
+    bool is_user;
+    int index; /* of the job or the worker */
     uint64_t number;
-    int verb;
+    int kind;
     struct sim_request *next;
 };
-struct sim_direct_command { /* a direct command */
-    bool is_over, launch;
+struct sim_direct_command {
+    bool is_completed, is_launch;
     int references, worker;
-    struct timespec until;
+    struct timespec deadline; /* by the clock of the node that sends it */
     uint32_t machine;
     uint64_t fencing_token;
 };
-enum sim_verb { SIM_SUBMIT, SIM_ASK, SIM_CANCEL };
+enum sim_request_kind { SIM_SUBMIT, SIM_QUERY, SIM_CANCEL };
 void sim_node_start(struct sim *sim, int i);
 void sim_node_end(struct sim *sim, int i);
 void sim_node_event(struct sim *sim, struct sim_event *event);
+/* A store call is answered; status 0: it timed out. */
 void sim_node_answered(struct sim *sim, struct sim_call *call, long status, json_t *answer);
 
 /* workers and cloud, sim_worker.c */
-int sim_provision(struct sim *sim, const char *zone, double boot);
+/* Returns the worker's index, or -1 if the capacity is used up. */
+int sim_provision(struct sim *sim, const char *zone, double boot_s);
 void sim_worker_event(struct sim *sim, struct sim_event *event);
-void sim_copies_now(struct sim *sim); /* a new leader begins */
+/* Delivers the saved copies of heartbeats to all controllers, as a new leader starts. */
+void sim_replay_saved_heartbeats(struct sim *sim);
 void sim_workers_tick(struct sim *sim);
-void sim_worker_gone(struct sim *sim, struct sim_worker *worker);
-struct sim_job *sim_job_named(struct sim *sim, const char *id);
+/* Ends the machine and its tasks, for good. */
+void sim_worker_remove(struct sim *sim, struct sim_worker *worker);
+/* NULL: there is no such job. */
+struct sim_job *sim_find_job(struct sim *sim, const char *id);
 #endif
