--- a/tests/sim_day.h
+++ b/tests/sim_day.h
@@ -13,7 +13,7 @@
 /* sim_users.c */
 /* A job that its user submits after a delay in seconds. */
 void sim_add_job(struct sim *sim, const struct sim_plan *plan, double delay_s);
-void sim_send_request(struct sim *sim, int job, int node, enum sim_request_kind verb);
+void sim_send_request(struct sim *sim, int job_index, int node, enum sim_request_kind kind);
 /* A node whose /up reports it as healthy, or any node if there is none. */
 int sim_healthy_node(struct sim *sim);
 void sim_user_timer(struct sim *sim, struct sim_event *event);
--- a/tests/sim_drain.c
+++ b/tests/sim_drain.c
@@ -1,5 +1,4 @@
-/* Drains on simulated days: administrators' records, and the workers' own history for the checker.
- */
+/* Drains on simulated days: administrators' records, and what the workers did for the checker. */
 #include "sim_drain.h"
 #include "drain/drain.h"
 #include "drain/drain_record.h"
@@ -15,7 +14,7 @@
 
 #define TEAMS 2
 
-/* ---- the administrators ---- */
+/* ---- administrators ---- */
 
 struct bd_drain_rules *sim_drain_rules(const struct sim *sim)
 {
@@ -48,7 +47,7 @@
     free(body);
 }
 
-static uint64_t revision_of(const struct sim *sim, const char *key)
+static uint64_t key_revision(const struct sim *sim, const char *key)
 {
     const struct table_key *entry = table_find(&sim->table, key);
     return entry && entry->value ? entry->revision : 0;
@@ -59,14 +58,14 @@
     struct bd_txn txn;
     if (!bd_txn_begin(&txn))
         abort();
-    bd_txn_compare(&txn, key, revision_of(sim, key));
+    bd_txn_compare(&txn, key, key_revision(sim, key));
     bd_txn_put(&txn, key, bd_drain_record_encode(record), 0);
     commit(sim, &txn);
 }
 
-/* The machines, two parts of them, as the administration resources write them. */
-static void write_set(struct sim *sim, const struct bd_drain_record *record,
-                      const struct bd_drain_machine *machines)
+/* Writes the drain's machines in parts, as the administration resources do. */
+static void write_machine_set(struct sim *sim, const struct bd_drain_record *record,
+                              const struct bd_drain_machine *machines)
 {
     struct bd_txn txn;
     uint32_t half = record->machines / record->parts;
@@ -86,7 +85,7 @@
     struct bd_drain_machine entries[SIM_MACHINES];
     struct bd_drain_record record = {.mode = replaces ? BD_DRAIN_REPLACE : BD_DRAIN_RETIRE,
                                      .state = BD_DRAIN_ACTIVE,
-                                     .at = 1e6 + sim->now,
+                                     .at = SIM_WALL_START_S + sim->now,
                                      .asked = json_object()};
     char key[BD_LABEL_BYTES + 8];
     memset(entries, 0, sizeof entries);
@@ -98,7 +97,7 @@
     record.parts = record.machines > 1 ? 2 : 1;
     snprintf(key, sizeof key, BD_DRAIN_KEY "%s", record.name);
     if (record.machines > 0) {
-        write_set(sim, &record, entries);
+        write_machine_set(sim, &record, entries);
         write_record(sim, &record, key);
         sim_trace(sim, "%s: %u machines", record.name, record.machines);
         sim->ndrains++;
@@ -106,7 +105,7 @@
     json_decref(record.asked);
 }
 
-/* False: there is none any more. */
+/* Returns false if the record is gone. */
 static bool read_drain(const struct sim *sim, int number, struct bd_drain_record *record)
 {
     char key[BD_LABEL_BYTES];
@@ -117,28 +116,27 @@
                                   record);
 }
 
-static bool goes_on(const struct bd_drain_record *record)
+static bool is_in_progress(const struct bd_drain_record *record)
 {
     return record->state == BD_DRAIN_ACTIVE || record->state == BD_DRAIN_PAUSED;
 }
 
-void sim_drain_change(struct sim *sim, enum bd_drain_state to)
+void sim_drain_change(struct sim *sim, enum bd_drain_state state)
 {
     struct bd_drain_record record;
     char key[BD_LABEL_BYTES + 8];
     for (int i = sim->ndrains - 1; i >= 0; i--) {
-        if (!read_drain(sim, i, &record) || !goes_on(&record) || record.state == to)
+        if (!read_drain(sim, i, &record) || !is_in_progress(&record) || record.state == state)
             continue;
-        record.state = to;
-        record.ended = to == BD_DRAIN_CANCELLED ? 1e6 + sim->now : 0;
+        record.state = state;
+        record.ended = state == BD_DRAIN_CANCELLED ? SIM_WALL_START_S + sim->now : 0;
         snprintf(key, sizeof key, BD_DRAIN_KEY "%s", record.name);
         write_record(sim, &record, key);
-        sim_trace(sim, "%s is %s", record.name, bd_drain_state_name(to));
+        sim_trace(sim, "%s is %s", record.name, bd_drain_state_name(state));
         return;
     }
 }
 
-/* Nobody is left to resume what was paused. */
 void sim_drains_resume(struct sim *sim)
 {
     for (int i = 0; i < sim->ndrains; i++)
@@ -149,12 +147,12 @@
 {
     struct bd_drain_record record;
     for (int i = 0; i < sim->ndrains; i++)
-        if (read_drain(sim, i, &record) && goes_on(&record))
+        if (read_drain(sim, i, &record) && is_in_progress(&record))
             return false;
     return true;
 }
 
-/* ---- what the workers did ---- */
+/* ---- workers ---- */
 
 void sim_drain_replica_stopped(struct sim *sim, const struct sim_worker *worker,
                                const struct sim_slot *slot)
@@ -168,8 +166,9 @@
     if (job->cancel_requested_at > 0)
         return;
     if (!drain_check_replica_stopped(&sim->check, sim->now, slot->job, slot->task))
-        sim_violation(sim, "budget: %s/%u is stopped on %s, more of team %d are down than %u",
-                      job->id, slot->task, worker->id, job->team, sim->check.budgets[job->team]);
+        sim_violation(
+            sim, "budget: %s/%u was stopped on %s, and more replicas of team %d are down than %u",
+            job->id, slot->task, worker->id, job->team, sim->check.budgets[job->team]);
 }
 
 void sim_drain_replica_running(struct sim *sim, const struct sim_slot *slot)
--- a/tests/sim_drain.h
+++ b/tests/sim_drain.h
@@ -1,16 +1,17 @@
-/* Drains on simulated days: who asks for them, and the checker of the workers' history. */
+/* Drains on simulated days: administrators' requests, and what the workers did for the checker. */
 #ifndef BD_TESTS_SIM_DRAIN_H
 #define BD_TESTS_SIM_DRAIN_H
 #include "simulation.h"
 
 struct bd_drain_rules *sim_drain_rules(const struct sim *sim);
-/* A drain of the first machines that are up. */
+/* Requests a drain of the first machines that are up. */
 void sim_drain_request(struct sim *sim, uint32_t machines, bool replaces);
-/* The newest drain that goes on is paused, resumed or called off. */
+/* Sets the state of the newest drain that is not over and not yet in it. */
 void sim_drain_change(struct sim *sim, enum bd_drain_state to);
+/* Resumes all paused drains. */
 void sim_drains_resume(struct sim *sim);
 bool sim_drains_finished(const struct sim *sim);
-/* a worker has stopped a task on command; one runs; one was lost */
+/* Of a service's task on a worker: it was stopped on command, runs, or was lost. */
 void sim_drain_replica_stopped(struct sim *sim, const struct sim_worker *worker,
                                const struct sim_slot *slot);
 void sim_drain_replica_running(struct sim *sim, const struct sim_slot *slot);
--- a/tests/sim_faults.c
+++ b/tests/sim_faults.c
@@ -7,9 +7,6 @@
 #include "sim_plan.h"
 #include "simulation.h"
 #include <string.h>
-
-#define COPY_DELAY_MAX_S 25 /* of a replayed heartbeat */
-
 /* A controller by its number, the leader, or a random one. */
 static int find_node(struct sim *sim, const char *name)
 {
@@ -171,7 +168,7 @@
     if (is_kind(fault, "drain"))
         return 1;
     if (is_kind(fault, "replay"))
-        return fault->second_value + COPY_DELAY_MAX_S;
+        return fault->second_value + SIM_COPY_DELAY_MAX_S;
     bool is_share = is_kind(fault, "late-writes") || is_kind(fault, "lost-answers") ||
                     is_kind(fault, "replay-failover");
     return is_share || fault->second_value > 0 ? fault->second_value : fault->first_value;
--- a/tests/sim_heartbeats.c
+++ b/tests/sim_heartbeats.c
@@ -1,5 +1,5 @@
-/* The messages of the simulated workers: heartbeats, their answers, late copies, direct commands.
- */
+/* The messages of the simulated workers: heartbeats, their answers, replayed heartbeats and direct
+ * commands. */
 #include "numbers.h"
 #include "sim_worker.h"
 #include "simulation.h"
@@ -42,19 +42,21 @@
              strcmp(sim->nodes[node].settings.zone, worker->zone) != 0);
 }
 
-static void replay_heartbeat(struct sim *sim, const char *text, int node, int who)
+/* Draws whether a fault copies the heartbeat, for a later delivery. */
+static void replay_heartbeat(struct sim *sim, const char *text, int node, int index)
 {
     if (sim->now >= sim->replay_until || sim_random(sim) >= sim->replay_share)
         return;
-    if (sim->replays_at_failover) { /* every controller gets it as a new leader begins */
+    if (sim->replays_at_failover) { /* sent to every controller as a new leader starts */
         if (sim->nsaved_heartbeats <
             (int)(sizeof sim->saved_heartbeats / sizeof *sim->saved_heartbeats))
             sim->saved_heartbeats[sim->nsaved_heartbeats++] = strdup(text);
         return;
     }
-    struct sim_event *event = sim_schedule(sim, sim_uniform(sim, 2, 25), SIM_HEARTBEAT_REPLAY);
+    struct sim_event *event =
+        sim_schedule(sim, sim_uniform(sim, 2, SIM_COPY_DELAY_MAX_S), SIM_HEARTBEAT_REPLAY);
     event->node = node;
-    event->index = who;
+    event->index = index;
     event->text = strdup(text);
 }
 
@@ -74,30 +76,30 @@
 
 void sim_send_heartbeat(struct sim *sim, struct sim_worker *worker)
 {
-    int who = (int)(worker - sim->workers);
+    int index = (int)(worker - sim->workers);
     char *text = heartbeat_text(sim, worker);
-    bool arrives =
+    bool is_delivered =
         is_reachable(sim, worker->node, worker) && sim->now >= worker->outbound_cut_until;
     worker->awaits_answer = true;
     worker->pending_seq = worker->seq;
     worker->heartbeat_sent_at = sim->now;
-    if (arrives) {
+    if (is_delivered) {
         struct sim_event *event = sim_schedule(sim, sim_network_delay(sim), SIM_HEARTBEAT_ARRIVAL);
         event->node = worker->node;
-        event->index = who;
+        event->index = index;
         event->number = worker->seq;
         event->text = strdup(text);
-        replay_heartbeat(sim, text, worker->node, who);
+        replay_heartbeat(sim, text, worker->node, index);
     } else if (worker->is_cut_buffered && sim->now < worker->cut_until) {
         struct sim_event *event =
             sim_schedule(sim, worker->cut_until - sim->now + 0.1, SIM_HEARTBEAT_REPLAY);
         event->node = worker->node;
-        event->index = who;
+        event->index = index;
         event->text = strdup(text);
     }
-    bool refused = arrives && !sim->nodes[worker->node].core;
-    struct sim_event *timeout = sim_schedule(sim, refused ? 0.01 : 4.0, SIM_HEARTBEAT_TIMEOUT);
-    timeout->index = who;
+    bool is_refused = is_delivered && !sim->nodes[worker->node].core;
+    struct sim_event *timeout = sim_schedule(sim, is_refused ? 0.01 : 4.0, SIM_HEARTBEAT_TIMEOUT);
+    timeout->index = index;
     timeout->number = worker->seq;
     free(text);
 }
@@ -109,8 +111,8 @@
     worker->next_heartbeat_at = sim->now + pause_s;
 }
 
-/* Another controller leads: the next heartbeat goes to the one that the answer names. */
-static void redirected(struct sim *sim, struct sim_worker *worker, json_t *answer)
+/* The next heartbeat goes to the leader that the answer names. */
+static void follow_redirect(struct sim *sim, struct sim_worker *worker, json_t *answer)
 {
     const char *leader = json_string_value(json_object_get(answer, "steward"));
     int node = leader ? parse_number(leader + strlen("node-")) : worker->node;
@@ -135,7 +137,7 @@
         worker->next_heartbeat_at = sim->now + 0.5;
     worker->fencing_token = fencing_token;
     worker->lease_renewed_at = worker->heartbeat_sent_at;
-    sim_trace(sim, "%s is answered by node-%d, fencing token %llu", worker->id, node,
+    sim_trace(sim, "%s: heartbeat answered by node-%d, fencing token %llu", worker->id, node,
               (unsigned long long)fencing_token);
     sim_execute_commands(sim, worker, answer);
 }
@@ -150,13 +152,13 @@
     if (event->status == 200)
         heartbeat_accepted(sim, worker, event->node, answer);
     else if (event->status == 421)
-        redirected(sim, worker, answer);
+        follow_redirect(sim, worker, answer);
     else
         sim_try_next_node(sim, worker, 1);
     json_decref(answer);
 }
 
-/* A direct command arrives: executed, and answered with a heartbeat. */
+/* Executes a direct command and answers it with a heartbeat. */
 static void execute_direct_command(struct sim *sim, struct sim_worker *worker,
                                    const struct sim_event *event)
 {
@@ -171,8 +173,8 @@
     }
     json_decref(message);
     bool is_delayed = sim_draw_command_delayed(sim);
-    double delay = sim_network_delay(sim) + (is_delayed ? sim_uniform(sim, 0.3, 4) : 0);
-    struct sim_event *answer = sim_schedule(sim, delay, SIM_COMMAND_ANSWER);
+    double delay_s = sim_network_delay(sim) + (is_delayed ? sim_uniform(sim, 0.3, 4) : 0);
+    struct sim_event *answer = sim_schedule(sim, delay_s, SIM_COMMAND_ANSWER);
     answer->node = event->node;
     answer->epoch = event->epoch;
     answer->index = event->index;
@@ -186,21 +188,22 @@
 {
     struct sim_worker *worker = &sim->workers[event->index];
     struct sim_direct_command *command = event->data;
-    bool arrives = is_reachable(sim, event->node, worker) && sim->now >= worker->inbound_cut_until;
+    bool is_delivered =
+        is_reachable(sim, event->node, worker) && sim->now >= worker->inbound_cut_until;
     bool is_zone_cut = sim->now < sim->zones_cut_until &&
                        strcmp(sim->nodes[event->node].settings.zone, worker->zone) != 0;
-    bool is_late = (!arrives && worker->is_cut_buffered && sim->now < worker->cut_until) ||
-                   (arrives && sim->now < worker->hangs_until) ||
+    bool is_late = (!is_delivered && worker->is_cut_buffered && sim->now < worker->cut_until) ||
+                   (is_delivered && sim->now < worker->hangs_until) ||
                    (is_zone_cut && sim_random(sim) < 0.5);
-    if (is_late && !worker->is_gone) { /* executed when the cut ends, or the machine goes on */
+    if (is_late && !worker->is_gone) { /* executed when the cut ends or the machine resumes */
         double until = worker->cut_until;
-        if (arrives)
+        if (is_delivered)
             until = worker->hangs_until;
         else if (is_zone_cut)
             until = sim->zones_cut_until;
         (void)sim_reschedule(sim, event, until - sim->now + 0.05);
         command->references++;
-    } else if (arrives && sim->now >= worker->up_at) {
+    } else if (is_delivered && sim->now >= worker->up_at) {
         execute_direct_command(sim, worker, event);
     }
     if (--command->references == 0)
--- a/tests/sim_tasks.c
+++ b/tests/sim_tasks.c
@@ -1,5 +1,5 @@
-/* The tasks on the simulated workers, and the commands that start and stop them. What starts or
- * goes on is checked against the rules. */
+/* The tasks on the simulated workers, and the commands that start and stop them. Each start is
+ * checked against the rules. */
 #include "sim_drain.h"
 #include "sim_worker.h"
 #include "simulation.h"
@@ -9,7 +9,7 @@
 
 #define GANG_WAIT_S 30.0
 #define WORKER_CPUS 8
-#define ROUNDING 1e-6
+#define CPUS_TOLERANCE 1e-6
 
 const char *sim_exit_reason_name(enum bd_exit_reason reason)
 {
@@ -18,7 +18,7 @@
     return names[reason];
 }
 
-/* The next heartbeat comes at most so many seconds from now. */
+/* Sends the next heartbeat within the delay. */
 static void hasten_heartbeat(const struct sim *sim, struct sim_worker *worker, double delay_s)
 {
     if (worker->next_heartbeat_at > sim->now + delay_s)
@@ -34,7 +34,7 @@
                           sim->jobs[i].machine[k], sim->jobs[i].cpus);
 }
 
-/* A task begins on the worker: the rules of the protocol. */
+/* Checks the start of a task against the rules of the protocol. */
 static void check_start(struct sim *sim, const struct sim_worker *worker,
                         const struct sim_slot *slot)
 {
@@ -46,38 +46,38 @@
         sim_violation(sim, "wrong_place: %s/%u, for zone %s, starts on %s", job->id, slot->task,
                       job->zone, worker->id);
     if (job->cancelled_at > 0 && sim->now > job->cancelled_at + sim->cancel_s)
-        sim_violation(sim, "ran_cancelled: %s/%u starts on %s, %.1f s after", job->id, slot->task,
-                      worker->id, sim->now - job->cancelled_at);
+        sim_violation(sim, "ran_cancelled: %s/%u starts on %s, %.1f s after its cancellation",
+                      job->id, slot->task, worker->id, sim->now - job->cancelled_at);
     if (job->cancelled_at > 0 && sim->now > job->cancelled_at + sim->lease_s + 2)
         sim->starts_after_cancellation++;
 }
 
-static void place_task(struct sim *sim, struct sim_worker *worker, struct sim_slot *slot)
+static void start_task(struct sim *sim, struct sim_worker *worker, struct sim_slot *slot)
 {
     struct sim_job *job = &sim->jobs[slot->job];
-    int at = (int)(worker - sim->workers);
+    int index = (int)(worker - sim->workers);
     sim->starts++;
     sim_trace(sim, "%s/%u begins on %s", job->id, slot->task, worker->id);
     check_start(sim, worker, slot);
-    job->machine[slot->task] = at;
+    job->machine[slot->task] = index;
     sim_drain_replica_running(sim, slot);
     job->nrunning++;
     sim->team_used_cpus[job->team] += job->cpus;
-    if (sim->team_used_cpus[job->team] <= sim->team_quota_cpus[job->team] + ROUNDING)
+    if (sim->team_used_cpus[job->team] <= sim->team_quota_cpus[job->team] + CPUS_TOLERANCE)
         return;
     trace_usage(sim, job->team);
     sim_violation(sim, "quota: team %d uses %.0f with %s/%u on %s", job->team,
                   sim->team_used_cpus[job->team], job->id, slot->task, worker->id);
 }
 
-static void remove_task(struct sim *sim, struct sim_worker *worker, struct sim_slot *slot)
+static void stop_task(struct sim *sim, struct sim_worker *worker, struct sim_slot *slot)
 {
     struct sim_job *job = &sim->jobs[slot->job];
-    int at = (int)(worker - sim->workers);
+    int index = (int)(worker - sim->workers);
     if (slot->execution != BD_EXECUTION_JOINING_GANG && slot->execution != BD_EXECUTION_RUNNING &&
         slot->execution != BD_EXECUTION_CHECKPOINTING)
         return;
-    if (job->machine[slot->task] == at)
+    if (job->machine[slot->task] == index)
         job->machine[slot->task] = -1;
     job->nrunning--;
     sim->team_used_cpus[job->team] -= job->cpus;
@@ -88,14 +88,14 @@
 void sim_task_exit(struct sim *sim, struct sim_worker *worker, struct sim_slot *slot,
                    enum bd_exit_reason reason)
 {
-    remove_task(sim, worker, slot);
+    stop_task(sim, worker, slot);
     slot->execution = BD_EXECUTION_EXITED;
     slot->exit_reason = reason;
     sim_trace(sim, "%s/%u exits on %s: %s", sim->jobs[slot->job].id, slot->task, worker->id,
               sim_exit_reason_name(reason));
     if (reason == BD_EXIT_DONE) {
         struct sim_job *job = &sim->jobs[slot->job];
-        for (uint32_t k = 0; k < job->tasks; k++) /* a gang's tasks complete together */
+        for (uint32_t k = 0; k < job->tasks; k++) /* a gang's tasks are done together */
             if (k == slot->task || job->kind == BD_JOB_GANG)
                 job->done[k] = true;
         if (job->kind == BD_JOB_GANG)
@@ -104,7 +104,7 @@
     hasten_heartbeat(sim, worker, 0.3);
 }
 
-/* A gang's tasks complete at one and the same moment. */
+/* All running tasks of the gang's attempt exit as done at the same moment. */
 static void complete_gang(struct sim *sim, const struct sim_slot *first)
 {
     int job = first->job;
@@ -125,12 +125,13 @@
     for (int i = 0; i < worker->nslots; i++) {
         if (worker->slots[i].execution == BD_EXECUTION_RUNNING)
             sim_drain_replica_lost(sim, &worker->slots[i]);
-        remove_task(sim, worker, &worker->slots[i]);
+        stop_task(sim, worker, &worker->slots[i]);
     }
     worker->nslots = 0;
 }
 
-static struct sim_slot *slot_of(struct sim_worker *worker, int job, uint32_t task, uint64_t attempt)
+static struct sim_slot *find_slot(struct sim_worker *worker, int job, uint32_t task,
+                                  uint64_t attempt)
 {
     for (int i = 0; i < worker->nslots; i++)
         if (worker->slots[i].job == job && worker->slots[i].task == task &&
@@ -161,22 +162,22 @@
 static void launch_task(struct sim *sim, struct sim_worker *worker, int job, uint32_t task,
                         uint64_t attempt)
 {
-    if (slot_of(worker, job, task, attempt))
+    if (find_slot(worker, job, task, attempt))
         return;
     if (worker->nslots == SIM_SLOTS)
         abort();
-    struct sim_slot *old = NULL;
+    struct sim_slot *earlier = NULL;
     for (int i = 0; i < worker->nslots; i++)
         if (worker->slots[i].job == job && worker->slots[i].task == task &&
             worker->slots[i].execution != BD_EXECUTION_EXITED)
-            old = &worker->slots[i];
+            earlier = &worker->slots[i];
     struct sim_slot *slot = &worker->slots[worker->nslots++];
     *slot = (struct sim_slot){
         job, task, attempt, BD_EXECUTION_FETCHING, BD_EXIT_NONE, sim->now + sim->image_fetch_s};
-    if (old) {
+    if (earlier) {
         slot->execution = BD_EXECUTION_EXITED;
         slot->exit_reason = BD_EXIT_BUSY;
-    } else if (cpus_in_use(sim, worker) > WORKER_CPUS + ROUNDING) {
+    } else if (cpus_in_use(sim, worker) > WORKER_CPUS + CPUS_TOLERANCE) {
         slot->execution = BD_EXECUTION_EXITED;
         slot->exit_reason = BD_EXIT_NO_CAPACITY;
     }
@@ -195,7 +196,7 @@
         uint64_t attempt = (uint64_t)json_integer_value(json_object_get(command, "try"));
         if (!read_task(sim, command, &job, &task))
             continue;
-        struct sim_slot *slot = slot_of(worker, job, task, attempt);
+        struct sim_slot *slot = find_slot(worker, job, task, attempt);
         if (strcmp(verb, "launch") == 0)
             launch_task(sim, worker, job, task, attempt);
         else if (strcmp(verb, "halt") == 0 && slot && slot->execution != BD_EXECUTION_EXITED) {
@@ -207,26 +208,25 @@
     }
 }
 
-/* Whether all tasks of the attempt wait for each other or run; on a machine that hangs none does.
- */
+/* Whether all tasks of the attempt join the gang or run. Those on a machine that hangs do not. */
 static bool is_gang_complete(struct sim *sim, int job, uint64_t attempt)
 {
-    uint32_t n = 0;
+    uint32_t present = 0;
     for (int i = 0; i < sim->nworkers; i++) {
         struct sim_worker *worker = &sim->workers[i];
         for (int k = 0; !worker->is_gone && sim->now >= worker->hangs_until && k < worker->nslots;
              k++) {
             struct sim_slot *slot = &worker->slots[k];
             if (slot->job == job && slot->attempt == attempt)
-                n += slot->execution == BD_EXECUTION_RUNNING ||
-                     slot->execution == BD_EXECUTION_JOINING_GANG;
+                present += slot->execution == BD_EXECUTION_RUNNING ||
+                           slot->execution == BD_EXECUTION_JOINING_GANG;
         }
     }
-    return n == sim->jobs[job].tasks;
+    return present == sim->jobs[job].tasks;
 }
 
-/* Why a task that joins its gang or runs exits now; BD_EXIT_NONE: it goes on. */
-static enum bd_exit_reason reason_to_exit(struct sim *sim, const struct sim_slot *slot)
+/* Why a task that joins its gang or runs must exit now. BD_EXIT_NONE: it continues. */
+static enum bd_exit_reason current_exit_reason(struct sim *sim, const struct sim_slot *slot)
 {
     const struct sim_job *job = &sim->jobs[slot->job];
     if (job->done[slot->task])
@@ -246,20 +246,20 @@
 {
     struct sim_job *job = &sim->jobs[slot->job];
     if (slot->execution == BD_EXECUTION_FETCHING && sim->now >= slot->phase_ends_at) {
-        bool gang = job->kind == BD_JOB_GANG && job->tasks > 1;
-        if (job->done[slot->task]) { /* its result is kept */
+        bool is_gang = job->kind == BD_JOB_GANG && job->tasks > 1;
+        if (job->done[slot->task]) { /* by an earlier attempt, whose result is kept */
             sim_task_exit(sim, worker, slot, BD_EXIT_DONE);
             return;
         }
-        place_task(sim, worker, slot);
-        slot->execution = gang ? BD_EXECUTION_JOINING_GANG : BD_EXECUTION_RUNNING;
-        slot->phase_ends_at = sim->now + (gang ? GANG_WAIT_S : job->run_s);
+        start_task(sim, worker, slot);
+        slot->execution = is_gang ? BD_EXECUTION_JOINING_GANG : BD_EXECUTION_RUNNING;
+        slot->phase_ends_at = sim->now + (is_gang ? GANG_WAIT_S : job->run_s);
         hasten_heartbeat(sim, worker, 0.4);
     }
     bool joins_gang = slot->execution == BD_EXECUTION_JOINING_GANG;
     if (!joins_gang && slot->execution != BD_EXECUTION_RUNNING)
         return;
-    enum bd_exit_reason reason = reason_to_exit(sim, slot);
+    enum bd_exit_reason reason = current_exit_reason(sim, slot);
     if (reason != BD_EXIT_NONE) {
         sim_task_exit(sim, worker, slot, reason);
     } else if (joins_gang && is_gang_complete(sim, slot->job, slot->attempt)) {
--- a/tests/sim_worker.c
+++ b/tests/sim_worker.c
@@ -1,4 +1,4 @@
-/* The simulated workers: they come from the cloud, go back to it, and live from step to step. */
+/* The simulated workers: provisioning, removal, and their work at each step. */
 #include "sim_worker.h"
 #include "numbers.h"
 #include "simulation.h"
@@ -11,14 +11,14 @@
     return i >= 0 && i < sim->njobs ? &sim->jobs[i] : NULL;
 }
 
-int sim_provision(struct sim *sim, const char *zone, double boot)
+int sim_provision(struct sim *sim, const char *zone, double boot_s)
 {
     if (sim->nworkers == SIM_MACHINES)
         return -1;
-    int up = 0;
+    int count = 0;
     for (int i = 0; i < sim->nworkers; i++)
-        up += !sim->workers[i].is_gone;
-    if (up >= sim->machines_max)
+        count += !sim->workers[i].is_gone;
+    if (count >= sim->machines_max)
         return -1;
     struct sim_worker *worker = &sim->workers[sim->nworkers];
     memset(worker, 0, sizeof *worker);
@@ -26,7 +26,7 @@
     snprintf(worker->zone, sizeof worker->zone, "%s", zone);
     snprintf(worker->type, sizeof worker->type, "small");
     worker->provisioned_at = sim->now;
-    worker->up_at = worker->lease_renewed_at = sim->now + boot;
+    worker->up_at = worker->lease_renewed_at = sim->now + boot_s;
     worker->next_heartbeat_at = worker->up_at + sim_uniform(sim, 0, 0.5);
     worker->incarnation = 1;
     worker->node = (int)(sim_random(sim) * SIM_NODES);
@@ -48,12 +48,11 @@
         if (worker->is_gone || sim->now < worker->up_at)
             continue;
         if (sim->now - worker->lease_renewed_at > sim->lease_s) {
-            sim_trace(sim, "%s: its lease expires, %d tasks", worker->id, worker->nslots);
+            sim_trace(sim, "%s: lease expired, %d tasks end", worker->id, worker->nslots);
             sim_kill_tasks(sim, worker);
             worker->incarnation++;
             worker->lease_renewed_at = sim->now;
-            worker->pending_seq =
-                0; /* answers to an earlier incarnation's heartbeats are dropped */
+            worker->pending_seq = 0; /* drops answers to the earlier incarnation */
             if (worker->awaits_answer)
                 sim_try_next_node(sim, worker, 1);
         }
--- a/tests/simulation.c
+++ b/tests/simulation.c
@@ -8,10 +8,10 @@
  * - simulation steps FILE|KIND SEED: the steps of one day
  * - simulation checker: whether the checker of drains detects what it must
  *
- * A file has one setting or fault a line. The settings are `jobs N`; `cancelled-share SHARE` of
- * them; `one-task-jobs 1`: each job is one short task; `image-fetch-s SECONDS`; `machines N` at the
- * start; `services N`: the first N jobs are services; `drains 1`: the controllers have rules for
- * drains; `budget A B`: how many replicas of each team may be down.
+ * A file has one setting or fault a line. The settings are `jobs N`; `cancelled-share SHARE`:
+ * of the jobs; `one-task-jobs 1`: each job is one short task; `image-fetch-s SECONDS`; `machines N`
+ * at the start; `services N`: the first N jobs are services; `drains 1`: the controllers have rules
+ * for drains; `budget A B`: how many replicas of each team may be down.
  *
  * A fault is `at SECONDS FAULT ...`. The day ends long enough after the last fault for all work to
  * finish. FOR is in seconds, and NODE is a controller's number, `leader` or `any`:
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -16,12 +16,14 @@
 #include <gsl/gsl_rng.h>
 #include <jansson.h>
 
+#define SIM_WALL_START_S 1e6 /* wall clock at the day's start */
 #define SIM_NODES 4
 #define SIM_MACHINES 160
 #define SIM_JOBS 700
-#define SIM_TASKS 8          /* per job */
-#define SIM_SLOTS 400        /* tasks that a worker runs or remembers */
-#define SIM_VIOLATIONS_MAX 5 /* printed; the day ends when there are more */
+#define SIM_TASKS 8             /* per job */
+#define SIM_SLOTS 400           /* tasks that a worker runs or remembers */
+#define SIM_COPY_DELAY_MAX_S 25 /* of a replayed heartbeat */
+#define SIM_VIOLATIONS_MAX 5    /* printed; the day ends when there are more */
 
 enum sim_event_kind {
     SIM_STORE_EXECUTE,
