--- a/tests/behaviour_digest.h
+++ b/tests/behaviour_digest.h
@@ -1,8 +1,8 @@
-/* A digest of what the pure core decides, for comparing two versions of the sources.
+/* A digest of the core's decisions, for comparing two versions of the sources.
  *
  * Every effect is one step: the simulated time, the controller, and the bytes that go to users,
  * workers, peers, the cloud and the key-value store. Log text and names from the sources are left
- * out, so that a step changes only if behaviour does. Used by tests/compare_behaviour.sh. */
+ * out, so that a step changes only if the behaviour does. Used by tests/compare_behaviour.sh. */
 #ifndef BD_TESTS_BEHAVIOUR_DIGEST_H
 #define BD_TESTS_BEHAVIOUR_DIGEST_H
 #include "model/effect.h"
@@ -13,13 +13,13 @@
 struct behaviour_digest {
     uint64_t hash;
     uint64_t steps;
-    FILE *trace; /* each step as a line, or NULL */
+    FILE *trace; /* receives each step as a line; NULL: none */
 };
 
-/* Begins an empty digest; with a trace the steps are written to it too. */
+/* Starts an empty digest. The trace may be NULL. */
 void behaviour_digest_start(struct behaviour_digest *digest, FILE *trace);
 
-/* Adds an effect of a controller. `requester` identifies whoever is answered, 0 if nobody is. */
+/* Adds an effect of a controller. `requester` identifies who awaits the reply; 0: nobody. */
 void behaviour_digest_effect(struct behaviour_digest *digest, double at, int controller,
                              const struct bd_effect *effect, uint64_t requester);
 
--- a/tests/drain_check.c
+++ b/tests/drain_check.c
@@ -1,12 +1,12 @@
-/* The invariant of draining, from the workers' own history. A replica is down by our doing from the
- * moment a worker stops it on command until an attempt of it runs again; of no team are more down
- * than it declared. Replicas that were lost otherwise count too, once the leader has had the time
- * to learn of them. */
+/* The invariant of draining, checked on what the workers did. A replica is down from the moment at
+ * which a worker stops it on command until an attempt of it runs again. No team has more replicas
+ * down than its budget allows. Replicas that were lost in other ways count too, once the leader has
+ * had the time to detect the loss. */
 #include "drain_check.h"
 #include <stdlib.h>
 #include <string.h>
 
-#define LEARNT_S 25.0 /* by then a loss is known, and commands from before it are executed */
+#define LOSS_DETECTION_S 25.0 /* by then, commands sent before the detection are executed too */
 #define TEAMS 2
 
 void drain_check_start(struct drain_check *check, const uint32_t *budgets)
@@ -15,70 +15,73 @@
     memcpy(check->budgets, budgets, sizeof check->budgets);
 }
 
-static struct drain_replica *replica_of(struct drain_check *check, int job, uint32_t task)
+/* Finds the replica, or adds it. */
+static struct drain_replica *find_replica(struct drain_check *check, int job, uint32_t task)
 {
-    for (int i = 0; i < check->n; i++)
+    for (int i = 0; i < check->nreplicas; i++)
         if (check->replicas[i].job == job && check->replicas[i].task == task)
             return &check->replicas[i];
-    if (check->n == DRAIN_REPLICAS)
+    if (check->nreplicas == DRAIN_REPLICAS)
         abort();
-    struct drain_replica *replica = &check->replicas[check->n++];
+    struct drain_replica *replica = &check->replicas[check->nreplicas++];
     *replica = (struct drain_replica){.job = job, .task = task};
     return replica;
 }
 
 void drain_check_replica_running(struct drain_check *check, int job, uint32_t task, int team)
 {
-    struct drain_replica *replica = replica_of(check, job, task);
+    struct drain_replica *replica = find_replica(check, job, task);
     replica->team = team;
     replica->state = REPLICA_UP;
 }
 
 void drain_check_replica_lost(struct drain_check *check, double now, int job, uint32_t task)
 {
-    struct drain_replica *replica = replica_of(check, job, task);
+    struct drain_replica *replica = find_replica(check, job, task);
     if (replica->state != REPLICA_UP)
         return;
     replica->state = REPLICA_LOST;
-    replica->since = now;
+    replica->state_since = now;
 }
 
 void drain_check_job_cancelled(struct drain_check *check, int job)
 {
-    for (int i = 0; i < check->n; i++)
+    for (int i = 0; i < check->nreplicas; i++)
         if (check->replicas[i].job == job)
             check->replicas[i].state = REPLICA_NONE;
 }
 
-/* Of a team: stopped by us, and lost long enough ago. */
-static uint32_t down_of(const struct drain_check *check, double now, int team, bool losses)
+/* Counts the team's replicas that were stopped on command and, with `losses`, those lost for longer
+ * than the detection takes. */
+static uint32_t count_down(const struct drain_check *check, double now, int team, bool losses)
 {
     uint32_t count = 0;
-    for (int i = 0; i < check->n; i++) {
+    for (int i = 0; i < check->nreplicas; i++) {
         const struct drain_replica *replica = &check->replicas[i];
-        bool lost = losses && replica->state == REPLICA_LOST && now - replica->since > LEARNT_S;
-        count += replica->team == team && (replica->state == REPLICA_STOPPED || lost);
+        bool is_lost = losses && replica->state == REPLICA_LOST &&
+                       now - replica->state_since > LOSS_DETECTION_S;
+        count += replica->team == team && (replica->state == REPLICA_STOPPED || is_lost);
     }
     return count;
 }
 
 bool drain_check_replica_stopped(struct drain_check *check, double now, int job, uint32_t task)
 {
-    struct drain_replica *replica = replica_of(check, job, task);
+    struct drain_replica *replica = find_replica(check, job, task);
     if (replica->state != REPLICA_UP)
-        return true; /* it was not up: this takes nothing down */
+        return true; /* it was not up, so the stop takes nothing down */
     replica->state = REPLICA_STOPPED;
-    replica->since = now;
+    replica->state_since = now;
     check->stops++;
-    uint32_t ours = down_of(check, now, replica->team, false);
+    uint32_t stopped = count_down(check, now, replica->team, false);
     check->peak_down[replica->team] =
-        ours > check->peak_down[replica->team] ? ours : check->peak_down[replica->team];
-    return ours <= check->budgets[replica->team] &&
-           down_of(check, now, replica->team, true) <= check->budgets[replica->team];
+        stopped > check->peak_down[replica->team] ? stopped : check->peak_down[replica->team];
+    return stopped <= check->budgets[replica->team] &&
+           count_down(check, now, replica->team, true) <= check->budgets[replica->team];
 }
 
-/* An invented history: the checker must see an overlap beyond the budget, and a stop beside an old
- * loss; and nothing in one that keeps to it. */
+/* The checker must detect two replicas that are stopped at the same time, and a stop while another
+ * replica has been lost for long. It must accept a history within the budget. */
 bool drain_check_self_test(void)
 {
     static const uint32_t budgets[TEAMS] = {1, 1};
@@ -86,14 +89,14 @@
     drain_check_start(&check, budgets);
     for (uint32_t task = 0; task < 3; task++)
         drain_check_replica_running(&check, 0, task, 0);
-    bool first = drain_check_replica_stopped(&check, 10, 0, 0);
+    bool first_ok = drain_check_replica_stopped(&check, 10, 0, 0);
     drain_check_replica_running(&check, 0, 0, 0);
-    bool second = drain_check_replica_stopped(&check, 11, 0, 1);
-    bool overlap = drain_check_replica_stopped(&check, 12, 0, 2);
+    bool second_ok = drain_check_replica_stopped(&check, 11, 0, 1);
+    bool overlap_ok = drain_check_replica_stopped(&check, 12, 0, 2);
     drain_check_start(&check, budgets);
     for (uint32_t task = 0; task < 2; task++)
         drain_check_replica_running(&check, 0, task, 0);
     drain_check_replica_lost(&check, 20, 0, 0);
-    bool beside_loss = drain_check_replica_stopped(&check, 20 + 2 * LEARNT_S, 0, 1);
-    return first && second && !overlap && !beside_loss;
+    bool stop_after_loss_ok = drain_check_replica_stopped(&check, 20 + 2 * LOSS_DETECTION_S, 0, 1);
+    return first_ok && second_ok && !overlap_ok && !stop_after_loss_ok;
 }
--- a/tests/drain_check.h
+++ b/tests/drain_check.h
@@ -1,5 +1,5 @@
-/* The checker of disruption: a history of replicas that run, are stopped and are lost, against the
- * teams' budgets. */
+/* Checks a history of replicas that run, are stopped and are lost against the teams' disruption
+ * budgets. */
 #ifndef BD_TESTS_DRAIN_CHECK_H
 #define BD_TESTS_DRAIN_CHECK_H
 #include <stdbool.h>
@@ -13,24 +13,24 @@
     int job, team;
     uint32_t task;
     enum drain_replica_state state;
-    double since;
+    double state_since; /* of a stop or a loss, in seconds */
 };
 
 struct drain_check {
-    uint32_t budgets[2],
-        peak_down[2]; /* by team; peak_down: replicas that drains had stopped at once */
-    uint32_t stops;
+    uint32_t budgets[2];   /* by team: how many replicas may be down */
+    uint32_t peak_down[2]; /* by team: the most replicas that were stopped at the same time */
+    uint32_t stops;        /* of replicas that ran */
     struct drain_replica replicas[DRAIN_REPLICAS];
-    int n;
+    int nreplicas;
 };
 
 void drain_check_start(struct drain_check *check, const uint32_t *budgets);
 void drain_check_replica_running(struct drain_check *check, int job, uint32_t task, int team);
 void drain_check_replica_lost(struct drain_check *check, double now, int job, uint32_t task);
-/* The job was ended by its user. */
+/* The user cancelled the job: its replicas are no longer counted. */
 void drain_check_job_cancelled(struct drain_check *check, int job);
-/* False: more of the team are down than it declared. */
+/* Returns false if more replicas of the team are down than its budget allows. */
 bool drain_check_replica_stopped(struct drain_check *check, double now, int job, uint32_t task);
-/* whether the checker sees what it must, on invented histories */
+/* Whether the checker detects what it must, on made-up histories. */
 bool drain_check_self_test(void);
 #endif
--- a/tests/key_table.c
+++ b/tests/key_table.c
@@ -3,18 +3,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CAPACITY_FIRST 64
+#define INITIAL_CAPACITY 64
 
-/* The list with capacity for one more element. */
+/* Returns the list with capacity for at least one more element. */
 static void *grow(void *list, size_t used, size_t *capacity, size_t size)
 {
     if (used < *capacity)
         return list;
-    *capacity = *capacity ? 2 * *capacity : CAPACITY_FIRST;
-    void *more = realloc(list, *capacity * size);
-    if (!more)
+    *capacity = *capacity ? 2 * *capacity : INITIAL_CAPACITY;
+    void *grown = realloc(list, *capacity * size);
+    if (!grown)
         abort();
-    return more;
+    return grown;
 }
 
 struct table_key *table_find(const struct key_table *table, const char *name)
@@ -27,19 +27,19 @@
 
 static void log_change(struct key_table *table, const char *name, json_t *value)
 {
-    table->log = grow(table->log, table->nlog, &table->cap_log, sizeof *table->log);
+    table->log = grow(table->log, table->nlog, &table->log_capacity, sizeof *table->log);
     struct table_change *change = &table->log[table->nlog++];
     snprintf(change->name, sizeof change->name, "%s", name);
     change->value = json_incref(value);
     change->revision = table->revision;
 }
 
-static struct table_key *free_key(struct key_table *table)
+static struct table_key *find_free_entry(struct key_table *table)
 {
     for (size_t i = 0; i < table->nkeys; i++)
         if (!table->keys[i].value)
             return &table->keys[i];
-    table->keys = grow(table->keys, table->nkeys, &table->cap_keys, sizeof *table->keys);
+    table->keys = grow(table->keys, table->nkeys, &table->keys_capacity, sizeof *table->keys);
     return &table->keys[table->nkeys++];
 }
 
@@ -49,7 +49,7 @@
     if (key)
         json_decref(key->value);
     else
-        key = free_key(table);
+        key = find_free_entry(table);
     snprintf(key->name, sizeof key->name, "%s", name);
     key->value = json_incref(value);
     key->revision = table->revision;
@@ -57,7 +57,7 @@
     log_change(table, name, value);
 }
 
-static void drop_key(struct key_table *table, struct table_key *key)
+static void delete_key(struct key_table *table, struct table_key *key)
 {
     if (!key)
         return;
@@ -72,29 +72,29 @@
         if (!table->keys[i].value || table->keys[i].grant != grant)
             continue;
         table->revision++;
-        drop_key(table, &table->keys[i]);
+        delete_key(table, &table->keys[i]);
     }
 }
 
-static bool grants_live(const struct key_table *table, json_t *in)
+static bool are_grants_live(const struct key_table *table, json_t *request)
 {
     json_t *item;
     size_t i;
-    json_array_foreach(json_object_get(in, "apply"), i, item)
+    json_array_foreach(json_object_get(request, "apply"), i, item)
     {
-        json_t *g = json_object_get(item, "charter");
-        if (g && !table->is_grant_live(table->owner, (uint64_t)json_integer_value(g)))
+        json_t *grant = json_object_get(item, "charter");
+        if (grant && !table->is_grant_live(table->owner, (uint64_t)json_integer_value(grant)))
             return false;
     }
     return true;
 }
 
 /* The names of the keys whose conditions are not met. */
-static json_t *failed_conditions(const struct key_table *table, json_t *in)
+static json_t *failed_conditions(const struct key_table *table, json_t *request)
 {
     json_t *failed = json_array(), *item;
     size_t i;
-    json_array_foreach(json_object_get(in, "if"), i, item)
+    json_array_foreach(json_object_get(request, "if"), i, item)
     {
         const char *name = json_string_value(json_object_get(item, "k"));
         const struct table_key *key = table_find(table, name);
@@ -119,18 +119,18 @@
             set_key(table, name, value,
                     (uint64_t)json_integer_value(json_object_get(item, "charter")));
         else
-            drop_key(table, table_find(table, json_string_value(json_object_get(item, "drop"))));
+            delete_key(table, table_find(table, json_string_value(json_object_get(item, "drop"))));
     }
 }
 
-int table_commit(struct key_table *table, json_t *in, json_t **out)
+int table_commit(struct key_table *table, json_t *request, json_t **out)
 {
-    json_t *ops = json_object_get(in, "apply");
-    if (!grants_live(table, in)) {
+    json_t *ops = json_object_get(request, "apply");
+    if (!are_grants_live(table, request)) {
         *out = json_pack("{s:s}", "error", "no such lease");
         return 400;
     }
-    json_t *failed = failed_conditions(table, in);
+    json_t *failed = failed_conditions(table, request);
     if (json_array_size(failed) > 0) {
         *out = json_pack("{s:o,s:I}", "failed", failed, "ring", (json_int_t)table->revision);
         return 409;
--- a/tests/numbers.h
+++ b/tests/numbers.h
@@ -1,16 +1,15 @@
-/* Numbers in the tests' text files, arguments and task names. Without state; used by the test
- * programs that read text. */
+/* Parses numbers in the tests' text files, arguments and task names. */
 #ifndef BD_TESTS_NUMBERS_H
 #define BD_TESTS_NUMBERS_H
 #include <stdbool.h>
 #include <stddef.h>
 
-/* The decimal number that the text begins with; 0 if there is none. */
+/* Returns the decimal number at the start of the text, 0 if there is none. */
 int parse_number(const char *text);
-/* False: the text does not begin with the prefix and a number after it. */
+/* Returns false if the text does not start with the prefix and a number. */
 bool parse_number_after(const char *text, const char *prefix, long *number);
-/* Reads numbers that a separator divides into `numbers`. Returns how many of at most `max` were
- * read before the text's end or something that is no number. */
+/* Reads at most `max` numbers between separators. Stops at the end of the text or at anything that
+ * is not a number. Returns the count. */
 size_t parse_numbers(const char *text, char separator, double *numbers, size_t max);
 /* Reads "NAME:1:2": the name, and numbers as parse_numbers does. Returns the count of numbers, 0
  * also where the name is empty or does not fit into `capacity` bytes. */
--- a/tests/sim_effects.c
+++ b/tests/sim_effects.c
@@ -1,5 +1,4 @@
-/* What a simulated controller does with its core's effects: what event_loop.c and the clients do.
- */
+/* Performs the effects of a simulated controller's core, as event_loop.c and the clients do. */
 #include "model/effect.h"
 #include "numbers.h"
 #include "sim_node.h"
@@ -15,10 +14,10 @@
     struct sim_request *request = effect->request;
     if (!request)
         return;
-    bool held = !request->is_user && sim_draw_command_delayed(sim);
-    struct sim_event *event =
-        sim_node_schedule(sim, node, sim_network_delay(sim) + (held ? sim_uniform(sim, 0.3, 4) : 0),
-                          request->is_user ? SIM_USER_ANSWER : SIM_HEARTBEAT_ANSWER);
+    bool is_delayed = !request->is_user && sim_draw_command_delayed(sim);
+    struct sim_event *event = sim_node_schedule(
+        sim, node, sim_network_delay(sim) + (is_delayed ? sim_uniform(sim, 0.3, 4) : 0),
+        request->is_user ? SIM_USER_ANSWER : SIM_HEARTBEAT_ANSWER);
     event->index = request->index;
     event->number = request->number;
     event->status = effect->status;
@@ -29,7 +28,8 @@
 struct sim_event *sim_send_frame(struct sim *sim, struct sim_node *node, int peer,
                                  enum bd_frame_type type, struct bd_effect *effect)
 {
-    int to = peer + (peer >= (int)(node - sim->nodes)); /* the settings leave ourselves out */
+    int to =
+        peer + (peer >= (int)(node - sim->nodes)); /* the settings do not list the node itself */
     struct sim_event *event = sim_node_schedule(sim, node, sim_network_delay(sim), SIM_FRAME);
     struct bd_frame *frame = calloc(1, sizeof *frame);
     if (!frame)
@@ -48,7 +48,7 @@
     return event;
 }
 
-/* Into the queue of the controller's own senders, which may be slow to take it out. */
+/* Puts the command into the controller's own send queue, which a fault may delay. */
 static void queue_direct_command(struct sim *sim, struct sim_node *node, struct bd_effect *effect)
 {
     struct sim_direct_command *command = calloc(1, sizeof *command);
@@ -76,7 +76,8 @@
     effect->body = NULL;
 }
 
-static uint64_t requester_of(const struct bd_effect *effect)
+/* Identifies who awaits the reply; 0: none. */
+static uint64_t requester_id(const struct bd_effect *effect)
 {
     const struct sim_request *request = effect->request;
     if (effect->kind != BD_EFFECT_REPLY || !request)
@@ -85,7 +86,8 @@
             (uint64_t)request->is_user << 1 | 1);
 }
 
-/* True: the effect asks for a call of the key-value store, which owns it from now on. */
+/* Returns true if the effect requests a call of the key-value store. The call then owns the effect.
+ */
 static bool call_store(struct sim *sim, struct sim_node *node, struct bd_effect *effect)
 {
     char key[BD_LABEL_BYTES + 2];
@@ -96,7 +98,8 @@
         return true;
     case BD_EFFECT_JOB_LOOKUP:
         snprintf(key, sizeof key, "j/%.60s", effect->key);
-        sim_node_call(sim, node, SIM_GET, SIM_FOR_LOOKUP, key, NULL, 1.5)->effect = effect;
+        sim_node_call(sim, node, SIM_GET, SIM_FOR_LOOKUP, key, NULL, SIM_STORE_TIMEOUT_S)->effect =
+            effect;
         return true;
     case BD_EFFECT_LEADER_TXN:
         if (node->pending_commit)
@@ -109,18 +112,19 @@
     }
 }
 
-/* The delegate's write; without a body, a read of the revision of its record. */
+/* Writes the delegate's record or, without a body, reads its revision. */
 static void call_for_delegate(struct sim *sim, struct sim_node *node,
                               const struct bd_effect *effect)
 {
     if (effect->body)
         (void)sim_node_call(sim, node, SIM_COMMIT, SIM_FOR_DELEGATE, NULL, strdup(effect->body),
-                            1.5);
+                            SIM_STORE_TIMEOUT_S);
     else
-        (void)sim_node_call(sim, node, SIM_GET, SIM_FOR_DELEGATE_REVISION, effect->key, NULL, 1.5);
+        (void)sim_node_call(sim, node, SIM_GET, SIM_FOR_DELEGATE_REVISION, effect->key, NULL,
+                            SIM_STORE_TIMEOUT_S);
 }
 
-/* On half of the days nothing is announced: the rules are kept without it. */
+/* On half of the days nothing is announced, as the rules must hold without it too. */
 static void announce_cancellation(struct sim *sim, struct sim_node *node,
                                   const struct bd_effect *effect)
 {
@@ -132,7 +136,7 @@
 {
     if (sim->digest)
         behaviour_digest_effect(sim->digest, sim->now, (int)(node - sim->nodes), effect,
-                                requester_of(effect));
+                                requester_id(effect));
     if (call_store(sim, node, effect))
         return;
     switch (effect->kind) {
--- a/tests/sim_election.c
+++ b/tests/sim_election.c
@@ -1,4 +1,4 @@
-/* The simulated controllers' election: the leader's key, its grant and the renewals. */
+/* The simulated controllers' election: the leader's key, its grant and the grant's renewals. */
 #include "base/timeutil.h"
 #include "core/core.h"
 #include "leadership/leadership.h"
@@ -12,10 +12,10 @@
 
 #define TTL_S 2.0
 
-static void post_election(struct sim *sim, struct sim_node *node, double delay)
+static void schedule_election(struct sim *sim, struct sim_node *node, double delay_s)
 {
     node->is_electing = false;
-    sim_node_schedule(sim, node, delay, SIM_ELECTION);
+    sim_node_schedule(sim, node, delay_s, SIM_ELECTION);
 }
 
 void sim_election_step(struct sim *sim, struct sim_node *node)
@@ -66,34 +66,36 @@
 {
     struct bd_change change;
     uint64_t grant;
-    bool told = node->core->role == BD_FOLLOWER && !node->is_acquisition_pending;
+    bool is_follower = node->core->role == BD_FOLLOWER && !node->is_acquisition_pending;
     if (status == 404) {
-        if (told)
+        if (is_follower)
             bd_core_leader_observed(node->core, "", 0, call->sent_at, false);
         if (node->last_refresh_failed)
-            post_election(sim, node, 0.3);
+            schedule_election(sim, node, 0.3);
         else
             request_grant(sim, node, 0);
         return;
     }
     if (status == 200 && bd_wire_read_pair(answer, &change, &grant)) {
         const char *name = json_string_value(json_object_get(change.value, "node"));
-        bool away = false;
+        bool is_listed_away = false;
         json_t *item;
         size_t i;
         json_array_foreach(json_object_get(change.value, "away"), i, item)
         {
-            away = away || strcmp(json_string_value(item), node->settings.node) == 0;
+            is_listed_away =
+                is_listed_away || strcmp(json_string_value(item), node->settings.node) == 0;
         }
-        if (told)
-            bd_core_leader_observed(node->core, name, change.revision, call->sent_at, away);
+        if (is_follower)
+            bd_core_leader_observed(node->core, name, change.revision, call->sent_at,
+                                    is_listed_away);
         if (strcmp(name, node->settings.node) == 0 && !node->last_refresh_failed) {
             request_grant(sim, node, change.revision);
             return;
         }
         write_liveness(sim, node, change.revision);
     }
-    post_election(sim, node, sim_uniform(sim, 0.2, 0.4));
+    schedule_election(sim, node, sim_uniform(sim, 0.2, 0.4));
 }
 
 static void grant_received(struct sim *sim, struct sim_node *node, struct sim_call *call,
@@ -102,7 +104,7 @@
     struct bd_txn txn;
     node->grant = status == 200 ? bd_wire_read_grant(answer) : 0;
     if (!node->grant || !bd_txn_begin(&txn)) {
-        post_election(sim, node, 0.3);
+        schedule_election(sim, node, 0.3);
         return;
     }
     bd_txn_compare(&txn, "leader", call->number);
@@ -118,10 +120,10 @@
     memset(&node->acquisition, 0, sizeof node->acquisition);
     node->acquisition.term = term;
     node->acquisition.grant = node->grant;
-    (void)sim_node_call(sim, node, SIM_GET, SIM_FOR_SEQUENCE, "w", NULL, 1.5);
+    (void)sim_node_call(sim, node, SIM_GET, SIM_FOR_SEQUENCE, "w", NULL, SIM_STORE_TIMEOUT_S);
 }
 
-/* What the last term left is read: its sequence, then the receipts, then the intents. */
+/* Reads the state of the last term: its sequence, then the receipts, then the intents. */
 static void acquisition_read(struct sim *sim, struct sim_node *node, const struct sim_call *call,
                              long status, json_t *answer)
 {
@@ -130,21 +132,21 @@
     bool ignored;
     bool is_sequence = call->purpose == SIM_FOR_SEQUENCE;
     if (status != 200 && !(status == 404 && is_sequence)) {
-        sim_release_acquisition(node); /* the term is given up: the key ends with its grant */
-        post_election(sim, node, 0.3);
+        sim_release_acquisition(node); /* abandons the term; the key expires with its grant */
+        schedule_election(sim, node, 0.3);
     } else if (is_sequence) {
         if (status == 200 && bd_wire_read_pair(answer, &change, &grant))
             node->acquisition.sequence_revision = change.revision;
-        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_RECEIPTS, "r/", NULL, 1.5);
+        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_RECEIPTS, "r/", NULL, SIM_STORE_TIMEOUT_S);
     } else if (call->purpose == SIM_FOR_RECEIPTS) {
         node->acquisition.receipts = json_incref(bd_wire_read_pairs(answer, &ignored));
-        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_INTENTS, "i/", NULL, 1.5);
+        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_INTENTS, "i/", NULL, SIM_STORE_TIMEOUT_S);
     } else {
         node->acquisition.intents = json_incref(bd_wire_read_pairs(answer, &ignored));
         node->acquisition.renewed = node->granted_at;
         node->wants_step_down = false;
         node->is_leading = node->is_acquisition_pending = true;
-        post_election(sim, node, 0);
+        schedule_election(sim, node, 0);
     }
 }
 
@@ -164,7 +166,7 @@
         if (status == 200)
             leader_key_written(sim, node, bd_wire_read_store_revision(answer));
         else if (status == 409 || status == 400)
-            post_election(sim, node, 0.3);
+            schedule_election(sim, node, 0.3);
         else
             (void)sim_node_call(sim, node, SIM_GET, SIM_FOR_OWN_KEY, "leader", NULL, TTL_S / 3);
         break;
@@ -173,7 +175,7 @@
             strcmp(json_string_value(json_object_get(change.value, "nonce")), node->nonce) == 0)
             leader_key_written(sim, node, change.revision);
         else
-            post_election(sim, node, 0.3);
+            schedule_election(sim, node, 0.3);
         break;
     case SIM_FOR_SEQUENCE:
     case SIM_FOR_RECEIPTS:
@@ -193,10 +195,10 @@
         sim_release_acquisition(node);
         node->is_acquisition_pending = false;
         bd_leadership_lost(node->core);
-        post_election(sim, node, 0);
+        schedule_election(sim, node, 0);
         return;
     }
     if (status == 200)
         bd_leadership_renewed(node->core, call->number, call->sent_at);
-    post_election(sim, node, TTL_S / 6);
+    schedule_election(sim, node, TTL_S / 6);
 }
--- a/tests/sim_events.c
+++ b/tests/sim_events.c
@@ -1,4 +1,4 @@
-/* The event queue of a simulated day, its random numbers, and what it prints. */
+/* The event queue of a simulated day, its random numbers and its output. */
 #include "simulation.h"
 #include <stdarg.h>
 #include <stdio.h>
@@ -9,9 +9,9 @@
     return gsl_rng_uniform(sim->rng);
 }
 
-double sim_uniform(struct sim *sim, double a, double b)
+double sim_uniform(struct sim *sim, double min, double max)
 {
-    return a + (b - a) * sim_random(sim);
+    return min + (max - min) * sim_random(sim);
 }
 
 double sim_network_delay(struct sim *sim)
@@ -43,12 +43,12 @@
     va_end(ap);
 }
 
-struct sim_event *sim_schedule(struct sim *sim, double delay, enum sim_event_kind kind)
+struct sim_event *sim_schedule(struct sim *sim, double delay_s, enum sim_event_kind kind)
 {
     struct sim_event *event = calloc(1, sizeof *event), **at = &sim->queue;
     if (!event)
         abort();
-    event->at = sim->now + (delay > 0 ? delay : 0);
+    event->at = sim->now + (delay_s > 0 ? delay_s : 0);
     event->order = ++sim->order;
     event->kind = kind;
     while (*at && (*at)->at <= event->at)
@@ -58,9 +58,9 @@
     return event;
 }
 
-struct sim_event *sim_reschedule(struct sim *sim, struct sim_event *event, double delay)
+struct sim_event *sim_reschedule(struct sim *sim, struct sim_event *event, double delay_s)
 {
-    struct sim_event *again = sim_schedule(sim, delay, event->kind), copy = *event;
+    struct sim_event *again = sim_schedule(sim, delay_s, event->kind), copy = *event;
     copy.at = again->at;
     copy.order = again->order;
     copy.next = again->next;
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -1,4 +1,5 @@
-/* The simulated controllers: their clocks, calls, starts and ends, and what comes to them. */
+/* The simulated controllers: their clocks, their calls of the store, start and end, and the
+ * dispatch of events and answers to the other sim_ files. */
 #include "sim_node.h"
 #include "autoscaling/autoscaling.h"
 #include "base/timeutil.h"
@@ -26,7 +27,7 @@
 
 double sim_node_wall(const struct sim *sim, const struct sim_node *node)
 {
-    return 1e6 + sim->now + node->wall_offset;
+    return SIM_WALL_START_S + sim->now + node->wall_offset;
 }
 
 void sim_node_set_clock(struct sim *sim, struct sim_node *node)
@@ -36,7 +37,7 @@
 
 struct sim_call *sim_node_call(struct sim *sim, struct sim_node *node, enum sim_op op,
                                enum sim_purpose purpose, const char *key, char *body,
-                               double timeout)
+                               double timeout_s)
 {
     struct sim_call *call = calloc(1, sizeof *call);
     if (!call)
@@ -48,14 +49,14 @@
     snprintf(call->key, sizeof call->key, "%s", key ? key : "");
     call->body = body;
     call->sent_at = sim_node_monotonic(sim, node);
-    sim_store_call(sim, call, timeout);
+    sim_store_call(sim, call, timeout_s);
     return call;
 }
 
-struct sim_event *sim_node_schedule(struct sim *sim, struct sim_node *node, double delay,
+struct sim_event *sim_node_schedule(struct sim *sim, struct sim_node *node, double delay_s,
                                     enum sim_event_kind kind)
 {
-    struct sim_event *event = sim_schedule(sim, delay, kind);
+    struct sim_event *event = sim_schedule(sim, delay_s, kind);
     event->node = (int)(node - sim->nodes);
     event->epoch = node->epoch;
     return event;
@@ -68,7 +69,7 @@
     node->acquisition.receipts = node->acquisition.intents = NULL;
 }
 
-/* What the election acquired goes to the core once its replica is as new as the term. */
+/* Passes an acquisition to the core once its replica is as new as the acquired term. */
 static void acquire_leadership(struct sim *sim, struct sim_node *node)
 {
     if (!node->is_acquisition_pending || !node->core->replica.ready ||
@@ -80,7 +81,7 @@
     sim_release_acquisition(node);
     sim->terms++;
     sim_replay_saved_heartbeats(sim);
-    sim_trace(sim, "%s leads, term %llu", node->settings.node,
+    sim_trace(sim, "%s acquires leadership, term %llu", node->settings.node,
               (unsigned long long)node->core->lead.term);
 }
 
@@ -90,19 +91,19 @@
     if (sim->now < node->next_status_at)
         return;
     node->next_status_at = sim->now + 0.3;
-    double age = bd_seconds_between(core->replica.refreshed_at, core->now);
+    double age_s = bd_seconds_between(core->replica.refreshed_at, core->now);
     uint8_t flags = (uint8_t)(BD_PEER_KNOWS_DAG | (sim->has_drains ? BD_PEER_KNOWS_DRAINS : 0));
     flags |= core->role == BD_LEADER ? BD_PEER_LEADS : 0;
     flags |= bd_forward_hears_leader(core) ? BD_PEER_HEARS_LEADER : 0;
     flags |=
         core->role == BD_LEADER && core->lead.inbound_partition ? BD_PEER_INBOUND_PARTITION : 0;
-    flags |= age < 1.0 && core->replica.ready ? BD_PEER_KV_REACHABLE : 0;
+    flags |= age_s < 1.0 && core->replica.ready ? BD_PEER_KV_REACHABLE : 0;
     flags |= bd_autonomous_zone_active(core) ? BD_PEER_KV_LOST : 0;
     for (int i = 0; i < node->settings.npeers; i++) {
         struct bd_frame *frame = sim_send_frame(sim, node, i, BD_FRAME_PEER_STATUS, NULL)->data;
         frame->term = core->role == BD_LEADER ? core->lead.term : 0;
         frame->flags = flags;
-        frame->age_ms = age > 1e6 ? 1000000000u : (uint32_t)(age * 1000);
+        frame->age_ms = age_s > 1e6 ? 1000000000u : (uint32_t)(age_s * 1000);
         frame->at_ms = (uint64_t)(core->wall * 1000);
         if (sim->digest)
             behaviour_digest_status(sim->digest, sim->now, (int)(node - sim->nodes), i, frame);
@@ -122,8 +123,8 @@
     send_status(sim, node);
 }
 
-/* The answer to a call that an effect asked for. */
-static void effect_answered(struct sim_node *node, const struct sim_call *call, long status,
+/* Passes the answer to a call that an effect requested to the core. */
+static void complete_effect(struct sim_node *node, const struct sim_call *call, long status,
                             json_t *answer)
 {
     const struct bd_effect *effect = call->effect;
@@ -184,7 +185,7 @@
     case SIM_FOR_DELEGATE:
     case SIM_FOR_DELEGATE_REVISION:
     case SIM_FOR_LOOKUP:
-        effect_answered(node, call, status, answer);
+        complete_effect(node, call, status, answer);
         break;
     default:
         sim_election_answered(sim, node, call, status, answer);
@@ -206,20 +207,20 @@
 void sim_node_event(struct sim *sim, struct sim_event *event)
 {
     struct sim_node *node = &sim->nodes[event->node];
-    bool ours = node->core && node->epoch == event->epoch;
+    bool is_current = node->core && node->epoch == event->epoch;
     switch (event->kind) {
     case SIM_READER:
-        if (ours)
+        if (is_current)
             sim_reader_read(sim, node);
         break;
     case SIM_ELECTION:
-        if (ours && event->flag && node->pending_commit)
+        if (is_current && event->flag && node->pending_commit)
             sim_commit_send(sim, node);
-        else if (ours && !event->flag)
+        else if (is_current && !event->flag)
             sim_election_step(sim, node);
         break;
     case SIM_NODE_TICK:
-        if (ours)
+        if (is_current)
             tick_node(sim, node);
         break;
     case SIM_NODE_START:
@@ -257,11 +258,11 @@
     uint64_t epoch = node->epoch + 1;
     struct bd_settings settings = node->settings;
     struct bd_log log = node->log;
-    double stalled = node->paused_until;
+    double paused_until = node->paused_until;
     memset(node, 0, sizeof *node);
     node->settings = settings;
     node->log = log;
-    node->paused_until = stalled;
+    node->paused_until = paused_until;
     node->epoch = epoch;
     node->started_at = sim->now;
     node->clock_rate = 1 + sim_uniform(sim, -0.0005, 0.0005);
@@ -306,5 +307,5 @@
     bd_core_free(node->core);
     node->core = NULL;
     node->epoch++;
-    sim_trace(sim, "%s ends", node->settings.node);
+    sim_trace(sim, "%s stops", node->settings.node);
 }
--- a/tests/sim_reader.c
+++ b/tests/sim_reader.c
@@ -1,5 +1,5 @@
 /* The simulated controllers' reads of the key-value store: the list of the jobs' records, its
- * refreshes, and what the leader reads of delegates and drains. */
+ * refreshes, and the leader's reads of the records of delegates and drains. */
 #include "drain/drain.h"
 #include "jobs/jobs.h"
 #include "model/leadership_state.h"
@@ -15,21 +15,23 @@
         return;
     node->is_reading = true;
     if (node->wants_list) {
-        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_LIST, "j/", NULL, 1.5);
+        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_LIST, "j/", NULL, SIM_STORE_TIMEOUT_S);
         return;
     }
     if (node->core->role == BD_LEADER && sim->now > node->next_delegates_read_at) {
         node->next_delegates_read_at = sim->now + 0.7;
-        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_DELEGATES, "p/", NULL, 1.5);
+        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_DELEGATES, "p/", NULL,
+                            SIM_STORE_TIMEOUT_S);
         return;
     }
     if (sim->has_drains && node->core->role == BD_LEADER && sim->now > node->next_drains_read_at) {
         node->next_drains_read_at = sim->now + 1;
-        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_DRAINS, BD_DRAIN_KEY, NULL, 1.5);
+        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_DRAINS, BD_DRAIN_KEY, NULL,
+                            SIM_STORE_TIMEOUT_S);
         return;
     }
     struct sim_call *refresh =
-        sim_node_call(sim, node, SIM_REFRESH, SIM_FOR_REFRESH, NULL, NULL, 1.5);
+        sim_node_call(sim, node, SIM_REFRESH, SIM_FOR_REFRESH, NULL, NULL, SIM_STORE_TIMEOUT_S);
     refresh->number = node->last_read_revision;
     refresh->is_barrier = node->wants_barrier;
     node->wants_barrier = false;
@@ -47,21 +49,24 @@
     }
 }
 
-/* The drains' records, and after them their machines' if those are not known. */
+/* Passes the drains' records to the core. If the core does not know the drains' machines, they are
+ * read first. */
 void sim_drain_records_read(struct sim *sim, struct sim_node *node, struct sim_call *call,
                             long status, json_t *answer)
 {
-    bool ignored, sets = call->purpose == SIM_FOR_DRAIN_SETS;
+    bool ignored, has_machine_sets = call->purpose == SIM_FOR_DRAIN_SETS;
     json_t *pairs = status == 200 ? bd_wire_read_pairs(answer, &ignored) : NULL;
-    if (!sets && pairs && bd_drain_wants_sets(node->core)) {
+    if (!has_machine_sets && pairs && bd_drain_wants_sets(node->core)) {
         json_decref(node->drain_records);
         node->drain_records = json_incref(pairs);
         node->is_reading = true;
-        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_DRAIN_SETS, BD_DRAIN_SET_KEY, NULL, 1.5);
+        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_DRAIN_SETS, BD_DRAIN_SET_KEY, NULL,
+                            SIM_STORE_TIMEOUT_S);
         return;
     }
     if (pairs)
-        bd_drain_apply_records(node->core, sets ? node->drain_records : pairs, sets ? pairs : NULL);
+        bd_drain_apply_records(node->core, has_machine_sets ? node->drain_records : pairs,
+                               has_machine_sets ? pairs : NULL);
     sim_node_schedule(sim, node, status == 200 ? 0.2 : 0.25, SIM_READER);
 }
 
@@ -84,9 +89,9 @@
         if (status == 200 && bd_wire_read_store_revision(answer) > node->last_read_revision)
             node->last_read_revision = bd_wire_read_store_revision(answer);
     } else if (call->purpose == SIM_FOR_DELEGATES && status == 200) {
-        if (sim->is_verbose && getenv("SIM_DEPUTIES")) {
+        if (sim->is_verbose && getenv("SIM_TRACE_DELEGATES")) {
             char *text = json_dumps(bd_wire_read_pairs(answer, &ignored), JSON_COMPACT);
-            sim_trace(sim, "%s sees %s", node->settings.node, text);
+            sim_trace(sim, "%s reads delegate records %s", node->settings.node, text);
             free(text);
         }
         bd_delegate_records_read(node->core, bd_wire_read_pairs(answer, &ignored), call->sent_at);
--- a/tests/sim_receive.c
+++ b/tests/sim_receive.c
@@ -1,5 +1,5 @@
-/* What arrives at the simulated controllers: frames of peers, heartbeats, users' requests, and the
- * answers to direct commands and to calls of the cloud. */
+/* Messages that arrive at the simulated controllers: frames of peers, heartbeats, users' requests,
+ * and the answers to direct commands and to calls of the cloud. */
 #include "autoscaling/autoscaling.h"
 #include "base/timeutil.h"
 #include "jobs/jobs.h"
@@ -14,10 +14,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PROVISIONED_MAX 2 /* in answer to one request */
-#define RETURNED_MAX 128  /* by one request */
+#define PROVISIONED_MAX 2 /* per request */
+#define RETURNED_MAX 128  /* per request */
+#define LIST_LAG_S 3      /* after which the cloud lists a new machine */
 
-static bool peers_apart(const struct sim *sim, int a, int b)
+static bool is_cut_between(const struct sim *sim, int a, int b)
 {
     return sim->now < sim->peers_cut_until[a] || sim->now < sim->peers_cut_until[b] ||
            (sim->now < sim->zones_cut_until &&
@@ -27,18 +28,18 @@
 static bool read_heartbeat(const char *text, struct bd_heartbeat *heartbeat)
 {
     json_t *json = text ? json_loads(text, 0, NULL) : NULL;
-    bool ok = json && bd_wire_read_heartbeat(json, heartbeat);
+    bool is_valid = json && bd_wire_read_heartbeat(json, heartbeat);
     json_decref(json);
-    return ok;
+    return is_valid;
 }
 
-/* A cut may deliver late what was sent meanwhile. */
+/* Half of the frames that a cut stops are delivered at its end. */
 static bool delay_frame(struct sim *sim, struct sim_event *event)
 {
     double until = sim->peers_cut_until[event->node];
     until = sim->peers_cut_until[event->index] > until ? sim->peers_cut_until[event->index] : until;
     until = sim->zones_cut_until > until ? sim->zones_cut_until : until;
-    if (!peers_apart(sim, event->node, event->index) || sim_random(sim) < 0.5)
+    if (!is_cut_between(sim, event->node, event->index) || sim_random(sim) < 0.5)
         return false;
     (void)sim_reschedule(sim, event, until - sim->now + sim_uniform(sim, 0.01, 0.3));
     return true;
@@ -51,7 +52,8 @@
     struct sim_node *node = &sim->nodes[event->index];
     struct bd_frame *frame = event->data;
     struct bd_heartbeat heartbeat;
-    if (node->core && node->epoch == event->epoch && !peers_apart(sim, event->node, event->index)) {
+    if (node->core && node->epoch == event->epoch &&
+        !is_cut_between(sim, event->node, event->index)) {
         sim_node_set_clock(sim, node);
         if (frame->type == BD_FRAME_PEER_STATUS)
             bd_peer_status_received(node->core, frame->name, frame->term, frame->flags,
@@ -72,7 +74,7 @@
     free(frame);
 }
 
-/* They live until the day's end: a core that ends leaves some unanswered. */
+/* Requests are freed at the day's end, as a core that stops leaves some unanswered. */
 static struct sim_request *new_request(struct sim *sim, const struct sim_event *event)
 {
     struct sim_request *request = calloc(1, sizeof *request);
@@ -81,7 +83,7 @@
     request->index = event->index;
     request->number = event->kind == SIM_HEARTBEAT_REPLAY
                           ? UINT64_MAX
-                          : event->number; /* nobody waits for the answer */
+                          : event->number; /* no worker awaits the answer to a copy */
     request->next = sim->requests;
     sim->requests = request;
     return request;
@@ -100,7 +102,8 @@
     sim_node_step(sim, node);
 }
 
-/* Taken out of the queue: sent before its deadline only, as worker_client.c does. */
+/* Takes a command out of the queue and sends it only before its deadline, as worker_client.c does.
+ */
 void sim_send_direct_command(struct sim *sim, struct sim_event *event)
 {
     struct sim_node *node = &sim->nodes[event->node];
@@ -118,10 +121,10 @@
         return;
     }
     command->references = 2;
-    bool held = sim_draw_command_delayed(sim);
-    struct sim_event *arrival =
-        sim_node_schedule(sim, node, sim_network_delay(sim) + (held ? sim_uniform(sim, 0.5, 6) : 0),
-                          SIM_COMMAND_ARRIVAL);
+    bool is_delayed = sim_draw_command_delayed(sim);
+    struct sim_event *arrival = sim_node_schedule(
+        sim, node, sim_network_delay(sim) + (is_delayed ? sim_uniform(sim, 0.5, 6) : 0),
+        SIM_COMMAND_ARRIVAL);
     arrival->index = command->worker;
     arrival->text = event->text;
     arrival->data = command;
@@ -136,12 +139,13 @@
     struct sim_direct_command *command = event->data;
     struct bd_heartbeat heartbeat;
     if (!command->is_completed && node->core && node->epoch == event->epoch) {
-        bool ok = event->kind == SIM_COMMAND_ANSWER && read_heartbeat(event->text, &heartbeat);
+        bool has_heartbeat =
+            event->kind == SIM_COMMAND_ANSWER && read_heartbeat(event->text, &heartbeat);
         sim_node_set_clock(sim, node);
         bd_worker_direct_command_completed(node->core, command->machine, command->fencing_token,
-                                           command->is_launch, ok ? event->status : 0,
-                                           ok ? &heartbeat : NULL);
-        if (ok)
+                                           command->is_launch, has_heartbeat ? event->status : 0,
+                                           has_heartbeat ? &heartbeat : NULL);
+        if (has_heartbeat)
             bd_wire_release_heartbeat(&heartbeat);
         sim_node_step(sim, node);
     }
@@ -169,15 +173,16 @@
     sim_node_step(sim, node);
 }
 
-/* Machines come within two seconds, or late. Returns how many, their names in `names`. */
+/* Provisions machines that are up within two seconds, or only after 5 to 15. Returns how many, and
+ * their names in `names`. */
 static int provision(struct sim *sim, json_t *request, char (*names)[BD_LABEL_BYTES])
 {
-    int wanted = (int)json_integer_value(json_object_get(request, "howMany"));
+    int requested = (int)json_integer_value(json_object_get(request, "howMany"));
     int count = 0;
-    while (count < wanted && count < PROVISIONED_MAX) {
+    while (count < requested && count < PROVISIONED_MAX) {
         const char *zone = json_string_value(json_object_get(request, "glade"));
-        double boot = sim_random(sim) < 0.6 ? sim_uniform(sim, 0.3, 2) : sim_uniform(sim, 5, 15);
-        int worker = sim_provision(sim, zone, boot);
+        double boot_s = sim_random(sim) < 0.6 ? sim_uniform(sim, 0.3, 2) : sim_uniform(sim, 5, 15);
+        int worker = sim_provision(sim, zone, boot_s);
         if (worker < 0)
             break;
         snprintf(names[count++], BD_LABEL_BYTES, "%s", sim->workers[worker].id);
@@ -233,7 +238,7 @@
         abort();
     for (int i = 0; i < sim->nworkers; i++) {
         struct sim_worker *worker = &sim->workers[i];
-        if (worker->is_gone || sim->now - worker->provisioned_at < 3) /* the list lags */
+        if (worker->is_gone || sim->now - worker->provisioned_at < LIST_LAG_S)
             continue;
         snprintf(machines[count].id, BD_LABEL_BYTES, "%s", worker->id);
         snprintf(machines[count].addr, BD_LABEL_BYTES, "w-%d", i);
