--- a/tests/behaviour_digest.c
+++ b/tests/behaviour_digest.c
@@ -81,7 +81,8 @@
     abort();
 }
 
-/* For these kinds the field is internal to the core, so it is not a part of the step. */
+/* For these kinds the field holds the purpose, which is internal to the core and not a part of the
+ * step. */
 static bool status_is_visible(enum bd_effect_kind kind)
 {
     return kind != BD_EFFECT_USER_TXN && kind != BD_EFFECT_JOB_LOOKUP;
--- a/tests/drain_check.c
+++ b/tests/drain_check.c
@@ -6,7 +6,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LOSS_DETECTION_S 25.0 /* by then, commands sent before the detection are executed too */
+#define LOSS_DETECTION_S                                                                           \
+    25.0 /* by then a loss is known, and commands sent before it are executed */
 #define TEAMS 2
 
 void drain_check_start(struct drain_check *check, const uint32_t *budgets)
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -1,9 +1,12 @@
-/* Random graphs of jobs that need others, against a plain model: two controllers' cores over a
- * model of the store and one machine, with submissions, cancellations, polls, lost answers
- * and crashes of either controller. Fixed seeds. Asserted: no task starts before all that its job
- * needs are done by the records; a job is called cancelled exactly when it or one before it was
- * cancelled, on each node, and never called pending after that; every job that is not cancelled
- * ends; every record of a cancelled one says so in the end.
+/* Random graphs of jobs that depend on others, compared with a plain model. Two controllers' cores
+ * run over a model of the store and one machine, with submissions, cancellations, queries, lost
+ * answers and crashes of either controller. The seeds are fixed. Asserted:
+ *
+ * - No task starts before the records of all jobs that its job needs say that they are done.
+ * - Each node reports a job as cancelled exactly when the job or one that it needs, directly or
+ * not, was cancelled, and never reports another state after that.
+ * - Every job that is not cancelled ends.
+ * - In the end the record of every cancelled job says so.
  *
  *   graphs SEEDS */
 #include "graphs.h"
@@ -28,33 +31,36 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define STEPS 900
+#define STEPS 900 /* with faults */
 
-unsigned graph_dice(struct graph_run *run, unsigned n)
+unsigned graph_random(struct graph_run *run, unsigned n)
 {
     return (unsigned)gsl_rng_uniform_int(run->rng, n);
 }
 
-static void refresh(struct graph_run *run, int node, bool ok);
+static void refresh(struct graph_run *run, int node, bool succeeds);
 
-static void direct_command(struct graph_run *run, int node, struct bd_effect *effect)
+/* Either the command or its answer may be lost. */
+static void send_direct_command(struct graph_run *run, int node, struct bd_effect *effect)
 {
     struct bd_heartbeat heartbeat;
     struct bd_reported_task *tasks = calloc(TASKS, sizeof *tasks);
-    bool heard = graph_dice(run, 12) != 0, told = heard && graph_dice(run, 12) != 0;
-    if (heard)
+    bool is_delivered = graph_random(run, 12) != 0;
+    bool is_answered = is_delivered && graph_random(run, 12) != 0;
+    if (is_delivered)
         graph_execute_commands(run, effect->body);
-    if (told)
+    if (is_answered)
         graph_fill_heartbeat(run, &heartbeat, tasks);
     bd_worker_direct_command_completed(run->cores[node], effect->machine, effect->fencing_token,
-                                       effect->launch, told ? 200 : 0, told ? &heartbeat : NULL);
+                                       effect->launch, is_answered ? 200 : 0,
+                                       is_answered ? &heartbeat : NULL);
     free(tasks);
 }
 
-static void user_commit(struct graph_run *run, int node, struct bd_effect *effect)
+static void commit_user_txn(struct graph_run *run, int node, struct bd_effect *effect)
 {
     json_t *failed = NULL;
-    long status = graph_dice(run, 15) == 0 ? 0 : 1; /* 0: never came there */
+    long status = graph_random(run, 15) == 0 ? 0 : 1; /* 0: the transaction is lost */
     if (status) {
         char *copy = strdup(effect->body), *rest = NULL;
         status = 200;
@@ -64,7 +70,7 @@
             status = graph_apply(run, line, &failed);
         }
         free(copy);
-        if (graph_dice(run, 15) == 0) /* done, but the answer is lost */
+        if (graph_random(run, 15) == 0) /* applied, but the answer is lost */
             status = 0;
     }
     json_decref(failed);
@@ -80,15 +86,15 @@
         if (effect->kind == BD_EFFECT_REPLY && effect->request)
             graph_check_answer(run, effect->request, effect->status, effect->body);
         else if (effect->kind == BD_EFFECT_USER_TXN)
-            user_commit(run, node, effect);
+            commit_user_txn(run, node, effect);
         else if (effect->kind == BD_EFFECT_DIRECT_COMMAND)
-            direct_command(run, node, effect);
+            send_direct_command(run, node, effect);
         else if (effect->kind == BD_EFFECT_READ_BARRIER)
-            refresh(run, node, graph_dice(run, 10) != 0);
+            refresh(run, node, graph_random(run, 10) != 0);
         else if (effect->kind == BD_EFFECT_REPLY && effect->status == 200)
             graph_execute_commands(run, effect->body);
         if (effect->kind == BD_EFFECT_LEADER_TXN) {
-            run->commit[node] = effect;
+            run->pending_commit[node] = effect;
         } else {
             bd_effect_free(effect);
         }
@@ -96,19 +102,19 @@
     }
 }
 
-/* What changed since the node's last refresh; sometimes the refresh fails. */
-static void refresh(struct graph_run *run, int node, bool ok)
+/* Passes the changes since the node's last refresh to its core, or reports a failed refresh. */
+static void refresh(struct graph_run *run, int node, bool succeeds)
 {
-    uint64_t after = run->seen[node];
-    for (int i = 0; ok && i < run->nkeys; i++) {
+    uint64_t after = run->refreshed_revision[node];
+    for (int i = 0; succeeds && i < run->nkeys; i++) {
         struct bd_change change = {run->keys[i].name, run->keys[i].value, run->keys[i].revision};
         if (change.revision > after && strncmp(change.key, "j/", 2) == 0)
             bd_replica_apply(run->cores[node], &change);
     }
-    if (ok)
-        run->seen[node] = run->store_revision;
+    if (succeeds)
+        run->refreshed_revision[node] = run->store_revision;
     bd_replica_refreshed(run->cores[node], after, run->store_revision, run->cores[node]->now,
-                         run->cores[node]->replica.barrier_in_flight, ok);
+                         run->cores[node]->replica.barrier_in_flight, succeeds);
 }
 
 static void set_clocks(struct graph_run *run)
@@ -121,11 +127,11 @@
 static void complete_commit(struct graph_run *run)
 {
     int node = run->leader;
-    struct bd_effect *effect = run->commit[node];
+    struct bd_effect *effect = run->pending_commit[node];
     json_t *failed = NULL;
     if (!effect)
         return;
-    run->commit[node] = NULL;
+    run->pending_commit[node] = NULL;
     long status = graph_apply(run, effect->body, &failed);
     bd_core_leader_txn_completed(run->cores[node],
                                  status == 200 ? BD_TXN_COMMITTED : BD_TXN_CONFLICT,
@@ -134,7 +140,7 @@
     bd_effect_free(effect);
 }
 
-/* A new process: it reads the records in the order of a list, in any order that keys may have. */
+/* Starts a new process. Keys may have any order, so it lists the records from a random one on. */
 static void start_node(struct graph_run *run, int node)
 {
     static const double cpus = 10000;
@@ -148,14 +154,14 @@
         abort();
     set_clocks(run);
     bd_inventory_types_received(run->cores[node], &type, 1);
-    unsigned from = run->nkeys ? graph_dice(run, (unsigned)run->nkeys) : 0;
+    unsigned from = run->nkeys ? graph_random(run, (unsigned)run->nkeys) : 0;
     for (int i = 0; i < run->nkeys; i++) {
         struct graph_key *key = &run->keys[((unsigned)i + from) % (unsigned)run->nkeys];
         struct bd_change change = {key->name, key->value, key->revision};
         if (strncmp(change.key, "j/", 2) == 0)
             bd_replica_apply(run->cores[node], &change);
     }
-    run->seen[node] = run->store_revision;
+    run->refreshed_revision[node] = run->store_revision;
     bd_replica_listed(run->cores[node], run->store_revision, run->cores[node]->now);
 }
 
@@ -191,9 +197,9 @@
 
 static void stop_node(struct graph_run *run, int node)
 {
-    if (run->commit[node])
-        bd_effect_free(run->commit[node]);
-    run->commit[node] = NULL;
+    if (run->pending_commit[node])
+        bd_effect_free(run->pending_commit[node]);
+    run->pending_commit[node] = NULL;
     bd_core_free(run->cores[node]);
     run->cores[node] = NULL;
 }
@@ -201,36 +207,39 @@
 static void crash(struct graph_run *run, int node)
 {
     json_t *failed = NULL;
-    if (run->commit[node] && graph_dice(run, 2)) { /* it was applied all the same */
-        (void)graph_apply(run, run->commit[node]->body, &failed);
+    if (run->pending_commit[node] &&
+        graph_random(run, 2)) { /* the transaction was applied nevertheless */
+        (void)graph_apply(run, run->pending_commit[node]->body, &failed);
         json_decref(failed);
     }
     stop_node(run, node);
     start_node(run, node);
     if (node == run->leader)
-        acquire_leadership(run, (int)graph_dice(run, NODES));
+        acquire_leadership(run, (int)graph_random(run, NODES));
 }
 
-static struct graph_request *new_request(enum graph_question question, int job)
+static struct graph_request *new_request(enum graph_request_kind kind, int job)
 {
     struct graph_request *request = calloc(1, sizeof *request);
-    request->question = question;
+    request->kind = kind;
     request->job = job;
     return request;
 }
 
-/* Chains, and wide ones: half of the parents are near. A second try keeps the first's. */
+/* Draws parents that give long and wide graphs: half of them have close numbers. A repeated
+ * submission keeps the parents of the first. */
 static void draw_parents(struct graph_run *run, int number)
 {
     struct graph_job *job = &run->jobs[number];
-    for (unsigned k = graph_dice(run, PARENTS_MAX + 1); !job->tried && number > 0 && k > 0; k--) {
-        int parent = graph_dice(run, 2)
-                         ? number - 1 - (int)graph_dice(run, number < 3 ? (unsigned)number : 3)
-                         : (int)graph_dice(run, (unsigned)number);
-        if (run->jobs[parent].accepted)
+    for (unsigned k = graph_random(run, PARENTS_MAX + 1);
+         !job->are_parents_drawn && number > 0 && k > 0; k--) {
+        int parent = graph_random(run, 2)
+                         ? number - 1 - (int)graph_random(run, number < 3 ? (unsigned)number : 3)
+                         : (int)graph_random(run, (unsigned)number);
+        if (run->jobs[parent].is_accepted)
             job->parents[job->nparents++] = parent;
     }
-    job->tried = true;
+    job->are_parents_drawn = true;
 }
 
 static void submit(struct graph_run *run, int number)
@@ -249,34 +258,35 @@
         "\"imageGb\":0,\"breeds\":null,\"glade\":null,\"together\":false,\"scatter\":false,"
         "\"windfall\":false,\"guessS\":1,\"markS\":0,\"stowS\":0,\"dueS\":null,\"awaits\":[%s]}",
         number, number % 3 ? "sweep" : "gang", 1 + number % 3, parents);
-    bd_user_submit(run->cores[graph_dice(run, NODES)], new_request(ASK_SUBMIT, number), body,
+    bd_user_submit(run->cores[graph_random(run, NODES)], new_request(GRAPH_SUBMIT, number), body,
                    strlen(body));
 }
 
+/* Draws an accepted job; -1: the job drawn is not accepted. */
 static int draw_job(struct graph_run *run)
 {
-    int job = (int)graph_dice(run, JOBS);
-    return run->jobs[job].accepted ? job : -1;
+    int job = (int)graph_random(run, JOBS);
+    return run->jobs[job].is_accepted ? job : -1;
 }
 
 static void user_step(struct graph_run *run, int *next, bool may_cancel)
 {
     char id[32];
-    int job = draw_job(run), node = (int)graph_dice(run, NODES);
-    if (*next < JOBS && graph_dice(run, 3) == 0) {
+    int job = draw_job(run), node = (int)graph_random(run, NODES);
+    if (*next < JOBS && graph_random(run, 3) == 0) {
         submit(run, *next);
         for (int k = 0; k < NODES; k++)
             perform_effects(run, k);
-        *next += run->jobs[*next].accepted;
+        *next += run->jobs[*next].is_accepted;
         return;
     }
     if (job < 0)
         return;
     snprintf(id, sizeof id, "job-%d", job);
-    if (may_cancel && graph_dice(run, 14) == 0)
-        bd_user_cancel(run->cores[node], new_request(ASK_WITHDRAW, job), id);
+    if (may_cancel && graph_random(run, 14) == 0)
+        bd_user_cancel(run->cores[node], new_request(GRAPH_CANCEL, job), id);
     else
-        bd_user_status(run->cores[node], new_request(ASK_GET, job), id);
+        bd_user_status(run->cores[node], new_request(GRAPH_QUERY, job), id);
 }
 
 static void machine_step(struct graph_run *run)
@@ -297,27 +307,27 @@
     user_step(run, next, has_faults);
     machine_step(run);
     for (int n = 0; n < NODES; n++)
-        refresh(run, n, graph_dice(run, 8) != 0);
-    if (graph_dice(run, 3))
+        refresh(run, n, graph_random(run, 8) != 0);
+    if (graph_random(run, 3))
         complete_commit(run);
     for (int n = 0; n < NODES; n++) {
         bd_core_tick(run->cores[n]);
         perform_effects(run, n);
     }
-    /* a crash loses what users asked of the process: they are answered before it here */
-    if (has_faults && graph_dice(run, 40) == 0) {
+    /* a crash loses the users' pending requests, so they are answered before it */
+    if (has_faults && graph_random(run, 40) == 0) {
         for (int n = 0; n < NODES; n++) {
             refresh(run, n, true);
             perform_effects(run, n);
         }
-        crash(run, (int)graph_dice(run, NODES));
+        crash(run, (int)graph_random(run, NODES));
     }
 }
 
-void graph_settings(struct bd_settings *settings, int node)
+void graph_init_settings(struct bd_settings *settings, int node)
 {
     test_settings_init(settings);
-    settings->kv_value_bytes_max = 600; /* long lists go in parts */
+    settings->kv_value_bytes_max = 600; /* long lists are written in parts */
     settings->kv_txn_ops_max = 6;
     settings->leader_ttl = bd_secs(3);
     snprintf(settings->node, sizeof settings->node, "node-%d", node);
@@ -325,7 +335,7 @@
     snprintf(settings->teams[0].name, BD_NAME_BYTES, "a");
 }
 
-static int play(unsigned long seed, int *ends, int *cancels)
+static int play(unsigned long seed, int *jobs_done, int *cancelled_answers)
 {
     struct graph_run *run = calloc(1, sizeof *run);
     int next = 0;
@@ -336,7 +346,7 @@
     run->rng = gsl_rng_alloc(gsl_rng_taus2);
     gsl_rng_set(run->rng, seed);
     for (int n = 0; n < NODES; n++)
-        graph_settings(&run->settings[n], n);
+        graph_init_settings(&run->settings[n], n);
     run->store_revision = 1;
     for (int n = 0; n < NODES; n++)
         start_node(run, n);
@@ -346,25 +356,26 @@
     for (int i = 0; i < 4 * STEPS && (next < JOBS || i < STEPS); i++)
         step(run, &next, false);
     graph_check_end(run);
-    *ends += run->ends;
-    *cancels += run->cancels;
-    int faults = run->faults;
+    *jobs_done += run->jobs_done;
+    *cancelled_answers += run->cancelled_answers;
+    int violations = run->violations;
     for (int n = 0; n < NODES; n++)
         stop_node(run, n);
     for (int i = 0; i < run->nkeys; i++)
         json_decref(run->keys[i].value);
     gsl_rng_free(run->rng);
     free(run);
-    return faults;
+    return violations;
 }
 
 int main(int argc, char **argv)
 {
-    int faults = 0, ends = 0, cancels = 0, seeds = argc > 1 ? parse_number(argv[1]) : 0;
+    int violations = 0, jobs_done = 0, cancelled_answers = 0,
+        seeds = argc > 1 ? parse_number(argv[1]) : 0;
     for (int s = 1; s <= seeds; s++)
-        faults += play((unsigned long)s, &ends, &cancels);
-    faults += graph_check_large();
-    printf("%d seeds: %d jobs done, %d times told cancelled, %d faults\n", seeds, ends, cancels,
-           faults);
-    return faults || seeds == 0 || ends == 0 || cancels == 0;
+        violations += play((unsigned long)s, &jobs_done, &cancelled_answers);
+    violations += graph_check_large();
+    printf("%d seeds: %d jobs done, %d answers reported a job as cancelled, %d violations\n", seeds,
+           jobs_done, cancelled_answers, violations);
+    return violations || seeds == 0 || jobs_done == 0 || cancelled_answers == 0;
 }
--- a/tests/graphs_large.c
+++ b/tests/graphs_large.c
@@ -1,4 +1,4 @@
-/* One large graph: a long chain and a wide one. */
+/* One large graph: a long chain, and many jobs that need its first job. */
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "brambledoor/settings.h"
@@ -49,14 +49,15 @@
     return job;
 }
 
-/* A long chain, read from its end, with as many jobs that need its first: priorities pass back
- * along all of it, and one cancellation cancels it all, without recursion and in linear time. */
+/* A chain whose records are read from its end, and as many jobs that need its first job. Priorities
+ * must propagate back along the chain, and cancelling the first job must cancel all others, without
+ * recursion and in linear time. */
 int graph_check_large(void)
 {
     struct bd_settings settings = {0};
     struct bd_log log = {BD_LOG_ERROR, "graphs"};
-    int faults = 0;
-    graph_settings(&settings, 0);
+    int violations = 0;
+    graph_init_settings(&settings, 0);
     struct bd_core *core = bd_core_new(&settings, &log);
     bd_core_set_clock(core, bd_secs(100), 1000);
     for (int n = CHAIN_JOBS - 1; n >= 0; n--)
@@ -64,14 +65,15 @@
     for (int n = 1; n < CHAIN_JOBS; n++)
         add_record(core, CHAIN_JOBS + n, "live", 0, 1);
     bd_dag_update_priorities(core);
-    faults +=
+    violations +=
         find_job(core, 0)->priority != BD_PRIORITY_HIGH || find_job(core, 1)->nopen_parents != 1;
     add_record(core, 0, "cancelled", -1, 2);
     for (int n = 0; n < 2 * CHAIN_JOBS; n++)
-        faults += n != CHAIN_JOBS && find_job(core, n)->state != BD_JOB_CANCELLED;
-    faults += core->graph.parents != NULL || core->graph.ncancelled_by_parent != 2 * CHAIN_JOBS - 2;
+        violations += n != CHAIN_JOBS && find_job(core, n)->state != BD_JOB_CANCELLED;
+    violations +=
+        core->graph.parents != NULL || core->graph.ncancelled_by_parent != 2 * CHAIN_JOBS - 2;
     bd_core_free(core);
-    if (faults)
-        fprintf(stderr, "a large graph: %d faults\n", faults);
-    return faults;
+    if (violations)
+        fprintf(stderr, "a large graph: %d violations\n", violations);
+    return violations;
 }
--- a/tests/graphs_machine.c
+++ b/tests/graphs_machine.c
@@ -1,4 +1,4 @@
-/* The one machine of the graph test: it runs any number of tasks. */
+/* The only machine of the graph test. It runs up to TASKS tasks. */
 #include "graphs.h"
 #include "wire/wire.h"
 #include <stdio.h>
@@ -11,20 +11,20 @@
     uint64_t attempt = (uint64_t)json_integer_value(json_object_get(command, "try"));
     struct graph_task *task = NULL, *free_slot = NULL;
     for (int i = 0; i < TASKS; i++) {
-        if (run->tasks[i].used && strcmp(run->tasks[i].name, name) == 0 &&
+        if (run->tasks[i].is_used && strcmp(run->tasks[i].name, name) == 0 &&
             run->tasks[i].attempt == attempt)
             task = &run->tasks[i];
-        if (!run->tasks[i].used)
+        if (!run->tasks[i].is_used)
             free_slot = &run->tasks[i];
     }
     if (strcmp(verb, "launch") == 0 && !task && free_slot) {
         graph_check_start(run, name);
-        *free_slot = (struct graph_task){.attempt = attempt, .used = true};
+        *free_slot = (struct graph_task){.attempt = attempt, .is_used = true};
         snprintf(free_slot->name, sizeof free_slot->name, "%s", name);
-    } else if (task && strcmp(verb, "halt") == 0 && !task->ended) {
-        task->ended = task->stopped = true;
-    } else if (task && strcmp(verb, "forget") == 0 && task->ended) {
-        task->used = false;
+    } else if (task && strcmp(verb, "halt") == 0 && !task->has_exited) {
+        task->has_exited = task->was_stopped = true;
+    } else if (task && strcmp(verb, "forget") == 0 && task->has_exited) {
+        task->is_used = false;
     }
 }
 
@@ -58,21 +58,21 @@
     heartbeat->tasks = tasks;
     for (int i = 0; i < TASKS; i++) {
         struct graph_task *task = &run->tasks[i];
-        if (!task->used)
+        if (!task->is_used)
             continue;
         struct bd_reported_task *reported = &tasks[heartbeat->n++];
         (void)bd_wire_read_task_name(task->name, reported->job, &reported->task);
         reported->attempt = task->attempt;
-        reported->execution = task->ended ? BD_EXECUTION_EXITED : BD_EXECUTION_RUNNING;
-        reported->exit_reason = !task->ended    ? BD_EXIT_NONE
-                                : task->stopped ? BD_EXIT_STOPPED
-                                                : BD_EXIT_DONE;
+        reported->execution = task->has_exited ? BD_EXECUTION_EXITED : BD_EXECUTION_RUNNING;
+        reported->exit_reason = !task->has_exited   ? BD_EXIT_NONE
+                                : task->was_stopped ? BD_EXIT_STOPPED
+                                                    : BD_EXIT_DONE;
     }
 }
 
 void graph_end_some_tasks(struct graph_run *run, unsigned one_in)
 {
     for (int i = 0; i < TASKS; i++)
-        if (run->tasks[i].used && !run->tasks[i].ended && graph_dice(run, one_in) == 0)
-            run->tasks[i].ended = true;
+        if (run->tasks[i].is_used && !run->tasks[i].has_exited && graph_random(run, one_in) == 0)
+            run->tasks[i].has_exited = true;
 }
--- a/tests/graphs_model.c
+++ b/tests/graphs_model.c
@@ -1,14 +1,14 @@
-/* The plain model of dependencies that starts, answers and records are held against. */
+/* The plain model of dependencies with which starts, answers and records are compared. */
 #include "graphs.h"
 #include "numbers.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-static void report_fault(struct graph_run *run, const char *what, int job)
+static void report_violation(struct graph_run *run, const char *what, int job)
 {
     fprintf(stderr, "seed %lu: %s: job-%d\n", run->seed, what, job);
-    run->faults++;
+    run->violations++;
 }
 
 static bool has_state(struct graph_run *run, const char *id, const char *state)
@@ -20,7 +20,7 @@
     return actual && strcmp(actual, state) == 0;
 }
 
-/* A job is cancelled if it or one that it needs is, by the records as they are now. */
+/* A job is cancelled if its record, or that of a job that it needs, currently says so. */
 static bool is_cancelled(struct graph_run *run, int number)
 {
     bool cancelled[JOBS] = {false};
@@ -41,7 +41,7 @@
     for (int k = 0; k < run->jobs[number].nparents; k++) {
         snprintf(id, sizeof id, "job-%d", run->jobs[number].parents[k]);
         if (!has_state(run, id, "done"))
-            report_fault(run, "started too early", number);
+            report_violation(run, "started before a job that it needs was done", number);
     }
 }
 
@@ -49,21 +49,21 @@
                         const char *body)
 {
     struct graph_job *job = &run->jobs[request->job];
-    bool cancelled = body && strstr(body, "\"cancelled\"");
+    bool says_cancelled = body && strstr(body, "\"cancelled\"");
     if (status == 200 || status == 201) {
-        if (request->question == ASK_SUBMIT)
-            job->accepted = true;
-        if (cancelled && !is_cancelled(run, request->job))
-            report_fault(run, "called cancelled without reason", request->job);
-        if (!cancelled && job->told_cancelled)
-            report_fault(run, "called otherwise after cancelled", request->job);
-        if (!cancelled && request->question == ASK_GET && is_cancelled(run, request->job))
-            report_fault(run, "not called cancelled", request->job);
-        job->told_cancelled = job->told_cancelled || cancelled;
-        run->cancels += cancelled;
+        if (request->kind == GRAPH_SUBMIT)
+            job->is_accepted = true;
+        if (says_cancelled && !is_cancelled(run, request->job))
+            report_violation(run, "reported as cancelled without a cause", request->job);
+        if (!says_cancelled && job->is_reported_cancelled)
+            report_violation(run, "reported in another state after it was cancelled", request->job);
+        if (!says_cancelled && request->kind == GRAPH_QUERY && is_cancelled(run, request->job))
+            report_violation(run, "not reported as cancelled", request->job);
+        job->is_reported_cancelled = job->is_reported_cancelled || says_cancelled;
+        run->cancelled_answers += says_cancelled;
     } else if (status != 503) {
-        if (request->question != ASK_SUBMIT || status != 422)
-            report_fault(run, "refused", request->job);
+        if (request->kind != GRAPH_SUBMIT || status != 422)
+            report_violation(run, "refused with an unexpected status", request->job);
     }
     free(request);
 }
@@ -73,12 +73,12 @@
     char id[32];
     for (int n = 0; n < JOBS; n++) {
         snprintf(id, sizeof id, "job-%d", n);
-        if (!run->jobs[n].accepted)
-            report_fault(run, "not accepted", n);
+        if (!run->jobs[n].is_accepted)
+            report_violation(run, "not accepted", n);
         else if (is_cancelled(run, n) && !has_state(run, id, "cancelled"))
-            report_fault(run, "its record is not cancelled", n);
+            report_violation(run, "its record is not cancelled", n);
         else if (!is_cancelled(run, n) && !has_state(run, id, "done"))
-            report_fault(run, "never ended", n);
-        run->ends += has_state(run, id, "done");
+            report_violation(run, "not done", n);
+        run->jobs_done += has_state(run, id, "done");
     }
 }
--- a/tests/sim_drain.c
+++ b/tests/sim_drain.c
@@ -39,11 +39,11 @@
 static void commit(struct sim *sim, struct bd_txn *txn)
 {
     char *body = bd_txn_finish(txn);
-    json_t *in = json_loads(body, 0, NULL), *out = NULL;
+    json_t *request = json_loads(body, 0, NULL), *answer = NULL;
     sim->writer = -1;
-    (void)table_commit(&sim->table, in, &out);
-    json_decref(in);
-    json_decref(out);
+    (void)table_commit(&sim->table, request, &answer);
+    json_decref(request);
+    json_decref(answer);
     free(body);
 }
 
@@ -105,7 +105,7 @@
     json_decref(record.asked);
 }
 
-/* Returns false if the record is gone. */
+/* Returns false if there is no such record. */
 static bool read_drain(const struct sim *sim, int number, struct bd_drain_record *record)
 {
     char key[BD_LABEL_BYTES];
--- a/tests/sim_drain.h
+++ b/tests/sim_drain.h
@@ -8,7 +8,7 @@
 void sim_drain_request(struct sim *sim, uint32_t machines, bool replaces);
 /* Sets the state of the newest drain that is not over and not yet in it. */
 void sim_drain_change(struct sim *sim, enum bd_drain_state to);
-/* Resumes all paused drains. */
+/* Resumes all paused drains after the last fault, as no administrator does so then. */
 void sim_drains_resume(struct sim *sim);
 bool sim_drains_finished(const struct sim *sim);
 /* Of a service's task on a worker: it was stopped on command, runs, or was lost. */
--- a/tests/sim_faults.c
+++ b/tests/sim_faults.c
@@ -7,6 +7,7 @@
 #include "sim_plan.h"
 #include "simulation.h"
 #include <string.h>
+
 /* A controller by its number, the leader, or a random one. */
 static int find_node(struct sim *sim, const char *name)
 {
--- a/tests/sim_plan.c
+++ b/tests/sim_plan.c
@@ -8,7 +8,7 @@
 
 #define SERVICES 3 /* by default */
 #define IMAGE_FETCH_S 0.6
-#define LAST_FAULT_S 130 /* drawn faults begin before it */
+#define LAST_FAULT_S 130 /* drawn faults start before it */
 
 static void init_plan(struct sim_plan *plan, int jobs, double cancelled)
 {
--- a/tests/sim_receive.c
+++ b/tests/sim_receive.c
@@ -14,6 +14,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+#define COMMAND_TIMEOUT_S 1.5
 #define PROVISIONED_MAX 2 /* per request */
 #define RETURNED_MAX 128  /* per request */
 #define LIST_LAG_S 3      /* after which the cloud lists a new machine */
@@ -129,7 +130,8 @@
     arrival->text = event->text;
     arrival->data = command;
     event->text = NULL;
-    struct sim_event *timeout = sim_node_schedule(sim, node, 1.5, SIM_COMMAND_TIMEOUT);
+    struct sim_event *timeout =
+        sim_node_schedule(sim, node, COMMAND_TIMEOUT_S, SIM_COMMAND_TIMEOUT);
     timeout->data = command;
 }
 
--- a/tests/sim_rules.c
+++ b/tests/sim_rules.c
@@ -24,7 +24,7 @@
     else if (job->placeable_since <= 0)
         job->placeable_since = sim->now;
     else if (sim->now - job->placeable_since > WAIT_MAX_S)
-        sim_violation(sim, "waits: %s could begin for %.0f s", job->id, WAIT_MAX_S);
+        sim_violation(sim, "waits: %s could start for %.0f s", job->id, WAIT_MAX_S);
 }
 
 bool sim_is_work_complete(const struct sim *sim)
--- a/tests/sim_store.c
+++ b/tests/sim_store.c
@@ -87,10 +87,10 @@
 
 static long commit(struct sim *sim, int node, const char *body, json_t **out)
 {
-    json_t *in = json_loads(body, 0, NULL);
+    json_t *request = json_loads(body, 0, NULL);
     sim->writer = node;
-    long status = in ? table_commit(&sim->table, in, out) : 400;
-    json_decref(in);
+    long status = request ? table_commit(&sim->table, request, out) : 400;
+    json_decref(request);
     return status;
 }
 
--- a/tests/sim_tasks.c
+++ b/tests/sim_tasks.c
@@ -18,8 +18,8 @@
     return names[reason];
 }
 
-/* Sends the next heartbeat within the delay. */
-static void hasten_heartbeat(const struct sim *sim, struct sim_worker *worker, double delay_s)
+/* The next heartbeat is sent after this delay at the latest. */
+static void limit_heartbeat_delay(const struct sim *sim, struct sim_worker *worker, double delay_s)
 {
     if (worker->next_heartbeat_at > sim->now + delay_s)
         worker->next_heartbeat_at = sim->now + delay_s;
@@ -57,7 +57,7 @@
     struct sim_job *job = &sim->jobs[slot->job];
     int index = (int)(worker - sim->workers);
     sim->starts++;
-    sim_trace(sim, "%s/%u begins on %s", job->id, slot->task, worker->id);
+    sim_trace(sim, "%s/%u starts on %s", job->id, slot->task, worker->id);
     check_start(sim, worker, slot);
     job->machine[slot->task] = index;
     sim_drain_replica_running(sim, slot);
@@ -101,7 +101,7 @@
         if (job->kind == BD_JOB_GANG)
             complete_gang(sim, slot);
     }
-    hasten_heartbeat(sim, worker, 0.3);
+    limit_heartbeat_delay(sim, worker, 0.3);
 }
 
 /* All running tasks of the gang's attempt exit as done at the same moment. */
@@ -181,7 +181,7 @@
         slot->execution = BD_EXECUTION_EXITED;
         slot->exit_reason = BD_EXIT_NO_CAPACITY;
     }
-    hasten_heartbeat(sim, worker, 0.4);
+    limit_heartbeat_delay(sim, worker, 0.4);
 }
 
 void sim_execute_commands(struct sim *sim, struct sim_worker *worker, json_t *message)
@@ -254,7 +254,7 @@
         start_task(sim, worker, slot);
         slot->execution = is_gang ? BD_EXECUTION_JOINING_GANG : BD_EXECUTION_RUNNING;
         slot->phase_ends_at = sim->now + (is_gang ? GANG_WAIT_S : job->run_s);
-        hasten_heartbeat(sim, worker, 0.4);
+        limit_heartbeat_delay(sim, worker, 0.4);
     }
     bool joins_gang = slot->execution == BD_EXECUTION_JOINING_GANG;
     if (!joins_gang && slot->execution != BD_EXECUTION_RUNNING)
--- a/tests/simulation.c
+++ b/tests/simulation.c
@@ -8,34 +8,59 @@
  * - simulation steps FILE|KIND SEED: the steps of one day
  * - simulation checker: whether the checker of drains detects what it must
  *
- * A file has one setting or fault a line. The settings are `jobs N`; `cancelled-share SHARE`:
- * of the jobs; `one-task-jobs 1`: each job is one short task; `image-fetch-s SECONDS`; `machines N`
- * at the start; `services N`: the first N jobs are services; `drains 1`: the controllers have rules
- * for drains; `budget A B`: how many replicas of each team may be down.
+ * Of the kinds of drawn days, `delays` adds delays inside the controllers (delay-sends,
+ * process-pause) among hanging machines and cancellations, and `drains` adds drains.
+ *
+ * A line of a file is a setting or a fault. The settings:
+ *
+ * - jobs N: how many are submitted
+ * - cancelled-share SHARE: of the jobs
+ * - one-task-jobs 1: each job is one short task
+ * - image-fetch-s SECONDS: for each task
+ * - machines N: at the start
+ * - services N: the first N jobs are services
+ * - drains 1: the controllers have rules for drains
+ * - budget A B: how many replicas of each team may be down
  *
  * A fault is `at SECONDS FAULT ...`. The day ends long enough after the last fault for all work to
- * finish. FOR is in seconds, and NODE is a controller's number, `leader` or `any`:
+ * finish. FOR is in seconds, and NODE is a controller's number, `leader` or `any`. Faults of the
+ * key-value store:
+ *
+ * - store-outage FOR
+ * - store-slow FOR
+ * - store-refuse NODE FOR: it refuses this controller
+ * - refresh-fail NODE FOR: it refuses this controller's refreshes of the records
+ * - late-writes SHARE FOR: this share of the transactions is applied late and not answered
+ * - lost-answers SHARE FOR: this share of the transactions is applied and not answered
+ *
+ * Faults of the network and of heartbeats:
+ *
+ * - peer-cut NODE FOR: from the other controllers
+ * - isolate NODE FOR: from the other controllers and from the store
+ * - zone-cut FOR: between the zones
+ * - delay-commands FOR: some commands and answers are delayed
+ * - replay SHARE FOR: copies of heartbeats arrive later
+ * - replay-failover SHARE FOR: copies of heartbeats reach all controllers as the next leader starts
+ *
+ * Faults of N machines:
+ *
+ * - hang N FOR
+ * - inbound-cut N FOR, outbound-cut N FOR, cut N FOR
+ * - cut-buffered N FOR: the cut delivers at its end what it stopped
+ * - die N
+ *
+ * Faults of controllers:
+ *
+ * - crash NODE FOR, crash-all FOR: until the restart
+ * - process-pause NODE FOR
+ * - delay-sends NODE FOR: direct commands wait in the controller's own queue
  *
- * - state service: store-outage FOR; store-slow FOR; store-refuse NODE FOR: it refuses this
- *   controller; refresh-fail NODE FOR: refreshes of the records fail; late-writes SHARE FOR: this
- *   share of the transactions is applied late and not answered; lost-answers SHARE FOR: this share
- *   is applied and not answered
- * - network: peer-cut NODE FOR: from the other controllers; isolate NODE FOR: from them and from
- *   the state service; zone-cut FOR: between the zones; delay-commands FOR: some commands and
- *   answers are delayed
- * - heartbeats: replay SHARE FOR: copies arrive later; replay-failover SHARE FOR: copies reach all
- *   controllers as the next leader starts
- * - machines: hang N FOR; inbound-cut N FOR and outbound-cut N FOR: in one direction; cut N FOR;
- *   cut-buffered N FOR: the cut delivers at its end what it stopped; die N
- * - controllers: crash NODE FOR and crash-all FOR: until the restart; process-pause NODE FOR;
- *   delay-sends NODE FOR: direct commands wait in the controller's own queue
- * - users: cancel N: running jobs; burst N: of new jobs
- * - administrators: drain N REPLACES: of the first N machines that are up, 1 if they are to be
- *   replaced; pause-drain 0, resume-drain 0 and cancel-drain 0: of the newest drain
+ * Requests of users and administrators:
  *
- * Of the drawn days, those of the kind `delays` have delays inside the controllers (delay-sends,
- * process-pause) while machines hang and jobs are cancelled, and those of the kind `drains` have
- * drains. */
+ * - cancel N: running jobs
+ * - burst N: of new jobs
+ * - drain N REPLACES: of the first N machines that are up; 1: they are replaced
+ * - pause-drain 0, resume-drain 0, cancel-drain 0: the newest drain */
 #include "simulation.h"
 #include "brambledoor/log.h"
 #include "drain/drain_record.h"
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -1,5 +1,5 @@
 /* A day of several controllers' cores in simulated time. The cores are those of the product; the
- * adapters, the state service, the cloud, the workers and the users are models. Faults occur at set
+ * adapters, the store, the cloud, the workers and the users are models. Faults occur at set
  * times, and the rules of the protocol are checked. A seed always gives the same day. */
 #ifndef BD_TESTS_SIM_H
 #define BD_TESTS_SIM_H
@@ -168,7 +168,8 @@
     double cpus, run_s;
     double cancel_at; /* when the user cancels it; -1: once it is accepted; 0: never */
     double cancel_requested_at, last_answer_at; /* 0: not yet */
-    double accepted_at, done_at, cancelled_at;  /* when a user was first told so; 0: not yet */
+    double accepted_at, done_at,
+        cancelled_at;       /* when a user first received this state; 0: not yet */
     double placeable_since; /* since when it waits although its quota allows it; 0: it does not */
     bool is_invalid;        /* must never be accepted */
     const char *zone;       /* as it is submitted: quoted, or null */
