--- a/tests/drain_check.c
+++ b/tests/drain_check.c
@@ -6,8 +6,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LOSS_DETECTION_S                                                                           \
-    25.0 /* by then a loss is known, and commands sent before it are executed */
+/* After that a loss is known to the leader, and commands sent before it are executed. */
+#define LOSS_DETECTION_S 25.0
 #define TEAMS 2
 
 void drain_check_start(struct drain_check *check, const uint32_t *budgets)
@@ -54,7 +54,8 @@
 
 /* Counts the team's replicas that were stopped on command and, with `losses`, those lost for longer
  * than the detection takes. */
-static uint32_t count_down(const struct drain_check *check, double now, int team, bool losses)
+static uint32_t count_replicas_down(const struct drain_check *check, double now, int team,
+                                    bool losses)
 {
     uint32_t count = 0;
     for (int i = 0; i < check->nreplicas; i++) {
@@ -74,11 +75,11 @@
     replica->state = REPLICA_STOPPED;
     replica->state_since = now;
     check->stops++;
-    uint32_t stopped = count_down(check, now, replica->team, false);
+    uint32_t stopped = count_replicas_down(check, now, replica->team, false);
     check->peak_down[replica->team] =
         stopped > check->peak_down[replica->team] ? stopped : check->peak_down[replica->team];
     return stopped <= check->budgets[replica->team] &&
-           count_down(check, now, replica->team, true) <= check->budgets[replica->team];
+           count_replicas_down(check, now, replica->team, true) <= check->budgets[replica->team];
 }
 
 /* The checker must detect two replicas that are stopped at the same time, and a stop while another
--- a/tests/sim_drain.h
+++ b/tests/sim_drain.h
@@ -7,7 +7,7 @@
 /* Requests a drain of the first machines that are up. */
 void sim_drain_request(struct sim *sim, uint32_t machines, bool replaces);
 /* Sets the state of the newest drain that is not over and not yet in it. */
-void sim_drain_change(struct sim *sim, enum bd_drain_state to);
+void sim_drain_change(struct sim *sim, enum bd_drain_state state);
 /* Resumes all paused drains after the last fault, as no administrator does so then. */
 void sim_drains_resume(struct sim *sim);
 bool sim_drains_finished(const struct sim *sim);
