--- a/tests/fake_server.c
+++ b/tests/fake_server.c
@@ -14,7 +14,7 @@
     if (!cluster || pthread_mutex_init(&cluster->lock, NULL) != 0)
         return NULL;
     cluster->store_table.owner = cluster;
-    cluster->store_table.grant_lives = fake_grant_is_valid;
+    cluster->store_table.is_grant_live = fake_grant_is_valid;
     cluster->worker_port = worker_port;
     cluster->machine_capacity = DEFAULT_MACHINE_CAPACITY;
     cluster->node_addresses = node_addresses;
--- a/tests/loopback_drain.c
+++ b/tests/loopback_drain.c
@@ -44,16 +44,16 @@
     struct history *history = arg;
     char id[BD_JOB_ID_BYTES];
     uint32_t number;
-    if (!bd_wire_read_task_name(task, id, &number) || number_of(id + 4) < FIRST_JOB)
+    if (!bd_wire_read_task_name(task, id, &number) || parse_number(id + 4) < FIRST_JOB)
         return;
-    int job = number_of(id + 4) - FIRST_JOB;
+    int job = parse_number(id + 4) - FIRST_JOB;
     double now = bd_seconds_between(history->started_at, bd_now());
     (void)pthread_mutex_lock(&history->lock);
     if (event == FAKE_TASK_STARTED)
-        drain_check_runs(&history->check, job, number, job % 2);
+        drain_check_replica_running(&history->check, job, number, job % 2);
     else if (event == FAKE_TASK_LOST)
-        drain_check_lost(&history->check, now, job, number);
-    else if (!drain_check_stopped(&history->check, now, job, number)) {
+        drain_check_replica_lost(&history->check, now, job, number);
+    else if (!drain_check_replica_stopped(&history->check, now, job, number)) {
         history->violations++;
         printf("     %.2f s: %s was stopped in excess of its team's disruption budget\n", now,
                task);
@@ -365,7 +365,7 @@
                 "no task ran on two workers at the same time");
     printf("     %u replicas stopped; down at the same time: blue at most %u (budget %u), red at "
            "most %u (budget %u)\n",
-           history.check.stops, history.check.most[0], budgets[0], history.check.most[1],
+           history.check.stops, history.check.peak_down[0], budgets[0], history.check.peak_down[1],
            budgets[1]);
     nodes_finish(&test);
     printf("%d failed checks\n", test.failures);
--- a/tests/loopback_overload.c
+++ b/tests/loopback_overload.c
@@ -58,7 +58,8 @@
     pool->length[i] += received > 0 ? (size_t)received : 0;
     pool->response[i][pool->length[i]] = '\0';
     long status = 0;
-    if (number_after(pool->response[i], "HTTP/1.1 ", &status) && strstr(pool->response[i], "}")) {
+    if (parse_number_after(pool->response[i], "HTTP/1.1 ", &status) &&
+        strstr(pool->response[i], "}")) {
         bool is_served = status == 200 || status == 201 || status == 404;
         pool->served += is_served;
         pool->refused += status == 503 || status == 429;
--- a/tests/scenario_jobs.c
+++ b/tests/scenario_jobs.c
@@ -112,8 +112,9 @@
     record.parents.ids = names;
     double parts = 0;
     if (scenario_find_text(scenario, "parent_parts") &&
-        numbers_after_name(scenario_find_text(scenario, "parent_parts"), record.parents.parts_hash,
-                           sizeof record.parents.parts_hash, &parts, 1) != 1)
+        parse_name_and_numbers(scenario_find_text(scenario, "parent_parts"),
+                               record.parents.parts_hash, sizeof record.parents.parts_hash, &parts,
+                               1) != 1)
         scenario_fail(scenario, "parent_parts has the form HASH:COUNT");
     record.parents.part_count = (uint32_t)parts;
     record.ended_at = scenario_find_number(scenario, "ended_at_s", 0);
@@ -128,7 +129,7 @@
 /* The jobs are job-1000000 and following, done at 2 s after the epoch. */
 static void step_finished_jobs(struct scenario *scenario)
 {
-    int count = number_of(scenario->words[1]);
+    int count = parse_number(scenario->words[1]);
     for (int i = 0; i < count; i++) {
         char key[BD_LABEL_BYTES];
         snprintf(key, sizeof key, "j/job-%d", 1000000 + i);
@@ -156,7 +157,7 @@
     }
     struct bd_kv_change change = {key, value = bd_wire_write_job_record(&record), 5};
     bd_replica_lookup_completed(scenario->core, NULL, scenario->words[1],
-                                number_of(scenario->words[2]), status,
+                                parse_number(scenario->words[2]), status,
                                 status == 200 ? &change : NULL);
     json_decref(value);
 }
--- a/tests/scenario_leader.c
+++ b/tests/scenario_leader.c
@@ -34,7 +34,7 @@
     json_t *tasks = json_array();
     for (char *rest = NULL, *task = strtok_r(list, ",", &rest); task;
          task = strtok_r(NULL, ",", &rest))
-        json_array_append_new(tasks, json_integer(number_of(task)));
+        json_array_append_new(tasks, json_integer(parse_number(task)));
     snprintf(key, sizeof key, "i/old-%d", number);
     json_t *entries =
         json_pack("[[s,I,s,o]]", job, (json_int_t)scenario_parse_attempt(attempt), machine, tasks);
@@ -92,7 +92,7 @@
     for (int i = 1; i < scenario->word_count; i++) {
         char key[64], names[256] = "";
         double revision = 0;
-        if (numbers_after_name(scenario->words[i], key, sizeof key, &revision, 1) != 1 ||
+        if (parse_name_and_numbers(scenario->words[i], key, sizeof key, &revision, 1) != 1 ||
             sscanf(scenario->words[i], "%*[^:]:%*[^:]:%255s", names) != 1)
             scenario_fail(scenario, "delegates have the form KEY:REVISION:MACHINE,...");
         json_t *machines = json_array();
@@ -113,7 +113,7 @@
     for (int i = 2; i < scenario->word_count; i++) {
         char node[64], key[BD_LABEL_BYTES + 8];
         double written_s = 0;
-        if (numbers_after_name(scenario->words[i], node, sizeof node, &written_s, 1) != 1)
+        if (parse_name_and_numbers(scenario->words[i], node, sizeof node, &written_s, 1) != 1)
             scenario_fail(scenario, "liveness records have the form NODE:SECONDS");
         snprintf(key, sizeof key, "p/%s/at", node);
         json_array_append_new(pairs, json_pack("{s:s,s:{s:f},s:i}", "k", key, "value", "at",
@@ -200,7 +200,7 @@
 
 static void step_expect_healthy(struct scenario *scenario)
 {
-    if (bd_leadership_is_healthy(scenario->core) != (number_of(scenario->words[1]) != 0))
+    if (bd_leadership_is_healthy(scenario->core) != (parse_number(scenario->words[1]) != 0))
         scenario_fail(scenario, "GET /up would report otherwise");
 }
 
--- a/tests/scenario_machines.c
+++ b/tests/scenario_machines.c
@@ -80,7 +80,7 @@
 static void step_forward_reply_received(struct scenario *scenario)
 {
     bd_forward_reply_received(scenario->core, strtoull(scenario->words[1], NULL, 10),
-                              number_of(scenario->words[2]),
+                              parse_number(scenario->words[2]),
                               scenario->word_count > 3 ? scenario->words[3] : "",
                               scenario->word_count > 3 ? strlen(scenario->words[3]) : 0);
 }
--- a/tests/scenario_settings.c
+++ b/tests/scenario_settings.c
@@ -23,7 +23,7 @@
 {
     struct bd_slo *slo = &scenario->settings.slos[scenario->settings.nslos++];
     double values[2] = {0};
-    if (numbers_after_name(text, slo->job_class, sizeof slo->job_class, values, 2) != 2)
+    if (parse_name_and_numbers(text, slo->job_class, sizeof slo->job_class, values, 2) != 2)
         scenario_fail(scenario, "slo has the form CLASS:SECONDS:SHARE");
     slo->within_s = values[0];
     slo->share = values[1];
@@ -35,7 +35,7 @@
 {
     struct bd_team_quota *team = &scenario->settings.teams[scenario->settings.nteams++];
     double values[4] = {0};
-    if (numbers_after_name(text, team->name, sizeof team->name, values, 4) != 4)
+    if (parse_name_and_numbers(text, team->name, sizeof team->name, values, 4) != 4)
         scenario_fail(scenario, "team has the form NAME:CPUS:CPUS_QUOTA:GPUS:GPUS_QUOTA");
     team->cpus_guaranteed = values[0];
     team->cpus_quota = values[1];
--- a/tests/sim_drain.c
+++ b/tests/sim_drain.c
@@ -1,5 +1,4 @@
-/* Drains on simulated days: administrators' records, and the workers' own history for the checker.
- */
+/* Drains on simulated days: administrators' records, and what the workers did for the checker. */
 #include "sim_drain.h"
 #include "drain/drain.h"
 #include "drain/drain_record.h"
@@ -15,7 +14,7 @@
 
 #define TEAMS 2
 
-/* ---- the administrators ---- */
+/* ---- administrators ---- */
 
 struct bd_drain_rules *sim_drain_rules(const struct sim *sim)
 {
@@ -40,15 +39,15 @@
 static void commit(struct sim *sim, struct bd_txn *txn)
 {
     char *body = bd_txn_finish(txn);
-    json_t *in = json_loads(body, 0, NULL), *out = NULL;
+    json_t *request = json_loads(body, 0, NULL), *answer = NULL;
     sim->writer = -1;
-    (void)table_commit(&sim->table, in, &out);
-    json_decref(in);
-    json_decref(out);
+    (void)table_commit(&sim->table, request, &answer);
+    json_decref(request);
+    json_decref(answer);
     free(body);
 }
 
-static uint64_t revision_of(const struct sim *sim, const char *key)
+static uint64_t key_revision(const struct sim *sim, const char *key)
 {
     const struct table_key *entry = table_find(&sim->table, key);
     return entry && entry->value ? entry->revision : 0;
@@ -59,14 +58,14 @@
     struct bd_txn txn;
     if (!bd_txn_begin(&txn))
         abort();
-    bd_txn_compare(&txn, key, revision_of(sim, key));
+    bd_txn_compare(&txn, key, key_revision(sim, key));
     bd_txn_put(&txn, key, bd_drain_record_encode(record), 0);
     commit(sim, &txn);
 }
 
-/* The machines, two parts of them, as the administration resources write them. */
-static void write_set(struct sim *sim, const struct bd_drain_record *record,
-                      const struct bd_drain_machine *machines)
+/* Writes the drain's machines in parts, as the administration resources do. */
+static void write_machine_set(struct sim *sim, const struct bd_drain_record *record,
+                              const struct bd_drain_machine *machines)
 {
     struct bd_txn txn;
     uint32_t half = record->nmachines / record->nparts;
@@ -81,24 +80,24 @@
     }
 }
 
-void sim_drain_ask(struct sim *sim, uint32_t machines, bool replaces)
+void sim_drain_request(struct sim *sim, uint32_t machines, bool replaces)
 {
     struct bd_drain_machine entries[SIM_MACHINES];
     struct bd_drain_record record = {.mode = replaces ? BD_DRAIN_REPLACE : BD_DRAIN_RETIRE,
                                      .state = BD_DRAIN_ACTIVE,
-                                     .requested_at_s = 1e6 + sim->now,
+                                     .requested_at_s = SIM_WALL_START_S + sim->now,
                                      .request = json_object()};
     char key[BD_LABEL_BYTES + 8];
     memset(entries, 0, sizeof entries);
     for (int i = 0; i < sim->nworkers && record.nmachines < machines; i++)
-        if (!sim->workers[i].gone && sim->now > sim->workers[i].up_at)
+        if (!sim->workers[i].is_gone && sim->now > sim->workers[i].up_at)
             snprintf(entries[record.nmachines++].id, BD_LABEL_BYTES, "%s", sim->workers[i].id);
     snprintf(record.name, sizeof record.name, "drain-%d", sim->ndrains);
     snprintf(record.machine_set_id, sizeof record.machine_set_id, "set-%d", sim->ndrains);
     record.nparts = record.nmachines > 1 ? 2 : 1;
     snprintf(key, sizeof key, BD_DRAIN_KEY_PREFIX "%s", record.name);
     if (record.nmachines > 0) {
-        write_set(sim, &record, entries);
+        write_machine_set(sim, &record, entries);
         write_record(sim, &record, key);
         sim_trace(sim, "%s: %u machines", record.name, record.nmachines);
         sim->ndrains++;
@@ -106,7 +105,7 @@
     json_decref(record.request);
 }
 
-/* False: there is none any more. */
+/* Returns false if there is no such record. */
 static bool read_drain(const struct sim *sim, int number, struct bd_drain_record *record)
 {
     char key[BD_LABEL_BYTES];
@@ -117,70 +116,70 @@
                                   record);
 }
 
-static bool goes_on(const struct bd_drain_record *record)
+static bool is_in_progress(const struct bd_drain_record *record)
 {
     return record->state == BD_DRAIN_ACTIVE || record->state == BD_DRAIN_PAUSED;
 }
 
-void sim_drain_change(struct sim *sim, enum bd_drain_state to)
+void sim_drain_change(struct sim *sim, enum bd_drain_state state)
 {
     struct bd_drain_record record;
     char key[BD_LABEL_BYTES + 8];
     for (int i = sim->ndrains - 1; i >= 0; i--) {
-        if (!read_drain(sim, i, &record) || !goes_on(&record) || record.state == to)
+        if (!read_drain(sim, i, &record) || !is_in_progress(&record) || record.state == state)
             continue;
-        record.state = to;
-        record.ended_at_s = to == BD_DRAIN_CANCELLED ? 1e6 + sim->now : 0;
+        record.state = state;
+        record.ended_at_s = state == BD_DRAIN_CANCELLED ? SIM_WALL_START_S + sim->now : 0;
         snprintf(key, sizeof key, BD_DRAIN_KEY_PREFIX "%s", record.name);
         write_record(sim, &record, key);
-        sim_trace(sim, "%s is %s", record.name, bd_drain_state_name(to));
+        sim_trace(sim, "%s is %s", record.name, bd_drain_state_name(state));
         return;
     }
 }
 
-/* Nobody is left to resume what was paused. */
 void sim_drains_resume(struct sim *sim)
 {
     for (int i = 0; i < sim->ndrains; i++)
         sim_drain_change(sim, BD_DRAIN_ACTIVE);
 }
 
-bool sim_drains_over(const struct sim *sim)
+bool sim_drains_finished(const struct sim *sim)
 {
     struct bd_drain_record record;
     for (int i = 0; i < sim->ndrains; i++)
-        if (read_drain(sim, i, &record) && goes_on(&record))
+        if (read_drain(sim, i, &record) && is_in_progress(&record))
             return false;
     return true;
 }
 
-/* ---- what the workers did ---- */
+/* ---- workers ---- */
 
-void sim_drain_stopped(struct sim *sim, const struct sim_worker *worker,
-                       const struct sim_slot *slot)
+void sim_drain_replica_stopped(struct sim *sim, const struct sim_worker *worker,
+                               const struct sim_slot *slot)
 {
     const struct sim_job *job = &sim->jobs[slot->job];
-    if (!sim->draining || job->kind != BD_JOB_SERVICE)
+    if (!sim->has_drains || job->kind != BD_JOB_SERVICE)
         return;
     for (int i = 0; i < sim->njobs; i++)
-        if (sim->jobs[i].asked_cancel > 0)
-            drain_check_ended(&sim->check, i);
-    if (job->asked_cancel > 0)
+        if (sim->jobs[i].cancel_requested_at > 0)
+            drain_check_job_cancelled(&sim->check, i);
+    if (job->cancel_requested_at > 0)
         return;
-    if (!drain_check_stopped(&sim->check, sim->now, slot->job, slot->task))
-        sim_violation(sim, "budget: %s/%u is stopped on %s, more of team %d are down than %u",
-                      job->id, slot->task, worker->id, job->team, sim->check.budgets[job->team]);
+    if (!drain_check_replica_stopped(&sim->check, sim->now, slot->job, slot->task))
+        sim_violation(
+            sim, "budget: %s/%u was stopped on %s, and more replicas of team %d are down than %u",
+            job->id, slot->task, worker->id, job->team, sim->check.budgets[job->team]);
 }
 
-void sim_drain_runs(struct sim *sim, const struct sim_slot *slot)
+void sim_drain_replica_running(struct sim *sim, const struct sim_slot *slot)
 {
     const struct sim_job *job = &sim->jobs[slot->job];
-    if (sim->draining && job->kind == BD_JOB_SERVICE && job->asked_cancel <= 0)
-        drain_check_runs(&sim->check, slot->job, slot->task, job->team);
+    if (sim->has_drains && job->kind == BD_JOB_SERVICE && job->cancel_requested_at <= 0)
+        drain_check_replica_running(&sim->check, slot->job, slot->task, job->team);
 }
 
-void sim_drain_lost(struct sim *sim, const struct sim_slot *slot)
+void sim_drain_replica_lost(struct sim *sim, const struct sim_slot *slot)
 {
-    if (sim->draining && sim->jobs[slot->job].kind == BD_JOB_SERVICE)
-        drain_check_lost(&sim->check, sim->now, slot->job, slot->task);
+    if (sim->has_drains && sim->jobs[slot->job].kind == BD_JOB_SERVICE)
+        drain_check_replica_lost(&sim->check, sim->now, slot->job, slot->task);
 }
--- a/tests/sim_election.c
+++ b/tests/sim_election.c
@@ -1,4 +1,4 @@
-/* The simulated controllers' election: the leader's key, its grant and the renewals. */
+/* The simulated controllers' election: the leader's key, its grant and the grant's renewals. */
 #include "base/timeutil.h"
 #include "core/core.h"
 #include "leadership/leadership.h"
@@ -12,21 +12,21 @@
 
 #define TTL_S 2.0
 
-static void post_election(struct sim *sim, struct sim_node *node, double delay)
+static void schedule_election(struct sim *sim, struct sim_node *node, double delay_s)
 {
     node->is_electing = false;
-    sim_node_post(sim, node, delay, SIM_ELECTION);
+    sim_node_schedule(sim, node, delay_s, SIM_ELECTION);
 }
 
-void sim_election_next(struct sim *sim, struct sim_node *node)
+void sim_election_step(struct sim *sim, struct sim_node *node)
 {
     if (node->is_electing)
         return;
     node->is_electing = true;
-    if (node->leading && node->step_down)
-        node->leading = false;
-    node->step_down = false;
-    if (node->leading) {
+    if (node->is_leading && node->wants_step_down)
+        node->is_leading = false;
+    node->wants_step_down = false;
+    if (node->is_leading) {
         struct sim_call *renewal =
             sim_node_call(sim, node, SIM_RENEW, SIM_FOR_RENEW, NULL, NULL, TTL_S / 3);
         renewal->number = node->grant;
@@ -39,7 +39,7 @@
 {
     snprintf(node->nonce, sizeof node->nonce, "%d-%llu-%llu", (int)(node - sim->nodes),
              (unsigned long long)node->epoch, (unsigned long long)sim->order);
-    node->granted = sim_node_monotonic(sim, node);
+    node->granted_at = sim_node_monotonic(sim, node);
     struct sim_call *request =
         sim_node_call(sim, node, SIM_GRANT, SIM_FOR_GRANT, NULL, NULL, TTL_S / 3);
     request->number = revision;
@@ -49,14 +49,14 @@
 {
     struct bd_txn txn;
     char key[BD_LABEL_BYTES + 8];
-    if (bd_seconds_between(node->liveness_at, sim_node_monotonic(sim, node)) < 0.8 ||
+    if (bd_seconds_between(node->liveness_sent_at, sim_node_monotonic(sim, node)) < 0.8 ||
         !bd_txn_begin(&txn))
         return;
-    node->liveness_at = sim_node_monotonic(sim, node);
+    node->liveness_sent_at = sim_node_monotonic(sim, node);
     snprintf(key, sizeof key, "p/%.50s/at", node->settings.node);
     bd_txn_compare(&txn, "leader", revision);
     bd_txn_put(&txn, key, json_pack("{s:f}", "at", sim_node_wall(sim, node)), 0);
-    bd_liveness_record_sent(node->core, node->liveness_at);
+    bd_liveness_record_sent(node->core, node->liveness_sent_at);
     (void)sim_node_call(sim, node, SIM_COMMIT, SIM_FOR_LIVENESS, NULL, bd_txn_finish(&txn),
                         TTL_S / 3);
 }
@@ -66,34 +66,36 @@
 {
     struct bd_kv_change change;
     uint64_t grant;
-    bool told = node->core->role == BD_FOLLOWER && !node->leadership_acquired;
+    bool is_follower = node->core->role == BD_FOLLOWER && !node->is_acquisition_pending;
     if (status == 404) {
-        if (told)
-            bd_core_leader_observed(node->core, "", 0, call->sent, false);
-        if (node->reads_refused)
-            post_election(sim, node, 0.3);
+        if (is_follower)
+            bd_core_leader_observed(node->core, "", 0, call->sent_at, false);
+        if (node->last_refresh_failed)
+            schedule_election(sim, node, 0.3);
         else
             request_grant(sim, node, 0);
         return;
     }
     if (status == 200 && bd_wire_read_pair(answer, &change, &grant)) {
         const char *name = json_string_value(json_object_get(change.value, "node"));
-        bool away = false;
+        bool is_listed_away = false;
         json_t *item;
         size_t i;
         json_array_foreach(json_object_get(change.value, "away"), i, item)
         {
-            away = away || strcmp(json_string_value(item), node->settings.node) == 0;
+            is_listed_away =
+                is_listed_away || strcmp(json_string_value(item), node->settings.node) == 0;
         }
-        if (told)
-            bd_core_leader_observed(node->core, name, change.revision, call->sent, away);
-        if (strcmp(name, node->settings.node) == 0 && !node->reads_refused) {
+        if (is_follower)
+            bd_core_leader_observed(node->core, name, change.revision, call->sent_at,
+                                    is_listed_away);
+        if (strcmp(name, node->settings.node) == 0 && !node->last_refresh_failed) {
             request_grant(sim, node, change.revision);
             return;
         }
         write_liveness(sim, node, change.revision);
     }
-    post_election(sim, node, sim_between(sim, 0.2, 0.4));
+    schedule_election(sim, node, sim_uniform(sim, 0.2, 0.4));
 }
 
 static void grant_received(struct sim *sim, struct sim_node *node, struct sim_call *call,
@@ -102,7 +104,7 @@
     struct bd_txn txn;
     node->grant = status == 200 ? bd_wire_read_grant(answer) : 0;
     if (!node->grant || !bd_txn_begin(&txn)) {
-        post_election(sim, node, 0.3);
+        schedule_election(sim, node, 0.3);
         return;
     }
     bd_txn_compare(&txn, "leader", call->number);
@@ -118,10 +120,10 @@
     memset(&node->acquisition, 0, sizeof node->acquisition);
     node->acquisition.term = term;
     node->acquisition.grant = node->grant;
-    (void)sim_node_call(sim, node, SIM_GET, SIM_FOR_SEQUENCE, "w", NULL, 1.5);
+    (void)sim_node_call(sim, node, SIM_GET, SIM_FOR_SEQUENCE, "w", NULL, SIM_STORE_TIMEOUT_S);
 }
 
-/* What the last term left is read: its sequence, then the receipts, then the intents. */
+/* Reads the state of the last term: its sequence, then the receipts, then the intents. */
 static void acquisition_read(struct sim *sim, struct sim_node *node, const struct sim_call *call,
                              long status, json_t *answer)
 {
@@ -130,21 +132,21 @@
     bool ignored;
     bool is_sequence = call->purpose == SIM_FOR_SEQUENCE;
     if (status != 200 && !(status == 404 && is_sequence)) {
-        sim_release_acquisition(node); /* the term is given up: the key ends with its grant */
-        post_election(sim, node, 0.3);
+        sim_release_acquisition(node); /* abandons the term; the key expires with its grant */
+        schedule_election(sim, node, 0.3);
     } else if (is_sequence) {
         if (status == 200 && bd_wire_read_pair(answer, &change, &grant))
             node->acquisition.sequence_revision = change.revision;
-        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_RECEIPTS, "r/", NULL, 1.5);
+        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_RECEIPTS, "r/", NULL, SIM_STORE_TIMEOUT_S);
     } else if (call->purpose == SIM_FOR_RECEIPTS) {
         node->acquisition.receipts = json_incref(bd_wire_read_pairs(answer, &ignored));
-        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_INTENTS, "i/", NULL, 1.5);
+        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_INTENTS, "i/", NULL, SIM_STORE_TIMEOUT_S);
     } else {
         node->acquisition.intents = json_incref(bd_wire_read_pairs(answer, &ignored));
-        node->acquisition.renewal_sent_at = node->granted;
-        node->step_down = false;
-        node->leading = node->leadership_acquired = true;
-        post_election(sim, node, 0);
+        node->acquisition.renewal_sent_at = node->granted_at;
+        node->wants_step_down = false;
+        node->is_leading = node->is_acquisition_pending = true;
+        schedule_election(sim, node, 0);
     }
 }
 
@@ -164,7 +166,7 @@
         if (status == 200)
             leader_key_written(sim, node, bd_wire_read_store_revision(answer));
         else if (status == 409 || status == 400)
-            post_election(sim, node, 0.3);
+            schedule_election(sim, node, 0.3);
         else
             (void)sim_node_call(sim, node, SIM_GET, SIM_FOR_OWN_KEY, "leader", NULL, TTL_S / 3);
         break;
@@ -173,7 +175,7 @@
             strcmp(json_string_value(json_object_get(change.value, "nonce")), node->nonce) == 0)
             leader_key_written(sim, node, change.revision);
         else
-            post_election(sim, node, 0.3);
+            schedule_election(sim, node, 0.3);
         break;
     case SIM_FOR_SEQUENCE:
     case SIM_FOR_RECEIPTS:
@@ -189,14 +191,14 @@
                           long status)
 {
     if (status == 404) {
-        node->leading = false;
+        node->is_leading = false;
         sim_release_acquisition(node);
-        node->leadership_acquired = false;
+        node->is_acquisition_pending = false;
         bd_leadership_lost(node->core);
-        post_election(sim, node, 0);
+        schedule_election(sim, node, 0);
         return;
     }
     if (status == 200)
-        bd_leadership_lease_renewed(node->core, call->number, call->sent);
-    post_election(sim, node, TTL_S / 6);
+        bd_leadership_lease_renewed(node->core, call->number, call->sent_at);
+    schedule_election(sim, node, TTL_S / 6);
 }
--- a/tests/sim_reader.c
+++ b/tests/sim_reader.c
@@ -1,5 +1,5 @@
 /* The simulated controllers' reads of the key-value store: the list of the jobs' records, its
- * refreshes, and what the leader reads of delegates and drains. */
+ * refreshes, and the leader's reads of the records of delegates and drains. */
 #include "drain/drain.h"
 #include "jobs/jobs.h"
 #include "model/leadership_state.h"
@@ -9,29 +9,31 @@
 #include "workers/workers.h"
 #include <stdlib.h>
 
-void sim_reader_next(struct sim *sim, struct sim_node *node)
+void sim_reader_read(struct sim *sim, struct sim_node *node)
 {
     if (node->is_reading)
         return;
     node->is_reading = true;
     if (node->wants_list) {
-        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_LIST, "j/", NULL, 1.5);
+        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_LIST, "j/", NULL, SIM_STORE_TIMEOUT_S);
         return;
     }
-    if (node->core->role == BD_LEADER && sim->now > node->next_delegates) {
-        node->next_delegates = sim->now + 0.7;
-        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_DELEGATES, "p/", NULL, 1.5);
+    if (node->core->role == BD_LEADER && sim->now > node->next_delegates_read_at) {
+        node->next_delegates_read_at = sim->now + 0.7;
+        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_DELEGATES, "p/", NULL,
+                            SIM_STORE_TIMEOUT_S);
         return;
     }
-    if (sim->draining && node->core->role == BD_LEADER && sim->now > node->next_drains) {
-        node->next_drains = sim->now + 1;
-        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_DRAINS, BD_DRAIN_KEY_PREFIX, NULL, 1.5);
+    if (sim->has_drains && node->core->role == BD_LEADER && sim->now > node->next_drains_read_at) {
+        node->next_drains_read_at = sim->now + 1;
+        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_DRAINS, BD_DRAIN_KEY_PREFIX, NULL,
+                            SIM_STORE_TIMEOUT_S);
         return;
     }
     struct sim_call *refresh =
-        sim_node_call(sim, node, SIM_REFRESH, SIM_FOR_REFRESH, NULL, NULL, 1.5);
-    refresh->number = node->after;
-    refresh->flag = node->wants_barrier;
+        sim_node_call(sim, node, SIM_REFRESH, SIM_FOR_REFRESH, NULL, NULL, SIM_STORE_TIMEOUT_S);
+    refresh->number = node->last_read_revision;
+    refresh->is_barrier = node->wants_barrier;
     node->wants_barrier = false;
 }
 
@@ -47,23 +49,25 @@
     }
 }
 
-/* The drains' records, and after them their machines' if those are not known. */
-void sim_drains_listed(struct sim *sim, struct sim_node *node, struct sim_call *call, long status,
-                       json_t *answer)
+/* Passes the drains' records to the core. If the core does not know the drains' machines, they are
+ * read first. */
+void sim_drain_records_read(struct sim *sim, struct sim_node *node, struct sim_call *call,
+                            long status, json_t *answer)
 {
-    bool ignored, sets = call->purpose == SIM_FOR_DRAIN_SETS;
+    bool ignored, has_machine_sets = call->purpose == SIM_FOR_DRAIN_SETS;
     json_t *pairs = status == 200 ? bd_wire_read_pairs(answer, &ignored) : NULL;
-    if (!sets && pairs && bd_drain_needs_machine_records(node->core)) {
-        json_decref(node->drains);
-        node->drains = json_incref(pairs);
+    if (!has_machine_sets && pairs && bd_drain_needs_machine_records(node->core)) {
+        json_decref(node->drain_records);
+        node->drain_records = json_incref(pairs);
         node->is_reading = true;
         (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_DRAIN_SETS, BD_DRAIN_MACHINES_KEY_PREFIX,
-                            NULL, 1.5);
+                            NULL, SIM_STORE_TIMEOUT_S);
         return;
     }
     if (pairs)
-        bd_drain_apply_records(node->core, sets ? node->drains : pairs, sets ? pairs : NULL);
-    sim_node_post(sim, node, status == 200 ? 0.2 : 0.25, SIM_READER);
+        bd_drain_apply_records(node->core, has_machine_sets ? node->drain_records : pairs,
+                               has_machine_sets ? pairs : NULL);
+    sim_node_schedule(sim, node, status == 200 ? 0.2 : 0.25, SIM_READER);
 }
 
 void sim_reader_answered(struct sim *sim, struct sim_node *node, struct sim_call *call, long status,
@@ -73,24 +77,25 @@
     node->is_reading = false;
     if (call->purpose == SIM_FOR_LIST && status == 200) {
         apply_changes(node, bd_wire_read_pairs(answer, &ignored));
-        bd_replica_listed(node->core, bd_wire_read_store_revision(answer), call->sent);
-        node->after = node->core->replica.store_revision;
+        bd_replica_listed(node->core, bd_wire_read_store_revision(answer), call->sent_at);
+        node->last_read_revision = node->core->replica.store_revision;
         node->wants_list = false;
     } else if (call->purpose == SIM_FOR_REFRESH) {
-        node->reads_refused = status != 200;
+        node->last_refresh_failed = status != 200;
         if (status == 200)
             apply_changes(node, bd_wire_read_change_log(answer));
         bd_replica_refreshed(node->core, call->number, bd_wire_read_store_revision(answer),
-                             call->sent, call->flag, status == 200);
-        if (status == 200 && bd_wire_read_store_revision(answer) > node->after)
-            node->after = bd_wire_read_store_revision(answer);
+                             call->sent_at, call->is_barrier, status == 200);
+        if (status == 200 && bd_wire_read_store_revision(answer) > node->last_read_revision)
+            node->last_read_revision = bd_wire_read_store_revision(answer);
     } else if (call->purpose == SIM_FOR_DELEGATES && status == 200) {
-        if (sim->is_verbose && getenv("SIM_DEPUTIES")) {
+        if (sim->is_verbose && getenv("SIM_TRACE_DELEGATES")) {
             char *text = json_dumps(bd_wire_read_pairs(answer, &ignored), JSON_COMPACT);
-            sim_trace(sim, "%s sees %s", node->settings.node, text);
+            sim_trace(sim, "%s reads delegate records %s", node->settings.node, text);
             free(text);
         }
-        bd_delegate_records_read(node->core, bd_wire_read_pairs(answer, &ignored), call->sent);
+        bd_delegate_records_read(node->core, bd_wire_read_pairs(answer, &ignored), call->sent_at);
     }
-    sim_node_post(sim, node, status == 200 ? (node->wants_barrier ? 0.04 : 0.2) : 0.25, SIM_READER);
+    sim_node_schedule(sim, node, status == 200 ? (node->wants_barrier ? 0.04 : 0.2) : 0.25,
+                      SIM_READER);
 }
