--- a/src/autoscaling/autoscaling.h
+++ b/src/autoscaling/autoscaling.h
@@ -29,14 +29,15 @@
 /* Requests machines from the cloud. Returns the request's id, which core->cloud owns; NULL if too
  * many requests are open. */
 const char *bd_request_machines(struct bd_core *core, int type, int zone, bool spot, int count);
-/* Handles the cloud's response to a request: the HTTP status and the ngranted machines. False if
- * it is not one of this term's requests. */
+/* Handles the cloud's response to a request. status: the HTTP status. names: the ngranted machines.
+ * Returns false if the request is not one of this term's. */
 bool bd_scale_out_completed(struct bd_core *core, const char *request_id, long status,
                             char (*names)[BD_LABEL_BYTES], int ngranted);
 
 /* ---- scale-in (scale_in.c) ---- */
 
-/* Handles the result of returning machines to the cloud. ok false: it is not known whether the
- * cloud took them. */
-void bd_scale_in_completed(struct bd_core *core, char (*names)[BD_LABEL_BYTES], int count, bool ok);
+/* Handles the result of returning machines to the cloud. succeeded false: it is not known whether
+ * the cloud has terminated the machines. */
+void bd_scale_in_completed(struct bd_core *core, char (*names)[BD_LABEL_BYTES], int count,
+                           bool succeeded);
 #endif
--- a/src/autoscaling/autoscaling_internal.h
+++ b/src/autoscaling/autoscaling_internal.h
@@ -39,11 +39,10 @@
 void bd_demand_add_free_capacity(struct bd_demand *demand);
 /* Adds the pending tasks of all jobs, up to their teams' quotas. */
 void bd_demand_add_pending(struct bd_demand *demand);
-/* Adds count tasks. Machines that are up and have free capacity for some of them become headroom.
- */
+/* Adds `count` tasks. Machines that are up and get some of them become headroom. */
 void bd_demand_add_tasks(struct bd_demand *demand, const struct bd_spec *spec, uint32_t count,
                          enum bd_cost_tier cost_tier);
-/* Chooses the cheapest pool of the tier for count such tasks. False: no pool is open. */
+/* Chooses the cheapest pool within the tier for `count` tasks. False: no pool is open. */
 bool bd_demand_choose_pool(const struct bd_demand *demand, const struct bd_spec *spec,
                            uint32_t count, enum bd_cost_tier cost_tier, struct bd_pool_choice *out);
 
@@ -61,7 +60,7 @@
 
 /* Whether the machine is booting and still counts as upcoming capacity. */
 bool bd_boot_is_expected(const struct bd_core *core, const struct bd_machine *machine);
-/* Whether the machine has been booting for so long that it is given up. */
+/* Whether the machine has been booting for so long that it is returned to the cloud. */
 bool bd_boot_has_timed_out(const struct bd_core *core, const struct bd_machine *machine);
 
 /* ---- scale-in (scale_in.c) ---- */
@@ -83,8 +82,8 @@
 
 /* CPU cores that services block on an expensive machine without GPU tasks; 0: none. */
 double bd_blocking_service_cpus(const struct bd_core *core, const struct bd_machine *machine);
-/* Adds demand for cheap capacity for the services on expensive machines. These are not pending, so
- * no other demand includes them. */
+/* Adds demand for cheap capacity for the services on expensive machines. These services are not
+ * pending, so no other demand includes them. */
 void bd_demand_add_consolidation(struct bd_demand *demand);
 /* Moves services off expensive machines, within the budget for moves. */
 void bd_consolidate(struct bd_core *core);
--- a/src/autoscaling/boot.c
+++ b/src/autoscaling/boot.c
@@ -5,8 +5,8 @@
 #include "model/machine.h"
 
 /* Multiples of the type's usual boot time. BOOT_MARGIN_S is added to both. */
-#define BOOT_EXPECTED_FACTOR 1.6 /* later the machine no longer counts as upcoming capacity */
-#define BOOT_TIMEOUT_FACTOR 2.5  /* later the machine is given up */
+#define BOOT_EXPECTED_FACTOR 1.6 /* after this the machine is not counted as upcoming capacity */
+#define BOOT_TIMEOUT_FACTOR 2.5  /* after this the machine is returned to the cloud */
 #define BOOT_MARGIN_S 12.0
 
 static bool is_booting(const struct bd_core *core, const struct bd_machine *machine)
--- a/src/autoscaling/consolidation.c
+++ b/src/autoscaling/consolidation.c
@@ -226,16 +226,17 @@
     cloud->move_budget_at = core->now;
 }
 
-/* The cores that services on an expensive target must exceed: infinite for a source that is full of
- * services, which is emptied into cheap capacity only. */
+/* The cores that services on an expensive target without GPU work must exceed. Infinite for a
+ * source that is full of services: it is emptied only into cheap machines and machines with GPU
+ * work. */
 static double target_min_service_cpus(const struct bd_core *core, const struct source *source)
 {
     double full_cpus = FULL_SHARE * core->types[source->machine->type].cpus;
     return source->service_cpus > full_cpus ? INFINITY : source->service_cpus;
 }
 
-/* Empties the machines with the fewest services first. A machine that cannot be emptied now does
- * not delay the others. */
+/* Empties the machines whose services use the fewest cores first. A machine that cannot be emptied
+ * now does not delay the others. */
 void bd_consolidate(struct bd_core *core)
 {
     struct consolidation view;
--- a/src/autoscaling/demand.c
+++ b/src/autoscaling/demand.c
@@ -137,8 +137,7 @@
            !bd_time_is_before(core->now, core->cloud.pools[type][zone][spot].next_request_at);
 }
 
-/* The hourly price of one task on a machine that runs per_machine of them, weighted by preference.
- */
+/* The price per hour and task on a machine that runs per_machine tasks, weighted by preference. */
 static double pool_price(const struct bd_demand *demand, const struct bd_spec *spec, int type,
                          int zone, bool spot, int per_machine)
 {
@@ -222,8 +221,8 @@
     return count;
 }
 
-/* Tasks that may run on expensive machines are still packed into cheap ones first, also into those
- * to be requested: expensive machines that are booting are for work that needs them. */
+/* Tasks that may run on expensive machines are still packed into cheap ones first, even if these
+ * must be requested: expensive machines that are booting are for work that needs them. */
 void bd_demand_add_tasks(struct bd_demand *demand, const struct bd_spec *spec, uint32_t count,
                          enum bd_cost_tier cost_tier)
 {
--- a/src/autoscaling/fleet_summary.c
+++ b/src/autoscaling/fleet_summary.c
@@ -10,7 +10,8 @@
 
 #define SUMMARY_INTERVAL_S 20.0
 
-/* What a machine is used for. With several uses, it counts under the first of them. */
+/* What a machine is used for. A machine with several kinds of tasks counts under the first kind in
+ * this order; only a machine without tasks counts as booting or idle. */
 enum machine_use { USE_BOOTING, USE_GPU, USE_SERVICES, USE_ARRAYS, USE_IDLE, USE_COUNT };
 
 static enum machine_use use_of_task(const struct bd_spec *spec)
--- a/src/autoscaling/headroom.c
+++ b/src/autoscaling/headroom.c
@@ -56,11 +56,11 @@
 }
 
 static void count_job(struct class_arrivals *class_stats, const struct bd_job *job,
-                      double window_start_s)
+                      double window_started_at)
 {
     if (bd_job_has_open_parents(job))
         return;
-    class_stats->arrivals += job->ready_at >= window_start_s;
+    class_stats->arrivals += job->ready_at >= window_started_at;
     if (!job->has_spec)
         return;
     class_stats->jobs++;
@@ -81,7 +81,8 @@
     core->lead.is_class_limit_logged = true;
 }
 
-static void count_arrivals(struct bd_core *core, struct arrivals *arrivals, double window_start_s)
+static void count_arrivals(struct bd_core *core, struct arrivals *arrivals,
+                           double window_started_at)
 {
     arrivals->nclasses = 0;
     for (const struct bd_job *job = core->jobs; job; job = job->hh.next) {
@@ -89,15 +90,15 @@
             continue;
         struct class_arrivals *class_stats = find_or_add_class(arrivals, job->job_class);
         if (class_stats)
-            count_job(class_stats, job, window_start_s);
+            count_job(class_stats, job, window_started_at);
         else
             log_too_many_classes(core);
     }
 }
 
-/* The number of tasks that capacity is kept free for: those that arrive before a new machine would
- * be ready, at the normal quantile that the objectives' shares require. The variance is taken as
- * twice that of a Poisson process. */
+/* The number of tasks that capacity is kept free for: a deviation from the mean of the tasks that
+ * arrive before a new machine would be ready, at the normal quantile that the objectives' shares
+ * require. The variance of the arrivals is taken as twice that of a Poisson process. */
 static uint32_t headroom_tasks(const struct bd_demand *demand,
                                const struct class_arrivals *class_stats, double window_s)
 {
@@ -124,15 +125,15 @@
     return (uint32_t)ceil(max_tasks * core->settings->headroom_share);
 }
 
-enum work { WORK_WITH_GPUS, WORK_WITHOUT_GPUS };
+enum gpu_use { TASKS_WITH_GPUS, TASKS_WITHOUT_GPUS };
 
-static void add_classes(struct bd_demand *demand, const struct arrivals *arrivals, enum work work,
-                        double window_s)
+static void add_classes(struct bd_demand *demand, const struct arrivals *arrivals,
+                        enum gpu_use gpu_use, double window_s)
 {
     for (int i = 0; i < arrivals->nclasses; i++) {
         const struct class_arrivals *class_stats = &arrivals->classes[i];
         bool is_gpu_class = class_stats->spec.gpus > 0;
-        if (!class_stats->jobs || is_gpu_class != (work == WORK_WITH_GPUS) ||
+        if (!class_stats->jobs || is_gpu_class != (gpu_use == TASKS_WITH_GPUS) ||
             class_stats->spec.team < 0)
             continue;
         bd_demand_add_tasks(demand, &class_stats->spec,
@@ -144,13 +145,13 @@
 {
     struct bd_core *core = demand->core;
     struct arrivals arrivals;
-    double window_start_s = window_start(core), window_s = core->wall_s - window_start_s;
+    double window_started_at = window_start(core), window_s = core->wall_s - window_started_at;
     for (uint32_t i = 0; i < core->nmachines; i++)
         core->machines_by_index[i]->is_headroom = false;
     if (window_s < ARRIVAL_WINDOW_MIN_S)
         return;
-    count_arrivals(core, &arrivals, window_start_s);
+    count_arrivals(core, &arrivals, window_started_at);
     bd_demand_add_free_capacity(demand);
-    add_classes(demand, &arrivals, WORK_WITH_GPUS, window_s);
-    add_classes(demand, &arrivals, WORK_WITHOUT_GPUS, window_s);
+    add_classes(demand, &arrivals, TASKS_WITH_GPUS, window_s);
+    add_classes(demand, &arrivals, TASKS_WITHOUT_GPUS, window_s);
 }
--- a/src/autoscaling/inventory.c
+++ b/src/autoscaling/inventory.c
@@ -13,8 +13,8 @@
 #include "wire/wire_cloud.h"
 #include <stdio.h>
 
-/* A machine is gone if it is missing from a list that was requested long enough after it existed:
- * this multiple of the list's usual lag, plus the margin. */
+/* A machine that is missing from a list counts as terminated if the list was requested at least
+ * this multiple of its usual lag, plus the margin, after the machine was last known to exist. */
 #define LIST_LAG_FACTOR 2.0
 #define LIST_LAG_MARGIN_S 1.0
 
@@ -83,8 +83,8 @@
     }
 }
 
-/* Marks the machine as gone if it existed before the list was requested, but is missing from it.
- * Lists lag, so the request must have been late enough. */
+/* Treats a machine that is missing from the list as terminated, unless the list may be too old to
+ * contain the machine. */
 static void remove_if_missing(struct bd_core *core, struct bd_machine *machine,
                               struct timespec requested_at)
 {
--- a/src/autoscaling/move_targets.h
+++ b/src/autoscaling/move_targets.h
@@ -11,7 +11,7 @@
 struct bd_move_target {
     struct bd_machine *machine;
     struct bd_resources free; /* after the moves of this tick */
-    double service_cpus;      /* as bd_blocking_service_cpus */
+    double service_cpus;      /* see bd_blocking_service_cpus */
     bool is_used;             /* by a move of this tick */
     int fetched_image;        /* by a move of this tick; negative: none */
 };
@@ -29,7 +29,7 @@
                          double service_cpus);
 /* Chooses a target for a task of the machine `source` so that no GPU work is harmed. In order of
  * preference: a cheap machine; the expensive machine whose services use most cores, and more than
- * min_service_cpus; a machine with GPU work, which will end and leave the service alone there.
+ * min_service_cpus; a machine with GPU work, where the service stays alone once that work ends.
  * NULL: no target. */
 struct bd_move_target *bd_move_target_choose(const struct bd_move_targets *targets,
                                              const struct bd_spec *spec,
--- a/src/autoscaling/provisioning.c
+++ b/src/autoscaling/provisioning.c
@@ -67,7 +67,7 @@
     return a->type == b->type && a->zone == b->zone && a->spot == b->spot;
 }
 
-/* Counts the bins of the same pool that need a request, and clears their flags. */
+/* Counts the bins of pool_bin's pool that need a request, and clears their needs_request flags. */
 static int take_needed_machines(struct bd_demand *demand, const struct bd_capacity_bin *pool_bin)
 {
     int count = 0;
@@ -135,7 +135,8 @@
     bool is_granted = status == HTTP_OK;
     struct bd_pool *pool = bd_pool_of(core, state.type, state.zone, state.spot);
     pool->request_in_flight = false;
-    core->lead.next_autoscaling = core->now; /* requests machines that were not granted elsewhere */
+    /* the next tick requests the machines that were not granted from other pools */
+    core->lead.next_autoscaling = core->now;
     if (!is_granted || ngranted < state.count)
         back_off(core, pool);
     else
--- a/src/autoscaling/scale_in.c
+++ b/src/autoscaling/scale_in.c
@@ -15,7 +15,7 @@
 #include <stdio.h>
 
 #define REQUEST_MACHINES_MAX 100  /* in one request */
-#define SILENT_MARGIN_S 15.0      /* a machine is given up when silent for a lease and this */
+#define SILENT_MARGIN_S 15.0      /* added to the lease before a silent machine is returned */
 #define RETRY_S 6.0               /* a request without a response is repeated after this time */
 #define RETRY_AFTER_FAILURE_S 3.0 /* a failed request is repeated after this time */
 
@@ -27,8 +27,8 @@
                bd_to_secs(core->settings->worker_lease) + SILENT_MARGIN_S;
 }
 
-/* An idle machine is kept for about as long as booting a new one would take. */
-static bool has_idle_timed_out(const struct bd_core *core, const struct bd_machine *machine)
+/* An idle machine is kept for a configured multiple of the time that booting a new one takes. */
+static bool has_been_idle_too_long(const struct bd_core *core, const struct bd_machine *machine)
 {
     return !machine->is_headroom &&
            bd_seconds_between(machine->idle_since, core->now) >
@@ -51,7 +51,7 @@
     if (policy != BD_SCALE_IN_WHEN_IDLE)
         return policy == BD_SCALE_IN_NOW;
     return machine->quarantined || machine->termination_notice_s >= 0 ||
-           has_idle_timed_out(core, machine);
+           has_been_idle_too_long(core, machine);
 }
 
 void bd_scale_in(struct bd_core *core)
@@ -81,7 +81,8 @@
         bd_pool_of(core, machine->type, machine->zone, machine->spot)->next_request_at = core->now;
 }
 
-void bd_scale_in_completed(struct bd_core *core, char (*names)[BD_LABEL_BYTES], int count, bool ok)
+void bd_scale_in_completed(struct bd_core *core, char (*names)[BD_LABEL_BYTES], int count,
+                           bool succeeded)
 {
     if (core->role != BD_LEADER)
         return;
@@ -90,10 +91,10 @@
         HASH_FIND_STR(core->machines, names[i], machine);
         if (!machine)
             continue;
-        if (ok) {
+        if (succeeded) {
             reopen_pool(core, machine);
             bd_machine_mark_terminated(core, machine);
-        } else { /* the cloud may have taken it: no new work, and the request is repeated */
+        } else { /* outcome unknown: the machine gets no new work, and the request is repeated */
             machine->scale_in_allowed_at = bd_time_add(core->now, bd_secs(RETRY_AFTER_FAILURE_S));
         }
     }
--- a/src/jobs/admission.c
+++ b/src/jobs/admission.c
@@ -1,10 +1,11 @@
 /* Admission of a valid submission: a transaction accepts the job on the condition that it has no
  * record yet.
  *
- * A submission that names parents is accepted only if each parent was accepted before; an accepted
- * job stays accepted. A parent is searched for in the replica, then in the replica after a read
- * barrier, and then, if final records have been evicted, by a look-up of its record. The reply
- * for an unknown parent is 422 only after all of these have failed to find it. */
+ * A submission that names parents is accepted only if each parent was accepted before. An accepted
+ * job stays accepted, so each parent needs to be found only once. A parent is searched for in the
+ * replica, then in the replica after a read barrier, and then, if final records have been evicted,
+ * by a look-up of its record. The reply for an unknown parent is 422 only after all of these have
+ * failed to find it. */
 #include "jobs/jobs.h"
 #include "jobs/jobs_internal.h"
 #include "model/catalog.h"
@@ -25,7 +26,7 @@
 struct parents_status {
     /* The first parent that is not in memory; NULL: none. The parents after it are not checked. */
     const char *first_unknown;
-    bool has_active_service; /* it is never done, so that the job could never start */
+    bool has_active_service; /* a service is never done, so the job could never start */
     bool has_cancelled;
 };
 
@@ -85,7 +86,7 @@
     bd_effect_reply_error(core, request, 422, "awaits a job that was never accepted", 0);
 }
 
-/* is_cancelled: a parent is cancelled, and so is this job. */
+/* is_cancelled: a parent is cancelled, so the job is accepted as cancelled. */
 static void accept_submission(struct bd_core *core, struct bd_admission *admission,
                               bool is_cancelled)
 {
@@ -116,8 +117,8 @@
         accept_submission(core, admission, parents->has_cancelled);
 }
 
-/* Accepts or rejects the submission if all parents are known; otherwise starts the next read that
- * may find them. Takes ownership of the admission. */
+/* If a parent is unknown and a further read may find it, starts that read. Otherwise accepts or
+ * rejects the submission. Takes ownership of the admission. */
 static void continue_admission(struct bd_core *core, struct bd_admission *admission,
                                bool after_barrier)
 {
@@ -140,7 +141,8 @@
     continue_admission(core, admission, true);
 }
 
-/* Removes the request's admission from the list; NULL: none. The caller owns it. */
+/* Removes the request's admission from those that wait for a look-up. The caller owns the result.
+ * NULL: there is none. */
 static struct bd_admission *take_awaiting_lookup(struct bd_core *core, const void *request)
 {
     struct bd_admission **link = &core->graph.awaiting_lookup;
--- a/src/jobs/admission_record.c
+++ b/src/jobs/admission_record.c
@@ -1,6 +1,6 @@
 /* Builds the transactions that accept a job. They write its record and, if the names of its parents
- * do not fit into the record's value, parts with those names (j/JOB/HASH/N). The parts are
- * committed before the record, which alone makes the job accepted.
+ * do not fit into the record's value, parts with those names (j/JOB/HASH/NUMBER). The parts are
+ * committed before the record; the job is accepted only once its record is committed.
  *
  * The keys of the parts contain a hash of the names, so that a retry by another controller writes
  * the same parts, and a different submission of the same id does not overwrite them. */
--- a/src/jobs/dependency_graph.c
+++ b/src/jobs/dependency_graph.c
@@ -24,7 +24,7 @@
 #include <string.h>
 #include <utlist.h>
 
-#define LOOKUP_INTERVAL_S 2.0 /* between two batches of look-ups */
+#define LOOKUP_INTERVAL_S 2.0 /* after a batch of look-ups that was not full */
 #define LOOKUP_BATCH_MAX 8u
 #define LOOKUP_RETRY_S (LOOKUP_INTERVAL_S * LOOKUP_BATCH_MAX) /* between look-ups of one parent */
 
@@ -77,7 +77,7 @@
 
 /* ---- edges ---- */
 
-/* Removes all edges from the job to its parents, because it is final or ready. */
+/* Removes all edges from the job to its parents. Called when the job is final or ready. */
 static void remove_edges(struct bd_core *core, struct bd_job *job)
 {
     for (uint32_t i = 0; i < job->nparent_edges; i++) {
@@ -95,16 +95,17 @@
     core->graph.priorities_stale = true;
 }
 
-static void delay_ready_until(struct bd_job *job, double parent_end)
+static void delay_ready_until(struct bd_job *job, double parent_ended_at)
 {
-    if (parent_end > job->ready_at)
-        job->ready_at = parent_end;
+    if (parent_ended_at > job->ready_at)
+        job->ready_at = parent_ended_at;
 }
 
-/* Called when one of the job's open parents is done. */
-static void close_parent(struct bd_core *core, struct bd_job *job, double parent_end)
+/* Reduces the job's open parents by one. The job is ready after the last one. parent_ended_at: time
+ * of day, in seconds. */
+static void close_parent(struct bd_core *core, struct bd_job *job, double parent_ended_at)
 {
-    delay_ready_until(job, parent_end);
+    delay_ready_until(job, parent_ended_at);
     if (--job->nopen_parents > 0)
         return;
     remove_edges(core, job);
@@ -131,8 +132,8 @@
     return edge->job;
 }
 
-/* Updates the direct dependents of a job that is done or cancelled. Dependents that this cancels
- * are added to the work list. */
+/* Updates the direct dependents of a job that is done or cancelled. Adds the dependents that become
+ * cancelled to the work list. */
 static void update_dependents(struct bd_core *core, const struct bd_job *job,
                               struct bd_job **work_list)
 {
@@ -179,6 +180,7 @@
 static void add_open_edge(struct bd_core *core, struct bd_dependency_edge *edge, const char *name)
 {
     struct bd_parent_job *parent = find_or_add_parent(core, name);
+    /* A job's edges are added in succession, so an earlier edge of this job is the list's last. */
     bool is_repeated = parent->dependents && parent->dependents->prev->job == edge->job;
     if (is_repeated)
         return;
@@ -261,9 +263,9 @@
         bd_job_lookup_emit(core, NULL, parent->id, BD_READ_PARENT);
         sent++;
     }
-    bool may_be_more = sent == LOOKUP_BATCH_MAX;
+    bool is_batch_full = sent == LOOKUP_BATCH_MAX;
     core->graph.next_lookup =
-        may_be_more ? core->now : bd_time_add(core->now, bd_secs(LOOKUP_INTERVAL_S));
+        is_batch_full ? core->now : bd_time_add(core->now, bd_secs(LOOKUP_INTERVAL_S));
 }
 
 void bd_dag_free(struct bd_core *core)
--- a/src/jobs/dependency_names.c
+++ b/src/jobs/dependency_names.c
@@ -1,6 +1,7 @@
 /* Reads a job's list of parents from its record or, if the names do not fit into one value, from
- * parts (j/JOB/HASH/N). Parts are committed before the record that states their hash and count, but
- * may be read before or after it. Parts are kept until the record and all parts have been read. */
+ * parts (j/JOB/HASH/NUMBER). Parts are committed before the record that states their hash and
+ * count, but may be read before or after it. Parts are kept until the record and all parts have
+ * been read. */
 #include "brambledoor/log.h"
 #include "jobs/jobs_internal.h"
 #include "model/catalog.h"
@@ -100,7 +101,7 @@
         job->nopen_parents = 1;
     } else if (parents->parts) {
         job->parent_parts = parents->parts;
-        job->nopen_parents = 1;
+        job->nopen_parents = 1; /* keeps the job from being ready until all parts are read */
         snprintf(job->parent_parts_hash, sizeof job->parent_parts_hash, "%s", parents->of);
         join_parts_if_complete(core, job);
     } else if (has_names) {
--- a/src/jobs/dependency_priorities.c
+++ b/src/jobs/dependency_priorities.c
@@ -7,13 +7,14 @@
 #include "wire/wire_jobs.h"
 #include <math.h>
 
-#define SLOWEST_TASK_FACTOR 1.3 /* run time of a job's slowest task, relative to the estimate */
-#define START_DELAY_S 4.0       /* from a parent's end to the dependent's start, with image fetch */
+/* Run time of a job's slowest task, relative to the estimate, as planned for with deadlines. */
+#define DEADLINE_RUN_TIME_FACTOR 1.3
+#define START_DELAY_S 4.0 /* from a parent's end to the dependent's start, with image fetch */
 
 /* Expected seconds from when the job is ready until it is done, by the user's estimate. */
 static double duration_s(const struct bd_job *job)
 {
-    return SLOWEST_TASK_FACTOR * job->spec.estimate_s + START_DELAY_S;
+    return DEADLINE_RUN_TIME_FACTOR * job->spec.estimate_s + START_DELAY_S;
 }
 
 double bd_deadline_slack_s(const struct bd_core *core, const struct bd_job *job)
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -31,11 +31,12 @@
 /* Applies one change of the store to the job that its key names. Ignores keys outside j/,
  * deletions, and revisions that are not newer than the job's. */
 void bd_replica_apply(struct bd_core *core, const struct bd_change *change);
-/* Completes a refresh that requested the changes after after_revision. The caller has applied them.
- * is_barrier: the refresh was the read barrier, so that the reads that wait for it are answered. */
+/* Completes a refresh that was sent at sent_at. The caller has applied the refresh's changes, from
+ * after_revision (exclusive) to store_revision. is_barrier: the refresh was the read barrier, so
+ * the reads that wait for the barrier are answered. */
 void bd_replica_refreshed(struct bd_core *core, uint64_t after_revision, uint64_t store_revision,
                           struct timespec sent_at, bool is_barrier, bool succeeded);
-/* Completes the initial listing of all records, which makes the replica ready. */
+/* Completes the initial listing of all records, requested at sent_at. The replica is then ready. */
 void bd_replica_listed(struct bd_core *core, uint64_t store_revision, struct timespec sent_at);
 /* Evicts old final records while the replica holds more than the memory setting allows. */
 void bd_replica_evict(struct bd_core *core);
@@ -51,7 +52,7 @@
 bool bd_job_cancellation_announced(const struct bd_core *core, const struct bd_job *job);
 /* Sets the job's state. Stops the tasks if the job is cancelled. */
 void bd_job_set_state(struct bd_core *core, struct bd_job *job, enum bd_job_state state);
-/* Builds the record that replaces the job's when it is cancelled. The caller owns it. */
+/* Builds the cancelled record that replaces the job's active record. The caller owns the result. */
 json_t *bd_job_cancelled_record(const struct bd_job *job);
 
 /* ---- dependency graph (dependency_graph.c, dependency_priorities.c) ---- */
@@ -60,11 +61,11 @@
 bool bd_job_has_open_parents(const struct bd_job *job);
 /* Updates the direct and indirect dependents of a job that is done or cancelled. */
 void bd_dag_job_ended(struct bd_core *core, struct bd_job *job);
-/* Called when the job's own record is final: a cancellation that was derived from a parent need not
- * be written any more. */
+/* Records that the job's own record is final, so that a cancellation derived from a parent is no
+ * longer to be written. */
 void bd_dag_cancellation_written(struct bd_core *core, struct bd_job *job);
-/* Seconds by which the job's start can be delayed from now with the job and its dependents still
- * meeting their deadlines; infinite if none of them has a deadline. */
+/* Seconds that the job's start can be delayed from now without the job or its dependents missing a
+ * deadline. Negative: a deadline is already missed. Infinite: none of them has a deadline. */
 double bd_deadline_slack_s(const struct bd_core *core, const struct bd_job *job);
 /* Recomputes the jobs' priorities and latest finish times if the graph has changed. */
 void bd_dag_update_priorities(struct bd_core *core);
--- a/src/jobs/pending_reads.c
+++ b/src/jobs/pending_reads.c
@@ -78,7 +78,7 @@
     bd_user_reply_kv_unreachable(core, read->request, BD_KV_OUTAGE_RETRY_AFTER_S);
 }
 
-/* Answers the reads that wait for the barrier. */
+/* Answers the reads that wait for the barrier, or fails them if the barrier did not succeed. */
 static void complete_barrier(struct bd_core *core, bool succeeded)
 {
     struct bd_pending_read *read = core->replica.barrier_reads;
@@ -99,7 +99,7 @@
                           struct timespec sent_at, bool is_barrier, bool succeeded)
 {
     struct bd_replica *replica = &core->replica;
-    /* otherwise changes between the two revisions may be missing */
+    /* if not contiguous, changes between the two revisions may be missing */
     bool is_contiguous = after_revision <= replica->store_revision;
     if (succeeded && is_contiguous && store_revision > replica->store_revision)
         replica->store_revision = store_revision;
--- a/src/jobs/replica.c
+++ b/src/jobs/replica.c
@@ -79,7 +79,7 @@
                      "job %s: out of memory for its tasks, not scheduled yet", job->id);
 }
 
-/* When a final job ended, as time of day in seconds; an estimate if the record does not say so. */
+/* When a final job ended, as time of day in seconds; an estimate if the record lacks the time. */
 static double end_time(const struct bd_core *core, const struct bd_job_record *record)
 {
     if (record->end > 0)
@@ -152,9 +152,9 @@
            bd_seconds_between(job->cancellation_announced_at, core->now) < ANNOUNCEMENT_VALID_S;
 }
 
-/* The cancelled record arrives with a refresh up to seconds later; the announcement stops tasks and
- * prevents starts before that. If the record does not arrive, the announcement expires and the job
- * is scheduled again. */
+/* The cancelled record arrives with a refresh, up to a few seconds later; the announcement stops
+ * tasks and prevents starts before that. If the record does not arrive, the announcement expires
+ * and the job is scheduled again. */
 void bd_job_cancellation_announcement_received(struct bd_core *core, const char *id)
 {
     struct bd_job *job = bd_job_find(core, id);
--- a/src/jobs/submission.c
+++ b/src/jobs/submission.c
@@ -41,7 +41,7 @@
 }
 
 /* Rejects a submission. If it has an id, the reply waits for a read barrier: another controller may
- * have accepted a job with this id, which must not get 400 or 422. */
+ * have accepted a job with this id, and then the reply must be the job's status. */
 static void reject(struct bd_core *core, void *request, const struct submission *submission)
 {
     if (!*submission->id)
@@ -52,7 +52,8 @@
         (void)bd_read_after_barrier(core, request, submission->id, BD_READ_IMPOSSIBLE_SUBMISSION);
 }
 
-/* Handles a submission whose id is not in memory. Takes ownership of the submission's parents. */
+/* Handles a submission whose job is not in memory, or whose id is invalid. Takes ownership of the
+ * submission's parents. */
 static void process_new_submission(struct bd_core *core, void *request,
                                    struct submission *submission)
 {
--- a/src/jobs/submission_feasibility.c
+++ b/src/jobs/submission_feasibility.c
@@ -9,7 +9,7 @@
 
 #define ROUNDING 1e-9 /* tolerance for amounts that were parsed from decimal numbers */
 
-/* Whether one task fits on a machine of the type that the zone offers; zone -1: any. */
+/* Whether one task fits on a machine of the type, and the zone offers the type; zone -1: any. */
 static bool fits_type(const struct bd_machine_type *type, const struct bd_job_spec_text *spec,
                       int zone)
 {
--- a/src/jobs/user_requests.c
+++ b/src/jobs/user_requests.c
@@ -1,4 +1,4 @@
-/* Users' requests about known jobs: status and cancellation. */
+/* Users' requests about submitted jobs: status and cancellation. */
 #include "base/timeutil.h"
 #include "jobs/jobs.h"
 #include "jobs/jobs_internal.h"
@@ -12,7 +12,8 @@
 #include "wire/wire_limits.h"
 #include <string.h>
 
-#define KV_REACHABLE_S 2.0 /* after the newest successful refresh was sent */
+/* The store counts as reachable for this long after the newest successful refresh was sent. */
+#define KV_REACHABLE_S 2.0
 
 static const char *state_name(const struct bd_job *job, uint32_t running)
 {
@@ -83,12 +84,12 @@
         return;
     if (job)
         bd_user_cancel_emit(core, request, job);
-    else /* another controller may have accepted it since the last refresh */
+    else /* another controller may have accepted the job since the last refresh */
         bd_read_after_barrier(core, request, id, BD_READ_CANCEL);
 }
 
-/* Omits what only placement needs: the record is no longer than the accepted one, so that it fits
- * store limits that have been lowered since. */
+/* Omits what only placement needs, so that the record is no larger than the accepted one: the
+ * store's limits may have been lowered since the job was accepted. */
 json_t *bd_job_cancelled_record(const struct bd_job *job)
 {
     struct bd_job_record record = {
--- a/src/jobs/user_txn.c
+++ b/src/jobs/user_txn.c
@@ -61,7 +61,7 @@
 }
 
 /* Applies the committed transactions to the replica, without waiting for the next refresh. body:
- * one transaction a line. */
+ * one transaction per line. */
 static void apply_txns(struct bd_core *core, const char *body, uint64_t store_revision)
 {
     const char *line = body;
@@ -83,7 +83,7 @@
         bd_effect_reply_error(core, request, 503, "not ready", USER_TXN_RETRY_AFTER_S);
     else if (job->state == BD_JOB_ACTIVE)
         bd_effect_reply(core, request, 201, bd_wire_write_accepted(id), 0);
-    else if (is_submission && job->state == BD_JOB_CANCELLED) /* because a parent is */
+    else if (is_submission && job->state == BD_JOB_CANCELLED) /* a parent is cancelled */
         bd_effect_reply(core, request, 201, bd_wire_write_job_state(id, "cancelled", 0, 0), 0);
     else
         bd_user_reply_status(core, request, job);
--- a/src/scheduling/constraints.c
+++ b/src/scheduling/constraints.c
@@ -27,7 +27,7 @@
     }
 }
 
-static bool is_in_another_zone(const struct bd_core *core, const uint32_t *counts, int zone)
+static bool has_tasks_in_other_zone(const struct bd_core *core, const uint32_t *counts, int zone)
 {
     for (int other = 0; other < core->nzones; other++)
         if (other != zone && counts[other] > 0)
@@ -38,7 +38,7 @@
 uint32_t bd_zone_allowance(const struct bd_core *core, const struct bd_job *job,
                            const uint32_t *counts, int zone, uint32_t max_tasks)
 {
-    if (job->spec.same_zone && is_in_another_zone(core, counts, zone))
+    if (job->spec.same_zone && has_tasks_in_other_zone(core, counts, zone))
         return 0;
     if (!job->spec.spread_zones)
         return max_tasks;
--- a/src/scheduling/cost_model.c
+++ b/src/scheduling/cost_model.c
@@ -11,12 +11,14 @@
 #include <math.h>
 #include <string.h>
 
-#define EXPENSIVE_FACTOR 2.5    /* times the task's lowest on-demand price */
-#define SLACK_MIN_S 20.0        /* least slack with which an objective counts as attainable */
-#define GPU_YIELD_MIN_S 15.0    /* least time that arrays leave expensive machines to GPU tasks */
-#define SLOWEST_TASK_FACTOR 1.5 /* run time of a job's slowest task, relative to the estimate */
-#define ROUNDING 1e-9           /* tolerance of a quotient of amounts */
-#define TASKS_MAX 1e6           /* on one machine, for a task that requests no resources */
+#define EXPENSIVE_FACTOR 2.5 /* times the task's lowest on-demand price */
+#define SLACK_MIN_S 20.0     /* least slack with which an objective counts as attainable */
+#define GPU_YIELD_MIN_S 15.0 /* least time that arrays leave expensive machines to GPU tasks */
+#define ROUNDING 1e-9        /* tolerance of a quotient of amounts */
+#define TASKS_MAX 1e6        /* on one machine, for a task that requests no resources */
+
+/* Run time of a job's slowest task, relative to the estimate, as planned for with objectives. */
+#define SLO_RUN_TIME_FACTOR 1.5
 
 int bd_tasks_per_machine(const struct bd_machine_type *type, const struct bd_spec *spec)
 {
@@ -73,7 +75,7 @@
     if (slo->kind == BD_SLO_WAIT)
         return slo->within_s;
     if (slo->kind == BD_SLO_FINISHED)
-        return fmax(0, slo->within_s - SLOWEST_TASK_FACTOR * estimated_run_s);
+        return fmax(0, slo->within_s - SLO_RUN_TIME_FACTOR * estimated_run_s);
     return -1;
 }
 
@@ -88,9 +90,9 @@
     return lead_s;
 }
 
-/* Seconds from when the job is ready that it can wait for a cheap machine. 0 if an objective for
- * the class's start leaves no time to provision a machine. If the job is too long to meet its
- * tightest objective for the end, the next one applies. */
+/* How long, in seconds from when it is ready, a job with this spec can wait for a cheap machine. 0
+ * if a BD_SLO_WAIT objective of its class leaves no time to provision a machine. If the job is too
+ * long to meet the tightest BD_SLO_FINISHED objective, the next one applies. */
 static double cheap_wait_s(const struct bd_core *core, const struct bd_spec *spec)
 {
     double tightest_s = INFINITY, loosest_s = 0, lead_s = provisioning_lead_s(core, spec);
--- a/src/scheduling/gang_placement.c
+++ b/src/scheduling/gang_placement.c
@@ -37,8 +37,8 @@
 }
 
 /* Tries the zones in turn until one has capacity for the whole gang. If none has, the cycle stays
- * limited to the zone with capacity for most of its tasks. Returns how many tasks found capacity in
- * the zone that was tried last. */
+ * limited to the zone with capacity for most of the gang's tasks. Returns how many tasks found
+ * capacity in the zone that was tried last. */
 static uint32_t plan_in_each_zone(struct placement_cycle *cycle, struct bd_job *job,
                                   uint64_t attempt)
 {
@@ -56,7 +56,7 @@
     return fitting;
 }
 
-/* Preempts others for the gang's tasks that found no capacity, if that is due. */
+/* If preemption for the job is due, preempts other tasks for the gang's tasks without capacity. */
 static void preempt_for_rest(struct placement_cycle *cycle, struct bd_job *job, uint32_t fitting)
 {
     if (job->priority <= BD_PRIORITY_IDLE || !bd_preemption_is_due(cycle->core, job))
--- a/src/scheduling/gpu_capacity.c
+++ b/src/scheduling/gpu_capacity.c
@@ -58,7 +58,8 @@
                                          type->gpus - machine->pinned_gpus,
                                          type->mem - machine->pinned_mem_gb};
     uint32_t gpu_tasks = bd_resources_fit_count(for_gpu_tasks, gpu_task, GPU_TASKS_MAX);
-    if (gpu_tasks == 0) /* no room for GPU tasks beside the services: more services do no harm */
+    /* no room for another GPU task: services, and any task beside running GPU tasks, do no harm */
+    if (gpu_tasks == 0)
         return machine->reserved_gpus > 0 || spec->kind == BD_JOB_SERVICE ? max_tasks : 0;
     struct bd_resources rest = {type->cpus - machine->reserved_cpus - gpu_tasks * gpu_task->cpus, 0,
                                 type->mem - machine->reserved_mem_gb - gpu_tasks * gpu_task->mem};
--- a/src/scheduling/placement.c
+++ b/src/scheduling/placement.c
@@ -5,6 +5,7 @@
 #include "leadership/commit.h"
 #include "model/core_state.h"
 #include "model/kv_limits.h"
+#include "model/leadership_state.h"
 #include "model/machine.h"
 #include "scheduling/scheduling.h"
 #include "scheduling/scheduling_internal.h"
@@ -15,9 +16,13 @@
 
 #define FETCH_WORTH_PREEMPTING_S 12.0 /* a longer fetch justifies preempting borrowed capacity */
 
-/* A gang of one task within its guaranteed share need not wait for a long image fetch while another
- * team uses a machine that holds the image beyond that team's share. Preempts there; returns
- * whether capacity on such a machine is being freed for the job. */
+/* Comparisons that a plan may use for each change that the store allows. commit.c sets the limit of
+ * the whole transaction. */
+#define PLAN_COMPARES_PER_OP 3
+
+/* A gang of one task that is within its team's guaranteed share need not wait for a long image
+ * fetch while another team, beyond its own share, uses a machine that holds the image. Preempts
+ * tasks on such a machine. Returns whether capacity there is being freed for the job. */
 static bool preempt_instead_of_fetch(struct placement_cycle *cycle, struct bd_job *job)
 {
     uint32_t zone_counts[BD_ZONES_MAX];
@@ -31,9 +36,9 @@
     return bd_preempt_where_image_is_held(cycle, job);
 }
 
-/* Plans tasks only on machines where their image is ready soon, and preempts others there if
- * capacity is lacking, because that is faster than an image fetch. Returns how many were planned,
- * and subtracts from *wanted the tasks for which bd_preempt claimed capacity. */
+/* Plans tasks only on machines where their image is ready soon. If capacity is lacking there,
+ * preempts other tasks, because that is faster than an image fetch. Returns how many tasks were
+ * planned, and subtracts from *wanted the tasks for which bd_preempt claimed capacity. */
 static uint32_t place_where_image_is_ready_soon(struct placement_cycle *cycle, struct bd_job *job,
                                                 uint32_t *wanted, uint64_t attempt)
 {
@@ -64,7 +69,7 @@
     return placed;
 }
 
-/* Plans the job's pending tasks within its team's quota, and preempts others if it must. */
+/* Plans the job's pending tasks within its team's quota. Preempts other tasks if necessary. */
 static void place_job(struct placement_cycle *cycle, struct bd_job *job)
 {
     struct bd_core *core = cycle->core;
@@ -72,7 +77,8 @@
     uint32_t wanted = bd_quota_fit_count(core, &job->spec, job->npending), placed = 0;
     if (cycle->compares >= cycle->compares_max || wanted == 0 || (is_gang && wanted < job->ntasks))
         return;
-    uint64_t attempt = (core->lead.base_term << 20) + core->lead.attempt_count + 1;
+    uint64_t attempt =
+        (core->lead.base_term << BD_ATTEMPT_TERM_SHIFT) + core->lead.attempt_count + 1;
     bd_job_weights_update(cycle, job);
     if (is_gang && preempt_instead_of_fetch(cycle, job))
         return;
@@ -105,7 +111,7 @@
     cycle->record_bytes_max =
         (size_t)(BD_VALUE_SHARE * (double)limits->kv_value_bytes_max * records_max) -
         (size_t)(records_max - 1) * 2 * BD_LABEL_BYTES;
-    cycle->compares_max = (uint32_t)(3 * limits->kv_txn_ops_max);
+    cycle->compares_max = (uint32_t)(PLAN_COMPARES_PER_OP * limits->kv_txn_ops_max);
 }
 
 static void init_machines(struct placement_cycle *cycle)
--- a/src/scheduling/plan.c
+++ b/src/scheduling/plan.c
@@ -61,8 +61,8 @@
     return record_fit_count(cycle, job, machine, tasks);
 }
 
-/* Plans `count` pending tasks of the job, from index `first` on, on the machine. Returns the index
- * after the last task that was considered. */
+/* Plans `count` pending tasks of the job on the machine, starting at task index `first`. Returns
+ * the index after the last task that was considered. */
 static uint32_t plan_group(struct placement_cycle *cycle, struct bd_job *job, uint32_t first,
                            struct bd_machine *machine, uint32_t count, uint64_t attempt)
 {
--- a/src/scheduling/preemption.c
+++ b/src/scheduling/preemption.c
@@ -38,7 +38,7 @@
 }
 
 /* Whether the preemptor, within its team's guaranteed share, may preempt a running task that
- * another team has beyond its own share. Tasks of jobs with a deadline and a higher priority are
+ * another team runs beyond its own share. Tasks of jobs with a deadline and a higher priority are
  * exempt: they are few and short, and there is enough other borrowed capacity. */
 static bool may_reclaim(const struct bd_job *preemptor, const struct bd_job *job,
                         const struct bd_task *task)
--- a/src/scheduling/quotas.c
+++ b/src/scheduling/quotas.c
@@ -5,13 +5,13 @@
 #include "scheduling/scheduling.h"
 #include "scheduling/scheduling_internal.h"
 
-uint32_t bd_team_quota_fit_count(const struct bd_team_quota *team, double cpus, double gpus,
-                                 const struct bd_spec *spec, uint32_t max_tasks)
+uint32_t bd_team_quota_fit_count(const struct bd_team_quota *team, double used_cpus,
+                                 double used_gpus, const struct bd_spec *spec, uint32_t max_tasks)
 {
     if (team->cpus_quota > 0)
-        max_tasks = bd_amount_fit_count(team->cpus_quota - cpus, spec->cpus, max_tasks);
+        max_tasks = bd_amount_fit_count(team->cpus_quota - used_cpus, spec->cpus, max_tasks);
     if (team->gpus_quota > 0)
-        max_tasks = bd_amount_fit_count(team->gpus_quota - gpus, spec->gpus, max_tasks);
+        max_tasks = bd_amount_fit_count(team->gpus_quota - used_gpus, spec->gpus, max_tasks);
     return max_tasks;
 }
 
--- a/src/scheduling/scheduling.h
+++ b/src/scheduling/scheduling.h
@@ -34,9 +34,9 @@
 /* ---- quotas (quotas.c) ---- */
 
 /* How many tasks with this spec fit into the rest of the team's quota, up to `max_tasks`, while the
- * team uses `cpus` cores and `gpus` GPUs. */
-uint32_t bd_team_quota_fit_count(const struct bd_team_quota *team, double cpus, double gpus,
-                                 const struct bd_spec *spec, uint32_t max_tasks);
+ * team uses `used_cpus` cores and `used_gpus` GPUs. */
+uint32_t bd_team_quota_fit_count(const struct bd_team_quota *team, double used_cpus,
+                                 double used_gpus, const struct bd_spec *spec, uint32_t max_tasks);
 
 /* ---- job order (job_order.c) ---- */
 
@@ -46,7 +46,7 @@
 
 /* ---- cost model (cost_model.c) ---- */
 
-/* Which machines a job may use. The range widens with the time that it has waited. */
+/* Which machines a job may use. The longer a job has waited, the wider its tier. */
 enum bd_cost_tier {
     BD_TIER_SPOT,  /* spot machines that are not expensive */
     BD_TIER_CHEAP, /* all machines that are not expensive */
--- a/src/scheduling/scheduling_internal.h
+++ b/src/scheduling/scheduling_internal.h
@@ -81,8 +81,8 @@
  * a GPU task could use. */
 uint32_t bd_fit_count_beside_gpu_tasks(const struct bd_core *core, const struct bd_spec *spec,
                                        const struct bd_machine *machine, uint32_t max_tasks);
-/* Whether it can be told what GPU tasks could run on the machine: it has no GPUs, some unfinished
- * job has GPU tasks for it, or services or GPU tasks run there. */
+/* Whether the possible GPU work on the machine is known: the machine has no GPUs, an unfinished job
+ * has GPU tasks that fit on it when empty, or services or GPU tasks run there. */
 bool bd_gpu_use_is_known(const struct bd_core *core, const struct bd_machine *machine);
 
 /* ---- machine_choice.c ---- */
@@ -91,7 +91,7 @@
  * stopped. */
 struct bd_resources bd_unclaimed_capacity(const struct placement_cycle *cycle,
                                           const struct bd_machine *machine);
-/* Whether the cycle may place tasks in the machine's zone at present. */
+/* Whether cycle->only_zone permits the machine's zone. */
 bool bd_zone_is_eligible(const struct placement_cycle *cycle, const struct bd_machine *machine);
 /* Whether the task's image is on the machine, or will be within half a second. */
 bool bd_image_is_ready_soon(const struct bd_core *core, const struct bd_spec *spec,
@@ -113,8 +113,8 @@
 
 /* ---- gang_placement.c ---- */
 
-/* Plans all tasks of the gang or none, and returns whether it did. If not, it may preempt others
- * for the gang. */
+/* Plans all tasks of the gang or none, and returns whether they were planned. If they were not, may
+ * preempt other tasks for the gang. */
 bool bd_place_gang(struct placement_cycle *cycle, struct bd_job *job, uint64_t attempt);
 
 /* ---- preemption.c ---- */
@@ -123,15 +123,15 @@
 bool bd_preemption_is_due(const struct bd_core *core, const struct bd_job *job);
 /* Defers the next preemption for the job, because the last one found nothing. */
 void bd_preemption_back_off(const struct bd_core *core, struct bd_job *job);
-/* Preempts others for up to `max_tasks` tasks of the job and claims the capacity. Returns for how
- * many tasks capacity is free or being freed. */
+/* Preempts other tasks for up to `max_tasks` tasks of the job and claims the capacity. Returns for
+ * how many tasks capacity is free or being freed. */
 uint32_t bd_preempt(struct placement_cycle *cycle, struct bd_job *job, uint32_t max_tasks,
                     enum bd_price_limit price_limit);
-/* Preempts others for one task, only on machines that hold its image. Returns false if there is no
- * such machine with capacity to free. */
+/* Preempts other tasks for one task, only on machines that hold its image. Returns false if there
+ * is no such machine with capacity to free. */
 bool bd_preempt_where_image_is_held(struct placement_cycle *cycle, struct bd_job *job);
-/* Preempts others for the tasks of a gang that found no capacity. Stops nothing and returns false
- * unless capacity for all of them can be freed. */
+/* Preempts other tasks for the tasks of a gang that found no capacity. Stops nothing and returns
+ * false unless capacity for all of them can be freed. */
 bool bd_preempt_for_gang(struct placement_cycle *cycle, struct bd_job *job,
                          uint32_t unplaced_tasks);
 #endif
