--- a/src/autoscaling/demand.c
+++ b/src/autoscaling/demand.c
@@ -15,7 +15,7 @@
 #include <string.h>
 
 #define BINS_CAPACITY_INITIAL 256
-#define ON_DEMAND_PRICE_FACTOR 2.0 /* for tasks that may use spot: on-demand is for the others */
+#define ON_DEMAND_PRICE_FACTOR 2.0 /* for tasks that may use spot: leaves on-demand to others */
 #define ZONE_PRICE_FACTOR 1e-6     /* for each machine in the zone: prefers emptier zones */
 #define PRICE_TOLERANCE 1e-12
 #define RESOURCE_TOLERANCE 1e-9 /* cores, GPUs or GB */
--- a/src/autoscaling/headroom.c
+++ b/src/autoscaling/headroom.c
@@ -1,5 +1,5 @@
 /* Headroom: capacity for tasks that are expected to arrive before a new machine could serve them,
- * from the service-level objectives and the arrivals of each job class. */
+ * computed from the service-level objectives and the arrivals of each job class. */
 #include "autoscaling/autoscaling_internal.h"
 #include "brambledoor/log.h"
 #include "brambledoor/settings.h"
--- a/src/autoscaling/inventory.c
+++ b/src/autoscaling/inventory.c
@@ -14,7 +14,8 @@
 #include <stdio.h>
 
 /* A machine that is missing from a list counts as terminated if the list was requested at least
- * this multiple of its usual lag, plus the margin, after the machine was last known to exist. */
+ * this multiple of the list's usual lag, plus the margin, after the machine was last known to
+ * exist. */
 #define LIST_LAG_FACTOR 2.0
 #define LIST_LAG_MARGIN_S 1.0
 
--- a/src/autoscaling/provisioning.c
+++ b/src/autoscaling/provisioning.c
@@ -135,7 +135,7 @@
     bool is_granted = status == HTTP_OK;
     struct bd_pool *pool = bd_pool_of(core, state.type, state.zone, state.spot);
     pool->request_in_flight = false;
-    /* the next tick requests the machines that were not granted from other pools */
+    /* the next tick turns to other pools for machines that were not granted */
     core->lead.next_autoscaling = core->now;
     if (!is_granted || ngranted < state.count)
         back_off(core, pool);
--- a/src/jobs/admission_record.c
+++ b/src/jobs/admission_record.c
@@ -19,7 +19,7 @@
 #define PART_OVERHEAD_BYTES 32     /* of a part's value, without the names */
 #define NAME_OVERHEAD_BYTES 3      /* quotes and comma of a name */
 
-/* Transactions as text, one a line. Owns the text. */
+/* Transactions as text, one per line. Owns the text. */
 struct txn_lines {
     char *text; /* NULL: none yet */
     size_t len;
--- a/src/jobs/dependency_graph.c
+++ b/src/jobs/dependency_graph.c
@@ -7,8 +7,8 @@
  * that it is not. No further fencing is needed.
  *
  * Cancellation is transitive: a job with a cancelled parent is cancelled. Every controller derives
- * this from the records after a read barrier. The leader writes it into the job's own record later;
- * nothing depends on when it does. */
+ * this from the records after a read barrier. The leader writes the cancellation into the job's
+ * own record later; nothing depends on when this happens. */
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "jobs/jobs.h"
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -65,7 +65,7 @@
  * longer to be written. */
 void bd_dag_cancellation_written(struct bd_core *core, struct bd_job *job);
 /* Seconds that the job's start can be delayed from now without the job or its dependents missing a
- * deadline. Negative: a deadline is already missed. Infinite: none of them has a deadline. */
+ * deadline. Negative: a deadline will be missed. Infinite: none of them has a deadline. */
 double bd_deadline_slack_s(const struct bd_core *core, const struct bd_job *job);
 /* Recomputes the jobs' priorities and latest finish times if the graph has changed. */
 void bd_dag_update_priorities(struct bd_core *core);
--- a/src/jobs/user_requests.c
+++ b/src/jobs/user_requests.c
@@ -56,7 +56,8 @@
     return bd_wire_is_job_id(id) && strlen(id) < BD_ID_BYTES - 1;
 }
 
-/* Replies if neither a read barrier nor a transaction is needed. Returns whether it replied. */
+/* Replies if neither a read barrier nor a transaction is needed. Returns whether a reply was
+ * emitted. */
 static bool reply_at_once(struct bd_core *core, void *request, const char *id,
                           const struct bd_job *job)
 {
--- a/src/scheduling/cycle.c
+++ b/src/scheduling/cycle.c
@@ -1,5 +1,5 @@
 /* Decides when a scheduling cycle runs. Placement fills a plan, which leadership/ commits in a
- * fenced transaction; only one is in flight at a time. */
+ * fenced transaction; only one transaction is in flight at a time. */
 #include "base/timeutil.h"
 #include "jobs/jobs.h"
 #include "leadership/commit.h"
--- a/src/scheduling/gang_placement.c
+++ b/src/scheduling/gang_placement.c
@@ -5,13 +5,13 @@
 #include "wire/wire.h"
 #include "wire/wire_jobs.h"
 
-#define CLAIM_AFTER_S 10.0 /* wait after which a gang claims capacity and preempts others */
+#define CLAIM_AFTER_S 10.0 /* wait after which a gang claims capacity and preempts tasks */
 
 /* What happens to capacity that was found for only a part of a gang. */
 enum partial_gang { PARTIAL_GANG_DROP, PARTIAL_GANG_CLAIM };
 
 /* Claims the capacity that a waiting gang has found so far, so that smaller jobs later in the order
- * do not starve it. */
+ * do not starve the gang. */
 static void claim_planned(struct placement_cycle *cycle, const struct bd_job *job,
                           uint32_t first_entry)
 {
--- a/src/scheduling/machine_choice.c
+++ b/src/scheduling/machine_choice.c
@@ -84,8 +84,8 @@
 
 /* ---- cost of a machine ---- */
 
-/* Seconds until the task's image is on the machine, including the fetches that this cycle has
- * planned there before it. */
+/* Seconds until the task's image is on the machine, including the earlier fetches that this
+ * cycle's plan adds there. */
 static double image_ready_s(const struct placement_cycle *cycle, const struct bd_machine *machine,
                             const struct bd_spec *spec)
 {
--- a/src/scheduling/placement.c
+++ b/src/scheduling/placement.c
@@ -84,7 +84,7 @@
         return;
     if (is_gang) {
         placed = bd_place_gang(cycle, job, attempt) ? job->ntasks : 0;
-        wanted = placed; /* bd_place_gang has preempted for the rest, if at all */
+        wanted = placed; /* bd_place_gang itself preempts for a gang without capacity */
     } else {
         placed = place_tasks(cycle, job, &wanted, attempt);
     }
