--- a/src/autoscaling/move_targets.c
+++ b/src/autoscaling/move_targets.c
@@ -51,7 +51,7 @@
            target->free.mem >= spec->mem;
 }
 
-/* min_service_cpus: the services on an expensive target without GPU work must use more cores. */
+/* Services on an expensive target without GPU work must use more than min_service_cpus cores. */
 static bool target_fits(const struct bd_core *core, const struct bd_spec *spec,
                         const struct bd_move_target *target, const struct bd_machine *source,
                         double min_service_cpus)
