--- a/tests/drain_profile.c
+++ b/tests/drain_profile.c
@@ -1,12 +1,16 @@
-/* Measurements of draining; not a test but for `check`.
+/* Measures draining. Only `check` is a test.
  *
- * - drain-profile fleet DRAINED PER_CENT IN_STEP: a fleet of twice as many machines with ten
- *   replicas each, of two teams, half of it drained: simulated seconds, steps, and the most that
- *   were down of a team at once
- * - drain-profile steps MACHINES SEEDS: the greedy choice beside the solver's, over drawn machines
- *   of six teams: steps to finish, and processor time a choice
- * - drain-profile ticks MACHINES none|drain: what a step of the leader costs, under callgrind
- * - drain-profile check: small sizes of the above, with bounds */
+ * - drain-profile fleet DRAINED PERCENT IN_STEP: drains DRAINED machines of a fleet of twice as
+ *   many. At the start, each machine has ten service replicas of two teams. PERCENT is the share of
+ *   a team's replicas that may be down. IN_STEP is the number of machines that may drain at a
+ *   time. Prints the simulated seconds, the stop requests, and the most replicas of each team that
+ *   were down at a time.
+ * - drain-profile steps MACHINES SEEDS: compares the greedy choice with the solver's on random
+ *   machines with tasks of six teams. Prints the steps to drain all machines, and the processor
+ *   time of a choice.
+ * - drain-profile ticks MACHINES off|none|drain: runs ticks of the leader under callgrind. off:
+ *   draining is not configured; none: no drain is active; drain: half of the machines drain.
+ * - drain-profile check: runs `fleet` and `steps` with small sizes and checks bounds. */
 #include "drain_profile.h"
 #include "base/timeutil.h"
 #include "core/core.h"
@@ -25,47 +29,48 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define OVERTIME_MAX_S 20000
+#define DRAIN_TIMEOUT_S 20000 /* simulated */
 #define TICKS 20
 
-/* Simulated seconds until the drain was over; -1: it was not. */
-static double drain_fleet(uint32_t drained, double per_cent, uint32_t in_step)
+/* Returns the simulated seconds until the drain was over; -1: it did not end in time. */
+static double drain_fleet(uint32_t drained, double percent, uint32_t in_step)
 {
     struct fleet fleet;
     memset(&fleet, 0, sizeof fleet);
-    fleet_declare_budgets(&fleet, per_cent, in_step);
+    fleet_declare_budgets(&fleet, percent, in_step);
     fleet_build(&fleet, 2 * drained);
-    double started = fleet.now;
+    double started_at_s = fleet.now_s;
     fleet_drain(&fleet, drained);
-    for (int half = 0; !fleet_drain_is_over(&fleet) && fleet.now < started + OVERTIME_MAX_S; half++)
-        fleet_half_second(&fleet, half);
-    uint32_t down, up, steps = fleet.core->drains->stop_requests;
+    for (int step = 0; !fleet_drain_is_over(&fleet) && fleet.now_s < started_at_s + DRAIN_TIMEOUT_S;
+         step++)
+        fleet_advance_half_second(&fleet, step);
+    uint32_t down, up, stop_requests = fleet.core->drains->stop_requests;
     bd_ledger_get_counts(fleet.core, "team-0", "", &down, &up);
-    printf("%u of %u machines, %.0f%%, %u in a step: %s%.0f s, %u times told, at most %u and %u of "
-           "%u replicas of a team down\n",
-           drained, 2 * drained, per_cent, in_step,
-           fleet_drain_is_over(&fleet) ? "" : "not over after ", fleet.now - started, steps,
-           fleet.most_down[0], fleet.most_down[1], up);
-    double took = fleet_drain_is_over(&fleet) ? fleet.now - started : -1;
+    printf("%u of %u machines drained, budget %.0f%%, %u machines in a step: %s%.0f s, %u stop "
+           "requests, at most %u and %u of %u replicas of a team down\n",
+           drained, 2 * drained, percent, in_step,
+           fleet_drain_is_over(&fleet) ? "" : "not over after ", fleet.now_s - started_at_s,
+           stop_requests, fleet.max_replicas_down[0], fleet.max_replicas_down[1], up);
+    double duration_s = fleet_drain_is_over(&fleet) ? fleet.now_s - started_at_s : -1;
     fleet_free(&fleet);
-    return took;
+    return duration_s;
 }
 
-static int profile_ticks(uint32_t machines, const char *what)
+static int profile_ticks(uint32_t machines, const char *mode)
 {
     struct fleet fleet;
     memset(&fleet, 0, sizeof fleet);
-    if (strcmp(what, "off") != 0)
+    if (strcmp(mode, "off") != 0)
         fleet_declare_budgets(&fleet, 1, 4);
     fleet_build(&fleet, machines);
-    if (strcmp(what, "drain") == 0)
+    if (strcmp(mode, "drain") == 0)
         fleet_drain(&fleet, machines / 2);
     for (int k = 0; k < TICKS; k++) {
-        fleet_set_time(&fleet, fleet.now + 0.51);
+        fleet_set_time(&fleet, fleet.now_s + 0.51);
         bd_leadership_lease_renewed(fleet.core, 7, fleet.core->now);
         bd_replica_refreshed(fleet.core, fleet.core->replica.store_revision,
                              fleet.core->replica.store_revision, fleet.core->now, false, true);
-        for (uint32_t i = 0; i < fleet.machines; i++)
+        for (uint32_t i = 0; i < fleet.machine_count; i++)
             fleet_heartbeat(&fleet, i);
         fleet.core->lead.next_autoscaling = bd_time_add(fleet.core->now, bd_secs(1000));
         CALLGRIND_TOGGLE_COLLECT;
@@ -73,7 +78,7 @@
         CALLGRIND_TOGGLE_COLLECT;
         if (fleet.core->lead.commit)
             bd_core_leader_txn_completed(fleet.core, BD_TXN_COMMITTED, ++fleet.revision, NULL);
-        fleet_answer_effects(&fleet);
+        fleet_handle_effects(&fleet);
     }
     fleet_free(&fleet);
     return 0;
--- a/tests/drain_profile.h
+++ b/tests/drain_profile.h
@@ -1,37 +1,42 @@
-/* Measurements of draining: a fleet in the pure core, shared by the programs of `drain-profile`. */
+/* A fleet in the pure core, on which the commands of `drain-profile` measure draining. */
 #ifndef BD_TESTS_DRAIN_PROFILE_H
 #define BD_TESTS_DRAIN_PROFILE_H
 #include "brambledoor/log.h"
 #include "brambledoor/settings.h"
 #include "core/core.h"
 
-#define TEAMS 2
+#define TEAM_COUNT 2
 
 struct fleet {
-    struct bd_settings settings; /* owns its rules of draining */
+    struct bd_settings settings; /* the fleet owns settings.draining */
     struct bd_log log;
     struct bd_core *core;
-    uint32_t machines;
-    uint64_t seq, revision;
-    double now; /* seconds since the begin */
-    uint32_t most_down[TEAMS];
+    uint32_t machine_count;
+    uint64_t heartbeat_seq, revision;       /* the latest of each */
+    double now_s;                           /* simulated time since the start */
+    uint32_t max_replicas_down[TEAM_COUNT]; /* of each team, at a time, since the fleet was built */
 };
 
-/* drain_profile_fleet.c. Budgets are declared before the fleet is built, or not at all. */
-void fleet_declare_budgets(struct fleet *fleet, double per_cent, uint32_t machines_in_step);
+/* ---- drain_profile_fleet.c ---- */
+
+/* Configures draining. Must be called before fleet_build; without it, draining is off. */
+void fleet_declare_budgets(struct fleet *fleet, double percent, uint32_t machines_in_step);
 void fleet_build(struct fleet *fleet, uint32_t machines);
 void fleet_free(struct fleet *fleet);
-void fleet_set_time(struct fleet *fleet, double now);
+void fleet_set_time(struct fleet *fleet, double now_s);
 void fleet_heartbeat(struct fleet *fleet, uint32_t number);
-/* Direct commands are executed at once, and returned machines are gone. */
-void fleet_answer_effects(struct fleet *fleet);
-/* Half a second passes: a quarter of the machines sends heartbeats. */
-void fleet_half_second(struct fleet *fleet, int half);
-/* The first machines are to be drained. */
+/* Executes the direct commands and the returns of machines at once. Frees all effects. */
+void fleet_handle_effects(struct fleet *fleet);
+/* Advances the time by half a second. In each step, another quarter of the machines sends
+ * heartbeats. */
+void fleet_advance_half_second(struct fleet *fleet, int step);
+/* Starts a drain of the first `machines` machines. */
 void fleet_drain(struct fleet *fleet, uint32_t machines);
 bool fleet_drain_is_over(const struct fleet *fleet);
 
-/* drain_profile_choice.c: an exit status, 1 if the solver's steps are many more than the greedy's
- */
+/* ---- drain_profile_choice.c ---- */
+
+/* Returns an exit status: 1 if the solver took more steps than the greedy choice by over one step a
+ * seed on average. */
 int profile_choices(uint32_t machines, uint32_t seeds);
 #endif
--- a/tests/drain_profile_choice.c
+++ b/tests/drain_profile_choice.c
@@ -1,4 +1,4 @@
-/* The choice of a step's machines alone: the greedy choice beside the solver's. */
+/* Compares the greedy choice of a step's machines with the solver's, apart from the core. */
 #include "brambledoor/settings.h"
 #include "drain/drain.h"
 #include "drain/drain_internal.h"
@@ -30,45 +30,47 @@
     }
 }
 
-/* Whether all that was chosen may be drained together. */
-static bool is_allowed(const struct bd_step_problem *given, const roaring_bitmap_t *chosen)
+/* Whether all chosen machines may drain at the same time. */
+static bool is_allowed(const struct bd_step_problem *initial, const roaring_bitmap_t *chosen)
 {
-    struct bd_step_problem problem = *given;
-    uint32_t left[CHOICE_TEAMS], budget = 0;
-    memcpy(left, given->budgets_remaining, sizeof left);
-    problem.budgets_remaining = left;
-    for (uint32_t i = 0; i < given->ncandidates; i++) {
+    struct bd_step_problem problem = *initial;
+    uint32_t budgets_left[CHOICE_TEAMS], exceeded_budget = 0;
+    memcpy(budgets_left, initial->budgets_remaining, sizeof budgets_left);
+    problem.budgets_remaining = budgets_left;
+    for (uint32_t i = 0; i < initial->ncandidates; i++) {
         if (!roaring_bitmap_contains(chosen, i))
             continue;
-        if (bd_step_wait_reason(&problem, &given->candidates[i], &budget) != BD_DRAIN_WAIT_NOTHING)
+        if (bd_step_wait_reason(&problem, &initial->candidates[i], &exceeded_budget) !=
+            BD_DRAIN_WAIT_NOTHING)
             return false;
-        bd_step_add_candidate(&problem, left, &given->candidates[i]);
+        bd_step_add_candidate(&problem, budgets_left, &initial->candidates[i]);
     }
     return true;
 }
 
-/* The machines of one step. False: the solver gave up, and the choice is the greedy one. */
-static bool choose(const struct bd_step_problem *problem, bool is_solver, roaring_bitmap_t *chosen)
+/* Chooses the machines of one step. False: the solver found no solution within its limits, and the
+ * choice is the greedy one. */
+static bool choose(const struct bd_step_problem *problem, bool use_solver, roaring_bitmap_t *chosen)
 {
-    bool is_solved = is_solver && bd_step_choose_by_solver(problem, chosen);
+    bool is_solved = use_solver && bd_step_choose_by_solver(problem, chosen);
     if (!is_solved) {
         roaring_bitmap_clear(chosen);
         bd_step_choose_greedy(problem, chosen);
     }
     if (!is_allowed(problem, chosen)) {
-        fprintf(stderr, "a choice breaks a limit\n");
+        fprintf(stderr, "the chosen machines of a step exceed a limit\n");
         exit(1);
     }
-    return is_solved || !is_solver;
+    return is_solved || !use_solver;
 }
 
-/* Steps until all machines went, each with all budgets free; *seconds: processor seconds a choice.
- */
-static uint32_t count_steps(const struct bd_drain_candidate *drawn, uint32_t count, bool is_solver,
-                            double *seconds, uint32_t *given_up)
+/* Returns the number of steps that drain all machines. Each step has the full budgets. Adds the
+ * mean processor time of a choice to *seconds, and the solver's failures to *solver_failures. */
+static uint32_t count_steps(const struct bd_drain_candidate *drawn, uint32_t count, bool use_solver,
+                            double *seconds, uint32_t *solver_failures)
 {
     static const bool apart[BD_ZONES_MAX][BD_ZONES_MAX] = {{false, true}, {true, false}};
-    uint32_t left[CHOICE_TEAMS], steps = 0, remaining = count;
+    uint32_t budgets_left[CHOICE_TEAMS], steps = 0, remaining = count;
     struct bd_drain_candidate *candidates = malloc(count * sizeof *candidates);
     if (!candidates)
         abort();
@@ -76,17 +78,17 @@
     clock_t started = clock();
     while (remaining > 0) {
         for (int k = 0; k < CHOICE_TEAMS; k++)
-            left[k] = CHOICE_BUDGET;
-        struct bd_step_problem problem = {candidates,     remaining,     left,  CHOICE_TEAMS,
-                                          CHOICE_IN_STEP, {1e6, 1, 1e6}, apart, {false}};
+            budgets_left[k] = CHOICE_BUDGET;
+        struct bd_step_problem problem = {candidates,     remaining,     budgets_left, CHOICE_TEAMS,
+                                          CHOICE_IN_STEP, {1e6, 1, 1e6}, apart,        {false}};
         roaring_bitmap_t *chosen = roaring_bitmap_create();
-        *given_up += !choose(&problem, is_solver, chosen);
-        uint32_t left_over = 0;
+        *solver_failures += !choose(&problem, use_solver, chosen);
+        uint32_t kept = 0;
         for (uint32_t i = 0; i < remaining; i++)
             if (!roaring_bitmap_contains(chosen, i))
-                candidates[left_over++] = candidates[i];
+                candidates[kept++] = candidates[i];
         roaring_bitmap_free(chosen);
-        remaining = left_over;
+        remaining = kept;
         steps++;
     }
     *seconds += (double)(clock() - started) / CLOCKS_PER_SEC / steps;
@@ -96,8 +98,8 @@
 
 int profile_choices(uint32_t machines, uint32_t seeds)
 {
-    double spent[2] = {0, 0};
-    uint32_t steps[2] = {0, 0}, given_up = 0, better = 0, worse = 0;
+    double seconds[2] = {0, 0}; /* greedy, solver */
+    uint32_t steps[2] = {0, 0}, solver_failures = 0, better = 0, worse = 0;
     gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
     struct bd_drain_candidate *drawn = malloc(machines * sizeof *drawn);
     if (!rng || !drawn)
@@ -105,18 +107,18 @@
     for (uint32_t seed = 0; seed < seeds; seed++) {
         gsl_rng_set(rng, seed + 1);
         draw_candidates(rng, drawn, machines);
-        uint32_t greedy = count_steps(drawn, machines, false, &spent[0], &given_up);
-        uint32_t solved = count_steps(drawn, machines, true, &spent[1], &given_up);
+        uint32_t greedy = count_steps(drawn, machines, false, &seconds[0], &solver_failures);
+        uint32_t solved = count_steps(drawn, machines, true, &seconds[1], &solver_failures);
         steps[0] += greedy;
         steps[1] += solved;
         better += solved < greedy;
         worse += solved > greedy;
     }
     printf(
-        "%u machines, %u draws: greedy %.2f steps, %.1f us a choice; solver %.2f steps, %.1f us a "
-        "choice; fewer in %u, more in %u, given up %u times\n",
-        machines, seeds, (double)steps[0] / seeds, spent[0] / seeds * 1e6, (double)steps[1] / seeds,
-        spent[1] / seeds * 1e6, better, worse, given_up);
+        "%u machines, %u seeds: greedy %.2f steps, %.1f us a choice; solver %.2f steps, %.1f us a "
+        "choice; solver needs fewer steps in %u, more in %u, and finds no solution %u times\n",
+        machines, seeds, (double)steps[0] / seeds, seconds[0] / seeds * 1e6,
+        (double)steps[1] / seeds, seconds[1] / seeds * 1e6, better, worse, solver_failures);
     gsl_rng_free(rng);
     free(drawn);
     return steps[1] <= steps[0] + seeds ? 0 : 1;
--- a/tests/drain_profile_fleet.c
+++ b/tests/drain_profile_fleet.c
@@ -1,4 +1,4 @@
-/* A fleet of machines with replicated services in the pure core, and a drain of some of them. */
+/* A fleet in the pure core: machines that run replicated services, and a drain of some of them. */
 #include "autoscaling/autoscaling.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
@@ -20,25 +20,27 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define REPLICAS 10  /* on a machine at first */
-#define JOB_TASKS 40 /* replicas of a service */
-#define START_S 1.0  /* from the launch until it runs */
-#define REPORTED_TASKS_MAX 128
-#define RETURNED_MAX 128 /* machines in one request */
+#define REPLICAS_PER_MACHINE 10 /* at the start */
+#define REPLICAS_PER_SERVICE 40
+#define START_DURATION_S 1.0      /* from the placement until the task runs */
+#define REPORTED_TASKS_MAX 128    /* in a heartbeat */
+#define RETURNED_MACHINES_MAX 128 /* in one request */
 
-void fleet_set_time(struct fleet *fleet, double now)
+void fleet_set_time(struct fleet *fleet, double now_s)
 {
-    fleet->now = now;
-    bd_core_set_clock(fleet->core, bd_secs(100 + now), 1000 + now);
+    fleet->now_s = now_s;
+    bd_core_set_clock(fleet->core, bd_secs(100 + now_s), 1000 + now_s);
 }
 
+/* Writes the machine's next heartbeat. A task runs START_DURATION_S after its placement, and exits
+ * as soon as its stop was requested. */
 static void fill_heartbeat(struct fleet *fleet, uint32_t number, struct bd_heartbeat *heartbeat,
                            struct bd_reported_task *tasks)
 {
     struct bd_machine *machine = NULL;
     memset(tasks, 0, REPORTED_TASKS_MAX * sizeof *tasks);
     *heartbeat = (struct bd_heartbeat){.incarnation = 1,
-                                       .seq = ++fleet->seq,
+                                       .seq = ++fleet->heartbeat_seq,
                                        .fencing_token = fleet->core->lead.term,
                                        .notice = -1,
                                        .tasks = tasks};
@@ -53,17 +55,18 @@
         const struct bd_task *task = &job->tasks[machine->reservations[k].task];
         if (task->state == BD_TASK_PLANNED)
             continue;
-        struct bd_reported_task *seen = &tasks[heartbeat->n++];
-        bool stops = task->flags & BD_TASK_FLAG_STOP_REQUESTED;
-        bool begins = bd_seconds_between(job->last_placed_at, fleet->core->now) < START_S;
-        snprintf(seen->job, sizeof seen->job, "%s", job->id);
-        seen->task = machine->reservations[k].task;
-        seen->attempt = task->attempt;
-        seen->execution = stops ? BD_EXECUTION_EXITED
-                          : task->execution == BD_EXECUTION_RUNNING || !begins
-                              ? BD_EXECUTION_RUNNING
-                              : BD_EXECUTION_FETCHING;
-        seen->exit_reason = stops ? BD_EXIT_STOPPED : BD_EXIT_NONE;
+        struct bd_reported_task *reported = &tasks[heartbeat->n++];
+        bool is_stopped = task->flags & BD_TASK_FLAG_STOP_REQUESTED;
+        bool is_starting =
+            bd_seconds_between(job->last_placed_at, fleet->core->now) < START_DURATION_S;
+        snprintf(reported->job, sizeof reported->job, "%s", job->id);
+        reported->task = machine->reservations[k].task;
+        reported->attempt = task->attempt;
+        reported->execution = is_stopped ? BD_EXECUTION_EXITED
+                              : task->execution == BD_EXECUTION_RUNNING || !is_starting
+                                  ? BD_EXECUTION_RUNNING
+                                  : BD_EXECUTION_FETCHING;
+        reported->exit_reason = is_stopped ? BD_EXIT_STOPPED : BD_EXIT_NONE;
     }
 }
 
@@ -81,7 +84,7 @@
     bd_worker_heartbeat_received(fleet->core, NULL, &heartbeat, "{}", 2);
 }
 
-void fleet_answer_effects(struct fleet *fleet)
+void fleet_handle_effects(struct fleet *fleet)
 {
     struct bd_effect *effect = bd_effects_take(fleet->core);
     while (effect) {
@@ -96,9 +99,10 @@
                                                effect->has_launches, 200, &heartbeat);
         } else if (effect->kind == BD_EFFECT_SCALE_IN) {
             json_t *request = json_loads(effect->body, 0, NULL);
-            char names[RETURNED_MAX][BD_LABEL_BYTES];
+            char names[RETURNED_MACHINES_MAX][BD_LABEL_BYTES];
             bd_scale_in_completed(fleet->core, names,
-                                  bd_wire_read_machine_names(request, names, RETURNED_MAX), true);
+                                  bd_wire_read_machine_names(request, names, RETURNED_MACHINES_MAX),
+                                  true);
             json_decref(request);
         }
         bd_effect_free(effect);
@@ -106,24 +110,25 @@
     }
 }
 
-void fleet_half_second(struct fleet *fleet, int half)
+void fleet_advance_half_second(struct fleet *fleet, int step)
 {
-    fleet_set_time(fleet, fleet->now + 0.5);
+    fleet_set_time(fleet, fleet->now_s + 0.5);
     bd_leadership_lease_renewed(fleet->core, 7, fleet->core->now);
     bd_delegate_records_read(fleet->core, NULL, fleet->core->now);
     bd_replica_refreshed(fleet->core, fleet->core->replica.store_revision,
                          fleet->core->replica.store_revision, fleet->core->now,
                          fleet->core->replica.barrier_in_flight, true);
-    for (uint32_t i = (uint32_t)half % 4; i < fleet->machines; i += 4)
+    for (uint32_t i = (uint32_t)step % 4; i < fleet->machine_count; i += 4)
         fleet_heartbeat(fleet, i);
     bd_core_tick(fleet->core);
     if (fleet->core->lead.commit)
         bd_core_leader_txn_completed(fleet->core, BD_TXN_COMMITTED, ++fleet->revision, NULL);
-    fleet_answer_effects(fleet);
-    for (int team = 0; team < TEAMS; team++) {
+    fleet_handle_effects(fleet);
+    for (int team = 0; team < TEAM_COUNT; team++) {
         uint32_t down, up;
         bd_ledger_get_counts(fleet->core, fleet->settings.teams[team].name, "", &down, &up);
-        fleet->most_down[team] = down > fleet->most_down[team] ? down : fleet->most_down[team];
+        fleet->max_replicas_down[team] =
+            down > fleet->max_replicas_down[team] ? down : fleet->max_replicas_down[team];
     }
 }
 
@@ -132,16 +137,16 @@
     struct bd_job_record record = {.state = BD_JOB_ACTIVE,
                                    .at = 1000,
                                    .has_spec = true,
-                                   .tasks = JOB_TASKS,
+                                   .tasks = REPLICAS_PER_SERVICE,
                                    .spec = {.ntypes = -1}};
     char key[BD_LABEL_BYTES];
     snprintf(key, sizeof key, "j/job-%06u", number);
     snprintf(record.spec.job_class, sizeof record.spec.job_class, "web");
-    snprintf(record.spec.team, sizeof record.spec.team, "team-%u", number % TEAMS);
+    snprintf(record.spec.team, sizeof record.spec.team, "team-%u", number % TEAM_COUNT);
     snprintf(record.spec.image, sizeof record.spec.image, "img");
     record.spec.kind = BD_JOB_SERVICE;
     record.spec.priority = BD_PRIORITY_PRODUCTION;
-    record.spec.tasks = JOB_TASKS;
+    record.spec.tasks = REPLICAS_PER_SERVICE;
     record.spec.cpus = record.spec.mem = 1;
     record.spec.deadline_s = -1;
     json_t *value = bd_wire_write_record(&record);
@@ -150,7 +155,7 @@
     json_decref(value);
 }
 
-void fleet_declare_budgets(struct fleet *fleet, double per_cent, uint32_t machines_in_step)
+void fleet_declare_budgets(struct fleet *fleet, double percent, uint32_t machines_in_step)
 {
     struct bd_drain_rules *rules = calloc(1, sizeof *rules);
     if (!rules)
@@ -161,7 +166,7 @@
                                      .replacement_timeout_s = 60,
                                      .record_retention_s = 1e6};
     rules->budgets[rules->nbudgets++] =
-        (struct bd_budget_rule){.per_cent = true, .amount = per_cent};
+        (struct bd_budget_rule){.per_cent = true, .amount = percent};
     fleet->settings.draining = rules;
 }
 
@@ -170,18 +175,18 @@
     test_settings_init(&fleet->settings);
     fleet->settings.ram_mb = 72;
     fleet->settings.leader_ttl = bd_secs(2);
-    fleet->settings.idle_boot_times = 1e6; /* idle machines stay */
-    fleet->settings.nteams = TEAMS;
-    for (int i = 0; i < TEAMS; i++)
+    fleet->settings.idle_boot_times = 1e6; /* no idle machine is returned */
+    fleet->settings.nteams = TEAM_COUNT;
+    for (int i = 0; i < TEAM_COUNT; i++)
         snprintf(fleet->settings.teams[i].name, BD_NAME_BYTES, "team-%d", i);
     fleet->log = (struct bd_log){BD_LOG_ERROR, "drain-profile"};
-    fleet->machines = machines;
+    fleet->machine_count = machines;
     fleet->core = bd_core_new(&fleet->settings, &fleet->log);
     if (!fleet->core)
         abort();
     fleet_set_time(fleet, 0);
     struct bd_machine_type_text type = {
-        .label = "small", .cpus = 2 * REPLICAS, .mem = 640, .price = 1};
+        .label = "small", .cpus = 2 * REPLICAS_PER_MACHINE, .mem = 640, .price = 1};
     type.spot_price = type.fetch = type.cache_gb = type.boot = 30;
     type.nzones = 2;
     snprintf(type.zones[0], BD_LABEL_BYTES, "a");
@@ -199,14 +204,14 @@
     fleet->revision = 10;
     for (uint32_t i = 0; i < machines; i++)
         fleet_heartbeat(fleet, i);
-    for (uint32_t n = 0; n < machines * REPLICAS / JOB_TASKS; n++)
+    for (uint32_t n = 0; n < machines * REPLICAS_PER_MACHINE / REPLICAS_PER_SERVICE; n++)
         add_service(fleet, n);
-    for (int half = 0; half < 120; half++)
-        fleet_half_second(fleet, half);
-    memset(fleet->most_down, 0, sizeof fleet->most_down);
+    for (int step = 0; step < 120; step++)
+        fleet_advance_half_second(fleet, step);
+    memset(fleet->max_replicas_down, 0, sizeof fleet->max_replicas_down);
 }
 
-/* The record of a drain of the first machines, with as many parts as they take. */
+/* Applies the record of the drain, which is split into as many parts as it needs. */
 void fleet_drain(struct fleet *fleet, uint32_t machines)
 {
     struct bd_drain_record record = {.name = "d",
@@ -217,15 +222,15 @@
                                      .request = json_object()};
     struct bd_drain_machine *entries = calloc(machines, sizeof *entries);
     json_t *drains = json_array(), *sets = json_array();
-    uint32_t each =
+    uint32_t part_machines_max =
         bd_drain_part_machines_max(&fleet->settings, fleet->settings.kv_value_bytes_max, 9);
     char key[BD_LABEL_BYTES];
     if (!entries)
         abort();
     for (uint32_t i = 0; i < machines; i++)
         snprintf(entries[i].id, BD_LABEL_BYTES, "vm-%06u", i);
-    for (uint32_t from = 0; from < machines; from += each) {
-        uint32_t count = machines - from < each ? machines - from : each;
+    for (uint32_t from = 0; from < machines; from += part_machines_max) {
+        uint32_t count = machines - from < part_machines_max ? machines - from : part_machines_max;
         bd_drain_part_key(key, sizeof key, record.machine_set_id, record.nparts++);
         json_array_append_new(sets,
                               json_pack("{s:s,s:o,s:i}", "k", key, "value",
--- a/tests/profile.h
+++ b/tests/profile.h
@@ -1,5 +1,5 @@
-/* A large deployment in the pure core, with one leader, all machines and their work: its state and
- * the programs that `profile` runs over it. */
+/* A large deployment in the pure core: one leader, all machines and their tasks; and the commands
+ * of `profile` that run on it. */
 #ifndef BD_TESTS_PROFILE_H
 #define BD_TESTS_PROFILE_H
 #include "brambledoor/log.h"
@@ -9,39 +9,45 @@
 #include "wire/wire.h"
 #include <jansson.h>
 
-#define PEER "node-1"
+#define PEER_NAME "node-1"
 
 struct deployment {
     struct bd_settings settings;
     struct bd_log log;
     struct bd_core *core;
     struct bd_heartbeat_cache *heartbeats;
-    uint64_t revision, seq;
-    double now; /* seconds since the begin */
-    uint32_t machines;
-    bool is_plain; /* all machines are of the cheap type, and there is no work at first */
-    /* counted */
-    uint32_t commits, commands, faults;
+    uint64_t revision, heartbeat_seq; /* the latest of each */
+    double now_s;                     /* simulated time since the start */
+    uint32_t machine_count;
+    bool
+        is_cpu_only; /* all machines are of the type without GPUs, and there are no jobs at first */
+    /* counters */
+    uint32_t transactions, direct_commands, failures;
 };
 
-/* profile_deployment.c. The core must be freed by the caller. */
+/* ---- profile_deployment.c ---- */
+
+/* Adds machines and jobs, and runs cycles until the jobs that fit are placed. The caller frees the
+ * core. */
 void deployment_build(struct deployment *deployment);
-void deployment_set_time(struct deployment *deployment, double now);
+void deployment_set_time(struct deployment *deployment, double now_s);
 void deployment_add_job(struct deployment *deployment, int number, enum bd_job_kind kind,
-                        uint32_t tasks, double cpus, double gpus, double mem);
-/* One machine's heartbeat: all of its tasks run. */
+                        uint32_t tasks, double cpus, double gpus, double memory_gb);
+/* The leader receives a heartbeat of one machine, which reports all of its tasks as running. */
 void deployment_heartbeat(struct deployment *deployment, uint32_t number);
-/* A scheduling cycle, 1.1 s later; its transaction is committed. */
+/* Advances the time by 1.1 s, runs a scheduling cycle and commits its transaction. */
 void deployment_run_cycle(struct deployment *deployment);
-/* The effects are counted and freed; transactions are held against the store's limits. */
-void deployment_drop_effects(struct deployment *deployment);
-/* One transaction against the store's limits. */
-void deployment_check_commit(struct deployment *deployment, const char *body);
-/* The running tasks' intents as the store would list them; the caller frees them. */
+/* Frees the pending effects. Counts direct commands, and checks the leader's transactions. */
+void deployment_discard_effects(struct deployment *deployment);
+/* Counts a transaction and checks it against the store's limits. */
+void deployment_check_transaction(struct deployment *deployment, const char *body);
+/* The intent records of all reservations, as the store would list them. The caller frees them. */
 json_t *deployment_intents(const struct deployment *deployment);
-void deployment_fault(struct deployment *deployment, const char *what, size_t value, size_t max);
+/* Counts a failed check and prints it with the value and its upper bound. */
+void deployment_fail(struct deployment *deployment, const char *what, size_t value, size_t max);
+
+/* ---- Commands of `profile`. Each returns an exit status. ---- */
 
-/* Each returns an exit status. */
 int profile_check(struct deployment *deployment); /* profile_check.c */
 int profile_costs(struct deployment *deployment); /* profile_costs.c */
 int profile_full(struct deployment *deployment);  /* profile_full.c */
--- a/tests/profile_deployment.c
+++ b/tests/profile_deployment.c
@@ -16,48 +16,48 @@
 #include <string.h>
 
 #define ZONES 2
-#define BUILD_CYCLES 40
+#define BUILD_CYCLES 40 /* scheduling cycles after the jobs are added */
 #define TXN_BYTES_MAX 65536
-#define REPORTED_TASKS_MAX 128
+#define REPORTED_TASKS_MAX 128 /* in a heartbeat */
 
-void deployment_fault(struct deployment *deployment, const char *what, size_t value, size_t max)
+void deployment_fail(struct deployment *deployment, const char *what, size_t value, size_t max)
 {
     fprintf(stderr, "%s: %zu, at most %zu\n", what, value, max);
-    deployment->faults++;
+    deployment->failures++;
 }
 
-void deployment_check_commit(struct deployment *deployment, const char *body)
+void deployment_check_transaction(struct deployment *deployment, const char *body)
 {
     json_t *txn = json_loads(body, 0, NULL), *ops = json_object_get(txn, "apply"), *op;
     size_t i, compares = json_array_size(json_object_get(txn, "if"));
-    deployment->commits++;
+    deployment->transactions++;
     if (strlen(body) > TXN_BYTES_MAX)
-        deployment_fault(deployment, "bytes of a transaction", strlen(body), TXN_BYTES_MAX);
+        deployment_fail(deployment, "bytes in a transaction", strlen(body), TXN_BYTES_MAX);
     if (json_array_size(ops) > deployment->settings.kv_txn_ops_max)
-        deployment_fault(deployment, "changes", json_array_size(ops),
-                         deployment->settings.kv_txn_ops_max);
+        deployment_fail(deployment, "changes in a transaction", json_array_size(ops),
+                        deployment->settings.kv_txn_ops_max);
     if (compares > 4 * deployment->settings.kv_txn_ops_max)
-        deployment_fault(deployment, "conditions", compares,
-                         4 * deployment->settings.kv_txn_ops_max);
+        deployment_fail(deployment, "conditions in a transaction", compares,
+                        4 * deployment->settings.kv_txn_ops_max);
     json_array_foreach(ops, i, op)
     {
         char *text = json_dumps(json_object_get(op, "value"), JSON_COMPACT | JSON_ENCODE_ANY);
         if (text && strlen(text) > deployment->settings.kv_value_bytes_max)
-            deployment_fault(deployment, "bytes of a value", strlen(text),
-                             deployment->settings.kv_value_bytes_max);
+            deployment_fail(deployment, "bytes in a value", strlen(text),
+                            deployment->settings.kv_value_bytes_max);
         free(text);
     }
     json_decref(txn);
 }
 
-void deployment_drop_effects(struct deployment *deployment)
+void deployment_discard_effects(struct deployment *deployment)
 {
     struct bd_effect *effect = bd_effects_take(deployment->core);
     while (effect) {
         struct bd_effect *next = effect->next;
         if (effect->kind == BD_EFFECT_LEADER_TXN)
-            deployment_check_commit(deployment, effect->body);
-        deployment->commands += effect->kind == BD_EFFECT_DIRECT_COMMAND;
+            deployment_check_transaction(deployment, effect->body);
+        deployment->direct_commands += effect->kind == BD_EFFECT_DIRECT_COMMAND;
         bd_effect_free(effect);
         effect = next;
     }
@@ -68,7 +68,7 @@
     test_settings_init(settings);
     snprintf(settings->zone, sizeof settings->zone, "a");
     settings->npeers = 1;
-    snprintf(settings->peers[0].name, sizeof settings->peers[0].name, PEER);
+    snprintf(settings->peers[0].name, sizeof settings->peers[0].name, PEER_NAME);
     snprintf(settings->peers[0].zone, sizeof settings->peers[0].zone, "b");
     settings->inventory_lag = bd_secs(8);
     settings->leader_ttl = bd_secs(2);
@@ -84,11 +84,11 @@
 }
 
 static void add_type(struct deployment *deployment, const char *name, double cpus, double gpus,
-                     double mem, double price)
+                     double memory_gb, double price)
 {
     struct bd_machine_type_text type = {.cpus = cpus,
                                         .gpus = gpus,
-                                        .mem = mem,
+                                        .mem = memory_gb,
                                         .price = price,
                                         .spot_price = price / 3,
                                         .boot = 45,
@@ -101,17 +101,17 @@
     bd_inventory_types_received(deployment->core, &type, 1);
 }
 
-void deployment_set_time(struct deployment *deployment, double now)
+void deployment_set_time(struct deployment *deployment, double now_s)
 {
-    deployment->now = now;
-    bd_core_set_clock(deployment->core, bd_secs(100 + now), 1000 + now);
+    deployment->now_s = now_s;
+    bd_core_set_clock(deployment->core, bd_secs(100 + now_s), 1000 + now_s);
 }
 
 void deployment_add_job(struct deployment *deployment, int number, enum bd_job_kind kind,
-                        uint32_t tasks, double cpus, double gpus, double mem)
+                        uint32_t tasks, double cpus, double gpus, double memory_gb)
 {
     struct bd_job_record record = {
-        .state = BD_JOB_ACTIVE, .at = 1000 + deployment->now, .has_spec = true, .tasks = tasks};
+        .state = BD_JOB_ACTIVE, .at = 1000 + deployment->now_s, .has_spec = true, .tasks = tasks};
     char key[BD_LABEL_BYTES];
     snprintf(key, sizeof key, "j/job-%06d", number);
     snprintf(record.spec.job_class, sizeof record.spec.job_class, "class-%d", (int)kind);
@@ -123,7 +123,7 @@
     record.spec.tasks = tasks;
     record.spec.cpus = cpus;
     record.spec.gpus = gpus;
-    record.spec.mem = mem;
+    record.spec.mem = memory_gb;
     record.spec.image_gb = 2;
     record.spec.estimate = 60;
     record.spec.deadline_s = -1;
@@ -138,7 +138,7 @@
 void deployment_heartbeat(struct deployment *deployment, uint32_t number)
 {
     struct bd_heartbeat heartbeat = {.incarnation = 1,
-                                     .seq = ++deployment->seq,
+                                     .seq = ++deployment->heartbeat_seq,
                                      .fencing_token = deployment->core->lead.term,
                                      .notice = -1};
     struct bd_reported_task tasks[REPORTED_TASKS_MAX];
@@ -146,7 +146,7 @@
     snprintf(heartbeat.machine, sizeof heartbeat.machine, "vm-%06u", number);
     snprintf(heartbeat.addr, sizeof heartbeat.addr, "10.1.0.1:%u", number);
     snprintf(heartbeat.type, sizeof heartbeat.type, "%s",
-             number % 5 && !deployment->is_plain ? "gpu" : "small");
+             number % 5 && !deployment->is_cpu_only ? "gpu" : "small");
     snprintf(heartbeat.zone, sizeof heartbeat.zone, "%s", number % 2 ? "a" : "b");
     memset(tasks, 0, sizeof tasks);
     heartbeat.tasks = tasks;
@@ -161,18 +161,18 @@
         task->execution = BD_EXECUTION_RUNNING;
     }
     bd_worker_heartbeat_received(deployment->core, NULL, &heartbeat, "{}", 2);
-    deployment_drop_effects(deployment);
+    deployment_discard_effects(deployment);
 }
 
 void deployment_run_cycle(struct deployment *deployment)
 {
-    deployment_set_time(deployment, deployment->now + 1.1);
+    deployment_set_time(deployment, deployment->now_s + 1.1);
     bd_leadership_lease_renewed(deployment->core, 7, deployment->core->now);
     bd_core_tick(deployment->core);
     if (deployment->core->lead.commit)
         bd_core_leader_txn_completed(deployment->core, BD_TXN_COMMITTED, ++deployment->revision,
                                      NULL);
-    deployment_drop_effects(deployment);
+    deployment_discard_effects(deployment);
 }
 
 void deployment_build(struct deployment *deployment)
@@ -194,9 +194,9 @@
     json_decref(acquisition.intents);
     bd_inventory_machines_received(deployment->core, NULL, 0, deployment->core->now);
     deployment->revision = 10;
-    for (uint32_t i = 0; i < deployment->machines; i++)
+    for (uint32_t i = 0; i < deployment->machine_count; i++)
         deployment_heartbeat(deployment, i);
-    if (deployment->is_plain)
+    if (deployment->is_cpu_only)
         return;
     for (int i = 0; i < 120; i++)
         deployment_add_job(deployment, i, BD_JOB_SERVICE, 5, 4, 0, 9);
@@ -206,7 +206,7 @@
         deployment_add_job(deployment, 2000 + i, BD_JOB_GANG, 4, 43, 4, 230);
     for (int k = 0; k < BUILD_CYCLES; k++) {
         deployment_run_cycle(deployment);
-        for (uint32_t i = 0; i < deployment->machines; i++)
+        for (uint32_t i = 0; i < deployment->machine_count; i++)
             deployment_heartbeat(deployment, i);
     }
 }
@@ -218,7 +218,7 @@
         const struct bd_machine *machine = deployment->core->machines_by_index[i];
         json_t *groups = json_array();
         char key[BD_LABEL_BYTES];
-        /* tasks of one attempt of one job stand together, as they are written */
+        /* tasks of the same job and attempt share an entry, as in the records of the leader */
         json_t *last = NULL;
         const struct bd_job *last_job = NULL;
         uint64_t attempt = 0;
