--- a/tests/compare_behaviour.sh
+++ b/tests/compare_behaviour.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# compare_behaviour.sh BASE [DAYS]: whether the working tree behaves exactly as the commit BASE.
+# compare_behaviour.sh BASE [DAYS]: checks that the working tree behaves exactly as the commit BASE.
 #
-# Builds both, plays the same DAYS drawn days of each kind (20 by default), every file of
-# tests/simulation/ and every scenario that both have, and compares the digests of their steps.
-# Exits with 1 at the first difference, after printing the first step that differs.
-# BD_FROM names the first seed (1), BD_JOBS the programs that run at once (8).
+# Builds both. Each tree runs the same DAYS random simulated days of each kind (20 by default), every
+# file of tests/simulation/, and every scenario that both trees have. The digests of their steps are
+# compared. If any differ, the script prints the first differing step of one run and exits with 1.
+# BD_FROM is the first seed (1), BD_JOBS the number of programs that run at a time (8).
 set -euo pipefail
 cd "$(dirname "$0")/.."
 base=$(git rev-parse --verify "$1^{commit}")
@@ -12,7 +12,7 @@
 from=${BD_FROM:-1}
 jobs=${BD_JOBS:-8}
 work=target/compare
-built=$work/$base
+base_tree=$work/$base
 mkdir -p "$work"
 
 build() { # SOURCES OUTPUT
@@ -20,39 +20,39 @@
   cmake --build "$2" -j"$jobs" --target simulation scenario >/dev/null
 }
 
-if [ ! -x "$built/target/tests/simulation" ]; then
-  rm -rf "$built"
-  mkdir -p "$built"
-  git archive "$base" | tar -x -C "$built" --exclude=journal
-  build "$built" "$built/target"
+if [ ! -x "$base_tree/target/tests/simulation" ]; then
+  rm -rf "$base_tree"
+  mkdir -p "$base_tree"
+  git archive "$base" | tar -x -C "$base_tree" --exclude=journal
+  build "$base_tree" "$base_tree/target"
 fi
 build . "$work/tree"
 
-plays=$work/plays
-: >"$plays"
-chunk=10
+runs=$work/runs
+: >"$runs"
+days_per_run=10
 for kind in random delays drains; do
-  for ((seed = from; seed < from + days; seed += chunk)); do
-    left=$((from + days - seed))
-    echo "simulation digest $kind $seed $((left < chunk ? left : chunk))" >>"$plays"
+  for ((seed = from; seed < from + days; seed += days_per_run)); do
+    remaining=$((from + days - seed))
+    echo "simulation digest $kind $seed $((remaining < days_per_run ? remaining : days_per_run))" >>"$runs"
   done
 done
 for file in tests/simulation/*.txt; do
-  if [ -f "$built/$file" ]; then echo "simulation digest $file 1 4" >>"$plays"; fi
+  if [ -f "$base_tree/$file" ]; then echo "simulation digest $file 1 4" >>"$runs"; fi
 done
 for file in tests/scenarios/*.txt; do
-  if [ -f "$built/$file" ]; then echo "scenario $file digest" >>"$plays"; fi
+  if [ -f "$base_tree/$file" ]; then echo "scenario $file digest" >>"$runs"; fi
 done
 
-# A file of scenarios may use other words in the two trees, so each plays its own.
-play() { # TREE PROGRAMS PLAY
+# Each tree reads its own copy of the file, because the file's format may differ between them.
+run_program() { # TREE PROGRAMS RUN
   read -ra words <<<"$3"
   (cd "$1" && "$2/tests/${words[0]}" "${words[@]:1}" 2>&1 || true)
 }
-compare_one() { # PLAY
+compare_digests() { # RUN
   local old new name
-  old=$(play "$BD_BASE_TREE" "$BD_BASE_TREE/target" "$1" | grep '^digest' || true)
-  new=$(play "$BD_TREE" "$BD_TREE/$BD_WORK/tree" "$1" | grep '^digest' || true)
+  old=$(run_program "$BD_BASE_TREE" "$BD_BASE_TREE/target" "$1" | grep '^digest' || true)
+  new=$(run_program "$BD_TREE" "$BD_TREE/$BD_WORK/tree" "$1" | grep '^digest' || true)
   name=$(tr ' /' '__' <<<"$1")
   if [ -z "$old" ]; then
     echo "no digest: $1"
@@ -63,39 +63,39 @@
     return 1
   fi
 }
-export -f play compare_one
-export BD_TREE=$PWD BD_BASE_TREE=$PWD/$built BD_WORK=$work
+export -f run_program compare_digests
+export BD_TREE=$PWD BD_BASE_TREE=$PWD/$base_tree BD_WORK=$work
 rm -rf "$work/differs"
 mkdir -p "$work/differs"
 status=0
-tr '\n' '\0' <"$plays" | xargs -0 -P "$jobs" -I{} bash -c 'compare_one "$1"' _ {} || status=1
+tr '\n' '\0' <"$runs" | xargs -0 -P "$jobs" -I{} bash -c 'compare_digests "$1"' _ {} || status=1
 if [ "$status" -eq 0 ]; then
-  echo "equal to $base: $days days of each kind from seed $from, $(grep -c txt "$plays") files"
+  echo "equal to $base: $days days of each kind from seed $from, $(grep -c txt "$runs") files"
   exit 0
 fi
 
-first_difference() { # PLAY
+print_first_difference() { # RUN
   read -ra words <<<"$1"
-  local steps=("$1")
+  local step_runs=("$1")
   if [ "${words[0]}" = scenario ]; then
-    steps=("scenario ${words[1]} steps")
+    step_runs=("scenario ${words[1]} steps")
   else
     local seed
-    steps=()
+    step_runs=()
     for ((seed = words[3]; seed < words[3] + words[4]; seed++)); do
-      steps+=("simulation steps ${words[2]} $seed")
+      step_runs+=("simulation steps ${words[2]} $seed")
     done
   fi
-  for one in "${steps[@]}"; do
-    play "$BD_BASE_TREE" "$BD_BASE_TREE/target" "$one" >"$work/old.txt"
-    play "$PWD" "$PWD/$work/tree" "$one" >"$work/new.txt"
+  for run in "${step_runs[@]}"; do
+    run_program "$BD_BASE_TREE" "$BD_BASE_TREE/target" "$run" >"$work/old.txt"
+    run_program "$PWD" "$PWD/$work/tree" "$run" >"$work/new.txt"
     if ! cmp -s "$work/old.txt" "$work/new.txt"; then
-      echo "first difference of: $one"
+      echo "first difference of: $run"
       diff "$work/old.txt" "$work/new.txt" | head -4 | cut -c1-600 || true
       return
     fi
   done
 }
 first=$(find "$work/differs" -type f | sort | head -1)
-[ -z "$first" ] || first_difference "$(sed 's/^differs: //' "$first")"
+[ -z "$first" ] || print_first_difference "$(sed 's/^differs: //' "$first")"
 exit 1
--- a/tests/decision_log.c
+++ b/tests/decision_log.c
@@ -1,5 +1,6 @@
-/* The decision log: tasks that share all else share a line, lines beyond the rate are counted, and
- * nothing is written below the level. Standard error is read back through a pipe. */
+/* Tests the decision log. Entries that differ only in the task share a line; lines beyond the rate
+ * limit are counted and not written; nothing is written if the log level is above info. Standard
+ * error is read back through a pipe. */
 #include "model/decision_log.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
@@ -19,67 +20,68 @@
     failed += !good;
 }
 
-/* What has been written since the last call. */
-static const char *written(int fd)
+/* The text that was written since the last call. */
+static const char *read_new_text(int fd)
 {
     static char text[1 << 20];
     size_t len = 0;
-    ssize_t n;
-    while (len < sizeof text - 1 && (n = read(fd, text + len, sizeof text - 1 - len)) > 0)
-        len += (size_t)n;
+    ssize_t count;
+    while (len < sizeof text - 1 && (count = read(fd, text + len, sizeof text - 1 - len)) > 0)
+        len += (size_t)count;
     text[len] = '\0';
     return text;
 }
 
-static int lines_with(const char *text, const char *word)
+static int count_occurrences(const char *text, const char *word)
 {
-    int n = 0;
+    int count = 0;
     for (const char *at = strstr(text, word); at; at = strstr(at + 1, word))
-        n++;
-    return n;
+        count++;
+    return count;
 }
 
-static void ranges(struct bd_core *core, const struct bd_job *job, const struct bd_machine *machine,
-                   int fd)
+static void check_task_ranges(struct bd_core *core, const struct bd_job *job,
+                              const struct bd_machine *machine, int fd)
 {
     static const uint32_t tasks[] = {0, 1, 2, 5, 7, 8};
     for (size_t i = 0; i < sizeof tasks / sizeof *tasks; i++)
         bd_decision_log_task(core, "launch_sent", job, tasks[i], 77, machine, "via=direct");
-    check("a line waits for more tasks", *written(fd) == '\0');
+    check("a line is held back for more tasks of the same event", *read_new_text(fd) == '\0');
     bd_decision_log_task(core, "launch_sent", job, 9, 78, machine, "via=direct");
-    check("another attempt begins a line",
-          strstr(written(fd),
+    check("an entry of another attempt ends the line",
+          strstr(read_new_text(fd),
                  "event=launch_sent job=job-1 attempt=77 task=0-2,5,7-8 machine=vm-1 "
                  "via=direct incarnation=3 heartbeat=9 token_seen=41 term=44\n") != NULL);
     (void)bd_effects_take(core);
-    check("what allowed an effect is written before it is taken",
-          strstr(written(fd), "attempt=78 task=9 ") != NULL);
+    check("pending lines are written before the effects are taken",
+          strstr(read_new_text(fd), "attempt=78 task=9 ") != NULL);
     for (uint32_t i = 0; i < 400; i += 2)
         bd_decision_log_task(core, "launch_sent", job, i, 79, machine, "");
     bd_decision_log_flush(core);
-    const char *text = written(fd);
-    check("no task is left out of a long list", strstr(text, "task=0,2,4,") != NULL &&
-                                                    strstr(text, ",398 machine") != NULL &&
-                                                    lines_with(text, "event=launch_sent") > 1);
+    const char *text = read_new_text(fd);
+    check("a long list of tasks is split over lines and complete",
+          strstr(text, "task=0,2,4,") != NULL && strstr(text, ",398 machine") != NULL &&
+              count_occurrences(text, "event=launch_sent") > 1);
 }
 
-static void rate(struct bd_core *core, struct timespec now, int fd)
+static void check_rate_limit(struct bd_core *core, struct timespec now, int fd)
 {
     bd_core_set_clock(core, bd_time_add(now, bd_secs(100)), 1100);
     for (int i = 0; i < 5000; i++)
         bd_decision_log_note(core, "lease_renewed", "n=%d", i);
-    check("no more lines at once than the bound",
-          lines_with(written(fd), "event=lease_renewed") == 400);
+    check("a burst writes no more lines than its limit",
+          count_occurrences(read_new_text(fd), "event=lease_renewed") == 400);
     bd_core_set_clock(core, bd_time_add(now, bd_secs(100.5)), 1100.5);
     bd_decision_log_note(core, "lease_renewed", "n=early");
-    check("after that, no line before a second's are free", *written(fd) == '\0');
+    check("after suppressed lines, none is written before a second's budget is free",
+          *read_new_text(fd) == '\0');
     bd_decision_log_term(core, "term_acquired", "term=7");
-    check("who leads is always written",
-          strstr(written(fd), "event=term_acquired term=7\n") != NULL);
+    check("changes of the term are exempt from the limit",
+          strstr(read_new_text(fd), "event=term_acquired term=7\n") != NULL);
     bd_core_set_clock(core, bd_time_add(now, bd_secs(101.1)), 1101.1);
     bd_decision_log_note(core, "lease_renewed", "n=last");
-    check("how many were left out is said",
-          strstr(written(fd), "event=suppressed lines=4601\n") != NULL);
+    check("the number of suppressed lines is written",
+          strstr(read_new_text(fd), "event=suppressed lines=4601\n") != NULL);
 }
 
 int main(void)
@@ -100,13 +102,13 @@
     struct bd_job job = {.id = "job-1"};
     struct bd_machine machine = {
         .id = "vm-1", .incarnation = 3, .heartbeat_seq = 9, .fencing_token = 41};
-    ranges(core, &job, &machine, fds[0]);
-    rate(core, now, fds[0]);
+    check_task_ranges(core, &job, &machine, fds[0]);
+    check_rate_limit(core, now, fds[0]);
     log.level = BD_LOG_ERROR;
     bd_decision_log_task(core, "launch_sent", &job, 0, 1, &machine, "");
     bd_decision_log_note(core, "term_acquired", "term=1");
     bd_decision_log_flush(core);
-    check("nothing is written below info", *written(fds[0]) == '\0');
+    check("nothing is written if the level is above info", *read_new_text(fds[0]) == '\0');
     bd_core_free(core);
     return failed ? 1 : 0;
 }
--- a/tests/direct_commands.c
+++ b/tests/direct_commands.c
@@ -1,6 +1,6 @@
-/* The real senders of direct commands against a machine that takes connections and never answers:
- * a command that waits in a sender's queue until after its deadline is not sent, the owner gets an
- * event that says so, and nothing delays the commands after it. */
+/* Tests the senders of direct commands against a machine that accepts connections and never
+ * responds. A command that is still in a sender's queue at its deadline is not sent, and the owner
+ * gets an event that reports it as not sent. Such a command does not delay the ones after it. */
 #include "adapters/event.h"
 #include "adapters/node.h"
 #include "adapters/worker_client.h"
@@ -19,40 +19,40 @@
 #include <unistd.h>
 
 #define COMMANDS 48
-#define DEADLINE_S 2.0
-#define OVERTIME_MAX_S                                                                             \
-    6.0             /* the deadline, one answer's time after it, and a slow machine's share */
-#define SENT_MAX 24 /* six senders, an answer's time of 1.5 s each */
+#define DEADLINE_S 2.0         /* from the time at which the command is queued */
+#define OUTCOMES_TIMEOUT_S 6.0 /* deadline, response timeout, allowance for a slow machine */
+#define SENT_MAX 24 /* by six senders before the deadline, with a response timeout of 1.5 s */
 
 struct machine {
     int listener;
-    atomic_int requests;
+    atomic_int requests; /* received */
 };
 
-/* Takes every connection, counts those that ask something, and answers none. */
-static void *never_answer(void *arg)
+/* Accepts every connection, counts the requests, and never responds. */
+static void *accept_without_response(void *arg)
 {
     struct machine *machine = arg;
     static struct pollfd fds[COMMANDS + 1];
-    nfds_t n = 1;
+    nfds_t fd_count = 1;
     fds[0] = (struct pollfd){machine->listener, POLLIN, 0};
-    while (poll(fds, n, -1) > 0) {
-        for (nfds_t i = 1; i < n; i++) {
+    while (poll(fds, fd_count, -1) > 0) {
+        for (nfds_t i = 1; i < fd_count; i++) {
             char text[1024];
             if (fds[i].revents == 0)
                 continue;
             if (recv(fds[i].fd, text, sizeof text, 0) > 0)
                 atomic_fetch_add(&machine->requests, 1);
             else
-                fds[i].fd = -1 - fds[i].fd; /* closed: not looked at any more */
+                fds[i].fd = -1 - fds[i].fd; /* closed: poll ignores negative descriptors */
         }
-        if (fds[0].revents && n <= COMMANDS)
-            fds[n++] = (struct pollfd){accept(machine->listener, NULL, NULL), POLLIN, 0};
+        if (fds[0].revents && fd_count <= COMMANDS)
+            fds[fd_count++] = (struct pollfd){accept(machine->listener, NULL, NULL), POLLIN, 0};
     }
     return NULL;
 }
 
-static int listen_anywhere(struct machine *machine)
+/* Listens on a free port of the loopback interface. Returns the port, or -1. */
+static int listen_on_free_port(struct machine *machine)
 {
     struct sockaddr_in addr = {.sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
     socklen_t len = sizeof addr;
@@ -92,21 +92,22 @@
     bd_worker_client_send(node, effect);
 }
 
-/* Takes the owner's events, until `max` came or OVERTIME_MAX_S passed. */
+/* Takes the owner's events until there were `max` or OUTCOMES_TIMEOUT_S passed. Returns how many it
+ * took, and adds those of commands that were not sent to *not_sent. */
 static int take_events(struct bd_node *node, int max, int *not_sent)
 {
-    struct timespec end = bd_time_add(bd_now(), bd_secs(OVERTIME_MAX_S));
-    int got = 0;
-    while (got < max && bd_time_is_before(bd_now(), end)) {
+    struct timespec end = bd_time_add(bd_now(), bd_secs(OUTCOMES_TIMEOUT_S));
+    int taken = 0;
+    while (taken < max && bd_time_is_before(bd_now(), end)) {
         void *item;
         if (bd_queue_take(&node->events, &item, 1, end) == 0)
             continue;
         struct bd_event *event = item;
-        got++;
+        taken++;
         *not_sent += event->direct_command.status == BD_DIRECT_NOT_SENT;
         bd_event_free(event);
     }
-    return got;
+    return taken;
 }
 
 static int check(const char *what, bool good)
@@ -119,19 +120,20 @@
 {
     static struct machine machine;
     int failed = 0, not_sent = 0;
-    int port = listen_anywhere(&machine);
+    int port = listen_on_free_port(&machine);
     struct bd_node *node = new_node();
-    if (port < 0 || bd_thread_start(never_answer, &machine, 131072) != 0)
+    if (port < 0 || bd_thread_start(accept_without_response, &machine, 131072) != 0)
         return 2;
     for (uint32_t i = 0; i < COMMANDS; i++)
         send_command(node, i, port, DEADLINE_S);
-    int got = take_events(node, COMMANDS, &not_sent);
+    int outcomes = take_events(node, COMMANDS, &not_sent);
     int requests = atomic_load(&machine.requests);
-    printf("%d outcomes, %d not sent, %d requests\n", got, not_sent, requests);
-    failed += check("every command has its outcome soon after its deadline", got == COMMANDS);
-    failed += check("what waited too long was not sent", not_sent >= COMMANDS - SENT_MAX);
-    failed += check("what is reported as not sent was not sent", requests <= COMMANDS - not_sent);
-    failed += check("what was sent in time was sent", requests > 0);
+    printf("%d outcomes, %d not sent, %d requests\n", outcomes, not_sent, requests);
+    failed += check("every command has an outcome soon after its deadline", outcomes == COMMANDS);
+    failed += check("commands still queued at their deadline were not sent",
+                    not_sent >= COMMANDS - SENT_MAX);
+    failed += check("commands reported as not sent were not sent", requests <= COMMANDS - not_sent);
+    failed += check("some commands were sent before their deadline", requests > 0);
     not_sent = 0;
     send_command(node, 0, port, -0.001);
     failed += check("a command after its deadline is not sent",
--- a/tests/inputs.c
+++ b/tests/inputs.c
@@ -1,17 +1,17 @@
-/* Malformed input: settings files, operators' files, and everything the wire brings.
+/* Tests that malformed input is refused: settings files, operators' files, and messages.
  *
- *   inputs DIRECTORY of the data files */
+ *   inputs DIRECTORY (of the data files) */
 #include "inputs.h"
 #include <stdio.h>
 #include <stdlib.h>
 
-static int faults;
+static int failures;
 
 void inputs_check(int ok, const char *what)
 {
     if (!ok) {
         printf("FAIL %s\n", what);
-        faults++;
+        failures++;
     }
 }
 
@@ -22,7 +22,7 @@
     FILE *file = fopen(path, "rb");
     char *text = calloc(1, 65536);
     if (!file || !text || fread(text, 1, 65535, file) == 0) {
-        fprintf(stderr, "%s cannot be read\n", path);
+        fprintf(stderr, "cannot read %s\n", path);
         exit(2);
     }
     (void)fclose(file);
@@ -43,6 +43,6 @@
     inputs_cloud();
     inputs_frames();
     inputs_production(argv[1]);
-    printf("%d faults\n", faults);
-    return faults ? 1 : 0;
+    printf("%d checks failed\n", failures);
+    return failures ? 1 : 0;
 }
--- a/tests/inputs.h
+++ b/tests/inputs.h
@@ -1,10 +1,11 @@
-/* Malformed input, by its kind; each function prints and counts what it finds wrong. `directory`
- * has the data files. inputs.c owns the count of faults. */
+/* Tests of malformed input, by kind of input. Each function prints and counts its failed checks;
+ * inputs.c owns the counter. `directory` has the data files. */
 #ifndef BD_TESTS_INPUTS_H
 #define BD_TESTS_INPUTS_H
 
+/* Prints and counts a failed check. */
 void inputs_check(int ok, const char *what);
-/* The file's text, which the caller frees. Ends the program if it cannot be read. */
+/* Returns the file's text, which the caller frees. Ends the program if the file cannot be read. */
 char *inputs_read_file(const char *directory, const char *name);
 
 /* inputs_settings.c */
@@ -21,6 +22,7 @@
 
 /* inputs_frames.c */
 void inputs_frames(void);
-/* What the version in production wrote, captured by running it (`loopback OLDER capture DIR`). */
+/* Records and frames that the version in production wrote, captured with `loopback OLDER capture
+ * DIR`. */
 void inputs_production(const char *directory);
 #endif
--- a/tests/inputs_frames.c
+++ b/tests/inputs_frames.c
@@ -1,4 +1,4 @@
-/* Frames between controllers: malformed, and as the version in production wrote them. */
+/* Frames between controllers: malformed ones, and those that the version in production wrote. */
 #include "inputs.h"
 #include "wire/frame.h"
 #include "wire/wire.h"
@@ -6,8 +6,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Written and read back; cut off at every byte it waits for more. */
-static void status_frame(struct bd_frame *written, struct bd_frame *read)
+/* A status frame is read back as written. If it is truncated at any byte, the reader
+ * waits for more bytes. */
+static void check_status_frame(struct bd_frame *written, struct bd_frame *read)
 {
     unsigned char bytes[BD_FRAME_BYTES_MAX];
     written->type = BD_FRAME_PEER_STATUS;
@@ -19,15 +20,15 @@
     inputs_check(length > 0 && bd_frame_read(bytes, length, read) == (long)length &&
                      strcmp(read->name, "node-7") == 0 && read->term == written->term &&
                      read->flags == written->flags && read->age_ms == 1500,
-                 "a status frame survives");
+                 "a status frame is read as written");
     for (size_t i = 0; i < length; i++)
-        inputs_check(bd_frame_read(bytes, i, read) == 0, "a frame that is cut off waits for more");
+        inputs_check(bd_frame_read(bytes, i, read) == 0, "a truncated frame is incomplete");
     inputs_check(bd_frame_write(written, bytes, 16) == 0,
                  "a frame that does not fit is not written");
 }
 
-/* Each bit changed in turn: never more than the frame holds. */
-static void changed_frame(unsigned char *bytes, size_t length, struct bd_frame *read)
+/* Flips each bit in turn. The reader must never use more bytes than the frame has. */
+static void check_corrupted_frames(unsigned char *bytes, size_t length, struct bd_frame *read)
 {
     int refused = 0;
     for (size_t i = 0; i < length; i++) {
@@ -36,17 +37,18 @@
             long used = bd_frame_read(bytes, length, read);
             inputs_check(used <= (long)length &&
                              read->count <= BD_FRAME_JOBS_MAX + 0u + (used < 0 ? 65535u : 0u),
-                         "a changed frame");
+                         "a corrupted frame is read within its bounds");
             refused += used < 0;
             bytes[i] ^= (unsigned char)(1u << bit);
         }
     }
-    inputs_check(refused > 50, "changed frames are refused");
+    inputs_check(refused > 50, "corrupted frames are refused");
     bytes[8] = 0xff;
-    inputs_check(bd_frame_read(bytes, length, read) == -1, "an over-long frame is refused at once");
+    inputs_check(bd_frame_read(bytes, length, read) == -1,
+                 "a frame over the maximum length is refused without waiting for its bytes");
 }
 
-static void progress_frame(struct bd_frame *written, struct bd_frame *read)
+static void check_progress_frame(struct bd_frame *written, struct bd_frame *read)
 {
     unsigned char bytes[BD_FRAME_BYTES_MAX];
     written->type = BD_FRAME_JOB_PROGRESS;
@@ -59,11 +61,11 @@
     inputs_check(length > 0 && bd_frame_read(bytes, length, read) == (long)length &&
                      read->count == 2 && read->jobs[0].done == 3 &&
                      strcmp(read->jobs[1].id, "job-22") == 0 && read->jobs[1].running == 100000,
-                 "a progress frame survives");
-    changed_frame(bytes, length, read);
+                 "a progress frame is read as written");
+    check_corrupted_frames(bytes, length, read);
 }
 
-static void text_frames(struct bd_frame *written, struct bd_frame *read)
+static void check_text_frames(struct bd_frame *written, struct bd_frame *read)
 {
     unsigned char bytes[BD_FRAME_BYTES_MAX];
     written->type = BD_FRAME_CANCELLATION;
@@ -72,7 +74,7 @@
     size_t length = bd_frame_write(written, bytes, sizeof bytes);
     inputs_check(length > 0 && bd_frame_read(bytes, length, read) == (long)length &&
                      read->len == 6 && memcmp(read->text, "job-23", 6) == 0,
-                 "news of a cancellation survives");
+                 "a cancellation frame is read as written");
     written->type = BD_FRAME_HEARTBEAT_REPLY;
     written->id = 77;
     written->status = 421;
@@ -82,8 +84,8 @@
     inputs_check(length > 0 && bd_frame_read(bytes, length, read) == (long)length &&
                      read->id == 77 && read->status == 421 && read->len == written->len &&
                      memcmp(read->text, written->text, written->len) == 0,
-                 "an answer frame survives");
-    bytes[12 + 8 + 2 + 3]++; /* the text's length goes past the frame */
+                 "a heartbeat reply frame is read as written");
+    bytes[12 + 8 + 2 + 3]++; /* the text's length now exceeds the frame */
     inputs_check(bd_frame_read(bytes, length, read) == -1,
                  "a text longer than its frame is refused");
 }
@@ -93,9 +95,9 @@
     struct bd_frame *written = calloc(1, sizeof *written), *read = calloc(1, sizeof *read);
     if (!written || !read)
         abort();
-    status_frame(written, read);
-    progress_frame(written, read);
-    text_frames(written, read);
+    check_status_frame(written, read);
+    check_progress_frame(written, read);
+    check_text_frames(written, read);
     free(written);
     free(read);
 }
@@ -124,7 +126,7 @@
     }
     inputs_check(jobs[BD_JOB_ACTIVE] == 2 && jobs[BD_JOB_DONE] == 1 &&
                      jobs[BD_JOB_CANCELLED] == 1 && intents > 0,
-                 "records of production");
+                 "records of the version in production");
     json_decref(all);
     snprintf(path, sizeof path, "%s/production-frames.bin", directory);
     FILE *in = fopen(path, "rb");
@@ -136,9 +138,9 @@
         inputs_check(used >= 0 && (used == 0 || frame->type != BD_FRAME_PEER_STATUS ||
                                    (strcmp(frame->name, "node-0") == 0 &&
                                     !(frame->flags & BD_PEER_KNOWS_DAG))),
-                     "a frame of production");
+                     "a frame of the version in production");
         frames += used > 0;
     }
-    inputs_check(frames > 5 && length - at < 100, "frames of production");
+    inputs_check(frames > 5 && length - at < 100, "frames of the version in production");
     free(frame);
 }
--- a/tests/inputs_settings.c
+++ b/tests/inputs_settings.c
@@ -14,8 +14,9 @@
         exit(2);
 }
 
-/* The settings with one thing replaced must be refused, and the line must name file and field. */
-static void bad_settings(const char *good, const char *from, const char *to, const char *field)
+/* Replaces `from` by `to` in the valid settings. The result must be refused, with one line of error
+ * that names the file and the field. */
+static void check_refused(const char *good, const char *from, const char *to, const char *field)
 {
     char path[] = "/tmp/bd-inputs-XXXXXX", error[256] = "", what[128];
     struct bd_settings *settings = calloc(1, sizeof *settings);
@@ -25,21 +26,22 @@
         exit(2);
     (void)close(fd);
     size_t capacity = strlen(good) + strlen(to) + 1;
-    char *bad = malloc(capacity);
-    snprintf(bad, capacity, "%.*s%s%s", (int)(at - good), good, to, at + strlen(from));
-    write_file(path, bad);
+    char *changed = malloc(capacity);
+    snprintf(changed, capacity, "%.*s%s%s", (int)(at - good), good, to, at + strlen(from));
+    write_file(path, changed);
     int status = bd_settings_load(settings, path, error, sizeof error);
     snprintf(what, sizeof what, "settings: %s", field);
     inputs_check(
         status == -1 && strstr(error, path) && strstr(error, field) && !strchr(error, '\n'), what);
     (void)unlink(path);
-    free(bad);
+    free(changed);
     free(settings);
 }
 
-/* With announced limits, wholly or in part: the smaller of the two count. */
-static void next_limits(const char *good, const char *next, size_t value_bytes, size_t txn_ops,
-                        double rate)
+/* Adds announced limits, of which any may be absent. Of the current and the announced value of each
+ * limit, the smaller one applies. */
+static void check_announced_limits(const char *good, const char *next, size_t value_bytes_max,
+                                   size_t txn_ops_max, double writes_per_s)
 {
     char path[] = "/tmp/bd-inputs-XXXXXX", error[256] = "";
     const char *at = strstr(good, "\"txn_ops\": 24");
@@ -53,16 +55,17 @@
     snprintf(text, capacity, "%.*s%s%s", (int)head, good, next, good + head);
     write_file(path, text);
     inputs_check(bd_settings_load(settings, path, error, sizeof error) == 0 &&
-                     settings->kv_value_bytes_max == value_bytes &&
-                     settings->kv_txn_ops_max == txn_ops && settings->kv_writes_per_s == rate,
-                 *next ? next : "no limits to come");
+                     settings->kv_value_bytes_max == value_bytes_max &&
+                     settings->kv_txn_ops_max == txn_ops_max &&
+                     settings->kv_writes_per_s == writes_per_s,
+                 *next ? next : "no announced limits");
     (void)unlink(path);
     free(text);
     free(settings);
 }
 
-/* The limits of the machine that the controller runs on. */
-static void bad_machine_limits(const char *good)
+/* Invalid limits of the machine that the controller runs on. */
+static void check_machine_limits(const char *good)
 {
     static const char *const limits[][2] = {{"\"cpu\": 0.16", "cpu"},
                                             {"\"ram_mb\": 72.0", "ram_mb"},
@@ -72,26 +75,27 @@
         char bad[64];
         for (size_t k = 0; k < sizeof wrong / sizeof wrong[0]; k++) {
             snprintf(bad, sizeof bad, "\"%s\": %s", limits[i][1], wrong[k]);
-            bad_settings(good, limits[i][0], bad, limits[i][1]);
+            check_refused(good, limits[i][0], bad, limits[i][1]);
         }
-        bad_settings(good, limits[i][0], "\"other\": 1", limits[i][1]);
+        check_refused(good, limits[i][0], "\"other\": 1", limits[i][1]);
     }
 }
 
-/* The store's limits that are announced. */
-static void announced_limits(const char *good)
+/* Invalid and valid announced limits of the store. */
+static void check_all_announced_limits(const char *good)
 {
     static const char *const txn_ops = "\"txn_ops\": 24";
-    bad_settings(good, txn_ops, "\"txn_ops\": 24, \"next\": 7", "next");
-    bad_settings(good, txn_ops, "\"txn_ops\": 24, \"next\": {\"txn_ops\": \"8\"}", "txn_ops");
-    bad_settings(good, txn_ops, "\"txn_ops\": 24, \"next\": {\"value_kb\": -2}", "value_kb");
-    bad_settings(good, txn_ops, "\"txn_ops\": 24, \"next\": {\"write_rps\": 0}", "write_rps");
-    next_limits(good, "", 8192, 24, 100);
-    next_limits(good, ", \"next\": null", 8192, 24, 100);
-    next_limits(good, ", \"next\": {}", 8192, 24, 100);
-    next_limits(good, ", \"next\": {\"value_kb\": 2.0, \"odd\": []}", 2048, 24, 100);
-    next_limits(good, ", \"next\": {\"txn_ops\": 8, \"write_rps\": 70.5}", 8192, 8, 70.5);
-    next_limits(good, ", \"next\": {\"value_kb\": 64, \"txn_ops\": 99}", 8192, 24, 100);
+    check_refused(good, txn_ops, "\"txn_ops\": 24, \"next\": 7", "next");
+    check_refused(good, txn_ops, "\"txn_ops\": 24, \"next\": {\"txn_ops\": \"8\"}", "txn_ops");
+    check_refused(good, txn_ops, "\"txn_ops\": 24, \"next\": {\"value_kb\": -2}", "value_kb");
+    check_refused(good, txn_ops, "\"txn_ops\": 24, \"next\": {\"write_rps\": 0}", "write_rps");
+    check_announced_limits(good, "", 8192, 24, 100);
+    check_announced_limits(good, ", \"next\": null", 8192, 24, 100);
+    check_announced_limits(good, ", \"next\": {}", 8192, 24, 100);
+    check_announced_limits(good, ", \"next\": {\"value_kb\": 2.0, \"odd\": []}", 2048, 24, 100);
+    check_announced_limits(good, ", \"next\": {\"txn_ops\": 8, \"write_rps\": 70.5}", 8192, 8,
+                           70.5);
+    check_announced_limits(good, ", \"next\": {\"value_kb\": 64, \"txn_ops\": 99}", 8192, 24, 100);
 }
 
 void inputs_settings(const char *directory)
@@ -100,29 +104,31 @@
     struct bd_settings *settings = calloc(1, sizeof *settings);
     char *good = inputs_read_file(directory, "settings.json");
     snprintf(path, sizeof path, "%s/settings.json", directory);
-    inputs_check(bd_settings_load(settings, path, error, sizeof error) == 0, "good settings");
+    inputs_check(bd_settings_load(settings, path, error, sizeof error) == 0,
+                 "valid settings are accepted");
     inputs_check(settings->npeers == 2 && settings->nteams == 2 && settings->nslos == 2 &&
                      settings->nzones == 2 && bd_to_secs(settings->worker_lease) == 10.0 &&
                      settings->kv_txn_ops_max == 24,
-                 "good settings are read");
-    bad_settings(good, "\"node_name\": \"node-0\"", "\"node_name\": 7", "node_name");
-    bad_settings(good, "\"front\"", "\"fronts\"", "front");
-    bad_settings(good, "\"lease_s\": 10.0", "\"lease_s\": \"long\"", "lease_s");
-    bad_settings(good, "\"lease_s\": 10.0", "\"lease_s\": -1", "lease_s");
-    bad_settings(good, "\"cancel_s\": 35.0", "\"cancel_s\": 10.5", "cancel_s");
-    bad_settings(good, "\"txn_ops\": 24", "\"txn_ops\": 0", "txn_ops");
-    bad_machine_limits(good);
-    bad_settings(good, "\"ram_mb\": 72.0", "\"ram_mb\": 7", "ram_mb");
-    bad_settings(good, "\"max_sockets\": 1000", "\"max_sockets\": 100", "max_sockets");
-    announced_limits(good);
-    bad_settings(good, "\"external\": {", "\"external\": [], \"x\": {", "external");
-    bad_settings(good, "\"teams\": [", "\"teams\": 3, \"x\": [", "teams");
+                 "valid settings are read");
+    check_refused(good, "\"node_name\": \"node-0\"", "\"node_name\": 7", "node_name");
+    check_refused(good, "\"front\"", "\"fronts\"", "front");
+    check_refused(good, "\"lease_s\": 10.0", "\"lease_s\": \"long\"", "lease_s");
+    check_refused(good, "\"lease_s\": 10.0", "\"lease_s\": -1", "lease_s");
+    check_refused(good, "\"cancel_s\": 35.0", "\"cancel_s\": 10.5", "cancel_s");
+    check_refused(good, "\"txn_ops\": 24", "\"txn_ops\": 0", "txn_ops");
+    check_machine_limits(good);
+    check_refused(good, "\"ram_mb\": 72.0", "\"ram_mb\": 7", "ram_mb");
+    check_refused(good, "\"max_sockets\": 1000", "\"max_sockets\": 100", "max_sockets");
+    check_all_announced_limits(good);
+    check_refused(good, "\"external\": {", "\"external\": [], \"x\": {", "external");
+    check_refused(good, "\"teams\": [", "\"teams\": 3, \"x\": [", "teams");
     char many[4096] = "\"objectives\": [";
-    for (int i = 0; i <= BD_SLOS_MAX; i++) /* one more than the settings can have */
+    for (int i = 0; i <= BD_SLOS_MAX; i++) /* one more than the maximum */
         strcat(many, "{\"kind\": \"wait\"}, ");
-    bad_settings(good, "\"objectives\": [", many, "objectives");
-    bad_settings(good, "{", "[", "line");
-    inputs_check(bd_settings_load(settings, "/nonexistent", error, sizeof error) == -1, "no file");
+    check_refused(good, "\"objectives\": [", many, "objectives");
+    check_refused(good, "{", "[", "line");
+    inputs_check(bd_settings_load(settings, "/nonexistent", error, sizeof error) == -1,
+                 "a missing settings file is refused");
     free(good);
     free(settings);
 }
@@ -148,10 +154,10 @@
     inputs_check(read_operators("(brambledoor (spare-share 0.2) (idle-boots 2))", error,
                                 sizeof error, settings) == 0 &&
                      settings->headroom_share == 0.2 && settings->idle_boot_times == 2,
-                 "operators' file");
+                 "operators: valid file");
     inputs_check(read_operators("(leader-ttl-s 4)", error, sizeof error, settings) == 0 &&
                      bd_to_secs(settings->leader_ttl) == 4.0,
-                 "operators' file without the outer list");
+                 "operators: valid file without the outer list");
     inputs_check(read_operators("(spare-share much)", error, sizeof error, settings) == -1 &&
                      strstr(error, "spare-share"),
                  "operators: not a number");
@@ -159,8 +165,8 @@
                      strstr(error, "no-such"),
                  "operators: unknown field");
     inputs_check(read_operators("(spare-share 0.2", error, sizeof error, settings) == -1,
-                 "operators: cut off");
+                 "operators: truncated");
     inputs_check(read_operators("spare-share 0.2", error, sizeof error, settings) == -1,
-                 "operators: no list");
+                 "operators: not a list");
     free(settings);
 }
--- a/tests/inputs_wire.c
+++ b/tests/inputs_wire.c
@@ -1,4 +1,4 @@
-/* Malformed submissions, heartbeats, records and answers of the cloud. */
+/* Malformed submissions, heartbeats, records and responses of the cloud. */
 #include "inputs.h"
 #include "wire/heartbeat_cache.h"
 #include "wire/wire.h"
@@ -6,6 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Returns the field that is refused, or NULL. */
 static const char *read_submission(const char *text)
 {
     char id[BD_ID_BYTES];
@@ -16,23 +17,23 @@
     return bad;
 }
 
-/* Every field of a good submission, taken away and with a value of a wrong type. */
+/* A valid submission, with each field in turn removed, and replaced by a value of a wrong type. */
 void inputs_submissions(const char *directory)
 {
     char *good = inputs_read_file(directory, "submission.json");
     json_t *submission = json_loads(good, 0, NULL), *value;
     const char *key;
     void *next;
-    inputs_check(read_submission(good) == NULL, "a good submission");
+    inputs_check(read_submission(good) == NULL, "a valid submission is accepted");
     json_t *copy = json_deep_copy(submission);
     json_object_foreach_safe(copy, next, key, value)
     {
-        bool may_be_missing =
+        bool is_optional =
             strcmp(key, "breeds") == 0 || strcmp(key, "glade") == 0 || strcmp(key, "dueS") == 0;
         json_t *changed = json_deep_copy(submission);
         json_object_del(changed, key);
         char *text = json_dumps(changed, 0);
-        inputs_check((read_submission(text) == NULL) == may_be_missing, key);
+        inputs_check((read_submission(text) == NULL) == is_optional, key);
         free(text);
         json_object_set_new(changed, key, json_pack("{s:i}", "x", 1));
         text = json_dumps(changed, 0);
@@ -57,13 +58,14 @@
     free(good);
 }
 
-/* What a submission may say of the jobs it waits for; expected: how many names are left, or -1. */
+/* The parents that a submission names. `names` is the expected number of distinct names; -1: the
+ * submission is refused. */
 void inputs_parents(void)
 {
     static const struct {
         const char *text;
         int names;
-    } forms[] = {{"{}", 0},
+    } cases[] = {{"{}", 0},
                  {"{\"awaits\":null}", 0},
                  {"{\"awaits\":[]}", 0},
                  {"{\"awaits\":[\"job-1\"]}", 1},
@@ -75,14 +77,14 @@
                  {"{\"awaits\":[\"job-1\",\"\"]}", -1},
                  {"{\"awaits\":[\"job-1\",\"job-1/0\"]}", -1},
                  {"{\"awaits\":[\"job-1234567890123456789\"]}", -1}};
-    for (size_t i = 0; i < sizeof forms / sizeof *forms; i++) {
-        json_t *submission = json_loads(forms[i].text, 0, NULL), *names = NULL;
+    for (size_t i = 0; i < sizeof cases / sizeof *cases; i++) {
+        json_t *submission = json_loads(cases[i].text, 0, NULL), *names = NULL;
         bool ok = bd_wire_read_parents(submission, &names);
-        inputs_check(ok == (forms[i].names >= 0) &&
+        inputs_check(ok == (cases[i].names >= 0) &&
                          json_array_size(names) ==
-                             (size_t)(forms[i].names > 0 ? forms[i].names : 0) &&
-                         (names != NULL) == (forms[i].names > 0),
-                     forms[i].text);
+                             (size_t)(cases[i].names > 0 ? cases[i].names : 0) &&
+                         (names != NULL) == (cases[i].names > 0),
+                     cases[i].text);
         json_decref(names);
         json_decref(submission);
     }
@@ -103,9 +105,9 @@
 {
     char *good = inputs_read_file(directory, "report.json");
     size_t length = strlen(good);
-    inputs_check(is_heartbeat(good, length), "a good report");
+    inputs_check(is_heartbeat(good, length), "a valid heartbeat is accepted");
     for (size_t cut = 0; cut + 2 < length; cut++)
-        inputs_check(!is_heartbeat(good, cut), "a report that is cut off");
+        inputs_check(!is_heartbeat(good, cut), "a truncated heartbeat is refused");
     static const char *const swaps[][2] = {
         {"\"tenancy\":1", "\"tenancy\":-1"},     {"\"tally\":88", "\"tally\":\"88\""},
         {"job-000412/3", "job-000412"},          {"job-000412/3", "job-000412/100000"},
@@ -123,80 +125,82 @@
     free(good);
 }
 
-/* A heartbeat as a worker writes it, read through the cache. */
+/* Reads a heartbeat through the cache. `seq` is the text of its sequence number. */
 static const struct bd_heartbeat *read_cached(struct bd_heartbeat_cache *cache, const char *machine,
-                                              const char *number, const char *state)
+                                              const char *seq, const char *state)
 {
     char text[512];
     snprintf(text, sizeof text,
              "{\"hearth\":\"%s\",\"endpoint\":\"10.1.0.2:9000\",\"breed\":\"a\",\"glade\":\"b\","
              "\"windfall\":false,\"tenancy\":1,\"tally\":%s,\"seal\":4,\"warningS\":null,"
              "\"chores\":[{\"chore\":\"job-1/3\",\"try\":2,\"mood\":\"%s\"}]}",
-             machine, number, state);
+             machine, seq, state);
     return bd_heartbeat_cache_read(cache, text, strlen(text));
 }
 
-static void malformed_numbers(struct bd_heartbeat_cache *cache)
+static void check_malformed_sequence_numbers(struct bd_heartbeat_cache *cache)
 {
-    uint32_t all, repeated;
+    uint32_t total, hits;
     static const char *const malformed[] = {
         "-7", "7.5", "07", "7e3", "\"7\"", "", "99999999999999999999", "7,\"tally\":8"};
     for (size_t i = 0; i < sizeof malformed / sizeof malformed[0]; i++) {
         (void)read_cached(cache, "vm-1", "1009", "pulling");
-        bd_heartbeat_cache_counts(cache, &all, &repeated);
+        bd_heartbeat_cache_counts(cache, &total, &hits);
         (void)read_cached(cache, "vm-1", malformed[i], "pulling");
-        bd_heartbeat_cache_counts(cache, &all, &repeated);
-        inputs_check(all == 1 && repeated == 0, "an odd number is left to the JSON parser");
+        bd_heartbeat_cache_counts(cache, &total, &hits);
+        inputs_check(total == 1 && hits == 0,
+                     "a heartbeat with a malformed sequence number is left to the JSON parser");
     }
 }
 
-static void oldest_leave(struct bd_heartbeat_cache *cache)
+static void check_eviction(struct bd_heartbeat_cache *cache)
 {
-    uint32_t all, repeated;
+    uint32_t total, hits;
     for (int i = 0; i < 200; i++) {
         char name[16];
         snprintf(name, sizeof name, "vm-%d", i);
         (void)read_cached(cache, name, "1", "running");
     }
-    bd_heartbeat_cache_counts(cache, &all, &repeated);
+    bd_heartbeat_cache_counts(cache, &total, &hits);
     (void)read_cached(cache, "vm-199", "2", "running");
     (void)read_cached(cache, "vm-0", "2", "running");
-    bd_heartbeat_cache_counts(cache, &all, &repeated);
-    inputs_check(repeated == 1, "the oldest reports leave when there is no room");
+    bd_heartbeat_cache_counts(cache, &total, &hits);
+    inputs_check(hits == 1,
+                 "the least recently used heartbeats are evicted when the cache is full");
 }
 
-/* A repeated heartbeat from the cache equals one that is parsed; nothing else counts as repeated.
- */
+/* A heartbeat from the cache equals one that is parsed. Only a heartbeat that differs in nothing
+ * but the sequence number is a cache hit. */
 void inputs_cached_heartbeats(void)
 {
-    uint32_t all, repeated;
+    uint32_t total, hits;
     struct bd_heartbeat_cache *cache = bd_heartbeat_cache_new(4096);
     if (!cache)
         exit(2);
     const struct bd_heartbeat *heartbeat = read_cached(cache, "vm-1", "7", "running");
     inputs_check(heartbeat && heartbeat->seq == 7 && heartbeat->n == 1 &&
                      heartbeat->tasks[0].execution == BD_EXECUTION_RUNNING,
-                 "a report is read");
+                 "a heartbeat is read");
     heartbeat = read_cached(cache, "vm-1", "1008", "running");
     inputs_check(heartbeat && heartbeat->seq == 1008 && heartbeat->incarnation == 1 &&
                      heartbeat->fencing_token == 4 && heartbeat->n == 1 &&
                      strcmp(heartbeat->machine, "vm-1") == 0 &&
                      heartbeat->tasks[0].execution == BD_EXECUTION_RUNNING,
-                 "one that only has another number says the same");
+                 "a heartbeat that differs only in its sequence number reads the same");
     heartbeat = read_cached(cache, "vm-1", "1009", "pulling");
     inputs_check(heartbeat && heartbeat->seq == 1009 &&
                      heartbeat->tasks[0].execution == BD_EXECUTION_FETCHING,
-                 "another state is seen");
+                 "a changed task state is read");
     heartbeat = read_cached(cache, "vm-2", "1010", "pulling");
     inputs_check(heartbeat && heartbeat->seq == 1010 && strcmp(heartbeat->machine, "vm-2") == 0,
-                 "another machine is seen");
-    bd_heartbeat_cache_counts(cache, &all, &repeated);
-    inputs_check(all == 4 && repeated == 1, "only the one was a repetition");
-    malformed_numbers(cache);
+                 "another machine's heartbeat is read");
+    bd_heartbeat_cache_counts(cache, &total, &hits);
+    inputs_check(total == 4 && hits == 1, "only the unchanged heartbeat was a cache hit");
+    check_malformed_sequence_numbers(cache);
     inputs_check(!read_cached(cache, "vm-1", "7.5", "pulling") &&
                      !read_cached(cache, "vm-1", "", "pulling"),
-                 "a malformed report is refused though a good one is kept");
-    oldest_leave(cache);
+                 "a malformed heartbeat is refused while a valid one is cached");
+    check_eviction(cache);
     bd_heartbeat_cache_free(cache);
 }
 
@@ -213,7 +217,7 @@
                    0, NULL);
     memset(&record, 0, sizeof record);
     inputs_check(bd_wire_read_submission(submission, id, &record.spec) == NULL,
-                 "record: submission");
+                 "record: the submission is accepted");
     json_decref(submission);
     record.state = BD_JOB_ACTIVE;
     record.tasks = 3;
@@ -223,7 +227,7 @@
     inputs_check(bd_wire_read_record(value, &back) && back.spec.ntypes == 2 && back.tasks == 3 &&
                      back.at == 1000.5 && strcmp(back.spec.zone, "z") == 0 &&
                      back.spec.deadline_s < 0,
-                 "a record survives being written and read");
+                 "a record is read as written");
     json_decref(value);
     static const char *const bad[] = {"{}",
                                       "{\"s\":\"live\",\"n\":3,\"at\":1}",
@@ -243,20 +247,20 @@
     struct bd_machine_type_text types[2];
     struct bd_cloud_machine machines[2];
     bool more = false;
-    json_t *answer = json_loads("{\"breeds\":[{\"label\":\"x\"},7,{\"label\":\"g\",\"vcpus\":4,"
-                                "\"memGb\":8,\"hourly\":1}]}",
-                                0, NULL);
-    inputs_check(bd_wire_read_machine_types(answer, types, 2) == 1 &&
+    json_t *response = json_loads("{\"breeds\":[{\"label\":\"x\"},7,{\"label\":\"g\",\"vcpus\":4,"
+                                  "\"memGb\":8,\"hourly\":1}]}",
+                                  0, NULL);
+    inputs_check(bd_wire_read_machine_types(response, types, 2) == 1 &&
                      strcmp(types[0].label, "g") == 0,
-                 "types that cannot be read are passed over");
-    json_decref(answer);
-    answer = json_loads("{\"hearths\":[{\"id\":\"vm-1\"}],\"more\":false}", 0, NULL);
-    inputs_check(bd_wire_read_machines(answer, machines, 2, &more) == -1,
-                 "a list that cannot be read is a failure");
-    json_decref(answer);
-    answer = json_loads("{}", 0, NULL);
-    inputs_check(bd_wire_read_machine_types(answer, types, 2) == -1 &&
-                     bd_wire_read_machines(answer, machines, 2, &more) == -1,
-                 "no list");
-    json_decref(answer);
+                 "malformed machine types are skipped");
+    json_decref(response);
+    response = json_loads("{\"hearths\":[{\"id\":\"vm-1\"}],\"more\":false}", 0, NULL);
+    inputs_check(bd_wire_read_machines(response, machines, 2, &more) == -1,
+                 "a list with a malformed machine is refused");
+    json_decref(response);
+    response = json_loads("{}", 0, NULL);
+    inputs_check(bd_wire_read_machine_types(response, types, 2) == -1 &&
+                     bd_wire_read_machines(response, machines, 2, &more) == -1,
+                 "a response without a list is refused");
+    json_decref(response);
 }
--- a/tests/outward_names.sh
+++ b/tests/outward_names.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# outward_names.sh ROOT LIST: every name and text that leaves the process is still in the sources.
+# outward_names.sh ROOT LIST: checks that the sources still have every external name and text.
 #
-# LIST has one string literal a line, as the sources spell it: names of the protocols, store keys and
-# records, settings, flags, metrics, evidence lines, replies to users. Literals that the sources
-# split are joined. A renaming of identifiers must leave all of them as they are.
+# LIST has one string literal per line, spelled as in the sources: names of the protocols, store keys
+# and records, settings, flags, metrics, evidence lines, replies to users. Adjacent literals in the
+# sources are joined. Renaming identifiers must not change any of them.
 set -euo pipefail
 cd "$1"
 list=$2
@@ -12,8 +12,8 @@
 perl -0777 -ne '
   s{/\*.*?\*/}{ }gs;
   s{^\s*#include.*$}{}gm;
-  my $one = qr/"(?:\\.|[^"\\])*"/;
-  while (/($one(?:\s*$one)*)/g) {
+  my $literal = qr/"(?:\\.|[^"\\])*"/;
+  while (/($literal(?:\s*$literal)*)/g) {
     my $text = $1;
     my $joined = "";
     $joined .= $1 while $text =~ /"((?:\\.|[^"\\])*)"/g;
@@ -21,8 +21,8 @@
   }' src/*/*.[ch] cli/*.[ch] include/brambledoor/*.h | sort -u >"$literals"
 missing=$(grep -vxFf "$literals" "$list" || true)
 if [ -n "$missing" ]; then
-  echo "names that leave the process and are not in the sources any more:"
+  echo "external names that are missing from the sources:"
   echo "$missing"
   exit 1
 fi
-echo "$(wc -l <"$list") names that leave the process are in the sources"
+echo "$(wc -l <"$list") external names are in the sources"
--- a/tests/production.cmake
+++ b/tests/production.cmake
@@ -1,5 +1,5 @@
-# Builds the version in production from this repository's history. Where the clone lacks that commit
-# nothing is built, and the test that needs it says that it is skipped.
+# Builds the version in production from this repository's history. If the clone lacks that commit,
+# nothing is built and the tests that need it are skipped.
 #   cmake -DSOURCE=DIR -DOUT=DIR -P production.cmake
 file(STRINGS ${SOURCE}/deploy/service.toml line REGEX "^production *=")
 string(REGEX REPLACE ".*\"([0-9a-f]+)\".*" "\\1" commit "${line}")
--- a/tests/protocol_words.sh
+++ b/tests/protocol_words.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# protocol_words.sh ROOT: the protocol's own words stand in the wire module and nowhere else.
+# protocol_words.sh ROOT: checks that the protocol's own terms appear only in the wire module.
 set -euo pipefail
 cd "$1"
 words='seal|tally|tenancy|plea|mood|hearth|breed|glade|windfall|household|kin|bids|mercyS|steward|charter|withdraw|chores?|mark|ring|warningS|guessS|markS|stowS|dueS|memGb|vcpus'
--- a/tests/settings.sh
+++ b/tests/settings.sh
@@ -1,14 +1,14 @@
 #!/usr/bin/env bash
-# settings.sh PROGRAM SETTINGS DRAINING: settings that cannot serve are refused by --check and at the start
-# alike: exit status 2 and one line that names file and field.
+# settings.sh PROGRAM SETTINGS DRAINING: checks that --check and the start of the program refuse
+# invalid settings alike: with exit status 2 and one line that names the file and the field.
 set -euo pipefail
 program=$1 good=$2 deploy=$3
 dir=$(mktemp -d)
 trap 'rm -rf "$dir"' EXIT
-bad=0
-"$program" --check --config "$good" || { echo "FAIL good settings are refused"; bad=1; }
-# refused FIELD FILE WHAT ARGUMENTS...: by --check and at the start alike
-refused() {
+failed=0
+"$program" --check --config "$good" || { echo "FAIL valid settings are refused"; failed=1; }
+# expect_refused FIELD FILE WHAT ARGUMENTS...: runs the program with and without --check
+expect_refused() {
   local field=$1 file=$2 what=$3 check status
   shift 3
   for check in --check ""; do
@@ -18,15 +18,15 @@
     if [ "$status" -ne 2 ] || [ "$(wc -l <"$dir/error")" -ne 1 ] ||
       ! grep -qF "$file: $field:" "$dir/error"; then
       echo "FAIL $what $check: status $status, $(cat "$dir/error")"
-      bad=1
+      failed=1
     fi
   done
 }
 while IFS='|' read -r field from to; do
   file=$dir/$field.json
   sed "s/$from/$to/" "$good" >"$file"
-  cmp -s "$file" "$good" && { echo "FAIL $field was not replaced"; bad=1; }
-  refused "$field" "$file" "$field" --config "$file"
+  cmp -s "$file" "$good" && { echo "FAIL $field was not replaced"; failed=1; }
+  expect_refused "$field" "$file" "$field" --config "$file"
 done <<'LIST'
 cpu|"cpu": 0.16|"cpu": 0.001
 cpu|"cpu": 0.16|"cpu": -1
@@ -36,11 +36,11 @@
 max_sockets|"max_sockets": 1000|"sockets": 1000
 cancel_s|"cancel_s": 35.0|"cancel_s": 10.0
 LIST
-# the operators' entry for draining, in the same way
+# the draining entry of the operators' file
 while IFS='|' read -r field text; do
   file=$dir/draining.sexp
   printf '%s\n' "$text" >"$file"
-  refused "$field" "$file" "$text" --operators "$file" --config "$good"
+  expect_refused "$field" "$file" "$text" --operators "$file" --config "$good"
 done <<'LIST'
 machines-in-step|(draining (machines-in-step 0))
 machines-in-step|(draining (machines-in-step many))
@@ -61,5 +61,5 @@
 draining|(draining machines)
 draining|(draining) (draining)
 LIST
-"$program" --check --operators "$deploy" --config "$good" || { echo "FAIL $deploy is refused"; bad=1; }
-exit $bad
+"$program" --check --operators "$deploy" --config "$good" || { echo "FAIL $deploy is refused"; failed=1; }
+exit $failed
