--- a/tests/drain_profile.h
+++ b/tests/drain_profile.h
@@ -14,7 +14,7 @@
     uint32_t machine_count;
     uint64_t heartbeat_seq, revision;       /* the latest of each */
     double now_s;                           /* simulated time since the start */
-    uint32_t max_replicas_down[TEAM_COUNT]; /* of each team, at a time, since the fleet was built */
+    uint32_t max_replicas_down[TEAM_COUNT]; /* of each team, since fleet_build */
 };
 
 /* ---- drain_profile_fleet.c ---- */
--- a/tests/profile.h
+++ b/tests/profile.h
@@ -19,8 +19,7 @@
     uint64_t revision, heartbeat_seq; /* the latest of each */
     double now_s;                     /* simulated time since the start */
     uint32_t machine_count;
-    bool
-        is_cpu_only; /* all machines are of the type without GPUs, and there are no jobs at first */
+    bool is_cpu_only; /* only machines without GPUs, and no jobs at first */
     /* counters */
     uint32_t transactions, direct_commands, failures;
 };
