--- a/src/adapters/admin_drain_create.c
+++ b/src/adapters/admin_drain_create.c
@@ -100,7 +100,8 @@
 /* ---- the drain's record ---- */
 
 /* The form of the request that is stored, and compared with a repeated request. A hash replaces the
- * list of machines, which may be longer than a value of the store. The caller releases it. */
+ * list of machines, which may be longer than a value of the store. The caller releases the result.
+ */
 static json_t *normalize_request(json_t *request)
 {
     char hash[BD_HASH_BYTES];
@@ -122,8 +123,8 @@
     return bd_admin_show_record(BD_ADMIN_OK, record);
 }
 
-/* The response when the name was taken after it was checked, perhaps by a retry of the same
- * request: depends on the drain that is stored now. */
+/* The response if another request, perhaps a retry of this one, created a drain of the name after
+ * the name was checked. */
 static struct bd_admin_response resolve_conflict(const struct bd_admin_store *store,
                                                  const char *name, const json_t *normalized)
 {
--- a/src/adapters/admin_server.c
+++ b/src/adapters/admin_server.c
@@ -20,7 +20,7 @@
 #define PATH_DRAINS "/admin/v1/drains"
 #define BODY_BYTES_MAX 65536u
 #define CONNECTIONS_MAX 8u
-#define REQUESTS_MAX 3 /* served concurrently; others are answered with 503 */
+#define REQUESTS_MAX 3 /* served concurrently; further requests are answered with 503 */
 #define CONNECTION_IDLE_S 30u
 #define STACK_BYTES 262144u
 
--- a/src/adapters/api_server.c
+++ b/src/adapters/api_server.c
@@ -27,8 +27,8 @@
 #define CONNECTIONS_MIN 8
 #define BODY_MEMORY_SHARE 0.15 /* of the settings' ram_mb, for the bodies of all requests */
 #define BYTES_PER_MB 1048576.0
-#define PENDING_LIMIT_MIN 512  /* pending requests; above it, the limit is half the sockets */
-#define USER_PENDING_SHARE 0.6 /* of that limit; the rest is reserved for workers' heartbeats */
+#define PENDING_LIMIT_MIN 512  /* pending requests; the limit is half the sockets, at least this */
+#define USER_PENDING_SHARE 0.6 /* of the limit; the rest is reserved for workers' heartbeats */
 /* After an outage of all controllers, all workers reconnect at once. */
 #define LISTEN_BACKLOG 1024u
 #define STACK_BYTES 131072
@@ -37,11 +37,11 @@
 /* One request. The polling thread owns it, except between post_to_owner and bd_api_reply: its
  * connection is then suspended, and only the owner thread may use it. */
 struct request {
-    struct bd_request_origin origin; /* first, because the core reads it; all zero: not forwarded */
+    struct bd_request_origin origin; /* first: see model/effect.h; all zero: not forwarded */
     struct MHD_Connection *connection;
     char *body;
     size_t body_len, body_capacity;
-    bool body_too_large, out_of_memory, is_health_check;
+    bool body_too_large, body_memory_exhausted, is_health_check;
     bool is_posted, has_reply;
     enum bd_event_kind kind; /* valid once the request is posted */
     struct timespec posted_at;
@@ -52,7 +52,7 @@
 
 /* Lives as long as the process. */
 struct bd_api_server {
-    struct MHD_Daemon *daemon;         /* its polling thread */
+    struct MHD_Daemon *daemon;         /* runs the polling thread */
     atomic_int pending_requests;       /* posted to the owner thread and not answered yet */
     size_t body_bytes, body_bytes_max; /* of all requests' bodies; polling thread only */
 };
@@ -123,7 +123,7 @@
 }
 
 /* Appends a part of the body, unless this body or all bodies together would exceed their limit.
- * False: out of memory. */
+ * False: the allocation failed. */
 static bool receive_body(struct bd_api_server *server, struct request *request, const char *data,
                          size_t size)
 {
@@ -131,8 +131,8 @@
         request->body_too_large = true;
         return true;
     }
-    if (request->out_of_memory || server->body_bytes + size > server->body_bytes_max) {
-        request->out_of_memory = true;
+    if (request->body_memory_exhausted || server->body_bytes + size > server->body_bytes_max) {
+        request->body_memory_exhausted = true;
         return true;
     }
     server->body_bytes += size;
@@ -200,7 +200,7 @@
         return send_error(connection, route.error_status, "wrong method", 0);
     if (request->body_too_large)
         return send_error(connection, MHD_HTTP_CONTENT_TOO_LARGE, "body over 64 KiB", 0);
-    if (request->out_of_memory || !may_admit(node, route.kind))
+    if (request->body_memory_exhausted || !may_admit(node, route.kind))
         return send_error(connection, MHD_HTTP_SERVICE_UNAVAILABLE, "busy", BUSY_RETRY_S);
     return post_to_owner(node, request, &route);
 }
--- a/src/adapters/cloud_client.c
+++ b/src/adapters/cloud_client.c
@@ -24,10 +24,10 @@
 #define TYPES_INTERVAL_FOLLOWER_S 300.0
 #define SCALE_OUT_TRIES_MAX 12
 #define MACHINES_PER_PAGE 500
-#define LIST_FAILURES_MAX 4 /* per bd_cloud_list_machines: an administrator waits for it */
+#define LIST_FAILURES_MAX 4 /* low, because an administrator waits for the list */
 #define LIST_RETRY_S 0.7
 #define CALL_RATE_SHARE 0.8 /* of the cloud's rate limit */
-#define CALL_BURST_S 2.0    /* capacity of the token bucket: the calls of this time */
+#define CALL_BURST_S 2.0    /* capacity of the token bucket, as the time that refills it */
 /* The pause after a failed call: one step for each consecutive failure. */
 #define BACK_OFF_STEP_S 0.25
 #define BACK_OFF_STEPS_MAX 5
@@ -50,7 +50,7 @@
 struct cloud_client {
     struct bd_node *node;
     struct bd_http *http;
-    double calls_available; /* token bucket of the rate limit, as of calls_updated_at */
+    double calls_available; /* tokens of the rate limit at calls_updated_at */
     struct timespec calls_updated_at;
     struct timespec next_types_read_at, next_inventory_read_at;
     double inventory_interval_s;
@@ -210,8 +210,8 @@
            (status == CLOUD_UNAVAILABLE && !is_outage);
 }
 
-/* Repeats a request that is not settled. This is safe because the cloud scales out only once for
- * each request id. */
+/* Sends the request, and repeats it while it is not settled. This is safe because the cloud scales
+ * out only once for each request id. */
 static void scale_out(struct cloud_client *client, const struct bd_effect *effect)
 {
     struct bd_event *event = bd_event_new(BD_EVENT_SCALE_OUT_COMPLETED);
--- a/src/adapters/cloud_client.h
+++ b/src/adapters/cloud_client.h
@@ -1,5 +1,5 @@
 /* The client of the cloud's API: reads the machine types and the inventory for the owner thread,
- * and carries out its scale-out and scale-in effects in order.
+ * and carries out the core's scale-out and scale-in effects in order.
  *
  * One thread, which lives as long as the process, makes these calls within the cloud's rate limit
  * and owns the client's state. bd_cloud_list_machines blocks; any thread with an HTTP client of its
--- a/src/adapters/election.c
+++ b/src/adapters/election.c
@@ -67,11 +67,11 @@
 static bool load_earlier_terms(struct bd_election_candidate *candidate,
                                struct bd_acquisition *acquisition)
 {
-    static bool (*const loads[])(struct bd_election_candidate *, struct bd_acquisition *) = {
+    static bool (*const loaders[])(struct bd_election_candidate *, struct bd_acquisition *) = {
         load_commit_sequence, load_receipts, load_intents};
     size_t nloaded = 0;
-    while (nloaded < sizeof loads / sizeof loads[0]) {
-        bool is_loaded = loads[nloaded](candidate, acquisition);
+    while (nloaded < sizeof loaders / sizeof loaders[0]) {
+        bool is_loaded = loaders[nloaded](candidate, acquisition);
         nloaded += is_loaded;
         if (bd_lease_renew(candidate) == BD_GRANT_EXPIRED)
             return false;
@@ -123,7 +123,7 @@
     bd_sleep(FOLLOW_INTERVAL_S * jitter);
 }
 
-/* Follows again. The owner thread has ended the term already. */
+/* Makes this node a follower, after the owner thread has ended the term. */
 static void step_down(struct bd_election_candidate *candidate)
 {
     candidate->is_leading = false;
@@ -136,7 +136,7 @@
     uint64_t revision = 0;
     enum bd_lease_holder holder = bd_lease_observe(candidate, &revision);
     bd_log_write(&candidate->node->log, BD_LOG_INFO,
-                 "leadership lost: the grant has expired, lease holder %d", (int)holder);
+                 "grant of the leader lease has expired, lease holder %d", (int)holder);
     candidate->is_leading = false;
     bd_event_post(candidate->node, bd_event_new(BD_EVENT_LEADERSHIP_LOST));
 }
--- a/src/adapters/election_internal.h
+++ b/src/adapters/election_internal.h
@@ -1,5 +1,5 @@
 /* Shared by the files of the election: this node as a candidate, and its calls to the key-value
- * store. The election's thread alone uses them. */
+ * store. Used by the election's thread only. */
 #ifndef BD_ELECTION_INTERNAL_H
 #define BD_ELECTION_INTERNAL_H
 #include "wire/wire.h"
@@ -23,10 +23,10 @@
     struct bd_node *node;
     struct bd_http *http;
     gsl_rng *rng;
-    double ttl_s;               /* of its grants */
+    double ttl_s;               /* of the grants */
     char nonce[BD_LABEL_BYTES]; /* of this process's newest acquisition */
     uint64_t grant;
-    struct timespec grant_renewed_at; /* when the request that created or renewed it was sent */
+    struct timespec grant_renewed_at; /* when its creation or last renewal was sent */
     bool is_leading;
     struct bd_posted_leader posted;
     struct timespec liveness_sent_at;
@@ -63,7 +63,7 @@
 /* ---- liveness records (election_liveness.c) ---- */
 
 /* Writes this node's liveness record at an interval, on condition that the leader's key still has
- * the revision. The record shows that the node reaches the store under that leader: see
- * workers/autonomous_zone.c. */
+ * the revision. The record shows that this node could write to the store during that leader's term:
+ * see workers/autonomous_zone.c. */
 void bd_liveness_write(struct bd_election_candidate *candidate, uint64_t leader_revision);
 #endif
--- a/src/adapters/election_liveness.c
+++ b/src/adapters/election_liveness.c
@@ -12,10 +12,11 @@
 #include <stdlib.h>
 
 #define LIVENESS_INTERVAL_S 0.8
-#define CLOCK_READING_MAX_S 0.05 /* time that reading both clocks may take */
+#define CLOCK_READING_MAX_S 0.05 /* maximum time between the two readings */
 #define KEY_BYTES (BD_LABEL_BYTES + 8)
 
-/* Does not wake the owner thread: the event matters by the time at which the record was sent. */
+/* The owner thread is not woken: only the time at which the record was sent matters, not the time
+ * at which the event is handled. */
 static void post_liveness(const struct bd_election_candidate *candidate, enum bd_event_kind kind,
                           struct timespec sent_at)
 {
@@ -34,7 +35,7 @@
 }
 
 /* The transaction that writes the record, on condition that the leader's key has the revision.
- * NULL: out of memory. The caller frees it. */
+ * The caller frees the result. NULL: out of memory. */
 static char *encode_liveness_txn(const struct bd_election_candidate *candidate,
                                  uint64_t leader_revision, struct timespec wall)
 {
--- a/src/adapters/event.h
+++ b/src/adapters/event.h
@@ -62,7 +62,7 @@
 struct bd_event_user_txn {
     void *request;
     char job_id[BD_LABEL_BYTES];
-    char *body;                   /* the transaction, as it was sent */
+    char *body;                   /* the transactions as sent, one a line */
     enum bd_read_purpose purpose; /* as in the effect */
     long status;                  /* enum bd_kv_status */
     uint64_t store_revision;
@@ -88,7 +88,7 @@
 /* The outcome of writing this node's delegate record, or of reading its revision. */
 struct bd_event_delegate_txn {
     struct timespec sent_at;
-    long status; /* enum bd_kv_status of the write; BD_KV_NO_ANSWER also if there was none */
+    long status; /* enum bd_kv_status of the write; BD_KV_NO_ANSWER also if none was made */
     uint64_t store_revision;
     bool is_revision_known;
 };
@@ -97,7 +97,7 @@
 struct bd_event_refresh {
     struct timespec sent_at;
     uint64_t after_revision, store_revision;
-    bool is_barrier;  /* reads that were pending when the request was sent may be answered */
+    bool is_barrier;  /* reads that were pending when the refresh was sent may now be answered */
     bool is_answered; /* the store returned the changes */
     json_t *answer;
 };
@@ -122,7 +122,7 @@
     char name[BD_LABEL_BYTES]; /* of the leader's node; empty: there is no leader */
     uint64_t revision;
     struct timespec sent_at;
-    bool dismisses_this_node; /* the leader no longer needs it as a delegate */
+    bool dismisses_this_node; /* the leader no longer needs this node as a delegate */
 };
 
 /* This node acquired the leader's lease. */
@@ -145,7 +145,7 @@
 
 /* The outcome of a direct command. */
 struct bd_event_direct_command {
-    uint32_t machine; /* its index */
+    uint32_t machine; /* index of the receiver */
     uint64_t fencing_token;
     bool has_launches; /* launches are among the commands */
     long status;       /* HTTP status; 0: no answer; or BD_DIRECT_NOT_SENT */
@@ -182,11 +182,11 @@
     size_t len;
 };
 
-/* One event. The queue owns it once it is posted, and the owner thread once it is taken. It owns
- * all that it points to, except requests. */
+/* One event. Once posted, it belongs to the queue; once taken, to the owner thread. An event owns
+ * all that its fields point to, except requests. */
 struct bd_event {
     enum bd_event_kind kind;
-    struct timespec queued_at; /* when it was posted; zero: the owner thread was not woken */
+    struct timespec queued_at; /* when bd_event_post queued it; zero: queued otherwise */
     union {
         /* USER_SUBMIT, USER_STATUS, USER_CANCEL, HEARTBEAT */
         struct bd_event_api_request api_request;
@@ -196,7 +196,7 @@
         struct bd_event_delegate_txn delegate_txn;
         struct bd_event_refresh refresh;
         struct bd_event_list_page page;
-        struct bd_event_records records; /* DELEGATE_RECORDS, DRAIN_RECORDS */
+        struct bd_event_records records; /* DELEGATE_RECORDS_READ, DRAIN_RECORDS_READ */
         struct bd_event_leader leader;
         struct bd_event_acquired acquired;
         struct bd_event_renewed renewed;
@@ -215,7 +215,7 @@
 void bd_event_free(struct bd_event *event);
 /* Posts the event to the owner thread. Blocks while the queue is full. */
 void bd_event_post(struct bd_node *node, struct bd_event *event);
-/* Posts an event that is not urgent: it does not wake the owner thread, which handles it before the
- * next event that does. */
+/* Posts an event that is not urgent: the owner thread is not woken, and handles the event when it
+ * next wakes. If the queue is full, posts as bd_event_post does. */
 void bd_event_post_without_wakeup(struct bd_node *node, struct bd_event *event);
 #endif
--- a/src/adapters/kv_client_internal.h
+++ b/src/adapters/kv_client_internal.h
@@ -17,9 +17,9 @@
 #define BD_KV_TIMEOUT_S 1.5
 #define BD_KV_RETRY_S 0.25 /* pause after a failed call */
 
-/* Reads one page of the pairs whose keys have the prefix, starting after the key `after`, which is
- * set to the page's last key. *has_more: whether another page follows. NULL: the call failed. The
- * caller releases the page. */
+/* Reads one page of the pairs whose keys have the prefix, starting after the key `after` (empty:
+ * from the first), which is set to the page's last key. *has_more: whether another page follows.
+ * NULL: the call failed. The caller releases the page. */
 json_t *bd_kv_list_page(const struct bd_node *node, struct bd_http *http, const char *prefix,
                         char *after, size_t after_capacity, bool *has_more);
 
--- a/src/adapters/kv_leader_writer.c
+++ b/src/adapters/kv_leader_writer.c
@@ -35,10 +35,10 @@
     int rate_exceeded_count; /* consecutive answers BD_KV_RATE_EXCEEDED */
 };
 
-/* The commit sequence compared with a transaction. */
+/* What the commit sequence in the store shows about a transaction. */
 enum sequence_state {
     SEQUENCE_UNKNOWN, /* the store did not answer */
-    SEQUENCE_DIFFERS, /* counts as: the transaction was not applied */
+    SEQUENCE_DIFFERS, /* the transaction is taken as not applied */
     SEQUENCE_OF_TXN   /* the transaction was applied */
 };
 
@@ -96,7 +96,7 @@
     }
 }
 
-static enum bd_txn_outcome judge_conflict(struct attempt *attempt, json_t *answer)
+static enum bd_txn_outcome outcome_of_conflict(struct attempt *attempt, json_t *answer)
 {
     json_t *failed = bd_wire_read_failed_compares(answer);
     enum bd_txn_outcome outcome = BD_TXN_CONFLICT;
@@ -109,7 +109,7 @@
     return outcome;
 }
 
-static enum bd_txn_outcome judge_rejection(struct attempt *attempt, json_t *answer)
+static enum bd_txn_outcome outcome_of_rejection(struct attempt *attempt, json_t *answer)
 {
     if (bd_wire_is_grant_missing(answer)) {
         /* this node was partitioned or suspended for longer than the grant's TTL */
@@ -126,7 +126,7 @@
 /* A transaction with more changes than the store allows in a second would exceed the rate forever.
  * After RATE_EXCEEDED_MAX answers it is therefore reported as a conflict, to be rebuilt,
  * provided that no copy of it was applied. */
-static enum bd_txn_outcome judge_no_answer(struct attempt *attempt, long status)
+static enum bd_txn_outcome outcome_of_failed_call(struct attempt *attempt, long status)
 {
     if (!atomic_load(&attempt->node->is_leading))
         return BD_TXN_DEPOSED;
@@ -157,13 +157,13 @@
         outcome = BD_TXN_COMMITTED;
         break;
     case BD_KV_CONFLICT:
-        outcome = judge_conflict(attempt, answer);
+        outcome = outcome_of_conflict(attempt, answer);
         break;
     case BD_KV_REJECTED:
-        outcome = judge_rejection(attempt, answer);
+        outcome = outcome_of_rejection(attempt, answer);
         break;
     default:
-        outcome = judge_no_answer(attempt, status);
+        outcome = outcome_of_failed_call(attempt, status);
     }
     json_decref(answer);
     return outcome;
--- a/src/adapters/kv_reader.c
+++ b/src/adapters/kv_reader.c
@@ -125,8 +125,8 @@
 }
 
 /* The drains' own records are few, and read each time. The records of their machines are read only
- * when the owner thread needs them. They are read after the drains' records, so that the
- * machines of every listed drain are included. */
+ * when the owner thread needs them, and after the drains' records, so that the machines of every
+ * listed drain are included. */
 static void read_drains(const struct reader *reader)
 {
     struct bd_event *event = bd_event_new(BD_EVENT_DRAIN_RECORDS_READ);
@@ -160,8 +160,8 @@
         read_drains(reader);
 }
 
-/* Waits until the next refresh is due. A read that waits for a barrier makes it due after the
- * minimum interval; otherwise one wait covers both intervals. */
+/* Waits until the next refresh is due: after the minimum interval if a read waits for a barrier or
+ * the reader is woken, otherwise after both intervals. */
 static void wait_for_refresh(struct bd_node *node)
 {
     void *wakeup;
--- a/src/adapters/node.h
+++ b/src/adapters/node.h
@@ -49,9 +49,9 @@
     atomic_bool are_machine_types_known;
     atomic_ullong replica_revision;   /* the store's revision up to which the replica is complete */
     atomic_bool is_barrier_requested; /* a read waits for a refresh that is not sent yet */
-    atomic_bool needs_drain_machine_records; /* the reader must read them */
-    atomic_bool step_down_requested;         /* of the election: the term is over */
-    atomic_bool must_revoke_grant; /* set with step_down_requested if the grant is valid */
+    atomic_bool needs_drain_machine_records; /* for the key-value store's reader */
+    atomic_bool step_down_requested;         /* for the election: the term is over */
+    atomic_bool must_revoke_grant; /* with step_down_requested: this node's grant is still valid */
 
     /* ---- shared by the key-value store's reader with the owner thread and the election ---- */
     atomic_bool is_page_pending;    /* a page of the jobs' records is posted and not applied yet */
--- a/src/adapters/peer_listener.c
+++ b/src/adapters/peer_listener.c
@@ -27,7 +27,7 @@
 
 #define IDLE_TIMEOUT_S 20.0  /* a connection that receives nothing for this time is closed */
 #define POLL_TIMEOUT_MS 2000 /* between checks for idle connections */
-#define CONNECTIONS_MAX (2 * BD_PEERS_MAX + 8) /* a new connection overlaps the old one */
+#define CONNECTIONS_MAX (2 * BD_PEERS_MAX + 8) /* a peer's new connection overlaps its old one */
 #define BUFFER_BYTES_MIN 4096
 #define STACK_BYTES 131072
 
@@ -36,7 +36,7 @@
     int fd; /* -1: unused */
     unsigned char *buffer;
     size_t len, capacity; /* of the buffer: bytes received and not parsed yet; bytes allocated */
-    struct timespec received_at;
+    struct timespec received_at; /* of the last bytes; before any, when it was accepted */
     /* contents of the last peer status received */
     uint64_t status_term;
     uint8_t status_flags;
@@ -59,9 +59,10 @@
     connection->fd = -1;
 }
 
-/* Whether the frame shows that its sender's status is unchanged. The owner thread is not woken for
- * such a frame: its decisions depend on when the frame was received, not on when it is handled. */
-static bool is_unchanged_status(struct connection *connection, const struct bd_frame *frame)
+/* Whether the owner thread need not be woken for the frame: job progress, or an unchanged status.
+ * Decisions depend on when such a status was received, not on when it is handled. Stores a changed
+ * status in the connection. */
+static bool can_post_without_wakeup(struct connection *connection, const struct bd_frame *frame)
 {
     if (frame->type == BD_FRAME_JOB_PROGRESS)
         return true; /* only for display */
@@ -90,11 +91,11 @@
         event->peer_frame.text = strndup(frame->text, frame->len);
         event->peer_frame.len = frame->len;
     }
-    bool is_queued = is_unchanged_status(connection, frame)
+    bool is_queued = can_post_without_wakeup(connection, frame)
                          ? bd_queue_put_without_wakeup(&node->events, event)
                          : bd_queue_put(&node->events, event);
     if (!is_queued)
-        bd_event_free(event); /* peers repeat their status, and requests have deadlines */
+        bd_event_free(event); /* harmless: peers repeat their status, and requests have deadlines */
 }
 
 /* Makes space for received bytes. False: out of memory, or the buffer is full at the size of the
--- a/src/adapters/peer_traffic.h
+++ b/src/adapters/peer_traffic.h
@@ -1,4 +1,4 @@
-/* The kind of traffic as which the metrics count a frame. Used by both sides of the transport. */
+/* Classifies a frame for the traffic metrics. Used by both sides of the transport. */
 #ifndef BD_PEER_TRAFFIC_H
 #define BD_PEER_TRAFFIC_H
 #include "base/metrics.h"
--- a/src/adapters/peer_transport.c
+++ b/src/adapters/peer_transport.c
@@ -140,8 +140,8 @@
 {
     struct bd_node *node = link->node;
     uint32_t first = 0;
-    bool more = true;
-    while (more) {
+    bool has_more = true;
+    while (has_more) {
         (void)pthread_mutex_lock(&node->status_lock);
         memset(frame, 0, sizeof *frame);
         frame->type = BD_FRAME_JOB_PROGRESS;
@@ -151,7 +151,7 @@
             frame->count++;
         }
         (void)pthread_mutex_unlock(&node->status_lock);
-        more = frame->count > 0 && append_frame(link, frame);
+        has_more = frame->count > 0 && append_frame(link, frame);
         first += frame->count;
     }
 }
@@ -229,14 +229,14 @@
 static bool replace_connection(struct bd_peer_link *link, int fd)
 {
     (void)pthread_mutex_lock(&link->lock);
-    bool is_first = link->fd < 0 && fd >= 0;
+    bool is_newly_connected = link->fd < 0 && fd >= 0;
     flush_outbox(link, BD_TRAFFIC_FORWARD);
     disconnect(link);
     link->fd = fd;
     (void)pthread_mutex_unlock(&link->lock);
     if (fd >= 0)
         bd_count_connections(bd_metrics_counter(link->node->metrics, BD_TRAFFIC_PEER_STATUS), 1);
-    return is_first;
+    return is_newly_connected;
 }
 
 /* The function of one peer's connecting thread. A connection can be broken for minutes without an
--- a/src/adapters/peer_transport.h
+++ b/src/adapters/peer_transport.h
@@ -1,5 +1,5 @@
-/* Connections between controllers. Each controller opens a connection to every peer and writes its
- * frames to it. It reads frames from the connections that the peers opened (peer_listener.c).
+/* Connections between controllers. Each controller opens a connection to every peer and sends its
+ * frames on it. Frames are received on the connections that the peers opened (peer_listener.c).
  * Correctness never depends on these frames: they only shorten outages.
  *
  * Threads, which live as long as the process: one accepts connections and reads frames, one sends
--- a/src/adapters/worker_client.c
+++ b/src/adapters/worker_client.c
@@ -18,10 +18,10 @@
 #include <stdlib.h>
 
 #define CALL_TIMEOUT_S 1.5
-#define STALLED_AFTER_S 0.1 /* a sender that waits longer for an answer gets no new commands */
+#define STALLED_AFTER_S 0.1 /* a sender that waits longer for an answer counts as stalled */
 #define SENDERS_MIN 6
 #define SENDERS_MAX 64
-#define SOCKETS_PER_SENDER 80 /* more senders in larger fleets: each hanging worker stalls one */
+#define SOCKETS_PER_SENDER 80 /* larger fleets need more: each hanging worker stalls a sender */
 #define OUTGOING_SHARE 0.35   /* of all sockets, for connections that this process opens */
 #define POOLED_CONNECTIONS_MIN 4
 #define QUEUE_CAPACITY 1024
--- a/src/drain/drain.h
+++ b/src/drain/drain.h
@@ -64,7 +64,7 @@
 struct bd_drain_write {
     char key[BD_LABEL_BYTES + 32];
     json_t *value;     /* NULL: the key is deleted */
-    uint64_t revision; /* the write requires the key to have it; 0: no condition */
+    uint64_t revision; /* the key must have this revision; 0: no condition */
     size_t bytes;      /* size of the value, or an upper bound */
 };
 /* Returns the next write that is due; the caller owns out->value. False: no write is due. */
@@ -85,7 +85,8 @@
 /* Copies the leader's view of a drain's machine. False: the drain has no such machine. */
 bool bd_drain_copy_entry(const struct bd_core *core, const char *drain, const char *machine,
                          struct bd_drain_machine *out);
-/* Calls `visit` with the spec of each task on machines that wait for free capacity elsewhere. */
+/* Calls `visit` with the spec of each task on the machines that wait for free capacity elsewhere,
+ * but for no more machines than a step may have. */
 void bd_drain_visit_demand(struct bd_core *core,
                            void (*visit)(void *arg, const struct bd_spec *spec), void *arg);
 
--- a/src/drain/drain_internal.h
+++ b/src/drain/drain_internal.h
@@ -37,7 +37,7 @@
     bool is_over;        /* all machines are final: the state `done` must be written */
     bool done_in_flight; /* the transaction in flight writes the state `done` */
     bool is_stale;       /* the store may have a newer record: `done` waits for a listing */
-    /* Records deleted after record_retention_s: the parts first, then the drain's own record. */
+    /* Number of records deleted after record_retention_s: parts first, then the drain's record. */
     uint32_t records_deleted;
     uint32_t deletions_in_flight; /* in the transaction in flight */
 };
@@ -56,7 +56,7 @@
 
 /* ---- entry.c: the machine entries of drains ---- */
 
-/* Iterates over the entries of all open drains that are not final, in the order of the drains'
+/* Iterates over the entries of all open drains, except final entries, in the order of the drains'
  * names. */
 struct bd_drain_iterator {
     struct bd_drain *drain; /* drain of the last returned entry */
@@ -119,7 +119,7 @@
 
 /* ---- candidate.c: budgets that emptying a machine takes ---- */
 
-/* How many tasks of a budget a step would stop. */
+/* How many tasks that count towards a budget stop if a machine is emptied. */
 struct bd_budget_need {
     uint32_t budget, tasks;
     uint32_t largest_group; /* most tasks that stop together: a gang, or a single task */
--- a/src/drain/drain_record.h
+++ b/src/drain/drain_record.h
@@ -30,7 +30,7 @@
     BD_STAGE_WAITING,  /* it waits for a step; enum bd_drain_wait says why */
     BD_STAGE_STOPPING, /* its tasks are being stopped */
     BD_STAGE_EMPTY,    /* no task is left on it */
-    BD_STAGE_REPLACED, /* its replacement is up and runs tasks */
+    BD_STAGE_REPLACED, /* its replacement is up and runs tasks, or no task is down */
     BD_STAGE_RETURNED, /* it was scaled in */
     BD_STAGE_FAILED,   /* it was lost before it was empty */
     BD_STAGES
@@ -102,7 +102,7 @@
 bool bd_drain_part_decode(json_t *value, struct bd_drain_machine **machines, uint32_t *nmachines);
 /* How many machines a part may hold so that it fits into a value in every stage of the machines. */
 uint32_t bd_drain_part_machines_max(const struct bd_settings *settings, size_t kv_value_bytes_max,
-                                    size_t longest_id);
+                                    size_t longest_id_len);
 /* Writes the key of a part into a buffer of `capacity` bytes. */
 void bd_drain_part_key(char *key, size_t capacity, const char *machine_set_id, uint32_t part);
 #endif
--- a/src/drain/drain_rules.h
+++ b/src/drain/drain_rules.h
@@ -33,7 +33,7 @@
     char admin_addr[BD_NAME_BYTES]; /* HOST:PORT; empty: no administration API */
     uint32_t machines_in_step;      /* maximum at a time */
     double stop_timeout_s;          /* from the request to stop a task until a forced stop */
-    double completion_timeout_s;    /* for arrays, and gangs without checkpoints, to finish first */
+    double completion_timeout_s;    /* from the drain's request, for tasks that should finish */
     double replacement_timeout_s;   /* a replacement that is not up by then is abandoned */
     double record_retention_s;      /* from a drain's end until its records are deleted */
     enum bd_drain_planner planner;
--- a/src/drain/machine_stage.c
+++ b/src/drain/machine_stage.c
@@ -26,8 +26,8 @@
            bd_seconds_between(core->drains->leadership_acquired_at, core->now) > delay_s;
 }
 
-static void finish_gone_machine(struct bd_core *core, struct bd_drain *drain,
-                                struct bd_drain_machine *entry)
+static void finish_missing_machine(struct bd_core *core, struct bd_drain *drain,
+                                   struct bd_drain_machine *entry)
 {
     bool was_empty = entry->stage == BD_STAGE_EMPTY || entry->stage == BD_STAGE_REPLACED;
     set_stage(core, drain, entry, was_empty ? BD_STAGE_RETURNED : BD_STAGE_FAILED,
@@ -98,7 +98,7 @@
 {
     const struct bd_machine *machine = entry->machine;
     if (machine ? machine->terminated : inventory_is_complete(core)) {
-        finish_gone_machine(core, drain, entry);
+        finish_missing_machine(core, drain, entry);
         return;
     }
     if (!machine || !machine->has_seen_term || bd_drain_entry_is_mirror(core, entry))
--- a/src/drain/ownership.c
+++ b/src/drain/ownership.c
@@ -38,7 +38,7 @@
         replacement->kept_for_drain = true;
 }
 
-/* Cordons the entry's machine. The first entry of a machine controls it. */
+/* Cordons the entry's machine. Of several entries of a machine, the first controls the machine. */
 static void claim_machine(struct bd_core *core, const struct bd_drain *drain,
                           struct bd_drain_machine *entry)
 {
--- a/src/drain/record.c
+++ b/src/drain/record.c
@@ -12,7 +12,7 @@
 /* By how much the id of a replacement may exceed the longest id of the drain's machines. */
 #define REPLACEMENT_EXTRA_BYTES 8u
 
-/* Names in records and in API responses. */
+/* Stored in records; shown in API responses and in the log. */
 static const char *const stage_names[BD_STAGES] = {
     [BD_STAGE_CORDONED] = "cordoned", [BD_STAGE_WAITING] = "waiting",
     [BD_STAGE_STOPPING] = "stopping", [BD_STAGE_EMPTY] = "empty",
@@ -180,14 +180,15 @@
 }
 
 uint32_t bd_drain_part_machines_max(const struct bd_settings *settings, size_t kv_value_bytes_max,
-                                    size_t longest_id)
+                                    size_t longest_id_len)
 {
-    size_t longest_team = 0;
+    size_t longest_team_len = 0;
     for (int i = 0; i < settings->nteams; i++) {
         size_t length = strlen(settings->teams[i].name);
-        longest_team = length > longest_team ? length : longest_team;
+        longest_team_len = length > longest_team_len ? length : longest_team_len;
     }
-    size_t machine_bytes = MACHINE_BYTES + 2 * longest_id + REPLACEMENT_EXTRA_BYTES + longest_team;
+    size_t machine_bytes =
+        MACHINE_BYTES + 2 * longest_id_len + REPLACEMENT_EXTRA_BYTES + longest_team_len;
     double bytes = VALUE_SHARE * (double)kv_value_bytes_max - PART_BYTES;
     return bytes < (double)machine_bytes ? 0 : (uint32_t)(bytes / (double)machine_bytes);
 }
--- a/src/drain/record_write.c
+++ b/src/drain/record_write.c
@@ -27,7 +27,7 @@
 }
 
 /* False: the part exceeds the maximum size of a value, which has been lowered. The write is retried
- * later. In a transaction it would cause the rejection of all the leader's writes in it. */
+ * later, because the store would reject the whole transaction of the leader that holds it. */
 static bool write_part(struct bd_core *core, struct bd_drain *drain, uint32_t number,
                        struct bd_drain_write *out)
 {
@@ -73,7 +73,8 @@
     return true;
 }
 
-/* Deletes the records of a drain that ended record_retention_s ago, one by one, its own last. */
+/* Deletes the records of a drain that ended record_retention_s ago, one by one, the drain's own
+ * record last. */
 static bool write_deletion(struct bd_core *core, struct bd_drain *drain, struct bd_drain_write *out)
 {
     if (drain->deletions_in_flight > 0 || drain->records_deleted > drain->record.nparts ||
--- a/src/drain/replacement.c
+++ b/src/drain/replacement.c
@@ -37,7 +37,7 @@
 
 /* ---- whether a replacement is up ---- */
 
-/* NULL: the entry has no replacement, or it is not known yet in this term. */
+/* NULL: the entry has no replacement, or the machine is not known yet in this term. */
 static struct bd_machine *find_replacement(const struct bd_core *core,
                                            const struct bd_drain_machine *entry)
 {
@@ -98,8 +98,8 @@
         entry->replacement_requested_at = core->now;
     const struct bd_machine *machine = find_replacement(core, entry);
     double waited_s = bd_seconds_between(entry->replacement_requested_at, core->now);
-    bool is_up = machine && machine->has_seen_term;
-    bool is_late = waited_s > core->drains->rules->replacement_timeout_s && !is_up;
+    bool has_come_up = machine && machine->has_seen_term;
+    bool is_late = waited_s > core->drains->rules->replacement_timeout_s && !has_come_up;
     if (is_late || replacement_is_lost(machine))
         abandon_replacement(core, drain, entry);
 }
@@ -234,7 +234,7 @@
     int assigned = 0;
     if (!core->drains)
         return;
-    /* drains that were cancelled meanwhile are included */
+    /* also for drains that were cancelled after the request */
     for (struct bd_drain *drain = core->drains->drains; drain; drain = drain->hh.next) {
         for (uint32_t i = 0; drain->is_loaded && i < drain->nmachines; i++) {
             struct bd_drain_machine *entry = &drain->machines[i];
--- a/src/drain/rules_budgets.c
+++ b/src/drain/rules_budgets.c
@@ -34,8 +34,8 @@
                               "needs a whole number of tasks, or a percentage such as 5%");
 }
 
-/* The field that errors about a budget name. */
-static const char *budget_label(const char *team, const char *job_class)
+/* Returns the field to report for an error in a budget. */
+static const char *budget_error_field(const char *team, const char *job_class)
 {
     if (*job_class)
         return job_class;
@@ -50,7 +50,7 @@
     for (uint32_t i = 0; i < rules->nbudgets; i++)
         if (strcmp(rules->budgets[i].team, team) == 0 &&
             strcmp(rules->budgets[i].job_class, job_class) == 0)
-            bd_rules_report_error(reader, budget_label(team, job_class), "is declared twice");
+            bd_rules_report_error(reader, budget_error_field(team, job_class), "is declared twice");
     if (rules->nbudgets == BD_BUDGET_RULES_MAX)
         bd_rules_report_error(reader, "team", "has too many entries");
     if (reader->has_failed)
--- a/src/drain/rules_reader.h
+++ b/src/drain/rules_reader.h
@@ -35,7 +35,7 @@
 /* Reads `(team NAME (down N) (class ...) ...)`. */
 void bd_rules_read_team(struct bd_rules_reader *reader, const sexp_t *entry);
 /* Reads the list of `(down N)` and `(class ...)` of one team. With team "", reads the default
- * budget of the teams without an entry of their own, which has no classes. */
+ * budget of the teams without an entry; the default has no classes. */
 void bd_rules_read_team_fields(struct bd_rules_reader *reader, const sexp_t *entry,
                                const char *team);
 /* Adds the default budget of teams without an entry, unless it was declared. */
--- a/src/drain/solver.c
+++ b/src/drain/solver.c
@@ -22,7 +22,7 @@
     int zone_column[BD_ZONES_MAX]; /* 0: the zone has no column */
     REAL *values;                  /* coefficients of the row that is being built */
     int *columns;                  /* columns of the row that is being built */
-    bool ok;                       /* all calls of the solver have succeeded */
+    bool is_valid;                 /* no row and no objective was refused */
 };
 
 static int __WINAPI is_over_limit(lprec *lp, void *arg)
@@ -34,8 +34,8 @@
 
 static void add_row(struct program *program, int count, double limit)
 {
-    program->ok = program->ok && add_constraintex(program->lp, count, program->values,
-                                                  program->columns, LE, limit);
+    program->is_valid = program->is_valid && add_constraintex(program->lp, count, program->values,
+                                                              program->columns, LE, limit);
 }
 
 /* For each budget: the chosen machines stop no more tasks than remain in it. */
@@ -117,32 +117,32 @@
 static int assign_columns(struct program *program)
 {
     const struct bd_step_problem *problem = program->problem;
-    int columns = (int)problem->ncandidates;
+    int ncolumns = (int)problem->ncandidates;
     for (int zone = 0; zone < BD_ZONES_MAX; zone++)
         for (int other = 0; other < BD_ZONES_MAX; other++)
             if (problem->zones_conflict[zone][other] && program->zone_column[zone] == 0)
-                program->zone_column[zone] = ++columns;
-    return columns;
+                program->zone_column[zone] = ++ncolumns;
+    return ncolumns;
 }
 
-static void set_objective(struct program *program, int columns)
+static void set_objective(struct program *program, int ncolumns)
 {
     const struct bd_step_problem *problem = program->problem;
-    for (int i = 1; i <= columns; i++)
+    for (int i = 1; i <= ncolumns; i++)
         (void)set_binary(program->lp, i, TRUE);
     for (uint32_t i = 0; i < problem->ncandidates; i++) {
         program->columns[i] = (int)i + 1;
         program->values[i] = 1 - TASK_COST * problem->candidates[i].tasks;
     }
-    program->ok = program->ok && set_obj_fnex(program->lp, (int)problem->ncandidates,
-                                              program->values, program->columns);
+    program->is_valid = program->is_valid && set_obj_fnex(program->lp, (int)problem->ncandidates,
+                                                          program->values, program->columns);
     set_maxim(program->lp);
     for (int zone = 0; zone < BD_ZONES_MAX; zone++)
         if (problem->zone_used[zone] && program->zone_column[zone] > 0)
             (void)set_lowbo(program->lp, program->zone_column[zone], 1);
 }
 
-static void build_program(struct program *program, int columns)
+static void build_program(struct program *program, int ncolumns)
 {
     const struct bd_step_problem *problem = program->problem;
     (void)set_add_rowmode(program->lp, TRUE);
@@ -154,7 +154,7 @@
     add_zone_use_rows(program);
     add_zone_conflict_rows(program);
     (void)set_add_rowmode(program->lp, FALSE);
-    set_objective(program, columns);
+    set_objective(program, ncolumns);
     set_verbose(program->lp, NEUTRAL);
     put_abortfunc(program->lp, is_over_limit, program);
 }
@@ -174,17 +174,17 @@
 
 bool bd_step_choose_by_solver(const struct bd_step_problem *problem, roaring_bitmap_t *chosen)
 {
-    struct program program = {.problem = problem, .ok = true};
+    struct program program = {.problem = problem, .is_valid = true};
     if (problem->ncandidates == 0 || problem->ncandidates > BD_STEP_CANDIDATES_MAX)
         return false;
-    int columns = assign_columns(&program);
-    program.lp = make_lp(0, columns);
-    program.values = calloc((size_t)columns + 1, sizeof *program.values);
-    program.columns = calloc((size_t)columns + 1, sizeof *program.columns);
+    int ncolumns = assign_columns(&program);
+    program.lp = make_lp(0, ncolumns);
+    program.values = calloc((size_t)ncolumns + 1, sizeof *program.values);
+    program.columns = calloc((size_t)ncolumns + 1, sizeof *program.columns);
     if (!program.lp || !program.values || !program.columns)
         abort();
-    build_program(&program, columns);
-    bool solved = program.ok && solve_program(&program, chosen);
+    build_program(&program, ncolumns);
+    bool solved = program.is_valid && solve_program(&program, chosen);
     delete_lp(program.lp);
     free(program.values);
     free(program.columns);
--- a/src/drain/step_plan.c
+++ b/src/drain/step_plan.c
@@ -105,8 +105,9 @@
 
 /* ---- candidates ---- */
 
-/* Whether tasks of arrays or of gangs without checkpoints may still finish: a stop would lose their
- * progress. */
+/* Whether the machine has tasks that should finish, because a stop would lose their progress: those
+ * of arrays and gangs without checkpoints. They may run for completion_timeout_s from the drain's
+ * request. */
 static bool has_tasks_to_finish(const struct bd_core *core, const struct bd_drain *drain,
                                 const struct bd_machine *machine)
 {
@@ -249,7 +250,8 @@
 
 void bd_drain_plan_step(struct bd_core *core)
 {
-    /* as leader, such a controller would place tasks on cordoned machines and ignore budgets */
+    /* as leader, a controller without the feature would place tasks on cordoned machines and
+     * ignore budgets */
     if (bd_peer_lacks_feature(core, BD_PEER_SUPPORTS_DRAINS)) {
         set_all_waiting(core, BD_DRAIN_WAIT_OLDER_CONTROLLER);
         return;
--- a/src/drain/step_stop.c
+++ b/src/drain/step_stop.c
@@ -1,6 +1,6 @@
 /* Execution of a recorded step: stops the tasks of its machines, as far as the disruption budgets
  * allow. The transaction that writes the record is conditional on the term, so that a leader that
- * was frozen past its lease stops nothing. Part of the pure core. */
+ * was suspended for longer than its lease stops nothing. Part of the pure core. */
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "drain/drain_internal.h"
@@ -12,8 +12,8 @@
 #include "model/task.h"
 #include "model/task_state.h"
 
-/* Returns the budget that does not allow the task, and those that stop with it, to be stopped now,
- * or NULL. */
+/* Returns a budget that does not allow a stop of the task and of the tasks that stop with it. NULL:
+ * there is none. */
 static const struct bd_budget *exceeded_budget(struct bd_core *core,
                                                const struct bd_reservation *reservation)
 {
--- a/src/drain/summary_log.c
+++ b/src/drain/summary_log.c
@@ -8,7 +8,6 @@
 
 #define SUMMARY_INTERVAL_S 20.0
 
-/* The wait reason of most waiting machines. */
 static enum bd_drain_wait most_frequent_wait(const uint32_t *waits)
 {
     uint32_t most_frequent = 0;
--- a/src/runtime/controller.c
+++ b/src/runtime/controller.c
@@ -30,8 +30,8 @@
 #define USER_TXN_QUEUE_CAPACITY 64
 #define CLOUD_QUEUE_CAPACITY 64
 #define READER_QUEUE_CAPACITY 4
-#define LEADER_TTL_SHARE 0.2       /* of the worker lease, so that a failover fits into one */
-#define LEADER_TTL_MIN_S 2.0       /* tolerates several slow responses of the key-value store */
+#define LEADER_TTL_SHARE 0.2       /* of the worker lease, within which a failover must end */
+#define LEADER_TTL_MIN_S 2.0       /* tolerates several slow answers of the key-value store */
 #define LEADER_TTL_MAX_S 2.5       /* bounds the duration of a failover */
 #define HEARTBEAT_CACHE_SHARE 0.08 /* of the process's memory limit */
 #define BYTES_PER_MB 1048576.0
@@ -41,12 +41,12 @@
 {
     if (!bd_time_is_zero(settings->leader_ttl))
         return;
-    double ttl = bd_to_secs(settings->worker_lease) * LEADER_TTL_SHARE;
-    if (ttl < LEADER_TTL_MIN_S)
-        ttl = LEADER_TTL_MIN_S;
-    if (ttl > LEADER_TTL_MAX_S)
-        ttl = LEADER_TTL_MAX_S;
-    settings->leader_ttl = bd_secs(ttl);
+    double ttl_s = bd_to_secs(settings->worker_lease) * LEADER_TTL_SHARE;
+    if (ttl_s < LEADER_TTL_MIN_S)
+        ttl_s = LEADER_TTL_MIN_S;
+    if (ttl_s > LEADER_TTL_MAX_S)
+        ttl_s = LEADER_TTL_MAX_S;
+    settings->leader_ttl = bd_secs(ttl_s);
 }
 
 struct bd_node *bd_controller_new(const struct bd_settings *settings, enum bd_log_level level)
@@ -71,8 +71,8 @@
     return 0;
 }
 
-/* Seeds the ids that peers echo to this controller: they must differ from those of its previous
- * process. */
+/* Returns a seed for the ids that peers echo to this controller. The ids must differ from those of
+ * its previous process. */
 static uint64_t random_seed(void)
 {
     uint64_t seed = 0;
--- a/src/runtime/effect_dispatch.c
+++ b/src/runtime/effect_dispatch.c
@@ -32,7 +32,7 @@
     }
 }
 
-/* A heartbeat to the leader, or the reply to one. */
+/* Sends a heartbeat to the leader, or the reply to a forwarded heartbeat to its peer. */
 static void send_to_peer(struct bd_node *node, const struct bd_effect *effect)
 {
     struct bd_frame frame;
@@ -48,8 +48,8 @@
         bd_log_write(&node->log, BD_LOG_DEBUG, "frame to a peer dropped");
 }
 
-/* Sends the cancellation to all peers that support the frame. The others learn of it from the job's
- * record. */
+/* Sends the cancellation to all peers that support the frame. The other peers read it from the
+ * job's record. */
 static void announce_cancellation(struct bd_node *node, const char *job_id)
 {
     struct bd_frame frame;
@@ -84,7 +84,7 @@
     bd_effect_free(effect);
 }
 
-/* A lookup that cannot be queued is completed as one without a response. */
+/* A lookup that cannot be queued is completed as if the store had not answered. */
 static void look_up_job(struct bd_node *node, struct bd_effect *effect)
 {
     if (bd_queue_put(&node->user_txns, effect))
--- a/src/runtime/event_apply.c
+++ b/src/runtime/event_apply.c
@@ -69,7 +69,7 @@
                           txn->status, txn->store_revision);
 }
 
-/* Applies a job lookup. A malformed record counts as no response. */
+/* A malformed record counts as no answer. */
 static void apply_job_lookup(struct bd_node *node, const struct bd_event *event)
 {
     struct bd_kv_change change;
@@ -87,7 +87,7 @@
     struct bd_core *core = node->core;
     bd_metrics_record_duration(node->metrics, BD_TIMING_COMMIT,
                                bd_seconds_between(node->commit_queued_at, core->now));
-    /* the outcome of an earlier term's transaction is ignored */
+    /* only the outcome of this term's newest transaction counts */
     const struct bd_event_leader_txn *txn = &event->leader_txn;
     if (txn->term == core->lead.base_term && txn->sequence == core->lead.sequence)
         bd_core_leader_txn_completed(core, txn->outcome, txn->store_revision,
@@ -228,12 +228,12 @@
 }
 
 static void apply_peer_status(struct bd_core *core, const struct bd_frame *frame,
-                              struct timespec received)
+                              struct timespec received_at)
 {
     double kv_age_s = frame->kv_age_ms / 1000.0;
     double sent_wall_s = (double)frame->wall_clock_ms / 1000.0;
     bd_peer_status_received(core, frame->sender, frame->term, frame->flags, kv_age_s, sent_wall_s,
-                            received);
+                            received_at);
 }
 
 static void apply_peer_frame(struct bd_node *node, const struct bd_event *event)
--- a/src/runtime/operators_file.c
+++ b/src/runtime/operators_file.c
@@ -1,4 +1,4 @@
-/* The operators' own settings (S-expressions). */
+/* Reads the operators' settings file (S-expressions). */
 #include "base/timeutil.h"
 #include "brambledoor/settings.h"
 #include "drain/drain.h"
@@ -35,7 +35,7 @@
     char *end = NULL;
     double number = strtod(value, &end);
     if (end == value || *end || !isfinite(number) || number < 0)
-        bd_settings_record_error(reader, name, "must be a number of at least 0");
+        bd_settings_report_error(reader, name, "must be a number of at least 0");
     else if (strcmp(name, "leader-ttl-s") == 0)
         settings->leader_ttl = bd_secs(number);
     else if (strcmp(name, "spare-share") == 0)
@@ -43,21 +43,21 @@
     else if (strcmp(name, "idle-boots") == 0)
         settings->idle_boot_times = number;
     else
-        bd_settings_record_error(reader, name, "unknown field");
+        bd_settings_report_error(reader, name, "unknown field");
 }
 
-/* Reads (draining (name value) ...). */
+/* Reads the entry (draining ...); see drain/drain_rules.h. */
 static void read_draining(struct bd_settings_reader *reader, struct bd_settings *settings,
                           sexp_t *fields)
 {
-    struct bd_drain_rules_error fault = {"", ""};
+    struct bd_drain_rules_error error = {"", ""};
     if (settings->draining) {
-        bd_settings_record_error(reader, "draining", "must occur only once");
+        bd_settings_report_error(reader, "draining", "must occur only once");
         return;
     }
-    settings->draining = bd_drain_rules_read(settings, fields, &fault);
+    settings->draining = bd_drain_rules_read(settings, fields, &error);
     if (!settings->draining)
-        bd_settings_record_error(reader, fault.field, fault.message);
+        bd_settings_report_error(reader, error.field, error.message);
 }
 
 /* Reads this entry and all that follow it. A (name value) pair may be at the top level or inside a
@@ -65,9 +65,9 @@
 static void read_pairs(struct bd_settings_reader *reader, struct bd_settings *settings,
                        sexp_t *entry)
 {
-    for (; entry && !reader->failed; entry = entry->next) {
+    for (; entry && !reader->has_failed; entry = entry->next) {
         if (entry->ty != SEXP_LIST || !entry->list || entry->list->ty != SEXP_VALUE) {
-            bd_settings_record_error(reader, "entry", "must have the form (name value)");
+            bd_settings_report_error(reader, "entry", "must have the form (name value)");
             return;
         }
         const char *name = entry->list->val;
@@ -77,7 +77,7 @@
         else if (strcmp(name, "draining") == 0)
             read_draining(reader, settings, value);
         else if (!value || value->ty != SEXP_VALUE || value->next)
-            bd_settings_record_error(reader, name, "must have the form (name value)");
+            bd_settings_report_error(reader, name, "must have the form (name value)");
         else
             read_field(reader, settings, name, value->val);
     }
@@ -105,7 +105,7 @@
         read_pairs(reader, settings, list->list);
         destroy_sexp(list);
     } else {
-        bd_settings_record_error(reader, "file", "is not a well-formed S-expression");
+        bd_settings_report_error(reader, "file", "is not a well-formed S-expression");
     }
     sexp_cleanup();
     free(wrapped);
@@ -119,7 +119,7 @@
     if (content)
         read_content(&reader, settings, content);
     else
-        bd_settings_record_error(&reader, "file", "cannot be read");
+        bd_settings_report_error(&reader, "file", "cannot be read");
     free(content);
-    return reader.failed ? -1 : 0;
+    return reader.has_failed ? -1 : 0;
 }
--- a/src/runtime/peer_status.c
+++ b/src/runtime/peer_status.c
@@ -13,12 +13,12 @@
 #include <string.h>
 
 #define STATUS_INTERVAL_S 0.3
-#define KV_AGE_MAX_S 1.0 /* the store counts as reachable if its last response is younger */
-#define AGE_MAX_S 1e6    /* the age of an older response is sent as UNKNOWN_AGE_MS */
+#define KV_AGE_MAX_S 1.0 /* the store counts as reachable if its last answer is younger */
+#define AGE_MAX_S 1e6    /* the age of an older answer is sent as UNKNOWN_AGE_MS */
 #define UNKNOWN_AGE_MS 1000000000u
 #define PROGRESS_CAPACITY_MIN 64u
 
-/* Adds the job's task counts. Without memory the job is left out. */
+/* Adds the job's task counts. If out of memory, leaves the job out. */
 static void add_progress(struct bd_node *node, const struct bd_job *job)
 {
     if (node->job_progress_count == node->job_progress_capacity) {
--- a/src/runtime/peer_status.h
+++ b/src/runtime/peer_status.h
@@ -5,7 +5,7 @@
 
 struct bd_node;
 
-/* Updates the status frame and, as leader, the jobs' task counts at intervals. The transport's
- * status thread sends them. Owner thread only. */
+/* Updates the status frame and, as leader, the jobs' task counts at intervals, for the
+ * transport's status thread to send. Owner thread only. */
 void bd_peer_status_update(struct bd_node *node);
 #endif
--- a/src/runtime/settings.c
+++ b/src/runtime/settings.c
@@ -12,7 +12,7 @@
 
 /* A controller cannot serve with less: the program alone takes about 4 MB, and peers, the key-value
  * store, the cloud and commands to workers need about 70 sockets. */
-#define CPU_MIN 0.002
+#define CPU_CORES_MIN 0.002
 #define RAM_MB_MIN 8.0
 #define SOCKETS_MIN 128.0
 #define HEADROOM_SHARE_DEFAULT 1.6
@@ -28,13 +28,13 @@
 #define BYTES_PER_KB 1024
 #define MS_PER_S 1000.0
 
-void bd_settings_record_error(struct bd_settings_reader *reader, const char *field,
-                              const char *reason)
+void bd_settings_report_error(struct bd_settings_reader *reader, const char *field,
+                              const char *message)
 {
-    if (reader->failed)
+    if (reader->has_failed)
         return;
-    reader->failed = true;
-    snprintf(reader->err, reader->errlen, "%s: %s: %s", reader->path, field, reason);
+    reader->has_failed = true;
+    snprintf(reader->err, reader->errlen, "%s: %s: %s", reader->path, field, message);
 }
 
 /* ---- fields of an object: a missing or malformed one is an error ---- */
@@ -45,9 +45,9 @@
 {
     const char *text = json_string_value(json_object_get(object, key));
     if (!text || !*text)
-        bd_settings_record_error(reader, key, "must be a non-empty string");
+        bd_settings_report_error(reader, key, "must be a non-empty string");
     else if (strlen(text) >= BD_NAME_BYTES)
-        bd_settings_record_error(reader, key, "is too long");
+        bd_settings_report_error(reader, key, "is too long");
     else
         strcpy(out, text);
 }
@@ -58,9 +58,9 @@
     const json_t *value = json_object_get(object, key);
     double number = json_number_value(value);
     if (!json_is_number(value) || !isfinite(number))
-        bd_settings_record_error(reader, key, "must be a number");
+        bd_settings_report_error(reader, key, "must be a number");
     else if (number < min)
-        bd_settings_record_error(reader, key, "is too small");
+        bd_settings_report_error(reader, key, "is too small");
     return number;
 }
 
@@ -75,7 +75,7 @@
 {
     json_t *value = json_object_get(object, key);
     if (!json_is_object(value))
-        bd_settings_record_error(reader, key, "must be an object");
+        bd_settings_report_error(reader, key, "must be an object");
     return value;
 }
 
@@ -85,9 +85,9 @@
 {
     json_t *value = json_object_get(object, key);
     if (!json_is_array(value))
-        bd_settings_record_error(reader, key, "must be a list");
+        bd_settings_report_error(reader, key, "must be a list");
     else if (json_array_size(value) > max)
-        bd_settings_record_error(reader, key, "has too many entries");
+        bd_settings_report_error(reader, key, "has too many entries");
     return value;
 }
 
@@ -99,7 +99,7 @@
     json_t *peers = read_list(reader, root, "others", BD_PEERS_MAX);
     json_t *entry;
     size_t i;
-    if (reader->failed)
+    if (reader->has_failed)
         return;
     json_array_foreach(peers, i, entry)
     {
@@ -117,7 +117,7 @@
     json_t *teams = read_list(reader, facts, "teams", BD_TEAMS_MAX);
     json_t *entry;
     size_t i;
-    if (reader->failed)
+    if (reader->has_failed)
         return;
     json_array_foreach(teams, i, entry)
     {
@@ -150,7 +150,7 @@
     json_t *entry;
     size_t i;
     if (json_array_size(objectives) > BD_SLOS_MAX)
-        bd_settings_record_error(reader, "objectives", "has too many entries");
+        bd_settings_report_error(reader, "objectives", "has too many entries");
     json_array_foreach(objectives, i, entry)
     {
         if (settings->nslos == BD_SLOS_MAX)
@@ -171,13 +171,13 @@
     json_t *zones = read_list(reader, facts, "zones", BD_ZONES_MAX);
     json_t *entry;
     size_t i;
-    if (reader->failed)
+    if (reader->has_failed)
         return;
     json_array_foreach(zones, i, entry)
     {
         const char *zone = json_string_value(entry);
         if (!zone || strlen(zone) >= BD_NAME_BYTES)
-            bd_settings_record_error(reader, "zones", "must contain only short strings");
+            bd_settings_report_error(reader, "zones", "must contain only short strings");
         else
             strcpy(settings->zones[i], zone);
         settings->nzones = (int)i + 1;
@@ -198,7 +198,7 @@
     /* a lease that was renewed just before the cancellation must expire within cancel_s */
     if (bd_to_secs(settings->cancellation_limit) <
         bd_to_secs(settings->worker_lease) + CANCEL_MARGIN_S)
-        bd_settings_record_error(reader, "cancel_s",
+        bd_settings_report_error(reader, "cancel_s",
                                  "must be at least a second longer than lease_s");
 }
 
@@ -212,7 +212,7 @@
     if (!next || json_is_null(next))
         return limit;
     if (!json_is_object(next))
-        bd_settings_record_error(reader, "next", "must be an object");
+        bd_settings_report_error(reader, "next", "must be an object");
     const json_t *next_limit = json_object_get(next, key);
     if (!next_limit || json_is_null(next_limit))
         return limit;
@@ -233,7 +233,7 @@
 static void read_process_limits(struct bd_settings_reader *reader, const json_t *limits,
                                 struct bd_settings *settings)
 {
-    settings->cpu_cores = read_number(reader, limits, "cpu", CPU_MIN);
+    settings->cpu_cores = read_number(reader, limits, "cpu", CPU_CORES_MIN);
     settings->ram_mb = read_number(reader, limits, "ram_mb", RAM_MB_MIN);
     settings->max_sockets = (int)read_number(reader, limits, "max_sockets", SOCKETS_MIN);
 }
@@ -267,7 +267,7 @@
         return -1;
     }
     if (!json_is_object(root))
-        bd_settings_record_error(&reader, "settings", "must be an object");
+        bd_settings_report_error(&reader, "settings", "must be an object");
     read_text(&reader, root, "node_name", settings->node);
     read_text(&reader, root, "location", settings->zone);
     read_text(&reader, root, "front", settings->api_addr);
@@ -277,8 +277,8 @@
     read_text(&reader, external, "cloud", settings->cloud_addr);
     read_text(&reader, external, "state", settings->kv_addr);
     const json_t *facts = read_object(&reader, root, "facts");
-    if (!reader.failed)
+    if (!reader.has_failed)
         read_facts(&reader, facts, settings);
     json_decref(root);
-    return reader.failed ? -1 : 0;
+    return reader.has_failed ? -1 : 0;
 }
--- a/src/runtime/settings_internal.h
+++ b/src/runtime/settings_internal.h
@@ -8,12 +8,12 @@
 /* The state of reading one file, with the first error found in it. */
 struct bd_settings_reader {
     const char *path;
-    char *err; /* the caller's buffer of errlen bytes: holds the message once failed */
+    char *err; /* the caller's buffer of errlen bytes: holds the message if has_failed */
     size_t errlen;
-    bool failed;
+    bool has_failed;
 };
 
-/* Records an error in a field as `FILE: FIELD: reason`, unless one was recorded before. */
-void bd_settings_record_error(struct bd_settings_reader *reader, const char *field,
-                              const char *reason);
+/* Stores the error as `FILE: FIELD: message`, unless one was reported before. */
+void bd_settings_report_error(struct bd_settings_reader *reader, const char *field,
+                              const char *message);
 #endif
