--- a/src/adapters/admin_drain_create.c
+++ b/src/adapters/admin_drain_create.c
@@ -70,8 +70,8 @@
 }
 
 /* Writes the records of the drain's machines, machines_per_part in each record, and as many records
- * in each transaction as its limits allow. Counts the parts in the drain's record. False: a
- * transaction failed. */
+ * in each transaction as the store's limits allow. Sets the number of parts in the drain's record.
+ * False: a transaction failed. */
 static bool write_machines(const struct bd_admin_store *store, struct bd_drain_record *record,
                            const struct bd_drain_machine *machines, uint32_t machines_per_part)
 {
--- a/src/adapters/election.h
+++ b/src/adapters/election.h
@@ -1,10 +1,10 @@
 /* Leader election by one lease: the key `leader` in the key-value store, written on a grant. The
  * key's revision at acquisition is the term.
  *
- * One thread owns all of the election's state. It observes the leader's key and posts it to the
- * owner thread. It acquires the lease if no node holds it, and renews it while this node leads. It
- * reads node->step_down_requested and node->must_revoke_grant, which the runtime sets when the
- * core ends the term. Started by the runtime. */
+ * The election's thread owns all of its state. The thread observes the leader's key and posts the
+ * key to the owner thread. If no node holds the lease, the thread acquires it, and renews it while
+ * this node leads. The thread reads node->step_down_requested and node->must_revoke_grant, which
+ * the runtime sets when the core ends the term. Started by the runtime. */
 #ifndef BD_ELECTION_H
 #define BD_ELECTION_H
 
--- a/src/adapters/event.c
+++ b/src/adapters/event.c
@@ -5,8 +5,8 @@
 #include <jansson.h>
 #include <stdlib.h>
 
-#define QUEUE_FULL_PAUSE_S                                                                         \
-    0.01 /* rare: the API server's limit of pending requests is below the capacity */
+/* Rare, because the API server's limit of pending requests is below the queue's capacity. */
+#define QUEUE_FULL_PAUSE_S 0.01
 
 struct bd_event *bd_event_new(enum bd_event_kind kind)
 {
--- a/src/adapters/event.h
+++ b/src/adapters/event.h
@@ -177,7 +177,7 @@
 /* A frame from a peer. */
 struct bd_event_peer_frame {
     struct timespec received_at;
-    struct bd_frame *frame; /* its text pointer is not valid; see text */
+    struct bd_frame *frame; /* frame->text is not valid; use the field text */
     char *text;             /* the frame's text, null-terminated, or NULL */
     size_t len;
 };
--- a/src/adapters/kv_reader.c
+++ b/src/adapters/kv_reader.c
@@ -28,7 +28,7 @@
 struct reader {
     struct bd_node *node;
     struct bd_http *http;
-    uint64_t revision; /* changes up to this one were read */
+    uint64_t revision; /* changes up to this revision were read */
     bool must_list;    /* all records must be listed before changes can be read */
     struct timespec next_delegates_read_at, next_drains_read_at;
 };
@@ -140,7 +140,7 @@
         bd_event_free(event);
 }
 
-/* Whether the time *next has passed. If so, sets it to an interval from now. */
+/* Whether the time *next has passed. If so, sets *next to an interval from now. */
 static bool is_due(struct timespec *next, double interval_s)
 {
     if (!bd_time_is_before(*next, bd_now()))
--- a/src/adapters/peer_listener.c
+++ b/src/adapters/peer_listener.c
@@ -120,21 +120,21 @@
 static bool post_frames(struct listener *listener, struct connection *connection)
 {
     size_t consumed = 0;
-    long used;
-    while ((used = bd_frame_read(connection->buffer + consumed, connection->len - consumed,
-                                 &listener->frame)) > 0) {
+    long frame_bytes;
+    while ((frame_bytes = bd_frame_read(connection->buffer + consumed, connection->len - consumed,
+                                        &listener->frame)) > 0) {
         bd_count_message(
             bd_metrics_counter(listener->node->metrics, bd_frame_traffic(&listener->frame)), 0,
-            (size_t)used);
+            (size_t)frame_bytes);
         post_frame(listener->node, connection, &listener->frame);
-        consumed += (size_t)used;
+        consumed += (size_t)frame_bytes;
     }
     connection->len -= consumed;
     memmove(connection->buffer, connection->buffer + consumed, connection->len);
-    if (used < 0)
+    if (frame_bytes < 0)
         bd_log_write(&listener->node->log, BD_LOG_ERROR,
                      "malformed frame from a peer; closing the connection");
-    return used == 0;
+    return frame_bytes == 0;
 }
 
 static void read_connection(struct listener *listener, struct connection *connection)
--- a/src/drain/drain.c
+++ b/src/drain/drain.c
@@ -64,7 +64,7 @@
         bd_drain_advance_entry(core, iterator.drain, entry);
 }
 
-/* Whether every machine is in a final stage, and the store has recorded it. */
+/* Whether every machine is in a final stage, and that stage is in the store. */
 static bool all_are_recorded_final(const struct bd_drain *drain)
 {
     for (uint32_t i = 0; i < drain->nmachines; i++) {
--- a/src/drain/drain_internal.h
+++ b/src/drain/drain_internal.h
@@ -1,5 +1,5 @@
 /* Internal declarations of the drain package: the leader's view of the drains, and one group of
- * functions for each file. Owner thread only. Outside the package, only its test includes this
+ * functions for each file. Owner thread only. Outside the package, only its tests include this
  * header. */
 #ifndef BD_DRAIN_INTERNAL_H
 #define BD_DRAIN_INTERNAL_H
@@ -20,7 +20,7 @@
 struct bd_drain_part {
     uint32_t first_machine, nmachines;
     bool is_dirty;  /* must be written */
-    bool is_urgent; /* must be written at once: a stage changed, not only a wait */
+    bool is_urgent; /* must be written at once, as after a change of a stage */
     bool in_flight; /* in the transaction in flight */
     struct timespec last_written_at;
 };
--- a/src/drain/drain_request.h
+++ b/src/drain/drain_request.h
@@ -25,7 +25,8 @@
     char field[BD_NAME_BYTES], reason[96];
 };
 
-/* Reads a request; out->machines is borrowed from `object`. False with the refusal: 400. */
+/* Reads a request; out->machines is borrowed from `object`. False: *refusal is set, with status
+ * 400. */
 bool bd_drain_request_read(json_t *object, struct bd_drain_request *out,
                            struct bd_drain_refusal *refusal);
 /* Resolves the machines that the request selects from the cloud's inventory. Returns an
--- a/src/drain/ownership.c
+++ b/src/drain/ownership.c
@@ -22,7 +22,7 @@
     }
 }
 
-/* A machine is scaled in only after the store has recorded its last stage before scale-in. */
+/* A machine is scaled in only after the last stage before scale-in is recorded in the store. */
 static bool may_scale_in(const struct bd_drain *drain, const struct bd_drain_machine *entry)
 {
     enum bd_drain_stage last =
--- a/src/drain/solver.c
+++ b/src/drain/solver.c
@@ -58,8 +58,8 @@
     }
 }
 
-/* For the resource at the offset in `struct bd_resources`: the moved tasks fit into the free
- * capacity. */
+/* For the resource at the offset in `struct bd_resources`: the tasks of the chosen machines fit
+ * into the free capacity. */
 static void add_capacity_row(struct program *program, size_t offset, double capacity)
 {
     const struct bd_step_problem *problem = program->problem;
--- a/src/drain/step_plan.c
+++ b/src/drain/step_plan.c
@@ -32,9 +32,10 @@
 static bool is_in_step(const struct bd_core *core, const struct bd_drain *drain,
                        const struct bd_drain_machine *entry)
 {
-    bool is_moving = entry->stage == BD_STAGE_STOPPING ||
-                     (entry->stage == BD_STAGE_EMPTY && drain->record.mode == BD_DRAIN_REPLACE);
-    return is_moving && entry->machine && !bd_drain_entry_is_mirror(core, entry);
+    bool occupies_place =
+        entry->stage == BD_STAGE_STOPPING ||
+        (entry->stage == BD_STAGE_EMPTY && drain->record.mode == BD_DRAIN_REPLACE);
+    return occupies_place && entry->machine && !bd_drain_entry_is_mirror(core, entry);
 }
 
 /* Records the machines and zones of the current step. False: a planned step has not begun yet. */
@@ -121,7 +122,7 @@
     return false;
 }
 
-/* The reason to wait that does not depend on budgets or the step. */
+/* The reason to wait, apart from budgets and the step. */
 static enum bd_drain_wait entry_wait_reason(struct bd_core *core, const struct bd_drain *drain,
                                             const struct bd_drain_machine *entry)
 {
--- a/src/drain/step_stop.c
+++ b/src/drain/step_stop.c
@@ -66,9 +66,9 @@
     return BD_DRAIN_WAIT_NOTHING;
 }
 
-/* Stops the machine's tasks. The budgets are checked again, with all tasks stopped so far, because
- * a machine may have failed between the choice and the commit of the record. An entry whose stop
- * has begun stays in its stage. */
+/* Stops the machine's tasks. The budgets, which count all tasks stopped so far, are checked again,
+ * because a machine may have failed between the choice and the commit of the record. An entry whose
+ * stop has begun stays in its stage. */
 static void stop_machine(struct bd_core *core, struct bd_drain *drain,
                          struct bd_drain_machine *entry)
 {
