--- a/src/adapters/admin_drain_create.c
+++ b/src/adapters/admin_drain_create.c
@@ -33,7 +33,7 @@
     return true;
 }
 
-/* Entries for the machines with these ids, cordoned since now. The caller frees them.
+/* Returns an entry for each id, whose machine is cordoned from now on. The caller frees the array.
  * *longest_id_len: characters of the longest id. */
 static struct bd_drain_machine *new_machines(const json_t *ids, size_t *longest_id_len)
 {
--- a/src/adapters/api_server.c
+++ b/src/adapters/api_server.c
@@ -35,7 +35,7 @@
 #define BUSY_RETRY_S 1
 
 /* One request. The polling thread owns it, except between post_to_owner and bd_api_reply: its
- * connection is then suspended, and only the owner thread may use it. */
+ * connection is then suspended, and only the owner thread may use the request. */
 struct request {
     struct bd_request_origin origin; /* first: see model/effect.h; all zero: not forwarded */
     struct MHD_Connection *connection;
--- a/src/adapters/election_lease.c
+++ b/src/adapters/election_lease.c
@@ -1,4 +1,4 @@
-/* The election's lease: the leader's key, and the grant that it is written on. */
+/* The election's lease: the leader's key, and the grant on which the key is written. */
 #include "adapters/election_internal.h"
 #include "adapters/event.h"
 #include "adapters/kv_client.h"
--- a/src/adapters/event.h
+++ b/src/adapters/event.h
@@ -52,7 +52,7 @@
 
 /* A user's request or a worker's heartbeat, received by the API server. */
 struct bd_event_api_request {
-    void *request; /* owned by the API server; bd_api_reply returns it */
+    void *request; /* owned by the API server; answered by bd_api_reply */
     char *text;    /* the body, null-terminated: a submission or a heartbeat */
     size_t len;
     char job_id[BD_LABEL_BYTES]; /* of status reads and cancellations */
--- a/src/adapters/node.h
+++ b/src/adapters/node.h
@@ -1,5 +1,5 @@
-/* One running controller: the state of the owner thread, and the state that it shares with the
- * adapters.
+/* One running controller: the state of the owner thread, and the state shared between that thread
+ * and the adapters.
  *
  * Created and started by runtime/controller.c; it and all its threads live as long as the process.
  * The sections of struct bd_node say which thread owns their fields. Shared fields are atomic, a
--- a/src/adapters/peer_listener.c
+++ b/src/adapters/peer_listener.c
@@ -36,7 +36,7 @@
     int fd; /* -1: unused */
     unsigned char *buffer;
     size_t len, capacity; /* of the buffer: bytes received and not parsed yet; bytes allocated */
-    struct timespec received_at; /* of the last bytes; before any, when it was accepted */
+    struct timespec received_at; /* when the newest bytes arrived, or else the connection */
     /* contents of the last peer status received */
     uint64_t status_term;
     uint8_t status_flags;
--- a/src/drain/drain.h
+++ b/src/drain/drain.h
@@ -2,8 +2,8 @@
  * takes down more tasks of a team at once than the team's disruption budget allows.
  *
  * Public interface of the package, which owns the leader's view of the drains (`struct bd_drains`).
- * core/ creates and advances the view, leadership/ writes its records and ends it with the term,
- * and autoscaling/ queries it.
+ * core/ creates and advances the view, leadership/ writes the drains' records and clears the view
+ * at the end of the term, and autoscaling/ queries the view.
  *
  *   drain_rules.h, rules*.c        the operators' declarations
  *   drain_record.h, record.c       encoding of a drain's records in the key-value store
--- a/src/drain/drain_internal.h
+++ b/src/drain/drain_internal.h
@@ -50,7 +50,7 @@
     bool zones_conflict[BD_ZONES_MAX][BD_ZONES_MAX];
     bool needs_machine_records; /* the next read must include the machines' records */
     struct timespec leadership_acquired_at, next_tick_at, next_summary_at;
-    struct timespec next_write_at; /* no writes before it, after a rejected transaction */
+    struct timespec next_write_at; /* set after a rejected transaction: no writes before */
     uint32_t stop_requests;        /* requests to machines to stop tasks, in this term */
 };
 
@@ -202,7 +202,7 @@
 
 /* Chooses the machines of the next step, and sets the wait reason of all others. */
 void bd_drain_plan_step(struct bd_core *core);
-/* Stops the tasks of machines whose step is recorded, as far as the budgets still allow it. */
+/* Stops the tasks of machines whose step is recorded, as far as the budgets still allow. */
 void bd_drain_execute_step(struct bd_core *core);
 
 /* ---- record_load.c, record_write.c ---- */
--- a/src/drain/drain_record.h
+++ b/src/drain/drain_record.h
@@ -66,7 +66,7 @@
     enum bd_drain_stage recorded_stage;  /* stage in the store */
     enum bd_drain_stage in_flight_stage; /* stage in the transaction in flight */
     struct timespec replacement_requested_at;
-    struct timespec stop_requested_at; /* when its tasks were stopped; zero: not in this term */
+    struct timespec stop_requested_at; /* newest stop of its tasks; zero: none in this term */
     uint32_t failed_replacements;      /* requests without a machine, and abandoned replacements */
     char provisioning_request[BD_LABEL_BYTES]; /* request in flight for its replacement, or empty */
 };
@@ -100,7 +100,8 @@
 /* Decodes a part and appends its machines to the allocated array *machines, which is grown. False:
  * the value is malformed; the machines before the first malformed one are appended. */
 bool bd_drain_part_decode(json_t *value, struct bd_drain_machine **machines, uint32_t *nmachines);
-/* How many machines a part may hold so that it fits into a value in every stage of the machines. */
+/* How many machines a part may hold so that the part fits into a value, in whatever stages its
+ * machines are. */
 uint32_t bd_drain_part_machines_max(const struct bd_settings *settings, size_t kv_value_bytes_max,
                                     size_t longest_id_len);
 /* Writes the key of a part into a buffer of `capacity` bytes. */
--- a/src/drain/record_load.c
+++ b/src/drain/record_load.c
@@ -1,6 +1,6 @@
 /* Reading of the drains' records by the leader. Any controller may change a drain's state, on
- * condition of its record's revision. The loaded machines stay valid, because only the leader
- * writes their records. Part of the pure core. */
+ * condition that its record's revision is unchanged. The loaded machines stay valid, because only
+ * the leader writes their records. Part of the pure core. */
 #include "brambledoor/log.h"
 #include "drain/drain.h"
 #include "drain/drain_internal.h"
--- a/src/drain/request.c
+++ b/src/drain/request.c
@@ -88,7 +88,7 @@
     return true;
 }
 
-/* Requires exactly one way of selecting machines, or `all`. */
+/* Requires at most one way of selecting machines, and `all` if there is none. */
 static bool check_selectors(const struct bd_drain_request *request,
                             struct bd_drain_refusal *refusal)
 {
--- a/src/drain/solver.c
+++ b/src/drain/solver.c
@@ -14,7 +14,7 @@
 #define CHOSEN_THRESHOLD 0.5   /* above it, a binary variable of the solution is 1 */
 
 /* Columns 1 to ncandidates are the candidates. After them there is a column for each zone that
- * conflicts with another; it is 1 if a machine of the zone is in the step. */
+ * conflicts with another zone; its variable is 1 if a machine of the zone is in the step. */
 struct program {
     const struct bd_step_problem *problem;
     lprec *lp;
--- a/src/drain/step_plan.c
+++ b/src/drain/step_plan.c
@@ -188,7 +188,7 @@
 
 /* ---- choice of the machines ---- */
 
-/* The choice is limited by total free capacity only, which may be spread over too many machines. A
+/* Of the free capacity, the choice considers only the total, which may be too scattered. A
  * chosen candidate begins the step only if each of its tasks fits on some machine. */
 static void add_chosen_to_step(struct step_plan *plan, const roaring_bitmap_t *chosen)
 {
--- a/src/drain/step_stop.c
+++ b/src/drain/step_stop.c
@@ -33,7 +33,8 @@
     const char *team; /* the last team whose budget kept a task running; empty: none */
 };
 
-/* Stops the tasks that the budgets allow. The others follow once these run on other machines. */
+/* Stops the tasks that the budgets allow. Later calls stop the rest, once the stopped tasks run on
+ * other machines. */
 static struct stop_result stop_tasks(struct bd_core *core, const struct bd_machine *machine)
 {
     struct stop_result result = {0, ""};
--- a/src/runtime/effect_dispatch.c
+++ b/src/runtime/effect_dispatch.c
@@ -32,7 +32,7 @@
     }
 }
 
-/* Sends a heartbeat to the leader, or the reply to a forwarded heartbeat to its peer. */
+/* Sends a heartbeat to the leader, or a reply to the peer that forwarded the heartbeat. */
 static void send_to_peer(struct bd_node *node, const struct bd_effect *effect)
 {
     struct bd_frame frame;
--- a/src/runtime/operators_file.c
+++ b/src/runtime/operators_file.c
@@ -60,8 +60,8 @@
         bd_settings_report_error(reader, error.field, error.message);
 }
 
-/* Reads this entry and all that follow it. A (name value) pair may be at the top level or inside a
- * (brambledoor ...) list. */
+/* Reads this entry and all following entries. A (name value) pair may be at the top level or inside
+ * a (brambledoor ...) list. */
 static void read_pairs(struct bd_settings_reader *reader, struct bd_settings *settings,
                        sexp_t *entry)
 {
--- a/src/runtime/settings.c
+++ b/src/runtime/settings.c
@@ -1,4 +1,4 @@
-/* The platform's settings (JSON). Only this file knows the names of their fields. */
+/* Reads the platform's settings file (JSON). Only this source file knows its field names. */
 #include "brambledoor/settings.h"
 #include "base/timeutil.h"
 #include "runtime/settings_internal.h"
