--- a/src/drain/step_plan.c
+++ b/src/drain/step_plan.c
@@ -188,8 +188,9 @@
 
 /* ---- choice of the machines ---- */
 
-/* Of the free capacity, the choice considers only the total, which may be too scattered. A
- * chosen candidate begins the step only if each of its tasks fits on some machine. */
+/* Of the free capacity, the choice considers only the total, which may be spread over too
+ * many machines. A chosen candidate begins the step only if each of its tasks fits on some machine.
+ */
 static void add_chosen_to_step(struct step_plan *plan, const roaring_bitmap_t *chosen)
 {
     for (uint32_t i = 0; i < plan->problem.ncandidates; i++) {
