--- a/src/adapters/kv_reader.c
+++ b/src/adapters/kv_reader.c
@@ -28,7 +28,7 @@
 struct reader {
     struct bd_node *node;
     struct bd_http *http;
-    uint64_t revision; /* changes up to this one were read */
+    uint64_t revision; /* changes up to this revision were read */
     bool must_list;    /* all records must be listed before changes can be read */
     struct timespec next_delegates_read_at, next_drains_read_at;
 };
@@ -125,8 +125,8 @@
 }
 
 /* The drains' own records are few, and read each time. The records of their machines are read only
- * when the owner thread needs them. They are read after the drains' records, so that the
- * machines of every listed drain are included. */
+ * when the owner thread needs them, and after the drains' records, so that the machines of every
+ * listed drain are included. */
 static void read_drains(const struct reader *reader)
 {
     struct bd_event *event = bd_event_new(BD_EVENT_DRAIN_RECORDS_READ);
@@ -140,7 +140,7 @@
         bd_event_free(event);
 }
 
-/* Whether the time *next has passed. If so, sets it to an interval from now. */
+/* Whether the time *next has passed. If so, sets *next to an interval from now. */
 static bool is_due(struct timespec *next, double interval_s)
 {
     if (!bd_time_is_before(*next, bd_now()))
@@ -160,8 +160,8 @@
         read_drains(reader);
 }
 
-/* Waits until the next refresh is due. A read that waits for a barrier makes it due after the
- * minimum interval; otherwise one wait covers both intervals. */
+/* Waits until the next refresh is due: after the minimum interval if a read waits for a barrier or
+ * the reader is woken, otherwise after both intervals. */
 static void wait_for_refresh(struct bd_node *node)
 {
     void *wakeup;
--- a/src/drain/drain_internal.h
+++ b/src/drain/drain_internal.h
@@ -1,5 +1,5 @@
 /* Internal declarations of the drain package: the leader's view of the drains, and one group of
- * functions for each file. Owner thread only. Outside the package, only its test includes this
+ * functions for each file. Owner thread only. Outside the package, only its tests include this
  * header. */
 #ifndef BD_DRAIN_INTERNAL_H
 #define BD_DRAIN_INTERNAL_H
@@ -20,7 +20,7 @@
 struct bd_drain_part {
     uint32_t first_machine, nmachines;
     bool is_dirty;  /* must be written */
-    bool is_urgent; /* must be written at once: a stage changed, not only a wait */
+    bool is_urgent; /* must be written at once, as after a change of a stage */
     bool in_flight; /* in the transaction in flight */
     struct timespec last_written_at;
 };
@@ -37,7 +37,7 @@
     bool is_over;        /* all machines are final: the state `done` must be written */
     bool done_in_flight; /* the transaction in flight writes the state `done` */
     bool is_stale;       /* the store may have a newer record: `done` waits for a listing */
-    /* Records deleted after record_retention_s: the parts first, then the drain's own record. */
+    /* Number of records deleted after record_retention_s: parts first, then the drain's record. */
     uint32_t records_deleted;
     uint32_t deletions_in_flight; /* in the transaction in flight */
 };
@@ -50,13 +50,13 @@
     bool zones_conflict[BD_ZONES_MAX][BD_ZONES_MAX];
     bool needs_machine_records; /* the next read must include the machines' records */
     struct timespec leadership_acquired_at, next_tick_at, next_summary_at;
-    struct timespec next_write_at; /* no writes before it, after a rejected transaction */
+    struct timespec next_write_at; /* set after a rejected transaction: no writes before */
     uint32_t stop_requests;        /* requests to machines to stop tasks, in this term */
 };
 
 /* ---- entry.c: the machine entries of drains ---- */
 
-/* Iterates over the entries of all open drains that are not final, in the order of the drains'
+/* Iterates over the entries of all open drains, except final entries, in the order of the drains'
  * names. */
 struct bd_drain_iterator {
     struct bd_drain *drain; /* drain of the last returned entry */
@@ -119,7 +119,7 @@
 
 /* ---- candidate.c: budgets that emptying a machine takes ---- */
 
-/* How many tasks of a budget a step would stop. */
+/* How many tasks that count towards a budget stop if a machine is emptied. */
 struct bd_budget_need {
     uint32_t budget, tasks;
     uint32_t largest_group; /* most tasks that stop together: a gang, or a single task */
@@ -202,7 +202,7 @@
 
 /* Chooses the machines of the next step, and sets the wait reason of all others. */
 void bd_drain_plan_step(struct bd_core *core);
-/* Stops the tasks of machines whose step is recorded, as far as the budgets still allow it. */
+/* Stops the tasks of machines whose step is recorded, as far as the budgets still allow. */
 void bd_drain_execute_step(struct bd_core *core);
 
 /* ---- record_load.c, record_write.c ---- */
--- a/src/drain/ownership.c
+++ b/src/drain/ownership.c
@@ -22,7 +22,7 @@
     }
 }
 
-/* A machine is scaled in only after the store has recorded its last stage before scale-in. */
+/* A machine is scaled in only after the last stage before scale-in is recorded in the store. */
 static bool may_scale_in(const struct bd_drain *drain, const struct bd_drain_machine *entry)
 {
     enum bd_drain_stage last =
@@ -38,7 +38,7 @@
         replacement->kept_for_drain = true;
 }
 
-/* Cordons the entry's machine. The first entry of a machine controls it. */
+/* Cordons the entry's machine. Of several entries of a machine, the first controls the machine. */
 static void claim_machine(struct bd_core *core, const struct bd_drain *drain,
                           struct bd_drain_machine *entry)
 {
--- a/src/drain/step_plan.c
+++ b/src/drain/step_plan.c
@@ -32,9 +32,10 @@
 static bool is_in_step(const struct bd_core *core, const struct bd_drain *drain,
                        const struct bd_drain_machine *entry)
 {
-    bool is_moving = entry->stage == BD_STAGE_STOPPING ||
-                     (entry->stage == BD_STAGE_EMPTY && drain->record.mode == BD_DRAIN_REPLACE);
-    return is_moving && entry->machine && !bd_drain_entry_is_mirror(core, entry);
+    bool occupies_place =
+        entry->stage == BD_STAGE_STOPPING ||
+        (entry->stage == BD_STAGE_EMPTY && drain->record.mode == BD_DRAIN_REPLACE);
+    return occupies_place && entry->machine && !bd_drain_entry_is_mirror(core, entry);
 }
 
 /* Records the machines and zones of the current step. False: a planned step has not begun yet. */
@@ -105,8 +106,9 @@
 
 /* ---- candidates ---- */
 
-/* Whether tasks of arrays or of gangs without checkpoints may still finish: a stop would lose their
- * progress. */
+/* Whether the machine has tasks that should finish, because a stop would lose their progress: those
+ * of arrays and gangs without checkpoints. They may run for completion_timeout_s from the drain's
+ * request. */
 static bool has_tasks_to_finish(const struct bd_core *core, const struct bd_drain *drain,
                                 const struct bd_machine *machine)
 {
@@ -120,7 +122,7 @@
     return false;
 }
 
-/* The reason to wait that does not depend on budgets or the step. */
+/* The reason to wait, apart from budgets and the step. */
 static enum bd_drain_wait entry_wait_reason(struct bd_core *core, const struct bd_drain *drain,
                                             const struct bd_drain_machine *entry)
 {
@@ -186,8 +188,9 @@
 
 /* ---- choice of the machines ---- */
 
-/* The choice is limited by total free capacity only, which may be spread over too many machines. A
- * chosen candidate begins the step only if each of its tasks fits on some machine. */
+/* Of the free capacity, the choice considers only the total, which may be spread over too
+ * many machines. A chosen candidate begins the step only if each of its tasks fits on some machine.
+ */
 static void add_chosen_to_step(struct step_plan *plan, const roaring_bitmap_t *chosen)
 {
     for (uint32_t i = 0; i < plan->problem.ncandidates; i++) {
@@ -249,7 +252,8 @@
 
 void bd_drain_plan_step(struct bd_core *core)
 {
-    /* as leader, such a controller would place tasks on cordoned machines and ignore budgets */
+    /* as leader, a controller without the feature would place tasks on cordoned machines and
+     * ignore budgets */
     if (bd_peer_lacks_feature(core, BD_PEER_SUPPORTS_DRAINS)) {
         set_all_waiting(core, BD_DRAIN_WAIT_OLDER_CONTROLLER);
         return;
--- a/src/drain/step_stop.c
+++ b/src/drain/step_stop.c
@@ -1,6 +1,6 @@
 /* Execution of a recorded step: stops the tasks of its machines, as far as the disruption budgets
  * allow. The transaction that writes the record is conditional on the term, so that a leader that
- * was frozen past its lease stops nothing. Part of the pure core. */
+ * was suspended for longer than its lease stops nothing. Part of the pure core. */
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "drain/drain_internal.h"
@@ -12,8 +12,8 @@
 #include "model/task.h"
 #include "model/task_state.h"
 
-/* Returns the budget that does not allow the task, and those that stop with it, to be stopped now,
- * or NULL. */
+/* Returns a budget that does not allow a stop of the task and of the tasks that stop with it. NULL:
+ * there is none. */
 static const struct bd_budget *exceeded_budget(struct bd_core *core,
                                                const struct bd_reservation *reservation)
 {
@@ -33,7 +33,8 @@
     const char *team; /* the last team whose budget kept a task running; empty: none */
 };
 
-/* Stops the tasks that the budgets allow. The others follow once these run on other machines. */
+/* Stops the tasks that the budgets allow. Later calls stop the rest, once the stopped tasks run on
+ * other machines. */
 static struct stop_result stop_tasks(struct bd_core *core, const struct bd_machine *machine)
 {
     struct stop_result result = {0, ""};
@@ -66,9 +67,9 @@
     return BD_DRAIN_WAIT_NOTHING;
 }
 
-/* Stops the machine's tasks. The budgets are checked again, with all tasks stopped so far, because
- * a machine may have failed between the choice and the commit of the record. An entry whose stop
- * has begun stays in its stage. */
+/* Stops the machine's tasks. The budgets, which count all tasks stopped so far, are checked again,
+ * because a machine may have failed between the choice and the commit of the record. An entry whose
+ * stop has begun stays in its stage. */
 static void stop_machine(struct bd_core *core, struct bd_drain *drain,
                          struct bd_drain_machine *entry)
 {
