--- a/src/adapters/election.c
+++ b/src/adapters/election.c
@@ -43,7 +43,7 @@
     long status = bd_kv_call(candidate->node, candidate->http, "GET", BD_PATH_KEYS "/w", NULL,
                              bd_election_call_timeout_s(candidate), &answer);
     if (status == BD_KV_OK && bd_wire_read_pair(answer, &pair, &grant))
-        acquisition->sequence_revision = pair.revision;
+        acquisition->commit_sequence_revision = pair.revision;
     json_decref(answer);
     return status == BD_KV_OK || status == BD_KV_NOT_FOUND;
 }
--- a/src/adapters/event.h
+++ b/src/adapters/event.h
@@ -62,9 +62,9 @@
 struct bd_event_user_txn {
     void *request;
     char job_id[BD_LABEL_BYTES];
-    char *body;                   /* the transaction, as it was sent */
-    enum bd_read_purpose purpose; /* as in the effect */
-    long status;                  /* enum bd_kv_status */
+    char *body;                      /* the transaction, as it was sent */
+    enum bd_request_purpose purpose; /* as in the effect */
+    long status;                     /* enum bd_kv_status */
     uint64_t store_revision;
 };
 
@@ -72,8 +72,8 @@
 struct bd_event_job_lookup {
     void *request;
     char job_id[BD_LABEL_BYTES];
-    enum bd_read_purpose purpose; /* as in the effect */
-    long status;                  /* enum bd_kv_status */
+    enum bd_request_purpose purpose; /* as in the effect */
+    long status;                     /* enum bd_kv_status */
     json_t *answer;
 };
 
--- a/src/adapters/kv_leader_writer.c
+++ b/src/adapters/kv_leader_writer.c
@@ -47,7 +47,7 @@
     char term[32];
     snprintf(term, sizeof term, "%lld", (long long)json_integer_value(json_object_get(value, "t")));
     return strcmp(term, effect->key) == 0 &&
-           (uint64_t)json_integer_value(json_object_get(value, "n")) == effect->sequence;
+           (uint64_t)json_integer_value(json_object_get(value, "n")) == effect->commit_sequence;
 }
 
 /* Reads the commit sequence; its revision goes into the event. */
@@ -115,7 +115,7 @@
         /* this node was partitioned or suspended for longer than the grant's TTL */
         bd_log_write(&attempt->node->log, BD_LOG_INFO,
                      "store refused transaction %llu of term %s: the grant has expired",
-                     (unsigned long long)attempt->effect->sequence, attempt->effect->key);
+                     (unsigned long long)attempt->effect->commit_sequence, attempt->effect->key);
         return BD_TXN_DEPOSED;
     }
     /* a limit of the store may have been lowered since an earlier copy was sent */
@@ -173,7 +173,7 @@
 {
     struct bd_event *event = bd_event_new(BD_EVENT_LEADER_TXN_COMPLETED);
     struct attempt attempt = {.node = node, .http = http, .effect = effect, .event = event};
-    event->leader_txn.sequence = effect->sequence;
+    event->leader_txn.sequence = effect->commit_sequence;
     event->leader_txn.term = strtoull(effect->key, NULL, 10);
     do
         event->leader_txn.outcome = send_once(&attempt);
--- a/src/autoscaling/autoscaler.c
+++ b/src/autoscaling/autoscaler.c
@@ -9,7 +9,7 @@
 {
     if (machine->cordoned)
         return machine->scale_in_for_drain ? BD_SCALE_IN_NOW : BD_SCALE_IN_NEVER;
-    return machine->kept_for_drain ? BD_SCALE_IN_NEVER : BD_SCALE_IN_WHEN_IDLE;
+    return machine->is_kept_for_drain ? BD_SCALE_IN_NEVER : BD_SCALE_IN_WHEN_IDLE;
 }
 
 static void add_drained_task(void *demand, const struct bd_spec *spec)
--- a/src/autoscaling/demand.c
+++ b/src/autoscaling/demand.c
@@ -38,7 +38,7 @@
         .type = type,
         .zone = zone,
         .spot = spot,
-        .free = {machine_type->cpus, machine_type->gpus, machine_type->mem}};
+        .free = {machine_type->cpus, machine_type->gpus, machine_type->mem_gb}};
     return bin;
 }
 
@@ -46,7 +46,7 @@
 {
     return spec->cpus <= bin->free.cpus + RESOURCE_TOLERANCE &&
            spec->gpus <= bin->free.gpus + RESOURCE_TOLERANCE &&
-           spec->mem <= bin->free.mem + RESOURCE_TOLERANCE;
+           spec->mem_gb <= bin->free.mem_gb + RESOURCE_TOLERANCE;
 }
 
 /* Packs up to count tasks into the bin. Returns how many fit. */
--- a/src/autoscaling/inventory.c
+++ b/src/autoscaling/inventory.c
@@ -43,7 +43,7 @@
     type->known = true;
     type->cpus = text->cpus;
     type->gpus = text->gpus;
-    type->mem = text->mem;
+    type->mem_gb = text->mem;
     type->cache_gb = text->cache_gb;
     type->fetch_gb_per_s = text->fetch;
     type->price = text->price;
--- a/src/autoscaling/move_targets.c
+++ b/src/autoscaling/move_targets.c
@@ -48,7 +48,7 @@
 static bool has_capacity(const struct bd_move_target *target, const struct bd_spec *spec)
 {
     return target->free.cpus >= spec->cpus && target->free.gpus >= spec->gpus &&
-           target->free.mem >= spec->mem;
+           target->free.mem_gb >= spec->mem_gb;
 }
 
 /* min_service_cpus: services on an expensive target without GPU work must use more cores. */
--- a/src/drain/free_capacity.c
+++ b/src/drain/free_capacity.c
@@ -35,7 +35,7 @@
     for (uint32_t i = 0; i < bins->nbins; i++) {
         sum.cpus += bins->bins[i].capacity.cpus;
         sum.gpus += bins->bins[i].capacity.gpus;
-        sum.mem += bins->bins[i].capacity.mem;
+        sum.mem_gb += bins->bins[i].capacity.mem_gb;
     }
     return sum;
 }
--- a/src/drain/greedy.c
+++ b/src/drain/greedy.c
@@ -9,7 +9,7 @@
 static bool fits_into(const struct bd_resources *need, const struct bd_resources *capacity)
 {
     return need->cpus <= capacity->cpus && need->gpus <= capacity->gpus &&
-           need->mem <= capacity->mem;
+           need->mem_gb <= capacity->mem_gb;
 }
 
 /* Whether the step has a machine in a zone that conflicts with this one. A machine without a known
@@ -49,7 +49,7 @@
         problem->zone_used[candidate->zone] = true;
     problem->capacity.cpus -= candidate->task_resources.cpus;
     problem->capacity.gpus -= candidate->task_resources.gpus;
-    problem->capacity.mem -= candidate->task_resources.mem;
+    problem->capacity.mem_gb -= candidate->task_resources.mem_gb;
 }
 
 struct sort_key {
--- a/src/drain/ownership.c
+++ b/src/drain/ownership.c
@@ -17,7 +17,7 @@
 {
     for (uint32_t i = 0; i < core->nmachines; i++) {
         core->machines_by_index[i]->cordoned = false;
-        core->machines_by_index[i]->kept_for_drain = false;
+        core->machines_by_index[i]->is_kept_for_drain = false;
         core->machines_by_index[i]->scale_in_for_drain = false;
     }
 }
@@ -35,7 +35,7 @@
     struct bd_machine *replacement =
         *entry->replacement ? bd_drain_find_machine(core, entry->replacement) : NULL;
     if (replacement)
-        replacement->kept_for_drain = true;
+        replacement->is_kept_for_drain = true;
 }
 
 /* Cordons the entry's machine. The first entry of a machine controls it. */
--- a/src/drain/queries.c
+++ b/src/drain/queries.c
@@ -16,7 +16,7 @@
 bool bd_drain_is_kept_when_idle(const struct bd_core *core, const struct bd_machine *machine)
 {
     (void)core;
-    return machine->kept_for_drain;
+    return machine->is_kept_for_drain;
 }
 
 bool bd_drain_requests_scale_in(const struct bd_core *core, const struct bd_machine *machine)
@@ -30,7 +30,7 @@
     if (!core->drains)
         return true;
     struct bd_drain_candidate candidate = {.machine = machine};
-    bd_ledger_update_silent(core);
+    bd_ledger_update_unresponsive(core);
     if (!bd_drain_candidate_fill(core, &candidate))
         return false;
     for (uint32_t i = 0; i < candidate.nneeds; i++) {
--- a/src/drain/rules_budgets.c
+++ b/src/drain/rules_budgets.c
@@ -25,11 +25,11 @@
     if (!bd_rules_read_text(reader, entry, text))
         return;
     double value = strtod(text, &end);
-    rule->per_cent = end != text && strcmp(end, "%") == 0;
+    rule->is_percentage = end != text && strcmp(end, "%") == 0;
     rule->amount = value;
     bool is_whole = value == floor(value) && !*end;
-    if (end == text || (!is_whole && !rule->per_cent) || !isfinite(value) || value < 0 ||
-        value > (rule->per_cent ? 100 : BD_RULES_NUMBER_MAX))
+    if (end == text || (!is_whole && !rule->is_percentage) || !isfinite(value) || value < 0 ||
+        value > (rule->is_percentage ? 100 : BD_RULES_NUMBER_MAX))
         bd_rules_report_error(reader, "down",
                               "needs a whole number of tasks, or a percentage such as 5%");
 }
@@ -116,6 +116,6 @@
     struct bd_budget_rule *rule = add_budget(reader, "", "");
     if (!rule)
         return;
-    rule->per_cent = true;
+    rule->is_percentage = true;
     rule->amount = DEFAULT_BUDGET_PERCENT;
 }
--- a/src/drain/solver.c
+++ b/src/drain/solver.c
@@ -150,7 +150,7 @@
     add_machines_row(program);
     add_capacity_row(program, offsetof(struct bd_resources, cpus), problem->capacity.cpus);
     add_capacity_row(program, offsetof(struct bd_resources, gpus), problem->capacity.gpus);
-    add_capacity_row(program, offsetof(struct bd_resources, mem), problem->capacity.mem);
+    add_capacity_row(program, offsetof(struct bd_resources, mem_gb), problem->capacity.mem_gb);
     add_zone_use_rows(program);
     add_zone_conflict_rows(program);
     (void)set_add_rowmode(program->lp, FALSE);
--- a/src/drain/step_stop.c
+++ b/src/drain/step_stop.c
@@ -99,7 +99,7 @@
 {
     if (!bd_leadership_lease_valid(core))
         return;
-    bd_ledger_update_silent(core);
+    bd_ledger_update_unresponsive(core);
     struct bd_drain_iterator iterator = bd_drain_entries(core);
     struct bd_drain_machine *entry;
     while ((entry = bd_drain_next_entry(&iterator)))
--- a/src/drain/summary_log.c
+++ b/src/drain/summary_log.c
@@ -45,7 +45,7 @@
             continue;
         bd_log_write(core->log, BD_LOG_INFO, "budget of %s%s%s: %u up, %u down, %u silent, %u left",
                      bd_budget_team_name(core, budget), *budget->rule->job_class ? ", class " : "",
-                     budget->rule->job_class, budget->up, budget->down, budget->silent,
+                     budget->rule->job_class, budget->up, budget->down, budget->unresponsive,
                      bd_budget_remaining(budget));
     }
 }
--- a/src/jobs/admission.c
+++ b/src/jobs/admission.c
@@ -69,15 +69,15 @@
 /* Takes ownership of the admission. */
 static void look_up_parent(struct bd_core *core, struct bd_admission *admission, const char *name)
 {
-    bd_job_lookup_emit(core, admission->request, name, BD_READ_ADMISSION);
-    admission->lookups++;
+    bd_job_lookup_emit(core, admission->request, name, BD_PURPOSE_ADMISSION);
+    admission->lookups_sent++;
     admission->next = core->graph.awaiting_lookup;
     core->graph.awaiting_lookup = admission;
 }
 
 static bool has_lookups_left(const struct bd_admission *admission)
 {
-    return admission->lookups < json_array_size(admission->parents) + EXTRA_LOOKUPS_MAX;
+    return admission->lookups_sent < json_array_size(admission->parents) + EXTRA_LOOKUPS_MAX;
 }
 
 static void reply_unknown_parent(struct bd_core *core, void *request)
@@ -92,7 +92,7 @@
     admission->record.state = is_cancelled ? BD_JOB_CANCELLED : BD_JOB_ACTIVE;
     char *body = bd_admission_txns(core, admission);
     if (body)
-        bd_user_txns_emit(core, admission->request, admission->id, body, BD_READ_STATUS);
+        bd_user_txns_emit(core, admission->request, admission->id, body, BD_PURPOSE_STATUS);
     else
         bd_effect_reply_error(core, admission->request, 400, "malformed: longer than can be kept",
                               0);
@@ -123,7 +123,7 @@
 {
     struct parents_status parents = check_parents(core, admission->parents);
     if (parents.first_unknown && !after_barrier) {
-        bd_read_after_barrier(core, admission->request, admission->id, BD_READ_ADMISSION)
+        bd_read_after_barrier(core, admission->request, admission->id, BD_PURPOSE_ADMISSION)
             ->admission = admission;
         return;
     }
--- a/src/jobs/dependency_graph.c
+++ b/src/jobs/dependency_graph.c
@@ -118,7 +118,7 @@
     remove_edges(core, job);
     bd_job_set_state(core, job, BD_JOB_CANCELLED);
     job->cancelled_by_parent = true;
-    core->graph.ncancelled_by_parent++;
+    core->graph.nunrecorded_cancellations++;
 }
 
 /* Removes one of the parent's edges and returns its dependent. */
@@ -170,7 +170,7 @@
 void bd_dag_cancellation_written(struct bd_core *core, struct bd_job *job)
 {
     if (job->cancelled_by_parent)
-        core->graph.ncancelled_by_parent--;
+        core->graph.nunrecorded_cancellations--;
     job->cancelled_by_parent = false;
 }
 
@@ -258,7 +258,7 @@
         if (!is_lookup_due(core, parent))
             continue;
         parent->lookup_sent_at = core->now;
-        bd_job_lookup_emit(core, NULL, parent->id, BD_READ_PARENT);
+        bd_job_lookup_emit(core, NULL, parent->id, BD_PURPOSE_PARENT);
         sent++;
     }
     bool may_be_more = sent == LOOKUP_BATCH_MAX;
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -24,7 +24,7 @@
  * status: 200 committed at store_revision, 409 a comparison failed, 400 rejected as malformed, any
  * other value: outcome unknown. */
 void bd_user_txn_completed(struct bd_core *core, void *request, const char *id, const char *body,
-                           enum bd_read_purpose purpose, long status, uint64_t store_revision);
+                           enum bd_request_purpose purpose, long status, uint64_t store_revision);
 
 /* ---- replica (replica.c, replica_eviction.c, pending_reads.c) ---- */
 
@@ -42,7 +42,7 @@
 /* Completes the look-up of one job's record. status: 200 the record is in change, 404 there is no
  * record, any other value: unknown. purpose is that of the effect. */
 void bd_replica_lookup_completed(struct bd_core *core, void *request, const char *id,
-                                 enum bd_read_purpose purpose, long status,
+                                 enum bd_request_purpose purpose, long status,
                                  const struct bd_change *change);
 /* Handles a peer's announcement that the job's cancellation was committed. Stops the job's tasks
  * and prevents new starts until the record arrives; nothing else depends on the announcement. */
--- a/src/jobs/jobs_internal.h
+++ b/src/jobs/jobs_internal.h
@@ -19,10 +19,10 @@
 
 /* Queues a read that is answered after the next read barrier. The replica owns the result. */
 struct bd_pending_read *bd_read_after_barrier(struct bd_core *core, void *request, const char *id,
-                                              enum bd_read_purpose purpose);
+                                              enum bd_request_purpose purpose);
 /* Emits a look-up of the job's record in the store. */
 void bd_job_lookup_emit(struct bd_core *core, void *request, const char *id,
-                        enum bd_read_purpose purpose);
+                        enum bd_request_purpose purpose);
 
 /* ---- users' transactions (user_txn.c) ---- */
 
@@ -32,7 +32,7 @@
 /* Emits a user's transactions. body: one a line; the last one decides the outcome. Takes ownership
  * of body. */
 void bd_user_txns_emit(struct bd_core *core, void *request, const char *id, char *body,
-                       enum bd_read_purpose purpose);
+                       enum bd_request_purpose purpose);
 /* Emits the transaction that cancels the job. */
 void bd_user_cancel_emit(struct bd_core *core, void *request, const struct bd_job *job);
 
--- a/src/jobs/pending_reads.c
+++ b/src/jobs/pending_reads.c
@@ -13,7 +13,7 @@
 #include <stdlib.h>
 
 struct bd_pending_read *bd_read_after_barrier(struct bd_core *core, void *request, const char *id,
-                                              enum bd_read_purpose purpose)
+                                              enum bd_request_purpose purpose)
 {
     struct bd_pending_read *read = calloc(1, sizeof *read);
     if (!read)
@@ -27,7 +27,7 @@
 }
 
 void bd_job_lookup_emit(struct bd_core *core, void *request, const char *id,
-                        enum bd_read_purpose purpose)
+                        enum bd_request_purpose purpose)
 {
     struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_JOB_LOOKUP);
     effect->request = request;
@@ -35,21 +35,21 @@
     snprintf(effect->key, sizeof effect->key, "%s", id);
 }
 
-static void reply_no_such_job(struct bd_core *core, void *request, enum bd_read_purpose purpose)
+static void reply_no_such_job(struct bd_core *core, void *request, enum bd_request_purpose purpose)
 {
-    if (purpose == BD_READ_INVALID_SUBMISSION)
+    if (purpose == BD_PURPOSE_INVALID_SUBMISSION)
         bd_effect_reply_error(core, request, 400, "malformed", 0);
-    else if (purpose == BD_READ_IMPOSSIBLE_SUBMISSION)
+    else if (purpose == BD_PURPOSE_INFEASIBLE_SUBMISSION)
         bd_effect_reply_error(core, request, 422, "can never run", 0);
     else
         bd_effect_reply_error(core, request, 404, "no such job", 0);
 }
 
 /* Cancels the job if that is the purpose and it is active; otherwise replies with its status. */
-static void answer_with_job(struct bd_core *core, void *request, enum bd_read_purpose purpose,
+static void answer_with_job(struct bd_core *core, void *request, enum bd_request_purpose purpose,
                             const struct bd_job *job)
 {
-    if (purpose == BD_READ_CANCEL && job->state == BD_JOB_ACTIVE)
+    if (purpose == BD_PURPOSE_CANCEL && job->state == BD_JOB_ACTIVE)
         bd_user_cancel_emit(core, request, job);
     else
         bd_user_reply_status(core, request, job);
@@ -110,16 +110,16 @@
 }
 
 void bd_replica_lookup_completed(struct bd_core *core, void *request, const char *id,
-                                 enum bd_read_purpose purpose, long status,
+                                 enum bd_request_purpose purpose, long status,
                                  const struct bd_change *change)
 {
     if (status == 200)
         bd_replica_apply(core, change);
-    if (purpose == BD_READ_PARENT)
+    if (purpose == BD_PURPOSE_PARENT)
         return;
     const struct bd_job *job = bd_job_find(core, id);
     bool is_malformed = status == 200 && !job; /* there is a record, but it was not applied */
-    if (purpose == BD_READ_ADMISSION)
+    if (purpose == BD_PURPOSE_ADMISSION)
         bd_admission_lookup_completed(core, request, is_malformed ? 0 : status);
     else if (status == 200 && job)
         answer_with_job(core, request, purpose, job);
--- a/src/jobs/submission.c
+++ b/src/jobs/submission.c
@@ -47,9 +47,10 @@
     if (!*submission->id)
         reply_malformed(core, request, submission->invalid_field);
     else if (submission->invalid_field)
-        (void)bd_read_after_barrier(core, request, submission->id, BD_READ_INVALID_SUBMISSION);
+        (void)bd_read_after_barrier(core, request, submission->id, BD_PURPOSE_INVALID_SUBMISSION);
     else
-        (void)bd_read_after_barrier(core, request, submission->id, BD_READ_IMPOSSIBLE_SUBMISSION);
+        (void)bd_read_after_barrier(core, request, submission->id,
+                                    BD_PURPOSE_INFEASIBLE_SUBMISSION);
 }
 
 /* Handles a submission whose id is not in memory. Takes ownership of the submission's parents. */
--- a/src/jobs/submission_feasibility.c
+++ b/src/jobs/submission_feasibility.c
@@ -14,7 +14,7 @@
                       int zone)
 {
     return type->known && spec->cpus <= type->cpus + ROUNDING &&
-           spec->gpus <= type->gpus + ROUNDING && spec->mem <= type->mem + ROUNDING &&
+           spec->gpus <= type->gpus + ROUNDING && spec->mem <= type->mem_gb + ROUNDING &&
            (zone < 0 || (type->zones >> zone & 1));
 }
 
--- a/src/jobs/user_requests.c
+++ b/src/jobs/user_requests.c
@@ -73,7 +73,7 @@
 void bd_user_status(struct bd_core *core, void *request, const char *id)
 {
     if (!reply_at_once(core, request, id, bd_job_find(core, id)))
-        bd_read_after_barrier(core, request, id, BD_READ_STATUS);
+        bd_read_after_barrier(core, request, id, BD_PURPOSE_STATUS);
 }
 
 void bd_user_cancel(struct bd_core *core, void *request, const char *id)
@@ -84,7 +84,7 @@
     if (job)
         bd_user_cancel_emit(core, request, job);
     else /* another controller may have accepted it since the last refresh */
-        bd_read_after_barrier(core, request, id, BD_READ_CANCEL);
+        bd_read_after_barrier(core, request, id, BD_PURPOSE_CANCEL);
 }
 
 /* Omits what only placement needs: the record is no longer than the accepted one, so that it fits
--- a/src/jobs/user_txn.c
+++ b/src/jobs/user_txn.c
@@ -30,7 +30,7 @@
 }
 
 void bd_user_txns_emit(struct bd_core *core, void *request, const char *id, char *body,
-                       enum bd_read_purpose purpose)
+                       enum bd_request_purpose purpose)
 {
     struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_USER_TXN);
     effect->request = request;
@@ -42,7 +42,7 @@
 void bd_user_cancel_emit(struct bd_core *core, void *request, const struct bd_job *job)
 {
     char *body = bd_job_record_txn(job->id, job->revision, bd_job_cancelled_record(job));
-    bd_user_txns_emit(core, request, job->id, body, BD_READ_CANCEL);
+    bd_user_txns_emit(core, request, job->id, body, BD_PURPOSE_CANCEL);
 }
 
 /* Applies the changes of one committed transaction to the replica. */
@@ -75,10 +75,10 @@
 }
 
 static void reply_committed(struct bd_core *core, void *request, const char *id,
-                            enum bd_read_purpose purpose)
+                            enum bd_request_purpose purpose)
 {
     struct bd_job *job = bd_job_find(core, id);
-    bool is_submission = purpose == BD_READ_STATUS;
+    bool is_submission = purpose == BD_PURPOSE_STATUS;
     if (!job)
         bd_effect_reply_error(core, request, 503, "not ready", USER_TXN_RETRY_AFTER_S);
     else if (job->state == BD_JOB_ACTIVE)
@@ -96,10 +96,10 @@
 }
 
 static void complete_committed(struct bd_core *core, void *request, const char *id,
-                               const char *body, enum bd_read_purpose purpose,
+                               const char *body, enum bd_request_purpose purpose,
                                uint64_t store_revision)
 {
-    bool is_cancellation = purpose == BD_READ_CANCEL;
+    bool is_cancellation = purpose == BD_PURPOSE_CANCEL;
     apply_txns(core, body, store_revision);
     if (is_cancellation)
         announce_cancellation(core, id);
@@ -110,7 +110,7 @@
 }
 
 void bd_user_txn_completed(struct bd_core *core, void *request, const char *id, const char *body,
-                           enum bd_read_purpose purpose, long status, uint64_t store_revision)
+                           enum bd_request_purpose purpose, long status, uint64_t store_revision)
 {
     if (status == 200) {
         complete_committed(core, request, id, body, purpose, store_revision);
@@ -122,6 +122,6 @@
         return;
     }
     if (status == 400) /* the lowered limits make the user's retry use smaller transactions */
-        (void)bd_kv_limits_rejected(core, id);
+        (void)bd_kv_limits_lower_after_rejection(core, id);
     bd_user_reply_kv_unreachable(core, request, USER_TXN_RETRY_AFTER_S);
 }
--- a/src/leadership/commit.c
+++ b/src/leadership/commit.c
@@ -52,7 +52,7 @@
 {
     struct bd_commit *commit = core->lead.commit;
     struct bd_intent_slice *slice = &commit->intent_slices[commit->nintent_slices++];
-    slice->from = from;
+    slice->first_intent = from;
     slice->count = commit->nplan - from;
     snprintf(slice->key, sizeof slice->key, "i/%020llu-%08llu",
              (unsigned long long)core->lead.base_term,
@@ -117,7 +117,7 @@
 {
     struct bd_commit *commit = core->lead.commit;
     struct bd_job *job, *next;
-    if (core->graph.ncancelled_by_parent == 0)
+    if (core->graph.nunrecorded_cancellations == 0)
         return;
     HASH_ITER(hh, core->jobs, job, next)
     {
@@ -232,21 +232,21 @@
     if (!bd_txn_begin(&builder.txn))
         abort();
     bd_txn_compare(&builder.txn, "leader", core->lead.term);
-    bd_txn_compare(&builder.txn, "w", core->lead.sequence_revision);
+    bd_txn_compare(&builder.txn, "w", core->lead.commit_sequence_revision);
     return builder;
 }
 
 static void emit_txn(struct bd_core *core, struct bd_txn_builder *builder)
 {
-    core->lead.sequence++;
+    core->lead.commit_sequence++;
     bd_txn_put(&builder->txn, "w",
                json_pack("{s:I,s:I}", "t", (json_int_t)core->lead.base_term, "n",
-                         (json_int_t)core->lead.sequence),
+                         (json_int_t)core->lead.commit_sequence),
                0);
     core->lead.write_budget -= (double)(builder->ops + 1);
     struct bd_effect *effect = bd_effect_emit(core, BD_EFFECT_LEADER_TXN);
     effect->body = bd_txn_finish(&builder->txn);
-    effect->sequence = core->lead.sequence;
+    effect->commit_sequence = core->lead.commit_sequence;
     snprintf(effect->key, sizeof effect->key, "%llu", (unsigned long long)core->lead.base_term);
 }
 
--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -59,7 +59,7 @@
     }
     char committed[48];
     snprintf(committed, sizeof committed, "committed=%llu",
-             (unsigned long long)core->lead.sequence_revision);
+             (unsigned long long)core->lead.commit_sequence_revision);
     bd_task_set_state(core, job, intent->task, BD_TASK_LAUNCHING);
     bd_decision_log_task(core, "intent_committed", job, intent->task, intent->attempt, machine,
                          committed);
@@ -75,7 +75,7 @@
     struct bd_intent *intents = malloc((slice->count + 1) * sizeof *intents);
     if (!intents)
         abort();
-    memcpy(intents, commit->plan + slice->from, slice->count * sizeof *intents);
+    memcpy(intents, commit->plan + slice->first_intent, slice->count * sizeof *intents);
     bd_intent_record_add(core, slice->key, intents, slice->count);
 }
 
@@ -123,7 +123,7 @@
 static void apply_commit(struct bd_core *core, const struct bd_commit *commit,
                          uint64_t store_revision)
 {
-    core->lead.sequence_revision = store_revision;
+    core->lead.commit_sequence_revision = store_revision;
     if (commit->raises_fencing_token)
         apply_token_raise(core, store_revision);
     for (uint32_t i = 0; i < commit->nreceipts; i++)
@@ -171,7 +171,7 @@
  * transactions for a while. */
 static void back_off_rejected(struct bd_core *core, const struct bd_commit *commit)
 {
-    if (bd_kv_limits_rejected(core, "the leader's transaction"))
+    if (bd_kv_limits_lower_after_rejection(core, "the leader's transaction"))
         return;
     for (uint32_t i = 0; i < commit->nplan; i++)
         bd_kv_limits_back_off(core, commit->plan[i].job);
--- a/src/leadership/leadership.c
+++ b/src/leadership/leadership.c
@@ -59,7 +59,7 @@
     snprintf(core->leader_name, sizeof core->leader_name, "%s", name);
     core->leader_term = revision;
     core->last_term = revision ? revision : core->last_term;
-    core->leader_seen_at = sent_at;
+    core->leader_read_sent_at = sent_at;
 }
 
 /* ---- the end of a term ---- */
--- a/src/leadership/reconciliation.c
+++ b/src/leadership/reconciliation.c
@@ -28,8 +28,8 @@
     lead->nresults_withheld = 0;
     lead->last_intent_record = 0;
     lead->last_provision_request = 0;
-    lead->sequence_revision = acquisition->sequence_revision;
-    lead->sequence = acquisition->sequence;
+    lead->commit_sequence_revision = acquisition->commit_sequence_revision;
+    lead->commit_sequence = acquisition->commit_sequence;
     lead->inventory_read = false;
     snprintf(lead->nonce, sizeof lead->nonce, "%s", acquisition->nonce);
 }
@@ -117,8 +117,8 @@
         (unsigned long long)acquisition->term, (unsigned long long)acquisition->grant,
         (unsigned long long)core->replica.store_revision,
         1000 * bd_seconds_between(core->replica.refreshed_at, core->now),
-        (unsigned long long)acquisition->sequence_revision, json_array_size(acquisition->receipts),
-        json_array_size(acquisition->intents),
+        (unsigned long long)acquisition->commit_sequence_revision,
+        json_array_size(acquisition->receipts), json_array_size(acquisition->intents),
         bd_seconds_between(core->now, core->lead.earlier_leases_expire_at));
 }
 
--- a/src/model/core_state.h
+++ b/src/model/core_state.h
@@ -60,7 +60,7 @@
     char leader_name[BD_LABEL_BYTES];
     uint64_t leader_term; /* 0: no leader */
     uint64_t last_term;   /* the last leader_term that was not 0 */
-    struct timespec leader_seen_at;
+    struct timespec leader_read_sent_at;
     struct bd_leadership lead;
     struct bd_cloud_view cloud;
     struct bd_ledger *ledger; /* NULL: draining is off */
--- a/src/model/dependency_state.h
+++ b/src/model/dependency_state.h
@@ -38,8 +38,8 @@
     void *request;
     char id[BD_ID_BYTES];
     struct bd_job_record record;
-    json_t *parents;  /* NULL: none */
-    uint32_t lookups; /* look-ups sent so far */
+    json_t *parents;       /* NULL: none */
+    uint32_t lookups_sent; /* look-ups sent so far */
     struct bd_admission *next;
 };
 
@@ -49,7 +49,7 @@
     struct bd_parent_job *parents;        /* hash by id */
     struct bd_parents_part *parts;        /* hash by key; of jobs whose list is incomplete */
     bool priorities_stale;                /* priorities and finish times must be recomputed */
-    uint32_t ncancelled_by_parent;        /* jobs whose own records do not show it yet */
+    uint32_t nunrecorded_cancellations;   /* jobs whose own records do not show it yet */
     uint32_t nunknown_parents;            /* parents that are not in memory */
     struct timespec next_lookup;
 };
--- a/src/model/disruption_ledger.c
+++ b/src/model/disruption_ledger.c
@@ -251,7 +251,7 @@
         if (!entry || !roaring_bitmap_contains(entry->up, reservation->task))
             continue;
         for (uint32_t k = 0; k < entry->nbudgets; k++)
-            ledger->budgets[entry->budgets[k]].silent++;
+            ledger->budgets[entry->budgets[k]].unresponsive++;
     }
 }
 
@@ -262,11 +262,11 @@
            bd_machine_is_overdue(core, machine);
 }
 
-void bd_ledger_update_silent(struct bd_core *core)
+void bd_ledger_update_unresponsive(struct bd_core *core)
 {
     struct bd_ledger *ledger = core->ledger;
     for (uint32_t i = 0; i < ledger->nbudgets; i++)
-        ledger->budgets[i].silent = 0;
+        ledger->budgets[i].unresponsive = 0;
     for (uint32_t i = 0; i < core->nmachines; i++) {
         const struct bd_machine *machine = core->machines_by_index[i];
         if (!machine->terminated && machine->nreservations > 0 && may_have_failed(core, machine))
@@ -277,7 +277,7 @@
 uint32_t bd_budget_allowed(const struct bd_budget *budget)
 {
     const struct bd_budget_rule *rule = budget->rule;
-    if (!rule->per_cent || rule->amount <= 0)
+    if (!rule->is_percentage || rule->amount <= 0)
         return (uint32_t)rule->amount;
     double share = floor(rule->amount / 100 * (double)(budget->up + budget->down));
     return share < 1 ? 1 : (uint32_t)share;
@@ -285,7 +285,7 @@
 
 uint32_t bd_budget_remaining(const struct bd_budget *budget)
 {
-    uint32_t allowed = bd_budget_allowed(budget), used = budget->down + budget->silent;
+    uint32_t allowed = bd_budget_allowed(budget), used = budget->down + budget->unresponsive;
     return used < allowed ? allowed - used : 0;
 }
 
--- a/src/model/disruption_ledger.h
+++ b/src/model/disruption_ledger.h
@@ -26,7 +26,7 @@
     char job_class[BD_NAME_BYTES]; /* empty: all of the team's tasks */
     /* amount is a percentage of the tasks that are up or down. The result is rounded down, but at
      * least 1. */
-    bool per_cent;
+    bool is_percentage;
     double amount;
 };
 
@@ -35,7 +35,7 @@
     int team; /* index in the settings */
     const struct bd_budget_rule *rule;
     uint32_t up, down;
-    uint32_t silent; /* tasks that count as up, but whose machines may have failed */
+    uint32_t unresponsive; /* tasks that count as up, but whose machines may have failed */
 };
 
 #define BD_BUDGETS_PER_JOB 2 /* one for its team, one for its class */
@@ -69,7 +69,7 @@
 /* Resets the ledger after a failover: all tasks that may have run count as down. */
 void bd_ledger_leadership_acquired(struct bd_core *core);
 /* Recounts the tasks on machines that may have failed. */
-void bd_ledger_update_silent(struct bd_core *core);
+void bd_ledger_update_unresponsive(struct bd_core *core);
 
 /* The number of tasks that may be down at once. */
 uint32_t bd_budget_allowed(const struct bd_budget *budget);
--- a/src/model/effect.h
+++ b/src/model/effect.h
@@ -47,7 +47,7 @@
     void *request; /* [REPLY, USER_TXN, JOB_LOOKUP] */
     union {
         int status;                                /* [REPLY, FORWARD_REPLY] HTTP status */
-        enum bd_read_purpose purpose;              /* [USER_TXN, JOB_LOOKUP] */
+        enum bd_request_purpose purpose;           /* [USER_TXN, JOB_LOOKUP] */
         enum bd_step_down_reason step_down_reason; /* [STEP_DOWN] */
     };
     int retry_after_s;             /* [REPLY] seconds; 0: none */
@@ -58,7 +58,7 @@
     struct timespec send_deadline; /* [DIRECT_COMMAND] by the monotonic clock */
     uint32_t machine;              /* [DIRECT_COMMAND] index of the receiver */
     bool has_launches;             /* [DIRECT_COMMAND] the commands include launches */
-    uint64_t sequence;             /* [LEADER_TXN] */
+    uint64_t commit_sequence;      /* [LEADER_TXN] */
     uint64_t forward_id;           /* [FORWARD_HEARTBEAT, FORWARD_REPLY] */
     int peer;                      /* [FORWARD_HEARTBEAT, FORWARD_REPLY] the receiver */
     struct bd_effect *next;
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -18,7 +18,7 @@
     bool any_type;
     enum bd_job_kind kind;
     enum bd_priority priority;
-    double cpus, gpus, mem, image_gb;
+    double cpus, gpus, mem_gb, image_gb;
     double estimate_s; /* the user's estimate of a task's run time */
     double checkpoint_interval_s, checkpoint_save_s, deadline_s; /* deadline < 0: none */
     bool same_zone, spread_zones, spot;
--- a/src/model/kv_limits.c
+++ b/src/model/kv_limits.c
@@ -48,7 +48,7 @@
     return next < max ? next : max;
 }
 
-bool bd_kv_limits_rejected(struct bd_core *core, const char *what)
+bool bd_kv_limits_lower_after_rejection(struct bd_core *core, const char *what)
 {
     struct bd_kv_limits *limits = &core->kv_limits;
     const struct bd_kv_limits before = *limits;
--- a/src/model/kv_limits.h
+++ b/src/model/kv_limits.h
@@ -17,7 +17,7 @@
 void bd_kv_limits_init(struct bd_core *core);
 /* Lowers the size limits after a transaction was rejected as malformed (400); `what` names it in
  * the log. False: the limits are at their minimum, so the size was not the cause. */
-bool bd_kv_limits_rejected(struct bd_core *core, const char *what);
+bool bd_kv_limits_lower_after_rejection(struct bd_core *core, const char *what);
 /* The number of changes that one transaction may hold now; at most what the rate allows in a
  * second. */
 size_t bd_kv_limits_txn_ops(const struct bd_core *core);
--- a/src/model/leadership_state.h
+++ b/src/model/leadership_state.h
@@ -39,11 +39,12 @@
 /* An acquired term, with the records that earlier terms left in the store. The core borrows it for
  * one step. */
 struct bd_acquisition {
-    uint64_t term, grant;                 /* the revision and the grant of the leader's key */
-    uint64_t sequence_revision, sequence; /* of the key `w`, the commit sequence; 0: none yet */
-    const char *nonce;                    /* distinguishes acquisitions by the same node */
-    struct timespec renewal_sent_at;      /* when the newest renewal that succeeded was sent */
-    json_t *receipts, *intents;           /* arrays of pairs */
+    uint64_t term, grant; /* the revision and the grant of the leader's key */
+    uint64_t commit_sequence_revision,
+        commit_sequence;             /* of the key `w`, the commit sequence; 0: none yet */
+    const char *nonce;               /* distinguishes acquisitions by the same node */
+    struct timespec renewal_sent_at; /* when the newest renewal that succeeded was sent */
+    json_t *receipts, *intents;      /* arrays of pairs */
 };
 
 #define BD_CYCLE_INTENT_RECORDS_MAX 6 /* in one transaction */
@@ -67,7 +68,7 @@
  * limited. */
 struct bd_intent_slice {
     char key[BD_LABEL_BYTES];
-    uint32_t from, count;
+    uint32_t first_intent, count;
 };
 
 /* The leader's transaction; at most one is in flight. scheduling/ creates it with its plan;
@@ -110,9 +111,9 @@
     /* by then all workers' leases that earlier terms renewed have expired */
     struct timespec earlier_leases_expire_at;
 
-    uint64_t sequence_revision, sequence; /* of the key `w`, the commit sequence */
-    uint64_t last_intent_record;          /* number of the newest record written in the term */
-    struct bd_commit *commit;             /* NULL: none in flight; set by scheduling/ */
+    uint64_t commit_sequence_revision, commit_sequence; /* of the key `w`, the commit sequence */
+    uint64_t last_intent_record; /* number of the newest record written in the term */
+    struct bd_commit *commit;    /* NULL: none in flight; set by scheduling/ */
     struct bd_intent_record *intent_records;
     uint32_t nintent_records, intent_records_cap;
 
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -17,7 +17,7 @@
 struct bd_machine_type {
     char label[BD_LABEL_BYTES];
     bool known; /* the cloud's list of machine types includes it */
-    double cpus, gpus, mem, cache_gb;
+    double cpus, gpus, mem_gb, cache_gb;
     double fetch_gb_per_s;    /* image download rate */
     double price, spot_price; /* per hour */
     double boot_s;
@@ -109,7 +109,7 @@
     bool heartbeat_was_direct;
     /* set by drain/: no new work; not scaled in while idle; to be scaled in now */
     bool cordoned;
-    bool kept_for_drain;
+    bool is_kept_for_drain;
     bool scale_in_for_drain;
     /* its tasks are being moved so that an expensive machine can be scaled in */
     bool consolidating;
--- a/src/model/replica_state.h
+++ b/src/model/replica_state.h
@@ -11,20 +11,20 @@
 struct bd_admission;
 
 /* The purpose of a read after a barrier, of a look-up, or of a user's transaction. */
-enum bd_read_purpose {
-    BD_READ_STATUS, /* also a submission's transaction */
-    BD_READ_CANCEL,
-    BD_READ_INVALID_SUBMISSION,
-    BD_READ_IMPOSSIBLE_SUBMISSION,
-    BD_READ_ADMISSION, /* a submission whose parents are not all in memory */
-    BD_READ_PARENT     /* for the dependency graph; no request waits for it */
+enum bd_request_purpose {
+    BD_PURPOSE_STATUS, /* also a submission's transaction */
+    BD_PURPOSE_CANCEL,
+    BD_PURPOSE_INVALID_SUBMISSION,
+    BD_PURPOSE_INFEASIBLE_SUBMISSION,
+    BD_PURPOSE_ADMISSION, /* a submission whose parents are not all in memory */
+    BD_PURPOSE_PARENT     /* for the dependency graph; no request waits for it */
 };
 
 /* A user's request that waits for a read barrier. */
 struct bd_pending_read {
     void *request;
     char id[BD_ID_BYTES];
-    enum bd_read_purpose purpose;
+    enum bd_request_purpose purpose;
     struct bd_admission *admission; /* owned; NULL: no submission */
     struct bd_pending_read *next;
 };
--- a/src/model/reservation.c
+++ b/src/model/reservation.c
@@ -21,12 +21,12 @@
     bool ends_soon = spec->kind != BD_JOB_SERVICE && spec->gpus <= 0;
     machine->reserved_cpus += factor * spec->cpus;
     machine->reserved_gpus += factor * spec->gpus;
-    machine->reserved_mem_gb += factor * spec->mem;
+    machine->reserved_mem_gb += factor * spec->mem_gb;
     if (ends_soon)
         return;
     machine->pinned_cpus += factor * spec->cpus;
     machine->pinned_gpus += factor * spec->gpus;
-    machine->pinned_mem_gb += factor * spec->mem;
+    machine->pinned_mem_gb += factor * spec->mem_gb;
 }
 
 /* Resets the sums of an empty machine, so that rounding errors do not accumulate. */
--- a/src/model/resources.c
+++ b/src/model/resources.c
@@ -8,14 +8,14 @@
     const struct bd_machine_type *type = &core->types[machine->type];
     return (struct bd_resources){type->cpus - machine->reserved_cpus,
                                  type->gpus - machine->reserved_gpus,
-                                 type->mem - machine->reserved_mem_gb};
+                                 type->mem_gb - machine->reserved_mem_gb};
 }
 
 void bd_resources_add(struct bd_resources *resources, const struct bd_spec *spec, double factor)
 {
     resources->cpus += factor * spec->cpus;
     resources->gpus += factor * spec->gpus;
-    resources->mem += factor * spec->mem;
+    resources->mem_gb += factor * spec->mem_gb;
 }
 
 uint32_t bd_amount_fit_count(double available, double need, uint32_t max)
@@ -33,5 +33,5 @@
 {
     uint32_t count = bd_amount_fit_count(resources.cpus, spec->cpus, max);
     count = bd_amount_fit_count(resources.gpus, spec->gpus, count);
-    return bd_amount_fit_count(resources.mem, spec->mem, count);
+    return bd_amount_fit_count(resources.mem_gb, spec->mem_gb, count);
 }
--- a/src/model/resources.h
+++ b/src/model/resources.h
@@ -11,7 +11,7 @@
 
 /* In cores, accelerators and GB of memory. */
 struct bd_resources {
-    double cpus, gpus, mem;
+    double cpus, gpus, mem_gb;
 };
 
 /* The resources of the machine that no task has reserved. The machine's type must be known. */
--- a/src/runtime/event_apply.c
+++ b/src/runtime/event_apply.c
@@ -89,7 +89,7 @@
                                bd_seconds_between(node->commit_queued_at, core->now));
     /* the outcome of an earlier term's transaction is ignored */
     const struct bd_event_leader_txn *txn = &event->leader_txn;
-    if (txn->term == core->lead.base_term && txn->sequence == core->lead.sequence)
+    if (txn->term == core->lead.base_term && txn->sequence == core->lead.commit_sequence)
         bd_core_leader_txn_completed(core, txn->outcome, txn->store_revision,
                                      bd_wire_read_failed_compares(txn->answer));
 }
--- a/src/scheduling/cost_model.c
+++ b/src/scheduling/cost_model.c
@@ -25,8 +25,8 @@
         tasks = fmin(tasks, floor(type->cpus / spec->cpus + ROUNDING));
     if (spec->gpus > 0)
         tasks = fmin(tasks, floor(type->gpus / spec->gpus + ROUNDING));
-    if (spec->mem > 0)
-        tasks = fmin(tasks, floor(type->mem / spec->mem + ROUNDING));
+    if (spec->mem_gb > 0)
+        tasks = fmin(tasks, floor(type->mem_gb / spec->mem_gb + ROUNDING));
     return (int)tasks;
 }
 
--- a/src/scheduling/cycle.c
+++ b/src/scheduling/cycle.c
@@ -39,7 +39,7 @@
 static bool has_work(const struct bd_core *core)
 {
     return core->lead.cycle_wanted || core->lead.token_raise_wanted ||
-           core->graph.ncancelled_by_parent > 0 ||
+           core->graph.nunrecorded_cancellations > 0 ||
            !bd_time_is_before(core->now, core->lead.next_garbage_collection);
 }
 
--- a/src/scheduling/gpu_capacity.c
+++ b/src/scheduling/gpu_capacity.c
@@ -56,13 +56,14 @@
         return max_tasks;
     struct bd_resources for_gpu_tasks = {type->cpus - machine->pinned_cpus,
                                          type->gpus - machine->pinned_gpus,
-                                         type->mem - machine->pinned_mem_gb};
+                                         type->mem_gb - machine->pinned_mem_gb};
     uint32_t gpu_tasks = bd_resources_fit_count(for_gpu_tasks, gpu_task, GPU_TASKS_MAX);
     if (gpu_tasks == 0) /* no room for GPU tasks beside the services: more services do no harm */
         return machine->reserved_gpus > 0 || spec->kind == BD_JOB_SERVICE ? max_tasks : 0;
     struct bd_resources rest = {type->cpus - machine->reserved_cpus - gpu_tasks * gpu_task->cpus, 0,
-                                type->mem - machine->reserved_mem_gb - gpu_tasks * gpu_task->mem};
-    return rest.cpus < 0 || rest.mem < 0 ? 0 : bd_resources_fit_count(rest, spec, max_tasks);
+                                type->mem_gb - machine->reserved_mem_gb -
+                                    gpu_tasks * gpu_task->mem_gb};
+    return rest.cpus < 0 || rest.mem_gb < 0 ? 0 : bd_resources_fit_count(rest, spec, max_tasks);
 }
 
 bool bd_gpu_use_is_known(const struct bd_core *core, const struct bd_machine *machine)
--- a/src/scheduling/machine_choice.c
+++ b/src/scheduling/machine_choice.c
@@ -29,7 +29,7 @@
     struct bd_resources capacity = bd_machine_free_resources(cycle->core, machine);
     const struct bd_resources *claimed = &cycle->machines[machine->index].claimed;
     return (struct bd_resources){capacity.cpus - claimed->cpus, capacity.gpus - claimed->gpus,
-                                 capacity.mem - claimed->mem};
+                                 capacity.mem_gb - claimed->mem_gb};
 }
 
 bool bd_zone_is_eligible(const struct placement_cycle *cycle, const struct bd_machine *machine)
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -93,7 +93,8 @@
 /* Whether the leader's key was read recently. */
 static bool has_fresh_leader_view(const struct bd_core *core)
 {
-    return bd_seconds_between(core->leader_seen_at, core->now) < BD_DELEGATE_CONFIRMATION_VALID_S;
+    return bd_seconds_between(core->leader_read_sent_at, core->now) <
+           BD_DELEGATE_CONFIRMATION_VALID_S;
 }
 
 /* Whether, according to a recent read of the leader's key, another controller leads but sends this
@@ -271,7 +272,7 @@
         return;
     }
     if (status == 400)
-        (void)bd_kv_limits_rejected(core, "the delegate's record");
+        (void)bd_kv_limits_lower_after_rejection(core, "the delegate's record");
     if (status != 200)
         bd_log_write(core->log, BD_LOG_INFO, "delegate record not written: status %ld", status);
     /* the cause of a conflict may only be that the leader's key was rewritten */
--- a/tests/behaviour_digest.c
+++ b/tests/behaviour_digest.c
@@ -100,8 +100,9 @@
              effect->machine, effect->has_launches);
     add_text(digest, " until=%lld.%09ld", (long long)effect->send_deadline.tv_sec,
              effect->send_deadline.tv_nsec);
-    add_text(digest, " sequence=%llu forward=%llu peer=%d ", (unsigned long long)effect->sequence,
-             (unsigned long long)effect->forward_id, effect->peer);
+    add_text(digest, " sequence=%llu forward=%llu peer=%d ",
+             (unsigned long long)effect->commit_sequence, (unsigned long long)effect->forward_id,
+             effect->peer);
     if (effect->body)
         add_bytes(digest, effect->body, strlen(effect->body));
     end_step(digest);
--- a/tests/drain_profile_choice.c
+++ b/tests/drain_profile_choice.c
@@ -26,7 +26,7 @@
             candidate->needs[k] = (struct bd_budget_need){(team + k) % CHOICE_TEAMS, tasks, 1};
             candidate->tasks += tasks;
         }
-        candidate->task_resources.cpus = candidate->task_resources.mem = candidate->tasks;
+        candidate->task_resources.cpus = candidate->task_resources.mem_gb = candidate->tasks;
     }
 }
 
--- a/tests/drain_profile_fleet.c
+++ b/tests/drain_profile_fleet.c
@@ -161,7 +161,7 @@
                                      .replacement_timeout_s = 60,
                                      .record_retention_s = 1e6};
     rules->budgets[rules->nbudgets++] =
-        (struct bd_budget_rule){.per_cent = true, .amount = per_cent};
+        (struct bd_budget_rule){.is_percentage = true, .amount = per_cent};
     fleet->settings.draining = rules;
 }
 
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -183,7 +183,7 @@
                                          .grant = 7,
                                          .nonce = "n",
                                          .renewal_sent_at = run->cores[node]->now};
-    acquisition.sequence_revision = sequence ? sequence->revision : 0;
+    acquisition.commit_sequence_revision = sequence ? sequence->revision : 0;
     acquisition.receipts = list_keys(run, "r/");
     acquisition.intents = list_keys(run, "i/");
     refresh(run, node, true); /* the replica is at least as new as the term */
--- a/tests/graphs_large.c
+++ b/tests/graphs_large.c
@@ -69,7 +69,8 @@
     add_record(core, 0, "cancelled", -1, 2);
     for (int n = 0; n < 2 * CHAIN_JOBS; n++)
         faults += n != CHAIN_JOBS && find_job(core, n)->state != BD_JOB_CANCELLED;
-    faults += core->graph.parents != NULL || core->graph.ncancelled_by_parent != 2 * CHAIN_JOBS - 2;
+    faults +=
+        core->graph.parents != NULL || core->graph.nunrecorded_cancellations != 2 * CHAIN_JOBS - 2;
     bd_core_free(core);
     if (faults)
         fprintf(stderr, "a large graph: %d faults\n", faults);
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -32,7 +32,7 @@
  * - finished_jobs N   N records of jobs that were done long ago, then an eviction from memory
  * - refreshed [failed]   a refresh of the replica
  * - job_lookup_completed JOB PURPOSE STATUS [cancelled]   the record of an evicted job was read;
- *   PURPOSE: a number of enum bd_read_purpose
+ *   PURPOSE: a number of enum bd_request_purpose
  * - submit {json} | get job-1 | cancel job-1   requests of a user
  * - user_txn_completed STATUS   the outcome of the first user_txn that waits
  * - cancellation_received job-1   a peer announces that the job's cancellation was confirmed
--- a/tests/sim_commit.c
+++ b/tests/sim_commit.c
@@ -33,7 +33,7 @@
     struct bd_core *core = node->core;
     node->commit = NULL;
     if (strtoull(effect->key, NULL, 10) == core->lead.base_term &&
-        effect->sequence == core->lead.sequence)
+        effect->commit_sequence == core->lead.commit_sequence)
         bd_core_leader_txn_completed(core, outcome, store_revision,
                                      bd_wire_read_failed_compares(answer));
     bd_effect_free(effect);
@@ -52,7 +52,7 @@
                     (uint64_t)json_integer_value(json_object_get(change.value, "t")) ==
                         strtoull(node->commit->key, NULL, 10) &&
                     (uint64_t)json_integer_value(json_object_get(change.value, "n")) ==
-                        node->commit->sequence;
+                        node->commit->commit_sequence;
         if (ours)
             complete_commit(node, BD_TXN_COMMITTED, change.revision, NULL);
         else if (status == 200 || status == 404)
--- a/tests/sim_election.c
+++ b/tests/sim_election.c
@@ -134,7 +134,7 @@
         post_election(sim, node, 0.3);
     } else if (is_sequence) {
         if (status == 200 && bd_wire_read_pair(answer, &change, &grant))
-            node->acquisition.sequence_revision = change.revision;
+            node->acquisition.commit_sequence_revision = change.revision;
         (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_RECEIPTS, "r/", NULL, 1.5);
     } else if (call->purpose == SIM_FOR_RECEIPTS) {
         node->acquisition.receipts = json_incref(bd_wire_read_pairs(answer, &ignored));
