--- a/include/brambledoor/settings.h
+++ b/include/brambledoor/settings.h
@@ -43,7 +43,7 @@
 /* A service-level objective. */
 struct bd_slo {
     enum bd_slo_kind kind;
-    char job_class[BD_NAME_BYTES]; /* the class of jobs that it applies to; empty: none is named */
+    char job_class[BD_NAME_BYTES]; /* the class of jobs that it applies to; empty: no class */
     double within_s;               /* the time that the kind refers to, in seconds */
     double share;                  /* share of the jobs that must meet it, 0 to 1 */
 };
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -15,7 +15,7 @@
 #include "workers/workers.h"
 #include <stdlib.h>
 
-#define EVICT_INTERVAL_S 10.0
+#define REPLICA_EVICTION_INTERVAL_S 10.0
 #define LEADER_CHECKS_INTERVAL_S 0.25
 #define AUTOSCALING_INTERVAL_S 1.0
 #define FOLLOWER_TICK_INTERVAL_S 1.0
@@ -86,7 +86,7 @@
 {
     if (!bd_time_is_before(core->replica.next_eviction, core->now))
         return;
-    core->replica.next_eviction = bd_time_add(core->now, bd_secs(EVICT_INTERVAL_S));
+    core->replica.next_eviction = bd_time_add(core->now, bd_secs(REPLICA_EVICTION_INTERVAL_S));
     bd_replica_evict(core);
 }
 
@@ -94,9 +94,9 @@
  * heartbeats. */
 static void run_leader_checks(struct bd_core *core)
 {
-    if (!bd_time_is_before(core->lead.next_tick, core->now))
+    if (!bd_time_is_before(core->lead.next_checks, core->now))
         return;
-    core->lead.next_tick = bd_time_add(core->now, bd_secs(LEADER_CHECKS_INTERVAL_S));
+    core->lead.next_checks = bd_time_add(core->now, bd_secs(LEADER_CHECKS_INTERVAL_S));
     bd_machines_detect_inbound_partition(core);
     bd_workers_expire_leases(core);
     bd_fencing_tick(core);
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -20,7 +20,7 @@
 /* Sets the id after which the ids of forwarded heartbeats start. Peers return these ids in their
  * replies, so they must not start where those of the controller's last process did. */
 void bd_core_seed_forwarding_ids(struct bd_core *core, uint64_t seed);
-/* Sets the time of the next step. now: steady clock; wall_s: time of day in seconds. */
+/* Sets the time of the next step. now: monotonic clock; wall_s: time of day in seconds. */
 void bd_core_set_clock(struct bd_core *core, struct timespec now, double wall_s);
 /* Applies a read of the leader's key; see bd_leadership_leader_observed. dismissed: the key lists
  * this controller as a delegate that is not needed, since its workers' heartbeats reach the leader.
--- a/src/leadership/commit.c
+++ b/src/leadership/commit.c
@@ -22,8 +22,8 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* Intent records may take this many bytes of a transaction, and one change in INTENT_OPS_DIVISOR.
- * The rest is left for receipts. */
+/* Intent records may take INTENT_BYTES_MAX bytes of a transaction and 1/INTENT_OPS_DIVISOR of its
+ * changes. The rest is left for receipts. */
 #define INTENT_BYTES_MAX 42000u
 #define INTENT_OPS_DIVISOR 4
 
@@ -42,22 +42,23 @@
 {
     size_t by_bytes = INTENT_BYTES_MAX / core->kv_limits.kv_value_bytes_max;
     size_t by_ops = bd_kv_limits_txn_ops(core) / INTENT_OPS_DIVISOR;
-    size_t n = by_bytes < by_ops ? by_bytes : by_ops;
-    if (n < 1)
+    size_t records = by_bytes < by_ops ? by_bytes : by_ops;
+    if (records < 1)
         return 1;
-    return n > BD_CYCLE_INTENT_RECORDS_MAX ? BD_CYCLE_INTENT_RECORDS_MAX : (uint32_t)n;
+    return records > BD_CYCLE_INTENT_RECORDS_MAX ? BD_CYCLE_INTENT_RECORDS_MAX : (uint32_t)records;
 }
 
-static void add_intent_record(struct bd_core *core, struct bd_txn_builder *builder, uint32_t from)
+static void add_intent_record(struct bd_core *core, struct bd_txn_builder *builder,
+                              uint32_t first_intent)
 {
     struct bd_commit *commit = core->lead.commit;
     struct bd_intent_slice *slice = &commit->intent_slices[commit->nintent_slices++];
-    slice->first_intent = from;
-    slice->count = commit->nplan - from;
+    slice->first_intent = first_intent;
+    slice->count = commit->nplan - first_intent;
     snprintf(slice->key, sizeof slice->key, "i/%020llu-%08llu",
              (unsigned long long)core->lead.base_term,
              (unsigned long long)++core->lead.last_intent_record);
-    json_t *value = bd_intent_record_value(core, commit->plan + from, &slice->count);
+    json_t *value = bd_intent_record_value(core, commit->plan + first_intent, &slice->count);
     bd_txn_put(&builder->txn, slice->key, value, 0);
     bd_txn_builder_count(builder, 1, 0, core->kv_limits.kv_value_bytes_max);
 }
@@ -112,7 +113,7 @@
     return true;
 }
 
-/* Adds the records of jobs that are cancelled because a parent is, as the write rate allows. */
+/* Adds the records of jobs that a parent's cancellation cancelled until the transaction is full. */
 static void add_cancelled_records(struct bd_core *core, struct bd_txn_builder *builder)
 {
     struct bd_commit *commit = core->lead.commit;
@@ -156,7 +157,7 @@
     return true;
 }
 
-/* Adds the receipts of the job's changed chunks. Returns false once one could not be added. */
+/* Adds the receipts of the job's changed chunks. Returns false if one could not be added. */
 static bool add_job_receipts(struct bd_core *core, struct bd_txn_builder *builder,
                              struct bd_job *job)
 {
@@ -221,7 +222,8 @@
     }
 }
 
-/* Starts with the comparisons by which the transaction applies only in this term, and only once. */
+/* Begins the transaction. Its first comparisons ensure that it applies only in this term, and only
+ * once. */
 static struct bd_txn_builder begin_txn(const struct bd_core *core)
 {
     /* less one change and two comparisons for the commit sequence and the leader's key */
--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -102,7 +102,8 @@
                  "%.1f s, done after %.1f s, %u reservations lost",
                  job->id, job->ntasks, (int)job->spec.priority, job->spec.estimate_s,
                  age_s - bd_seconds_between(job->last_placed_at, core->now),
-                 age_s - bd_seconds_between(job->last_started_at, core->now), age_s, job->restarts);
+                 age_s - bd_seconds_between(job->last_started_at, core->now), age_s,
+                 job->reservations_lost);
 }
 
 static void finish_job(struct bd_core *core, struct bd_job *job, uint64_t store_revision)
@@ -166,9 +167,9 @@
     core->lead.token_raise_wanted = core->lead.token_raise_wanted || commit->raises_fencing_token;
 }
 
-/* Lowers the limits that are used for the store after it rejected a transaction. If no limit can be
- * lowered further, one of the jobs must have caused the rejection: all of them are left out of
- * transactions for a while. */
+/* Lowers the limits that are used for the store after the store rejected a transaction. If no limit
+ * can be lowered further, one of the jobs must have caused the rejection: all of them are left out
+ * of transactions for a while. */
 static void back_off_rejected(struct bd_core *core, const struct bd_commit *commit)
 {
     if (bd_kv_limits_lower_after_rejection(core, "the leader's transaction"))
--- a/src/leadership/fencing.c
+++ b/src/leadership/fencing.c
@@ -6,8 +6,8 @@
 
 #define LAUNCH_ANSWER_TIMEOUT_S 1.5
 #define TOKEN_RAISE_INTERVAL_S 5.0
-/* Results stay on the machines for at most RESULTS_WITHHELD_MAX_S before the token is raised, or
- * until there are more than RESULTS_WITHHELD_MAX of them. */
+/* The token is raised once results have stayed on the machines for RESULTS_WITHHELD_MAX_S, or once
+ * there are more than RESULTS_WITHHELD_MAX of them. */
 #define RESULTS_WITHHELD_MAX_S 25.0
 #define RESULTS_WITHHELD_MAX 4000u
 
--- a/src/leadership/leadership.h
+++ b/src/leadership/leadership.h
@@ -14,8 +14,8 @@
  *
  * Owns core->lead, core->role, and the state of the leader and the peers as this controller knows
  * it. Called by the runtime for events of the election, the key-value store and the peers, by core/
- * at each tick, and by workers/ and scheduling/ to ask what the leader may do now. All functions
- * are part of the pure core and run on the owner thread. Times are of the steady clock unless a
+ * at each tick, and by workers/ and drain/ to query what the leader may do now. All functions
+ * are part of the pure core and run on the owner thread. Times are of the monotonic clock unless a
  * name says wall. */
 #ifndef BD_LEADERSHIP_H
 #define BD_LEADERSHIP_H
@@ -43,7 +43,7 @@
 void bd_leadership_leader_observed(struct bd_core *core, const char *name, uint64_t revision,
                                    struct timespec sent_at);
 /* Extends the lease after the store renewed the grant. sent_at: when the renewal request was sent.
- * Ignored if it is not the grant of this controller's term. */
+ * Ignored if the grant is not that of this controller's term. */
 void bd_leadership_lease_renewed(struct bd_core *core, uint64_t grant, struct timespec sent_at);
 /* Ends the term if this controller leads: frees the leader's state and emits
  * BD_EFFECT_STEP_DOWN. */
@@ -51,9 +51,9 @@
 /* Ends the term if its lease has expired and a peer reports a newer term. While the store cannot be
  * read, the peers' statuses are the only way to learn who leads. */
 void bd_leadership_step_down_if_superseded(struct bd_core *core);
-/* Ends the term, and asks the election to end its grant, if this controller's reads of the records
- * have failed for several seconds while another controller's have not. The other controller could
- * launch tasks at once; this one cannot. */
+/* Ends the term, and requests that the election revoke the grant, if this controller's reads of the
+ * records have failed for several seconds while another controller's have not. The other controller
+ * could launch tasks at once; this one cannot. */
 void bd_leadership_resign_if_reads_fail(struct bd_core *core);
 
 /* ---- peers (peer_status.c) ---- */
@@ -95,8 +95,8 @@
 /* ---- fencing (fencing.c) ---- */
 
 /* Requests a higher fencing token (lead.token_raise_wanted) when a direct launch was not answered
- * in time, or when workers store too many results, or results for too long, until the token rises.
- */
+ * in time, or when workers have stored too many results, or some for too long, that they may delete
+ * only after the token is raised. */
 void bd_fencing_tick(struct bd_core *core);
 
 /* ---- renewal of workers' leases (lease_renewal.c) ---- */
--- a/src/leadership/leadership_internal.h
+++ b/src/leadership/leadership_internal.h
@@ -36,7 +36,7 @@
 /* Counts changes, comparisons and bytes that were added to the transaction. */
 void bd_txn_builder_count(struct bd_txn_builder *builder, size_t ops, size_t compares,
                           size_t bytes);
-/* Adds a comparison: the job's record must still have the revision that the core knows. */
+/* Adds a comparison: the job's record must still have the revision in bd_job.revision. */
 void bd_txn_builder_compare_job(struct bd_txn_builder *builder, const struct bd_job *job);
 /* Adds the job's new record and its comparison. bytes: upper bound of the record's size. Takes
  * ownership of record. */
--- a/src/leadership/lease_renewal.c
+++ b/src/leadership/lease_renewal.c
@@ -17,7 +17,7 @@
 #include "leadership/leadership.h"
 #include "model/core_state.h"
 
-#define WINDOW_MARGIN_MAX_S 2.0     /* for messages in flight */
+#define WINDOW_MARGIN_MAX_S 2.0     /* time for messages in flight */
 #define WINDOW_MARGIN_MAX_SHARE 0.5 /* of the slack, when cancel_s is short */
 #define LAUNCH_READ_AGE_MAX_S 2.0   /* no launch is based on records that were read earlier */
 #define TIMER_DELAY_MAX_S 0.1
--- a/src/leadership/peer_status.c
+++ b/src/leadership/peer_status.c
@@ -1,4 +1,4 @@
-/* The statuses of the other controllers: whether a peer knows a newer term or has fresher reads,
+/* The statuses of the other controllers: whether a peer reports a newer term or fresher reads,
  * and whether this controller is isolated. Part of the pure core. */
 #include "base/timeutil.h"
 #include "leadership/leadership.h"
--- a/src/leadership/reconciliation.c
+++ b/src/leadership/reconciliation.c
@@ -34,9 +34,9 @@
     snprintf(lead->nonce, sizeof lead->nonce, "%s", acquisition->nonce);
 }
 
-/* Sets when the worker leases that earlier terms renewed have expired. An earlier leader within its
- * renewal window, or a delegate of one, may answer heartbeats for at most late_replies_s from now.
- */
+/* Sets the time by which the worker leases that earlier terms renewed have expired. An earlier
+ * leader within its renewal window, or a delegate of one, may answer heartbeats for at most
+ * late_replies_s from now. */
 static void set_earlier_leases_expiry(struct bd_core *core)
 {
     double late_replies_s =
@@ -124,7 +124,7 @@
 
 void bd_leadership_reconcile(struct bd_core *core, const struct bd_acquisition *acquisition)
 {
-    core->delegates.read_at = core->now;
+    core->delegates.read_sent_at = core->now;
     set_earlier_leases_expiry(core);
     start_tracking_jobs(core);
     load_pairs(core, acquisition->receipts, bd_receipt_load);
--- a/src/leadership/txn_builder.c
+++ b/src/leadership/txn_builder.c
@@ -6,7 +6,7 @@
 #include "wire/wire_store.h"
 #include <stdio.h>
 
-#define TXN_BYTES_MAX 56000u /* body of a request */
+#define TXN_BYTES_MAX 56000u /* of a request's body, whose limit is 64 KiB */
 
 bool bd_txn_builder_fits(const struct bd_txn_builder *builder, size_t ops, size_t compares,
                          size_t bytes)
--- a/src/model/core_state.h
+++ b/src/model/core_state.h
@@ -30,7 +30,7 @@
     const struct bd_log *log;
     struct bd_metrics *metrics; /* NULL: metrics are off */
     struct timespec now;        /* monotonic clock at this step */
-    double wall_s;              /* wall-clock time at this step */
+    double wall_s;              /* time of day at this step, in seconds */
 
     struct bd_job *jobs;                   /* owned; hash by id */
     struct bd_machine *machines;           /* owned; hash by id */
@@ -48,18 +48,18 @@
     struct bd_dependency_graph graph;
     struct bd_kv_limits kv_limits;
     struct bd_peer_view peers[BD_PEERS_MAX]; /* in the settings' order */
-    /* when this controller sent its newest liveness record that was committed, and its newest that
-     * may have been committed */
+    /* when this controller sent the newest of its liveness records that was certainly committed */
     struct timespec liveness_confirmed_at;
+    /* when it sent the newest one, which may have been committed */
     struct timespec liveness_sent_at;
     struct bd_delegate delegate;       /* used as follower */
     struct bd_delegate_view delegates; /* used as leader */
     struct bd_forwarding forwarding;
     struct bd_decision_log decision_log;
     enum bd_role role;
-    char leader_name[BD_LABEL_BYTES];
-    uint64_t leader_term; /* 0: no leader */
-    uint64_t last_term;   /* the last leader_term that was not 0 */
+    char leader_name[BD_LABEL_BYTES]; /* empty: no leader is known */
+    uint64_t leader_term;             /* 0: no leader */
+    uint64_t last_term;               /* the last leader_term that was not 0 */
     struct timespec leader_read_sent_at;
     struct bd_leadership lead;
     struct bd_cloud_view cloud;
--- a/src/model/decision_log.h
+++ b/src/model/decision_log.h
@@ -30,6 +30,7 @@
     double line_budget;             /* lines that may be written now */
     struct timespec line_budget_at; /* when the budget was last refilled */
     uint32_t suppressed;            /* lines suppressed since the last line that was written */
+    /* when a reply of an autonomous zone was last logged */
     struct timespec autonomous_logged_at;
 };
 
--- a/src/model/delegate_state.h
+++ b/src/model/delegate_state.h
@@ -1,6 +1,6 @@
 /* Delegates: followers that answer heartbeats on behalf of the leader. Each keeps a record of the
- * machines that it answers; the leader keeps a view of all records. Only src/workers/ changes this
- * state. */
+ * machines that it answers; the leader keeps a view of all records. Changed by src/workers/.
+ * src/leadership/ resets the view at the start and end of a term, and deletes the stale record. */
 #ifndef BD_DELEGATE_STATE_H
 #define BD_DELEGATE_STATE_H
 #include "brambledoor/settings.h"
@@ -34,10 +34,11 @@
                                  leader's key */
     uint64_t revision;        /* revision of the record */
     bool revision_known, txn_in_flight;
-    struct timespec confirmed_until, next_write;
+    struct timespec confirmed_until; /* the last written record allows replies until then */
+    struct timespec next_write;      /* of the record */
 
     /* The leader's key lists this controller among the delegates that are not needed: the first
-     * revision of the key that does, and when it was read. */
+     * revision of the key that does, and when the read of that revision was sent. */
     bool dismissed;
     uint64_t dismissed_revision;
     struct timespec dismissed_since;
@@ -51,9 +52,10 @@
 
     /* Workers that were redirected to the leader as a probe of whether it can be reached. */
     char probes[BD_PROBES_MAX][BD_LABEL_BYTES];
-    uint32_t nprobes, probe_batch;
-    struct timespec probes_at;
-    struct timespec serving_since;
+    uint32_t nprobes;
+    uint32_t probe_batch; /* workers in a batch of probes */
+    struct timespec batch_began_at;
+    struct timespec serving_since; /* since when at least one machine is served */
 };
 
 /* The leader's view of a delegate's record, or of one part of it. */
@@ -67,7 +69,7 @@
 
 /* The delegates' records as the leader last read them. */
 struct bd_delegate_view {
-    struct timespec read_at;
+    struct timespec read_sent_at;   /* of the newest answered read; at first: start of the term */
     char stale_key[BD_LABEL_BYTES]; /* key of a record that its delegate no longer writes */
     struct bd_delegate_record records[(BD_PEERS_MAX + 1) * BD_DELEGATE_PARTS_MAX];
     int count;
--- a/src/model/dependency_state.h
+++ b/src/model/dependency_state.h
@@ -38,18 +38,19 @@
     void *request;
     char id[BD_ID_BYTES];
     struct bd_job_record record;
-    json_t *parents;       /* NULL: none */
-    uint32_t lookups_sent; /* look-ups sent so far */
+    json_t *parents; /* NULL: none */
+    uint32_t lookups_sent;
     struct bd_admission *next;
 };
 
 /* The graph of jobs with open dependencies and of the jobs that they depend on. */
 struct bd_dependency_graph {
-    struct bd_admission *awaiting_lookup; /* wait for a parent's evicted record */
+    struct bd_admission *awaiting_lookup; /* submissions that need a parent's evicted record */
     struct bd_parent_job *parents;        /* hash by id */
     struct bd_parents_part *parts;        /* hash by key; of jobs whose list is incomplete */
     bool priorities_stale;                /* priorities and finish times must be recomputed */
-    uint32_t nunrecorded_cancellations;   /* jobs whose own records do not show it yet */
+    uint32_t nunrecorded_cancellations;   /* jobs that a parent's cancellation cancelled, but their
+                                             records do not show it yet */
     uint32_t nunknown_parents;            /* parents that are not in memory */
     struct timespec next_lookup;
 };
--- a/src/model/disruption_ledger.c
+++ b/src/model/disruption_ledger.c
@@ -243,7 +243,7 @@
     return entry && roaring_bitmap_contains(entry->up, task);
 }
 
-static void count_silent_tasks(struct bd_ledger *ledger, const struct bd_machine *machine)
+static void count_unresponsive_tasks(struct bd_ledger *ledger, const struct bd_machine *machine)
 {
     for (uint32_t i = 0; i < machine->nreservations; i++) {
         const struct bd_reservation *reservation = &machine->reservations[i];
@@ -270,7 +270,7 @@
     for (uint32_t i = 0; i < core->nmachines; i++) {
         const struct bd_machine *machine = core->machines_by_index[i];
         if (!machine->terminated && machine->nreservations > 0 && may_have_failed(core, machine))
-            count_silent_tasks(ledger, machine);
+            count_unresponsive_tasks(ledger, machine);
     }
 }
 
--- a/src/model/disruption_ledger.h
+++ b/src/model/disruption_ledger.h
@@ -7,8 +7,8 @@
  * the machine's heartbeat shows the new term.
  *
  * Owns `struct bd_ledger`; only the functions here change it. model/ and workers/ report the
- * changes of tasks, drain/ queries it, core/ creates it. Used as leader only, and only while
- * draining is on (core->ledger is NULL otherwise). */
+ * changes of tasks, jobs/ and leadership/ the end of jobs. drain/ resets and queries it, core/
+ * creates it. Used as leader only, and only while draining is on (else core->ledger is NULL). */
 #ifndef BD_DISRUPTION_LEDGER_H
 #define BD_DISRUPTION_LEDGER_H
 #include "brambledoor/settings.h"
@@ -20,12 +20,13 @@
 
 struct bd_core;
 
-/* The maximum number of tasks of a team, or of one of its job classes, that may be down at once. */
+/* The maximum number of tasks of a team, or of one of its job classes, that may be down at the same
+ * time. */
 struct bd_budget_rule {
     char team[BD_NAME_BYTES];      /* empty: every team without a rule of its own */
     char job_class[BD_NAME_BYTES]; /* empty: all of the team's tasks */
-    /* amount is a percentage of the tasks that are up or down. The result is rounded down, but at
-     * least 1. */
+    /* amount is a percentage of the tasks that are up or down. The result is rounded down, but is
+     * at least 1 unless amount is 0. */
     bool is_percentage;
     double amount;
 };
@@ -71,7 +72,7 @@
 /* Recounts the tasks on machines that may have failed. */
 void bd_ledger_update_unresponsive(struct bd_core *core);
 
-/* The number of tasks that may be down at once. */
+/* The number of tasks that may be down at the same time. */
 uint32_t bd_budget_allowed(const struct bd_budget *budget);
 /* The number of further tasks that voluntary disruption may take down now. */
 uint32_t bd_budget_remaining(const struct bd_budget *budget);
--- a/src/model/effect.h
+++ b/src/model/effect.h
@@ -21,10 +21,11 @@
     BD_EFFECT_USER_TXN,
     BD_EFFECT_LEADER_TXN,
     BD_EFFECT_DIRECT_COMMAND,
-    BD_EFFECT_SCALE_OUT,
+    BD_EFFECT_SCALE_OUT, /* key: the id of the provisioning request */
     BD_EFFECT_SCALE_IN,
     BD_EFFECT_READ_BARRIER,
     BD_EFFECT_STEP_DOWN, /* the term is over */
+    /* writes this controller's delegate record; body NULL: reads its revision; key: the record's */
     BD_EFFECT_DELEGATE_TXN,
     BD_EFFECT_JOB_LOOKUP,           /* reads a job's record; key: the job's id */
     BD_EFFECT_FORWARD_HEARTBEAT,    /* to the leader */
--- a/src/model/forwarding_state.h
+++ b/src/model/forwarding_state.h
@@ -1,5 +1,5 @@
 /* The heartbeats of workers that this controller forwards to the leader, and the workers that it
- * redirected to the leader. Changed by src/workers/. */
+ * redirected to the leader. Changed by src/workers/; core/ sets the first id. */
 #ifndef BD_FORWARDING_STATE_H
 #define BD_FORWARDING_STATE_H
 #include "wire/wire.h"
@@ -22,8 +22,8 @@
 struct bd_redirected_worker {
     UT_hash_handle hh; /* by id */
     char id[BD_LABEL_BYTES];
-    struct timespec redirected_at;
-    bool has_returned; /* it came back, so its heartbeats are forwarded */
+    struct timespec redirected_at; /* once it has returned: when it did */
+    bool has_returned;             /* it came back, so its heartbeats are forwarded */
 };
 
 struct bd_forwarding {
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -20,7 +20,7 @@
     enum bd_priority priority;
     double cpus, gpus, mem_gb, image_gb;
     double estimate_s; /* the user's estimate of a task's run time */
-    double checkpoint_interval_s, checkpoint_save_s, deadline_s; /* deadline < 0: none */
+    double checkpoint_interval_s, checkpoint_save_s, deadline_s; /* deadline_s < 0: none */
     bool same_zone, spread_zones, spot;
 };
 
@@ -30,9 +30,10 @@
     char id[BD_ID_BYTES];
     uint64_t revision; /* of the job's record */
     enum bd_job_state state;
-    /* A transaction found another revision of the record: nothing is written until it is read. */
+    /* A transaction found another revision of the record. Nothing is written for the job until the
+     * record has been read again. */
     bool record_stale;
-    bool dirty; /* has receipts to commit */
+    bool dirty; /* has receipts or its done record to commit */
     uint32_t ntasks, ndone, npending, nplaced, nrunning;
     /* counts that users are shown while the tasks are not tracked */
     uint32_t reported_done, reported_running;
@@ -44,13 +45,13 @@
     /* No task is placed before this time: tasks of the job failed or were refused. */
     struct timespec placement_backoff_until;
     struct timespec last_placed_at, last_started_at;
-    uint32_t restarts; /* tasks that lost their reservation after a launch */
+    uint32_t reservations_lost; /* released after the intent was committed, except on completion */
     /* when another controller announced the job's cancellation; 0: never */
     struct timespec cancellation_announced_at;
     bool start_committed;        /* the start of a task was committed in this term */
     uint32_t failed_tasks;       /* task exits with an error */
     uint32_t finished_runs;      /* tasks whose start and end were both seen */
-    uint32_t longest_run_tenths; /* the longest of these runs, in tenths of a second */
+    uint32_t longest_run_tenths; /* the longest finished run, in tenths of a second */
     struct bd_spec spec;
     bool has_spec;
     bool within_guaranteed_share; /* in this scheduling cycle */
@@ -64,7 +65,7 @@
     uint32_t parent_parts;           /* parts of its list of parents if not all are read, else 0 */
     char parent_parts_hash[BD_HASH_BYTES];
     bool has_had_parents;      /* has or had parents, so its deadline counts */
-    bool cancelled_by_parent;  /* and its own record does not show it yet */
+    bool cancelled_by_parent;  /* but its own record does not show it yet */
     double ready_at, ended_at; /* time of day, in seconds: when it could start; when it ended */
     enum bd_priority priority; /* the highest of its own and its dependents' */
     /* time of day, in seconds, by which it must end for its own and its dependents' deadlines;
--- a/src/model/kv_limits.c
+++ b/src/model/kv_limits.c
@@ -15,9 +15,9 @@
 
 /* Time without a 400 before the sizes are raised; doubled each time that a 400 soon follows a
  * raise. */
-#define RAISE_AFTER_MIN_S 60.0
-#define RAISE_AFTER_MAX_S 3600.0
-#define RAISE_INTERVAL_S 10.0 /* between two raises */
+#define SIZE_RAISE_AFTER_MIN_S 60.0
+#define SIZE_RAISE_AFTER_MAX_S 3600.0
+#define SIZE_RAISE_INTERVAL_S 10.0 /* between two raises */
 
 #define LEADER_SHARE 0.6 /* of the store's write rate; the rest is for users' requests */
 
@@ -29,7 +29,7 @@
     core->kv_limits.kv_value_bytes_max = core->settings->kv_value_bytes_max;
     core->kv_limits.kv_txn_ops_max = core->settings->kv_txn_ops_max;
     core->kv_limits.writes_per_s = core->settings->kv_writes_per_s;
-    core->kv_limits.raise_after_s = RAISE_AFTER_MIN_S;
+    core->kv_limits.raise_after_s = SIZE_RAISE_AFTER_MIN_S;
 }
 
 /* ---- sizes ---- */
@@ -54,8 +54,8 @@
     const struct bd_kv_limits before = *limits;
     bool raised_recently =
         !bd_time_is_zero(before.limits_raised_at) &&
-        bd_seconds_between(before.limits_raised_at, core->now) < RAISE_AFTER_MIN_S;
-    if (raised_recently && before.raise_after_s < RAISE_AFTER_MAX_S)
+        bd_seconds_between(before.limits_raised_at, core->now) < SIZE_RAISE_AFTER_MIN_S;
+    if (raised_recently && before.raise_after_s < SIZE_RAISE_AFTER_MAX_S)
         limits->raise_after_s = 2 * before.raise_after_s;
     limits->limits_raised_at = (struct timespec){0, 0};
     limits->limits_rejected_at = core->now;
@@ -88,7 +88,7 @@
     if (bd_seconds_between(limits->limits_rejected_at, core->now) < limits->raise_after_s)
         return false;
     return bd_time_is_zero(limits->limits_raised_at) ||
-           bd_seconds_between(limits->limits_raised_at, core->now) >= RAISE_INTERVAL_S;
+           bd_seconds_between(limits->limits_raised_at, core->now) >= SIZE_RAISE_INTERVAL_S;
 }
 
 /* The store may have raised its limit again, or a rejection may have had another cause. A raise too
@@ -115,7 +115,7 @@
     if (bd_seconds_between(limits->rate_exceeded_at, core->now) < RATE_CUT_INTERVAL_S &&
         !bd_time_is_zero(limits->rate_exceeded_at))
         return;
-    limits->rate_exceeded_at = limits->rate_raised_at = core->now;
+    limits->rate_exceeded_at = limits->rate_changed_at = core->now;
     limits->writes_per_s *= RATE_CUT_FACTOR;
     if (limits->writes_per_s < WRITES_PER_S_MIN)
         limits->writes_per_s = WRITES_PER_S_MIN;
@@ -132,9 +132,9 @@
     double max = core->settings->kv_writes_per_s;
     if (limits->writes_per_s >= max ||
         bd_seconds_between(limits->rate_exceeded_at, core->now) < RATE_RAISE_AFTER_S ||
-        bd_seconds_between(limits->rate_raised_at, core->now) < RATE_RAISE_INTERVAL_S)
+        bd_seconds_between(limits->rate_changed_at, core->now) < RATE_RAISE_INTERVAL_S)
         return;
-    limits->rate_raised_at = core->now;
+    limits->rate_changed_at = core->now;
     limits->writes_per_s *= RATE_RAISE_FACTOR;
     if (limits->writes_per_s > max)
         limits->writes_per_s = max;
--- a/src/model/leadership_state.h
+++ b/src/model/leadership_state.h
@@ -33,7 +33,7 @@
     BD_TXN_CONFLICT, /* not applied: a comparison failed, or the write rate was exceeded too long */
     BD_TXN_REJECTED, /* not applied: malformed or beyond a limit of the store (400) */
     BD_TXN_DEPOSED,  /* the term is over: another controller leads, or the grant has expired */
-    BD_TXN_UNKNOWN   /* no answer: the client sends it again, and never reports this outcome */
+    BD_TXN_UNKNOWN   /* no answer: the client retries, and never reports this outcome */
 };
 
 /* An acquired term, with the records that earlier terms left in the store. The core borrows it for
@@ -48,7 +48,8 @@
 };
 
 #define BD_CYCLE_INTENT_RECORDS_MAX 6 /* in one transaction */
-/* Jobs of each kind in one transaction; the rest are left to the next. */
+/* Maximum number of done jobs, of cancelled jobs and of deleted keys in one transaction. The rest
+ * are left to the next transaction. */
 #define BD_CYCLE_JOBS_MAX 64
 #define BD_RECEIPT_CHUNK_TASKS 4096u /* tasks that a receipt record covers: 1 KiB of hex digits */
 #define BD_RECEIPT_CHUNKS_MAX 64u    /* chunks of a job: the bits of bd_job.receipt_chunks */
@@ -96,7 +97,7 @@
     uint64_t term;      /* the term as last raised: the fencing token of the leader's commands */
     uint64_t grant;     /* of the leader's key */
     char nonce[BD_LABEL_BYTES];
-    struct timespec lease_valid_until; /* the term's lease is certainly valid until then */
+    struct timespec lease_valid_until; /* the lease is certainly valid before this time */
     struct timespec renewal_sent_at;   /* when the newest renewal that succeeded was sent */
 
     uint64_t attempt_count; /* attempts started in the term; counted by scheduling/ */
@@ -118,8 +119,11 @@
     uint32_t nintent_records, intent_records_cap;
 
     bool cycle_wanted; /* run a scheduling cycle at once; set by all folders */
-    struct timespec next_cycle, next_autoscaling, next_garbage_collection, next_tick, next_summary;
-    /* changes that may be written now, and when it was last refilled; by kv_limits.c */
+    /* set by the folders that run these */
+    struct timespec next_cycle, next_autoscaling, next_garbage_collection, next_checks,
+        next_summary;
+    /* changes that may be written now, and when this budget was last refilled; changed by
+     * kv_limits.c */
     double write_budget;
     struct timespec write_budget_at;
 
--- a/src/model/machine.c
+++ b/src/model/machine.c
@@ -5,8 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MACHINES_CAPACITY_FIRST 64 /* of machines_by_index; doubled when full */
-#define LEASE_MARGIN_S 0.2         /* added to the allowance for clock drift */
+#define MACHINES_INITIAL_CAPACITY 64 /* of machines_by_index; doubled when full */
+#define LEASE_MARGIN_S 0.2           /* of a lease's expiry, in addition to the clock drift */
 
 /* A heartbeat is overdue after this many intervals plus the extra time. Workers vary their
  * intervals by a quarter. */
@@ -22,7 +22,7 @@
 static void append_by_index(struct bd_core *core, struct bd_machine *machine)
 {
     if (core->nmachines == core->machines_cap) {
-        uint32_t capacity = core->machines_cap ? core->machines_cap * 2 : MACHINES_CAPACITY_FIRST;
+        uint32_t capacity = core->machines_cap ? core->machines_cap * 2 : MACHINES_INITIAL_CAPACITY;
         struct bd_machine **grown =
             realloc(core->machines_by_index, capacity * sizeof(struct bd_machine *));
         if (!grown)
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -1,8 +1,9 @@
 /* Machine types, and the leader's view of each machine: identity, lease, connection, reservations
  * and images.
  *
- * src/workers/ sets the fields from heartbeats, unless a field's comment names another folder.
- * reservation.c changes the reservations and their sums, machine_images.c the images. All folders
+ * src/workers/ sets the fields from heartbeats and direct commands, autoscaling/ those of the
+ * inventory, scale-in and headroom, drain/ those that are marked so. reservation.c changes the
+ * reservations and their sums, machine_images.c the images. All folders
  * that run as leader read them. */
 #ifndef BD_MACHINE_H
 #define BD_MACHINE_H
@@ -61,7 +62,7 @@
     bool outbound_partition;
 
     struct timespec age_reported_at, scale_in_allowed_at;
-    /* after this nothing of the last incarnation runs */
+    /* after this time no task of the last incarnation runs */
     struct timespec lease_expires_at;
     /* heartbeats have arrived without a gap since then */
     struct timespec heartbeats_steady_since;
@@ -95,8 +96,8 @@
     int nimages;
     struct timespec fetches_done_at; /* expected end of all its image downloads */
 
-    /* consecutive task failures, as machine_health.c counts them: those of one job count once,
-     * unless the job runs on other machines */
+    /* consecutive task failures, as machine_health.c counts them: those of one job count once, but
+     * each counts double if other tasks of the job run or are done */
     uint32_t consecutive_failures;
     struct bd_job *last_failed_job;
     /* a delegate's record named the machine at the last refresh */
@@ -107,10 +108,10 @@
     struct timespec redirected_at;
     /* the last heartbeat came from the machine itself, not through another controller */
     bool heartbeat_was_direct;
-    /* set by drain/: no new work; not scaled in while idle; to be scaled in now */
-    bool cordoned;
-    bool is_kept_for_drain;
-    bool scale_in_for_drain;
+    /* set by drain/ */
+    bool cordoned;           /* no new work is placed on it */
+    bool is_kept_for_drain;  /* not scaled in while idle */
+    bool scale_in_for_drain; /* to be scaled in now */
     /* its tasks are being moved so that an expensive machine can be scaled in */
     bool consolidating;
     bool quarantined;
@@ -127,8 +128,8 @@
 /* The time by which a lease that was renewed at `renewed_at` has expired, with allowance for clock
  * drift. */
 struct timespec bd_lease_expiry(const struct bd_core *core, struct timespec renewed_at);
-/* Whether the machine's heartbeat is overdue: it hangs, or is trying to reach a controller. A
- * direct command to it would block a sender thread until the timeout. */
+/* Whether the machine's heartbeat is overdue: the machine hangs, or is trying to reach a
+ * controller. A direct command to it would block a sender thread until the timeout. */
 bool bd_machine_is_overdue(const struct bd_core *core, const struct bd_machine *machine);
 /* Removes and frees all machines, as at the end of a term. */
 void bd_machines_free(struct bd_core *core);
--- a/src/model/replica_state.h
+++ b/src/model/replica_state.h
@@ -1,5 +1,5 @@
 /* The replica of the jobs' records, and the reads that wait for a read barrier. Owned by src/jobs/;
- * the core's step also changes it when it starts a barrier. */
+ * core/ sets next_eviction. */
 #ifndef BD_REPLICA_STATE_H
 #define BD_REPLICA_STATE_H
 #include "wire/wire.h"
--- a/src/model/reservation.c
+++ b/src/model/reservation.c
@@ -6,7 +6,7 @@
 #include "wire/wire_jobs.h"
 #include <stdlib.h>
 
-#define CAPACITY_FIRST 8 /* of a machine's list of reservations; doubled when full */
+#define INITIAL_CAPACITY 8 /* of a machine's list of reservations; doubled when full */
 
 static void add_team_use(struct bd_core *core, const struct bd_spec *spec, double factor)
 {
@@ -18,11 +18,11 @@
 
 static void add_machine_use(struct bd_machine *machine, const struct bd_spec *spec, double factor)
 {
-    bool ends_soon = spec->kind != BD_JOB_SERVICE && spec->gpus <= 0;
+    bool is_pinned = spec->kind == BD_JOB_SERVICE || spec->gpus > 0;
     machine->reserved_cpus += factor * spec->cpus;
     machine->reserved_gpus += factor * spec->gpus;
     machine->reserved_mem_gb += factor * spec->mem_gb;
-    if (ends_soon)
+    if (!is_pinned)
         return;
     machine->pinned_cpus += factor * spec->cpus;
     machine->pinned_gpus += factor * spec->gpus;
@@ -38,7 +38,8 @@
 
 static void grow_list(struct bd_machine *machine)
 {
-    uint32_t capacity = machine->reservations_cap ? machine->reservations_cap * 2 : CAPACITY_FIRST;
+    uint32_t capacity =
+        machine->reservations_cap ? machine->reservations_cap * 2 : INITIAL_CAPACITY;
     struct bd_reservation *grown =
         realloc(machine->reservations, capacity * sizeof *machine->reservations);
     if (!grown)
--- a/src/model/task.h
+++ b/src/model/task.h
@@ -1,5 +1,5 @@
 /* A task's state, and the known state of the attempt that holds its reservation. Changed by
- * task_state.c; the flags also by src/workers/ and src/leadership/. */
+ * task_state.c, and by src/workers/ and src/leadership/ from heartbeats and intents. */
 #ifndef BD_TASK_H
 #define BD_TASK_H
 #include <stdint.h>
@@ -11,7 +11,7 @@
     BD_TASK_PLANNED,   /* placed; its intent is not known to be committed, so no launch was sent */
     BD_TASK_LAUNCHING, /* intent committed; the launch is repeated until a heartbeat reports it */
     BD_TASK_CONFIRMED, /* a heartbeat reported it */
-    BD_TASK_UNKNOWN,   /* an earlier term's intent that no heartbeat reports: stays reserved */
+    BD_TASK_UNKNOWN,   /* perhaps started by an earlier term; not reported yet, stays reserved */
     BD_TASK_DONE
 };
 
@@ -23,7 +23,7 @@
     BD_TASK_FLAG_EXITED = 8,           /* keeps its reservation until a late launch is excluded */
     BD_TASK_FLAG_LAUNCH_SENT = 16,     /* in a direct command or in a reply */
     BD_TASK_FLAG_FORCED_STOP = 32,     /* without time for a checkpoint */
-    BD_TASK_FLAG_LAUNCH_IN_REPLY = 64, /* in the reply to the newest heartbeat; may be in flight */
+    BD_TASK_FLAG_LAUNCH_IN_REPLY = 64, /* in the last reply, which may be in flight */
     BD_TASK_FLAG_IN_HEARTBEAT = 128    /* in the heartbeat that is being processed */
 };
 
@@ -41,7 +41,7 @@
     BD_RELEASE_DONE
 };
 
-/* Why a task is asked to stop. */
+/* Why a stop of a task is requested. */
 enum bd_stop_reason {
     BD_STOP_CANCELLED,
     BD_STOP_PREEMPTED,
--- a/src/model/task_state.c
+++ b/src/model/task_state.c
@@ -17,7 +17,7 @@
 uint32_t bd_monotonic_tenths(struct timespec instant)
 {
     uint64_t tenths = (uint64_t)instant.tv_sec * 10 + (uint64_t)instant.tv_nsec / NS_PER_TENTH;
-    return (uint32_t)tenths | 1u;
+    return (uint32_t)tenths | 1u; /* keeps 0 free, at the cost of an error of one tenth */
 }
 
 /* ---- tracking ---- */
@@ -135,7 +135,7 @@
     bool was_sent = task->state != BD_TASK_PLANNED && task->state != BD_TASK_PENDING;
     if (was_sent) {
         bd_decision_log_release(core, job, index, reason);
-        job->restarts++;
+        job->reservations_lost++;
     }
     bd_reservation_remove(core, job, index);
     if (task->state == BD_TASK_DONE)
@@ -231,7 +231,7 @@
             continue;
         }
         bd_task_release(core, reservation.job, reservation.task, reason);
-        i = 0; /* a release may reorder the list and remove others */
+        i = 0; /* a release may reorder the list and remove other reservations */
     }
     machine->unanswered_launch_token = 0;
 }
--- a/src/workers/autonomous_zone.c
+++ b/src/workers/autonomous_zone.c
@@ -1,7 +1,7 @@
 /* Autonomous zones: if a whole zone is cut off from all other zones and from the key-value store,
- * its followers go on renewing the leases of the workers in their zone, as a leader does at the end
- * of its term. Otherwise all work in the zone would end one lease after the partition began, though
- * nothing is wrong inside the zone.
+ * its followers continue to renew the leases of the workers in their zone, as a leader does at the
+ * end of its term. Otherwise all work in the zone would end one lease after the partition began,
+ * though nothing is wrong inside the zone.
  *
  * Why this is safe:
  *
@@ -38,27 +38,27 @@
 
 /* ---- as follower ---- */
 
-void bd_liveness_record_written(struct bd_core *core, struct timespec sent)
+void bd_liveness_record_written(struct bd_core *core, struct timespec sent_at)
 {
-    core->liveness_confirmed_at = bd_time_max(core->liveness_confirmed_at, sent);
+    core->liveness_confirmed_at = bd_time_max(core->liveness_confirmed_at, sent_at);
 }
 
-void bd_liveness_record_sent(struct bd_core *core, struct timespec sent)
+void bd_liveness_record_sent(struct bd_core *core, struct timespec sent_at)
 {
-    core->liveness_sent_at = bd_time_max(core->liveness_sent_at, sent);
+    core->liveness_sent_at = bd_time_max(core->liveness_sent_at, sent_at);
 }
 
 bool bd_autonomous_zone_active(const struct bd_core *core)
 {
-    /* If a record was written but the response was lost, the leader takes this controller to be in
-     * touch with the store, and does not allow for renewals by it. */
+    /* If a record was written but the response was lost, the leader assumes that this controller
+     * can reach the store, and does not allow for renewals by this controller. */
     struct timespec last_write = bd_time_max(core->liveness_confirmed_at, core->liveness_sent_at);
     return core->role == BD_FOLLOWER &&
            bd_seconds_between(last_write, core->now) > AUTONOMOUS_AFTER_S;
 }
 
-/* Whether another controller of this zone reports that it has lost the key-value store too. A
- * controller that is the only one in its zone needs no such report. */
+/* Whether another controller of this zone reports that it cannot reach the key-value store either.
+ * A controller that is the only one in its zone needs no such report. */
 static bool is_partition_confirmed(const struct bd_core *core)
 {
     bool is_alone = true;
@@ -122,7 +122,7 @@
 }
 
 /* Updates until when the controller may be autonomous. True: it may be autonomous now. A controller
- * without a liveness record may be too: it may have had a record that the leader did not see. */
+ * without a liveness record may be autonomous too: the leader may not have read its record. */
 static bool update_may_be_autonomous(struct bd_core *core, int peer)
 {
     struct bd_peer_view *view = &core->peers[peer];
@@ -131,7 +131,7 @@
     return bd_time_is_before(core->now, view->may_be_autonomous_until);
 }
 
-/* Seconds until the controller can certainly renew no more leases; not positive: it cannot now. */
+/* Seconds until the controller can certainly renew no more leases; 0 or less: it already cannot. */
 static double renewal_left_s(const struct bd_core *core, int peer)
 {
     return bd_renewal_window_s(core->settings) - liveness_age_s(core, peer) + clock_margin_s(core);
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -51,7 +51,7 @@
     return job->spec.checkpoint_save_s + CHECKPOINT_EXTRA_S;
 }
 
-static bool wants_halt(const struct bd_task *task)
+static bool needs_halt(const struct bd_task *task)
 {
     return task->flags & BD_TASK_FLAG_STOP_REQUESTED && !(task->flags & BD_TASK_FLAG_EXITED) &&
            task->state == BD_TASK_CONFIRMED &&
@@ -65,7 +65,7 @@
         const struct bd_job *job = machine->reservations[i].job;
         uint32_t index = machine->reservations[i].task;
         const struct bd_task *task = &job->tasks[index];
-        if (wants_halt(task))
+        if (needs_halt(task))
             bd_commands_append(commands, BD_COMMAND_HALT, job->id, index, task->attempt,
                                halt_grace_s(job, task));
     }
@@ -73,7 +73,7 @@
 
 /* If a direct launch with an earlier fencing token may have contained the attempt, the attempt is
  * launched in replies only: a late copy of that direct launch may still arrive. */
-static bool wants_launch(struct bd_core *core, const struct bd_job *job, const struct bd_task *task,
+static bool needs_launch(struct bd_core *core, const struct bd_job *job, const struct bd_task *task,
                          enum bd_command_path path)
 {
     return task->state == BD_TASK_LAUNCHING &&
@@ -95,7 +95,7 @@
         struct bd_job *job = machine->reservations[i].job;
         uint32_t index = machine->reservations[i].task;
         struct bd_task *task = &job->tasks[index];
-        if (!wants_launch(core, job, task, path))
+        if (!needs_launch(core, job, task, path))
             continue;
         bd_commands_append(commands, BD_COMMAND_LAUNCH, job->id, index, task->attempt, 0);
         bd_decision_log_task(core, "launch_sent", job, index, task->attempt, machine,
@@ -109,7 +109,7 @@
 void bd_commands_add_pending(struct bd_core *core, struct bd_machine *machine,
                              struct bd_command_list *commands)
 {
-    if (machine->direct_in_flight) /* the direct command contains them already */
+    if (machine->direct_in_flight) /* the direct command contains the pending commands */
         return;
     bd_commands_add_halts(machine, commands);
     (void)bd_commands_add_launches(core, machine, commands, BD_COMMAND_IN_REPLY);
--- a/src/workers/commands.h
+++ b/src/workers/commands.h
@@ -47,8 +47,8 @@
  * arrives: the last reply has arrived by then, or never will. The response to a direct command is
  * no such evidence. */
 void bd_machine_clear_launches_in_reply(struct bd_machine *machine);
-/* Clears the marks of direct launches that may still arrive late. Called when none can start a task
- * any more: it was answered or never sent, or a new incarnation or a higher fencing token excludes
- * it. */
+/* Clears the marks of direct launches that may still arrive late. Called when they can start no
+ * task any more: the command was answered or never sent, or a new incarnation or a higher fencing
+ * token excludes them. */
 void bd_machine_exclude_late_launches(struct bd_machine *machine);
 #endif
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -6,12 +6,12 @@
  *
  * - A delegate answers a machine only after it has written the machine into its own record in the
  *   key-value store, conditional on the leader's key. It writes the record again at a short
- *   interval. It stops answering BD_DELEGATE_CONFIRMATION_VALID_S after the last successful write
- * was sent. A machine stays in the record for a while after its last heartbeat (see
- * delegate_record.c).
+ *   interval. It stops answering BD_DELEGATE_CONFIRMATION_VALID_S after it sent the last write that
+ *   succeeded. A machine stays in the record for a while after its last heartbeat (see
+ *   delegate_record.c).
  * - The leader reads all records. A lease does not count as expired while the newest read contains
  *   the machine, nor before a read that began after the end of the lease. The leader deletes the
- *   record of a delegate that no longer confirms it.
+ *   record of a delegate that no longer rewrites it.
  * - A delegate sends no commands but halts of cancelled jobs.
  *
  * While no controller leads, the record is conditional on the absence of the leader's key, and
@@ -53,7 +53,7 @@
 
 /* ---- whether a delegate is needed ---- */
 
-static bool is_leader_silent(const struct bd_core *core)
+static bool is_leader_status_overdue(const struct bd_core *core)
 {
     int leader = bd_leader_index(core);
     return leader >= 0 && bd_seconds_between(core->peers[leader].status_received_at, core->now) >
@@ -67,20 +67,20 @@
 }
 
 void bd_delegate_dismissal_observed(struct bd_core *core, bool dismissed, uint64_t revision,
-                                    struct timespec sent)
+                                    struct timespec sent_at)
 {
     struct bd_delegate *delegate = &core->delegate;
     if (dismissed && (!delegate->dismissed || revision != delegate->dismissed_revision)) {
         delegate->dismissed_revision = revision;
-        delegate->dismissed_since = sent;
+        delegate->dismissed_since = sent_at;
     }
     delegate->dismissed = dismissed;
 }
 
 /* Whether the leader has dismissed this delegate. A dismissal ends when a status of the leader
- * arrives after it: if the leader falls silent later, that is a new partition. Just after a
+ * arrives after it: if the statuses stop again later, that is a new partition. Just after a
  * failover, the record of a delegate that was needed still exists, and the new leader dismisses
- * that delegate as not needed. If the zone is cut off soon after, it needs its delegate again. */
+ * that delegate as not needed. If the zone is cut off soon after, the zone needs it again. */
 static bool is_dismissed(const struct bd_core *core)
 {
     int leader = bd_leader_index(core);
@@ -97,14 +97,15 @@
            BD_DELEGATE_CONFIRMATION_VALID_S;
 }
 
-/* Whether, according to a recent read of the leader's key, another controller leads but sends this
- * one no statuses, or no controller leads. Redirected workers would not find a leader either then,
- * and in a zone that is cut off their requests to many nodes would time out. */
+/* Whether a recent read of the leader's key shows that no controller leads, or that another one
+ * leads whose statuses do not arrive here. Redirected workers would find no leader then
+ * either, and in a zone that is cut off their requests to many nodes would time out. */
 static bool is_delegate_needed(const struct bd_core *core)
 {
-    bool is_other_leader_silent = *core->leader_name && core->leader_term && is_leader_silent(core);
+    bool is_other_leader_unreachable =
+        *core->leader_name && core->leader_term && is_leader_status_overdue(core);
     return core->role == BD_FOLLOWER && !is_dismissed(core) &&
-           (is_other_leader_silent || is_leaderless(core)) && has_fresh_leader_view(core);
+           (is_other_leader_unreachable || is_leaderless(core)) && has_fresh_leader_view(core);
 }
 
 /* Whether another controller of this zone receives no statuses of the leader either. If so, the
@@ -179,8 +180,8 @@
 }
 
 /* Replies to the heartbeat if that is allowed now, or redirects its worker if it should not wait
- * any longer. False: the heartbeat goes on waiting, as one that came while the record was being
- * written does. */
+ * any longer. False: the heartbeat continues to wait, such as one that arrived while the record was
+ * being written. */
 static bool settle_waiting(struct bd_core *core, const struct bd_waiting_heartbeat *waiting,
                            enum unconfirmed_action action)
 {
@@ -255,7 +256,7 @@
 /* ---- writing and ending the record ---- */
 
 void bd_delegate_txn_completed(struct bd_core *core, long status, uint64_t store_revision,
-                               struct timespec sent, bool revision_known)
+                               struct timespec sent_at, bool revision_known)
 {
     struct bd_delegate *delegate = &core->delegate;
     delegate->txn_in_flight = false;
@@ -263,8 +264,8 @@
     if (revision_known)
         delegate->revision = store_revision;
     if (status == 200) {
-        double fresh_s = BD_DELEGATE_CONFIRMATION_VALID_S * (1 - BD_CLOCK_DRIFT);
-        delegate->confirmed_until = bd_time_add(sent, bd_secs(fresh_s));
+        double valid_s = BD_DELEGATE_CONFIRMATION_VALID_S * (1 - BD_CLOCK_DRIFT);
+        delegate->confirmed_until = bd_time_add(sent_at, bd_secs(valid_s));
         bd_delegate_confirm_machines(core);
     }
     if (status == 0 && revision_known) { /* the revision was read: write the record next */
@@ -275,7 +276,7 @@
         (void)bd_kv_limits_lower_after_rejection(core, "the delegate's record");
     if (status != 200)
         bd_log_write(core->log, BD_LOG_INFO, "delegate record not written: status %ld", status);
-    /* the cause of a conflict may only be that the leader's key was rewritten */
+    /* a conflict may only mean that the leader's key was rewritten */
     bool may_still_serve = status == 200 || status == 409;
     settle_all_waiting(core, may_still_serve ? KEEP_UNCONFIRMED : REDIRECT_UNCONFIRMED);
     if (delegate->waiting_heartbeats)
@@ -299,11 +300,11 @@
         return;
     bd_delegate_expire_machines(core);
     /* a record that has become empty is written at once, so that the leader need not wait until
-     * the record ends by its age */
+     * the record counts as stale */
     if (delegate->nserved > 0 && bd_time_is_before(core->now, delegate->next_write))
         return;
-    /* once the leader's statuses arrive again, no machine is answered, but the machines stay in the
-     * record for the retention time */
+    /* Once the leader's statuses arrive again, this controller answers no machine, but still writes
+     * the record: the machines stay in it for the retention time. */
     if ((core->leader_term || is_leaderless(core)) && has_fresh_leader_view(core))
         bd_delegate_write_record(core);
     else if (delegate->waiting_heartbeats)
@@ -312,7 +313,7 @@
 
 void bd_workers_free(struct bd_core *core)
 {
-    core->last_term = 0; /* so that no heartbeat goes on waiting for an autonomous zone */
+    core->last_term = 0; /* so that no heartbeat continues to wait for an autonomous zone */
     bd_delegate_stop(core);
     bd_forwarded_heartbeats_free(core);
     bd_redirects_free(core);
--- a/src/workers/delegate_probes.c
+++ b/src/workers/delegate_probes.c
@@ -1,7 +1,7 @@
 /* Probes of a delegate: whether its workers can reach the leader. The delegate may be cut off from
  * the leader while its workers are not, and would then keep them from the leader for no reason. So
- * it redirects a worker that has nothing to lose to the leader. If that worker does not come back,
- * the delegate redirects two more, and so on with batches of twice the size. A worker may also stay
+ * it redirects one worker that risks no task to the leader. If that worker does not come back, the
+ * delegate redirects two more, and so on in batches of twice the size. A worker may also stay
  * away for another reason, such as that its machine has failed, so the delegate does not redirect
  * all workers at once. A worker that comes back shows that the zone is cut off. */
 #include "base/timeutil.h"
@@ -17,9 +17,9 @@
 #include <string.h>
 
 #define PROBE_INTERVAL_S 6.0       /* before the first probe, and after a probe came back */
-#define PROBE_INTERVAL_ALONE_S 1.5 /* the same while no peer's status arrives at all */
+#define PROBE_INTERVAL_ALONE_S 1.5 /* instead, while no peer's status arrives */
 #define PROBE_BATCH_S 2.5          /* within which the workers of one batch are redirected */
-#define PROBE_WITH_TASKS_S 40.0    /* acting as delegate before a worker with tasks may be one */
+#define PROBE_WITH_TASKS_S 40.0    /* time as delegate before a worker with tasks may be a probe */
 #define WORKER_TIMEOUT_S 4.0       /* the platform's: a worker's wait for a reply */
 #define WORKER_PAUSE_S 1.0         /* the platform's: after a timeout, before the next node */
 #define RETURN_EXTRA_S 2.0         /* in addition to a worker's attempts at the other nodes */
@@ -34,7 +34,7 @@
 /* Whether no peer's status arrives, not even from this controller's own zone. Then it is not the
  * zone that is cut off: connections between the controllers may fail while the workers reach them
  * all. */
-static bool are_all_peers_silent(const struct bd_core *core)
+static bool are_all_statuses_overdue(const struct bd_core *core)
 {
     bool has_local_peer = false;
     for (int i = 0; i < core->settings->npeers; i++) {
@@ -45,11 +45,12 @@
     return has_local_peer;
 }
 
-/* Whether the worker may be a probe: it loses nothing, or is likely enough to reach the leader. */
+/* Whether the worker may be a probe: it runs no tasks, its lease outlasts the probe, earlier probes
+ * did not return, or this controller has been a delegate for long enough. */
 static bool may_be_probe(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
 {
     const struct bd_delegate *delegate = &core->delegate;
-    double wait_s = are_all_peers_silent(core) ? PROBE_INTERVAL_ALONE_S : PROBE_WITH_TASKS_S;
+    double wait_s = are_all_statuses_overdue(core) ? PROBE_INTERVAL_ALONE_S : PROBE_WITH_TASKS_S;
     return heartbeat->n == 0 || bd_to_secs(core->settings->worker_lease) > return_max_s(core) ||
            delegate->probe_batch > 1 ||
            bd_seconds_between(delegate->serving_since, core->now) > wait_s;
@@ -77,7 +78,7 @@
 {
     core->delegate.nprobes = 0;
     core->delegate.probe_batch = 1;
-    core->delegate.probes_at = core->now;
+    core->delegate.batch_began_at = core->now;
 }
 
 static void enlarge_batch(struct bd_core *core)
@@ -94,7 +95,7 @@
 bool bd_delegate_probe_leader(struct bd_core *core, const struct bd_heartbeat *heartbeat)
 {
     struct bd_delegate *delegate = &core->delegate;
-    double since_batch_s = bd_seconds_between(delegate->probes_at, core->now);
+    double since_batch_s = bd_seconds_between(delegate->batch_began_at, core->now);
     if (delegate->nserved == 0) {
         restart_probes(core);
         delegate->serving_since = core->now;
@@ -110,10 +111,10 @@
     if (delegate->nprobes > 0)
         enlarge_batch(core);
     else if (since_batch_s <
-             (are_all_peers_silent(core) ? PROBE_INTERVAL_ALONE_S : PROBE_INTERVAL_S))
+             (are_all_statuses_overdue(core) ? PROBE_INTERVAL_ALONE_S : PROBE_INTERVAL_S))
         return false;
     if (!add_probe(core, heartbeat))
         return false;
-    delegate->probes_at = core->now;
+    delegate->batch_began_at = core->now;
     return true;
 }
--- a/src/workers/delegate_record.c
+++ b/src/workers/delegate_record.c
@@ -33,9 +33,9 @@
 
 static double retention_s(const struct bd_core *core)
 {
-    double retention =
+    double normal_s =
         RETENTION_INTERVALS * bd_to_secs(core->settings->heartbeat_interval) + RETENTION_EXTRA_S;
-    return retention > RETENTION_MIN_S ? retention : RETENTION_MIN_S;
+    return normal_s > RETENTION_MIN_S ? normal_s : RETENTION_MIN_S;
 }
 
 /* ---- how many machines the record can name ---- */
@@ -146,10 +146,10 @@
 static void truncate_machines(struct bd_delegate *delegate, uint32_t limit)
 {
     struct bd_served_machine *machine, *next;
-    uint32_t n = 0;
+    uint32_t kept = 0;
     HASH_ITER(hh, delegate->served, machine, next)
     {
-        if (n++ >= limit)
+        if (kept++ >= limit)
             remove_machine(delegate, machine);
     }
 }
@@ -167,7 +167,7 @@
     snprintf(key, sizeof key, "%s", record_key);
     if (part > 0)
         snprintf(key + strlen(key), PART_SUFFIX_BYTES, "/%u", part);
-    for (uint32_t n = 0; n < limit && *next; n++) {
+    for (uint32_t count = 0; count < limit && *next; count++) {
         json_array_append_new(names, json_string((*next)->id));
         (*next)->is_sent = true;
         *next = (*next)->hh.next;
@@ -176,8 +176,8 @@
     bd_txn_put(txn, key, value, 0);
 }
 
-/* The number of parts to write: never fewer than before, since a part that is no longer needed is
- * written without names. */
+/* The number of parts to write: as many as before even if fewer are needed, since a part that is no
+ * longer needed is written without names. At most as many as the store's limits allow. */
 static uint32_t parts_to_write(const struct bd_core *core)
 {
     const struct bd_delegate *delegate = &core->delegate;
--- a/src/workers/delegate_view.c
+++ b/src/workers/delegate_view.c
@@ -95,12 +95,12 @@
 }
 
 /* Extends the leases of the machines in the last read of the records: a delegate may have answered
- * them until now, and may do so for a little longer. Extends all leases if that read was too long
- * ago. */
-static void extend_leases_of_last_read(struct bd_core *core, struct timespec sent,
+ * them until now, and may do so for a little longer. Extends all leases if that read was sent more
+ * than READ_GAP_MAX_S before the present one: machines may have left the records unseen. */
+static void extend_leases_of_last_read(struct bd_core *core, struct timespec sent_at,
                                        struct timespec until)
 {
-    bool has_gap = bd_seconds_between(core->delegates.read_at, sent) > READ_GAP_MAX_S;
+    bool has_gap = bd_seconds_between(core->delegates.read_sent_at, sent_at) > READ_GAP_MAX_S;
     for (uint32_t i = 0; i < core->nmachines; i++) {
         struct bd_machine *machine = core->machines_by_index[i];
         if (machine->is_delegated || has_gap)
@@ -116,7 +116,7 @@
             extend_lease(core->machines_by_index[i], until);
 }
 
-void bd_delegate_records_read(struct bd_core *core, json_t *pairs, struct timespec sent)
+void bd_delegate_records_read(struct bd_core *core, json_t *pairs, struct timespec sent_at)
 {
     struct bd_change change;
     json_t *pair;
@@ -126,7 +126,7 @@
     struct timespec answered_until =
         bd_time_add(core->now, bd_secs(BD_DELEGATE_CONFIRMATION_VALID_S));
     struct timespec lease_until = bd_lease_expiry(core, answered_until);
-    extend_leases_of_last_read(core, sent, lease_until);
+    extend_leases_of_last_read(core, sent_at, lease_until);
     json_array_foreach(pairs, i, pair)
     {
         if (bd_wire_read_change(pair, &change) &&
@@ -134,7 +134,7 @@
             read_record(core, &change);
     }
     extend_leases_of_delegated(core, lease_until);
-    core->delegates.read_at = sent;
+    core->delegates.read_sent_at = sent_at;
 }
 
 /* ---- dismissing ---- */
--- a/src/workers/direct_commands.c
+++ b/src/workers/direct_commands.c
@@ -88,8 +88,8 @@
         core->cloud.direct_by_zone[machine->zone].consecutive_failures = 0;
 }
 
-/* Handles a direct command that was not sent. No launch of it can arrive late, and the machine
- * did not fail. The commands are sent in the reply to its next heartbeat. */
+/* Handles a direct command that was not sent. Its launches cannot arrive late, and the machine
+ * did not fail. The commands are sent in the reply to the machine's next heartbeat. */
 static void handle_command_not_sent(struct bd_core *core, struct bd_machine *machine,
                                     bool has_launch)
 {
@@ -109,8 +109,9 @@
         back_off(core, machine); /* another machine has this address now */
         return;
     }
+    /* the command was answered, so its launches cannot arrive late */
     if (has_launch && machine->unanswered_launch_token == 0)
-        bd_machine_exclude_late_launches(machine); /* answered: no launch of it can arrive late */
+        bd_machine_exclude_late_launches(machine);
     if (machine->terminated)
         return;
     (void)bd_heartbeat_apply(core, machine, heartbeat, &commands);
--- a/src/workers/forwarding.c
+++ b/src/workers/forwarding.c
@@ -1,7 +1,7 @@
 /* Forwarding: workers send heartbeats to a controller of their own zone, which forwards the
  * heartbeats to the leader and the replies to the workers. If the zone is cut off, its workers are
- * already connected to a controller that goes on answering them (see delegate.c). Otherwise they
- * would try nodes that they cannot reach while their leases expire. */
+ * already connected to a controller that continues to answer them (see delegate.c). Without
+ * forwarding they would try nodes that they cannot reach while their leases expire. */
 #include "base/timeutil.h"
 #include "model/core_state.h"
 #include "model/effect.h"
@@ -20,7 +20,7 @@
 /* Heartbeats in flight to the leader, or max_sockets if that is more: each holds a socket. */
 #define IN_FLIGHT_LIMIT_MIN 512
 /* How long heartbeats are forwarded after the leader last reported an inbound partition. */
-#define INBOUND_PARTITION_HOLD_S 60.0
+#define INBOUND_PARTITION_FORWARDING_S 60.0
 
 /* ---- which controllers are reachable ---- */
 
@@ -52,7 +52,7 @@
     return false;
 }
 
-bool bd_forward_is_zone_silent(const struct bd_core *core)
+bool bd_forward_is_other_zone_unreachable(const struct bd_core *core)
 {
     for (int i = 0; i < core->settings->npeers; i++)
         if (!bd_peer_is_local(core, i) && !is_zone_reachable(core, core->settings->peers[i].zone))
@@ -68,8 +68,8 @@
                BD_PEER_STATUS_TIMEOUT_S;
 }
 
-/* The index of a peer that is in touch with the leader while this controller is not. A peer of this
- * zone is preferred. -1: none. */
+/* The index of a peer that can reach the leader while this controller cannot; preferably one of
+ * this zone. -1: none. */
 static int find_relay(const struct bd_core *core)
 {
     int found = -1;
@@ -148,9 +148,9 @@
 
 /* ---- which heartbeats are forwarded ---- */
 
-/* Whether it is better to forward the heartbeat than to redirect its worker to the leader. It is if
- * the worker has tried the leader without success, or the leader reports an inbound partition. It
- * is also better for a worker of this zone if the leader is in another zone, or another zone is cut
+/* Whether it is better to forward the heartbeat than to redirect its worker to the leader: the
+ * worker could not reach the leader, or the leader reports an inbound partition. Heartbeats of
+ * workers of this zone are also forwarded if the leader is in another zone, or another zone is cut
  * off. */
 static bool should_forward(struct bd_core *core, const struct bd_heartbeat *heartbeat, int leader)
 {
@@ -159,11 +159,11 @@
         return true;
     if (core->peers[leader].flags & BD_PEER_INBOUND_PARTITION)
         forwarding->inbound_partition_until =
-            bd_time_add(core->now, bd_secs(INBOUND_PARTITION_HOLD_S));
+            bd_time_add(core->now, bd_secs(INBOUND_PARTITION_FORWARDING_S));
     if (bd_time_is_before(core->now, forwarding->inbound_partition_until))
         return true;
     return strcmp(heartbeat->zone, core->settings->zone) == 0 &&
-           (!bd_peer_is_local(core, leader) || bd_forward_is_zone_silent(core));
+           (!bd_peer_is_local(core, leader) || bd_forward_is_other_zone_unreachable(core));
 }
 
 bool bd_forward_heartbeat(struct bd_core *core, void *request, const struct bd_heartbeat *heartbeat,
@@ -172,7 +172,7 @@
     int peer = find_reachable_leader(core);
     if (peer >= 0 && !should_forward(core, heartbeat, peer))
         return false;
-    /* if two zones are cut off from each other, a third zone may be in touch with both */
+    /* if two zones are cut off from each other, a third zone may reach both */
     if (peer < 0 && bd_forward_is_peer_leading(core))
         peer = find_relay(core);
     return forward_to_peer(core, request, heartbeat, body, len, peer);
@@ -187,12 +187,12 @@
 
 /* ---- replies and timeouts ---- */
 
-/* Answers a heartbeat without the leader: its reply has timed out, or it did not accept the
- * heartbeat. */
+/* Answers a heartbeat without the leader: the leader's reply has timed out, or the leader did not
+ * accept the heartbeat. */
 static void answer_without_leader(struct bd_core *core, struct bd_forwarded_heartbeat *forward)
 {
-    const struct bd_request_origin *remote = forward->request;
-    if (remote && remote->is_forwarded) { /* the controller that forwarded it to this one decides */
+    const struct bd_request_origin *origin = forward->request;
+    if (origin && origin->is_forwarded) { /* the controller that forwarded it to this one decides */
         bd_effect_reply(core, forward->request, 421, bd_wire_write_redirect(""), 0);
         return;
     }
@@ -238,10 +238,10 @@
 {
     while (core->forwarding.awaiting_reply) {
         struct bd_forwarded_heartbeat *forward = core->forwarding.awaiting_reply;
-        struct bd_request_origin *remote = forward->request;
+        struct bd_request_origin *origin = forward->request;
         core->forwarding.awaiting_reply = forward->next;
-        if (remote && remote->is_forwarded)
-            free(remote); /* allocated in bd_worker_heartbeat_forwarded */
+        if (origin && origin->is_forwarded)
+            free(origin); /* allocated in receive_from_peer, heartbeats.c */
         free_forward(forward);
     }
 }
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -1,5 +1,5 @@
-/* Incoming heartbeats of workers: detects copies, decides which controller replies, and updates the
- * leader's view of the machine. */
+/* Incoming heartbeats of workers: detects duplicates, decides which controller replies, and updates
+ * the leader's view of the machine. */
 #include "base/timeutil.h"
 #include "leadership/leadership.h"
 #include "model/catalog.h"
@@ -40,9 +40,9 @@
 
 /* Updates the machine for a new incarnation. If the machine has seen a fencing token of this term,
  * its reservations belong to the old incarnation and are released. Otherwise the leader may know
- * the old incarnation only from a copy of a heartbeat that arrived before the first heartbeat
- * itself. Intents of earlier leaders may then belong to the new incarnation, and only a heartbeat
- * that has seen a fencing token of this term shows which do. */
+ * the old incarnation only from a late duplicate of a heartbeat. Intents of earlier leaders may
+ * then belong to the new incarnation, and only a heartbeat with a fencing token of this term shows
+ * which do. */
 static void begin_incarnation(struct bd_core *core, struct bd_machine *machine)
 {
     if (machine->has_seen_term)
@@ -77,7 +77,7 @@
     update_identity(core, machine, heartbeat);
     record_heartbeat(core, machine, heartbeat);
     if (heartbeat->fencing_token < core->lead.base_term)
-        return true; /* an earlier term may still command it: its tasks are no evidence yet */
+        return true; /* an earlier term may still send commands: the reported tasks may change */
     if (!machine->has_seen_term)
         core->lead.cycle_wanted = true;
     machine->has_seen_term = true;
@@ -110,17 +110,18 @@
         bd_commands_add_pending(core, machine, commands);
     log_first_reply(core, machine);
     machine->lease_expires_at = bd_lease_expiry(core, core->now);
-    if (!machine
-             ->has_seen_term) /* if this reply is lost, an earlier term may still renew the lease */
+    /* if this reply is lost, an earlier term may still renew the lease */
+    if (!machine->has_seen_term)
         machine->lease_expires_at =
             bd_time_max(machine->lease_expires_at, core->lead.earlier_leases_expire_at);
     bd_commands_reply(core, request, heartbeat, commands, core->lead.term);
 }
 
-/* Whether the heartbeat is a copy. A worker has one heartbeat in flight and numbers its heartbeats
- * in ascending order, so a heartbeat that is not newer than the newest one is a copy. A heartbeat
- * of a machine that no longer exists, or of an incarnation that has ended, counts as a copy too. */
-static bool is_copy(const struct bd_machine *machine, const struct bd_heartbeat *heartbeat)
+/* Whether the heartbeat is a duplicate. A worker has one heartbeat in flight and numbers its
+ * heartbeats in ascending order, so a heartbeat that is not newer than the newest one is a
+ * duplicate. A heartbeat of a machine that no longer exists, or of an incarnation that has ended,
+ * counts as a duplicate too. */
+static bool is_duplicate(const struct bd_machine *machine, const struct bd_heartbeat *heartbeat)
 {
     return machine->terminated ||
            (machine->expired_incarnation &&
@@ -147,8 +148,8 @@
     bd_commands_send_direct(core, machine);
 }
 
-/* Handles a heartbeat as the leader, or as a former leader that may still reply as one.
- * forwarding_peer: a peer's index or BD_NOT_FORWARDED. */
+/* Handles a heartbeat as the leader, perhaps after its lease has expired: see
+ * bd_leadership_may_reply. forwarding_peer: a peer's index or BD_NOT_FORWARDED. */
 static void receive_as_leader(struct bd_core *core, void *request,
                               const struct bd_heartbeat *heartbeat, int forwarding_peer)
 {
@@ -161,7 +162,7 @@
         return;
     }
     struct bd_machine *machine = bd_machine_find_or_add(core, heartbeat->machine);
-    if (is_copy(machine, heartbeat)) { /* no evidence that the worker is alive: renews no lease */
+    if (is_duplicate(machine, heartbeat)) { /* does not show that the worker is alive: no renewal */
         bd_effect_reply(core, request, 503, bd_wire_write_redirect(""), 0);
         return;
     }
--- a/src/workers/lease_expiry.c
+++ b/src/workers/lease_expiry.c
@@ -17,7 +17,7 @@
 static bool has_expired(const struct bd_core *core, const struct bd_machine *machine)
 {
     return !bd_time_is_before(core->now, machine->lease_expires_at) && !machine->is_delegated &&
-           !bd_time_is_before(core->delegates.read_at, machine->lease_expires_at);
+           !bd_time_is_before(core->delegates.read_sent_at, machine->lease_expires_at);
 }
 
 static void expire_lease(struct bd_core *core, struct bd_machine *machine)
--- a/src/workers/machine_health.c
+++ b/src/workers/machine_health.c
@@ -1,6 +1,6 @@
 /* Health of machines, judged by how their tasks run: a machine whose tasks fail or run far too
  * slowly is quarantined. A job whose tasks fail on every machine is retried after a pause that
- * grows with each failure, and no machine is quarantined for that job alone. */
+ * grows with the failures, and no machine is quarantined for that job alone. */
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
 #include "model/core_state.h"
@@ -16,7 +16,7 @@
 #define QUARANTINE_FAILURES 3u       /* consecutive failures on a machine */
 #define PROVEN_JOB_FAILURE_WEIGHT 2u /* of a failure if other tasks of the job run or are done */
 #define REFUSAL_PAUSE_S 3.0          /* without launches on a machine that refused one */
-#define RETRY_PAUSE_MIN_S 1.0        /* of a job whose tasks fail; doubled with each failure */
+#define RETRY_PAUSE_MIN_S 1.0 /* of a job whose tasks fail; doubled from the third failure on */
 #define RETRY_PAUSE_MAX_S 30.0
 
 #define SLOW_TASKS_MIN 2u         /* on a machine before it is quarantined as slow */
@@ -31,8 +31,8 @@
 static void record_task_failure(struct bd_core *core, struct bd_machine *machine,
                                 struct bd_job *job)
 {
-    bool runs_elsewhere = job->ndone > 0 || job->nrunning > 0;
-    if (runs_elsewhere)
+    bool is_proven_job = job->ndone > 0 || job->nrunning > 0;
+    if (is_proven_job)
         machine->consecutive_failures += PROVEN_JOB_FAILURE_WEIGHT;
     else if (machine->last_failed_job != job)
         machine->consecutive_failures++;
--- a/src/workers/partition_detection.c
+++ b/src/workers/partition_detection.c
@@ -11,7 +11,7 @@
 #define LOST_REPLIES_MIN 2u               /* consecutive, to assume that replies do not arrive */
 #define OUTBOUND_PARTITION_SHARE 0.34     /* of the machines that have seen this term */
 #define INBOUND_PARTITION_SHARE 0.6       /* of the machines that sent heartbeats until recently */
-#define INBOUND_PARTITION_MACHINES_MIN 3u /* fewer may well fail together */
+#define INBOUND_PARTITION_MACHINES_MIN 3u /* fewer may fail at the same time */
 /* A heartbeat is late after LATE_INTERVALS heartbeat intervals and LATE_EXTRA_S. */
 #define LATE_INTERVALS 1.5
 #define LATE_EXTRA_S 0.5
@@ -46,18 +46,18 @@
 
 void bd_machines_detect_inbound_partition(struct bd_core *core)
 {
-    uint32_t reporting = 0, silent = 0;
+    uint32_t reporting = 0, late = 0;
     double late_after_s =
         LATE_INTERVALS * bd_to_secs(core->settings->heartbeat_interval) + LATE_EXTRA_S;
     for (uint32_t i = 0; i < core->nmachines; i++) {
         const struct bd_machine *machine = core->machines_by_index[i];
-        double silent_s = bd_seconds_between(machine->last_contact_at, core->now);
+        double contact_age_s = bd_seconds_between(machine->last_contact_at, core->now);
         if (machine->terminated || !machine->heartbeat_was_direct ||
-            silent_s > late_after_s + bd_to_secs(core->settings->worker_lease))
+            contact_age_s > late_after_s + bd_to_secs(core->settings->worker_lease))
             continue;
         reporting++;
-        silent += silent_s > late_after_s;
+        late += contact_age_s > late_after_s;
     }
-    core->lead.inbound_partition = reporting >= INBOUND_PARTITION_MACHINES_MIN &&
-                                   silent >= INBOUND_PARTITION_SHARE * reporting;
+    core->lead.inbound_partition =
+        reporting >= INBOUND_PARTITION_MACHINES_MIN && late >= INBOUND_PARTITION_SHARE * reporting;
 }
--- a/src/workers/worker_redirects.c
+++ b/src/workers/worker_redirects.c
@@ -99,12 +99,12 @@
 static bool may_redirect(const struct bd_core *core, const struct bd_machine *machine,
                          const char *zone)
 {
-    bool was_redirected_lately =
+    bool was_redirected_recently =
         !bd_time_is_zero(machine->redirected_at) &&
         bd_seconds_between(machine->redirected_at, core->now) < ZONE_REDIRECT_INTERVAL_S;
     bool is_served_best_here =
-        strcmp(zone, core->settings->zone) == 0 && !bd_forward_is_zone_silent(core);
-    return !is_served_best_here && bd_leadership_lease_valid(core) && !was_redirected_lately;
+        strcmp(zone, core->settings->zone) == 0 && !bd_forward_is_other_zone_unreachable(core);
+    return !is_served_best_here && bd_leadership_lease_valid(core) && !was_redirected_recently;
 }
 
 int bd_redirect_zone_peer(struct bd_core *core, struct bd_machine *machine,
@@ -119,6 +119,7 @@
             !bd_forward_can_relay(core, i))
             continue;
         candidates++;
+        /* spreads the machines over the candidates */
         if (found < 0 || machine->index % candidates == 0)
             found = i;
     }
--- a/src/workers/workers.h
+++ b/src/workers/workers.h
@@ -4,9 +4,7 @@
  *
  * Owns core->forwarding, core->delegate, core->delegates and the machines' incarnations and leases.
  * Called by the runtime for input from workers, peers and the key-value store, and by core/ at each
- * step.
- *
- * "This controller" is the one that runs this code. A moment is of the steady clock. */
+ * step. Times are of the monotonic clock unless a name says wall. */
 #ifndef BD_WORKERS_H
 #define BD_WORKERS_H
 #include "model/core_state.h"
@@ -40,8 +38,9 @@
 /* As leader: records whether so many machines do not receive replies that the leader's own link is
  * the likely cause. */
 void bd_machines_detect_outbound_partition(struct bd_core *core);
-/* As leader: records whether most of the machines that sent heartbeats to the leader directly are
- * silent at once. Machines rarely fail together, so the leader is more likely cut off from them. */
+/* As leader: records whether most of the machines that sent heartbeats to the leader directly
+ * stopped doing so at the same time. Machines rarely fail together, so the leader is more likely
+ * cut off from them. */
 void bd_machines_detect_inbound_partition(struct bd_core *core);
 /* As leader: releases the reservations of machines whose leases have expired. */
 void bd_workers_expire_leases(struct bd_core *core);
@@ -59,39 +58,39 @@
 
 /* ---- delegates (delegate.c, delegate_record.c, delegate_probes.c, delegate_view.c) ---- */
 
-/* As follower: settles waiting heartbeats, and writes this controller's delegate record when that
- * is due. */
+/* As follower: answers or redirects waiting heartbeats where possible, and writes this controller's
+ * delegate record when that is due. */
 void bd_delegate_tick(struct bd_core *core);
 /* Handles a read of the leader's key. dismissed: the key lists this controller among the delegates
- * that are not needed. revision: the key's. sent: when the read was sent. */
+ * that are not needed. revision: the key's. sent_at: when the read was sent. */
 void bd_delegate_dismissal_observed(struct bd_core *core, bool dismissed, uint64_t revision,
-                                    struct timespec sent);
+                                    struct timespec sent_at);
 /* As leader: the names of the delegates that are not needed, for the leader's key. The caller owns
  * the list. */
 json_t *bd_delegates_list_dismissed(const struct bd_core *core);
 /* Stops acting as a delegate, as when this controller becomes the leader: waiting heartbeats are
  * answered or redirected. */
 void bd_delegate_stop(struct bd_core *core);
-/* As leader: handles a read of all controllers' records. pairs: borrowed. sent: when the read was
- * sent. */
-void bd_delegate_records_read(struct bd_core *core, json_t *pairs, struct timespec sent);
+/* As leader: handles a read of all controllers' records. pairs: borrowed. sent_at: when the read
+ * was sent. */
+void bd_delegate_records_read(struct bd_core *core, json_t *pairs, struct timespec sent_at);
 /* As follower: handles the outcome of writing this controller's delegate record, or of reading the
  * record's revision (status 0, and revision_known). status: the HTTP status, 0 without a response.
- * sent: when the request was sent. */
+ * sent_at: when the request was sent. */
 void bd_delegate_txn_completed(struct bd_core *core, long status, uint64_t store_revision,
-                               struct timespec sent, bool revision_known);
+                               struct timespec sent_at, bool revision_known);
 
 /* ---- autonomous zones (autonomous_zone.c) ---- */
 
 /* Whether the key-value store has been unreachable for so long that this controller's zone may be
  * autonomous. */
 bool bd_autonomous_zone_active(const struct bd_core *core);
-/* Records that this controller's liveness record is about to be sent, at the moment sent. */
-void bd_liveness_record_sent(struct bd_core *core, struct timespec sent);
-/* Records that the liveness record that was sent at that moment was written. */
-void bd_liveness_record_written(struct bd_core *core, struct timespec sent);
+/* Records that this controller sends its liveness record at sent_at. */
+void bd_liveness_record_sent(struct bd_core *core, struct timespec sent_at);
+/* Records that the liveness record that was sent at sent_at has been written. */
+void bd_liveness_record_written(struct bd_core *core, struct timespec sent_at);
 
-/* ---- the end ---- */
+/* ---- release of memory ---- */
 
 /* Frees waiting and forwarded heartbeats, the delegate's machines and the redirected workers. */
 void bd_workers_free(struct bd_core *core);
--- a/src/workers/workers_internal.h
+++ b/src/workers/workers_internal.h
@@ -6,13 +6,13 @@
 
 struct bd_command_list;
 
-/* In place of the index of the peer that forwarded a heartbeat: the worker sent it itself. */
+/* In place of the index of a forwarding peer: the worker sent the heartbeat itself. */
 #define BD_NOT_FORWARDED (-1)
 
 /* Key prefix of controllers' records in the key-value store; the controller's name follows. */
 #define BD_NODE_RECORD_PREFIX "p/"
 
-/* A peer without a status for so many seconds may be cut off from this controller. */
+/* If no status of a peer arrives for this long, the peer may be cut off from this controller. */
 #define BD_PEER_STATUS_TIMEOUT_S 1.3
 
 /* ---- heartbeats (heartbeats.c, heartbeat_tasks.c) ---- */
@@ -60,8 +60,9 @@
 bool bd_forward_is_peer_leading(const struct bd_core *core);
 /* Whether some other zone has no controller whose status arrived recently: that zone is likely cut
  * off from this one. */
-bool bd_forward_is_zone_silent(const struct bd_core *core);
-/* Whether the peer is in touch with the key-value store, the leader and this controller. */
+bool bd_forward_is_other_zone_unreachable(const struct bd_core *core);
+/* Whether the peer's status arrived recently and reports that the peer can reach the key-value
+ * store and receives the leader's statuses. */
 bool bd_forward_can_relay(const struct bd_core *core, int peer);
 
 /* ---- redirects of workers (worker_redirects.c) ---- */
@@ -81,7 +82,8 @@
 
 /* ---- autonomous zones (autonomous_zone.c) ---- */
 
-/* As follower: whether it may renew the worker's lease because its zone is autonomous. */
+/* As follower: whether this controller may renew the worker's lease since its zone is autonomous.
+ */
 bool bd_autonomous_zone_may_reply(const struct bd_core *core, const struct bd_heartbeat *heartbeat);
 /* As follower: whether a worker should wait for a reply because the zone may be about to become
  * autonomous: a partition may just have begun. */
@@ -117,7 +119,7 @@
 struct bd_served_machine *bd_delegate_find_or_add(struct bd_core *core, const char *id);
 /* Removes machines whose last heartbeat is older than the retention time of the record. */
 void bd_delegate_expire_machines(struct bd_core *core);
-/* Marks the machines in the last record that was sent as written: they may be answered. */
+/* Marks the machines in the last sent record as confirmed, so that they may be answered. */
 void bd_delegate_confirm_machines(struct bd_core *core);
 /* Emits the transaction that writes the record, or a read of the record's revision if that is not
  * known. */
@@ -128,6 +130,8 @@
 /* Whether to redirect the worker to the leader, to probe whether workers can reach it. */
 bool bd_delegate_probe_leader(struct bd_core *core, const struct bd_heartbeat *heartbeat);
 
+/* ---- release of memory ---- */
+
 /* Frees the table of redirected workers. */
 void bd_redirects_free(struct bd_core *core);
 /* Frees a heartbeat and its tasks. */
