--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -98,8 +98,7 @@
     double age_s = core->wall_s - job->submitted_at;
     bd_log_write(core->log, BD_LOG_INFO,
                  "%s is done: %u tasks, priority %d, estimate %.0f s; last placed after %.1f s, "
-                 "last started after "
-                 "%.1f s, done after %.1f s, %u reservations lost",
+                 "last started after %.1f s, done after %.1f s, %u reservations lost",
                  job->id, job->ntasks, (int)job->spec.priority, job->spec.estimate_s,
                  age_s - bd_seconds_between(job->last_placed_at, core->now),
                  age_s - bd_seconds_between(job->last_started_at, core->now), age_s,
--- a/src/model/delegate_state.h
+++ b/src/model/delegate_state.h
@@ -45,7 +45,7 @@
 
     struct bd_served_machine *served; /* hash by id */
     uint32_t nserved;
-    uint32_t parts; /* parts of the record that have ever been written */
+    uint32_t parts; /* parts of the record as last written */
     /* longest machine id since the list of served machines was last empty */
     size_t longest_id_length;
     struct bd_waiting_heartbeat *waiting_heartbeats;
--- a/src/model/kv_limits.c
+++ b/src/model/kv_limits.c
@@ -62,8 +62,8 @@
     limits->kv_value_bytes_max = lowered(before.kv_value_bytes_max, VALUE_BYTES_MIN);
     limits->kv_txn_ops_max = lowered(before.kv_txn_ops_max, TXN_OPS_MIN);
     bd_log_write(core->log, BD_LOG_ERROR,
-                 "key-value store rejected %s as malformed; limits lowered to values of %zu bytes "
-                 "and %zu changes",
+                 "key-value store rejected %s as malformed; limits now %zu bytes a value and %zu "
+                 "changes",
                  what, limits->kv_value_bytes_max, limits->kv_txn_ops_max);
     return limits->kv_value_bytes_max < before.kv_value_bytes_max ||
            limits->kv_txn_ops_max < before.kv_txn_ops_max;
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -37,7 +37,8 @@
     char id[BD_LABEL_BYTES], addr[BD_LABEL_BYTES];
     uint32_t index;
     int type, zone; /* -1: not known yet */
-    bool spot, in_inventory, failed;
+    bool spot;
+    bool in_inventory, failed; /* according to the cloud's list of machines */
     /* its newest heartbeat carries a fencing token of the leader's term */
     bool has_seen_term;
     /* terminated: scaled in, or missing from the cloud's inventory */
@@ -77,7 +78,7 @@
     /* seconds until the cloud terminates the machine; < 0: no notice */
     double termination_notice_s;
 
-    /* one direct command is sent at a time */
+    /* a direct command awaits its answer; at most one does at a time */
     bool direct_in_flight;
     /* consecutive direct commands without an answer */
     uint32_t direct_failures;
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -246,9 +246,10 @@
     }
     add_waiting(core, request, heartbeat);
     if (delegate->nserved == 1)
-        bd_log_write(core->log, BD_LOG_INFO,
-                     "acting as delegate: no status from leader %s; first worker %s",
-                     core->leader_name, heartbeat->machine);
+        bd_log_write(
+            core->log, BD_LOG_INFO,
+            "acting as delegate: no leader, or no status from leader \"%s\"; first worker %s",
+            core->leader_name, heartbeat->machine);
     delegate->next_write = core->now;
     return true;
 }
