--- a/src/model/job.h
+++ b/src/model/job.h
@@ -55,7 +55,7 @@
     struct bd_spec spec;
     bool has_spec;
     bool within_guaranteed_share; /* in this scheduling cycle */
-    bool pinned;                  /* referenced from elsewhere, so it is not evicted */
+    bool pinned;                  /* still needed, or referenced elsewhere: not evicted */
 
     /* the job in the dependency graph, see dependency_graph.c */
     struct bd_dependency_edge *parent_edges; /* owned array: edges to the jobs it depends on */
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -72,7 +72,7 @@
 }
 
 /* If a direct launch with an earlier fencing token may have contained the attempt, the attempt is
- * launched in replies only: a late copy of that direct launch may still arrive. */
+ * launched in replies only: a late duplicate of that direct launch may still arrive. */
 static bool needs_launch(struct bd_core *core, const struct bd_job *job, const struct bd_task *task,
                          enum bd_command_path path)
 {
--- a/src/workers/heartbeat_tasks.c
+++ b/src/workers/heartbeat_tasks.c
@@ -34,10 +34,10 @@
 }
 
 /* Appends a command that lets the worker forget the attempt, if that is safe; else counts a
- * withheld result. A direct launch that was answered may arrive once more, as a late copy. The
- * worker ignores the copy while it remembers the attempt, or once it has seen a higher fencing
- * token. So an attempt that a direct launch may have contained must not be forgotten before the
- * worker has seen a higher token than that launch had. */
+ * withheld result. A direct launch that was answered may arrive once more, as a late duplicate.
+ * The worker ignores the duplicate while it remembers the attempt, or once it has seen a higher
+ * fencing token. So an attempt that a direct launch may have contained must not be forgotten before
+ * the worker has seen a higher token than that launch had. */
 static void forget_attempt_if_safe(struct bd_core *core, const struct bd_heartbeat *heartbeat,
                                    const struct bd_reported_task *reported,
                                    struct bd_command_list *commands)
@@ -99,7 +99,7 @@
         return;
     }
     if (is_current_attempt(machine, task, reported->attempt)) {
-        /* if the attempt were forgotten, a late copy of the launch would start it again */
+        /* if the attempt were forgotten, a late duplicate of the launch would start it again */
         if (task->flags & BD_TASK_FLAG_DIRECT_LAUNCH_IN_FLIGHT) {
             task->flags |= BD_TASK_FLAG_EXITED;
             return;
