--- a/src/autoscaling/inventory.c
+++ b/src/autoscaling/inventory.c
@@ -44,7 +44,7 @@
     type->known = true;
     type->cpus = text->cpus;
     type->gpus = text->gpus;
-    type->mem = text->mem_gb;
+    type->mem_gb = text->mem_gb;
     type->cache_gb = text->cache_gb;
     type->fetch_gb_per_s = text->fetch_gb_per_s;
     type->price = text->price;
--- a/src/leadership/commit_outcome.c
+++ b/src/leadership/commit_outcome.c
@@ -59,7 +59,7 @@
     }
     char committed[48];
     snprintf(committed, sizeof committed, "committed=%llu",
-             (unsigned long long)core->lead.sequence_revision);
+             (unsigned long long)core->lead.commit_sequence_revision);
     bd_task_set_state(core, job, intent->task, BD_TASK_LAUNCHING);
     bd_decision_log_task(core, "intent_committed", job, intent->task, intent->attempt, machine,
                          committed);
@@ -75,7 +75,7 @@
     struct bd_intent *intents = malloc((slice->count + 1) * sizeof *intents);
     if (!intents)
         abort();
-    memcpy(intents, commit->plan + slice->from, slice->count * sizeof *intents);
+    memcpy(intents, commit->plan + slice->first_intent, slice->count * sizeof *intents);
     bd_intent_record_add(core, slice->key, intents, slice->count);
 }
 
@@ -98,11 +98,11 @@
     double age_s = core->wall_s - job->submitted_at;
     bd_log_write(core->log, BD_LOG_INFO,
                  "%s is done: %u tasks, priority %d, estimate %.0f s; last placed after %.1f s, "
-                 "last started after "
-                 "%.1f s, done after %.1f s, %u reservations lost",
+                 "last started after %.1f s, done after %.1f s, %u reservations lost",
                  job->id, job->ntasks, (int)job->spec.priority, job->spec.estimate_s,
                  age_s - bd_seconds_between(job->last_placed_at, core->now),
-                 age_s - bd_seconds_between(job->last_started_at, core->now), age_s, job->restarts);
+                 age_s - bd_seconds_between(job->last_started_at, core->now), age_s,
+                 job->reservations_lost);
 }
 
 static void finish_job(struct bd_core *core, struct bd_job *job, uint64_t store_revision)
@@ -123,7 +123,7 @@
 static void apply_commit(struct bd_core *core, const struct bd_commit *commit,
                          uint64_t store_revision)
 {
-    core->lead.sequence_revision = store_revision;
+    core->lead.commit_sequence_revision = store_revision;
     if (commit->raises_fencing_token)
         apply_token_raise(core, store_revision);
     for (uint32_t i = 0; i < commit->nreceipts; i++)
@@ -166,12 +166,12 @@
     core->lead.token_raise_wanted = core->lead.token_raise_wanted || commit->raises_fencing_token;
 }
 
-/* Lowers the limits that are used for the store after it rejected a transaction. If no limit can be
- * lowered further, one of the jobs must have caused the rejection: all of them are left out of
- * transactions for a while. */
+/* Lowers the limits that are used for the store after the store rejected a transaction. If no limit
+ * can be lowered further, one of the jobs must have caused the rejection: all of them are left out
+ * of transactions for a while. */
 static void back_off_rejected(struct bd_core *core, const struct bd_commit *commit)
 {
-    if (bd_kv_limits_rejected(core, "the leader's transaction"))
+    if (bd_kv_limits_lower_after_rejection(core, "the leader's transaction"))
         return;
     for (uint32_t i = 0; i < commit->nplan; i++)
         bd_kv_limits_back_off(core, commit->plan[i].job);
--- a/src/model/effect.h
+++ b/src/model/effect.h
@@ -21,10 +21,11 @@
     BD_EFFECT_USER_TXN,
     BD_EFFECT_LEADER_TXN,
     BD_EFFECT_DIRECT_COMMAND,
-    BD_EFFECT_SCALE_OUT,
+    BD_EFFECT_SCALE_OUT, /* key: the id of the provisioning request */
     BD_EFFECT_SCALE_IN,
     BD_EFFECT_READ_BARRIER,
     BD_EFFECT_STEP_DOWN, /* the term is over */
+    /* writes this controller's delegate record; body NULL: reads its revision; key: the record's */
     BD_EFFECT_DELEGATE_TXN,
     BD_EFFECT_JOB_LOOKUP,           /* reads a job's record; key: the job's id */
     BD_EFFECT_FORWARD_HEARTBEAT,    /* to the leader */
@@ -47,7 +48,7 @@
     void *request; /* [REPLY, USER_TXN, JOB_LOOKUP] */
     union {
         int status;                                /* [REPLY, FORWARD_REPLY] HTTP status */
-        enum bd_read_purpose purpose;              /* [USER_TXN, JOB_LOOKUP] */
+        enum bd_request_purpose purpose;           /* [USER_TXN, JOB_LOOKUP] */
         enum bd_step_down_reason step_down_reason; /* [STEP_DOWN] */
     };
     int retry_after_s;             /* [REPLY] seconds; 0: none */
@@ -58,7 +59,7 @@
     struct timespec send_deadline; /* [DIRECT_COMMAND] by the monotonic clock */
     uint32_t machine;              /* [DIRECT_COMMAND] index of the receiver */
     bool has_launches;             /* [DIRECT_COMMAND] the commands include launches */
-    uint64_t sequence;             /* [LEADER_TXN] */
+    uint64_t commit_sequence;      /* [LEADER_TXN] */
     uint64_t forward_id;           /* [FORWARD_HEARTBEAT, FORWARD_REPLY] */
     int peer;                      /* [FORWARD_HEARTBEAT, FORWARD_REPLY] the receiver */
     struct bd_effect *next;
--- a/tests/drain_profile_fleet.c
+++ b/tests/drain_profile_fleet.c
@@ -167,7 +167,7 @@
                                      .replacement_timeout_s = 60,
                                      .record_retention_s = 1e6};
     rules->budgets[rules->nbudgets++] =
-        (struct bd_budget_rule){.per_cent = true, .amount = percent};
+        (struct bd_budget_rule){.is_percentage = true, .amount = percent};
     fleet->settings.draining = rules;
 }
 
--- a/tests/graphs_large.c
+++ b/tests/graphs_large.c
@@ -71,7 +71,7 @@
     for (int n = 0; n < 2 * CHAIN_JOBS; n++)
         violations += n != CHAIN_JOBS && find_job(core, n)->state != BD_JOB_CANCELLED;
     violations +=
-        core->graph.parents != NULL || core->graph.ncancelled_by_parent != 2 * CHAIN_JOBS - 2;
+        core->graph.parents != NULL || core->graph.nunrecorded_cancellations != 2 * CHAIN_JOBS - 2;
     bd_core_free(core);
     if (violations)
         fprintf(stderr, "a large graph: %d violations\n", violations);
