--- a/cli/drain_command.c
+++ b/cli/drain_command.c
@@ -14,7 +14,7 @@
 #define WATCH_INTERVAL_S 2.0
 #define URL_BYTES 256
 
-enum exit_status { EXIT_DONE = 0, EXIT_REFUSED = 1, EXIT_USAGE = 2, EXIT_UNREACHED = 3 };
+enum exit_status { EXIT_DONE = 0, EXIT_REFUSED = 1, EXIT_USAGE = 2, EXIT_UNAVAILABLE = 3 };
 
 enum option_key { KEY_ALL = 256, KEY_JSON };
 
@@ -162,8 +162,8 @@
     enum exit_status result = EXIT_DONE;
     if (response->status != 200 && response->status != 201) {
         print_refusal(response->status, response->body);
-        bool is_reached = response->status != 0 && response->status < 500;
-        result = is_reached ? EXIT_REFUSED : EXIT_UNREACHED;
+        bool is_refusal = response->status != 0 && response->status < 500;
+        result = is_refusal ? EXIT_REFUSED : EXIT_UNAVAILABLE;
     } else if (arguments->prints_json) {
         (void)json_dumpf(response->body, stdout, JSON_INDENT(1) | JSON_ENCODE_ANY);
     } else {
@@ -192,7 +192,8 @@
     return result;
 }
 
-/* Prints the drain periodically until it has ended. Continues if no controller is reached. */
+/* Prints the drain periodically until it has ended or the request is refused. Continues after a
+ * missing response or HTTP status 500 and above. */
 static enum exit_status watch_drain(const struct arguments *arguments, struct bd_http *http,
                                     const char *path)
 {
@@ -244,7 +245,7 @@
     if (argp_parse(&argp, argc, argv, 0, 0, &arguments) != 0 || bd_http_global_init() != 0)
         goto free_request;
     struct bd_http *http = bd_http_new(1, NULL);
-    result = http ? run_verb(&arguments, http) : EXIT_UNREACHED;
+    result = http ? run_verb(&arguments, http) : EXIT_UNAVAILABLE;
     if (http)
         bd_http_free(http);
     bd_http_global_cleanup();
--- a/src/base/http.c
+++ b/src/base/http.c
@@ -5,8 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Far above any response of a healthy server; protects against memory exhaustion by a faulty one.
- */
+/* Longer than any response of a healthy server; limits the memory that a faulty server can use. */
 #define BODY_BYTES_MAX ((size_t)8 << 20)
 #define RECEIVE_BUFFER_BYTES 16384L
 
--- a/src/base/metrics.c
+++ b/src/base/metrics.c
@@ -100,7 +100,8 @@
 {
     if (!metrics || !isfinite(seconds))
         return;
-    /* The range of the last bin excludes its upper edge. */
+    /* Durations of the end of the histogram or more count in the last bin, whose range excludes its
+     * upper edge. */
     double bin_max_s = histogram_end_s() * 0.999;
     (void)gsl_histogram_increment(metrics->histograms[timing],
                                   fmin(fmax(seconds, SHORTEST_S), bin_max_s));
--- a/src/base/queue.c
+++ b/src/base/queue.c
@@ -52,7 +52,7 @@
 bool bd_queue_put(struct bd_queue *queue, void *item)
 {
     bool was_put = bd_queue_put_without_wakeup(queue, item);
-    if (was_put) /* signalled without the lock, which the woken thread would otherwise wait for */
+    if (was_put) /* signalled without the lock: the woken thread would wait for it */
         (void)pthread_cond_signal(&queue->not_empty);
     return was_put;
 }
--- a/src/wire/frame.h
+++ b/src/wire/frame.h
@@ -42,7 +42,7 @@
     BD_PEER_KV_REACHABLE = 2,            /* the key-value store answers the sender */
     BD_PEER_INBOUND_PARTITION = 4,       /* leader only: most workers' heartbeats do not arrive */
     BD_PEER_RECEIVES_LEADER_STATUS = 8,  /* peer statuses of the leader arrive at the sender */
-    BD_PEER_KV_OUTAGE = 16,              /* the store has not answered the sender for a while */
+    BD_PEER_KV_OUTAGE = 16,              /* follower only: sent no liveness record for 3 s */
     BD_PEER_SUPPORTS_DEPENDENCIES = 32,  /* feature: dependencies between jobs */
     BD_PEER_SUPPORTS_CANCELLATIONS = 64, /* feature: frames of confirmed cancellations */
     BD_PEER_SUPPORTS_DRAINS = 128        /* feature: drains machines within disruption budgets */
@@ -60,7 +60,7 @@
 struct bd_frame {
     enum bd_frame_type type;
     char sender[BD_LABEL_BYTES]; /* PEER_STATUS, HEARTBEAT: name of the sender */
-    uint64_t term;               /* PEER_STATUS: term in which the sender is leader; 0: it is not */
+    uint64_t term;               /* PEER_STATUS: the sender's term as leader; 0: not leader */
     uint8_t flags;               /* PEER_STATUS: bits of enum bd_peer_flag */
     uint32_t kv_age_ms;          /* PEER_STATUS: time since the store last answered the sender */
     uint64_t wall_clock_ms;      /* PEER_STATUS: the sender's wall clock, since the epoch */
--- a/src/wire/heartbeat_cache.c
+++ b/src/wire/heartbeat_cache.c
@@ -69,18 +69,18 @@
 }
 
 /* Moves the heartbeat `uncached`, which was parsed from this text, into a new entry. Returns NULL
- * and leaves it in `uncached` if it does not fit or if out of memory. */
+ * and leaves the heartbeat in `uncached` if the entry does not fit or if out of memory. */
 static struct entry *add_entry(struct bd_heartbeat_cache *cache, const char *text, size_t len,
                                const struct bd_heartbeat_seq *seq)
 {
     size_t tail_at = seq->offset + seq->len;
-    size_t size = sizeof(struct entry) + len - seq->len;
-    size_t bytes = size + cache->uncached.task_count * sizeof cache->uncached.tasks[0];
+    size_t entry_bytes = sizeof(struct entry) + len - seq->len;
+    size_t bytes = entry_bytes + cache->uncached.task_count * sizeof cache->uncached.tasks[0];
     if (bytes > cache->bytes_max)
         return NULL;
     while (cache->entries && cache->bytes + bytes > cache->bytes_max)
         free_entry(cache, cache->entries);
-    struct entry *entry = malloc(size);
+    struct entry *entry = malloc(entry_bytes);
     if (!entry)
         return NULL;
     memset(entry, 0, sizeof *entry);
--- a/src/wire/wire_cloud.h
+++ b/src/wire/wire_cloud.h
@@ -39,8 +39,8 @@
     double age_s; /* since the cloud provided the machine */
 };
 
-/* Reads at most `max` machine types and skips malformed ones. Returns their number, or -1 if the
- * response is malformed. */
+/* Reads at most `max` machine types and skips malformed ones. Returns the number of types read, or
+ * -1 if the response is malformed. */
 int bd_wire_read_machine_types(json_t *body, struct bd_machine_type_text *out, int max);
 /* Reads a page of the cloud's list of machines; `has_more` is set if further pages follow. Returns
  * the number of machines, or -1 if the page is malformed or has more than `max` machines. */
@@ -50,10 +50,10 @@
                                          bool spot, int count);
 /* Writes a request to return `count` machines to the cloud. */
 char *bd_wire_write_return_request(char (*names)[BD_LABEL_BYTES], int count);
-/* Reads at most `max` machine names from the response to a provisioning request or from a request
- * to return machines. Returns their number, or -1 if the list is malformed. */
+/* Reads at most `max` machine names from the response to a provisioning request, or from a request
+ * to return machines. Returns the number of names, or -1 if the list is malformed. */
 int bd_wire_read_machine_names(json_t *body, char (*names)[BD_LABEL_BYTES], int max);
-/* Whether a 503 response of the cloud means an outage; otherwise it has no more machines of the
- * requested type. */
+/* Whether a 503 response of the cloud means an outage. Otherwise the cloud has no more machines of
+ * the requested type. */
 bool bd_wire_is_cloud_outage(json_t *body);
 #endif
--- a/src/wire/wire_internal.h
+++ b/src/wire/wire_internal.h
@@ -22,7 +22,7 @@
 bool bd_wire_read_bool(json_t *object, const char *key, bool *out);
 /* Reads a non-negative integer. */
 bool bd_wire_read_unsigned(json_t *object, const char *key, uint64_t *out);
-/* Returns the index of the field's string in a table of `count` names, or -1 if it is not there. */
+/* Returns the index of the field's string in a table of `count` names; -1: missing or unknown. */
 int bd_wire_read_enum(json_t *object, const char *key, const char *const *names, int count);
 bool bd_wire_is_missing_or_null(json_t *value);
 
--- a/src/wire/wire_jobs.h
+++ b/src/wire/wire_jobs.h
@@ -53,9 +53,9 @@
     BD_JOB_CANCELLED
 };
 
-/* The parents of a job: the jobs that must be done before it starts. Their ids are stored in the
- * job record or, if they do not fit into one value, in parts: separate keys that are written before
- * the record. */
+/* The parents of a job: the jobs that must be done before it starts. The parents' ids are stored in
+ * the job record. Ids that do not fit into one value are stored in parts instead: separate keys
+ * that are written before the record. */
 struct bd_job_record_parents {
     json_t *ids;                    /* array of job ids, borrowed; NULL: none in the record */
     uint32_t part_count;            /* 0: the ids are not split into parts */
@@ -92,8 +92,8 @@
 /* Returns the array of job ids in a part's value, borrowed. NULL: malformed. */
 json_t *bd_wire_read_parents_part(json_t *value);
 
-/* Returns a copy of a spec for the record of a cancelled job, shortened as far as it remains
- * readable. NULL: out of memory. */
+/* Returns a copy of a spec without its list of machine types, for the record of a cancelled job.
+ * NULL: out of memory. */
 json_t *bd_wire_write_cancelled_spec(json_t *spec);
 /* Returns the value of a job record. NULL: out of memory. */
 json_t *bd_wire_write_job_record(const struct bd_job_record *record);
--- a/src/wire/wire_names.h
+++ b/src/wire/wire_names.h
@@ -81,8 +81,8 @@
 #define ERROR_CLOUD_OUTAGE "trouble"
 
 /* ---- the key-value store ---- */
-#define KEY_COMPARES "if"   /* conditions of a transaction */
-#define KEY_CHANGES "apply" /* operations of a transaction */
+#define KEY_COMPARES "if"      /* conditions of a transaction */
+#define KEY_OPERATIONS "apply" /* operations of a transaction */
 #define KEY_FAILED_COMPARES "failed"
 #define KEY_STORE_KEY "k"
 #define KEY_PUT_KEY "set"
--- a/src/wire/wire_store.c
+++ b/src/wire/wire_store.c
@@ -26,10 +26,10 @@
 
 void bd_txn_put(struct bd_txn *txn, const char *key, json_t *value, uint64_t grant)
 {
-    json_t *change = json_pack("{s:s,s:o}", KEY_PUT_KEY, key, KEY_VALUE, value);
-    if (change && grant)
-        json_object_set_new(change, KEY_GRANT, json_integer((json_int_t)grant));
-    json_array_append_new(txn->ops, change);
+    json_t *operation = json_pack("{s:s,s:o}", KEY_PUT_KEY, key, KEY_VALUE, value);
+    if (operation && grant)
+        json_object_set_new(operation, KEY_GRANT, json_integer((json_int_t)grant));
+    json_array_append_new(txn->ops, operation);
 }
 
 void bd_txn_delete(struct bd_txn *txn, const char *key)
@@ -39,7 +39,7 @@
 
 char *bd_txn_finish(struct bd_txn *txn)
 {
-    json_t *body = json_pack("{s:o,s:o}", KEY_COMPARES, txn->compares, KEY_CHANGES, txn->ops);
+    json_t *body = json_pack("{s:o,s:o}", KEY_COMPARES, txn->compares, KEY_OPERATIONS, txn->ops);
     txn->compares = NULL;
     txn->ops = NULL;
     return bd_wire_serialize(body);
@@ -65,9 +65,9 @@
     return out->key && bd_wire_read_unsigned(entry, KEY_REVISION, &out->revision);
 }
 
-void bd_wire_set_revision(json_t *change, uint64_t revision)
+void bd_wire_set_revision(json_t *operation, uint64_t revision)
 {
-    json_object_set_new(change, KEY_REVISION, json_integer((json_int_t)revision));
+    json_object_set_new(operation, KEY_REVISION, json_integer((json_int_t)revision));
 }
 
 bool bd_wire_read_pair(json_t *body, struct bd_kv_change *out, uint64_t *grant)
--- a/src/wire/wire_store.h
+++ b/src/wire/wire_store.h
@@ -12,7 +12,7 @@
 /* ---- transactions ---- */
 
 /* A compare-and-swap transaction under construction: the store applies its operations only if all
- * compares hold. If memory runs out while it is built, compares or operations are missing. */
+ * compares hold. A compare or operation for which memory runs out is left out without an error. */
 struct bd_txn {
     json_t *compares; /* owned, as is `ops` */
     json_t *ops;
@@ -45,7 +45,7 @@
 bool bd_wire_read_change(json_t *entry, struct bd_kv_change *out);
 /* Sets the revision in an operation of a committed transaction, so that bd_wire_read_change can
  * read it like an entry of a change log. */
-void bd_wire_set_revision(json_t *change, uint64_t revision);
+void bd_wire_set_revision(json_t *operation, uint64_t revision);
 /* Reads the response to a GET of one key; `grant` is the key's lease, 0: none. Returns false if the
  * response is malformed or has no value. */
 bool bd_wire_read_pair(json_t *body, struct bd_kv_change *out, uint64_t *grant);
--- a/tests/scenario.c
+++ b/tests/scenario.c
@@ -24,12 +24,13 @@
  *   priority=0...3 image=img image_gb=0 zone=a estimate_s=0 deadline_s=60 spot=0 same_zone=0
  *   spread_zones=0 checkpoint_interval_s=0 checkpoint_save_s=0 state=done|cancelled
  *   ended_at_s=900 parents=job-2,job-3 parent_parts=HASH:N
- *   the replica receives a change of the job's record. All keys are optional. ended_at_s: by the
- *   time of day
- * - parents_part job-1/HASH/0 job-7,job-8   likewise a part of a job's list of parents
- * - job_record_json job-1 REVISION {...}   likewise any record, also a damaged one
+ *   the replica receives a change of the job's record. All keys are optional. ended_at_s: the
+ *   time of day in seconds
+ * - parents_part job-1/HASH/0 job-7,job-8   the replica receives a part of a job's list of parents
+ * - job_record_json job-1 REVISION {...}   the replica receives any record, also a damaged one
  * - records_listed   the first listing of all records is complete
- * - finished_jobs N   N records of jobs that were done long ago, then an eviction from memory
+ * - finished_jobs N   the replica receives N records of jobs that were done long ago, and evicts
+ *   from memory what it can
  * - refreshed [failed]   a refresh of the replica
  * - job_lookup_completed JOB PURPOSE STATUS [cancelled]   the record of an evicted job was read;
  *   PURPOSE: a number of enum bd_read_purpose
@@ -60,7 +61,9 @@
  * - leadership_renewed | leadership_lost | tick
  * - write_rate_exceeded   the store responded 429
  * - peer_status node-1 [term=0] [kv_reachable=1] [hears_leader=1] [inbound_partition=0] [kv_lost=0]
- *   [knows_dag=1] [knows_drains=1] [kv_age_s=0] [sent_ago_s=0]   a status frame of a peer
+ *   [knows_dag=1] [knows_drains=1] [kv_age_s=0] [sent_ago_s=0]   a status frame of a peer.
+ *   hears_leader, kv_lost, knows_dag and knows_drains set the flags RECEIVES_LEADER_STATUS,
+ *   KV_OUTAGE, SUPPORTS_DEPENDENCIES and SUPPORTS_DRAINS of enum bd_peer_flag
  * - leader_observed node-1 REVISION [dismissed=1]   the leader's key was read; `- 0`: there is none
  * - delegate_records_read [p/node-1:REVISION:vm-1,vm-2 ...]   this leader read the delegates'
  *   records
@@ -77,14 +80,15 @@
  * What is expected, scenario_expect.c:
  * - expect KIND TEXT...   removes the first effect of the kind that contains all the texts; a text
  *   also matches an equal status. KIND: one of effect_kind_names
- * - expect_none KIND [TEXT...]   no such effect waits
+ * - expect_none KIND [TEXT...]   there is no such effect
  * - clear_effects
  * - expect_task job-1/0 pending|planned|launching|confirmed|unknown|done [vm-1]
  * - expect_team a [cpus=2] [gpus=0]   what the team uses
  *
  * Draining, scenario_drain.c:
- * - drain NAME retire|replace [state=paused] [revision=N] vm-1 vm-2 ...   writes a drain's record
- *   to the store, the first time with its machines' records
+ * - drain NAME retire|replace [state=paused] [revision=N] [at=1000] vm-1 vm-2 ...   writes a
+ *   drain's record and, if machines are named, their records to the store. at: the time of day of
+ *   the request
  * - drain_stage NAME vm-1 STAGE   changes the machine's record in the store, as an earlier leader
  *   did
  * - drain_record_json NAME JSON   any record of a drain, also a damaged one
@@ -124,7 +128,7 @@
     scenario->core = bd_core_new(&scenario->settings, &scenario->log);
     if (!scenario->core)
         abort();
-    bd_core_set_clock(scenario->core, bd_secs(100), 1000);
+    bd_core_set_clock(scenario->core, bd_secs(SCENARIO_START_S), SCENARIO_WALL_START_S);
 }
 
 static void collect_effects(struct scenario *scenario)
@@ -155,7 +159,7 @@
     collect_effects(scenario);
 }
 
-/* Returns the number of steps in the file. */
+/* Runs the steps of the file. Returns their number. */
 static int run_file(struct scenario *scenario, FILE *file)
 {
     char line[4096], copy[4096];
@@ -183,10 +187,10 @@
 {
     struct scenario scenario = {.log = {BD_LOG_ERROR, "scenario"}};
     struct behaviour_digest digest;
-    bool traced = argc == 3 && strcmp(argv[2], "steps") == 0;
-    if (argc != 2 && !traced && (argc != 3 || strcmp(argv[2], "digest") != 0))
+    bool prints_steps = argc == 3 && strcmp(argv[2], "steps") == 0;
+    if (argc != 2 && !prints_steps && (argc != 3 || strcmp(argv[2], "digest") != 0))
         return 2;
-    behaviour_digest_start(&digest, traced ? stdout : NULL);
+    behaviour_digest_start(&digest, prints_steps ? stdout : NULL);
     scenario.digest = argc == 3 ? &digest : NULL;
     scenario.path = argv[1];
     FILE *file = fopen(argv[1], "r");
--- a/tests/scenario_drain.c
+++ b/tests/scenario_drain.c
@@ -26,15 +26,15 @@
 
 void scenario_run_draining(struct scenario *scenario)
 {
-    struct bd_drain_rules_error fault = {"", ""};
+    struct bd_drain_rules_error error = {"", ""};
     char text[4096];
     snprintf(text, sizeof text, "(%s)", strchr(scenario->text, '('));
     sexp_t *expression = parse_sexp(text, strlen(text));
     if (expression)
         scenario->settings.draining =
-            bd_drain_rules_read(&scenario->settings, expression->list, &fault);
+            bd_drain_rules_read(&scenario->settings, expression->list, &error);
     if (!scenario->settings.draining)
-        scenario_fail(scenario, *fault.field ? fault.field : "not an S-expression");
+        scenario_fail(scenario, *error.field ? error.field : "not an S-expression");
     if (expression)
         destroy_sexp(expression);
     sexp_cleanup();
@@ -77,7 +77,8 @@
                           make_pair(key, bd_drain_part_encode(machines, count), 1));
 }
 
-/* Compares 4 letters: a state of two words has a dash here. NULL: active. */
+/* Compares only the first 4 letters, because a step writes a state of two words with a dash. NULL
+ * means active. */
 static enum bd_drain_state parse_drain_state(const char *text)
 {
     for (int i = 0; text && i < 4; i++)
@@ -152,7 +153,7 @@
     replace_pair(scenario->drain_records, make_pair(key, value, 3));
 }
 
-/* Whether the reasons are equal. `dashed` has a dash where `spaced` may have a space. */
+/* Whether the reasons are equal; a dash in `dashed` also matches a space in `spaced`. */
 static bool equal_reasons(const char *dashed, const char *spaced)
 {
     for (; *dashed && *spaced; dashed++, spaced++)
@@ -259,7 +260,7 @@
     send_running_heartbeat(scenario, scenario->words[1]);
 }
 
-/* Completes the direct commands and the scale-ins among the new effects. The effects stay, for
+/* Completes the direct commands and the scale-ins among the new effects. The effects are kept for
  * `expect`. */
 static void complete_effects(struct scenario *scenario)
 {
@@ -290,11 +291,13 @@
 
 static void step_run_for(struct scenario *scenario)
 {
-    double now = bd_to_secs(scenario->core->now) - 100, to = now + strtod(scenario->words[1], NULL);
+    double now = bd_to_secs(scenario->core->now) - SCENARIO_START_S,
+           to = now + strtod(scenario->words[1], NULL);
     for (int half_seconds = 0; now < to; half_seconds++) {
         now = now + 0.5 < to ? now + 0.5 : to;
-        bd_core_set_clock(scenario->core, bd_secs(100 + now), 1000 + now);
-        bd_leadership_lease_renewed(scenario->core, 7, scenario->core->now);
+        bd_core_set_clock(scenario->core, bd_secs(SCENARIO_START_S + now),
+                          SCENARIO_WALL_START_S + now);
+        bd_leadership_lease_renewed(scenario->core, SCENARIO_GRANT, scenario->core->now);
         bd_delegate_records_read(scenario->core, NULL, scenario->core->now);
         bd_replica_refreshed(scenario->core, scenario->core->replica.store_revision,
                              scenario->core->replica.store_revision, scenario->core->now,
@@ -311,7 +314,7 @@
     }
 }
 
-/* expect_drain_request and expect_drain_selection */
+/* Runs both expect_drain_request and expect_drain_selection. */
 static void step_expect_drain_request(struct scenario *scenario)
 {
     const char *from = strchr(scenario->text, '{'), *to = strrchr(scenario->text, '}');
@@ -328,8 +331,8 @@
                    listed[count].type, listed[count].zone) == 3)
             count++;
     json_t *ids = NULL;
-    bool ok = bd_drain_request_read(json, &request, &refusal);
-    if (ok && strcmp(scenario->words[0], "expect_drain_selection") == 0) {
+    bool is_valid = bd_drain_request_read(json, &request, &refusal);
+    if (is_valid && strcmp(scenario->words[0], "expect_drain_selection") == 0) {
         ids = bd_drain_request_resolve(&request, scenario->settings.draining, listed, count,
                                        &refusal);
         for (size_t i = 0; i < json_array_size(ids); i++)
--- a/tests/scenario_expect.c
+++ b/tests/scenario_expect.c
@@ -8,7 +8,7 @@
 
 #define PRINTED_EFFECTS_MAX 40
 
-/* in the order of enum bd_effect_kind */
+/* Indexed by enum bd_effect_kind. */
 static const char *const effect_kind_names[] = {"reply",
                                                 "user_txn",
                                                 "leader_txn",
--- a/tests/scenario_jobs.c
+++ b/tests/scenario_jobs.c
@@ -126,7 +126,7 @@
     json_decref(names);
 }
 
-/* The jobs are job-1000000 and following, done at 2 s after the epoch. */
+/* The jobs have the ids from job-1000000 on and were done 2 s after the epoch. */
 static void step_finished_jobs(struct scenario *scenario)
 {
     int count = parse_number(scenario->words[1]);
@@ -164,11 +164,11 @@
 
 static void step_refreshed(struct scenario *scenario)
 {
-    bool ok = scenario->word_count < 2 || strcmp(scenario->words[1], "failed") != 0;
-    bool barrier = scenario->core->replica.barrier_in_flight;
+    bool has_succeeded = scenario->word_count < 2 || strcmp(scenario->words[1], "failed") != 0;
+    bool is_barrier = scenario->core->replica.barrier_in_flight;
     bd_replica_refreshed(scenario->core, scenario->core->replica.store_revision,
-                         scenario->core->replica.store_revision + 1, scenario->core->now, barrier,
-                         ok);
+                         scenario->core->replica.store_revision + 1, scenario->core->now,
+                         is_barrier, has_succeeded);
 }
 
 static void step_records_listed(struct scenario *scenario)
--- a/tests/scenario_leader.c
+++ b/tests/scenario_leader.c
@@ -13,7 +13,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Reads receipt=JOB/PART:VALUE. False: the word is none. */
+/* Reads receipt=JOB/PART:VALUE. Returns false if the word is not a receipt. */
 static bool add_receipt(struct bd_acquisition *acquisition, const char *word)
 {
     char job[64], value[64], key[BD_LABEL_BYTES + 8];
@@ -25,7 +25,7 @@
     return true;
 }
 
-/* Reads intent=JOB:ATTEMPT:MACHINE:TASK,TASK... False: the word is none. */
+/* Reads intent=JOB:ATTEMPT:MACHINE:TASK,TASK... Returns false if the word is not an intent. */
 static bool add_intent(struct bd_acquisition *acquisition, const char *word, int number)
 {
     char job[64], attempt[64], machine[64], list[256], key[32];
@@ -46,7 +46,7 @@
 static void step_leadership_acquired(struct scenario *scenario)
 {
     struct bd_acquisition acquisition = {.term = strtoull(scenario->words[1], NULL, 10),
-                                         .grant = 7,
+                                         .grant = SCENARIO_GRANT,
                                          .nonce = "n",
                                          .renewal_sent_at = scenario->core->now,
                                          .receipts = json_array(),
@@ -108,7 +108,8 @@
 
 static void step_lead_until(struct scenario *scenario)
 {
-    double end_s = strtod(scenario->words[1], NULL), now_s = bd_to_secs(scenario->core->now) - 100;
+    double end_s = strtod(scenario->words[1], NULL),
+           now_s = bd_to_secs(scenario->core->now) - SCENARIO_START_S;
     json_t *pairs = json_array();
     for (int i = 2; i < scenario->word_count; i++) {
         char node[64], key[BD_LABEL_BYTES + 8];
@@ -117,13 +118,14 @@
             scenario_fail(scenario, "liveness records have the form NODE:SECONDS");
         snprintf(key, sizeof key, "p/%s/at", node);
         json_array_append_new(pairs, json_pack("{s:s,s:{s:f},s:i}", "k", key, "value", "at",
-                                               1000 + written_s, "mark", 1));
+                                               SCENARIO_WALL_START_S + written_s, "mark", 1));
     }
     for (bool has_more = true; has_more;) {
         now_s = now_s + 2 < end_s ? now_s + 2 : end_s;
         has_more = now_s < end_s;
-        bd_core_set_clock(scenario->core, bd_secs(100 + now_s), 1000 + now_s);
-        bd_leadership_lease_renewed(scenario->core, 7, scenario->core->now);
+        bd_core_set_clock(scenario->core, bd_secs(SCENARIO_START_S + now_s),
+                          SCENARIO_WALL_START_S + now_s);
+        bd_leadership_lease_renewed(scenario->core, SCENARIO_GRANT, scenario->core->now);
         bd_delegate_records_read(scenario->core, pairs, scenario->core->now);
         bd_core_tick(scenario->core);
     }
@@ -132,25 +134,28 @@
 
 static void step_read_delegates_until(struct scenario *scenario)
 {
-    double end_s = strtod(scenario->words[1], NULL), now_s = bd_to_secs(scenario->core->now) - 100;
+    double end_s = strtod(scenario->words[1], NULL),
+           now_s = bd_to_secs(scenario->core->now) - SCENARIO_START_S;
     json_t *no_records = json_array();
     now_s += 2;
     while (now_s < end_s) {
-        bd_core_set_clock(scenario->core, bd_secs(100 + now_s), 1000 + now_s);
+        bd_core_set_clock(scenario->core, bd_secs(SCENARIO_START_S + now_s),
+                          SCENARIO_WALL_START_S + now_s);
         bd_delegate_records_read(scenario->core, no_records, scenario->core->now);
         now_s += 2;
     }
-    bd_core_set_clock(scenario->core, bd_secs(100 + end_s), 1000 + end_s);
+    bd_core_set_clock(scenario->core, bd_secs(SCENARIO_START_S + end_s),
+                      SCENARIO_WALL_START_S + end_s);
     bd_delegate_records_read(scenario->core, no_records, scenario->core->now);
     json_decref(no_records);
 }
 
 static void step_delegate_txn_completed(struct scenario *scenario)
 {
-    bool revision_known = scenario->word_count < 3;
+    bool is_revision_known = scenario->word_count < 3;
     bd_delegate_txn_completed(scenario->core, strtol(scenario->words[1], NULL, 10),
                               scenario_next_revision(scenario), scenario->core->now,
-                              revision_known);
+                              is_revision_known);
 }
 
 static void step_leader_txn_completed(struct scenario *scenario)
@@ -190,7 +195,7 @@
 
 static void step_leadership_renewed(struct scenario *scenario)
 {
-    bd_leadership_lease_renewed(scenario->core, 7, scenario->core->now);
+    bd_leadership_lease_renewed(scenario->core, SCENARIO_GRANT, scenario->core->now);
 }
 
 static void step_leadership_lost(struct scenario *scenario)
--- a/tests/scenario_machines.c
+++ b/tests/scenario_machines.c
@@ -134,10 +134,10 @@
     }
     char request[BD_LABEL_BYTES];
     snprintf(request, sizeof request, "%s", scenario->core->cloud.provision_requests[0].id);
-    bool refused = strcmp(scenario->words[1], "refused") == 0;
+    bool is_refused = strcmp(scenario->words[1], "refused") == 0;
     for (int i = 2; i < scenario->word_count; i++)
         snprintf(names[count++], BD_LABEL_BYTES, "%s", scenario->words[i]);
-    bd_core_scale_out_completed(scenario->core, request, refused ? 503 : 200, names, count);
+    bd_core_scale_out_completed(scenario->core, request, is_refused ? 503 : 200, names, count);
 }
 
 static void step_scale_in_completed(struct scenario *scenario)
--- a/tests/scenario_settings.c
+++ b/tests/scenario_settings.c
@@ -11,14 +11,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* NAME:ZONE */
+/* Reads NAME:ZONE. */
 static void add_peer(struct scenario *scenario, const char *text)
 {
     struct bd_peer *peer = &scenario->settings.peers[scenario->settings.npeers++];
     (void)sscanf(text, "%63[^:]:%63s", peer->name, peer->zone);
 }
 
-/* CLASS:SECONDS:SHARE */
+/* Reads CLASS:SECONDS:SHARE. */
 static void add_slo(struct scenario *scenario, const char *text)
 {
     struct bd_slo *slo = &scenario->settings.slos[scenario->settings.nslos++];
@@ -30,7 +30,7 @@
     slo->kind = BD_SLO_WAIT;
 }
 
-/* NAME:CPUS:CPUS_QUOTA:GPUS:GPUS_QUOTA */
+/* Reads NAME:CPUS:CPUS_QUOTA:GPUS:GPUS_QUOTA. */
 static void add_team(struct scenario *scenario, const char *text)
 {
     struct bd_team_quota *team = &scenario->settings.teams[scenario->settings.nteams++];
@@ -100,7 +100,8 @@
 static void step_at(struct scenario *scenario)
 {
     double seconds = strtod(scenario->words[1], NULL);
-    bd_core_set_clock(scenario->core, bd_secs(100 + seconds), 1000 + seconds);
+    bd_core_set_clock(scenario->core, bd_secs(SCENARIO_START_S + seconds),
+                      SCENARIO_WALL_START_S + seconds);
 }
 
 static void step_seed(struct scenario *scenario)
--- a/tests/sim_day.c
+++ b/tests/sim_day.c
@@ -14,7 +14,7 @@
 
 #define QUIET_S 130.0 /* from the last fault to the day's end, for all work to finish */
 
-/* Two zones with two controllers each, or with three and one. */
+/* The zones have two controllers each or, depending on the seed, three and one. */
 static const char *zone_of(const struct sim *sim, int node)
 {
     return (sim->seed / 2 % 2 ? node == 3 : node % 2) ? "b" : "a";
@@ -99,7 +99,8 @@
                     i < 6 ? sim_uniform(sim, 2, 6) : sim_uniform(sim, 3, sim->faults_end_at));
 }
 
-/* Events that reach a paused process wait until it resumes. */
+/* Postpones an event that reaches a paused process until the process resumes. Returns whether it
+ * did. */
 static bool wait_for_paused_node(struct sim *sim, struct sim_event *event)
 {
     int node = -1;
--- a/tests/sim_drain.c
+++ b/tests/sim_drain.c
@@ -1,4 +1,5 @@
-/* Drains on simulated days: administrators' records, and what the workers did for the checker. */
+/* Drains on simulated days: administrators' records, and the replicas' changes of state that are
+ * passed to the checker of drains. */
 #include "sim_drain.h"
 #include "drain/drain.h"
 #include "drain/drain_record.h"
@@ -63,7 +64,7 @@
     commit(sim, &txn);
 }
 
-/* Writes the drain's machines in parts, as the administration resources do. */
+/* Writes the drain's machines in parts, as the administration API does. */
 static void write_machine_set(struct sim *sim, const struct bd_drain_record *record,
                               const struct bd_drain_machine *machines)
 {
--- a/tests/sim_effects.c
+++ b/tests/sim_effects.c
@@ -1,4 +1,5 @@
-/* Performs the effects of a simulated controller's core, as event_loop.c and the clients do. */
+/* Performs the effects of a simulated controller's core, as effect_dispatch.c and the clients do.
+ */
 #include "model/effect.h"
 #include "numbers.h"
 #include "sim_node.h"
--- a/tests/sim_election.c
+++ b/tests/sim_election.c
@@ -10,7 +10,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#define TTL_S 2.0
+#define LEADER_TTL_S 2.0
 
 static void schedule_election(struct sim *sim, struct sim_node *node, double delay_s)
 {
@@ -28,11 +28,11 @@
     node->wants_step_down = false;
     if (node->is_leading) {
         struct sim_call *renewal =
-            sim_node_call(sim, node, SIM_RENEW, SIM_FOR_RENEW, NULL, NULL, TTL_S / 3);
+            sim_node_call(sim, node, SIM_RENEW, SIM_FOR_RENEW, NULL, NULL, LEADER_TTL_S / 3);
         renewal->number = node->grant;
         return;
     }
-    (void)sim_node_call(sim, node, SIM_GET, SIM_FOR_LEADER_KEY, "leader", NULL, TTL_S / 3);
+    (void)sim_node_call(sim, node, SIM_GET, SIM_FOR_LEADER_KEY, "leader", NULL, LEADER_TTL_S / 3);
 }
 
 static void request_grant(struct sim *sim, struct sim_node *node, uint64_t revision)
@@ -41,7 +41,7 @@
              (unsigned long long)node->epoch, (unsigned long long)sim->order);
     node->granted_at = sim_node_monotonic(sim, node);
     struct sim_call *request =
-        sim_node_call(sim, node, SIM_GRANT, SIM_FOR_GRANT, NULL, NULL, TTL_S / 3);
+        sim_node_call(sim, node, SIM_GRANT, SIM_FOR_GRANT, NULL, NULL, LEADER_TTL_S / 3);
     request->number = revision;
 }
 
@@ -58,7 +58,7 @@
     bd_txn_put(&txn, key, json_pack("{s:f}", "at", sim_node_wall(sim, node)), 0);
     bd_liveness_record_sent(node->core, node->liveness_sent_at);
     (void)sim_node_call(sim, node, SIM_COMMIT, SIM_FOR_LIVENESS, NULL, bd_txn_finish(&txn),
-                        TTL_S / 3);
+                        LEADER_TTL_S / 3);
 }
 
 static void leader_key_read(struct sim *sim, struct sim_node *node, struct sim_call *call,
@@ -78,17 +78,16 @@
     }
     if (status == 200 && bd_wire_read_pair(answer, &change, &grant)) {
         const char *name = json_string_value(json_object_get(change.value, "node"));
-        bool is_listed_away = false;
+        bool is_dismissed = false;
         json_t *item;
         size_t i;
         json_array_foreach(json_object_get(change.value, "away"), i, item)
         {
-            is_listed_away =
-                is_listed_away || strcmp(json_string_value(item), node->settings.node) == 0;
+            is_dismissed =
+                is_dismissed || strcmp(json_string_value(item), node->settings.node) == 0;
         }
         if (is_follower)
-            bd_core_leader_observed(node->core, name, change.revision, call->sent_at,
-                                    is_listed_away);
+            bd_core_leader_observed(node->core, name, change.revision, call->sent_at, is_dismissed);
         if (strcmp(name, node->settings.node) == 0 && !node->last_refresh_failed) {
             request_grant(sim, node, change.revision);
             return;
@@ -112,7 +111,7 @@
                json_pack("{s:s,s:s}", "node", node->settings.node, "nonce", node->nonce),
                node->grant);
     (void)sim_node_call(sim, node, SIM_COMMIT, SIM_FOR_ACQUISITION, NULL, bd_txn_finish(&txn),
-                        TTL_S / 3);
+                        LEADER_TTL_S / 3);
 }
 
 static void leader_key_written(struct sim *sim, struct sim_node *node, uint64_t term)
@@ -168,7 +167,8 @@
         else if (status == 409 || status == 400)
             schedule_election(sim, node, 0.3);
         else
-            (void)sim_node_call(sim, node, SIM_GET, SIM_FOR_OWN_KEY, "leader", NULL, TTL_S / 3);
+            (void)sim_node_call(sim, node, SIM_GET, SIM_FOR_OWN_KEY, "leader", NULL,
+                                LEADER_TTL_S / 3);
         break;
     case SIM_FOR_OWN_KEY:
         if (status == 200 && bd_wire_read_pair(answer, &change, &grant) &&
@@ -200,5 +200,5 @@
     }
     if (status == 200)
         bd_leadership_lease_renewed(node->core, call->number, call->sent_at);
-    schedule_election(sim, node, TTL_S / 6);
+    schedule_election(sim, node, LEADER_TTL_S / 6);
 }
--- a/tests/sim_events.c
+++ b/tests/sim_events.c
@@ -45,16 +45,16 @@
 
 struct sim_event *sim_schedule(struct sim *sim, double delay_s, enum sim_event_kind kind)
 {
-    struct sim_event *event = calloc(1, sizeof *event), **at = &sim->queue;
+    struct sim_event *event = calloc(1, sizeof *event), **link = &sim->queue;
     if (!event)
         abort();
     event->at = sim->now + (delay_s > 0 ? delay_s : 0);
     event->order = ++sim->order;
     event->kind = kind;
-    while (*at && (*at)->at <= event->at)
-        at = &(*at)->next;
-    event->next = *at;
-    *at = event;
+    while (*link && (*link)->at <= event->at)
+        link = &(*link)->next;
+    event->next = *link;
+    *link = event;
     return event;
 }
 
--- a/tests/sim_faults.c
+++ b/tests/sim_faults.c
@@ -8,7 +8,7 @@
 #include "simulation.h"
 #include <string.h>
 
-/* A controller by its number, the leader, or a random one. */
+/* Returns a controller by its number, the leader, or a random one for "any" or without a leader. */
 static int find_node(struct sim *sim, const char *name)
 {
     for (int i = 0; strcmp(name, "leader") == 0 && i < SIM_NODES; i++)
--- a/tests/sim_heartbeats.c
+++ b/tests/sim_heartbeats.c
@@ -42,7 +42,7 @@
              strcmp(sim->nodes[node].settings.zone, worker->zone) != 0);
 }
 
-/* Draws whether a fault copies the heartbeat, for a later delivery. */
+/* Draws whether a fault copies the heartbeat, and schedules or saves the copy for later. */
 static void replay_heartbeat(struct sim *sim, const char *text, int node, int index)
 {
     if (sim->now >= sim->replay_until || sim_random(sim) >= sim->replay_share)
@@ -192,10 +192,10 @@
         is_reachable(sim, event->node, worker) && sim->now >= worker->inbound_cut_until;
     bool is_zone_cut = sim->now < sim->zones_cut_until &&
                        strcmp(sim->nodes[event->node].settings.zone, worker->zone) != 0;
-    bool is_late = (!is_delivered && worker->is_cut_buffered && sim->now < worker->cut_until) ||
-                   (is_delivered && sim->now < worker->hangs_until) ||
-                   (is_zone_cut && sim_random(sim) < 0.5);
-    if (is_late && !worker->is_gone) { /* executed when the cut ends or the machine resumes */
+    bool is_delayed = (!is_delivered && worker->is_cut_buffered && sim->now < worker->cut_until) ||
+                      (is_delivered && sim->now < worker->hangs_until) ||
+                      (is_zone_cut && sim_random(sim) < 0.5);
+    if (is_delayed && !worker->is_gone) { /* executed when the cut ends or the machine resumes */
         double until = worker->cut_until;
         if (is_delivered)
             until = worker->hangs_until;
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -69,7 +69,7 @@
     node->acquisition.receipts = node->acquisition.intents = NULL;
 }
 
-/* Passes an acquisition to the core once its replica is as new as the acquired term. */
+/* Passes an acquisition to the core once the core's replica is as new as the acquired term. */
 static void acquire_leadership(struct sim *sim, struct sim_node *node)
 {
     if (!node->is_acquisition_pending || !node->core->replica.ready ||
@@ -124,7 +124,7 @@
     send_status(sim, node);
 }
 
-/* Passes the answer to a call that an effect requested to the core. */
+/* Passes the answer to the core, for a call that an effect requested. */
 static void complete_effect(struct sim_node *node, const struct sim_call *call, long status,
                             json_t *answer)
 {
--- a/tests/sim_node.h
+++ b/tests/sim_node.h
@@ -1,7 +1,7 @@
 /* The simulated controllers: models of the adapters around each core, as events in simulated time.
- * The owner thread, the store client, the election, the peers' transport and the clients of cloud
- * and workers have a file each. simulation.c plays the days. A controller's state is its struct
- * sim_node. */
+ * The event loop, the reads of the store, the election, the leader's transactions, the effects and
+ * the messages that arrive have a file each. simulation.c plays the days. A controller's state is
+ * its struct sim_node. */
 #ifndef BD_TESTS_SIM_NODE_H
 #define BD_TESTS_SIM_NODE_H
 #include "simulation.h"
@@ -13,7 +13,8 @@
 double sim_node_wall(const struct sim *sim, const struct sim_node *node); /* seconds */
 /* Sets the core's time to the node's. */
 void sim_node_set_clock(struct sim *sim, struct sim_node *node);
-/* Calls the key-value store and takes the body. sim_node_answered receives the answer. */
+/* Calls the key-value store and takes ownership of the body. sim_node_answered receives the answer.
+ */
 struct sim_call *sim_node_call(struct sim *sim, struct sim_node *node, enum sim_op op,
                                enum sim_purpose purpose, const char *key, char *body,
                                double timeout_s);
@@ -25,10 +26,10 @@
 void sim_release_acquisition(struct sim_node *node);
 
 /* sim_effects.c */
-/* Takes the effect. */
+/* Performs the effect and takes ownership of it. */
 void sim_perform_effect(struct sim *sim, struct sim_node *node, struct bd_effect *effect);
-/* Sends a frame to a peer, by its index in the node's settings. The effect is NULL or gives up its
- * body. */
+/* Sends a frame to a peer, given by its index in the node's settings. `effect` may be NULL;
+ * otherwise its body moves into the frame. */
 struct sim_event *sim_send_frame(struct sim *sim, struct sim_node *node, int peer,
                                  enum bd_frame_type type, struct bd_effect *effect);
 
--- a/tests/sim_plan.h
+++ b/tests/sim_plan.h
@@ -16,12 +16,13 @@
         double first_value, second_value; /* their meaning depends on the kind */
     } faults[PLAN_FAULTS_MAX];
     int nfaults, jobs, machines, services;
-    int has_one_task_jobs, has_drains; /* flags */
+    int has_one_task_jobs, has_drains; /* 0 or 1 */
     uint32_t budgets[2];               /* by team */
     double cancelled_share, image_fetch_s;
 };
 
-/* Returns false if the file cannot be read or has no fault; standard error names the line. */
+/* Returns false if the file cannot be read, has an invalid line, which is reported on standard
+ * error, or has no fault. */
 bool sim_plan_read(struct sim_plan *plan, const char *path);
 void sim_plan_draw(struct sim_plan *plan, unsigned long seed);
 /* As sim_plan_draw, with more services, and drains among the faults. */
--- a/tests/sim_receive.c
+++ b/tests/sim_receive.c
@@ -17,7 +17,7 @@
 #define COMMAND_TIMEOUT_S 1.5
 #define PROVISIONED_MAX 2 /* per request */
 #define RETURNED_MAX 128  /* per request */
-#define LIST_LAG_S 3      /* after which the cloud lists a new machine */
+#define LIST_LAG_S 3      /* from provisioning a machine until the cloud lists it */
 
 static bool is_cut_between(const struct sim *sim, int a, int b)
 {
@@ -34,7 +34,7 @@
     return is_valid;
 }
 
-/* Half of the frames that a cut stops are delivered at its end. */
+/* Delays half of the frames that a cut stops until the cut ends. Returns whether it did. */
 static bool delay_frame(struct sim *sim, struct sim_event *event)
 {
     double until = sim->peers_cut_until[event->node];
@@ -75,7 +75,7 @@
     free(frame);
 }
 
-/* Requests are freed at the day's end, as a core that stops leaves some unanswered. */
+/* The request is freed only at the day's end, because a core that stops leaves some unanswered. */
 static struct sim_request *new_request(struct sim *sim, const struct sim_event *event)
 {
     struct sim_request *request = calloc(1, sizeof *request);
@@ -175,8 +175,8 @@
     sim_node_step(sim, node);
 }
 
-/* Provisions machines that are up within two seconds, or only after 5 to 15. Returns how many, and
- * their names in `names`. */
+/* Provisions machines that are up within 2 s, or only after 5 to 15 s. Returns their number and
+ * writes their names to `names`. */
 static int provision(struct sim *sim, json_t *request, char (*names)[BD_LABEL_BYTES])
 {
     int requested = (int)json_integer_value(json_object_get(request, "howMany"));
--- a/tests/sim_rules.c
+++ b/tests/sim_rules.c
@@ -6,7 +6,8 @@
 
 #define WAIT_MAX_S 90.0 /* includes the expiry of an earlier lease */
 
-/* After the last fault no job waits for long while its team's quota allows it. */
+/* Checks that after the last fault no job waits longer than WAIT_MAX_S while its team's quota
+ * allows the job to start. */
 static void check_waiting(struct sim *sim, struct sim_job *job)
 {
     uint32_t unfinished = 0, missing = 0;
--- a/tests/sim_store.c
+++ b/tests/sim_store.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #define GRANT_TTL_S 2.0
-#define NOT_EXECUTED (-1) /* as the status of an event: its copy executes the call later */
+#define NOT_EXECUTED (-1) /* status of an event whose copy executes the call later */
 
 void sim_store_tick(struct sim *sim)
 {
@@ -159,13 +159,13 @@
            (call->op == SIM_REFRESH && refuses_refreshes);
 }
 
-/* Sends the call. It completes with its answer, or after the timeout. */
+/* Sends the call, which completes with its answer or after the timeout. */
 void sim_store_call(struct sim *sim, struct sim_call *call, double timeout_s)
 {
-    double delay = sim_network_delay(sim) +
-                   (sim->now < sim->store_slow_until ? sim_uniform(sim, 0.02, 0.6) : 0);
+    double delay_s = sim_network_delay(sim) +
+                     (sim->now < sim->store_slow_until ? sim_uniform(sim, 0.02, 0.6) : 0);
     bool is_write = call->op == SIM_COMMIT && !is_refused(sim, call);
-    struct sim_event *event = sim_schedule(sim, delay, SIM_STORE_EXECUTE);
+    struct sim_event *event = sim_schedule(sim, delay_s, SIM_STORE_EXECUTE);
     event->call = call;
     call->references++;
     event->flag = true; /* the answer arrives */
--- a/tests/sim_tasks.c
+++ b/tests/sim_tasks.c
@@ -18,7 +18,7 @@
     return names[reason];
 }
 
-/* The next heartbeat is sent after this delay at the latest. */
+/* Lets the worker send its next heartbeat after this delay at the latest. */
 static void limit_heartbeat_delay(const struct sim *sim, struct sim_worker *worker, double delay_s)
 {
     if (worker->next_heartbeat_at > sim->now + delay_s)
@@ -209,7 +209,9 @@
     }
 }
 
-/* Whether all tasks of the attempt join the gang or run. Those on a machine that hangs do not. */
+/* Whether all tasks of the attempt join the gang or run. Tasks on a machine that hangs do not
+ * count.
+ */
 static bool is_gang_complete(struct sim *sim, int job, uint64_t attempt)
 {
     uint32_t present = 0;
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -8,7 +8,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#define UNANSWERED_MAX_S 75.0 /* after that without an answer a job counts as forgotten */
+#define UNANSWERED_MAX_S 75.0 /* a job without an answer for longer counts as forgotten */
 
 void sim_send_request(struct sim *sim, int job_index, int node, enum sim_request_kind kind)
 {
--- a/tests/simulation.c
+++ b/tests/simulation.c
@@ -6,18 +6,18 @@
  * - simulation seed FILE|KIND SEED [debug]: one day, with a trace; debug: with the log too
  * - simulation digest FILE|KIND FROM N: the digest of each day's steps
  * - simulation steps FILE|KIND SEED: the steps of one day
- * - simulation checker: whether the checker of drains detects what it must
+ * - simulation checker: tests that the checker of drains detects violations
  *
  * Of the kinds of drawn days, `delays` adds delays inside the controllers (delay-sends,
  * process-pause) among hanging machines and cancellations, and `drains` adds drains.
  *
  * A line of a file is a setting or a fault. The settings:
  *
- * - jobs N: how many are submitted
- * - cancelled-share SHARE: of the jobs
+ * - jobs N: how many jobs are submitted
+ * - cancelled-share SHARE: the share of the jobs that users cancel
  * - one-task-jobs 1: each job is one short task
- * - image-fetch-s SECONDS: for each task
- * - machines N: at the start
+ * - image-fetch-s SECONDS: how long each task fetches its image
+ * - machines N: how many machines there are at the start
  * - services N: the first N jobs are services
  * - drains 1: the controllers have rules for drains
  * - budget A B: how many replicas of each team may be down
@@ -28,16 +28,16 @@
  *
  * - store-outage FOR
  * - store-slow FOR
- * - store-refuse NODE FOR: it refuses this controller
- * - refresh-fail NODE FOR: it refuses this controller's refreshes of the records
+ * - store-refuse NODE FOR: the store refuses all calls of this controller
+ * - refresh-fail NODE FOR: the store refuses this controller's refreshes of the records
  * - late-writes SHARE FOR: this share of the transactions is applied late and not answered
  * - lost-answers SHARE FOR: this share of the transactions is applied and not answered
  *
  * Faults of the network and of heartbeats:
  *
- * - peer-cut NODE FOR: from the other controllers
- * - isolate NODE FOR: from the other controllers and from the store
- * - zone-cut FOR: between the zones
+ * - peer-cut NODE FOR: cuts the controller off from the others
+ * - isolate NODE FOR: cuts the controller off from the others and from the store
+ * - zone-cut FOR: cuts the zones off from each other
  * - delay-commands FOR: some commands and answers are delayed
  * - replay SHARE FOR: copies of heartbeats arrive later
  * - replay-failover SHARE FOR: copies of heartbeats reach all controllers as the next leader starts
@@ -51,16 +51,18 @@
  *
  * Faults of controllers:
  *
- * - crash NODE FOR, crash-all FOR: until the restart
+ * - crash NODE FOR, crash-all FOR: the restart follows FOR seconds later, after crash-all up to 30%
+ *   sooner or later
  * - process-pause NODE FOR
  * - delay-sends NODE FOR: direct commands wait in the controller's own queue
  *
  * Requests of users and administrators:
  *
- * - cancel N: running jobs
- * - burst N: of new jobs
- * - drain N REPLACES: of the first N machines that are up; 1: they are replaced
- * - pause-drain 0, resume-drain 0, cancel-drain 0: the newest drain */
+ * - cancel N: users cancel up to N running jobs
+ * - burst N: users submit N new jobs
+ * - drain N REPLACES: drains the first N machines that are up; REPLACES 1: with replacements
+ * - pause-drain N, resume-drain N, cancel-drain N: change the newest drain; N has no effect on it
+ */
 #include "simulation.h"
 #include "brambledoor/log.h"
 #include "drain/drain_record.h"
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -57,7 +57,7 @@
     enum sim_event_kind kind;
     int node;
     int index;       /* of the worker, job, receiving node or fault, depending on the kind */
-    uint64_t epoch;  /* of the node that scheduled it, or that it is sent to */
+    uint64_t epoch;  /* of the node that scheduled the event or, for a frame, that receives it */
     uint64_t number; /* a heartbeat's sequence number, or when a user sent the request, in us */
     long status;     /* HTTP status of an answer, or the sim_request_kind of a user's request */
     bool flag;       /* depends on the kind */
@@ -117,7 +117,7 @@
     uint64_t epoch; /* changes at each start and stop; events of an earlier epoch are dropped */
     double started_at, clock_rate, clock_start, wall_offset;
     double paused_until;        /* the process is paused */
-    double sends_delayed_until; /* direct commands wait in the controller's own queue */
+    double sends_delayed_until; /* direct commands wait until then in the controller's own queue */
     /* reader of the store */
     uint64_t last_read_revision;
     bool wants_list, wants_barrier, is_reading, last_refresh_failed;
@@ -155,7 +155,7 @@
     double heartbeat_sent_at;
     int node; /* where heartbeats are sent */
     double hangs_until, outbound_cut_until, inbound_cut_until, cut_until;
-    bool is_cut_buffered; /* the cut delivers at its end what it stopped */
+    bool is_cut_buffered; /* messages that the cut stopped are delivered at its end */
     int nslots;
     struct sim_slot slots[SIM_SLOTS];
 };
@@ -166,11 +166,11 @@
     uint32_t tasks;
     int team, priority;
     double cpus, run_s;
-    double cancel_at; /* when the user cancels it; -1: once it is accepted; 0: never */
+    double cancel_at; /* when the user cancels the job; -1: once it is accepted; 0: never */
     double cancel_requested_at, last_answer_at; /* 0: not yet */
     double accepted_at, done_at,
         cancelled_at;       /* when a user first received this state; 0: not yet */
-    double placeable_since; /* since when it waits although its quota allows it; 0: it does not */
+    double placeable_since; /* since when the job waits although its quota allows it; else 0 */
     bool is_invalid;        /* must never be accepted */
     const char *zone;       /* as it is submitted: quoted, or null */
     bool done[SIM_TASKS];
@@ -199,7 +199,7 @@
     double peers_cut_until[SIM_NODES], zones_cut_until, commands_delayed_until;
     double replay_share, replay_until;
     bool replays_at_failover;    /* copies arrive when the next leader starts */
-    char *saved_heartbeats[256]; /* the copies kept for that */
+    char *saved_heartbeats[256]; /* the copies for replays_at_failover */
     int nsaved_heartbeats;
     struct sim_node nodes[SIM_NODES];
     struct sim_worker workers[SIM_MACHINES];
@@ -208,7 +208,7 @@
     int njobs;
     double lease_s, cancel_s, heartbeat_s, image_fetch_s, team_quota_cpus[2], team_used_cpus[2];
     int violations, starts, terms;
-    int starts_after_cancellation; /* more than lease_s and 2 s after it */
+    int starts_after_cancellation; /* tasks started more than lease_s + 2 s after it */
     bool has_drains;
     int machines_max; /* at once */
     int ndrains;      /* drains that were requested */
@@ -242,8 +242,8 @@
 void sim_store_free(struct sim *sim);
 
 /* controllers, sim_node.c */
-struct sim_request { /* a user's or a worker's request; begins as the core expects */
-    struct bd_request_origin head;
+struct sim_request { /* a user's or a worker's request; the core only uses `origin` */
+    struct bd_request_origin origin;
     bool is_user;
     int index; /* of the job or the worker */
     uint64_t number;
@@ -261,7 +261,7 @@
 void sim_node_start(struct sim *sim, int i);
 void sim_node_end(struct sim *sim, int i);
 void sim_node_event(struct sim *sim, struct sim_event *event);
-/* A store call is answered; status 0: it timed out. */
+/* Passes the answer to a store call to its controller; status 0: the call timed out. */
 void sim_node_answered(struct sim *sim, struct sim_call *call, long status, json_t *answer);
 
 /* workers and cloud, sim_worker.c */
@@ -273,6 +273,6 @@
 void sim_workers_tick(struct sim *sim);
 /* Ends the machine and its tasks, for good. */
 void sim_worker_remove(struct sim *sim, struct sim_worker *worker);
-/* NULL: there is no such job. */
+/* Returns the job with the id. NULL: there is no such job. */
 struct sim_job *sim_find_job(struct sim *sim, const char *id);
 #endif
