--- a/tests/sim_effects.c
+++ b/tests/sim_effects.c
@@ -1,5 +1,4 @@
-/* Performs the effects of a simulated controller's core, as effect_dispatch.c and the clients do.
- */
+/* Performs the effects of a simulated controller's core, as effect_dispatch.c does. */
 #include "model/effect.h"
 #include "numbers.h"
 #include "sim_node.h"
--- a/tests/sim_heartbeats.c
+++ b/tests/sim_heartbeats.c
@@ -111,7 +111,8 @@
     worker->next_heartbeat_at = sim->now + pause_s;
 }
 
-/* The next heartbeat goes to the leader that the answer names. */
+/* Sends the next heartbeat to the leader that the answer names or, if it names none, to the next
+ * controller after a pause. */
 static void follow_redirect(struct sim *sim, struct sim_worker *worker, json_t *answer)
 {
     const char *leader = json_string_value(json_object_get(answer, "steward"));
--- a/tests/sim_node.h
+++ b/tests/sim_node.h
@@ -13,8 +13,7 @@
 double sim_node_wall(const struct sim *sim, const struct sim_node *node); /* seconds */
 /* Sets the core's time to the node's. */
 void sim_node_set_clock(struct sim *sim, struct sim_node *node);
-/* Calls the key-value store and takes ownership of the body. sim_node_answered receives the answer.
- */
+/* Calls the key-value store; the call then owns the body. sim_node_answered receives the answer. */
 struct sim_call *sim_node_call(struct sim *sim, struct sim_node *node, enum sim_op op,
                                enum sim_purpose purpose, const char *key, char *body,
                                double timeout_s);
--- a/tests/sim_store.c
+++ b/tests/sim_store.c
@@ -168,7 +168,7 @@
     struct sim_event *event = sim_schedule(sim, delay_s, SIM_STORE_EXECUTE);
     event->call = call;
     call->references++;
-    event->flag = true; /* the answer arrives */
+    event->flag = true; /* the store answers */
     if (is_write && sim->now < sim->lost_answers_until && sim_random(sim) < sim->lost_answers_share)
         event->flag = false;
     if (is_write && sim->now < sim->late_writes_until && sim_random(sim) < sim->late_writes_share) {
--- a/tests/sim_tasks.c
+++ b/tests/sim_tasks.c
@@ -209,9 +209,8 @@
     }
 }
 
-/* Whether all tasks of the attempt join the gang or run. Tasks on a machine that hangs do not
- * count.
- */
+/* Whether all tasks of the attempt join the gang or run. Tasks on hanging machines do not
+ * count. */
 static bool is_gang_complete(struct sim *sim, int job, uint64_t attempt)
 {
     uint32_t present = 0;
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -59,10 +59,11 @@
     int index;       /* of the worker, job, receiving node or fault, depending on the kind */
     uint64_t epoch;  /* of the node that scheduled the event or, for a frame, that receives it */
     uint64_t number; /* a heartbeat's sequence number, or when a user sent the request, in us */
-    long status;     /* HTTP status of an answer, or the sim_request_kind of a user's request */
-    bool flag;       /* depends on the kind */
-    char *text;
-    void *data;
+    long status;     /* HTTP status of an answer, or enum sim_request_kind of a user's request */
+    bool flag;       /* SIM_STORE_EXECUTE: the store answers; SIM_ELECTION: sends the pending commit
+                        again; SIM_CLOUD_ANSWER: of a scale-out */
+    char *text;      /* body of the message, owned; NULL: none */
+    void *data;      /* frame, command or JSON, depending on the kind */
     struct sim_call *call;
     struct sim_event *next;
 };
