--- a/tests/sim_day.c
+++ b/tests/sim_day.c
@@ -134,7 +134,7 @@
     return true;
 }
 
-void sim_day_event(struct sim *sim, const struct sim_plan *plan, struct sim_event *event)
+void sim_day_handle_event(struct sim *sim, const struct sim_plan *plan, struct sim_event *event)
 {
     if (wait_for_paused_node(sim, event))
         return;
@@ -142,12 +142,12 @@
     case SIM_STORE_EXECUTE:
     case SIM_STORE_ANSWER:
     case SIM_STORE_TIMEOUT:
-        sim_store_event(sim, event);
+        sim_store_handle_event(sim, event);
         break;
     case SIM_COMMAND_ARRIVAL:
     case SIM_HEARTBEAT_ANSWER:
     case SIM_HEARTBEAT_TIMEOUT:
-        sim_worker_event(sim, event);
+        sim_worker_handle_event(sim, event);
         break;
     case SIM_USER_TIMER:
         sim_user_timer(sim, event);
@@ -159,7 +159,7 @@
         sim_apply_fault(sim, plan, &plan->faults[event->index]);
         break;
     default:
-        sim_node_event(sim, event);
+        sim_node_handle_event(sim, event);
     }
     sim->events++;
 }
@@ -185,7 +185,7 @@
 void sim_day_end(struct sim *sim)
 {
     for (int i = 0; i < SIM_NODES; i++)
-        sim_node_end(sim, i);
+        sim_node_stop(sim, i);
     for (int i = 0; i < SIM_NODES; i++)
         free(sim->nodes[i].settings.draining);
     while (sim->queue) {
--- a/tests/sim_day.h
+++ b/tests/sim_day.h
@@ -7,7 +7,7 @@
 
 /* sim_day.c. sim_day_end frees all that the day holds. */
 void sim_day_begin(struct sim *sim, const struct sim_plan *plan, unsigned long seed);
-void sim_day_event(struct sim *sim, const struct sim_plan *plan, struct sim_event *event);
+void sim_day_handle_event(struct sim *sim, const struct sim_plan *plan, struct sim_event *event);
 void sim_day_end(struct sim *sim);
 
 /* sim_users.c */
--- a/tests/sim_drain.c
+++ b/tests/sim_drain.c
@@ -83,7 +83,7 @@
 
 void sim_drain_request(struct sim *sim, uint32_t machines, bool replaces)
 {
-    struct bd_drain_machine entries[SIM_MACHINES];
+    struct bd_drain_machine entries[SIM_MACHINES_MAX];
     struct bd_drain_record record = {.mode = replaces ? BD_DRAIN_REPLACE : BD_DRAIN_RETIRE,
                                      .state = BD_DRAIN_ACTIVE,
                                      .requested_at_s = SIM_WALL_START_S + sim->now,
@@ -91,7 +91,7 @@
     char key[BD_LABEL_BYTES + 8];
     memset(entries, 0, sizeof entries);
     for (int i = 0; i < sim->nworkers && record.nmachines < machines; i++)
-        if (!sim->workers[i].is_gone && sim->now > sim->workers[i].up_at)
+        if (!sim->workers[i].is_removed && sim->now > sim->workers[i].up_at)
             snprintf(entries[record.nmachines++].id, BD_LABEL_BYTES, "%s", sim->workers[i].id);
     snprintf(record.name, sizeof record.name, "drain-%d", sim->ndrains);
     snprintf(record.machine_set_id, sizeof record.machine_set_id, "set-%d", sim->ndrains);
@@ -122,7 +122,7 @@
     return record->state == BD_DRAIN_ACTIVE || record->state == BD_DRAIN_PAUSED;
 }
 
-void sim_drain_change(struct sim *sim, enum bd_drain_state state)
+void sim_drain_set_state(struct sim *sim, enum bd_drain_state state)
 {
     struct bd_drain_record record;
     char key[BD_LABEL_BYTES + 8];
@@ -141,7 +141,7 @@
 void sim_drains_resume(struct sim *sim)
 {
     for (int i = 0; i < sim->ndrains; i++)
-        sim_drain_change(sim, BD_DRAIN_ACTIVE);
+        sim_drain_set_state(sim, BD_DRAIN_ACTIVE);
 }
 
 bool sim_drains_finished(const struct sim *sim)
--- a/tests/sim_drain.h
+++ b/tests/sim_drain.h
@@ -9,7 +9,7 @@
 /* Requests a drain of the first machines that are up. */
 void sim_drain_request(struct sim *sim, uint32_t machines, bool replaces);
 /* Sets the state of the newest drain that is in progress and not yet in that state. */
-void sim_drain_change(struct sim *sim, enum bd_drain_state state);
+void sim_drain_set_state(struct sim *sim, enum bd_drain_state state);
 /* Resumes all paused drains. Called after the last fault, when no more requests follow. */
 void sim_drains_resume(struct sim *sim);
 bool sim_drains_finished(const struct sim *sim);
--- a/tests/sim_election.c
+++ b/tests/sim_election.c
@@ -55,7 +55,7 @@
     node->liveness_sent_at = sim_node_monotonic(sim, node);
     snprintf(key, sizeof key, "p/%.50s/at", node->settings.node);
     bd_txn_compare(&txn, "leader", revision);
-    bd_txn_put(&txn, key, json_pack("{s:f}", "at", sim_node_wall(sim, node)), 0);
+    bd_txn_put(&txn, key, json_pack("{s:f}", "at", sim_node_wall_clock_s(sim, node)), 0);
     bd_liveness_record_sent(node->core, node->liveness_sent_at);
     (void)sim_node_call(sim, node, SIM_COMMIT, SIM_FOR_LIVENESS, NULL, bd_txn_finish(&txn),
                         LEADER_TTL_S / 3);
--- a/tests/sim_faults.c
+++ b/tests/sim_faults.c
@@ -21,7 +21,7 @@
 {
     if (!sim->nodes[node].core)
         return;
-    sim_node_end(sim, node);
+    sim_node_stop(sim, node);
     sim_schedule(sim, restart_s, SIM_NODE_START)->node = node;
 }
 
@@ -31,7 +31,7 @@
     for (int tries = 0; remaining > 0 && tries < 100; tries++) {
         struct sim_worker *worker = &sim->workers[(int)(sim_random(sim) * sim->nworkers)];
         double until = sim->now + fault->second_value;
-        if (worker->is_gone || sim->now < worker->up_at || sim->now < worker->hangs_until ||
+        if (worker->is_removed || sim->now < worker->up_at || sim->now < worker->hangs_until ||
             sim->now < worker->cut_until)
             continue;
         remaining--;
@@ -143,11 +143,11 @@
     } else if (is_kind(fault, "drain"))
         sim_drain_request(sim, (uint32_t)fault->first_value, fault->second_value > 0);
     else if (is_kind(fault, "pause-drain"))
-        sim_drain_change(sim, BD_DRAIN_PAUSED);
+        sim_drain_set_state(sim, BD_DRAIN_PAUSED);
     else if (is_kind(fault, "resume-drain"))
-        sim_drain_change(sim, BD_DRAIN_ACTIVE);
+        sim_drain_set_state(sim, BD_DRAIN_ACTIVE);
     else if (is_kind(fault, "cancel-drain"))
-        sim_drain_change(sim, BD_DRAIN_CANCELLED);
+        sim_drain_set_state(sim, BD_DRAIN_CANCELLED);
     else
         return false;
     return true;
--- a/tests/sim_heartbeats.c
+++ b/tests/sim_heartbeats.c
@@ -37,7 +37,7 @@
 
 static bool is_reachable(const struct sim *sim, int node, const struct sim_worker *worker)
 {
-    return !worker->is_gone && sim->now >= worker->cut_until &&
+    return !worker->is_removed && sim->now >= worker->cut_until &&
            !(sim->now < sim->zones_cut_until &&
              strcmp(sim->nodes[node].settings.zone, worker->zone) != 0);
 }
@@ -147,7 +147,7 @@
 {
     bool is_lost = sim->now < worker->inbound_cut_until || !is_reachable(sim, event->node, worker);
     bool is_late = !worker->awaits_answer || worker->pending_seq != event->number;
-    if (worker->is_gone || is_late || is_lost || sim->now < worker->hangs_until)
+    if (worker->is_removed || is_late || is_lost || sim->now < worker->hangs_until)
         return;
     json_t *answer = event->text ? json_loads(event->text, 0, NULL) : NULL;
     if (event->status == 200)
@@ -196,7 +196,7 @@
     bool is_delayed = (!is_delivered && worker->is_cut_buffered && sim->now < worker->cut_until) ||
                       (is_delivered && sim->now < worker->hangs_until) ||
                       (is_zone_cut && sim_random(sim) < 0.5);
-    if (is_delayed && !worker->is_gone) { /* executed when the cut ends or the machine resumes */
+    if (is_delayed && !worker->is_removed) { /* executed when the cut ends or the machine resumes */
         double until = worker->cut_until;
         if (is_delivered)
             until = worker->hangs_until;
@@ -211,7 +211,7 @@
         free(command);
 }
 
-void sim_worker_event(struct sim *sim, struct sim_event *event)
+void sim_worker_handle_event(struct sim *sim, struct sim_event *event)
 {
     struct sim_worker *worker = &sim->workers[event->index];
     if (event->kind == SIM_COMMAND_ARRIVAL)
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -25,14 +25,14 @@
     return bd_secs(node->clock_start + (sim->now - node->started_at) * node->clock_rate);
 }
 
-double sim_node_wall(const struct sim *sim, const struct sim_node *node)
+double sim_node_wall_clock_s(const struct sim *sim, const struct sim_node *node)
 {
     return SIM_WALL_START_S + sim->now + node->wall_offset;
 }
 
 void sim_node_set_clock(struct sim *sim, struct sim_node *node)
 {
-    bd_core_set_clock(node->core, sim_node_monotonic(sim, node), sim_node_wall(sim, node));
+    bd_core_set_clock(node->core, sim_node_monotonic(sim, node), sim_node_wall_clock_s(sim, node));
 }
 
 struct sim_call *sim_node_call(struct sim *sim, struct sim_node *node, enum sim_op op,
@@ -167,7 +167,7 @@
         sim_reader_answered(sim, node, call, status, answer);
         break;
     case SIM_FOR_DRAINS:
-    case SIM_FOR_DRAIN_SETS:
+    case SIM_FOR_DRAIN_MACHINES:
         node->is_reading = false;
         sim_drain_records_read(sim, node, call, status, answer);
         break;
@@ -205,7 +205,7 @@
     sim_node_schedule(sim, node, 0.05, SIM_NODE_TICK);
 }
 
-void sim_node_event(struct sim *sim, struct sim_event *event)
+void sim_node_handle_event(struct sim *sim, struct sim_event *event)
 {
     struct sim_node *node = &sim->nodes[event->node];
     bool is_current = node->core && node->epoch == event->epoch;
@@ -292,7 +292,7 @@
     sim_node_schedule(sim, node, 0.03, SIM_NODE_TICK);
 }
 
-void sim_node_end(struct sim *sim, int i)
+void sim_node_stop(struct sim *sim, int i)
 {
     struct sim_node *node = &sim->nodes[i];
     if (!node->core)
--- a/tests/sim_node.h
+++ b/tests/sim_node.h
@@ -10,7 +10,7 @@
 
 /* sim_node.c: what all files need. sim_node_set_clock and sim_node_step require a running core. */
 struct timespec sim_node_monotonic(const struct sim *sim, const struct sim_node *node);
-double sim_node_wall(const struct sim *sim, const struct sim_node *node); /* seconds */
+double sim_node_wall_clock_s(const struct sim *sim, const struct sim_node *node);
 /* Sets the core's time to the node's. */
 void sim_node_set_clock(struct sim *sim, struct sim_node *node);
 /* Calls the key-value store; the call then owns the body. sim_node_answered receives the answer. */
--- a/tests/sim_reader.c
+++ b/tests/sim_reader.c
@@ -54,19 +54,19 @@
 void sim_drain_records_read(struct sim *sim, struct sim_node *node, struct sim_call *call,
                             long status, json_t *answer)
 {
-    bool ignored, has_machine_sets = call->purpose == SIM_FOR_DRAIN_SETS;
+    bool ignored, is_machines_answer = call->purpose == SIM_FOR_DRAIN_MACHINES;
     json_t *pairs = status == 200 ? bd_wire_read_pairs(answer, &ignored) : NULL;
-    if (!has_machine_sets && pairs && bd_drain_needs_machine_records(node->core)) {
+    if (!is_machines_answer && pairs && bd_drain_needs_machine_records(node->core)) {
         json_decref(node->drain_records);
         node->drain_records = json_incref(pairs);
         node->is_reading = true;
-        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_DRAIN_SETS, BD_DRAIN_MACHINES_KEY_PREFIX,
-                            NULL, SIM_STORE_TIMEOUT_S);
+        (void)sim_node_call(sim, node, SIM_LIST, SIM_FOR_DRAIN_MACHINES,
+                            BD_DRAIN_MACHINES_KEY_PREFIX, NULL, SIM_STORE_TIMEOUT_S);
         return;
     }
     if (pairs)
-        bd_drain_apply_records(node->core, has_machine_sets ? node->drain_records : pairs,
-                               has_machine_sets ? pairs : NULL);
+        bd_drain_apply_records(node->core, is_machines_answer ? node->drain_records : pairs,
+                               is_machines_answer ? pairs : NULL);
     sim_node_schedule(sim, node, status == 200 ? 0.2 : 0.25, SIM_READER);
 }
 
--- a/tests/sim_receive.c
+++ b/tests/sim_receive.c
@@ -234,13 +234,13 @@
 
 void sim_list_machines(struct sim *sim, struct sim_node *node)
 {
-    struct bd_cloud_machine *machines = calloc(SIM_MACHINES, sizeof *machines);
+    struct bd_cloud_machine *machines = calloc(SIM_MACHINES_MAX, sizeof *machines);
     size_t count = 0;
     if (!machines)
         abort();
     for (int i = 0; i < sim->nworkers; i++) {
         struct sim_worker *worker = &sim->workers[i];
-        if (worker->is_gone || sim->now - worker->provisioned_at < LIST_LAG_S)
+        if (worker->is_removed || sim->now - worker->provisioned_at < LIST_LAG_S)
             continue;
         snprintf(machines[count].id, BD_LABEL_BYTES, "%s", worker->id);
         snprintf(machines[count].address, BD_LABEL_BYTES, "w-%d", i);
--- a/tests/sim_store.c
+++ b/tests/sim_store.c
@@ -183,7 +183,7 @@
     call->references++;
 }
 
-void sim_store_event(struct sim *sim, struct sim_event *event)
+void sim_store_handle_event(struct sim *sim, struct sim_event *event)
 {
     struct sim_call *call = event->call;
     json_t *out = NULL;
--- a/tests/sim_tasks.c
+++ b/tests/sim_tasks.c
@@ -111,7 +111,7 @@
     uint64_t attempt = first->attempt;
     for (int i = 0; i < sim->nworkers; i++) {
         struct sim_worker *worker = &sim->workers[i];
-        for (int k = 0; !worker->is_gone && k < worker->nslots; k++) {
+        for (int k = 0; !worker->is_removed && k < worker->nslots; k++) {
             struct sim_slot *slot = &worker->slots[k];
             if (slot->job == job && slot->attempt == attempt &&
                 slot->execution == BD_EXECUTION_RUNNING)
@@ -147,7 +147,7 @@
         return false;
     struct sim_job *found = sim_find_job(sim, id);
     *job = found ? (int)(found - sim->jobs) : -1;
-    return found != NULL && *task < SIM_TASKS;
+    return found != NULL && *task < SIM_TASKS_MAX;
 }
 
 static double cpus_in_use(struct sim *sim, const struct sim_worker *worker)
@@ -164,7 +164,7 @@
 {
     if (find_slot(worker, job, task, attempt))
         return;
-    if (worker->nslots == SIM_SLOTS)
+    if (worker->nslots == SIM_SLOTS_MAX)
         abort();
     struct sim_slot *earlier = NULL;
     for (int i = 0; i < worker->nslots; i++)
@@ -216,8 +216,8 @@
     uint32_t present = 0;
     for (int i = 0; i < sim->nworkers; i++) {
         struct sim_worker *worker = &sim->workers[i];
-        for (int k = 0; !worker->is_gone && sim->now >= worker->hangs_until && k < worker->nslots;
-             k++) {
+        for (int k = 0;
+             !worker->is_removed && sim->now >= worker->hangs_until && k < worker->nslots; k++) {
             struct sim_slot *slot = &worker->slots[k];
             if (slot->job == job && slot->attempt == attempt)
                 present += slot->execution == BD_EXECUTION_RUNNING ||
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -137,7 +137,7 @@
 
 void sim_add_job(struct sim *sim, const struct sim_plan *plan, double delay_s)
 {
-    if (sim->njobs == SIM_JOBS)
+    if (sim->njobs == SIM_JOBS_MAX)
         return;
     int index = sim->njobs++;
     struct sim_job *job = &sim->jobs[index];
@@ -168,7 +168,7 @@
         !(plan->has_drains && job->kind == BD_JOB_SERVICE))
         job->cancel_at =
             sim_random(sim) < 0.2 ? -1 : sim->now + delay_s + sim_uniform(sim, 0.1, 40);
-    for (int i = 0; i < SIM_TASKS; i++)
+    for (int i = 0; i < SIM_TASKS_MAX; i++)
         job->machine[i] = -1;
     sim_schedule(sim, delay_s, SIM_USER_TIMER)->index = index;
 }
--- a/tests/sim_worker.c
+++ b/tests/sim_worker.c
@@ -13,11 +13,11 @@
 
 int sim_provision(struct sim *sim, const char *zone, double boot_s)
 {
-    if (sim->nworkers == SIM_MACHINES)
+    if (sim->nworkers == SIM_MACHINES_MAX)
         return -1;
     int count = 0;
     for (int i = 0; i < sim->nworkers; i++)
-        count += !sim->workers[i].is_gone;
+        count += !sim->workers[i].is_removed;
     if (count >= sim->machines_max)
         return -1;
     struct sim_worker *worker = &sim->workers[sim->nworkers];
@@ -35,17 +35,17 @@
 
 void sim_worker_remove(struct sim *sim, struct sim_worker *worker)
 {
-    if (worker->is_gone)
+    if (worker->is_removed)
         return;
     sim_kill_tasks(sim, worker);
-    worker->is_gone = true;
+    worker->is_removed = true;
 }
 
 void sim_workers_tick(struct sim *sim)
 {
     for (int i = 0; i < sim->nworkers; i++) {
         struct sim_worker *worker = &sim->workers[i];
-        if (worker->is_gone || sim->now < worker->up_at)
+        if (worker->is_removed || sim->now < worker->up_at)
             continue;
         if (sim->now - worker->lease_renewed_at > sim->lease_s) {
             sim_trace(sim, "%s: lease expired, %d tasks end", worker->id, worker->nslots);
--- a/tests/simulation.c
+++ b/tests/simulation.c
@@ -88,7 +88,7 @@
     while (sim->queue && sim->queue->at <= sim->now) {
         struct sim_event *event = sim->queue;
         sim->queue = event->next;
-        sim_day_event(sim, plan, event);
+        sim_day_handle_event(sim, plan, event);
         free(event->text);
         free(event);
     }
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -18,10 +18,10 @@
 
 #define SIM_WALL_START_S 1e6 /* wall clock at the day's start */
 #define SIM_NODES 4
-#define SIM_MACHINES 160
-#define SIM_JOBS 700
-#define SIM_TASKS 8             /* per job */
-#define SIM_SLOTS 400           /* tasks that a worker runs or remembers */
+#define SIM_MACHINES_MAX 160
+#define SIM_JOBS_MAX 700
+#define SIM_TASKS_MAX 8         /* per job */
+#define SIM_SLOTS_MAX 400       /* tasks that a worker runs or remembers */
 #define SIM_COPY_DELAY_MAX_S 25 /* of a replayed heartbeat */
 #define SIM_VIOLATIONS_MAX 5    /* printed; the day ends when there are more */
 
@@ -80,7 +80,7 @@
                    SIM_FOR_REFRESH,
                    SIM_FOR_DELEGATES,
                    SIM_FOR_DRAINS,
-                   SIM_FOR_DRAIN_SETS,
+                   SIM_FOR_DRAIN_MACHINES,
                    SIM_FOR_LEADER_KEY,
                    SIM_FOR_LIVENESS,
                    SIM_FOR_GRANT,
@@ -146,7 +146,7 @@
 
 struct sim_worker {
     char id[BD_LABEL_BYTES], zone[BD_LABEL_BYTES], type[BD_LABEL_BYTES];
-    bool is_gone;
+    bool is_removed;
     double provisioned_at, up_at;
     double lease_renewed_at; /* when the last answered heartbeat was sent */
     double next_heartbeat_at;
@@ -158,7 +158,7 @@
     double hangs_until, outbound_cut_until, inbound_cut_until, cut_until;
     bool is_cut_buffered; /* messages that the cut stopped are delivered at its end */
     int nslots;
-    struct sim_slot slots[SIM_SLOTS];
+    struct sim_slot slots[SIM_SLOTS_MAX];
 };
 
 struct sim_job {
@@ -174,8 +174,8 @@
     double placeable_since; /* since when the job waits although its quota allows it; else 0 */
     bool is_invalid;        /* must never be accepted */
     const char *zone;       /* as it is submitted: quoted, or null */
-    bool done[SIM_TASKS];
-    int machine[SIM_TASKS]; /* index of the worker; -1: none */
+    bool done[SIM_TASKS_MAX];
+    int machine[SIM_TASKS_MAX]; /* index of the worker; -1: none */
     int nrunning;
 };
 
@@ -203,9 +203,9 @@
     char *saved_heartbeats[256]; /* the copies for replays_at_failover */
     int nsaved_heartbeats;
     struct sim_node nodes[SIM_NODES];
-    struct sim_worker workers[SIM_MACHINES];
+    struct sim_worker workers[SIM_MACHINES_MAX];
     int nworkers;
-    struct sim_job jobs[SIM_JOBS];
+    struct sim_job jobs[SIM_JOBS_MAX];
     int njobs;
     double lease_s, cancel_s, heartbeat_s, image_fetch_s, team_quota_cpus[2], team_used_cpus[2];
     int violations, starts, terms;
@@ -233,7 +233,7 @@
 
 /* key-value store, sim_store.c */
 void sim_store_call(struct sim *sim, struct sim_call *call, double timeout_s);
-void sim_store_event(struct sim *sim, struct sim_event *event);
+void sim_store_handle_event(struct sim *sim, struct sim_event *event);
 void sim_store_start(struct sim *sim);
 void sim_store_tick(struct sim *sim);
 /* Ends the grant after a network delay, as a request to end it does. */
@@ -260,15 +260,15 @@
 };
 enum sim_request_kind { SIM_SUBMIT, SIM_QUERY, SIM_CANCEL };
 void sim_node_start(struct sim *sim, int i);
-void sim_node_end(struct sim *sim, int i);
-void sim_node_event(struct sim *sim, struct sim_event *event);
+void sim_node_stop(struct sim *sim, int i);
+void sim_node_handle_event(struct sim *sim, struct sim_event *event);
 /* Passes the answer to a store call to its controller; status 0: the call timed out. */
 void sim_node_answered(struct sim *sim, struct sim_call *call, long status, json_t *answer);
 
 /* workers and cloud, sim_worker.c */
 /* Returns the worker's index, or -1 if the capacity is used up. */
 int sim_provision(struct sim *sim, const char *zone, double boot_s);
-void sim_worker_event(struct sim *sim, struct sim_event *event);
+void sim_worker_handle_event(struct sim *sim, struct sim_event *event);
 /* Delivers the saved copies of heartbeats to all controllers, as a new leader starts. */
 void sim_replay_saved_heartbeats(struct sim *sim);
 void sim_workers_tick(struct sim *sim);
