--- a/tests/sim_day.c
+++ b/tests/sim_day.c
@@ -14,7 +14,7 @@
 
 #define QUIET_S 130.0 /* from the last fault to the day's end, for all work to finish */
 
-/* Two zones with two controllers each, or with three and one. */
+/* The zones have two controllers each or, depending on the seed, three and one. */
 static const char *zone_of(const struct sim *sim, int node)
 {
     return (sim->seed / 2 % 2 ? node == 3 : node % 2) ? "b" : "a";
@@ -99,7 +99,8 @@
                     i < 6 ? sim_uniform(sim, 2, 6) : sim_uniform(sim, 3, sim->faults_end_at));
 }
 
-/* Events that reach a paused process wait until it resumes. */
+/* Postpones an event that reaches a paused process until the process resumes. Returns whether it
+ * did. */
 static bool wait_for_paused_node(struct sim *sim, struct sim_event *event)
 {
     int node = -1;
@@ -133,7 +134,7 @@
     return true;
 }
 
-void sim_day_event(struct sim *sim, const struct sim_plan *plan, struct sim_event *event)
+void sim_day_handle_event(struct sim *sim, const struct sim_plan *plan, struct sim_event *event)
 {
     if (wait_for_paused_node(sim, event))
         return;
@@ -141,12 +142,12 @@
     case SIM_STORE_EXECUTE:
     case SIM_STORE_ANSWER:
     case SIM_STORE_TIMEOUT:
-        sim_store_event(sim, event);
+        sim_store_handle_event(sim, event);
         break;
     case SIM_COMMAND_ARRIVAL:
     case SIM_HEARTBEAT_ANSWER:
     case SIM_HEARTBEAT_TIMEOUT:
-        sim_worker_event(sim, event);
+        sim_worker_handle_event(sim, event);
         break;
     case SIM_USER_TIMER:
         sim_user_timer(sim, event);
@@ -158,7 +159,7 @@
         sim_apply_fault(sim, plan, &plan->faults[event->index]);
         break;
     default:
-        sim_node_event(sim, event);
+        sim_node_handle_event(sim, event);
     }
     sim->events++;
 }
@@ -184,7 +185,7 @@
 void sim_day_end(struct sim *sim)
 {
     for (int i = 0; i < SIM_NODES; i++)
-        sim_node_end(sim, i);
+        sim_node_stop(sim, i);
     for (int i = 0; i < SIM_NODES; i++)
         free(sim->nodes[i].settings.draining);
     while (sim->queue) {
--- a/tests/sim_heartbeats.c
+++ b/tests/sim_heartbeats.c
@@ -37,12 +37,12 @@
 
 static bool is_reachable(const struct sim *sim, int node, const struct sim_worker *worker)
 {
-    return !worker->is_gone && sim->now >= worker->cut_until &&
+    return !worker->is_removed && sim->now >= worker->cut_until &&
            !(sim->now < sim->zones_cut_until &&
              strcmp(sim->nodes[node].settings.zone, worker->zone) != 0);
 }
 
-/* Draws whether a fault copies the heartbeat, for a later delivery. */
+/* Draws whether a fault copies the heartbeat, and schedules or saves the copy for later. */
 static void replay_heartbeat(struct sim *sim, const char *text, int node, int index)
 {
     if (sim->now >= sim->replay_until || sim_random(sim) >= sim->replay_share)
@@ -111,7 +111,8 @@
     worker->next_heartbeat_at = sim->now + pause_s;
 }
 
-/* The next heartbeat goes to the leader that the answer names. */
+/* Sends the next heartbeat to the leader that the answer names or, if it names none, to the next
+ * controller after a pause. */
 static void follow_redirect(struct sim *sim, struct sim_worker *worker, json_t *answer)
 {
     const char *leader = json_string_value(json_object_get(answer, "steward"));
@@ -146,7 +147,7 @@
 {
     bool is_lost = sim->now < worker->inbound_cut_until || !is_reachable(sim, event->node, worker);
     bool is_late = !worker->awaits_answer || worker->pending_seq != event->number;
-    if (worker->is_gone || is_late || is_lost || sim->now < worker->hangs_until)
+    if (worker->is_removed || is_late || is_lost || sim->now < worker->hangs_until)
         return;
     json_t *answer = event->text ? json_loads(event->text, 0, NULL) : NULL;
     if (event->status == 200)
@@ -192,10 +193,10 @@
         is_reachable(sim, event->node, worker) && sim->now >= worker->inbound_cut_until;
     bool is_zone_cut = sim->now < sim->zones_cut_until &&
                        strcmp(sim->nodes[event->node].settings.zone, worker->zone) != 0;
-    bool is_late = (!is_delivered && worker->is_cut_buffered && sim->now < worker->cut_until) ||
-                   (is_delivered && sim->now < worker->hangs_until) ||
-                   (is_zone_cut && sim_random(sim) < 0.5);
-    if (is_late && !worker->is_gone) { /* executed when the cut ends or the machine resumes */
+    bool is_delayed = (!is_delivered && worker->is_cut_buffered && sim->now < worker->cut_until) ||
+                      (is_delivered && sim->now < worker->hangs_until) ||
+                      (is_zone_cut && sim_random(sim) < 0.5);
+    if (is_delayed && !worker->is_removed) { /* executed when the cut ends or the machine resumes */
         double until = worker->cut_until;
         if (is_delivered)
             until = worker->hangs_until;
@@ -210,7 +211,7 @@
         free(command);
 }
 
-void sim_worker_event(struct sim *sim, struct sim_event *event)
+void sim_worker_handle_event(struct sim *sim, struct sim_event *event)
 {
     struct sim_worker *worker = &sim->workers[event->index];
     if (event->kind == SIM_COMMAND_ARRIVAL)
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -18,10 +18,10 @@
 
 #define SIM_WALL_START_S 1e6 /* wall clock at the day's start */
 #define SIM_NODES 4
-#define SIM_MACHINES 160
-#define SIM_JOBS 700
-#define SIM_TASKS 8             /* per job */
-#define SIM_SLOTS 400           /* tasks that a worker runs or remembers */
+#define SIM_MACHINES_MAX 160
+#define SIM_JOBS_MAX 700
+#define SIM_TASKS_MAX 8         /* per job */
+#define SIM_SLOTS_MAX 400       /* tasks that a worker runs or remembers */
 #define SIM_COPY_DELAY_MAX_S 25 /* of a replayed heartbeat */
 #define SIM_VIOLATIONS_MAX 5    /* printed; the day ends when there are more */
 
@@ -57,12 +57,13 @@
     enum sim_event_kind kind;
     int node;
     int index;       /* of the worker, job, receiving node or fault, depending on the kind */
-    uint64_t epoch;  /* of the node that scheduled it, or that it is sent to */
+    uint64_t epoch;  /* of the node that scheduled the event or, for a frame, that receives it */
     uint64_t number; /* a heartbeat's sequence number, or when a user sent the request, in us */
-    long status;     /* HTTP status of an answer, or the sim_request_kind of a user's request */
-    bool flag;       /* depends on the kind */
-    char *text;
-    void *data;
+    long status;     /* HTTP status of an answer, or enum sim_request_kind of a user's request */
+    bool flag;       /* SIM_STORE_EXECUTE: the store answers; SIM_ELECTION: sends the pending commit
+                        again; SIM_CLOUD_ANSWER: of a scale-out */
+    char *text;      /* body of the message, owned; NULL: none */
+    void *data;      /* frame, command or JSON, depending on the kind */
     struct sim_call *call;
     struct sim_event *next;
 };
@@ -79,7 +80,7 @@
                    SIM_FOR_REFRESH,
                    SIM_FOR_DELEGATES,
                    SIM_FOR_DRAINS,
-                   SIM_FOR_DRAIN_SETS,
+                   SIM_FOR_DRAIN_MACHINES,
                    SIM_FOR_LEADER_KEY,
                    SIM_FOR_LIVENESS,
                    SIM_FOR_GRANT,
@@ -117,7 +118,7 @@
     uint64_t epoch; /* changes at each start and stop; events of an earlier epoch are dropped */
     double started_at, clock_rate, clock_start, wall_offset;
     double paused_until;        /* the process is paused */
-    double sends_delayed_until; /* direct commands wait in the controller's own queue */
+    double sends_delayed_until; /* direct commands wait until then in the controller's own queue */
     /* reader of the store */
     uint64_t last_read_revision;
     bool wants_list, wants_barrier, is_reading, last_refresh_failed;
@@ -145,7 +146,7 @@
 
 struct sim_worker {
     char id[BD_LABEL_BYTES], zone[BD_LABEL_BYTES], type[BD_LABEL_BYTES];
-    bool is_gone;
+    bool is_removed;
     double provisioned_at, up_at;
     double lease_renewed_at; /* when the last answered heartbeat was sent */
     double next_heartbeat_at;
@@ -155,9 +156,9 @@
     double heartbeat_sent_at;
     int node; /* where heartbeats are sent */
     double hangs_until, outbound_cut_until, inbound_cut_until, cut_until;
-    bool is_cut_buffered; /* the cut delivers at its end what it stopped */
+    bool is_cut_buffered; /* messages that the cut stopped are delivered at its end */
     int nslots;
-    struct sim_slot slots[SIM_SLOTS];
+    struct sim_slot slots[SIM_SLOTS_MAX];
 };
 
 struct sim_job {
@@ -166,15 +167,15 @@
     uint32_t tasks;
     int team, priority;
     double cpus, run_s;
-    double cancel_at; /* when the user cancels it; -1: once it is accepted; 0: never */
+    double cancel_at; /* when the user cancels the job; -1: once it is accepted; 0: never */
     double cancel_requested_at, last_answer_at; /* 0: not yet */
     double accepted_at, done_at,
         cancelled_at;       /* when a user first received this state; 0: not yet */
-    double placeable_since; /* since when it waits although its quota allows it; 0: it does not */
+    double placeable_since; /* since when the job waits although its quota allows it; else 0 */
     bool is_invalid;        /* must never be accepted */
     const char *zone;       /* as it is submitted: quoted, or null */
-    bool done[SIM_TASKS];
-    int machine[SIM_TASKS]; /* index of the worker; -1: none */
+    bool done[SIM_TASKS_MAX];
+    int machine[SIM_TASKS_MAX]; /* index of the worker; -1: none */
     int nrunning;
 };
 
@@ -199,16 +200,16 @@
     double peers_cut_until[SIM_NODES], zones_cut_until, commands_delayed_until;
     double replay_share, replay_until;
     bool replays_at_failover;    /* copies arrive when the next leader starts */
-    char *saved_heartbeats[256]; /* the copies kept for that */
+    char *saved_heartbeats[256]; /* the copies for replays_at_failover */
     int nsaved_heartbeats;
     struct sim_node nodes[SIM_NODES];
-    struct sim_worker workers[SIM_MACHINES];
+    struct sim_worker workers[SIM_MACHINES_MAX];
     int nworkers;
-    struct sim_job jobs[SIM_JOBS];
+    struct sim_job jobs[SIM_JOBS_MAX];
     int njobs;
     double lease_s, cancel_s, heartbeat_s, image_fetch_s, team_quota_cpus[2], team_used_cpus[2];
     int violations, starts, terms;
-    int starts_after_cancellation; /* more than lease_s and 2 s after it */
+    int starts_after_cancellation; /* tasks started more than lease_s + 2 s after it */
     bool has_drains;
     int machines_max; /* at once */
     int ndrains;      /* drains that were requested */
@@ -232,7 +233,7 @@
 
 /* key-value store, sim_store.c */
 void sim_store_call(struct sim *sim, struct sim_call *call, double timeout_s);
-void sim_store_event(struct sim *sim, struct sim_event *event);
+void sim_store_handle_event(struct sim *sim, struct sim_event *event);
 void sim_store_start(struct sim *sim);
 void sim_store_tick(struct sim *sim);
 /* Ends the grant after a network delay, as a request to end it does. */
@@ -242,8 +243,8 @@
 void sim_store_free(struct sim *sim);
 
 /* controllers, sim_node.c */
-struct sim_request { /* a user's or a worker's request; begins as the core expects */
-    struct bd_request_origin head;
+struct sim_request { /* a user's or a worker's request; the core only uses `origin` */
+    struct bd_request_origin origin;
     bool is_user;
     int index; /* of the job or the worker */
     uint64_t number;
@@ -259,20 +260,20 @@
 };
 enum sim_request_kind { SIM_SUBMIT, SIM_QUERY, SIM_CANCEL };
 void sim_node_start(struct sim *sim, int i);
-void sim_node_end(struct sim *sim, int i);
-void sim_node_event(struct sim *sim, struct sim_event *event);
-/* A store call is answered; status 0: it timed out. */
+void sim_node_stop(struct sim *sim, int i);
+void sim_node_handle_event(struct sim *sim, struct sim_event *event);
+/* Passes the answer to a store call to its controller; status 0: the call timed out. */
 void sim_node_answered(struct sim *sim, struct sim_call *call, long status, json_t *answer);
 
 /* workers and cloud, sim_worker.c */
 /* Returns the worker's index, or -1 if the capacity is used up. */
 int sim_provision(struct sim *sim, const char *zone, double boot_s);
-void sim_worker_event(struct sim *sim, struct sim_event *event);
+void sim_worker_handle_event(struct sim *sim, struct sim_event *event);
 /* Delivers the saved copies of heartbeats to all controllers, as a new leader starts. */
 void sim_replay_saved_heartbeats(struct sim *sim);
 void sim_workers_tick(struct sim *sim);
 /* Ends the machine and its tasks, for good. */
 void sim_worker_remove(struct sim *sim, struct sim_worker *worker);
-/* NULL: there is no such job. */
+/* Returns the job with the id. NULL: there is no such job. */
 struct sim_job *sim_find_job(struct sim *sim, const char *id);
 #endif
