--- a/include/brambledoor/settings.h
+++ b/include/brambledoor/settings.h
@@ -106,12 +106,13 @@
 };
 
 /* Reads the platform's file into `settings`, whose previous content is overwritten, and sets the
- * defaults of the operators' settings. Returns 0, or -1 with one line in `err` (truncated to
- * `errlen` bytes) that names the file and the invalid field or line. */
-int bd_settings_load(struct bd_settings *settings, const char *path, char *err, size_t errlen);
+ * defaults of the operators' settings. Returns 0, or -1 with one line in `error` (truncated to
+ * `error_size` bytes) that names the file and the invalid field or line. */
+int bd_settings_load(struct bd_settings *settings, const char *path, char *error,
+                     size_t error_size);
 /* Reads the operators' file into `settings`, after bd_settings_load. Fields that the file does not
  * contain keep their values. May allocate `draining`, even if it fails. Returns 0, or -1 as above.
  */
-int bd_settings_load_operators_file(struct bd_settings *settings, const char *path, char *err,
-                                    size_t errlen);
+int bd_settings_load_operators_file(struct bd_settings *settings, const char *path, char *error,
+                                    size_t error_size);
 #endif
--- a/src/autoscaling/demand.c
+++ b/src/autoscaling/demand.c
@@ -18,7 +18,7 @@
 #define ON_DEMAND_PRICE_FACTOR 2.0 /* for tasks that may use spot: leaves on-demand to others */
 #define ZONE_PRICE_FACTOR 1e-6     /* for each machine in the zone: prefers emptier zones */
 #define PRICE_TOLERANCE 1e-12
-#define RESOURCE_TOLERANCE 1e-9 /* cores, GPUs or GB */
+#define BIN_FIT_TOLERANCE 1e-9 /* cores, GPUs or GB */
 
 /* ---- bins ---- */
 
@@ -44,9 +44,9 @@
 
 static bool bin_fits(const struct bd_capacity_bin *bin, const struct bd_spec *spec)
 {
-    return spec->cpus <= bin->free.cpus + RESOURCE_TOLERANCE &&
-           spec->gpus <= bin->free.gpus + RESOURCE_TOLERANCE &&
-           spec->mem_gb <= bin->free.mem_gb + RESOURCE_TOLERANCE;
+    return spec->cpus <= bin->free.cpus + BIN_FIT_TOLERANCE &&
+           spec->gpus <= bin->free.gpus + BIN_FIT_TOLERANCE &&
+           spec->mem_gb <= bin->free.mem_gb + BIN_FIT_TOLERANCE;
 }
 
 /* Packs up to count tasks into the bin. Returns how many fit. */
--- a/src/jobs/dependency_graph.c
+++ b/src/jobs/dependency_graph.c
@@ -252,7 +252,7 @@
 void bd_dag_look_up_unknown_parents(struct bd_core *core)
 {
     uint32_t sent = 0;
-    if (core->graph.nunknown_parents == 0 || !core->replica.ready ||
+    if (core->graph.nunknown_parents == 0 || !core->replica.is_ready ||
         bd_time_is_before(core->now, core->graph.next_lookup))
         return;
     for (struct bd_parent_job *parent = core->graph.parents; parent && sent < LOOKUP_BATCH_MAX;
--- a/src/jobs/replica.c
+++ b/src/jobs/replica.c
@@ -84,7 +84,7 @@
 {
     if (record->ended_at > 0)
         return record->ended_at;
-    return core->replica.ready ? core->wall_s : record->submitted_at;
+    return core->replica.is_ready ? core->wall_s : record->submitted_at;
 }
 
 /* An active record does not undo a cancellation that was derived from a parent. */
@@ -139,7 +139,7 @@
 void bd_replica_listed(struct bd_core *core, uint64_t store_revision, struct timespec sent_at)
 {
     core->replica.store_revision = store_revision;
-    core->replica.ready = true;
+    core->replica.is_ready = true;
     bd_decision_log_term(core, "replica_listed", "revision=%llu age_ms=%.0f jobs=%u",
                          (unsigned long long)store_revision,
                          1000 * bd_seconds_between(sent_at, core->now), HASH_COUNT(core->jobs));
--- a/src/jobs/user_requests.c
+++ b/src/jobs/user_requests.c
@@ -47,7 +47,7 @@
 
 bool bd_kv_reachable(const struct bd_core *core)
 {
-    return core->replica.ready &&
+    return core->replica.is_ready &&
            bd_seconds_between(core->replica.refreshed_at, core->now) < KV_REACHABLE_S;
 }
 
--- a/src/leadership/leadership.c
+++ b/src/leadership/leadership.c
@@ -38,7 +38,7 @@
 
 bool bd_leadership_is_healthy(const struct bd_core *core)
 {
-    return core->replica.ready && core->types_known && !bd_peer_has_fresher_reads(core) &&
+    return core->replica.is_ready && core->types_known && !bd_peer_has_fresher_reads(core) &&
            !bd_is_isolated(core);
 }
 
--- a/src/model/autoscaling_state.h
+++ b/src/model/autoscaling_state.h
@@ -33,7 +33,8 @@
     struct timespec move_budget_at;
     struct bd_provision_request_state provision_requests[BD_PROVISION_REQUESTS_MAX];
     int nprovision_requests;
-    bool has_pending_gpu_work; /* an unfinished job has GPU tasks that are not placed */
+    /* an unfinished job has GPU tasks that are not placed, and its team's quota admits one more */
+    bool has_pending_gpu_work;
     struct bd_spec largest_gpu_task[BD_TYPES_MAX][2]; /* by type and spot; gpus == 0: none */
     /* circuit breakers of the direct commands to each zone, see direct_commands.c */
     struct {
--- a/src/model/dependency_state.h
+++ b/src/model/dependency_state.h
@@ -21,8 +21,9 @@
 
 /* An edge from a job to one of its parents; an element of the job's parent_edges. */
 struct bd_dependency_edge {
-    struct bd_parent_job *parent; /* NULL: the parent is done */
-    struct bd_job *job;           /* the dependent job */
+    /* NULL: the parent is done or cancelled, or the list of parents repeats its name */
+    struct bd_parent_job *parent;
+    struct bd_job *job; /* the dependent job */
     struct bd_dependency_edge *prev, *next;
 };
 
--- a/src/model/effect.h
+++ b/src/model/effect.h
@@ -21,16 +21,16 @@
     BD_EFFECT_USER_TXN,
     BD_EFFECT_LEADER_TXN,
     BD_EFFECT_DIRECT_COMMAND,
-    BD_EFFECT_SCALE_OUT, /* key: the id of the provisioning request */
+    BD_EFFECT_SCALE_OUT,
     BD_EFFECT_SCALE_IN,
     BD_EFFECT_READ_BARRIER,
     BD_EFFECT_STEP_DOWN, /* the term is over */
-    /* writes this controller's delegate record; body NULL: reads its revision; key: the record's */
+    /* writes this controller's delegate record; body NULL: reads the record's revision */
     BD_EFFECT_DELEGATE_TXN,
-    BD_EFFECT_JOB_LOOKUP,           /* reads a job's record; key: the job's id */
+    BD_EFFECT_JOB_LOOKUP,           /* reads a job's record */
     BD_EFFECT_FORWARD_HEARTBEAT,    /* to the leader */
     BD_EFFECT_FORWARD_REPLY,        /* to the peer that forwarded the heartbeat */
-    BD_EFFECT_ANNOUNCE_CANCELLATION /* a cancellation was confirmed; key: the job's id */
+    BD_EFFECT_ANNOUNCE_CANCELLATION /* a cancellation was confirmed */
 };
 
 enum bd_step_down_reason {
@@ -45,14 +45,18 @@
 /* A field is set for the kinds that its comment lists in brackets. */
 struct bd_effect {
     enum bd_effect_kind kind;
-    void *request; /* [REPLY, USER_TXN, JOB_LOOKUP] */
+    /* [REPLY, USER_TXN, JOB_LOOKUP] the API request that is answered, or that waits for the
+     * outcome; NULL: none (JOB_LOOKUP for the dependency graph) */
+    void *request;
     union {
         int status;                                /* [REPLY, FORWARD_REPLY] HTTP status */
-        enum bd_request_purpose purpose;           /* [USER_TXN, JOB_LOOKUP] */
+        enum bd_request_purpose purpose;           /* [USER_TXN, JOB_LOOKUP] what it is for */
         enum bd_step_down_reason step_down_reason; /* [STEP_DOWN] */
     };
-    int retry_after_s;             /* [REPLY] seconds; 0: none */
-    char key[BD_LABEL_BYTES];      /* [LEADER_TXN] the term; other kinds: see enum bd_effect_kind */
+    int retry_after_s; /* [REPLY] seconds; 0: none */
+    /* [USER_TXN, JOB_LOOKUP, ANNOUNCE_CANCELLATION] the job's id; [LEADER_TXN] the leader's term;
+     * [SCALE_OUT] the provisioning request's id; [DELEGATE_TXN] the record's key in the store */
+    char key[BD_LABEL_BYTES];
     char *body;                    /* owned; NULL: none */
     char addr[BD_LABEL_BYTES];     /* [DIRECT_COMMAND] */
     uint64_t fencing_token;        /* [DIRECT_COMMAND] */
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -54,8 +54,8 @@
     uint32_t longest_run_tenths; /* the longest finished run, in tenths of a second */
     struct bd_spec spec;
     bool has_spec;
-    bool within_guaranteed_share; /* in this scheduling cycle */
-    bool pinned;                  /* still needed, or referenced elsewhere: not evicted */
+    bool is_within_guaranteed_share; /* in this scheduling cycle */
+    bool pinned;                     /* still needed, or referenced elsewhere: not evicted */
 
     /* the job in the dependency graph, see dependency_graph.c */
     struct bd_dependency_edge *parent_edges; /* owned array: edges to the jobs it depends on */
--- a/src/model/replica_state.h
+++ b/src/model/replica_state.h
@@ -32,7 +32,7 @@
 /* The state of the replica; the records themselves are core->jobs. */
 struct bd_replica {
     uint64_t store_revision; /* all changes up to this revision have been applied */
-    bool ready;              /* all records have been listed once */
+    bool is_ready;           /* all records have been listed once */
     bool has_evicted_jobs;   /* some old final records are no longer in memory */
     struct timespec next_eviction;
     struct timespec refreshed_at; /* when the newest refresh that was answered was sent */
--- a/src/model/resources.c
+++ b/src/model/resources.c
@@ -22,7 +22,7 @@
 {
     if (need <= 0)
         return max;
-    double count = floor((available + BD_RESOURCE_ROUNDING) / need);
+    double count = floor((available + BD_RESOURCE_TOLERANCE) / need);
     if (count <= 0)
         return 0;
     return count < max ? (uint32_t)count : max;
--- a/src/model/resources.h
+++ b/src/model/resources.h
@@ -7,7 +7,7 @@
 
 struct bd_core;
 
-#define BD_RESOURCE_ROUNDING 1e-6 /* tolerance for rounding errors when sums are compared */
+#define BD_RESOURCE_TOLERANCE 1e-6 /* cores, GPUs or GB: for rounding errors in compared sums */
 
 /* In cores, accelerators and GB of memory. */
 struct bd_resources {
--- a/src/runtime/event_loop.c
+++ b/src/runtime/event_loop.c
@@ -34,7 +34,7 @@
 static void complete_acquisition(struct bd_node *node)
 {
     struct bd_event *event = node->pending_acquisition;
-    if (!event || !node->core->replica.ready ||
+    if (!event || !node->core->replica.is_ready ||
         node->core->replica.store_revision < event->acquired.acquisition.term)
         return;
     node->pending_acquisition = NULL;
--- a/src/runtime/operators_file.c
+++ b/src/runtime/operators_file.c
@@ -111,10 +111,10 @@
     free(wrapped);
 }
 
-int bd_settings_load_operators_file(struct bd_settings *settings, const char *path, char *err,
-                                    size_t errlen)
+int bd_settings_load_operators_file(struct bd_settings *settings, const char *path, char *error,
+                                    size_t error_size)
 {
-    struct bd_settings_reader reader = {path, err, errlen, false};
+    struct bd_settings_reader reader = {path, error, error_size, false};
     char *content = read_file(path);
     if (content)
         read_content(&reader, settings, content);
--- a/src/runtime/peer_status.c
+++ b/src/runtime/peer_status.c
@@ -49,7 +49,7 @@
         flags |= BD_PEER_SUPPORTS_DRAINS;
     if (bd_forward_is_leader_reachable(core))
         flags |= BD_PEER_RECEIVES_LEADER_STATUS;
-    if (kv_age_s < KV_AGE_MAX_S && core->replica.ready)
+    if (kv_age_s < KV_AGE_MAX_S && core->replica.is_ready)
         flags |= BD_PEER_KV_REACHABLE;
     if (bd_autonomous_zone_active(core))
         flags |= BD_PEER_KV_OUTAGE;
--- a/src/runtime/settings.c
+++ b/src/runtime/settings.c
@@ -34,7 +34,7 @@
     if (reader->has_failed)
         return;
     reader->has_failed = true;
-    snprintf(reader->err, reader->errlen, "%s: %s: %s", reader->path, field, message);
+    snprintf(reader->error, reader->error_size, "%s: %s: %s", reader->path, field, message);
 }
 
 /* ---- fields of an object: a missing or malformed one is an error ---- */
@@ -254,16 +254,16 @@
     settings->clock_error = bd_secs(read_number(reader, facts, "clock_error_ms", 0) / MS_PER_S);
 }
 
-int bd_settings_load(struct bd_settings *settings, const char *path, char *err, size_t errlen)
+int bd_settings_load(struct bd_settings *settings, const char *path, char *error, size_t error_size)
 {
-    struct bd_settings_reader reader = {path, err, errlen, false};
-    json_error_t error;
+    struct bd_settings_reader reader = {path, error, error_size, false};
+    json_error_t json_error;
     memset(settings, 0, sizeof *settings);
     settings->headroom_share = HEADROOM_SHARE_DEFAULT;
     settings->idle_boot_times = IDLE_BOOTS_DEFAULT;
-    json_t *root = json_load_file(path, 0, &error);
+    json_t *root = json_load_file(path, 0, &json_error);
     if (!root) {
-        snprintf(err, errlen, "%s: line %d: %s", path, error.line, error.text);
+        snprintf(error, error_size, "%s: line %d: %s", path, json_error.line, json_error.text);
         return -1;
     }
     if (!json_is_object(root))
--- a/src/runtime/settings_internal.h
+++ b/src/runtime/settings_internal.h
@@ -8,8 +8,8 @@
 /* The state of reading one file, with the first error found in it. */
 struct bd_settings_reader {
     const char *path;
-    char *err; /* the caller's buffer of errlen bytes: holds the message if has_failed */
-    size_t errlen;
+    char *error; /* the caller's buffer of error_size bytes: holds the message if has_failed */
+    size_t error_size;
     bool has_failed;
 };
 
--- a/src/scheduling/job_order.c
+++ b/src/scheduling/job_order.c
@@ -27,8 +27,8 @@
     const struct bd_job *a = *(struct bd_job *const *)x, *b = *(struct bd_job *const *)y;
     if (a->priority != b->priority)
         return a->priority > b->priority ? -1 : 1;
-    if (a->within_guaranteed_share != b->within_guaranteed_share)
-        return a->within_guaranteed_share ? -1 : 1;
+    if (a->is_within_guaranteed_share != b->is_within_guaranteed_share)
+        return a->is_within_guaranteed_share ? -1 : 1;
     if (a->finish_by != b->finish_by)
         return a->finish_by < b->finish_by ? -1 : 1;
     return compare_ages(a, b);
@@ -50,12 +50,12 @@
         gpus[team] += unfinished * job->spec.gpus;
         bool uses_share = (share->cpus_guaranteed > 0 && job->spec.cpus > 0) ||
                           (share->gpus_guaranteed > 0 && job->spec.gpus > 0);
-        job->within_guaranteed_share =
+        job->is_within_guaranteed_share =
             uses_share &&
             (share->cpus_guaranteed <= 0 ||
-             cpus[team] <= share->cpus_guaranteed + BD_RESOURCE_ROUNDING) &&
+             cpus[team] <= share->cpus_guaranteed + BD_RESOURCE_TOLERANCE) &&
             (share->gpus_guaranteed <= 0 ||
-             gpus[team] <= share->gpus_guaranteed + BD_RESOURCE_ROUNDING);
+             gpus[team] <= share->gpus_guaranteed + BD_RESOURCE_TOLERANCE);
     }
 }
 
--- a/src/scheduling/placement.c
+++ b/src/scheduling/placement.c
@@ -26,7 +26,7 @@
 static bool preempt_instead_of_fetch(struct placement_cycle *cycle, struct bd_job *job)
 {
     uint32_t zone_counts[BD_ZONES_MAX];
-    if (!job->within_guaranteed_share || job->ntasks != 1)
+    if (!job->is_within_guaranteed_share || job->ntasks != 1)
         return false;
     bd_count_tasks_by_zone(cycle->core, job, zone_counts);
     const struct bd_machine *machine =
--- a/src/scheduling/preemption.c
+++ b/src/scheduling/preemption.c
@@ -44,7 +44,7 @@
                         const struct bd_task *task)
 {
     bool is_exempt = isfinite(job->finish_by) && job->priority > preemptor->priority;
-    return preemptor->within_guaranteed_share && !job->within_guaranteed_share &&
+    return preemptor->is_within_guaranteed_share && !job->is_within_guaranteed_share &&
            preemptor->spec.team != job->spec.team && !is_exempt &&
            task->state == BD_TASK_CONFIRMED && task->execution == BD_EXECUTION_RUNNING;
 }
@@ -74,7 +74,7 @@
         summary->has_preemptible = true;
         if (job->priority < summary->lowest_priority)
             summary->lowest_priority = job->priority;
-        summary->has_borrowed |= !job->within_guaranteed_share;
+        summary->has_borrowed |= !job->is_within_guaranteed_share;
     }
     return summary;
 }
@@ -94,7 +94,7 @@
     struct freeable_capacity capacity = {unclaimed, unclaimed};
     bool has_lower_priority =
         summary->has_preemptible && summary->lowest_priority < preemptor->priority;
-    bool has_reclaimable = preemptor->within_guaranteed_share && summary->has_borrowed;
+    bool has_reclaimable = preemptor->is_within_guaranteed_share && summary->has_borrowed;
     if (!summary->has_stopping && !has_lower_priority && !has_reclaimable)
         return capacity;
     for (uint32_t i = 0; i < machine->nreservations; i++) {
--- a/src/workers/autonomous_zone.c
+++ b/src/workers/autonomous_zone.c
@@ -29,7 +29,7 @@
 #include "workers/workers_internal.h"
 #include <string.h>
 
-#define AUTONOMOUS_AFTER_S 3.0 /* without a response of the key-value store */
+#define AUTONOMOUS_AFTER_S 3.0 /* after the newest liveness record was sent */
 /* How long a controller counts as possibly autonomous after its liveness record was last too old:
  * its status that it is cut off may still be current for the other controllers of its zone. */
 #define POSSIBLY_AUTONOMOUS_S 3.0
@@ -88,7 +88,7 @@
 
 bool bd_autonomous_zone_may_reply(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
 {
-    return core->last_term && core->replica.ready && bd_autonomous_zone_active(core) &&
+    return core->last_term && core->replica.is_ready && bd_autonomous_zone_active(core) &&
            !bd_forward_is_leader_reachable(core) && is_within_renewal_window(core) &&
            is_worker_of_own_zone(core, heartbeat) && is_partition_confirmed(core);
 }
--- a/tests/sim_node.c
+++ b/tests/sim_node.c
@@ -72,7 +72,7 @@
 /* Passes an acquisition to the core once the core's replica is as new as the acquired term. */
 static void acquire_leadership(struct sim *sim, struct sim_node *node)
 {
-    if (!node->is_acquisition_pending || !node->core->replica.ready ||
+    if (!node->is_acquisition_pending || !node->core->replica.is_ready ||
         node->core->replica.store_revision < node->acquisition.term)
         return;
     node->is_acquisition_pending = false;
@@ -98,7 +98,7 @@
     flags |= bd_forward_is_leader_reachable(core) ? BD_PEER_RECEIVES_LEADER_STATUS : 0;
     flags |=
         core->role == BD_LEADER && core->lead.inbound_partition ? BD_PEER_INBOUND_PARTITION : 0;
-    flags |= age_s < 1.0 && core->replica.ready ? BD_PEER_KV_REACHABLE : 0;
+    flags |= age_s < 1.0 && core->replica.is_ready ? BD_PEER_KV_REACHABLE : 0;
     flags |= bd_autonomous_zone_active(core) ? BD_PEER_KV_OUTAGE : 0;
     for (int i = 0; i < node->settings.npeers; i++) {
         struct bd_frame *frame = sim_send_frame(sim, node, i, BD_FRAME_PEER_STATUS, NULL)->data;
