--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -36,8 +36,7 @@
 #include "workers/workers_internal.h"
 #include <stdlib.h>
 
-/* How long a heartbeat waits until the record is written. A worker's request times out after 4 s.
- */
+/* How long a heartbeat waits for the record's write. A worker's request times out after 4 s. */
 #define HEARTBEAT_WAIT_MAX_S 2.4
 #define WRITE_RETRY_S 0.15 /* after a rejected write; the leader's key is read about as often */
 #define AUTONOMOUS_LOG_INTERVAL_S 5.0 /* between log lines about replies of an autonomous zone */
