--- a/src/autoscaling/headroom.c
+++ b/src/autoscaling/headroom.c
@@ -14,9 +14,12 @@
 #define CLASSES_MAX 32
 #define ARRIVAL_WINDOW_S 150.0    /* in which arrivals are counted */
 #define ARRIVAL_WINDOW_MIN_S 12.0 /* a shorter window does not show the rate */
-#define START_EXCLUDED_S 4.0      /* arrivals this soon after the first job do not show the rate */
 #define QUANTILE_MAX 0.995        /* of the arrivals that headroom covers */
 
+/* Jobs that arrive this soon after the first one are not counted: those that are there at the very
+ * start come at once and do not show the rate. */
+#define START_EXCLUDED_S 4.0
+
 struct class_arrivals {
     int job_class;
     struct bd_spec spec; /* of the newest job whose spec is known */
--- a/src/autoscaling/scale_in.c
+++ b/src/autoscaling/scale_in.c
@@ -27,7 +27,8 @@
                bd_to_secs(core->settings->worker_lease) + SILENT_MARGIN_S;
 }
 
-/* An idle machine is kept for a configured multiple of the time that booting a new one takes. */
+/* An idle machine is kept for about as long as getting it again would take: a configured multiple
+ * of its type's boot time. */
 static bool has_been_idle_too_long(const struct bd_core *core, const struct bd_machine *machine)
 {
     return !machine->is_headroom &&
--- a/src/drain/drain_internal.h
+++ b/src/drain/drain_internal.h
@@ -169,6 +169,7 @@
 
 /* ---- greedy.c, solver.c: choice of a step's machines ---- */
 
+/* Limits the size of the solver's integer program. Further machines wait for a later step. */
 #define BD_STEP_CANDIDATES_MAX 96u
 
 /* The candidates and the constraints of the choice. */
--- a/src/drain/drain_rules.h
+++ b/src/drain/drain_rules.h
@@ -33,9 +33,10 @@
     char admin_addr[BD_NAME_BYTES]; /* HOST:PORT; empty: no administration API */
     uint32_t machines_in_step;      /* maximum number in a step */
     double stop_timeout_s;          /* from the request to stop a task until a forced stop */
-    double completion_timeout_s;    /* from the drain's request, for tasks that should finish */
-    double replacement_timeout_s;   /* from the request; a replacement not up then is abandoned */
-    double record_retention_s;      /* from a drain's end until its records are deleted */
+    /* From the drain's request; arrays, and gangs without checkpoints, may finish within it. */
+    double completion_timeout_s;
+    double replacement_timeout_s; /* from the request; a replacement not up then is abandoned */
+    double record_retention_s;    /* from a drain's end until its records are deleted */
     enum bd_drain_planner planner;
     struct bd_budget_rule budgets[BD_BUDGET_RULES_MAX];
     uint32_t nbudgets;
--- a/src/drain/replacement.c
+++ b/src/drain/replacement.c
@@ -1,5 +1,6 @@
 /* Provisioning of replacement machines: of the same type and in the same zone, or in another zone
- * if none can be provisioned there. Part of the pure core. */
+ * (for a spot machine, also on demand) if none can be provisioned or comes up there. Part of the
+ * pure core. */
 #include "autoscaling/autoscaling.h"
 #include "base/timeutil.h"
 #include "brambledoor/log.h"
--- a/src/jobs/admission.c
+++ b/src/jobs/admission.c
@@ -19,7 +19,9 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define EXTRA_LOOKUPS_MAX 16u /* per submission, in addition to one for each parent */
+/* Per submission, in addition to one for each parent: a parent that was found may be evicted again
+ * before the others are found. */
+#define EXTRA_LOOKUPS_MAX 16u
 #define NOT_READY_RETRY_AFTER_S 1
 
 /* What the replica knows of a submission's parents. */
--- a/src/jobs/admission_record.c
+++ b/src/jobs/admission_record.c
@@ -15,9 +15,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PARTS_TXN_BYTES_MAX 50000u /* of all values in one transaction that writes parts */
-#define PART_OVERHEAD_BYTES 32     /* of a part's value, without the names */
-#define NAME_OVERHEAD_BYTES 3      /* quotes and comma of a name */
+/* Of all values in one transaction that writes parts; the limit of a request's body is 64 KiB. */
+#define PARTS_TXN_BYTES_MAX 50000u
+#define PART_OVERHEAD_BYTES 32 /* of a part's value, without the names */
+#define NAME_OVERHEAD_BYTES 3  /* quotes and comma of a name */
 
 /* Transactions as text, one per line. Owns the text. */
 struct txn_lines {
@@ -97,7 +98,7 @@
     snprintf(key, sizeof key, "j/%s", admission->id);
     if (!bd_txn_begin(&txn))
         abort();
-    bd_txn_compare(&txn, key, 0); /* parts are not written once the job is accepted */
+    bd_txn_compare(&txn, key, 0); /* once the job is accepted, its parts are not needed */
     for (size_t ops = 0; made_progress && *next < name_count && ops < limits->kv_txn_ops_max &&
                          value_bytes + limits->kv_value_bytes_max < PARTS_TXN_BYTES_MAX;
          ops++) {
--- a/src/scheduling/preemption.c
+++ b/src/scheduling/preemption.c
@@ -16,7 +16,10 @@
 
 #define PREEMPTION_COST_S 10.0 /* to free all cores, or all GPUs, that a task needs */
 #define PREEMPTIONS_MAX 32u    /* tasks for which one call frees capacity */
-#define PREEMPTION_RETRY_S 0.5 /* delay after a search that found nothing for the job */
+
+/* Delay after a search that found nothing for the job: a search goes through all machines, and one
+ * that follows at once seldom finds more. */
+#define PREEMPTION_RETRY_S 0.5
 
 bool bd_preemption_is_due(const struct bd_core *core, const struct bd_job *job)
 {
--- a/src/scheduling/scheduling_internal.h
+++ b/src/scheduling/scheduling_internal.h
@@ -82,7 +82,8 @@
 uint32_t bd_fit_count_beside_gpu_tasks(const struct bd_core *core, const struct bd_spec *spec,
                                        const struct bd_machine *machine, uint32_t max_tasks);
 /* Whether the possible GPU work on the machine is known: the machine has no GPUs, an unfinished job
- * has GPU tasks that fit on it when empty, or services or GPU tasks run there. */
+ * has GPU tasks that fit on it when empty, or services or GPU tasks run there. Until it is known,
+ * the machine is not taken in place of a cheap one, because the task may harm GPU work. */
 bool bd_gpu_use_is_known(const struct bd_core *core, const struct bd_machine *machine);
 
 /* ---- machine_choice.c ---- */
