--- a/src/adapters/admin_drain_create.c
+++ b/src/adapters/admin_drain_create.c
@@ -18,8 +18,8 @@
 #include <string.h>
 #include <sys/random.h>
 
-#define TXN_BYTES_MAX 50000u
-#define SET_ID_BYTES 8 /* random bytes, in hexadecimal in the key */
+#define TXN_BYTES_MAX 50000u /* of all values in a transaction, whose limit is 64 KiB */
+#define SET_ID_BYTES 8       /* random bytes, in hexadecimal in the key */
 
 /* ---- the machines' records ---- */
 
--- a/src/adapters/api_server.c
+++ b/src/adapters/api_server.c
@@ -122,8 +122,8 @@
     return true;
 }
 
-/* Appends a part of the body, unless this body or all bodies together would exceed their limit.
- * False: the allocation failed. */
+/* Appends a part of the body, unless this body or all bodies together would exceed their limit:
+ * many large bodies at once would not fit into memory. False: the allocation failed. */
 static bool receive_body(struct bd_api_server *server, struct request *request, const char *data,
                          size_t size)
 {
--- a/src/adapters/kv_reader.c
+++ b/src/adapters/kv_reader.c
@@ -161,7 +161,8 @@
 }
 
 /* Waits until the next refresh is due: after the minimum interval if a read waits for a barrier or
- * the reader is woken, otherwise after both intervals. */
+ * the reader is woken, otherwise after both intervals. A single wait covers both intervals, so that
+ * an idle reader wakes only once for each refresh. */
 static void wait_for_refresh(struct bd_node *node)
 {
     void *wakeup;
--- a/src/adapters/peer_transport.h
+++ b/src/adapters/peer_transport.h
@@ -5,7 +5,7 @@
  * Threads, which live as long as the process: one accepts connections and reads frames, one sends
  * the peer status to all peers, and one for each peer opens connections. Any thread may append a
  * frame to a peer's outbox; the owner thread writes all outboxes once after a batch of events,
- * without blocking, so that the frames of a batch share a packet.
+ * without blocking, so that the frames of a batch share a packet and no other thread has to wake.
  *
  * Owns the links of struct bd_node, and initializes its status_lock. Started and used by the
  * runtime. */
--- a/src/adapters/worker_client.c
+++ b/src/adapters/worker_client.c
@@ -18,12 +18,14 @@
 #include <stdlib.h>
 
 #define CALL_TIMEOUT_S 1.5
-#define STALLED_AFTER_S 0.1 /* a sender that waits longer for an answer counts as stalled */
+#define STALLED_AFTER_S 0.1 /* a sender that waits longer for an answer is passed over */
 #define SENDERS_MIN 6
 #define SENDERS_MAX 64
 #define SOCKETS_PER_SENDER 80 /* larger fleets need more: each hanging worker stalls a sender */
 #define OUTGOING_SHARE 0.35   /* of all sockets, for connections that this process opens */
 #define POOLED_CONNECTIONS_MIN 4
+/* A machine has at most one direct command in flight, so SENDERS_MIN queues hold the commands of
+ * 4000 machines even if all senders but one are stalled. */
 #define QUEUE_CAPACITY 1024
 #define QUEUE_WAIT_S 5.0
 #define QUEUE_FULL_PAUSE_S 0.05
--- a/src/adapters/worker_client.h
+++ b/src/adapters/worker_client.h
@@ -1,8 +1,9 @@
 /* Sends direct commands to workers from a pool of threads, each with its own queue and connections.
  *
- * A worker's commands go to the same thread, so that its connection is reused. If that thread is
- * stalled by a worker that does not answer, or its queue is full, the commands go to the least busy
- * thread. Owns the threads and their queues, which live as long as the process. Started and used by
+ * A worker's commands go to the same thread, so that its connection is reused: in a burst of short
+ * tasks, opening connections costs the leader more than all other work. If that thread is stalled
+ * by a worker that does not answer, or its queue is full, the commands go to the least busy thread.
+ * Owns the threads and their queues, which live as long as the process. Started and used by
  * the runtime. */
 #ifndef BD_WORKER_CLIENT_H
 #define BD_WORKER_CLIENT_H
--- a/src/base/timeutil.h
+++ b/src/base/timeutil.h
@@ -9,7 +9,8 @@
 #include <stdbool.h>
 #include <time.h>
 
-/* Maximum relative difference between the rates of two monotonic clocks. */
+/* Maximum relative difference between the rates of two monotonic clocks: twice the bound of one
+ * clock. */
 #define BD_CLOCK_DRIFT 0.001
 
 /* Returns the current instant. */
--- a/src/runtime/settings.c
+++ b/src/runtime/settings.c
@@ -23,7 +23,7 @@
 #define CANCEL_MIN_S 0.1
 #define KV_RATE_MIN 1.0
 #define KV_VALUE_KB_MIN 1.0
-#define KV_TXN_OPS_MIN 2.0
+#define KV_TXN_OPS_MIN 2.0 /* the commit sequence and one change */
 #define CLOUD_RATE_MIN 0.01
 #define BYTES_PER_KB 1024
 #define MS_PER_S 1000.0
--- a/src/wire/wire_jobs.h
+++ b/src/wire/wire_jobs.h
@@ -92,8 +92,8 @@
 /* Returns the array of job ids in a part's value, borrowed. NULL: malformed. */
 json_t *bd_wire_read_parents_part(json_t *value);
 
-/* Returns a copy of a spec without its list of machine types, for the record of a cancelled job.
- * NULL: out of memory. */
+/* Returns a copy of a spec for the record of a cancelled job, as short as bd_wire_read_job_spec
+ * still reads it: without the list of machine types. NULL: out of memory. */
 json_t *bd_wire_write_cancelled_spec(json_t *spec);
 /* Returns the value of a job record. NULL: out of memory. */
 json_t *bd_wire_write_job_record(const struct bd_job_record *record);
