--- a/src/leadership/fencing.c
+++ b/src/leadership/fencing.c
@@ -7,7 +7,8 @@
 #define LAUNCH_ANSWER_TIMEOUT_S 1.5
 #define TOKEN_RAISE_INTERVAL_S 5.0
 /* The token is raised once results have stayed on the machines for RESULTS_WITHHELD_MAX_S, or once
- * there are more than RESULTS_WITHHELD_MAX of them. */
+ * there are more than RESULTS_WITHHELD_MAX of them. For their number it is raised at most once in
+ * TOKEN_RAISE_INTERVAL_S. */
 #define RESULTS_WITHHELD_MAX_S 25.0
 #define RESULTS_WITHHELD_MAX 4000u
 
--- a/src/leadership/leadership.h
+++ b/src/leadership/leadership.h
@@ -59,8 +59,9 @@
 /* ---- peers (peer_status.c) ---- */
 
 /* Records a peer's status. Names that are not in the settings are ignored. received_at: when the
- * frame arrived, which may be some time before it is handled. kv_age_s: seconds since the store
- * last answered the peer. status_sent_wall_s: when the status was sent, by the peer's time of day.
+ * frame arrived, which may be some time before it is handled. kv_age_s: seconds since the peer
+ * sent its newest refresh that the store answered. status_sent_wall_s: when the status was sent, by
+ * the peer's time of day.
  */
 void bd_peer_status_received(struct bd_core *core, const char *name, uint64_t term, uint8_t flags,
                              double kv_age_s, double status_sent_wall_s,
--- a/src/leadership/peer_status.c
+++ b/src/leadership/peer_status.c
@@ -10,9 +10,10 @@
 #include "wire/frame.h"
 #include <string.h>
 
-#define STATUS_VALID_S 2.0   /* after a peer's status was received */
-#define ISOLATED_AFTER_S 3.0 /* with neither a peer's status nor an answer of the store */
-#define READ_LAG_MAX_S 1.5   /* by which this controller's reads may be older than a peer's */
+#define STATUS_VALID_S 2.0 /* after a peer's status was received */
+/* With neither a peer's status nor an answer of the store: users are better served elsewhere. */
+#define ISOLATED_AFTER_S 3.0
+#define READ_LAG_MAX_S 1.5 /* by which this controller's reads may be older than a peer's */
 
 void bd_peer_status_received(struct bd_core *core, const char *name, uint64_t term, uint8_t flags,
                              double kv_age_s, double status_sent_wall_s,
--- a/src/leadership/reconciliation.c
+++ b/src/leadership/reconciliation.c
@@ -36,7 +36,8 @@
 
 /* Sets the time by which the worker leases that earlier terms renewed have expired. An earlier
  * leader within its renewal window, or a delegate of one, may answer heartbeats for at most
- * late_replies_s from now. */
+ * late_replies_s from now: the leader's window began with its last renewal, and the lease of
+ * leader_ttl that it renewed has ended since. */
 static void set_earlier_leases_expiry(struct bd_core *core)
 {
     double late_replies_s =
--- a/src/model/delegate_state.h
+++ b/src/model/delegate_state.h
@@ -37,8 +37,8 @@
     struct timespec confirmed_until; /* the last written record allows replies until then */
     struct timespec next_write;      /* of the record */
 
-    /* The leader's key lists this controller among the delegates that are not needed: the first
-     * revision of the key that does, and when the read of that revision was sent. */
+    /* The leader's key lists this controller among the delegates that are not needed: the newest
+     * revision of the key that does, and when the first read of that revision was sent. */
     bool dismissed;
     uint64_t dismissed_revision;
     struct timespec dismissed_since;
--- a/src/model/effect.h
+++ b/src/model/effect.h
@@ -54,8 +54,9 @@
         enum bd_step_down_reason step_down_reason; /* [STEP_DOWN] */
     };
     int retry_after_s; /* [REPLY] seconds; 0: none */
-    /* [USER_TXN, JOB_LOOKUP, ANNOUNCE_CANCELLATION] the job's id; [LEADER_TXN] the leader's term;
-     * [SCALE_OUT] the provisioning request's id; [DELEGATE_TXN] the record's key in the store */
+    /* [USER_TXN, JOB_LOOKUP, ANNOUNCE_CANCELLATION] the job's id; [LEADER_TXN] the term as it was
+     * acquired; [SCALE_OUT] the provisioning request's id; [DELEGATE_TXN] the record's key in the
+     * store */
     char key[BD_LABEL_BYTES];
     char *body;                    /* owned; NULL: none */
     char addr[BD_LABEL_BYTES];     /* [DIRECT_COMMAND] */
--- a/src/model/kv_limits.c
+++ b/src/model/kv_limits.c
@@ -22,7 +22,8 @@
 #define LEADER_SHARE 0.6 /* of the store's write rate; the rest is for users' requests */
 
 #define BACKOFF_MIN_S 1.0
-#define BACKOFF_STEPS 8 /* number of different back-off times, one second apart */
+/* Number of different back-off times, one second apart, over which jobs are spread. */
+#define BACKOFF_STEPS 8
 
 void bd_kv_limits_init(struct bd_core *core)
 {
--- a/src/model/kv_limits.h
+++ b/src/model/kv_limits.h
@@ -19,7 +19,7 @@
  * the log. False: the limits are at their minimum, so the size was not the cause. */
 bool bd_kv_limits_lower_after_rejection(struct bd_core *core, const char *what);
 /* The number of changes that one transaction may hold now; at most what the rate allows in a
- * second. */
+ * second, since a larger one would always exceed the rate. */
 size_t bd_kv_limits_txn_ops(const struct bd_core *core);
 /* Lowers the write rate after a transaction was rejected for exceeding it (429). */
 void bd_kv_limits_rate_exceeded(struct bd_core *core);
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -90,7 +90,8 @@
     struct bd_reservation *reservations; /* owned */
     uint32_t nreservations, reservations_cap;
     double reserved_cpus, reserved_gpus, reserved_mem_gb;
-    /* the share of the reserved amounts that services and GPU tasks hold */
+    /* the share of the reserved amounts that services and GPU tasks hold, which do not end by
+     * themselves before long */
     double pinned_cpus, pinned_gpus, pinned_mem_gb;
 
     struct bd_cached_image images[BD_MACHINE_IMAGES_MAX]; /* most recently used first */
--- a/src/model/reservation.c
+++ b/src/model/reservation.c
@@ -18,6 +18,7 @@
 
 static void add_machine_use(struct bd_machine *machine, const struct bd_spec *spec, double factor)
 {
+    /* other tasks end by themselves before long */
     bool is_pinned = spec->kind == BD_JOB_SERVICE || spec->gpus > 0;
     machine->reserved_cpus += factor * spec->cpus;
     machine->reserved_gpus += factor * spec->gpus;
--- a/src/workers/delegate.c
+++ b/src/workers/delegate.c
@@ -36,7 +36,8 @@
 #include "workers/workers_internal.h"
 #include <stdlib.h>
 
-/* How long a heartbeat waits for the record's write. A worker's request times out after 4 s. */
+/* How long a heartbeat may wait for the record's write or for the zone to become autonomous. A
+ * worker's request times out after 4 s. */
 #define HEARTBEAT_WAIT_MAX_S 2.4
 #define WRITE_RETRY_S 0.15 /* after a rejected write; the leader's key is read about as often */
 #define AUTONOMOUS_LOG_INTERVAL_S 5.0 /* between log lines about replies of an autonomous zone */
@@ -81,7 +82,8 @@
 /* Whether the leader has dismissed this delegate. A dismissal ends when a status of the leader
  * arrives after it: if the statuses stop again later, that is a new partition. Just after a
  * failover, the record of a delegate that was needed still exists, and the new leader dismisses
- * that delegate as not needed. If the zone is cut off soon after, the zone needs it again. */
+ * that delegate as not needed. If the zone is cut off soon after, the zone needs it again: without
+ * a delegate all leases of the zone would expire. */
 static bool is_dismissed(const struct bd_core *core)
 {
     int leader = bd_leader_index(core);
--- a/src/workers/delegate_probes.c
+++ b/src/workers/delegate_probes.c
@@ -45,8 +45,9 @@
     return has_local_peer;
 }
 
-/* Whether the worker may be a probe: it runs no tasks, its lease outlasts the probe, earlier probes
- * did not return, or this controller has been a delegate for long enough. */
+/* Whether the worker may be a probe. It loses nothing if it runs no tasks or its lease outlasts the
+ * probe. It is likely enough to reach the leader if earlier probes did not return, or this
+ * controller has been a delegate for long enough. */
 static bool may_be_probe(const struct bd_core *core, const struct bd_heartbeat *heartbeat)
 {
     const struct bd_delegate *delegate = &core->delegate;
--- a/src/workers/direct_commands.c
+++ b/src/workers/direct_commands.c
@@ -18,7 +18,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PAUSE_DOUBLINGS_MAX 4u   /* of the heartbeat interval */
+#define PAUSE_DOUBLINGS_MAX 4u   /* of the heartbeat interval: a pause of at most 16 intervals */
 #define ZONE_FAILURES_TO_OPEN 4u /* consecutive direct commands without an answer from one zone */
 #define ZONE_RETRY_S 4.0         /* between commands to a zone whose circuit breaker is open */
 
--- a/src/workers/heartbeats.c
+++ b/src/workers/heartbeats.c
@@ -40,9 +40,9 @@
 
 /* Updates the machine for a new incarnation. If the machine has seen a fencing token of this term,
  * its reservations belong to the old incarnation and are released. Otherwise the leader may know
- * the old incarnation only from a late duplicate of a heartbeat. Intents of earlier leaders may
- * then belong to the new incarnation, and only a heartbeat with a fencing token of this term shows
- * which do. */
+ * the old incarnation only from a late duplicate, which arrived before the first heartbeat of the
+ * new one. Intents of earlier leaders may then belong to the new incarnation, and only a heartbeat
+ * with a fencing token of this term shows which do. */
 static void begin_incarnation(struct bd_core *core, struct bd_machine *machine)
 {
     if (machine->has_seen_term)
--- a/src/workers/machine_health.c
+++ b/src/workers/machine_health.c
@@ -13,9 +13,10 @@
 #include "workers/workers.h"
 #include "workers/workers_internal.h"
 
-#define QUARANTINE_FAILURES 3u       /* consecutive failures on a machine */
-#define PROVEN_JOB_FAILURE_WEIGHT 2u /* of a failure if other tasks of the job run or are done */
-#define REFUSAL_PAUSE_S 3.0          /* without launches on a machine that refused one */
+#define QUARANTINE_FAILURES 3u /* consecutive failures on a machine */
+/* Of a failure if other tasks of the job run or are done, since the job then is hardly at fault. */
+#define PROVEN_JOB_FAILURE_WEIGHT 2u
+#define REFUSAL_PAUSE_S 3.0   /* without launches on a machine that refused one */
 #define RETRY_PAUSE_MIN_S 1.0 /* of a job whose tasks fail; doubled from the third failure on */
 #define RETRY_PAUSE_MAX_S 30.0
 
