--- a/tests/drain_check.c
+++ b/tests/drain_check.c
@@ -22,7 +22,7 @@
     for (int i = 0; i < check->nreplicas; i++)
         if (check->replicas[i].job == job && check->replicas[i].task == task)
             return &check->replicas[i];
-    if (check->nreplicas == DRAIN_REPLICAS)
+    if (check->nreplicas == DRAIN_REPLICAS_MAX)
         abort();
     struct drain_replica *replica = &check->replicas[check->nreplicas++];
     *replica = (struct drain_replica){.job = job, .task = task};
@@ -76,8 +76,8 @@
     replica->state_since = now;
     check->stops++;
     uint32_t stopped = count_replicas_down(check, now, replica->team, false);
-    check->peak_down[replica->team] =
-        stopped > check->peak_down[replica->team] ? stopped : check->peak_down[replica->team];
+    check->peak_stopped[replica->team] =
+        stopped > check->peak_stopped[replica->team] ? stopped : check->peak_stopped[replica->team];
     return stopped <= check->budgets[replica->team] &&
            count_replicas_down(check, now, replica->team, true) <= check->budgets[replica->team];
 }
--- a/tests/drain_check.h
+++ b/tests/drain_check.h
@@ -5,7 +5,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define DRAIN_REPLICAS 512
+#define DRAIN_REPLICAS_MAX 512
 
 enum drain_replica_state { REPLICA_NONE, REPLICA_UP, REPLICA_STOPPED, REPLICA_LOST };
 
@@ -17,10 +17,10 @@
 };
 
 struct drain_check {
-    uint32_t budgets[2];   /* by team: how many replicas may be down */
-    uint32_t peak_down[2]; /* by team: the most replicas that were stopped at the same time */
-    uint32_t stops;        /* of replicas that ran */
-    struct drain_replica replicas[DRAIN_REPLICAS];
+    uint32_t budgets[2];      /* by team: how many replicas may be down */
+    uint32_t peak_stopped[2]; /* by team: the most replicas that were stopped at the same time */
+    uint32_t stops;           /* of replicas that ran */
+    struct drain_replica replicas[DRAIN_REPLICAS_MAX];
     int nreplicas;
 };
 
--- a/tests/loopback_drain.c
+++ b/tests/loopback_drain.c
@@ -365,8 +365,8 @@
                 "no task ran on two workers at the same time");
     printf("     %u replicas stopped; down at the same time: blue at most %u (budget %u), red at "
            "most %u (budget %u)\n",
-           history.check.stops, history.check.peak_down[0], budgets[0], history.check.peak_down[1],
-           budgets[1]);
+           history.check.stops, history.check.peak_stopped[0], budgets[0],
+           history.check.peak_stopped[1], budgets[1]);
     nodes_finish(&test);
     printf("%d failed checks\n", test.failures);
     return test.failures ? 1 : 0;
--- a/tests/simulation.c
+++ b/tests/simulation.c
@@ -110,8 +110,8 @@
 {
     if (sim->has_drains)
         printf("%d drains, %u stops of replicas, at most %u of %u and %u of %u down; ",
-               sim->ndrains, sim->check.stops, sim->check.peak_down[0], sim->check.budgets[0],
-               sim->check.peak_down[1], sim->check.budgets[1]);
+               sim->ndrains, sim->check.stops, sim->check.peak_stopped[0], sim->check.budgets[0],
+               sim->check.peak_stopped[1], sim->check.budgets[1]);
     printf("%s seed %lu: %d jobs, %d starts, %d terms, %llu events, %d started long after a "
            "cancellation\n",
            sim->violations ? "FAIL" : "ok  ", sim->seed, sim->njobs, sim->starts, sim->terms,
