--- a/tests/behaviour_digest.c
+++ b/tests/behaviour_digest.c
@@ -43,9 +43,10 @@
     digest->steps++;
 }
 
-static void begin_step(struct behaviour_digest *digest, double at, int controller, const char *kind)
+static void begin_step(struct behaviour_digest *digest, double at_s, int controller,
+                       const char *kind)
 {
-    add_text(digest, "%.6f %d %s", at, controller, kind);
+    add_text(digest, "%.6f %d %s", at_s, controller, kind);
 }
 
 static const char *kind_name(enum bd_effect_kind kind)
@@ -81,20 +82,20 @@
     abort();
 }
 
-/* For these kinds the field holds the purpose, which is internal to the core and not a part of the
- * step. */
-static bool status_is_visible(enum bd_effect_kind kind)
+/* Effects of these two kinds store the purpose in place of the status. The purpose is internal to
+ * the core and not a part of the step. */
+static bool is_status_visible(enum bd_effect_kind kind)
 {
     return kind != BD_EFFECT_USER_TXN && kind != BD_EFFECT_JOB_LOOKUP;
 }
 
-void behaviour_digest_effect(struct behaviour_digest *digest, double at, int controller,
+void behaviour_digest_effect(struct behaviour_digest *digest, double at_s, int controller,
                              const struct bd_effect *effect, uint64_t requester)
 {
-    begin_step(digest, at, controller, kind_name(effect->kind));
+    begin_step(digest, at_s, controller, kind_name(effect->kind));
     if (requester)
         add_text(digest, " to=%llx", (unsigned long long)requester);
-    if (status_is_visible(effect->kind))
+    if (is_status_visible(effect->kind))
         add_text(digest, " status=%d", effect->status);
     add_text(digest, " retry=%d key=%s addr=%s", effect->retry_after_s, effect->key, effect->addr);
     add_text(digest, " token=%llu machine=%u launch=%d", (unsigned long long)effect->fencing_token,
@@ -109,10 +110,10 @@
     end_step(digest);
 }
 
-void behaviour_digest_status(struct behaviour_digest *digest, double at, int controller, int peer,
+void behaviour_digest_status(struct behaviour_digest *digest, double at_s, int controller, int peer,
                              const struct bd_frame *frame)
 {
-    begin_step(digest, at, controller, "status");
+    begin_step(digest, at_s, controller, "status");
     add_text(digest, " peer=%d term=%llu flags=%u age=%u at=%llu", peer,
              (unsigned long long)frame->term, frame->flags, frame->kv_age_ms,
              (unsigned long long)frame->wall_clock_ms);
--- a/tests/behaviour_digest.h
+++ b/tests/behaviour_digest.h
@@ -19,11 +19,12 @@
 /* Starts an empty digest. The trace may be NULL. */
 void behaviour_digest_start(struct behaviour_digest *digest, FILE *trace);
 
-/* Adds an effect of a controller. `requester` identifies who awaits the reply; 0: nobody. */
-void behaviour_digest_effect(struct behaviour_digest *digest, double at, int controller,
+/* Adds an effect of a controller at a simulated time. `requester` identifies who awaits the reply;
+ * 0: nobody. */
+void behaviour_digest_effect(struct behaviour_digest *digest, double at_s, int controller,
                              const struct bd_effect *effect, uint64_t requester);
 
 /* Adds a status frame that a controller sends to a peer. */
-void behaviour_digest_status(struct behaviour_digest *digest, double at, int controller, int peer,
+void behaviour_digest_status(struct behaviour_digest *digest, double at_s, int controller, int peer,
                              const struct bd_frame *frame);
 #endif
--- a/tests/decision_log.c
+++ b/tests/decision_log.c
@@ -14,10 +14,10 @@
 
 static int failed;
 
-static void check(const char *what, bool good)
+static void check(const char *what, bool is_ok)
 {
-    printf("%s: %s\n", good ? "ok  " : "FAIL", what);
-    failed += !good;
+    printf("%s: %s\n", is_ok ? "ok  " : "FAIL", what);
+    failed += !is_ok;
 }
 
 /* The text that was written since the last call. */
@@ -59,7 +59,7 @@
         bd_decision_log_task(core, "launch_sent", job, i, 79, machine, "");
     bd_decision_log_flush(core);
     const char *text = read_new_text(fd);
-    check("a long list of tasks is split over lines and complete",
+    check("a long list of tasks is split over lines, with its first and last tasks",
           strstr(text, "task=0,2,4,") != NULL && strstr(text, ",398 machine") != NULL &&
               count_occurrences(text, "event=launch_sent") > 1);
 }
@@ -69,12 +69,11 @@
     bd_core_set_clock(core, bd_time_add(now, bd_secs(100)), 1100);
     for (int i = 0; i < 5000; i++)
         bd_decision_log_note(core, "lease_renewed", "n=%d", i);
-    check("a burst writes no more lines than its limit",
+    check("a burst writes exactly as many lines as its limit",
           count_occurrences(read_new_text(fd), "event=lease_renewed") == 400);
     bd_core_set_clock(core, bd_time_add(now, bd_secs(100.5)), 1100.5);
     bd_decision_log_note(core, "lease_renewed", "n=early");
-    check("after suppressed lines, none is written before a second's budget is free",
-          *read_new_text(fd) == '\0');
+    check("half a second after the burst, a line is still suppressed", *read_new_text(fd) == '\0');
     bd_decision_log_term(core, "term_acquired", "term=7");
     check("changes of the term are exempt from the limit",
           strstr(read_new_text(fd), "event=term_acquired term=7\n") != NULL);
--- a/tests/direct_commands.c
+++ b/tests/direct_commands.c
@@ -92,8 +92,8 @@
     bd_worker_client_send(node, effect);
 }
 
-/* Takes the owner's events until there were `max` or OUTCOMES_TIMEOUT_S passed. Returns how many it
- * took, and adds those of commands that were not sent to *not_sent. */
+/* Takes the owner's events until it has taken `max` or OUTCOMES_TIMEOUT_S has passed. Returns the
+ * number of events taken, and adds the number of commands that were not sent to *not_sent. */
 static int take_events(struct bd_node *node, int max, int *not_sent)
 {
     struct timespec end = bd_time_add(bd_now(), bd_secs(OUTCOMES_TIMEOUT_S));
@@ -110,10 +110,10 @@
     return taken;
 }
 
-static int check(const char *what, bool good)
+static int check(const char *what, bool is_ok)
 {
-    printf("%s: %s\n", good ? "ok  " : "FAIL", what);
-    return good ? 0 : 1;
+    printf("%s: %s\n", is_ok ? "ok  " : "FAIL", what);
+    return is_ok ? 0 : 1;
 }
 
 int main(void)
@@ -129,14 +129,14 @@
     int outcomes = take_events(node, COMMANDS, &not_sent);
     int requests = atomic_load(&machine.requests);
     printf("%d outcomes, %d not sent, %d requests\n", outcomes, not_sent, requests);
-    failed += check("every command has an outcome soon after its deadline", outcomes == COMMANDS);
-    failed += check("commands still queued at their deadline were not sent",
+    failed += check("every command has an outcome within OUTCOMES_TIMEOUT_S", outcomes == COMMANDS);
+    failed += check("at least COMMANDS - SENT_MAX commands were not sent",
                     not_sent >= COMMANDS - SENT_MAX);
     failed += check("commands reported as not sent were not sent", requests <= COMMANDS - not_sent);
-    failed += check("some commands were sent before their deadline", requests > 0);
+    failed += check("some commands were sent", requests > 0);
     not_sent = 0;
     send_command(node, 0, port, -0.001);
-    failed += check("a command after its deadline is not sent",
+    failed += check("a command that is queued after its deadline is not sent",
                     take_events(node, 1, &not_sent) == 1 && not_sent == 1 &&
                         atomic_load(&machine.requests) == requests);
     return failed ? 1 : 0;
--- a/tests/drain_check.c
+++ b/tests/drain_check.c
@@ -1,12 +1,13 @@
-/* The invariant of draining, checked on what the workers did. A replica is down from the moment at
- * which a worker stops it on command until an attempt of it runs again. No team has more replicas
- * down than its budget allows. Replicas that were lost in other ways count too, once the leader has
- * had the time to detect the loss. */
+/* The invariant of draining, checked against the task events of the workers. A replica is down from
+ * the moment at which a worker stops it on command until an attempt of this replica runs again. No
+ * team has more replicas down than its budget allows. Replicas that were lost in other ways count
+ * too, once the leader has had the time to detect the loss. */
 #include "drain_check.h"
 #include <stdlib.h>
 #include <string.h>
 
-/* After that a loss is known to the leader, and commands sent before it are executed. */
+/* Within this time after a loss, the leader detects the loss, and the workers execute the commands
+ * that were sent earlier. */
 #define LOSS_DETECTION_S 25.0
 #define TEAMS 2
 
@@ -52,15 +53,15 @@
             check->replicas[i].state = REPLICA_NONE;
 }
 
-/* Counts the team's replicas that were stopped on command and, with `losses`, those lost for longer
- * than the detection takes. */
+/* Counts the team's replicas that were stopped on command and, with `includes_lost`, those lost for
+ * longer than the detection takes. */
 static uint32_t count_replicas_down(const struct drain_check *check, double now, int team,
-                                    bool losses)
+                                    bool includes_lost)
 {
     uint32_t count = 0;
     for (int i = 0; i < check->nreplicas; i++) {
         const struct drain_replica *replica = &check->replicas[i];
-        bool is_lost = losses && replica->state == REPLICA_LOST &&
+        bool is_lost = includes_lost && replica->state == REPLICA_LOST &&
                        now - replica->state_since > LOSS_DETECTION_S;
         count += replica->team == team && (replica->state == REPLICA_STOPPED || is_lost);
     }
@@ -71,7 +72,7 @@
 {
     struct drain_replica *replica = find_replica(check, job, task);
     if (replica->state != REPLICA_UP)
-        return true; /* it was not up, so the stop takes nothing down */
+        return true; /* the replica was not up, so the stop takes nothing down */
     replica->state = REPLICA_STOPPED;
     replica->state_since = now;
     check->stops++;
--- a/tests/drain_check.h
+++ b/tests/drain_check.h
@@ -31,6 +31,6 @@
 void drain_check_job_cancelled(struct drain_check *check, int job);
 /* Returns false if more replicas of the team are down than its budget allows. */
 bool drain_check_replica_stopped(struct drain_check *check, double now, int job, uint32_t task);
-/* Whether the checker detects what it must, on made-up histories. */
+/* Returns whether the checker judges sample histories correctly. */
 bool drain_check_self_test(void);
 #endif
--- a/tests/drain_profile.c
+++ b/tests/drain_profile.c
@@ -1,10 +1,10 @@
 /* Measures draining. Only `check` is a test.
  *
- * - drain-profile fleet DRAINED PERCENT IN_STEP: drains DRAINED machines of a fleet of twice as
- *   many. At the start, each machine has ten service replicas of two teams. PERCENT is the share of
- *   a team's replicas that may be down. IN_STEP is the number of machines that may drain at a
- *   time. Prints the simulated seconds, the stop requests, and the most replicas of each team that
- *   were down at a time.
+ * - drain-profile fleet DRAINED BUDGET_PERCENTAGE MACHINES_IN_STEP: drains DRAINED machines of a
+ *   fleet of twice as many. At the start, each machine has ten service replicas of two teams.
+ *   BUDGET_PERCENTAGE is the share of a team's replicas that may be down. MACHINES_IN_STEP is the
+ *   number of machines that may drain at a time. Prints the simulated seconds, the stop requests,
+ *   and the most replicas of each team that were down at a time.
  * - drain-profile steps MACHINES SEEDS: compares the greedy choice with the solver's on random
  *   machines with tasks of six teams. Prints the steps to drain all machines, and the processor
  *   time of a choice.
@@ -32,12 +32,12 @@
 #define DRAIN_TIMEOUT_S 20000 /* simulated */
 #define TICKS 20
 
-/* Returns the simulated seconds until the drain was over; -1: it did not end in time. */
-static double drain_fleet(uint32_t drained, double percent, uint32_t in_step)
+/* Returns the simulated seconds until the drain was over; -1: the drain did not end in time. */
+static double drain_fleet(uint32_t drained, double budget_percentage, uint32_t machines_in_step)
 {
     struct fleet fleet;
     memset(&fleet, 0, sizeof fleet);
-    fleet_declare_budgets(&fleet, percent, in_step);
+    fleet_declare_budgets(&fleet, budget_percentage, machines_in_step);
     fleet_build(&fleet, 2 * drained);
     double started_at_s = fleet.now_s;
     fleet_drain(&fleet, drained);
@@ -48,7 +48,7 @@
     bd_ledger_get_counts(fleet.core, "team-0", "", &down, &up);
     printf("%u of %u machines drained, budget %.0f%%, %u machines in a step: %s%.0f s, %u stop "
            "requests, at most %u and %u of %u replicas of a team down\n",
-           drained, 2 * drained, percent, in_step,
+           drained, 2 * drained, budget_percentage, machines_in_step,
            fleet_drain_is_over(&fleet) ? "" : "not over after ", fleet.now_s - started_at_s,
            stop_requests, fleet.max_replicas_down[0], fleet.max_replicas_down[1], up);
     double duration_s = fleet_drain_is_over(&fleet) ? fleet.now_s - started_at_s : -1;
--- a/tests/drain_profile.h
+++ b/tests/drain_profile.h
@@ -20,7 +20,8 @@
 /* ---- drain_profile_fleet.c ---- */
 
 /* Configures draining. Must be called before fleet_build; without it, draining is off. */
-void fleet_declare_budgets(struct fleet *fleet, double percent, uint32_t machines_in_step);
+void fleet_declare_budgets(struct fleet *fleet, double budget_percentage,
+                           uint32_t machines_in_step);
 void fleet_build(struct fleet *fleet, uint32_t machines);
 void fleet_free(struct fleet *fleet);
 void fleet_set_time(struct fleet *fleet, double now_s);
@@ -36,7 +37,7 @@
 
 /* ---- drain_profile_choice.c ---- */
 
-/* Returns an exit status: 1 if the solver took more steps than the greedy choice by over one step a
- * seed on average. */
+/* Returns an exit status: 1 if the solver took on average over one step per seed more than the
+ * greedy choice. */
 int profile_choices(uint32_t machines, uint32_t seeds);
 #endif
--- a/tests/drain_profile_choice.c
+++ b/tests/drain_profile_choice.c
@@ -1,4 +1,4 @@
-/* Compares the greedy choice of a step's machines with the solver's, apart from the core. */
+/* Compares the greedy choice of a step's machines with the solver's, without a core. */
 #include "brambledoor/settings.h"
 #include "drain/drain.h"
 #include "drain/drain_internal.h"
@@ -11,7 +11,7 @@
 
 #define CHOICE_TEAMS 6
 #define CHOICE_BUDGET 12u
-#define CHOICE_IN_STEP 16u
+#define CHOICE_MACHINES_IN_STEP 16u
 
 static void draw_candidates(gsl_rng *rng, struct bd_drain_candidate *candidates, uint32_t count)
 {
@@ -69,18 +69,19 @@
 static uint32_t count_steps(const struct bd_drain_candidate *drawn, uint32_t count, bool use_solver,
                             double *seconds, uint32_t *solver_failures)
 {
-    static const bool apart[BD_ZONES_MAX][BD_ZONES_MAX] = {{false, true}, {true, false}};
+    static const bool zones_conflict[BD_ZONES_MAX][BD_ZONES_MAX] = {{false, true}, {true, false}};
     uint32_t budgets_left[CHOICE_TEAMS], steps = 0, remaining = count;
     struct bd_drain_candidate *candidates = malloc(count * sizeof *candidates);
     if (!candidates)
         abort();
     memcpy(candidates, drawn, count * sizeof *candidates);
-    clock_t started = clock();
+    clock_t started_at = clock();
     while (remaining > 0) {
         for (int k = 0; k < CHOICE_TEAMS; k++)
             budgets_left[k] = CHOICE_BUDGET;
-        struct bd_step_problem problem = {candidates,     remaining,     budgets_left, CHOICE_TEAMS,
-                                          CHOICE_IN_STEP, {1e6, 1, 1e6}, apart,        {false}};
+        struct bd_step_problem problem = {
+            candidates,    remaining,      budgets_left, CHOICE_TEAMS, CHOICE_MACHINES_IN_STEP,
+            {1e6, 1, 1e6}, zones_conflict, {false}};
         roaring_bitmap_t *chosen = roaring_bitmap_create();
         *solver_failures += !choose(&problem, use_solver, chosen);
         uint32_t kept = 0;
@@ -91,7 +92,7 @@
         remaining = kept;
         steps++;
     }
-    *seconds += (double)(clock() - started) / CLOCKS_PER_SEC / steps;
+    *seconds += (double)(clock() - started_at) / CLOCKS_PER_SEC / steps;
     free(candidates);
     return steps;
 }
@@ -99,7 +100,7 @@
 int profile_choices(uint32_t machines, uint32_t seeds)
 {
     double seconds[2] = {0, 0}; /* greedy, solver */
-    uint32_t steps[2] = {0, 0}, solver_failures = 0, better = 0, worse = 0;
+    uint32_t steps[2] = {0, 0}, solver_failures = 0, solver_fewer = 0, solver_more = 0;
     gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
     struct bd_drain_candidate *drawn = malloc(machines * sizeof *drawn);
     if (!rng || !drawn)
@@ -111,14 +112,15 @@
         uint32_t solved = count_steps(drawn, machines, true, &seconds[1], &solver_failures);
         steps[0] += greedy;
         steps[1] += solved;
-        better += solved < greedy;
-        worse += solved > greedy;
+        solver_fewer += solved < greedy;
+        solver_more += solved > greedy;
     }
     printf(
         "%u machines, %u seeds: greedy %.2f steps, %.1f us a choice; solver %.2f steps, %.1f us a "
         "choice; solver needs fewer steps in %u, more in %u, and finds no solution %u times\n",
         machines, seeds, (double)steps[0] / seeds, seconds[0] / seeds * 1e6,
-        (double)steps[1] / seeds, seconds[1] / seeds * 1e6, better, worse, solver_failures);
+        (double)steps[1] / seeds, seconds[1] / seeds * 1e6, solver_fewer, solver_more,
+        solver_failures);
     gsl_rng_free(rng);
     free(drawn);
     return steps[1] <= steps[0] + seeds ? 0 : 1;
--- a/tests/drain_profile_fleet.c
+++ b/tests/drain_profile_fleet.c
@@ -156,7 +156,7 @@
     json_decref(value);
 }
 
-void fleet_declare_budgets(struct fleet *fleet, double percent, uint32_t machines_in_step)
+void fleet_declare_budgets(struct fleet *fleet, double budget_percentage, uint32_t machines_in_step)
 {
     struct bd_drain_rules *rules = calloc(1, sizeof *rules);
     if (!rules)
@@ -167,7 +167,7 @@
                                      .replacement_timeout_s = 60,
                                      .record_retention_s = 1e6};
     rules->budgets[rules->nbudgets++] =
-        (struct bd_budget_rule){.is_percentage = true, .amount = percent};
+        (struct bd_budget_rule){.is_percentage = true, .amount = budget_percentage};
     fleet->settings.draining = rules;
 }
 
--- a/tests/fake_server.h
+++ b/tests/fake_server.h
@@ -39,8 +39,8 @@
 /* Starts of tasks whose job awaited a job that was not done. */
 int fake_early_task_starts(struct fake_cluster *cluster);
 int fake_lease_expiries(struct fake_cluster *cluster);
-/* Larger values and larger transactions get status 400, changes beyond the rate (per second) 429.
- * 0: no limit. */
+/* A transaction with more than txn_ops_max changes or a value over kv_value_bytes_max gets status
+ * 400. Transactions beyond write_rps changes per second get 429. 0: no limit. */
 void fake_store_set_limits(struct fake_cluster *cluster, size_t kv_value_bytes_max,
                            size_t txn_ops_max, int write_rps);
 /* Counts the transactions that got status 400 and those that got 429. */
@@ -55,7 +55,7 @@
  * and writes are served. */
 void fake_store_refuse_job_reads(struct fake_cluster *cluster, int node, bool is_refused);
 /* Sets two shares of the transactions: those that are applied but get no response, and those that
- * get no response and are carried out 2.5 s later, after newer ones. */
+ * get no response and are committed 2.5 s later, after newer ones. */
 void fake_store_set_txn_faults(struct fake_cluster *cluster, double lost_response_share,
                                double delayed_share);
 /* Returns the number of lost responses, and in `delayed_applied` how many delayed transactions were
@@ -64,6 +64,7 @@
 int fake_running_tasks_of_job(struct fake_cluster *cluster, const char *job);
 /* Returns the index of the controller that the leader key names, or -1. */
 int fake_store_leader(struct fake_cluster *cluster);
-/* The next responses, whether of the store or the cloud, end in the middle of their JSON. */
+/* The next `responses` responses, whether of the store or the cloud, end in the middle of their
+ * JSON. */
 void fake_store_truncate_responses(struct fake_cluster *cluster, int responses);
 #endif
--- a/tests/fake_server_internal.h
+++ b/tests/fake_server_internal.h
@@ -1,6 +1,6 @@
-/* Shared by the fake_*.c files. All state is in struct fake_cluster, and its lock protects all of
- * it, the workers included. Request handlers and worker threads hold the lock while they access the
- * state; no thread holds it during an HTTP call. */
+/* Shared by the fake_*.c files. All state is in struct fake_cluster. The lock of the cluster
+ * protects all of this state, including the workers. Request handlers and worker threads hold the
+ * lock while they access the state; no thread holds it during an HTTP call. */
 #ifndef FAKE_SERVER_INTERNAL_H
 #define FAKE_SERVER_INTERNAL_H
 #include "fake_server.h"
@@ -10,7 +10,7 @@
 #include <pthread.h>
 #include <time.h>
 
-#define MACHINES_EVER_MAX 100       /* returned machines are not provided again */
+#define MACHINES_EVER_MAX 100       /* including returned ones */
 #define DEFAULT_MACHINE_CAPACITY 40 /* at the same time */
 #define STORE_ENDPOINTS 3
 #define WORKER_TASKS_MAX 64
@@ -92,7 +92,7 @@
     int ndelayed_txns, delayed_txns_applied, lost_responses;
     double lost_response_share, delayed_share;
     unsigned random_state;
-    json_t *applied_txns[REPLAY_DELAY_TXNS]; /* the leaders' newest, to be replayed */
+    json_t *applied_txns[REPLAY_DELAY_TXNS]; /* leader transactions to replay */
     int napplied_txns, replayed_txns_applied, replayed_txns;
     size_t kv_value_bytes_max, txn_ops_max;
     int write_rps, writes_in_window, too_large_txns, rate_limited_txns;
--- a/tests/fake_store.c
+++ b/tests/fake_store.c
@@ -109,7 +109,7 @@
     return status;
 }
 
-static int by_name(const void *a, const void *b)
+static int compare_names(const void *a, const void *b)
 {
     return strcmp(((const struct table_key *)a)->name, ((const struct table_key *)b)->name);
 }
@@ -123,7 +123,7 @@
     bool more = false;
     if (cluster->store_table.nkeys > 0)
         qsort(cluster->store_table.keys, cluster->store_table.nkeys,
-              sizeof *cluster->store_table.keys, by_name);
+              sizeof *cluster->store_table.keys, compare_names);
     for (size_t i = 0; i < cluster->store_table.nkeys; i++) {
         struct table_key *key = &cluster->store_table.keys[i];
         if (!key->value || strncmp(key->name, starts, strlen(starts)) != 0 ||
@@ -174,7 +174,7 @@
     return 404;
 }
 
-static void apply_late_txns(struct fake_cluster *cluster)
+static void commit_delayed_txns(struct fake_cluster *cluster)
 {
     for (int i = 0; i < cluster->ndelayed_txns;) {
         json_t *ignored = NULL;
@@ -197,7 +197,7 @@
     return (cluster->random_state >> 16 & 0x7fff) < share * 0x8000;
 }
 
-/* Commits a transaction. Some responses are lost; some transactions are delayed and carried out
+/* Commits a transaction. Some responses are lost; some transactions are delayed and committed
  * after newer ones. */
 static int commit_with_faults(struct fake_cluster *cluster, json_t *request, json_t **response)
 {
@@ -229,7 +229,7 @@
         (endpoint->are_job_reads_refused && reads_jobs(url, connection)))
         return 503;
     expire_grants(cluster);
-    apply_late_txns(cluster);
+    commit_delayed_txns(cluster);
     if (strcmp(url, "/commit") == 0)
         return commit_with_faults(cluster, request, response);
     if (strcmp(url, "/kv") == 0)
--- a/tests/fake_worker.c
+++ b/tests/fake_worker.c
@@ -49,7 +49,7 @@
     return NULL;
 }
 
-static bool job_is_done(struct fake_cluster *cluster, const char *id)
+static bool is_job_done(struct fake_cluster *cluster, const char *id)
 {
     char key[96];
     snprintf(key, sizeof key, "j/%s", id);
@@ -68,7 +68,7 @@
     struct table_key *record = table_find(&cluster->store_table, key);
     json_array_foreach(record ? json_object_get(record->value, "awaits") : NULL, i, item)
     {
-        if (!job_is_done(cluster, json_string_value(item)))
+        if (!is_job_done(cluster, json_string_value(item)))
             return true;
     }
     return false;
@@ -193,8 +193,9 @@
     fake_lose_tasks(worker);
 }
 
-/* Sends one heartbeat to the controller `*node` and sets `*node` to the one that gets the next. A
- * dead or returned worker sends none. Returns false if the worker was returned. */
+/* Sends one heartbeat to the controller `*node` and sets `*node` to the controller for the
+ * next heartbeat. A dead or returned worker sends none. Returns false if the worker was returned.
+ */
 static bool send_heartbeat(struct fake_worker *worker, struct bd_http *client, int *node)
 {
     struct fake_cluster *cluster = worker->cluster;
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -1,12 +1,13 @@
-/* Random graphs of jobs that depend on others, compared with a plain model. Two controllers' cores
- * run over a model of the store and one machine, with submissions, cancellations, queries, lost
- * answers and crashes of either controller. The seeds are fixed. Asserted:
+/* Random graphs of jobs that depend on others, compared with a plain model of dependencies. Two
+ * controllers' cores run over a model of the store and one machine, with submissions,
+ * cancellations, queries, lost answers and crashes of either controller. The seeds are fixed.
+ * Asserted:
  *
  * - No task starts before the records of all jobs that its job needs say that they are done.
- * - Each node reports a job as cancelled exactly when the job or one that it needs, directly or
- * not, was cancelled, and never reports another state after that.
+ * - Each node reports a job as cancelled exactly when the job or one of its direct or indirect
+ *   parents was cancelled, and never reports another state after that.
  * - Every job that is not cancelled ends.
- * - In the end the record of every cancelled job says so.
+ * - In the end the record of every cancelled job has the state cancelled.
  *
  *   graphs SEEDS */
 #include "graphs.h"
@@ -121,7 +122,7 @@
 {
     for (int node = 0; node < NODES; node++)
         if (run->cores[node])
-            bd_core_set_clock(run->cores[node], bd_secs(100 + run->now), 1000 + run->now);
+            bd_core_set_clock(run->cores[node], bd_secs(100 + run->now_s), 1000 + run->now_s);
 }
 
 static void complete_commit(struct graph_run *run)
@@ -140,7 +141,8 @@
     bd_effect_free(effect);
 }
 
-/* Starts a new process. Keys may have any order, so it lists the records from a random one on. */
+/* Starts a new process. Keys may have any order, so the node reads the records from a random
+ * one on. */
 static void start_node(struct graph_run *run, int node)
 {
     static const double cpus = 10000;
@@ -303,7 +305,7 @@
 
 static void step(struct graph_run *run, int *next, bool has_faults)
 {
-    run->now += 0.3;
+    run->now_s += 0.3;
     set_clocks(run);
     bd_leadership_lease_renewed(run->cores[run->leader], 7, run->cores[run->leader]->now);
     user_step(run, next, has_faults);
@@ -316,7 +318,7 @@
         bd_core_tick(run->cores[n]);
         perform_effects(run, n);
     }
-    /* a crash loses the users' pending requests, so they are answered before it */
+    /* a crash loses the users' pending requests, so the nodes answer them first */
     if (has_faults && graph_random(run, 40) == 0) {
         for (int n = 0; n < NODES; n++) {
             refresh(run, n, true);
@@ -337,7 +339,7 @@
     snprintf(settings->teams[0].name, BD_NAME_BYTES, "a");
 }
 
-static int play(unsigned long seed, int *jobs_done, int *cancelled_answers)
+static int run_seed(unsigned long seed, int *jobs_done, int *cancelled_answers)
 {
     struct graph_run *run = calloc(1, sizeof *run);
     int next = 0;
@@ -375,7 +377,7 @@
     int violations = 0, jobs_done = 0, cancelled_answers = 0,
         seeds = argc > 1 ? parse_number(argv[1]) : 0;
     for (int s = 1; s <= seeds; s++)
-        violations += play((unsigned long)s, &jobs_done, &cancelled_answers);
+        violations += run_seed((unsigned long)s, &jobs_done, &cancelled_answers);
     violations += graph_check_large();
     printf("%d seeds: %d jobs done, %d answers reported a job as cancelled, %d violations\n", seeds,
            jobs_done, cancelled_answers, violations);
--- a/tests/graphs.h
+++ b/tests/graphs.h
@@ -1,5 +1,5 @@
 /* Random graphs of dependent jobs: the state of one run, a small store, one machine, and the model
- * that the answers are compared with. graphs.c plays the runs. */
+ * that the answers are compared with. graphs.c executes the runs. */
 #ifndef BD_TESTS_GRAPHS_H
 #define BD_TESTS_GRAPHS_H
 #include "brambledoor/log.h"
@@ -17,7 +17,7 @@
 
 enum graph_request_kind { GRAPH_SUBMIT, GRAPH_QUERY, GRAPH_CANCEL };
 
-struct graph_request { /* a user's request; begins as the core expects */
+struct graph_request { /* a user's request; the core requires that `remote` is first */
     struct bd_request_origin remote;
     enum graph_request_kind kind;
     int job;
@@ -51,8 +51,8 @@
     struct graph_key keys[4 * JOBS + 4000];
     int nkeys, leader, violations;
     int jobs_done, cancelled_answers;
-    uint64_t store_revision, refreshed_revision[NODES], seq, fencing_token;
-    double now;
+    uint64_t store_revision, refreshed_revision[NODES], heartbeat_seq, fencing_token;
+    double now_s; /* simulated time since the start */
     struct graph_job jobs[JOBS];
     struct graph_task tasks[TASKS];
     unsigned long seed;
--- a/tests/graphs_machine.c
+++ b/tests/graphs_machine.c
@@ -52,7 +52,7 @@
     snprintf(heartbeat->type, sizeof heartbeat->type, "big");
     snprintf(heartbeat->zone, sizeof heartbeat->zone, "a");
     heartbeat->incarnation = 1;
-    heartbeat->seq = ++run->seq;
+    heartbeat->seq = ++run->heartbeat_seq;
     heartbeat->fencing_token = run->fencing_token;
     heartbeat->notice_s = -1;
     heartbeat->tasks = tasks;
--- a/tests/graphs_model.c
+++ b/tests/graphs_model.c
@@ -20,7 +20,8 @@
     return actual && strcmp(actual, state) == 0;
 }
 
-/* A job is cancelled if its record, or that of a job that it needs, currently says so. */
+/* A job is cancelled if its current record, or that of a direct or indirect parent, has the state
+ * cancelled. */
 static bool is_cancelled(struct graph_run *run, int number)
 {
     bool cancelled[JOBS] = {false};
@@ -76,7 +77,7 @@
         if (!run->jobs[n].is_accepted)
             report_violation(run, "not accepted", n);
         else if (is_cancelled(run, n) && !has_state(run, id, "cancelled"))
-            report_violation(run, "its record is not cancelled", n);
+            report_violation(run, "the record does not have the state cancelled", n);
         else if (!is_cancelled(run, n) && !has_state(run, id, "done"))
             report_violation(run, "not done", n);
         run->jobs_done += has_state(run, id, "done");
--- a/tests/inputs_frames.c
+++ b/tests/inputs_frames.c
@@ -42,7 +42,7 @@
             bytes[i] ^= (unsigned char)(1u << bit);
         }
     }
-    inputs_check(refused > 50, "corrupted frames are refused");
+    inputs_check(refused > 50, "more than 50 corrupted frames are refused");
     bytes[8] = 0xff;
     inputs_check(bd_frame_read(bytes, length, read) == -1,
                  "a frame over the maximum length is refused without waiting for its bytes");
@@ -126,7 +126,7 @@
     }
     inputs_check(jobs[BD_JOB_ACTIVE] == 2 && jobs[BD_JOB_DONE] == 1 &&
                      jobs[BD_JOB_CANCELLED] == 1 && intents > 0,
-                 "records of the version in production");
+                 "the records of the version in production have the expected states");
     json_decref(all);
     snprintf(path, sizeof path, "%s/production-frames.bin", directory);
     FILE *in = fopen(path, "rb");
@@ -138,9 +138,11 @@
         inputs_check(used >= 0 && (used == 0 || frame->type != BD_FRAME_PEER_STATUS ||
                                    (strcmp(frame->sender, "node-0") == 0 &&
                                     !(frame->flags & BD_PEER_SUPPORTS_DEPENDENCIES))),
-                     "a frame of the version in production");
+                     "a frame of the version in production is read");
         frames += used > 0;
     }
-    inputs_check(frames > 5 && length - at < 100, "frames of the version in production");
+    inputs_check(
+        frames > 5 && length - at < 100,
+        "more than 5 frames of the version in production are read, and under 100 bytes are left");
     free(frame);
 }
--- a/tests/inputs_wire.c
+++ b/tests/inputs_wire.c
@@ -6,15 +6,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Returns the field that is refused, or NULL. */
+/* Returns the name of the refused field, "body" if the text is not JSON, or NULL if it is accepted.
+ */
 static const char *read_submission(const char *text)
 {
     char id[BD_JOB_ID_BYTES];
     struct bd_job_spec_text spec;
     json_t *json = json_loads(text, 0, NULL);
-    const char *bad = json ? bd_wire_read_submission(json, id, &spec) : "body";
+    const char *refused_field = json ? bd_wire_read_submission(json, id, &spec) : "body";
     json_decref(json);
-    return bad;
+    return refused_field;
 }
 
 /* A valid submission, with each field in turn removed, and replaced by a value of a wrong type. */
@@ -149,7 +150,7 @@
         (void)read_cached(cache, "vm-1", malformed[i], "pulling");
         bd_heartbeat_cache_take_counts(cache, &total, &hits);
         inputs_check(total == 1 && hits == 0,
-                     "a heartbeat with a malformed sequence number is left to the JSON parser");
+                     "a heartbeat with a malformed sequence number is not a cache hit");
     }
 }
 
@@ -166,7 +167,7 @@
     (void)read_cached(cache, "vm-0", "2", "running");
     bd_heartbeat_cache_take_counts(cache, &total, &hits);
     inputs_check(hits == 1,
-                 "the least recently used heartbeats are evicted when the cache is full");
+                 "after 200 machines, only one of the newest and the oldest heartbeat is cached");
 }
 
 /* A heartbeat from the cache equals one that is parsed. Only a heartbeat that differs in nothing
--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -45,16 +45,17 @@
 {
     nodes_check(test, fake_duplicate_runs(test->cluster) == 0,
                 "no task ran on two workers at the same time");
-    int applied = 0;
-    int replayed = fake_store_replayed_txns(test->cluster, &applied);
-    nodes_check(test,
-                (replayed >= REPLAYED_TXNS_MIN || !mode->expects_replayed_txns) && applied == 0,
-                "enough transactions were replayed where expected, and none was applied");
+    int replays_applied = 0;
+    int replayed = fake_store_replayed_txns(test->cluster, &replays_applied);
+    nodes_check(
+        test,
+        (replayed >= REPLAYED_TXNS_MIN || !mode->expects_replayed_txns) && replays_applied == 0,
+        "enough leader transactions were replayed where expected, and no replay was applied");
     nodes_check(test, fake_task_starts(test->cluster) >= mode->starts_min,
                 "at least as many tasks as expected were started");
     for (int i = 0; i < NODES; i++)
         nodes_check(test, test->pid[i] > 0 && waitpid(test->pid[i], NULL, WNOHANG) == 0,
-                    "no node exited by itself");
+                    "the node still runs at the end");
 }
 
 /* loopback PROGRAM [faults|overload|memory|OLDER_PROGRAM]; loopback PROGRAM capture DIRECTORY */
--- a/tests/loopback_drain.c
+++ b/tests/loopback_drain.c
@@ -20,8 +20,8 @@
 
 #define EXIT_SKIPPED 77 /* SKIP_RETURN_CODE in CMakeLists.txt */
 #define SERVICES 10
-#define REPLICAS 4 /* per service, 1 CPU each: they fill ten machines of 4 CPUs */
-#define FIRST_JOB 900
+#define REPLICAS 4    /* per service, 1 CPU each: they fill ten machines of 4 CPUs */
+#define FIRST_JOB 900 /* the fake workers run jobs named "job-9..." as services */
 #define MACHINES_MAX 16
 #define BUDGET_BLUE 2u
 #define BUDGET_RED 1u
@@ -44,9 +44,9 @@
     struct history *history = arg;
     char id[BD_JOB_ID_BYTES];
     uint32_t number;
-    if (!bd_wire_read_task_name(task, id, &number) || parse_number(id + 4) < FIRST_JOB)
+    if (!bd_wire_read_task_name(task, id, &number) || parse_number(id + strlen("job-")) < FIRST_JOB)
         return;
-    int job = parse_number(id + 4) - FIRST_JOB;
+    int job = parse_number(id + strlen("job-")) - FIRST_JOB;
     double now = bd_seconds_between(history->started_at, bd_now());
     (void)pthread_mutex_lock(&history->lock);
     if (event == FAKE_TASK_STARTED)
@@ -231,8 +231,9 @@
                 "pausing the drain twice is accepted");
     uint32_t stops_before = stop_count(history);
     bd_sleep(3);
-    nodes_check(test, stop_count(history) <= stops_before + BUDGET_BLUE + BUDGET_RED,
-                "no new step begins while the drain is paused");
+    nodes_check(
+        test, stop_count(history) <= stops_before + BUDGET_BLUE + BUDGET_RED,
+        "in the 3 s after the pause, no more replicas are stopped than may be down at a time");
     nodes_check(test, run_drain_command(test, 1, "resume all") == 0, "the drain is resumed");
 }
 
@@ -284,12 +285,12 @@
         test,
         run_drain_command(test, 0, "start all --mode replace --selection everything --all") == 0,
         "a drain of all workers is accepted");
-    nodes_check(test, wait_for_stops(history, 2, 40), "the first step begins");
+    nodes_check(test, wait_for_stops(history, 2, 40), "the drain stops at least 2 replicas");
     test_repeated_commands(test, history);
     copy_last_name(names_before, killed_name, sizeof killed_name);
     fake_kill_machine(test->cluster, killed_name);
     nodes_check(test, wait_for_stops(history, 10, 60),
-                "the drain goes on after a worker died during a step");
+                "at least 10 replicas are stopped in total although a worker died");
     int leader = fake_store_leader(test->cluster);
     if (leader >= 0) {
         nodes_kill(test, leader);
@@ -304,8 +305,8 @@
     nodes_check(test, stop_count(history) >= 30, "at least 30 replicas were stopped");
 }
 
-/* While a controller of the older version is a peer, a drain must wait and report the reason. It
- * must complete once that controller is replaced. */
+/* While a controller of the older version is a peer, a drain must wait and report the reason. The
+ * drain must complete once that controller is replaced. */
 static void test_drain_beside_older(struct loopback *test, struct history *history)
 {
     char out[8192];
@@ -315,12 +316,13 @@
         "a drain is accepted beside an older controller");
     bd_sleep(6);
     uint32_t stops = stop_count(history);
-    nodes_check(test, stops == 0, "no step begins while an older controller is a peer");
+    nodes_check(test, stops == 0,
+                "no replica is stopped within 6 s while an older controller is a peer");
     nodes_check(
         test,
         request_admin(test, 0, "GET", "/all", NULL, out, sizeof out) == 200 &&
             (fake_store_leader(test->cluster) == NODES - 1 || strstr(out, "older controller")),
-        "the drain reports what it waits for, unless the older controller leads");
+        "the drain reports that it waits for the older controller, unless that one leads");
     nodes_kill(test, NODES - 1);
     write_operators_file(test, NODES - 1);
     nodes_start_program(test, NODES - 1, NULL);
@@ -363,10 +365,11 @@
                 "the drain stopped no replica in excess of a team's disruption budget");
     nodes_check(&test, fake_duplicate_runs(test.cluster) == 0,
                 "no task ran on two workers at the same time");
-    printf("     %u replicas stopped; down at the same time: blue at most %u (budget %u), red at "
-           "most %u (budget %u)\n",
-           history.check.stops, history.check.peak_stopped[0], budgets[0],
-           history.check.peak_stopped[1], budgets[1]);
+    printf(
+        "     %u replicas stopped; stopped at the same time: blue at most %u (budget %u), red at "
+        "most %u (budget %u)\n",
+        history.check.stops, history.check.peak_stopped[0], budgets[0],
+        history.check.peak_stopped[1], budgets[1]);
     nodes_finish(&test);
     printf("%d failed checks\n", test.failures);
     return test.failures ? 1 : 0;
--- a/tests/loopback_faults.c
+++ b/tests/loopback_faults.c
@@ -87,7 +87,7 @@
         test, status == 201 && nodes_wait_for(test, "/submissions/job-65", "\"mood\":\"done\"", 20),
         "a job completes under the new leader");
     nodes_check(test, fake_store_leader(test->cluster) != leader,
-                "the old leader does not take the lease back");
+                "the old leader has not taken the lease back");
     fake_store_refuse_job_reads(test->cluster, leader, false);
     nodes_check(test, nodes_wait_for_all(test, "/submissions/job-65", "\"mood\":\"done\"", 20),
                 "all nodes report the job as done");
@@ -110,7 +110,7 @@
             is_allowed = is_allowed || strstr(out, allowed_states[k]);
         if (!is_allowed) {
             printf("     node %d, %s: status %ld, %s\n", node, id, status, out);
-            test->stale_responses++;
+            test->unexpected_responses++;
         }
     }
 }
@@ -160,7 +160,8 @@
            delayed_applied, cancelled_jobs);
     nodes_check(test, lost > 0 && cancelled_jobs > 0,
                 "responses were lost, and jobs were cancelled");
-    nodes_check(test, test->stale_responses == 0, "no node reported an older state than another");
+    nodes_check(test, test->unexpected_responses == 0,
+                "each node refused with 503 or reported an allowed state");
 }
 
 void test_faults(struct loopback *test)
--- a/tests/loopback_memory.c
+++ b/tests/loopback_memory.c
@@ -63,20 +63,20 @@
     bd_sleep(1.0);
 }
 
-/* Opens MEMORY_CONNECTIONS connections and sends one request on each. Returns how many succeeded; a
- * descriptor is -1 if its socket could not be created. */
+/* Opens MEMORY_CONNECTIONS connections and sends one request on each. Returns the number of
+ * requests sent; a descriptor is -1 if its socket could not be created. */
 static int open_connections(const struct loopback *test, int node, int *fd)
 {
     static const char request[] = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
     struct sockaddr_in address;
-    int open = 0;
+    int sent_requests = 0;
     for (int i = 0; i < MEMORY_CONNECTIONS; i++) {
         fd[i] = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-        open += fd[i] >= 0 && bd_address_parse(test->addr[node], &address) &&
-                connect(fd[i], (struct sockaddr *)&address, sizeof address) == 0 &&
-                send(fd[i], request, strlen(request), MSG_NOSIGNAL) > 0;
+        sent_requests += fd[i] >= 0 && bd_address_parse(test->addr[node], &address) &&
+                         connect(fd[i], (struct sockaddr *)&address, sizeof address) == 0 &&
+                         send(fd[i], request, strlen(request), MSG_NOSIGNAL) > 0;
     }
-    return open;
+    return sent_requests;
 }
 
 /* A service uses the team's whole quota, so that all other jobs stay pending. */
@@ -87,7 +87,8 @@
     nodes_check(test, nodes_submit(test, "job-9", "service", 32, 10), "a service is accepted");
     nodes_wait_for_running_tasks(test, 32, 30);
     int leader = fake_store_leader(test->cluster);
-    nodes_check(test, leader >= 0 && fake_running_tasks(test->cluster) == 32, "its replicas run");
+    nodes_check(test, leader >= 0 && fake_running_tasks(test->cluster) == 32,
+                "all replicas of the service run");
     long start_kb = memory_kb(test, leader);
     submit_many(test, 10000, MEMORY_JOBS, 1);
     wait_until_known(test, 10000, MEMORY_JOBS);
@@ -95,10 +96,11 @@
     submit_many(test, 20000, MEMORY_ARRAYS, MEMORY_TASKS_PER_ARRAY);
     wait_until_known(test, 20000, MEMORY_ARRAYS);
     long with_tasks_kb = memory_kb(test, leader);
-    int open = open_connections(test, leader, fd);
+    int sent_requests = open_connections(test, leader, fd);
     bd_sleep(1.5);
     long with_connections_kb = memory_kb(test, leader);
-    nodes_check(test, open == MEMORY_CONNECTIONS, "all connections are open");
+    nodes_check(test, sent_requests == MEMORY_CONNECTIONS,
+                "a request was sent on every connection");
     check_memory(test, "KiB before the jobs", (double)start_kb, START_KB_MAX);
     check_memory(test, "bytes per job", 1024.0 * (double)(with_jobs_kb - start_kb) / MEMORY_JOBS,
                  JOB_BYTES_MAX);
--- a/tests/loopback_nodes.h
+++ b/tests/loopback_nodes.h
@@ -23,8 +23,8 @@
     struct bd_http *client;
     struct fake_cluster *cluster;
     int failures, first_port;
-    int stale_responses;
-    int nteams; /* 0 or 1: blue; 2: blue and red */
+    int unexpected_responses; /* neither 503 nor an allowed state */
+    int nteams;               /* 0 or 1: blue; 2: blue and red */
 };
 
 /* Reserves ports, writes the settings files to a temporary directory and starts the fakes. Returns
@@ -40,8 +40,8 @@
 void nodes_write_settings(struct loopback *test, int node, int is_partitioned);
 void nodes_start(struct loopback *test, int node);
 void nodes_kill(struct loopback *test, int node);
-/* Starts a node, which must not be running, with this program. Later calls of nodes_start use it
- * too. NULL: the program under test. */
+/* Starts a node, which must not be running, with this program. Later calls of nodes_start use
+ * this program too. NULL: the program under test. */
 void nodes_start_program(struct loopback *test, int node, const char *program);
 
 /* Sends one HTTP request to an address. Returns the status, or 0 if there was no response. Unless
--- a/tests/loopback_overload.c
+++ b/tests/loopback_overload.c
@@ -117,7 +117,8 @@
     nodes_check(test, nodes_submit(test, "job-9", "service", 2, 10), "a service is accepted");
     nodes_wait_for_running_tasks(test, 2, 20);
     int leader = fake_store_leader(test->cluster), other = (leader + 1) % NODES;
-    nodes_check(test, leader >= 0 && fake_running_tasks(test->cluster) == 2, "its replicas run");
+    nodes_check(test, leader >= 0 && fake_running_tasks(test->cluster) == 2,
+                "both replicas of the service run");
     pool_run(test, pool, leader, 6);
     printf("     %d served, %d refused, %d without a response\n", pool->served, pool->refused,
            pool->without_response);
@@ -126,7 +127,7 @@
     nodes_check(test, fake_store_leader(test->cluster) == leader, "the leader has not changed");
     nodes_check(test,
                 fake_lease_expiries(test->cluster) == 0 && fake_running_tasks(test->cluster) == 2,
-                "no worker lease expired");
+                "no worker lease expired, and both replicas run");
     nodes_check(test,
                 nodes_request(test, other, "POST", "/submissions",
                               nodes_submission("job-85", "sweep", 4), NULL, 0) == 201 &&
@@ -139,13 +140,13 @@
     fake_store_refuse_node(test->cluster, other, false);
     printf("     %d refused, %d in total without Retry-After\n", pool->refused - refused_before,
            pool->without_retry_after);
-    nodes_check(test,
-                pool->refused - refused_before > CONNECTIONS && pool->without_retry_after == 0,
-                "every refusal carries Retry-After");
+    nodes_check(
+        test, pool->refused - refused_before > CONNECTIONS && pool->without_retry_after == 0,
+        "more requests than connections are refused, and every refusal carries Retry-After");
     nodes_check(test,
                 nodes_wait_for_all(test, "/up", "up", 20) &&
                     nodes_wait_for_all(test, "/submissions/job-80", "\"mood\":\"done\"", 30),
-                "all nodes serve requests again");
+                "all nodes are up and report the job as done");
     nodes_check(test,
                 fake_lease_expiries(test->cluster) == 0 &&
                     fake_running_tasks_of_job(test->cluster, "job-9") == 2,
--- a/tests/loopback_partition.c
+++ b/tests/loopback_partition.c
@@ -56,10 +56,10 @@
     bd_sleep(4); /* until the old leader's lease has expired */
     nodes_start(test, 0);
     nodes_check(test, send_heartbeats_until(test, 0, &heartbeat_id, &fencing_token, 200, 20),
-                "the first node leads");
-    /* The fake cloud's workers and the middle node must be up before the last node starts: a worker
-     * that contacted the last node first and then reached the leader would get the last node
-     * dismissed as a delegate for half a minute. */
+                "the first node accepts a heartbeat");
+    /* The fake cloud's workers and the middle node must be up before the last node starts. If a
+     * worker contacted the last node first and then the leader, the leader would dismiss the last
+     * node as a delegate for half a minute. */
     bd_sleep(5);
     nodes_start(test, 1);
     nodes_check(test, send_heartbeats_until(test, 1, &heartbeat_id, &fencing_token, 200, 20),
--- a/tests/loopback_requests.c
+++ b/tests/loopback_requests.c
@@ -30,7 +30,8 @@
     struct timespec end = bd_time_add(bd_now(), bd_secs(20));
     while (fake_running_tasks(test->cluster) > 0 && bd_time_is_before(bd_now(), end))
         bd_sleep(0.1);
-    nodes_check(test, fake_running_tasks(test->cluster) == 0, "its replicas are stopped");
+    nodes_check(test, fake_running_tasks(test->cluster) == 0,
+                "both replicas of the service are stopped");
 }
 
 void test_normal_operation(struct loopback *test)
@@ -107,16 +108,17 @@
     struct sockaddr_in address;
     struct timeval timeout = {.tv_sec = 3};
     int fd = socket(AF_INET, SOCK_STREAM, 0);
-    bool sent = fd >= 0 && bd_address_parse(test->addr[0], &address) &&
-                setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout) == 0 &&
-                connect(fd, (struct sockaddr *)&address, sizeof address) == 0 &&
-                send(fd, request, strlen(request), 0) == (ssize_t)strlen(request);
-    while (sent && received > 0 && length < sizeof out - 1) {
+    bool is_sent = fd >= 0 && bd_address_parse(test->addr[0], &address) &&
+                   setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout) == 0 &&
+                   connect(fd, (struct sockaddr *)&address, sizeof address) == 0 &&
+                   send(fd, request, strlen(request), 0) == (ssize_t)strlen(request);
+    while (is_sent && received > 0 && length < sizeof out - 1) {
         received = recv(fd, out + length, sizeof out - 1 - length, 0);
         length += received > 0 ? (size_t)received : 0;
     }
     out[length] = '\0';
-    nodes_check(test, sent && received == 0 && strstr(out, " 503 ") && strstr(out, "Retry-After"),
+    nodes_check(test,
+                is_sent && received == 0 && strstr(out, " 503 ") && strstr(out, "Retry-After"),
                 "a 503 carries Retry-After and closes the connection");
     if (fd >= 0)
         (void)close(fd);
@@ -136,7 +138,7 @@
                 "during the outage a submission gets 503 within 1.5 s");
     check_closed_after_503(test);
     nodes_check(test, nodes_request(test, 0, "GET", "/submissions/job-1", NULL, NULL, 0) == 200,
-                "during the outage a final state is still served");
+                "during the outage the status of a finished job is still served");
     fake_store_set_down(test->cluster, false);
     nodes_check(test, nodes_wait_for(test, "/submissions/job-4", "\"mood\":\"done\"", 40),
                 "the earlier job is done after the outage");
--- a/tests/loopback_upgrade.c
+++ b/tests/loopback_upgrade.c
@@ -11,8 +11,8 @@
 
 #define CAPTURED_FRAME_BYTES_MIN 2000
 
-/* Submits a job, kills the nodes of the mask, waits for the job if any node is left, then starts
- * the killed nodes with `program`. */
+/* Submits a job, kills the nodes of the bit mask `killed_nodes`, waits for the job if any node is
+ * left, then starts the killed nodes with `program`. */
 static void upgrade_stage(struct loopback *test, unsigned killed_nodes, const char *program,
                           const char *id, const char *description)
 {
@@ -64,7 +64,7 @@
     upgrade_stage(test, 7, test->program, "job-26",
                   "a job is accepted before all nodes are killed");
     nodes_check(test, fake_task_starts(test->cluster) == 2 + 2 + 7 * 8,
-                "every task was started once");
+                "as many tasks were started as the jobs have");
     test_dependencies(test);
     test_lower_limits(test, 2048, 8, true);
     nodes_check(test, fake_early_task_starts(test->cluster) == 0,
@@ -87,8 +87,8 @@
     return listener;
 }
 
-/* Reads frames from the connection and writes them to a file. Returns false if the file cannot be
- * written. */
+/* Reads at least CAPTURED_FRAME_BYTES_MIN bytes of frames from the connection, unless it is closed
+ * earlier, and writes them to a file. Returns false if the file cannot be written. */
 static bool capture_frames(int fd, const char *path)
 {
     unsigned char bytes[8192];
--- a/tests/profile.c
+++ b/tests/profile.c
@@ -1,11 +1,11 @@
 /* Profiles the leader of a large deployment.
  *
- * - profile check MACHINES: a test. It runs the leader until all tasks that fit are placed, counts
+ * - profile check MACHINES: a test. It runs the leader for a fixed number of cycles, counts
  *   the leader's transactions and direct commands, and checks every transaction against the store's
  *   limits.
- * - profile costs MACHINES: runs each kind of work several times under callgrind. It prints a line
- *   for each kind with the number of iterations, and callgrind writes a dump named after the kind.
- *   tests/costs.sh checks the instruction counts against upper bounds.
+ * - profile costs MACHINES: runs each kind of work, most of them several times, under callgrind.
+ *   It prints a line for each kind with the number of iterations, and callgrind writes a dump named
+ *   after the kind. tests/costs.sh checks the instruction counts against upper bounds.
  * - profile full MACHINES: a test. Every machine is filled with small tasks. A failover, the
  *   partition of a zone, and a delegate that serves all machines follow. */
 #include "profile.h"
--- a/tests/profile.h
+++ b/tests/profile.h
@@ -26,13 +26,14 @@
 
 /* ---- profile_deployment.c ---- */
 
-/* Adds machines and jobs, and runs cycles until the jobs that fit are placed. The caller frees the
- * core. */
+/* Adds machines. Unless `is_cpu_only` is set, also adds jobs and runs BUILD_CYCLES scheduling
+ * cycles. The caller frees the core. */
 void deployment_build(struct deployment *deployment);
 void deployment_set_time(struct deployment *deployment, double now_s);
 void deployment_add_job(struct deployment *deployment, int number, enum bd_job_kind kind,
                         uint32_t tasks, double cpus, double gpus, double memory_gb);
-/* The leader receives a heartbeat of one machine, which reports all of its tasks as running. */
+/* The leader receives a heartbeat of one machine, which reports its tasks as running, up to
+ * REPORTED_TASKS_MAX of them. */
 void deployment_heartbeat(struct deployment *deployment, uint32_t number);
 /* Advances the time by 1.1 s, runs a scheduling cycle and commits its transaction. */
 void deployment_run_cycle(struct deployment *deployment);
--- a/tests/profile_check.c
+++ b/tests/profile_check.c
@@ -15,28 +15,30 @@
     }
 }
 
-#define TRANSACTIONS_MAX 16 /* with one intent record in each transaction, it takes 33 */
+#define TRANSACTIONS_MAX 16 /* one intent record a transaction would need 33 */
 
 int profile_check(struct deployment *deployment)
 {
-    uint32_t services, pending, arrays, gangs, ignored;
-    count_tasks(deployment, BD_JOB_SERVICE, &services, &pending);
-    count_tasks(deployment, BD_JOB_ARRAY, &arrays, &ignored);
-    count_tasks(deployment, BD_JOB_GANG, &gangs, &ignored);
+    uint32_t service_tasks, pending, array_tasks, gang_tasks, ignored;
+    count_tasks(deployment, BD_JOB_SERVICE, &service_tasks, &pending);
+    count_tasks(deployment, BD_JOB_ARRAY, &array_tasks, &ignored);
+    count_tasks(deployment, BD_JOB_GANG, &gang_tasks, &ignored);
     fprintf(stderr,
             "%u transactions, %u direct commands; tasks placed: %u service, %u array, %u gang\n",
-            deployment->transactions, deployment->direct_commands, services, arrays, gangs);
+            deployment->transactions, deployment->direct_commands, service_tasks, array_tasks,
+            gang_tasks);
     if (pending > 0)
         deployment_fail(deployment, "service tasks pending", pending, 0);
-    if (gangs < 60 * 4)
-        deployment_fail(deployment, "gang tasks not placed", 60 * 4 - gangs, 0);
+    if (gang_tasks < 60 * 4)
+        deployment_fail(deployment, "gang tasks not placed", 60 * 4 - gang_tasks, 0);
     if (deployment->transactions > TRANSACTIONS_MAX)
         deployment_fail(deployment, "transactions", deployment->transactions, TRANSACTIONS_MAX);
     /* a command carries many launches, so that a machine needs few commands */
     if (deployment->direct_commands > 2 * deployment->machine_count)
         deployment_fail(deployment, "direct commands", deployment->direct_commands,
                         2 * (size_t)deployment->machine_count);
-    if (services + arrays + gangs < 8000)
-        deployment_fail(deployment, "tasks not placed", 8000 - services - arrays - gangs, 0);
+    if (service_tasks + array_tasks + gang_tasks < 8000)
+        deployment_fail(deployment, "tasks not placed",
+                        8000 - service_tasks - array_tasks - gang_tasks, 0);
     return deployment->failures ? 1 : 0;
 }
--- a/tests/profile_costs.c
+++ b/tests/profile_costs.c
@@ -1,4 +1,5 @@
-/* `profile costs`: runs each kind of work several times; callgrind counts its instructions. */
+/* `profile costs`: runs each kind of work, most of them several times; callgrind counts the
+ * instructions. */
 #include "core/core.h"
 #include "jobs/jobs.h"
 #include "leadership/leadership.h"
--- a/tests/profile_full.c
+++ b/tests/profile_full.c
@@ -13,12 +13,12 @@
 #include <stdio.h>
 
 #define TASKS_PER_MACHINE 24u
-#define FILL_CYCLES_MAX 40       /* to place all tasks */
-#define FAILOVER_HEAP_MB_MAX 9.0 /* growth of the heap while the intents are read and adopted */
+#define FILL_CYCLES_MAX 40        /* to place all tasks */
+#define FAILOVER_HEAP_MIB_MAX 9.0 /* growth of the heap while the intents are read and adopted */
 #define ARRAY_TASKS 2000u
-#define DELEGATE_NAME "p/node-1"
+#define DELEGATE_KEY "p/node-1"
 
-static double heap_mb(void)
+static double heap_mib(void)
 {
     return (double)mallinfo2().uordblks / 1048576.0;
 }
@@ -56,7 +56,7 @@
 {
     uint32_t placed_before = count_placed(deployment);
     uint32_t commands_before = deployment->direct_commands;
-    double heap_before_mb = heap_mb();
+    double heap_before_mib = heap_mib();
     json_t *intents = deployment_intents(deployment);
     struct bd_acquisition acquisition = {.term = deployment->revision + 1,
                                          .grant = 7,
@@ -67,16 +67,17 @@
     acquisition.receipts = json_array();
     acquisition.intents = intents;
     bd_core_leadership_acquired(deployment->core, &acquisition);
-    double heap_growth_mb = heap_mb() - heap_before_mb;
+    double heap_growth_mib = heap_mib() - heap_before_mib;
     json_decref(acquisition.receipts);
     json_decref(intents);
-    fprintf(stderr, "failover with %u tasks: the heap grew by %.1f MB\n", placed_before,
-            heap_growth_mb);
-    if (heap_growth_mb > FAILOVER_HEAP_MB_MAX)
-        deployment_fail(deployment, "MB of heap growth in the failover", (size_t)heap_growth_mb,
-                        (size_t)FAILOVER_HEAP_MB_MAX);
+    fprintf(stderr, "failover with %u tasks: the heap grew by %.1f MiB\n", placed_before,
+            heap_growth_mib);
+    if (heap_growth_mib > FAILOVER_HEAP_MIB_MAX)
+        deployment_fail(deployment, "MiB of heap growth in the failover", (size_t)heap_growth_mib,
+                        (size_t)FAILOVER_HEAP_MIB_MAX);
     if (count_placed(deployment) != placed_before)
-        deployment_fail(deployment, "tasks placed right after the failover",
+        deployment_fail(deployment,
+                        "tasks placed right after the failover, which must equal the maximum",
                         count_placed(deployment), placed_before);
     deployment_discard_effects(deployment);
     send_heartbeats(deployment);
@@ -99,7 +100,7 @@
             snprintf(id, sizeof id, "vm-%06u", i);
             json_array_append_new(names, json_string(id));
         }
-        json_t *pairs = json_pack("[{s:s,s:{s:i,s:o},s:I}]", "k", DELEGATE_NAME, "value", "t", 1,
+        json_t *pairs = json_pack("[{s:s,s:{s:i,s:o},s:I}]", "k", DELEGATE_KEY, "value", "t", 1,
                                   "m", names, "mark", 100 + (json_int_t)revision);
         bd_delegate_records_read(deployment->core, pairs, deployment->core->now);
         json_decref(pairs);
