--- a/tests/drain_check.c
+++ b/tests/drain_check.c
@@ -37,13 +37,13 @@
     replica->state = REPLICA_UP;
 }
 
-void drain_check_replica_lost(struct drain_check *check, double now, int job, uint32_t task)
+void drain_check_replica_lost(struct drain_check *check, double now_s, int job, uint32_t task)
 {
     struct drain_replica *replica = find_replica(check, job, task);
     if (replica->state != REPLICA_UP)
         return;
     replica->state = REPLICA_LOST;
-    replica->state_since = now;
+    replica->state_since = now_s;
 }
 
 void drain_check_job_cancelled(struct drain_check *check, int job)
@@ -55,32 +55,32 @@
 
 /* Counts the team's replicas that were stopped on command and, with `includes_lost`, those lost for
  * longer than the detection takes. */
-static uint32_t count_replicas_down(const struct drain_check *check, double now, int team,
+static uint32_t count_replicas_down(const struct drain_check *check, double now_s, int team,
                                     bool includes_lost)
 {
     uint32_t count = 0;
     for (int i = 0; i < check->nreplicas; i++) {
         const struct drain_replica *replica = &check->replicas[i];
         bool is_lost = includes_lost && replica->state == REPLICA_LOST &&
-                       now - replica->state_since > LOSS_DETECTION_S;
+                       now_s - replica->state_since > LOSS_DETECTION_S;
         count += replica->team == team && (replica->state == REPLICA_STOPPED || is_lost);
     }
     return count;
 }
 
-bool drain_check_replica_stopped(struct drain_check *check, double now, int job, uint32_t task)
+bool drain_check_replica_stopped(struct drain_check *check, double now_s, int job, uint32_t task)
 {
     struct drain_replica *replica = find_replica(check, job, task);
     if (replica->state != REPLICA_UP)
         return true; /* the replica was not up, so the stop takes nothing down */
     replica->state = REPLICA_STOPPED;
-    replica->state_since = now;
+    replica->state_since = now_s;
     check->stops++;
-    uint32_t stopped = count_replicas_down(check, now, replica->team, false);
+    uint32_t stopped = count_replicas_down(check, now_s, replica->team, false);
     check->peak_stopped[replica->team] =
         stopped > check->peak_stopped[replica->team] ? stopped : check->peak_stopped[replica->team];
     return stopped <= check->budgets[replica->team] &&
-           count_replicas_down(check, now, replica->team, true) <= check->budgets[replica->team];
+           count_replicas_down(check, now_s, replica->team, true) <= check->budgets[replica->team];
 }
 
 /* The checker must detect two replicas that are stopped at the same time, and a stop while another
--- a/tests/drain_check.h
+++ b/tests/drain_check.h
@@ -26,11 +26,11 @@
 
 void drain_check_start(struct drain_check *check, const uint32_t *budgets);
 void drain_check_replica_running(struct drain_check *check, int job, uint32_t task, int team);
-void drain_check_replica_lost(struct drain_check *check, double now, int job, uint32_t task);
+void drain_check_replica_lost(struct drain_check *check, double now_s, int job, uint32_t task);
 /* The user cancelled the job: its replicas are no longer counted. */
 void drain_check_job_cancelled(struct drain_check *check, int job);
 /* Returns false if more replicas of the team are down than its budget allows. */
-bool drain_check_replica_stopped(struct drain_check *check, double now, int job, uint32_t task);
+bool drain_check_replica_stopped(struct drain_check *check, double now_s, int job, uint32_t task);
 /* Returns whether the checker judges sample histories correctly. */
 bool drain_check_self_test(void);
 #endif
--- a/tests/fake_server.h
+++ b/tests/fake_server.h
@@ -43,11 +43,11 @@
  * 400. Transactions beyond write_rps changes per second get 429. 0: no limit. */
 void fake_store_set_limits(struct fake_cluster *cluster, size_t kv_value_bytes_max,
                            size_t txn_ops_max, int write_rps);
-/* Counts the transactions that got status 400 and those that got 429. */
+/* Returns how many transactions got status 400 and how many got 429 since the start. */
 void fake_store_rejections(struct fake_cluster *cluster, int *too_large, int *rate_limited);
 /* Writes all keys and values to a file as JSON. Returns false if it cannot be written. */
 bool fake_store_dump(struct fake_cluster *cluster, const char *path);
-/* While it is down, the store answers every request with 503. */
+/* While `is_down` is set, the store answers every request with 503. */
 void fake_store_set_down(struct fake_cluster *cluster, bool is_down);
 /* While `is_refused` is set, the store answers this controller with 503, and serves the others. */
 void fake_store_refuse_node(struct fake_cluster *cluster, int node, bool is_refused);
--- a/tests/graphs.c
+++ b/tests/graphs.c
@@ -3,7 +3,7 @@
  * cancellations, queries, lost answers and crashes of either controller. The seeds are fixed.
  * Asserted:
  *
- * - No task starts before the records of all jobs that its job needs say that they are done.
+ * - No task starts before the records of all parents of its job have the state done.
  * - Each node reports a job as cancelled exactly when the job or one of its direct or indirect
  *   parents was cancelled, and never reports another state after that.
  * - Every job that is not cancelled ends.
--- a/tests/inputs.h
+++ b/tests/inputs.h
@@ -22,7 +22,7 @@
 
 /* inputs_frames.c */
 void inputs_frames(void);
-/* Records and frames that the version in production wrote, captured with `loopback OLDER capture
- * DIR`. */
+/* Records and frames that the version in production wrote, captured with `loopback PROGRAM capture
+ * DIRECTORY`. */
 void inputs_production(const char *directory);
 #endif
--- a/tests/inputs_frames.c
+++ b/tests/inputs_frames.c
@@ -129,12 +129,12 @@
                  "the records of the version in production have the expected states");
     json_decref(all);
     snprintf(path, sizeof path, "%s/production-frames.bin", directory);
-    FILE *in = fopen(path, "rb");
-    size_t length = in ? fread(bytes, 1, sizeof bytes, in) : 0, at = 0;
-    if (in)
-        (void)fclose(in);
-    for (long used = 1; used > 0 && at < length; at += (size_t)(used > 0 ? used : 0)) {
-        used = bd_frame_read(bytes + at, length - at, frame);
+    FILE *file = fopen(path, "rb");
+    size_t length = file ? fread(bytes, 1, sizeof bytes, file) : 0, offset = 0;
+    if (file)
+        (void)fclose(file);
+    for (long used = 1; used > 0 && offset < length; offset += (size_t)(used > 0 ? used : 0)) {
+        used = bd_frame_read(bytes + offset, length - offset, frame);
         inputs_check(used >= 0 && (used == 0 || frame->type != BD_FRAME_PEER_STATUS ||
                                    (strcmp(frame->sender, "node-0") == 0 &&
                                     !(frame->flags & BD_PEER_SUPPORTS_DEPENDENCIES))),
@@ -142,7 +142,7 @@
         frames += used > 0;
     }
     inputs_check(
-        frames > 5 && length - at < 100,
+        frames > 5 && length - offset < 100,
         "more than 5 frames of the version in production are read, and under 100 bytes are left");
     free(frame);
 }
