--- a/tests/loopback_faults.c
+++ b/tests/loopback_faults.c
@@ -63,8 +63,8 @@
                 "the other service runs again, the cancelled one does not");
 }
 
-/* The leader can renew its lease but not read the job records. It must give up the lease, and the
- * new leader must start new jobs. */
+/* The leader can renew its lease but not read the job records. This leader must give up the lease,
+ * and the new leader must start new jobs. */
 static void test_leader_cannot_read(struct loopback *test)
 {
     int leader = fake_store_leader(test->cluster);
