--- a/tests/drain_check.c
+++ b/tests/drain_check.c
@@ -1,12 +1,13 @@
-/* The invariant of draining, checked on what the workers did. A replica is down from the moment at
- * which a worker stops it on command until an attempt of it runs again. No team has more replicas
- * down than its budget allows. Replicas that were lost in other ways count too, once the leader has
- * had the time to detect the loss. */
+/* The invariant of draining, checked against the task events of the workers. A replica is down from
+ * the moment at which a worker stops it on command until an attempt of this replica runs again. No
+ * team has more replicas down than its budget allows. Replicas that were lost in other ways count
+ * too, once the leader has had the time to detect the loss. */
 #include "drain_check.h"
 #include <stdlib.h>
 #include <string.h>
 
-/* After that a loss is known to the leader, and commands sent before it are executed. */
+/* Within this time after a loss, the leader detects the loss, and the workers execute the commands
+ * that were sent earlier. */
 #define LOSS_DETECTION_S 25.0
 #define TEAMS 2
 
@@ -22,7 +23,7 @@
     for (int i = 0; i < check->nreplicas; i++)
         if (check->replicas[i].job == job && check->replicas[i].task == task)
             return &check->replicas[i];
-    if (check->nreplicas == DRAIN_REPLICAS)
+    if (check->nreplicas == DRAIN_REPLICAS_MAX)
         abort();
     struct drain_replica *replica = &check->replicas[check->nreplicas++];
     *replica = (struct drain_replica){.job = job, .task = task};
@@ -36,13 +37,13 @@
     replica->state = REPLICA_UP;
 }
 
-void drain_check_replica_lost(struct drain_check *check, double now, int job, uint32_t task)
+void drain_check_replica_lost(struct drain_check *check, double now_s, int job, uint32_t task)
 {
     struct drain_replica *replica = find_replica(check, job, task);
     if (replica->state != REPLICA_UP)
         return;
     replica->state = REPLICA_LOST;
-    replica->state_since = now;
+    replica->state_since = now_s;
 }
 
 void drain_check_job_cancelled(struct drain_check *check, int job)
@@ -52,34 +53,34 @@
             check->replicas[i].state = REPLICA_NONE;
 }
 
-/* Counts the team's replicas that were stopped on command and, with `losses`, those lost for longer
- * than the detection takes. */
-static uint32_t count_replicas_down(const struct drain_check *check, double now, int team,
-                                    bool losses)
+/* Counts the team's replicas that were stopped on command and, with `includes_lost`, those lost for
+ * longer than the detection takes. */
+static uint32_t count_replicas_down(const struct drain_check *check, double now_s, int team,
+                                    bool includes_lost)
 {
     uint32_t count = 0;
     for (int i = 0; i < check->nreplicas; i++) {
         const struct drain_replica *replica = &check->replicas[i];
-        bool is_lost = losses && replica->state == REPLICA_LOST &&
-                       now - replica->state_since > LOSS_DETECTION_S;
+        bool is_lost = includes_lost && replica->state == REPLICA_LOST &&
+                       now_s - replica->state_since > LOSS_DETECTION_S;
         count += replica->team == team && (replica->state == REPLICA_STOPPED || is_lost);
     }
     return count;
 }
 
-bool drain_check_replica_stopped(struct drain_check *check, double now, int job, uint32_t task)
+bool drain_check_replica_stopped(struct drain_check *check, double now_s, int job, uint32_t task)
 {
     struct drain_replica *replica = find_replica(check, job, task);
     if (replica->state != REPLICA_UP)
-        return true; /* it was not up, so the stop takes nothing down */
+        return true; /* the replica was not up, so the stop takes nothing down */
     replica->state = REPLICA_STOPPED;
-    replica->state_since = now;
+    replica->state_since = now_s;
     check->stops++;
-    uint32_t stopped = count_replicas_down(check, now, replica->team, false);
-    check->peak_down[replica->team] =
-        stopped > check->peak_down[replica->team] ? stopped : check->peak_down[replica->team];
+    uint32_t stopped = count_replicas_down(check, now_s, replica->team, false);
+    check->peak_stopped[replica->team] =
+        stopped > check->peak_stopped[replica->team] ? stopped : check->peak_stopped[replica->team];
     return stopped <= check->budgets[replica->team] &&
-           count_replicas_down(check, now, replica->team, true) <= check->budgets[replica->team];
+           count_replicas_down(check, now_s, replica->team, true) <= check->budgets[replica->team];
 }
 
 /* The checker must detect two replicas that are stopped at the same time, and a stop while another
